--- a/dykefold/admission/clients.py
+++ b/dykefold/admission/clients.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import logging
+import socket
 from typing import Any, Protocol
 
 from ..system import SYSTEM, System
@@ -45,6 +46,10 @@
         """Whether it can be closed without harm."""
         ...
 
+    def accepted(self, sock: socket.socket) -> None:
+        """It was let in; its transport is still to be made."""
+        ...
+
     def calls(self) -> list[Any]:
         """The requests of it that are not over."""
         ...
@@ -53,6 +58,14 @@
         """Close at once."""
         ...
 
+    def give_way(self) -> None:
+        """Close at once for the sake of others: with a refusal where a message has begun."""
+        ...
+
+    def refuse_rest(self, text: str) -> None:
+        """Turn away what it has begun to ask, behind the answers to what it has asked."""
+        ...
+
     def asks(self) -> bool:
         """Whether something of the client is there that was not read yet."""
         ...
@@ -76,7 +89,7 @@
 
     def admit(self, host: str) -> tuple[Client | None, Reason | None]:
         """Ask for a new connection from an address; one that has to make room is closed here."""
-        client, reason, victim = self.admission.connect(host, self.monotonic())
+        client, reason, victim = self.admission.connect(host, self.monotonic(), self._asks)
         if victim is not None:
             self._close(victim)
         if reason is not None:
@@ -137,11 +150,11 @@
 
     def resize(self, share: Share, caps: Caps) -> None:
         """Take other limits, and close those for whom there is no room any more."""
-        self._let_go(self.admission.resize(share, caps, self.monotonic()))
+        self._let_go(self.admission.resize(share, caps, self.monotonic(), self._asks))
 
     def release(self) -> bool:
         """Let one go since the system has no descriptor left; whether there was one to go."""
-        client = self.admission.release(self.monotonic())
+        client = self.admission.release(self.monotonic(), self._asks)
         if client is not None:
             self._close(client)
         return client is not None
@@ -185,4 +198,4 @@
     def _close(self, client: Client) -> None:
         guest = self.all.get(client)
         if guest is not None:
-            guest.close()
+            guest.give_way()
--- a/dykefold/admission/listener.py
+++ b/dykefold/admission/listener.py
@@ -13,21 +13,38 @@
 import logging
 import socket
 from collections.abc import Callable
+from enum import Enum, auto
 
 from ..system import SYSTEM, System
 from .budget import ACCEPTING
 from .clients import Clients, Guest
+from .refusals import Refused
 from .rules import Client, Reason
 
 log = logging.getLogger("dykefold.admission")
 
 STARVED = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
+# Of the connection that was to be accepted, or of the call: the next one is asked for at once (accept(2)).
+PASSING = frozenset(
+    (
+        errno.ECONNABORTED,
+        errno.EINTR,
+        errno.EPROTO,
+        errno.ENETDOWN,
+        errno.ENOPROTOOPT,
+        errno.EHOSTDOWN,
+        errno.ENONET,
+        errno.EHOSTUNREACH,
+        errno.EOPNOTSUPP,
+        errno.ENETUNREACH,
+    )
+)
 PAUSE_S = 0.05  # without accepting when the system has no descriptor; a released one ends it sooner
 NOTES_APART_S = 10.0
 REST_MOST = 64  # turns in which a listener that is to close accepts what waits: twice what the kernel holds
 RETRY_AFTER_S = 1
 SEND_BYTES = 128 * 1024  # of the kernel's buffer to a client: a slow one is seen to read every few of them
-UNREAD_MOST = 4096  # bytes that a refused client may have sent already: unread they would reset the refusal
+REFUSED_MOST = 8  # refused clients whose end is waited for; they take places of those accepted in a turn
 
 
 def _refusal(code: int, reason: str, text: str) -> bytes:
@@ -43,6 +60,14 @@
 }
 
 
+class Turn(Enum):
+    """What a turn of accepting ended with."""
+
+    MORE = auto()  # others may wait
+    EMPTY = auto()
+    FAILED = auto()  # it is tried again after a pause
+
+
 class Listener:
     """Accepts on one non-blocking listening socket; `make` builds a connection's protocol for a client."""
 
@@ -64,6 +89,9 @@
         self.starting: set[asyncio.Task[None]] = set()
         self.noted_at_s = -NOTES_APART_S
         self.closed = False
+        self.refused: dict[Refused, None] = {}  # the oldest first
+        self.ended: Callable[[], None] | None = None  # told once it is closed, if it is to end
+        self.end_by_s = 0.0
         self._take_spare()
         sock.setblocking(False)
         # Accepted sockets have the listener's.
@@ -74,34 +102,53 @@
     def address(self) -> tuple[str, int]:
         return self.sock.getsockname()[:2]
 
-    def _ready(self) -> bool:
-        """Accept a number of connections; whether more may wait."""
-        for _ in range(ACCEPTING):
+    def _ready(self) -> None:
+        self._accept()
+
+    def _accept(self) -> Turn:
+        """Accept a number of connections."""
+        error = None
+        for _ in range(ACCEPTING - len(self.refused)):
             try:
                 sock, peer = self.sock.accept()
-            except (BlockingIOError, InterruptedError):
-                return False
-            except ConnectionAbortedError:  # it was reset while it waited
-                continue
-            except OSError as error:
-                self._failed(error)
-                return False
-            client, reason = self.clients.admit(peer[0])
-            if client is None:
-                _refuse(sock, Reason.FULL if reason is None else reason)
-                continue
+            except BlockingIOError:
+                return Turn.EMPTY
+            except OSError as failure:
+                error = failure
+                if failure.errno not in PASSING:
+                    break
+            else:
+                error = None
+                self._let_in(sock, peer[0])
+        if error is None:
+            return Turn.MORE
+        self._failed(error)
+        return Turn.FAILED
+
+    def _let_in(self, sock: socket.socket, host: str) -> None:
+        try:
             sock.setblocking(False)
-            guest = self.make(client)
-            self.clients.add(guest)
-            task = self.loop.create_task(self._start(sock, guest))
-            self.starting.add(task)
-            task.add_done_callback(self.starting.discard)
-        return True
+        except OSError:  # it has gone
+            sock.close()
+            return
+        client, reason = self.clients.admit(host)
+        if client is None:
+            self._refuse(sock, Reason.FULL if reason is None else reason)
+            return
+        guest = self.make(client)
+        guest.accepted(sock)
+        self.clients.add(guest)
+        task = self.loop.create_task(self._start(sock, guest))
+        self.starting.add(task)
+        task.add_done_callback(self.starting.discard)
 
     async def _start(self, sock: socket.socket, guest: Guest) -> None:
         try:
             await self.loop.connect_accepted_socket(lambda: guest, sock)  # type: ignore[type-var, arg-type, return-value]
-        except (OSError, asyncio.CancelledError):
+        except OSError:  # it was reset, or the system lacks something: whoever is still there hears it
+            self._refuse(sock, Reason.FULL)
+            self.clients.remove(guest.client)
+        except asyncio.CancelledError:
             sock.close()
             self.clients.remove(guest.client)
 
@@ -126,6 +173,9 @@
 
     def _turn_away(self) -> None:
         for _ in range(ACCEPTING):
+            if self.spare is None:  # a client that was refused has it, and somebody else waits
+                self._forget_refused()
+                self._take_spare()
             if self.spare is None:
                 return
             self.system.close_spare(self.spare)
@@ -135,9 +185,35 @@
             except OSError:
                 self._take_spare()
                 return
-            _refuse(sock, Reason.FULL)
+            self._refuse(sock, Reason.FULL)
+            self._take_spare()
+            if not self._waits():
+                return
+
+    def _waits(self) -> bool:
+        """Whether somebody waits to be accepted."""
+        try:
+            return bool(self.system.watch(self.sock).poll(0))
+        except OSError:
+            return True
+
+    def _refuse(self, sock: socket.socket, reason: Reason) -> None:
+        if len(self.refused) >= REFUSED_MOST:
+            next(iter(self.refused)).close()
+        refused = Refused(self.loop, sock, REFUSALS[reason], self._forget)
+        if not refused.closed:
+            self.refused[refused] = None
+
+    def _forget(self, refused: Refused) -> None:
+        self.refused.pop(refused, None)
+        if not self.closed:
             self._take_spare()
 
+    def _forget_refused(self) -> None:
+        """Take back the descriptors of those who were refused."""
+        for refused in list(self.refused):
+            refused.close()
+
     def _take_spare(self) -> None:
         if self.spare is None:
             with contextlib.suppress(OSError):  # somebody else was faster: it is tried again
@@ -150,6 +226,13 @@
 
     def released(self) -> None:
         """A descriptor has come free, or the pause is over: accept again."""
+        if self.resume is None:
+            return
+        self._go_on()
+        if self.ended is not None:
+            self._end()
+
+    def _go_on(self) -> None:
         if self.resume is None:
             return
         self.resume.cancel()
@@ -157,12 +240,36 @@
         self._take_spare()
         self.loop.add_reader(self.sock.fileno(), self._ready)
 
-    def take_rest(self) -> None:
-        """Accept what waits: closing the socket would reset it."""
-        self.released()  # a rest after a lack of descriptors would be its end
+    def take_rest(self) -> bool:
+        """Accept what waits: closing the socket would reset it. False if accepting fails for now."""
+        self._go_on()  # a rest after a lack of descriptors would be its end
         for _ in range(REST_MOST):
-            if self.closed or self.resume is not None or not self._ready():
-                return
+            turn = Turn.EMPTY if self.closed else self._accept()
+            if turn is not Turn.MORE:
+                return turn is Turn.EMPTY
+        return True
+
+    def end(self, within_s: float, ended: Callable[[], None]) -> None:
+        """Accept what waits, and close.
+
+        Args:
+            within_s: for which accepting is tried again while it fails; who then still waits is refused.
+            ended: called once it is closed: in this call if nothing fails.
+        """
+        self.ended = ended
+        self.end_by_s = self.system.monotonic() + within_s
+        self._end()
+
+    def _end(self) -> None:
+        if self.closed:
+            return
+        if not self.take_rest():
+            if self.system.monotonic() < self.end_by_s:
+                return  # the pause ends here again
+            self._turn_away()
+        self.close()
+        if self.ended is not None:
+            self.ended()
 
     def close(self) -> None:
         if self.closed:
@@ -177,12 +284,3 @@
         if self.spare is not None:
             self.system.close_spare(self.spare)
             self.spare = None
-
-
-def _refuse(sock: socket.socket, reason: Reason) -> None:
-    with sock, contextlib.suppress(OSError):
-        sock.setblocking(False)
-        with contextlib.suppress(BlockingIOError):
-            sock.recv(UNREAD_MOST)
-        sock.send(REFUSALS[reason])
-        sock.shutdown(socket.SHUT_WR)
--- a/dykefold/admission/rules.py
+++ b/dykefold/admission/rules.py
@@ -7,6 +7,7 @@
 4. Among those that may leave the order is: those that are leaving anyway, never asked, stopped within a
    message, idle after one request, idle after several, and last the youngest with a message begun of the
    address that has most of these. Within each, the address that has most gives first, its oldest one.
+   One whose next bytes are there unread has come back: it is passed over, a bounded number of times.
 5. Nothing costs more when more connections are open.
 
 Idle connections also go before anything is full. What clients may hold for requests is counted on their
@@ -44,6 +45,7 @@
 GAP_DEVIATIONS = 4.0
 GAP_FIRST_S = 0.1
 GAP_LEAST_S = 0.02
+PASSED_OVER_MOST = 16  # of those that could make room, as they have come back: each costs a system call
 SURPLUS_AT_ONCE = 4  # to let go at each event: more come back than arrive, and the cost stays bounded
 
 
@@ -123,6 +125,13 @@
         self.queues: list[Queue[Client]] = [Queue() for _ in State]
 
 
+Asks = Callable[[Client], bool]  # whether something of a client is there that was not read yet
+
+
+def _silent(_: Client) -> bool:
+    return False
+
+
 class Admission:
     """Decides on each connection; the edge names every one by its `Client`."""
 
@@ -151,9 +160,14 @@
 
     # Letting in
 
-    def connect(self, host: str, now_s: float) -> tuple[Client | None, Reason | None, Client | None]:
+    def connect(
+        self, host: str, now_s: float, asks: Asks = _silent
+    ) -> tuple[Client | None, Reason | None, Client | None]:
         """Judge a new connection.
 
+        Args:
+            asks: whether something of a client is there that was not read yet: it has come back.
+
         Returns the client, or the reason against it, and the one that must be closed to make room.
         """
         address = self.addresses.find(host, now_s)
@@ -170,7 +184,7 @@
         if self.count >= self.share.connections or (
             not address.known and self.sides[False].count >= strangers
         ):
-            victim = self._to_leave(address.known, now_s)
+            victim = self._to_leave(address.known, now_s, asks)
             over = self.count > self.share.connections  # the share has become smaller: one is not enough
             if victim is not None:
                 self.leave(victim)
@@ -291,14 +305,30 @@
 
     # Letting go
 
-    def _to_leave(self, for_known: bool, now_s: float) -> Client | None:
+    def _to_leave(self, for_known: bool, now_s: float, asks: Asks) -> Client | None:
         """Who makes room; strangers first, and for a stranger nobody else."""
+        passed_over: set[Client] = set()
         for known in (False, True) if for_known else (False,):
             side = self.sides[known]
-            if side.count and (client := self._least_needed(side, now_s)) is not None:
-                return client
+            while side.count and (client := self._least_needed(side, now_s)) is not None:
+                if client in passed_over:
+                    break
+                if not asks(client):
+                    return client
+                if len(passed_over) >= PASSED_OVER_MOST:
+                    return None
+                passed_over.add(client)
+                self._come_back(client, now_s)
         return None
 
+    def _come_back(self, client: Client, now_s: float) -> None:
+        """Something of it is there unread: it counts as heard now, and stands behind the others."""
+        idle_since_s, state = client.idle_since_s, client.state
+        if state is not None:
+            self._exit(client)
+            self._enter(client, state, now_s)
+            client.idle_since_s = idle_since_s  # the gap before its request is still learned
+
     def _least_needed(self, side: Side, now_s: float) -> Client | None:
         leaving, silent, once, kept, reading, _ = side.queues
         if leaving:
@@ -319,7 +349,7 @@
             return reading.greediest_youngest()
         return silent.greediest_oldest()
 
-    def surplus(self, now_s: float, asks: Callable[[Client], bool] = lambda _: False) -> list[Client]:
+    def surplus(self, now_s: float, asks: Asks = _silent) -> list[Client]:
         """Idle connections that nobody seems to come back for, while more are held than are of use.
 
         Args:
@@ -330,9 +360,8 @@
             client = self._unused(now_s) if self.asked > self.working else None
             if client is None:
                 break
-            if client.state is not None and asks(client):
-                self._exit(client)
-                self._enter(client, client.state, now_s)
+            if asks(client):
+                self._come_back(client, now_s)
                 continue
             self.leave(client)
             found.append(client)
@@ -348,20 +377,20 @@
                     return client
         return None
 
-    def release(self, now_s: float) -> Client | None:
+    def release(self, now_s: float, asks: Asks = _silent) -> Client | None:
         """Whom to let go when the system has no descriptor left, known or not."""
-        client = self._to_leave(True, now_s)
+        client = self._to_leave(True, now_s, asks)
         if client is not None:
             self.leave(client)
         return client
 
-    def resize(self, share: Share, caps: Caps, now_s: float) -> list[Client]:
+    def resize(self, share: Share, caps: Caps, now_s: float, asks: Asks = _silent) -> list[Client]:
         """Take other limits; returns whom the smaller ones have no room for, of those that may leave."""
         self.share = share
         self._count_working()
         self.addresses.apply(caps)
         found: list[Client] = []
-        while self.count > share.connections and (client := self.release(now_s)) is not None:
+        while self.count > share.connections and (client := self.release(now_s, asks)) is not None:
             found.append(client)
         return found
 
--- a/dykefold/net/engine.py
+++ b/dykefold/net/engine.py
@@ -43,7 +43,9 @@
 ANSWER_BEFORE_KILL = 0.4  # seconds before that everything held is answered
 LAST_ANSWERS = 1.0  # seconds that are left for the answers to what was taken last
 RETRY_AFTER_NS = 500 * MS  # as advice with a refusal for want of room here
+LISTENER_LEAST = 0.1  # seconds for which a listener that is to close tries again to accept who waits
 FLUSH_FOR = 0.3  # seconds for clients to read these
+LAST_WORDS = 0.05  # seconds before the end in which who has still begun a message hears of it
 
 
 def planned_end(longest_s: float) -> tuple[float, float, float]:
@@ -103,6 +105,7 @@
         self.ended = False  # all that was held has been answered, and nothing more is taken
         self.stopped = loop.create_future()
         self.listener: Listener | None = None
+        self.answer_at = math.inf  # when all that is held is answered, once a planned end has begun
         self.reported_at = -math.inf  # when an exception of the module was last logged
         self._sweep(self.monotonic())
 
@@ -278,8 +281,10 @@
             (spec.deadline_ns for pool in self.pools for spec in pool.settings.classes), default=0
         )
         take_s, answer_s, stop_s = planned_end(longest_ns / SECOND)
+        self.answer_at = self.monotonic() + answer_s
         self.loop.call_later(take_s, self._stop_taking)
         self.loop.call_later(answer_s, self._answer_all)
+        self.loop.call_later(stop_s - LAST_WORDS, self._refuse_rest)
         self.loop.call_later(stop_s, self._stop)
 
     def _stop_accepting(self) -> None:
@@ -310,12 +315,22 @@
         self.ended = True
         for pool in self.pools:
             pool.answer_all()
+        self._refuse_rest()
+
+    def _refuse_rest(self) -> None:
+        """Guards what was read of messages that have not come whole: their clients may wait for the rest."""
+        for front in list(self.clients.all.values()):
+            front.refuse_rest("this sidecar ends")
 
     def _close_listener(self) -> None:
-        if self.listener is not None:
-            self.listener.take_rest()
-            self.listener.close()
+        if self.listener is not None and self.listener.ended is None:
+            left_s = min(self.answer_at, self.monotonic() + DEADLINE_MOST) - self.monotonic()
+            self.listener.end(max(left_s, LISTENER_LEAST), self._listener_closed)
+
+    def _listener_closed(self) -> None:
         self.listener = None
+        if self.draining:
+            self._end_if_done()
 
     def _stop_taking(self) -> None:
         if not self.taking:
--- a/dykefold/net/front.py
+++ b/dykefold/net/front.py
@@ -153,6 +153,7 @@
         "size",
         "size_most",
         "slow",
+        "sock",
         "source",
         "stays",
         "target",
@@ -169,6 +170,7 @@
         self.client = client
         self.parser = httptools.HttpRequestParser(self)
         self.transport: asyncio.Transport | None = None
+        self.sock: socket.socket | None = None  # as it was accepted, until the transport has it
         self.waiting: deque[Call | Ready | RequestError] = deque()
         self.current: Call | None = None
         self.pumping = False
@@ -225,10 +227,15 @@
         waiting = [item for item in self.waiting if isinstance(item, Call)]
         return waiting if self.current is None else [self.current, *waiting]
 
+    def accepted(self, sock: socket.socket) -> None:
+        """It was let in; its transport is still to be made."""
+        self.sock = sock
+
     # The transport's calls
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport  # type: ignore[assignment]
+        self.sock = None
         transport.set_write_buffer_limits(high=0)  # type: ignore[attr-defined]
         if self.leaving:
             transport.abort()  # type: ignore[attr-defined]
@@ -667,8 +674,15 @@
         self.engine.clients.place(self)
 
     def _stays(self) -> bool:
-        """Whether the connection is of use after the next answer."""
-        return bool(self.waiting) or (self.engine.taking and not self.engine.handing and not self.over)
+        """Whether the connection is of use after the next answer.
+
+        One that has asked again already is, whatever has begun: each of what it asked has its own answer.
+        """
+        if self.waiting or self.unfed is not None:
+            return True
+        if self.over:
+            return False
+        return (self.engine.taking and not self.engine.handing) or self.asks()
 
     def _respond(self, code: int, headers: bytes, body: bytes, keep_alive: bool, head: bool = False) -> None:
         keep_alive = keep_alive and self._stays()
@@ -686,9 +700,33 @@
             self._leave()
             self.engine.clients.place(self)
 
+    def give_way(self) -> None:
+        """Close for the sake of others, who need its place: what it has begun to ask is refused first."""
+        if self.transport is None or not self.owes:
+            self.close()
+            return
+        self.refuse_rest("its place was needed")
+        self.leaving = True
+        self.transport.close()  # at once, unless the refusal has to wait to go
+
+    def refuse_rest(self, text: str) -> None:
+        """Turn away what it has begun to ask, behind the answers to what it has asked."""
+        if self.owes:
+            self._reject(503, text)
+            self._pump()
+            self.engine.clients.place(self)
+
     def asks(self) -> bool:
         """Whether bytes of the client, or its end, are there that were not read yet."""
-        return self.transport is not None and bool(self._watch_end().poll(0))
+        if self.closed or (self.transport is None and self.sock is None):
+            return False
+        return self.unfed is not None or (not self.over and bool(self._poll()))
+
+    def _poll(self) -> list[tuple[int, int]]:
+        try:
+            return self._watch_end().poll(0)
+        except (OSError, ValueError):  # no memory to look; or its descriptor is closed
+            return []
 
     def gone(self) -> bool:
         """Whether the client has closed, also where that stands behind what was not read yet.
@@ -698,7 +736,7 @@
         """
         if self.closed or self.transport is None:
             return self.closed
-        found = self._watch_end().poll(0)
+        found = self._poll()
         if not found or not found[0][1] & (END_BOTH if self.engine.half_close else END):
             return False
         self.engine.loop.call_soon(self.close)
@@ -706,8 +744,9 @@
 
     def _watch_end(self) -> Watch:
         if self.end is None:
-            assert self.transport is not None
-            self.end = self.engine.system.watch_end(self.transport.get_extra_info("socket"))
+            sock = self.sock if self.transport is None else self.transport.get_extra_info("socket")
+            assert sock is not None
+            self.end = self.engine.system.watch_end(sock)
         return self.end
 
     def _leave(self) -> None:
@@ -721,7 +760,11 @@
         self.waiting.clear()
         self.linger_s = LINGER if self.deaf else LINGER_ANSWERED
         self.deaf = True
-        self.transport.write_eof()  # once what was written has gone
+        try:
+            self.transport.write_eof()  # once what was written has gone
+        except OSError:  # it was reset meanwhile
+            self.transport.abort()
+            return
         if self.slow is None:
             self.slow = self.engine.loop.call_later(self.linger_s, self.close)
         if self.paused:  # or the client's end would not be seen
--- /dev/null
+++ b/tests/admission/test_accept_errors.py
@@ -0,0 +1,234 @@
+"""The accept edge when system calls fail for a moment: nobody is reset for it, and nothing spins."""
+
+import asyncio
+import errno
+import gc
+import socket
+import time
+
+import pytest
+from faulty_system import FaultySystem, run_plain
+from net_helpers import (
+    HOST,
+    WAIT,
+    Fake,
+    Sidecar,
+    answer_ok,
+    ask,
+    config,
+    entry,
+    message,
+    news,
+    on_loop,
+    one_server,
+    until,
+)
+
+from dykefold.admission import refusals
+from dykefold.admission.addresses import Caps
+from dykefold.net.ends import NO_LINGER
+
+# accept(2): those of the call, and those of the network that come through it.
+NAMES = "ECONNABORTED EINTR EMFILE ENFILE ENOBUFS ENOMEM EPERM EPROTO ENETDOWN ENOPROTOOPT EHOSTDOWN ENONET"
+ACCEPT = [*NAMES.split(), "EHOSTUNREACH", "EOPNOTSUPP", "ENETUNREACH"]
+GONE = ["EINVAL", "ENOTCONN", "ENOBUFS", "ENOMEM", "ECONNRESET", "EPIPE", "ETIMEDOUT", "EHOSTUNREACH"]
+
+
+def faulty(sidecar):
+    """The sidecar's listener on a socket that can fail: its faults."""
+    system = FaultySystem()
+    sidecar.engine.listener.close()
+    sock = system.take(socket.create_server((HOST, 0), backlog=64))
+    _, sidecar.port = sidecar.engine.listen(sock).address
+    return system.faults
+
+
+def connected(port, *data):
+    """Clients that the system has let in, with what they sent, before the loop has its next turn."""
+    socks = [socket.create_connection((HOST, port), timeout=WAIT) for _ in data]
+    for sock, one in zip(socks, data, strict=True):
+        sock.sendall(one)
+    return socks
+
+
+def read_all(sock):
+    found = b""
+    with sock:
+        while data := sock.recv(65536):
+            found += data
+    return found
+
+
+def whole(*socks):
+    """What each of the clients reads to the end, as they close at last."""
+    return asyncio.gather(*(asyncio.to_thread(read_all, sock) for sock in socks))
+
+
+@pytest.mark.parametrize("ends", [False, True], ids=["runs", "ends"])
+@pytest.mark.parametrize("error", ACCEPT)
+@on_loop
+async def test_clients_that_wait_are_served_whatever_accept_meets(tmp_path, error, ends):
+    """A transient error used to end the last turn of a closing listener, and the close reset who waited."""
+    async with one_server(tmp_path, answer_ok) as (sidecar, fake):
+        engine = sidecar.engine
+        faults = faulty(sidecar).on("accept", getattr(errno, error), for_s=0.12)
+        socks = connected(
+            sidecar.port, *(message("order", f"id{n}", "3000m", b"", "Connection: close") for n in "ab")
+        )
+        if ends:
+            engine.drain()
+            engine._stop_accepting()
+        answers = await whole(*socks)
+        assert [answer[:13] for answer in answers] == [b"HTTP/1.1 200 "] * 2
+        # A loop that spins would have been there thousands of times.
+        assert 0 < faults.made["accept", errno.errorcode[getattr(errno, error)]] <= 6 * 16
+        await until(lambda: not engine.clients.all and (engine.listener is None) == ends)
+    assert len(fake.got) == 2
+
+
+@on_loop
+async def test_a_listener_that_can_not_accept_till_its_end_closes_all_the_same(tmp_path):
+    async with one_server(tmp_path, answer_ok) as (sidecar, _fake):
+        engine = sidecar.engine
+        faulty(sidecar).on("accept", errno.EMFILE)
+        (sock,) = connected(sidecar.port, b"")
+        engine.drain()
+        engine.answer_at = engine.monotonic() + 0.2
+        engine._stop_accepting()
+        engine._stop_taking()
+        assert engine.listener is not None
+        async with asyncio.timeout(WAIT):
+            await engine.stopped
+        assert engine.listener is None
+        sock.close()
+
+
+# Refusals
+
+
+async def refused(tmp_path, play, most=1):
+    """`play(sidecar, faults)` while one client of an address holds the one connection that it may have."""
+    fake = await Fake(answer_ok).start()
+    async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
+        faults = faulty(sidecar)
+        sidecar.engine.limit(1024, Caps(connections=most))
+        (first,) = connected(sidecar.port, b"")
+        await until(lambda: sidecar.engine.clients.all)
+        await play(sidecar, faults)
+        await until(lambda: not sidecar.engine.listener.refused)
+        first.close()
+        await until(lambda: not sidecar.engine.clients.all)
+        assert not sidecar.engine.clients.admission.addresses.active
+
+
+@pytest.mark.parametrize("part", [1, 7, 100])
+def test_a_refusal_that_is_sent_in_parts_arrives_whole(tmp_path, part):
+    """A short send cut it, and nothing told the client that more was meant."""
+
+    async def play(sidecar, faults):
+        faults.on("send", errno.EAGAIN, times=1).on("send", short=part, times=3).on(
+            "send", errno.EINTR, times=1
+        )
+        (sock,) = connected(sidecar.port, message("order", "ab"))
+        (answer,) = await whole(sock)
+        head, _, body = answer.partition(b"\r\n\r\n")
+        assert head.startswith(b"HTTP/1.1 429 ") and b"Content-Length: %d" % len(body) in head and body
+
+    run_plain(refused(tmp_path, play))
+
+
+def test_bytes_that_cross_a_refusal_do_not_destroy_it(tmp_path, monkeypatch):
+    """Nobody read on behind it: what came after it met a reset, and the answer went with it."""
+    monkeypatch.setattr(refusals, "LINGER_S", WAIT)
+
+    async def play(sidecar, _faults):
+        (sock,) = connected(sidecar.port, b"")
+        assert (await asyncio.to_thread(sock.recv, 5)) == b"HTTP/"
+        sock.sendall(message("order", "ab", "3000m", b"x" * 30_000))  # into a socket that is to be closed
+        await asyncio.sleep(0.05)
+        sock.sendall(b"x")  # fails if the first bytes were answered with a reset
+        (rest,) = await whole(sock)
+        assert b"429 Too Many" in rest
+
+    run_plain(refused(tmp_path, play))
+
+
+@pytest.mark.parametrize("error", GONE)
+@pytest.mark.parametrize("call", ["send", "shutdown", "recv"])
+def test_a_refused_client_that_was_reset_meanwhile_costs_nothing(tmp_path, call, error):
+    async def play(sidecar, faults):
+        files = len(sidecar.engine.clients.all)
+        faults.on(call, getattr(errno, error))
+        (sock,) = connected(sidecar.port, message("order", "ab"))
+        await until(lambda: faults.made[call, error])
+        await until(lambda: not sidecar.engine.listener.refused)
+        assert len(sidecar.engine.clients.all) == files
+        faults.clear()
+        sock.close()
+
+    run_plain(refused(tmp_path, play))
+
+
+def test_refused_clients_that_stay_hold_a_bounded_number_of_descriptors_for_a_bounded_time(tmp_path):
+    async def play(sidecar, _faults):
+        socks = connected(sidecar.port, *[b""] * 40)
+        most = 0
+        for sock in socks:
+            assert await asyncio.to_thread(sock.recv, 65536)
+            most = max(most, len(sidecar.engine.listener.refused))
+        assert 0 < most <= 8
+        began = time.monotonic()
+        await until(lambda: not sidecar.engine.listener.refused)
+        assert time.monotonic() - began < 1.0
+        for sock in socks:
+            sock.close()
+
+    run_plain(refused(tmp_path, play))
+
+
+# Sockets that were reset between two calls
+
+
+@pytest.mark.parametrize("error", GONE)
+@pytest.mark.parametrize("call", ["setsockopt", "getsockname", "getpeername", "shutdown"])
+def test_a_client_that_was_reset_meanwhile_is_forgotten_and_nothing_escapes(tmp_path, caplog, call, error):
+    async def play():
+        loop, escaped = asyncio.get_running_loop(), []
+        loop.set_exception_handler(lambda _, context: escaped.append(context))
+        async with one_server(tmp_path, answer_ok) as (sidecar, _fake):
+            engine = sidecar.engine
+            faults = faulty(sidecar).on(call, getattr(errno, error))
+            socks = connected(
+                sidecar.port, *(message("order", name, "3000m", b"", "Connection: close") for name in "ab")
+            )
+            answers = await whole(*socks)
+            assert all(answer.startswith((b"HTTP/1.1 200 ", b"HTTP/1.1 503 ")) for answer in answers)
+            await until(lambda: not engine.clients.all)
+            faults.clear()
+            gc.collect()  # asyncio leaves a transport that could not be made to the collector
+            assert (await ask(sidecar.port, message("order", "cd"))).code == 200
+            await until(lambda: not engine.clients.all)
+            assert not engine.clients.admission.addresses.active and not engine.pool.held
+            assert not engine.clients.admission.count and not escaped
+            assert "Traceback" not in caplog.text
+
+    run_plain(play())
+
+
+@pytest.mark.parametrize(
+    "sent", [b"", message("order", "ab"), message("order", "ab")[:-9]], ids=["-", "all", "half"]
+)
+@on_loop
+async def test_clients_that_are_reset_before_they_are_accepted_cost_nothing(tmp_path, sent):
+    """As the system does it: nothing is scripted here."""
+    loop, escaped = asyncio.get_running_loop(), []
+    loop.set_exception_handler(lambda _, context: escaped.append(context))
+    async with one_server(tmp_path, answer_ok) as (sidecar, fake):
+        engine = sidecar.engine
+        for sock in connected(sidecar.port, *[sent] * 8):
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
+            sock.close()
+        assert (await ask(sidecar.port, message("order", "cd"))).code == 200
+        await until(lambda: not engine.clients.all)
+        assert not engine.clients.admission.count and not engine.pool.held and not escaped
+    assert [got.headers["x-request-id"] for got in fake.got] == ["cd"]
