--- a/dykefold/net/engine.py
+++ b/dykefold/net/engine.py
@@ -45,7 +45,7 @@
 RETRY_AFTER_NS = 500 * MS  # as advice with a refusal for want of room here
 LISTENER_LEAST = 0.1  # seconds for which a listener that is to close tries again to accept who waits
 FLUSH_FOR = 0.3  # seconds for clients to read these
-LAST_WORDS = 0.05  # seconds before the end in which who has still begun a message hears of it
+REFUSE_EVERY = 0.05  # seconds, from then on, between looks at who has begun a message
 
 
 def planned_end(longest_s: float) -> tuple[float, float, float]:
@@ -284,7 +284,6 @@
         self.answer_at = self.monotonic() + answer_s
         self.loop.call_later(take_s, self._stop_taking)
         self.loop.call_later(answer_s, self._answer_all)
-        self.loop.call_later(stop_s - LAST_WORDS, self._refuse_rest)
         self.loop.call_later(stop_s, self._stop)
 
     def _stop_accepting(self) -> None:
@@ -320,7 +319,9 @@
     def _refuse_rest(self) -> None:
         """Guards what was read of messages that have not come whole: their clients may wait for the rest."""
         for front in list(self.clients.all.values()):
-            front.refuse_rest("this sidecar ends")
+            if not front.asks():  # what has come of it is read first
+                front.refuse_rest("this sidecar ends")
+        self.loop.call_later(REFUSE_EVERY, self._refuse_rest)
 
     def _close_listener(self) -> None:
         if self.listener is not None and self.listener.ended is None:
--- a/dykefold/net/front.py
+++ b/dykefold/net/front.py
@@ -676,9 +676,9 @@
     def _stays(self) -> bool:
         """Whether the connection is of use after the next answer.
 
-        One that has asked again already is, whatever has begun: each of what it asked has its own answer.
+        One that has asked again, or begun to, is at a planned end too: all that it asks has its own answer.
         """
-        if self.waiting or self.unfed is not None:
+        if self.waiting or self.unfed is not None or self.begun:
             return True
         if self.over:
             return False
--- /dev/null
+++ b/tests/test_client_closes.py
@@ -0,0 +1,238 @@
+"""Every path that closes a client's connection: what was read of it has its answer first.
+
+Also what waits unread in its socket in the very moment, and what was begun by a client that then stays.
+"""
+
+import asyncio
+import os
+import socket
+import time
+
+import pytest
+from net_helpers import (
+    HOST,
+    WAIT,
+    answer_ok,
+    ask,
+    gated,
+    message,
+    on_loop,
+    one_server,
+    read_message,
+    until,
+)
+
+from dykefold.admission import rules
+from dykefold.admission.addresses import Caps
+from dykefold.net.backlog import SLICE_BYTES
+
+PLACES = 8
+
+
+def few_places(sidecar, most=PLACES, **caps):
+    """Leave clients so many places in all."""
+    engine = sidecar.engine
+    engine.budget.clients = most
+    engine.clients.resize(engine._share(), Caps(**caps))
+
+
+def now(writer, data):
+    """Into the kernel now, not in a later turn."""
+    assert os.write(writer.get_extra_info("socket").fileno(), data) == len(data)
+
+
+async def rested(port, ident):
+    """A connection that has had an answer, and rests."""
+    reader, writer = await asyncio.open_connection(HOST, port)
+    writer.write(message("order", ident))
+    assert (await read_message(reader)).code == 200
+    return reader, writer
+
+
+async def codes(reader):
+    """The codes of all answers that still come, and True if the end follows and no reset."""
+    found = []
+    async with asyncio.timeout(WAIT):
+        try:
+            while True:
+                found.append((await read_message(reader)).code)
+        except asyncio.IncompleteReadError as end:
+            return found, not end.partial
+        except OSError:
+            return found, False
+
+
+def begun(sidecar):
+    return [front for front in sidecar.engine.clients.all.values() if front.owes]
+
+
+# Room for a newcomer
+
+
+@on_loop
+async def test_a_request_that_is_there_when_its_connection_is_to_make_room_is_served(tmp_path):
+    """Whose place a newcomer takes was closed whatever waited in its socket."""
+    async with one_server(tmp_path, answer_ok) as (sidecar, fake):
+        few_places(sidecar)
+        opened = [await rested(sidecar.port, f"id{n}") for n in range(PLACES)]
+        now(opened[0][1], message("order", "again"))  # the longest idle one comes back ...
+        client, reason = sidecar.engine.clients.admit(HOST)  # ... as a newcomer is judged, in the same turn
+        assert client is not None and reason is None
+        sidecar.engine.clients.remove(client)
+        assert (await read_message(opened[0][0])).code == 200
+        assert await opened[1][0].read() == b""
+        for _, writer in opened:
+            writer.close()
+    assert len(fake.got) == PLACES + 1
+
+
+@pytest.mark.parametrize("limit", ["places", "descriptors", "settings"])
+@on_loop
+async def test_when_all_have_come_back_nobody_makes_room(tmp_path, limit):
+    async with one_server(tmp_path, answer_ok) as (sidecar, fake):
+        few_places(sidecar)
+        clients = sidecar.engine.clients
+        opened = [await rested(sidecar.port, f"id{n}") for n in range(PLACES)]
+        for number, (_, writer) in enumerate(opened):
+            now(writer, message("order", f"again{number}"))
+        if limit == "places":
+            assert clients.admit(HOST) == (None, rules.Reason.FULL)
+        elif limit == "descriptors":
+            assert not clients.release()
+        else:
+            few_places(sidecar, 2)
+        assert [(await read_message(reader)).code for reader, _ in opened] == [200] * PLACES
+        for _, writer in opened:
+            writer.close()
+    assert len(fake.got) == 2 * PLACES
+
+
+@on_loop
+async def test_a_new_connection_with_its_request_there_makes_no_room(tmp_path):
+    """All places are taken by connections that were accepted in this turn: none has been read yet."""
+    async with one_server(tmp_path, answer_ok) as (sidecar, fake):
+        few_places(sidecar)
+        opened = []
+        for number in range(2 * PLACES):
+            sock = socket.create_connection((HOST, sidecar.port), timeout=WAIT)
+            sock.sendall(message("order", f"id{number}", "3000m", b"", "Connection: close"))
+            opened.append(sock)
+        answers = [await asyncio.to_thread(sock.recv, 13) for sock in opened]
+        assert answers == [b"HTTP/1.1 200 "] * PLACES + [b"HTTP/1.1 503 "] * PLACES
+        for sock in opened:
+            sock.close()
+    assert len(fake.got) == PLACES
+
+
+@on_loop
+async def test_one_that_has_begun_a_message_hears_that_its_place_was_needed(tmp_path):
+    async with one_server(tmp_path, answer_ok) as (sidecar, _fake):
+        few_places(sidecar, 1)
+        reader, writer = await asyncio.open_connection(HOST, sidecar.port)
+        writer.write(message("order", "half", "3000m", b"body")[:-2])
+        await until(lambda: begun(sidecar))
+        assert (await ask(sidecar.port, message("order", "newcomer"))).code == 200
+        assert await codes(reader) == ([503], True)
+        writer.close()
+        await until(lambda: not sidecar.engine.clients.all)
+        assert not sidecar.engine.memory.held
+
+
+# The planned end
+
+
+@pytest.mark.parametrize("cut", [False, True], ids=["in time", "all answered at once"])
+@pytest.mark.parametrize("after", [b"", b"GET /look"], ids=["whole", "and half"])
+@on_loop
+async def test_requests_that_were_sent_ahead_are_answered_before_a_planned_end_closes(tmp_path, after, cut):
+    """The answer before them said `Connection: close`, and what was read behind it went with it."""
+    go, act = gated()
+    many = 3 * SLICE_BYTES // len(message("lookup", "id00"))  # beyond the slice that is parsed at once
+    async with one_server(tmp_path, act) as (sidecar, fake):
+        engine = sidecar.engine
+        reader, writer = await asyncio.open_connection(HOST, sidecar.port)
+        writer.write(b"".join(message("lookup", f"id{n:02}") for n in range(many)) + after)
+        await until(lambda: fake.got)
+        engine.draining = True
+        engine._stop_taking()
+        if not cut:
+            go.set()
+            await until(lambda: len(fake.got) == many and not engine.pool.held)
+        engine._answer_all()
+        found, ended = await codes(reader)
+        assert ended and len(found) == many + bool(after)
+        assert set(found[:many]) <= ({503, 504} if cut else {200}) and found[many:] in ([], [503])
+        writer.close()
+        await until(lambda: not engine.clients.all)
+
+
+@on_loop
+async def test_a_request_in_the_socket_behind_the_last_answer_of_a_planned_end_is_served(tmp_path):
+    go, act = gated()
+    async with one_server(tmp_path, act) as (sidecar, fake):
+        reader, writer = await asyncio.open_connection(HOST, sidecar.port)
+        writer.write(message("order", "ab"))
+        await until(lambda: fake.got)
+        engine = sidecar.engine
+        engine.draining = True
+        engine._stop_taking()
+        front = next(iter(engine.clients.all.values()))
+        front._pause()  # or it is read at once
+        now(writer, message("order", "cd"))
+        go.set()
+        first = await read_message(reader)
+        second = await read_message(reader)
+        assert (first.code, second.code) == (200, 200)
+        assert "connection" not in first.headers and second.headers["connection"] == "close"
+        assert await reader.read() == b""
+        writer.close()
+    assert len(fake.got) == 2
+
+
+# Clients that stop in the middle of a request, and stay
+
+WHOLE = message("order", "ab", "3000m", b"body")
+HEAD = len(WHOLE) - 4
+CHUNKED = WHOLE.replace(b"Content-Length: 4", b"Transfer-Encoding: chunked")[:-4] + b"4\r\nbody\r\n0\r\n\r\n"
+LARGE = message("order", "ab", "3000m", b"x" * 200_000)
+AHEAD = message("lookup", "one")
+# What is sent, and the codes that come: none where nothing was said.
+STOPS = {
+    "silent": (b"", []),
+    "in the first line": (WHOLE[:9], [408]),
+    "in a header's name": (WHOLE[:40], [408]),
+    "before the empty line": (WHOLE[: HEAD - 2], [408]),
+    "before the body": (WHOLE[:HEAD], [408]),
+    "in the body": (WHOLE[:-1], [408]),
+    "in a chunk's size": (CHUNKED[: HEAD + 13], [408]),
+    "in a chunk": (CHUNKED[:-12], [408]),
+    "before the last chunk": (CHUNKED[:-5], [408]),
+    "in a large body": (LARGE[:100_000], [408]),
+    "behind a request": (AHEAD + WHOLE[:40], [200, 408]),
+    "behind requests that are read in slices": (
+        b"".join(message("lookup", f"s{n}") for n in range(40)) + WHOLE[:HEAD],
+        [200] * 40 + [408],
+    ),
+}
+
+
+@on_loop
+async def test_clients_that_stop_within_a_request_and_stay_hear_it_within_three_seconds(tmp_path):
+    """One table, all at once: error or close, after the answers to what was whole."""
+    async with one_server(tmp_path, answer_ok) as (sidecar, _fake):
+
+        async def stop(number, data):
+            reader, writer = await asyncio.open_connection(HOST, sidecar.port)
+            writer.write(data.replace(b"X-Request-Id: ", b"X-Request-Id: %d" % number))
+            await writer.drain()
+            began = time.monotonic()
+            found, ended = await codes(reader)
+            took_s = time.monotonic() - began
+            writer.close()
+            return found, ended, took_s < 3.0
+
+        played = await asyncio.gather(*(stop(n, data) for n, (data, _) in enumerate(STOPS.values())))
+        wanted = {name: (found, True, True) for name, (_, found) in STOPS.items()}
+        assert dict(zip(STOPS, played, strict=True)) == wanted
+        await until(lambda: not sidecar.engine.clients.all)
+        assert not sidecar.engine.memory.held
