--- a/dykefold/interface.py
+++ b/dykefold/interface.py
@@ -118,7 +118,8 @@
     cell: int
     state: State
     weight: float = 1.0
-    started_ns: int = 0  # 0: long ago
+    started_ns: int = 0  # 0: long ago; another value is another start
+    ramp_from_ns: int = 0  # from when its slow start counts; 0: from started_ns, which is of the same clock
 
 
 # Events
--- a/dykefold/logic.py
+++ b/dykefold/logic.py
@@ -176,6 +176,7 @@
         self.cell = entry.cell
         self.ready = entry.state is State.READY
         self.started = entry.started_ns
+        self.ramp_from = entry.ramp_from_ns or entry.started_ns
         self.rel = 1.0  # not heard from: counts at the mean, a cold one too, whose pace protects it
         self.samples = 0
         self.heard = 0
@@ -1050,7 +1051,7 @@
     def _ramp(self, server: Server) -> float:
         """The least part of its capacity that a server has by now, by the settings."""
         start, warm = self.settings.start_capacity, self.settings.warm_within_ns
-        age = self.now - server.started
+        age = self.now - server.ramp_from
         if not server.started or age >= warm:
             return 1.0
         return max(start + (1.0 - start) * max(age, 0) / warm, 0.01)
--- a/dykefold/net/clock.py
+++ b/dykefold/net/clock.py
@@ -2,10 +2,17 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterable
+
+from ..interface import Endpoint, ListKind
 from ..system import SYSTEM, System
 
 MS = 1_000_000
 SECOND = 1_000_000_000
+LIST_LAG_NS = SECOND  # from a server's start until a live watch tells it; a start told later counts as new
+STARTS_MOST = (
+    8192  # starts remembered, or as many as are listed: a server that comes back is known by its own
+)
 
 
 class Clock:
@@ -21,3 +28,88 @@
     def at(self, now_s: float) -> int:
         """What `now` would give at a time of the monotonic clock, to some hundred nanoseconds."""
         return self.offset + int(now_s * SECOND)
+
+
+class StartTimes:
+    """From when each server's slow start counts, on the monotonic clock's scale (`Clock`).
+
+    A list tells a start in Unix time of another machine, and either wall clock may be wrong by an hour. So a
+    start's age runs from the moment at which it was first notified here, and the Unix time only adds to that
+    what can be true:
+
+    - On a live watch, by a change or by a whole list that follows an earlier one, a new start is at most
+      `LIST_LAG_NS` old, or else the last answer would have told it. After a break of the watch, in a list of
+      another process, and in a call of operators, the bound is the time since the last answer, and that lag.
+      An age that is negative or above the bound shows that the clocks disagree: then nothing is believed, and
+      the start counts as of now. So with any clocks a new start is at most the bound younger than it counts,
+      and at most the bound older: it is neither pushed over nor left cold for longer than one slow start.
+    - In a first list, which no answer came before (a cached list, the first answer behind it, the first
+      whole list of another discovery), no such bound exists: most of its servers did start long ago, and to
+      take them all for cold would leave a restarted sidecar without servers. Their ages are believed, but for
+      a start in this machine's future, which counts as of now; and where most of the list lies there, it is
+      this clock that is behind, and ages are counted from the newest start. A clock that was too far ahead
+      before the process began hides a start that is younger than a slow start and stands in a first list:
+      nothing here tells it from an old one. A start that is notified later is not touched by that.
+
+    A start that was told before keeps its moment, also for a server that left the list in between.
+    """
+
+    def __init__(self, most: int = STARTS_MOST) -> None:
+        self.most = most
+        self.known: dict[str, tuple[int, int]] = {}  # by name: as told, and on this scale
+        self.heard_ns: int | None = None  # the last answer of the discovery in use; None: no answer yet
+        self.source = ""  # which one that is
+        self.live = False  # the watch has not failed since
+
+    def place(
+        self, now_ns: int, kind: ListKind, source: str, entries: Iterable[tuple[str, Endpoint]]
+    ) -> None:
+        """Take a list or a change of it, and set `ramp_from_ns` of its endpoints.
+
+        Args:
+            now_ns: on the scale of `Clock`.
+            source: names the discovery that the list is of.
+            entries: with the names of the servers, which are the same in every list.
+        """
+        answered = kind in (ListKind.DELTA, ListKind.FULL)
+        entries = list(entries)
+        bound_ns = self._oldest(now_ns, answered, source)
+        behind_ns = _behind(now_ns, entries) if bound_ns is None else 0
+        for name, endpoint in entries:
+            if endpoint.started_ns:
+                endpoint.ramp_from_ns = self._moment(now_ns, behind_ns, name, endpoint.started_ns, bound_ns)
+        while len(self.known) > max(self.most, len(entries)):
+            del self.known[next(iter(self.known))]  # told longest ago
+        if answered:
+            self.heard_ns, self.source, self.live = now_ns, source, True
+
+    def broke(self) -> None:
+        """The watch has failed: a start that is told next may be as old as the last answer."""
+        self.live = False
+
+    def _oldest(self, now_ns: int, answered: bool, source: str) -> int | None:
+        """How old a start may be that was not told before; None: of any age."""
+        if self.heard_ns is None or (answered and source != self.source):
+            return None
+        if answered and self.live:
+            return LIST_LAG_NS
+        return now_ns - self.heard_ns + LIST_LAG_NS
+
+    def _moment(self, now_ns: int, behind_ns: int, name: str, started_ns: int, bound_ns: int | None) -> int:
+        known = self.known.pop(name, None)
+        if known is None or known[0] != started_ns:
+            age_ns = now_ns + behind_ns - started_ns
+            plausible = age_ns >= 0 and (bound_ns is None or age_ns <= bound_ns)
+            known = (started_ns, now_ns - age_ns if plausible else now_ns)
+        self.known[name] = known
+        return known[1]
+
+
+def _behind(now_ns: int, entries: list[tuple[str, Endpoint]]) -> int:
+    """How far this clock must be behind, where most of a first list lies in its future; else 0.
+
+    Guards a sidecar that is restarted on a machine whose clock is an hour back, behind servers that have all
+    been replaced within that hour: all of them cold, it would have none to send to.
+    """
+    ahead = [endpoint.started_ns - now_ns for _, endpoint in entries if endpoint.started_ns > now_ns]
+    return max(ahead) if 2 * len(ahead) > len(entries) else 0
--- a/dykefold/net/pool.py
+++ b/dykefold/net/pool.py
@@ -23,7 +23,7 @@
 from ..settings import Transport
 from ..system import System
 from .backlog import Backlog
-from .clock import MS, SECOND, Clock
+from .clock import MS, SECOND, Clock, StartTimes
 from .deadlines import Deadlines, Limited
 from .dialect import BODY_MOST, Call
 from .discovery import Discovery, Listed, Names, News, read_news, write_news
@@ -320,6 +320,7 @@
         self.maintenance: Maintenance[Listed] = Maintenance(
             lambda entry, endpoint: replace(entry, endpoint=endpoint)
         )
+        self.starts = StartTimes()
         self.version = known.version
         self._take_list(known, api.ListKind.CACHED)
         if not settings.must_ask:
@@ -715,6 +716,7 @@
         if self.closed:
             return
         if news is None:
+            self.starts.broke()
             self.post(api.Membership(api.ListKind.FAILED, 0, []))
         else:
             self._take_list(news)
@@ -759,8 +761,12 @@
 
     def _apply(self, news: News, kind: api.ListKind | None = None) -> None:
         began_s = self.monotonic()
+        membership = news.membership(kind)
+        starts = ((entry.name, entry.endpoint) for entry in news.entries)
+        source = self.discovery.listed_by if self.discovery is not None else ""
+        self.starts.place(self.now(), membership.kind, source, starts)
         # The module first, so that what the sockets then give up is not sent to the same server again.
-        self.post(news.membership(kind))
+        self.post(membership)
         if news.complete:
             listed = {entry.endpoint.server for entry in news.entries}
             for server in [server for server in self.upstreams.targets if server not in listed]:
