--- /dev/null
+++ b/tests/fleet/test_stepped_clock.py
@@ -0,0 +1,46 @@
+"""Incarnations begin with wall time: a member restarted behind its earlier life overtakes it all the same."""
+
+import pytest
+
+from dykefold.fleet.knowledge import Topic
+from dykefold.fleet.pace import SECOND
+from dykefold.fleet.words import State
+from dykefold.sim.views import Views
+
+HOUR_MS = 3_600_000
+SIZE = 12
+
+
+def restart(world: Views, number: int, off_ms: int, planned: bool) -> None:
+    if planned:
+        world.end(number)
+        world.run(SECOND)
+        world.living[number].leave(world.now_ns, last=True)
+        world._flush(world.living[number], number)
+    world.kill(number)
+    world.clock_off_ms[number] = off_ms
+    world.start(number)
+
+
+@pytest.mark.parametrize("off_ms", [-HOUR_MS, -5_000, 5_000, HOUR_MS])
+@pytest.mark.parametrize("planned", [False, True], ids=["killed", "planned"])
+@pytest.mark.parametrize("restarted", [1, SIZE // 2, SIZE - 1])
+def test_restarted_members_overtake_their_earlier_lives(restarted: int, planned: bool, off_ms: int) -> None:
+    """As fast with a clock an hour back as with one an hour on, and what they say from then on counts."""
+    world = Views(SIZE, 5)
+    for number in range(SIZE):
+        world.start(number)
+    assert world.run(20 * SECOND, world.right)
+    before = {number: view.incarnation for number, view in world.living.items()}
+    world.living[0].say(world.now_ns, Topic.FAILS, 77, 1)
+    world.run(SECOND)
+    for number in range(restarted):
+        restart(world, number, off_ms, planned)
+    assert world.run(world.pace.settled_ns(SIZE), lambda: world.right() and world.equal())
+    for number in range(restarted):
+        assert world.living[number].incarnation > before[number]
+        assert all(world.state(number, by) is State.ALIVE for by in world.living)
+    world.living[0].say(world.now_ns, Topic.FAILS, 77, 2)
+    world.run(5 * SECOND)
+    told = [view.knowledge.records.get((Topic.FAILS, 0, 77)) for view in world.living.values()]
+    assert sum(record is not None and record[0].value == 2 for record in told) >= SIZE * 3 // 4
