--- a/dykefold/logic.py
+++ b/dykefold/logic.py
@@ -83,8 +83,8 @@
 
 # Cold servers.
 PACE = 1.2  # times the fair share of own answers, times the ramp
-PACE_EARN = 1.5  # requests allowed for each one answered: many servers warm by work, sooner than stated,
-# and with PACE this stays under the least fatal multiple for all sidecars together
+PACE_EARN = 1.5  # requests allowed for each one answered: many servers warm by work, sooner than stated
+PACE_CEILING = 1.0  # ... but no more than this part of the overload factor, in place of PACE
 PACE_TRUST = 0.1  # requests more that may come at once for each one answered since the start
 PACE_TRUST_MOST = 3.0
 PACE_BURST = 0.25  # seconds of that pace may come at once
@@ -191,6 +191,7 @@
         self.trial_at = 0
         self.trial_out = False
         self.cold_tokens = 0.0
+        self.cold_room = 0.0  # requests until the ceiling that no answers raise
         self.cold_at = 0
 
 
@@ -1059,8 +1060,11 @@
     def _cold_allows(self, server: Server, work: Work, take: bool) -> bool:
         """Pace to a cold server: its ramp's part of a fair share of the own traffic.
 
-        Guards against pushing over a starting server: with every sidecar doing so, it gets at most
-        PACE times the mean load of the fleet times its ramp, whoever carries how much.
+        Guards against pushing over a starting server: with every sidecar doing so, it gets PACE times the
+        mean load of the fleet times its ramp, whoever carries how much. Its answers let it have more, up to
+        the overload factor times that: the budget of the fourth rule, as no server's capacity is less than
+        the mean load. Without that bound an answer gave back more than its request had cost, so a process
+        was paced no more from its first answer on.
         """
         if not server.started:
             return True
@@ -1074,20 +1078,25 @@
         fair = self.rate * fade / max(among, 1)
         pace = PACE * ramp * fair
         limit = max(1.0, pace * PACE_BURST) + min(server.samples * PACE_TRUST, PACE_TRUST_MOST)
+        ceiling = PACE_CEILING * self.settings.overload_factor * ramp * fair
+        ceiling_limit = max(1.0, ceiling * PACE_BURST)
         if not server.cold_at:
             # Part of a first token each: from none at all, hundreds of sidecars with little traffic would
             # leave a restarted server idle until all of them had saved up for it.
             least = min(self._cost(other) for other in self.live)
             server.cold_tokens = self.random.random() * least
+            server.cold_room = server.cold_tokens
         else:
-            earned = pace * (self.now - server.cold_at) / SECOND
-            server.cold_tokens = min(limit, server.cold_tokens + earned)
+            passed = (self.now - server.cold_at) / SECOND
+            server.cold_tokens = min(limit, server.cold_tokens + pace * passed)
+            server.cold_room = min(ceiling_limit, server.cold_room + ceiling * passed)
         server.cold_at = self.now
         cost = self._cost(work)
         if take:
             server.cold_tokens -= cost
+            server.cold_room -= cost
             return True
-        return server.cold_tokens >= min(cost, limit)
+        return server.cold_tokens >= min(cost, limit) and server.cold_room >= min(cost, ceiling_limit)
 
     def _cost(self, work: Work) -> float:
         """The work of a class against the mean of the classes, by its usual latency."""
