--- a/dykefold/net/clock.py
+++ b/dykefold/net/clock.py
@@ -2,17 +2,19 @@
 
 from __future__ import annotations
 
+import logging
 from collections.abc import Iterable
 
 from ..interface import Endpoint, ListKind
 from ..system import SYSTEM, System
 
+log = logging.getLogger("dykefold.clock")
+
 MS = 1_000_000
 SECOND = 1_000_000_000
+DOUBTED_EVERY_NS = 60 * SECOND  # between two lines of the log on starts that are not believed
 LIST_LAG_NS = SECOND  # from a server's start until a live watch tells it; a start told later counts as new
-STARTS_MOST = (
-    8192  # starts remembered, or as many as are listed: a server that comes back is known by its own
-)
+STARTS_MOST = 8192  # starts remembered, or as many as are listed: a server may come back with its own
 
 
 class Clock:
@@ -38,8 +40,9 @@
     what can be true:
 
     - On a live watch, by a change or by a whole list that follows an earlier one, a new start is at most
-      `LIST_LAG_NS` old, or else the last answer would have told it. After a break of the watch, in a list of
-      another process, and in a call of operators, the bound is the time since the last answer, and that lag.
+      `LIST_LAG_NS` old, or else the last answer would have told it. After a break of the watch, in the answer
+      to a call that has only just gone out (there may be a pause between two), in a list of another process,
+      and in a call of operators, the bound is the time since the last answer, and that lag.
       An age that is negative or above the bound shows that the clocks disagree: then nothing is believed, and
       the start counts as of now. So with any clocks a new start is at most the bound younger than it counts,
       and at most the bound older: it is neither pushed over nor left cold for longer than one slow start.
@@ -60,9 +63,15 @@
         self.heard_ns: int | None = None  # the last answer of the discovery in use; None: no answer yet
         self.source = ""  # which one that is
         self.live = False  # the watch has not failed since
+        self.doubted_ns: int | None = None  # when a start was last logged as not believed
 
     def place(
-        self, now_ns: int, kind: ListKind, source: str, entries: Iterable[tuple[str, Endpoint]]
+        self,
+        now_ns: int,
+        kind: ListKind,
+        source: str,
+        entries: Iterable[tuple[str, Endpoint]],
+        called_ns: int = 0,
     ) -> None:
         """Take a list or a change of it, and set `ramp_from_ns` of its endpoints.
 
@@ -70,11 +79,17 @@
             now_ns: on the scale of `Clock`.
             source: names the discovery that the list is of.
             entries: with the names of the servers, which are the same in every list.
+            called_ns: when the latest call of the watch went out; 0: long ago.
         """
         answered = kind in (ListKind.DELTA, ListKind.FULL)
         entries = list(entries)
-        bound_ns = self._oldest(now_ns, answered, source)
+        bound_ns = self._oldest(now_ns, answered, source, called_ns)
         behind_ns = _behind(now_ns, entries) if bound_ns is None else 0
+        if behind_ns > LIST_LAG_NS:
+            log.warning(
+                "most of the first list is in the future, up to %.3f s: ages count from its newest start",
+                behind_ns / SECOND,
+            )
         for name, endpoint in entries:
             if endpoint.started_ns:
                 endpoint.ramp_from_ns = self._moment(now_ns, behind_ns, name, endpoint.started_ns, bound_ns)
@@ -87,11 +102,11 @@
         """The watch has failed: a start that is told next may be as old as the last answer."""
         self.live = False
 
-    def _oldest(self, now_ns: int, answered: bool, source: str) -> int | None:
+    def _oldest(self, now_ns: int, answered: bool, source: str, called_ns: int) -> int | None:
         """How old a start may be that was not told before; None: of any age."""
         if self.heard_ns is None or (answered and source != self.source):
             return None
-        if answered and self.live:
+        if answered and self.live and now_ns - called_ns >= LIST_LAG_NS:
             return LIST_LAG_NS
         return now_ns - self.heard_ns + LIST_LAG_NS
 
@@ -101,9 +116,27 @@
             age_ns = now_ns + behind_ns - started_ns
             plausible = age_ns >= 0 and (bound_ns is None or age_ns <= bound_ns)
             known = (started_ns, now_ns - age_ns if plausible else now_ns)
+            if not plausible:
+                self._doubt(now_ns, name, age_ns, bound_ns)
         self.known[name] = known
         return known[1]
 
+    def _doubt(self, now_ns: int, name: str, age_ns: int, bound_ns: int | None) -> None:
+        """Log a start that is not believed: with a wrong clock none is, so one line has to do."""
+        if -LIST_LAG_NS < age_ns < 0:
+            return  # clocks that are kept alike differ by some of it
+        if self.doubted_ns is not None and now_ns - self.doubted_ns < DOUBTED_EVERY_NS:
+            return
+        self.doubted_ns = now_ns
+        most = "any age" if bound_ns is None else f"{bound_ns / SECOND:.1f} s"
+        log.warning(
+            "since_ms of %s makes it %.3f s old, expected 0 to %s: the clocks disagree, or the list is late; "
+            "its slow start counts from now",
+            name,
+            age_ns / SECOND,
+            most,
+        )
+
 
 def _behind(now_ns: int, entries: list[tuple[str, Endpoint]]) -> int:
     """How far this clock must be behind, where most of a first list lies in its future; else 0.
--- a/dykefold/net/pool.py
+++ b/dykefold/net/pool.py
@@ -763,8 +763,10 @@
         began_s = self.monotonic()
         membership = news.membership(kind)
         starts = ((entry.name, entry.endpoint) for entry in news.entries)
-        source = self.discovery.listed_by if self.discovery is not None else ""
-        self.starts.place(self.now(), membership.kind, source, starts)
+        source, called_ns = "", 0
+        if self.discovery is not None:
+            source, called_ns = self.discovery.listed_by, self.clock.at(self.discovery.called)
+        self.starts.place(self.now(), membership.kind, source, starts, called_ns)
         # The module first, so that what the sockets then give up is not sent to the same server again.
         self.post(membership)
         if news.complete:
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -108,7 +108,7 @@
 
 
 @pytest.mark.parametrize("ages, behind, ramps", FLEET.values(), ids=FLEET)
-def test_a_restarted_sidecar_whose_clock_is_behind_has_servers_to_send_to(ages, behind, ramps):
+def test_a_restarted_sidecar_whose_clock_is_behind_has_servers_to_send_to(ages, behind, ramps, caplog):
     """With all of them cold it would refuse every request until the first is warm."""
     now = UNIX
     fleet = [endpoint(n + 1, started=now + (behind - age) * SECOND) for n, age in enumerate(ages)]
@@ -117,6 +117,7 @@
     balancer.handle(now, Membership(ListKind.CACHED, 1, fleet))
     found = [balancer._ramp(balancer.servers[one.server]) for one in fleet]
     assert found == pytest.approx(ramps)
+    assert len(caplog.records) == (1 if behind else 0)
 
 
 def test_the_first_answer_after_a_cached_list_is_a_first_list_too():
@@ -126,6 +127,16 @@
     assert told.ramp(now, told.hear(now, ListKind.DELTA, since=now - 60 * SECOND)) == 1.0
 
 
+@pytest.mark.parametrize("apart, believed", [(0, 3 * SECOND), (HOUR, 0), (-HOUR, 0), (5 * SECOND, 0)])
+def test_what_a_pause_between_two_calls_has_held_up_is_as_old_as_it_says_within_the_pause(apart, believed):
+    told = Told()
+    told.hear(UNIX, ListKind.FULL)
+    now = UNIX + 4 * SECOND
+    new = endpoint(7, started=now - 3 * SECOND + apart)
+    told.starts.place(now, ListKind.DELTA, "one", [("new", new)], called_ns=now - 20 * MS)
+    assert told.ramp(now, new) == pytest.approx(COLD + (1 - COLD) * believed / WARM)
+
+
 def test_a_whole_list_of_another_discovery_is_a_first_list():
     told = Told()
     told.hear(UNIX, ListKind.FULL)
@@ -175,6 +186,19 @@
     assert len(starts.known) == 500  # as long as the list is
 
 
+@pytest.mark.parametrize("apart", [-HOUR, 0, HOUR])
+def test_a_wrong_clock_is_one_line_of_the_log_with_the_value_and_what_was_expected(apart, caplog):
+    told = Told()
+    told.hear(UNIX, ListKind.FULL)
+    for number in range(20):
+        told.hear(UNIX + number, ListKind.DELTA, since=UNIX + apart, name=f"s{number}")
+    wanted = 1 if apart else 0
+    assert len(caplog.records) == wanted
+    for record in caplog.records:
+        text = record.getMessage()
+        assert "s0" in text and f"{-apart // SECOND}.000 s old, expected 0 to 1.0 s" in text
+
+
 # The same through a whole sidecar and a discovery on loopback, red before starts were placed.
 
 WALL = {"an hour back": -3600, "five seconds back": -5, "right": 0, "five seconds on": 5, "an hour on": 3600}
