--- a/dykefold/logic.py
+++ b/dykefold/logic.py
@@ -423,6 +423,9 @@
             proven = event.status in PROVES_NOT_RUN
             req.attempts[event.attempt][2] = NEVER_RAN if proven else MAY_HAVE_RUN
             req.written |= event.status not in UNWRITTEN
+            if event.status is Status.MOOT:  # this machine could not: it was no attempt, and cost nobody
+                req.most += 1
+                req.charged = True
         if event.final:
             self._forget(req)
         elif event.status is Status.ERROR:
--- a/dykefold/net/ends.py
+++ b/dykefold/net/ends.py
@@ -9,6 +9,7 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import socket
 import struct
 
@@ -27,11 +28,11 @@
         discard: what the kernel has not got across yet is dropped when the descriptor goes, with a reset
             (RFC 9293, 3.10.5), rather than sent on: else it would arrive when a partition ends.
     """
-    try:
-        if discard:
+    # Each by itself: where the option can't be set the connection must end all the same.
+    if discard:
+        with contextlib.suppress(OSError):
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
+    with contextlib.suppress(OSError):  # the other side or the connect was faster: nothing is left to end
         sock.shutdown(socket.SHUT_RDWR)
-    except OSError:
-        pass  # the other side or the connect was faster: there is nothing left to end
     if transport is not None:
         transport.abort()
--- a/dykefold/net/peers.py
+++ b/dykefold/net/peers.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 from collections.abc import Callable
 
 DATAGRAM_MOST = 256
@@ -41,8 +42,9 @@
         # Guards against a message that is over the limit, which must not leave the machine.
         if self.transport is None or self.transport.is_closing() or len(data) > DATAGRAM_MOST:
             return
-        if peer is None:
-            if self.everyone is not None:
-                self.transport.sendto(data, self.everyone)
-        elif 0 <= peer < len(self.peers):
-            self.transport.sendto(data, self.peers[peer])
+        address = self.everyone
+        if peer is not None:
+            address = self.peers[peer] if 0 <= peer < len(self.peers) else None
+        if address is not None:
+            with contextlib.suppress(OSError):  # it is lost, as any datagram may be (sendto(2))
+                self.transport.sendto(data, address)
--- a/dykefold/net/pool.py
+++ b/dykefold/net/pool.py
@@ -629,6 +629,8 @@
         upload = held.call.upload
         if upload is not None and upload.begun:
             status = self._of_part(held, upload, status)
+        if status is Status.MOOT:
+            held.most += 1  # it was no attempt
         if status not in (Status.FULL, Status.CONNECT_FAILED, Status.MOOT):
             held.may_have_run = True
             held.ran_ns = min(held.ran_ns or attempt.sent_ns, attempt.sent_ns)
--- a/dykefold/net/upstream.py
+++ b/dykefold/net/upstream.py
@@ -7,6 +7,10 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
+import errno
+import inspect
+import os
 import socket
 from collections import OrderedDict
 from collections.abc import Callable
@@ -17,7 +21,7 @@
 
 from ..admission.budget import Allowance
 from ..interface import State, Status
-from ..system import SYSTEM, System
+from ..system import SYSTEM, System, is_own
 from .backlog import SLICE_BYTES, Backlog, cut
 from .deadlines import Deadlines, Limited
 from .ends import sever
@@ -152,12 +156,21 @@
     def answer_piece(self, data: bytes) -> None:
         """The next bytes of such an answer."""
 
+    def call_off(self) -> None:
+        """Stop the connect for it, if there is one.
+
+        A task that is cancelled before its first step never runs, and nobody would close its socket: such
+        a connect finds by itself that it is not wanted.
+        """
+        task = self.opening
+        if task is not None and inspect.getcoroutinestate(task.get_coro()) != inspect.CORO_CREATED:  # type: ignore[arg-type]
+            task.cancel()
+
     def give_up(self, status: Status) -> None:
         """Stop waiting. Its connection is closed first, so that no later attempt overlaps with it."""
         if self.ended:
             return
-        if self.opening is not None:
-            self.opening.cancel()
+        self.call_off()
         connection = self.connection
         if connection is None or connection.incomplete:
             status = Status.CONNECT_FAILED  # its last byte was never written: it cannot have run
@@ -413,7 +426,7 @@
         self._break()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._break()
+        self._break(exc)
         # Guards the memory: the two refer to each other.
         del self.parser
 
@@ -535,10 +548,10 @@
         payload = exchange.compose()
         try:
             sent = self.sock.send(payload)
-        except BlockingIOError:
-            sent = 0
-        except OSError:
-            return False
+        except OSError as error:
+            if not is_own(error):
+                return False
+            sent = 0  # the connection stands: its transport writes when it can, or tells that it can't
         self._reset()
         self.sent_at = now
         self.stood = self.sent_at - self.idle_since if self.idle_since else -1.0
@@ -594,16 +607,23 @@
         self.held = 0
         self.body, self.headers, self.whole, self.unfed = b"", [], None, None
 
-    def _break(self) -> None:
+    def _break(self, error: Exception | None = None) -> None:
         """The connection is of no more use; what was on it has no whole answer."""
-        never = self.incomplete
+        never, own = self.incomplete, is_own(error)
         exchange, self.exchange = self.exchange, None
         now = self.monotonic()
-        if exchange is not None and self.stood >= 0.0 and not self.size and now - self.sent_at < DEAD_WITHIN:
+        died = self.stood >= 0.0 and not self.size and now - self.sent_at < DEAD_WITHIN
+        if exchange is not None and died and not own:
             self.target.ages.note(self.stood, True, now)
         self.close()
-        if exchange is not None:
-            exchange.end(Status.CONNECT_FAILED if never else Status.RESET)
+        if exchange is None:
+            return
+        if not never:
+            exchange.end(Status.RESET)
+        elif own and exchange.upload is None:
+            exchange.end(Status.MOOT)
+        else:
+            exchange.end(Status.CONNECT_FAILED)
 
     def close(self, discard: bool = False) -> None:
         """The one end of each connection; whoever reports an attempt as over calls this first."""
@@ -624,6 +644,44 @@
     return True
 
 
+def _check_begun(sock: socket.socket) -> None:
+    """Raise EAGAIN if the connect was never begun.
+
+    The loop takes that error for one that is under way (connect(2)), and a socket that does nothing at all
+    then looks as if it had come up. It has no local port.
+    """
+    try:
+        port = sock.getsockname()[1]
+    except OSError:
+        return  # whether it stands is seen when it is written to
+    if not port:
+        raise OSError(errno.EAGAIN, os.strerror(errno.EAGAIN))
+
+
+def _connect_end(sock: socket.socket, error: BaseException, late: bool) -> Status | None:
+    """What a connect that has failed tells; None if it stands, and only the loop was late to hear of it."""
+    # ETIMEDOUT is the same exception, and is the system's word, not the loop's.
+    if late and isinstance(error, TimeoutError) and error.errno is None:
+        if _stands(sock):
+            return None
+        try:
+            number = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+        except OSError:
+            number = 0
+        if not number:  # the system may have been asked for it only just now
+            return Status.MOOT
+        error = OSError(number, os.strerror(number))
+    return Status.MOOT if is_own(error) else Status.CONNECT_FAILED
+
+
+def _tune(sock: socket.socket) -> None:
+    """Set the options of a connection; one that can't be set (setsockopt(2)) costs time, not the request."""
+    with contextlib.suppress(OSError):
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    with contextlib.suppress(OSError):
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BYTES)
+
+
 def gather(held: bytes | bytearray, data: bytes) -> bytes | bytearray:
     """Add a piece of a body. The first is kept as it came; more go into one buffer, in linear time."""
     if not held:
@@ -757,8 +815,7 @@
             self._make_room()
             self.loop.call_soon(exchange.end, Status.MOOT)
             return
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BYTES)
+        _tune(sock)
         connection = Connection(self, target, sock)
         self.connections[connection] = None
         self.allowance.held += 1
@@ -768,27 +825,35 @@
     async def _connect(self, target: Target, exchange: Exchange, connection: Connection) -> None:
         sock, began_s = connection.sock, self.monotonic()
         try:
+            if connection.closed or (exchange.ended and connection not in self.unneeded):
+                raise asyncio.CancelledError  # given up before this began
             async with asyncio.timeout(self.connect_timeout):
                 await self.loop.sock_connect(sock, target.address)
+            _check_begun(sock)
         except (OSError, asyncio.CancelledError) as error:
             # In a late loop the time is up before it is heard that the connection stands, or before the
             # system was asked for it: that says nothing of the server.
             late = self.monotonic() - began_s > self.connect_timeout + LATE_S
-            if not (late and isinstance(error, TimeoutError) and _stands(sock)):
+            if (status := _connect_end(sock, error, late)) is not None:
                 target.opening.pop(exchange, None)
                 self.unneeded.pop(connection, None)
                 connection.close()
                 sock.close()
                 if exchange.connection is None:  # else it took one that came free meanwhile
-                    exchange.end(Status.MOOT if late else Status.CONNECT_FAILED)
+                    exchange.end(status)
                 return
         # No cancelling from here on: the loop is taking the descriptor over, and it would be closed twice.
         exchange.opening = None
         self.unneeded.pop(connection, None)
+        failed = Status.CONNECT_FAILED
         try:
             await self.loop.create_connection(lambda: connection, sock=sock)
-        except OSError:
+        except OSError as error:
             connection.close()
+            if connection.transport is None:
+                sock.close()
+            if is_own(error):
+                failed = Status.MOOT
         finally:
             target.opening.pop(exchange, None)
         if exchange.connection is None and not (exchange.ended or exchange.wanted()):
@@ -797,7 +862,7 @@
             self.keep(connection, self.monotonic())
         elif connection.closed or not connection.send(exchange, self.monotonic()):
             connection.close()
-            exchange.end(Status.CONNECT_FAILED)
+            exchange.end(failed)
 
     # The pool
 
@@ -882,8 +947,7 @@
             return True
         if self.unneeded:
             connection, exchange = self.unneeded.popitem()
-            if exchange.opening is not None:
-                exchange.opening.cancel()
+            exchange.call_off()
             connection.close()
             return True
         return False
--- a/dykefold/system.py
+++ b/dykefold/system.py
@@ -7,12 +7,39 @@
 
 from __future__ import annotations
 
+import errno
 import os
 import select
 import socket
 import time
 from typing import Protocol
 
+# What socket(2), connect(2) and send(2) fail with when this machine lacks something, or forbids it.
+OWN_ERRORS = frozenset(
+    (
+        errno.EACCES,
+        errno.EADDRINUSE,
+        errno.EADDRNOTAVAIL,  # no local port is left
+        errno.EAGAIN,
+        errno.EINTR,
+        errno.EMFILE,
+        errno.ENETDOWN,
+        errno.ENETUNREACH,  # no route from here
+        errno.ENFILE,
+        errno.ENOBUFS,
+        errno.ENOMEM,
+        errno.EPERM,  # a filter on this machine
+    )
+)
+
+
+def is_own(error: BaseException | None) -> bool:
+    """Whether a system call failed for this machine's sake, which says nothing of the other side.
+
+    A refusal, a reset, ETIMEDOUT and EHOSTUNREACH are the other side's or the path's.
+    """
+    return isinstance(error, OSError) and error.errno in OWN_ERRORS
+
 
 class Watch(Protocol):
     """Tells without waiting whether bytes or an end wait on one socket."""
