--- a/dykefold/net/upstream.py
+++ b/dykefold/net/upstream.py
@@ -25,7 +25,7 @@
 from .backlog import SLICE_BYTES, Backlog, cut
 from .deadlines import Deadlines, Limited
 from .ends import sever
-from .idle import Ages, Quarantine, Spare
+from .idle import QUARANTINE_LEAST_S, Ages, Quarantine, Spare
 from .limits import Memory
 from .stream import Upload
 
@@ -794,7 +794,7 @@
         now = self.monotonic()
         exchange.deadlines = self.deadlines
         self.deadlines.start(exchange, timeout, now)
-        while target.idle and (connection := self._take_idle(target)) is not None:
+        while target.idle and (connection := self._take_idle(target, now)) is not None:
             if now - connection.idle_since > target.ages.limit_s:
                 connection.close()  # and so have all others of this server stood for too long
                 continue
@@ -924,16 +924,21 @@
             for connection in list(target.idle):
                 connection.close()
 
-    def _take_idle(self, target: Target) -> Connection | None:
-        """The most recently used that has rested: it is the least likely to have been closed meanwhile."""
-        if self.quarantine.limit_s:
-            now = self.monotonic()
-            before = now - self.quarantine.limit(now)
+    def _take_idle(self, target: Target, now: float) -> Connection | None:
+        """The most recently used that has rested: it is the least likely to have been closed meanwhile.
+
+        Where no server was seen to answer twice, one that has not rested is still better than a new one.
+        """
+        rest_s = self.quarantine.limit(now)
+        before = now - (rest_s or QUARANTINE_LEAST_S)
+        connection = next(reversed(target.idle))
+        if connection.idle_since > before:
             rested = (one for one in reversed(target.idle) if one.idle_since <= before)
-            if (found := next(rested, None)) is None:
+            if (found := next(rested, None)) is not None:
+                connection = found
+            elif rest_s:
                 return None
-            target.idle.move_to_end(found)
-        connection, _ = target.idle.popitem()
+        del target.idle[connection]
         del self.idle[connection]
         return connection
 
--- a/tests/test_net_upstream.py
+++ b/tests/test_net_upstream.py
@@ -126,6 +126,7 @@
             assert (await end)[0] is Status.OK
         await until(lambda: len(pool.targets[1].idle) == 3)  # one may have taken another's, its own comes yet
         latest = next(reversed(pool.targets[1].idle))
+        await until(lambda: time.monotonic() - latest.idle_since > 0.01)  # so long that it has rested
         _, end = start(pool)
         assert latest.exchange is not None
         await end
--- a/tests/test_syscalls_upstream.py
+++ b/tests/test_syscalls_upstream.py
@@ -323,6 +323,29 @@
     play_on(play())
 
 
+@pytest.mark.parametrize("spare", [False, True])
+def test_one_that_has_just_answered_rests_where_another_is_idle_and_no_new_one_is_made(spare):
+    """Guards the next request against a late second answer, where no server is known to give two."""
+
+    async def play():
+        fake, system = await Fake(answer_ok).start(), FaultySystem()
+        pool = make((HOST, fake.port), system)
+        for end in [start(pool)[1] for _ in range(1 + spare)]:
+            assert (await end)[0] is Status.OK
+        await until(lambda: len(pool.targets[1].idle) == 1 + spare)
+        for connection in pool.targets[1].idle:
+            connection.idle_since -= 1.0
+        exchange, end = start(pool)
+        first = exchange.connection
+        await end
+        next_one, end = start(pool)
+        assert (next_one.connection is not first) == spare and (await end)[0] is Status.OK
+        assert fake.connections == 1 + spare
+        await nothing_left(pool, system)
+
+    run(play())
+
+
 # The whole sidecar
 
 PATIENT_MS = 1500
