--- a/tests/test_syscalls_upstream.py
+++ b/tests/test_syscalls_upstream.py
@@ -5,7 +5,10 @@
 import functools
 import gc
 import itertools
+import os
+import resource
 import socket
+import struct
 import time
 
 import pytest
@@ -113,6 +116,63 @@
     run(play())
 
 
+IP_LOCAL_PORT_RANGE = 51  # linux/in.h, since 6.3
+
+
+def ports_run_out(address):
+    """A system with one local port, on which a connection to that address stands already."""
+    held = socket.socket()
+    held.connect(address)
+    only = held.getsockname()[1]
+
+    def narrowed(sock):
+        sock.setsockopt(socket.IPPROTO_IP, IP_LOCAL_PORT_RANGE, struct.pack("I", only << 16 | only))
+        return sock
+
+    class OnePort(FaultySystem):
+        def tcp_socket(self):
+            return narrowed(super().tcp_socket())
+
+    with socket.socket() as sock, pytest.raises(OSError) as met:
+        narrowed(sock).connect(address)
+    assert met.value.errno == errno.EADDRNOTAVAIL  # else nothing would be looked at
+    return OnePort(), address, held.close
+
+
+def no_route(_):
+    """A machine has no route to a group of receivers over TCP."""
+    return FaultySystem(), ("224.0.0.1", 9), lambda: None
+
+
+def descriptors_run_out(address):
+    """The limit of the process stands at what it has open."""
+    soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
+    spare = os.open(os.devnull, os.O_RDONLY)
+    os.close(spare)
+    resource.setrlimit(resource.RLIMIT_NOFILE, (spare, hard))
+    return FaultySystem(), address, lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
+
+
+@pytest.mark.parametrize("lack", [ports_run_out, no_route, descriptors_run_out])
+def test_what_this_machine_really_lacks_says_nothing_of_the_server(lack):
+    """The system's own errors: EADDRNOTAVAIL, ENETUNREACH, EMFILE."""
+
+    async def play():
+        fake = await Fake(answer_ok).start()
+        system, address, give_back = lack((HOST, fake.port))
+        pool = make(address, system)
+        try:
+            end = start(pool)[1]
+            assert await end == (Status.MOOT, None)
+        finally:
+            give_back()
+        if lack is descriptors_run_out:
+            assert (await start(pool)[1])[0] is Status.OK
+        await nothing_left(pool, system)
+
+    run(play())
+
+
 def test_a_connection_that_the_loop_cannot_take_over_is_closed():
     """The options that asyncio's loop sets itself fail after the connect has come up."""
 
