--- a/tests/failover/test_failover_processes.py
+++ b/tests/failover/test_failover_processes.py
@@ -7,10 +7,11 @@
 
 import pytest
 from net_helpers import run
+from process_helpers import played_in_time
 from typer.testing import CliRunner
 
 from dykefold.cli import app
-from dykefold.lab.fleet.run import VIEW_PORT, Rig, Seen, play, rigged
+from dykefold.lab.fleet.run import VIEW_PORT, Rig, rigged
 from dykefold.lab.fleet.scenario import FaultTable, FleetScenario, FleetTable, ListTable
 from dykefold.lab.fleet.views import ask
 
@@ -22,15 +23,6 @@
     return FleetScenario(fleet, ListTable(late_s=10.0), faults=faults, span_s=span_s)
 
 
-def checked(seen: Seen) -> Seen:
-    assert not seen.verdict.broken
-    assert not seen.faults
-    assert None not in seen.ready_s
-    if not seen.valid:
-        pytest.skip("the machine is busy with others: the rig was late")
-    return seen
-
-
 LOST = FaultTable("servers", at_s=2, for_s=4, of="zone:a")
 CASES: dict[str, tuple[list[FaultTable], float, tuple[int, int]]] = {
     # faults, span, the least and the most moves of all members
@@ -63,7 +55,7 @@
 @pytest.mark.parametrize("case", CASES)
 def test_sidecars_move_where_they_must_and_nowhere_else(case: str) -> None:
     faults, span_s, (least, most) = CASES[case]
-    seen = checked(run(play(scenario(list(faults), span_s))))
+    seen = played_in_time(scenario(list(faults), span_s))
     assert least <= seen.moves <= most
     assert sum(seen.served) > 0.85 * sum(seen.asked)
     assert seen.cold_load < 1.0
--- a/tests/fleet/test_coldstart_processes.py
+++ b/tests/fleet/test_coldstart_processes.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 import pytest
-from net_helpers import run
+from process_helpers import played_in_time
 
-from dykefold.lab.fleet.run import Seen, play
+from dykefold.lab.fleet.run import Seen
 from dykefold.lab.fleet.scenario import FaultTable, FleetScenario, FleetTable, ListTable
 
 MEMBERS = 12
@@ -19,13 +19,8 @@
 ) -> Seen:
     fleet = FleetTable(members=MEMBERS, rate=5.0, servers=2, view=view, calls=calls, calls_per_s=10.0, **more)
     lists = ListTable(calls_per_s=SERVICE, waiting_most=3, replaced=0.5)
-    seen = run(play(FleetScenario(fleet, lists, faults=faults, span_s=span_s)))
-    assert not seen.verdict.broken
-    assert not seen.faults
-    assert None not in seen.ready_s
-    if not seen.valid or seen.start_lag_s > 0.25:
-        pytest.skip("the machine is busy with others: the rig was late")
-    assert not seen.verdict.lost
+    scenario = FleetScenario(fleet, lists, faults=faults, span_s=span_s)
+    seen = played_in_time(scenario, start_lag_most_s=0.25)
     assert seen.cold_load < 1.0
     return seen
 
--- a/tests/fleet/test_view_processes.py
+++ b/tests/fleet/test_view_processes.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 import pytest
-from net_helpers import run
+from process_helpers import played_in_time
 
 from dykefold.fleet.pace import Pace
-from dykefold.lab.fleet.run import Seen, play
+from dykefold.lab.fleet.run import Seen
 from dykefold.lab.fleet.scenario import FaultTable, FleetScenario, FleetTable
 from dykefold.lab.fleet.views import Look, plotted
 
@@ -15,7 +15,7 @@
 
 def played(faults: list[FaultTable], span_s: float) -> Seen:
     fleet = FleetTable(members=MEMBERS, rate=6.0, servers=2, view=True)
-    return run(play(FleetScenario(fleet, faults=faults, span_s=span_s)))
+    return played_in_time(FleetScenario(fleet, faults=faults, span_s=span_s))
 
 
 CASES = {
@@ -52,12 +52,6 @@
 def test_the_view_settles_again_after_each_hard_case(case: str) -> None:
     faults, span_s = CASES[case]
     seen = played(list(faults), span_s)
-    assert not seen.verdict.broken
-    assert not seen.faults
-    assert None not in seen.ready_s
-    if not seen.valid:
-        pytest.skip("the machine is busy with others: the rig was late")
-    assert not seen.verdict.lost
     assert seen.settled_s is not None, seen.looks[-1]
     assert seen.settled_s <= Pace().settled_ns(MEMBERS) / 1e9
     if case in ("one way", "flood", "stopped for 3 s", "loss, doubles, spoilt", "a clock 10 s back"):
--- a/tests/lab/test_fleet_rig.py
+++ b/tests/lab/test_fleet_rig.py
@@ -7,13 +7,13 @@
 import numpy as np
 import pytest
 from net_helpers import run, until
+from process_helpers import played_in_time
 from typer.testing import CliRunner
 
 from dykefold.cli import app
 from dykefold.lab.fleet.judge import cold_load
 from dykefold.lab.fleet.network import Datagrams, Link, free_block
 from dykefold.lab.fleet.registry import Caller, Registry
-from dykefold.lab.fleet.run import play
 from dykefold.lab.fleet.scenario import FaultTable, FleetScenario, FleetTable, read_fleet
 from dykefold.operators import ServiceError
 
@@ -169,10 +169,10 @@
 @pytest.mark.parametrize("name", FAULTS)
 def test_the_program_keeps_the_rules_under_each_fault_of_the_rig(name):
     fleet = FleetTable(members=6, rate=12.0, servers=2)
-    seen = run(play(FleetScenario(fleet, faults=[FAULTS[name]], span_s=4.0)))
     # On a machine that is busy with others the rig itself may be late, and then says nothing of answers.
-    assert not seen.verdict.violations and not seen.faults and None not in seen.ready_s
-    assert seen.good or not seen.valid, seen.verdict.lost[:3]
+    scenario = FleetScenario(fleet, faults=[FAULTS[name]], span_s=4.0)
+    seen = played_in_time(scenario, lost_if_late=True)
+    assert seen.good, seen.verdict.lost[:3]
     counts = seen.verdict.counts
     assert counts["served"] > 0.5 * sum(counts.values()) > 100
     # The rig itself was there: its fault shows where it must.
--- a/tests/process_helpers.py
+++ b/tests/process_helpers.py
@@ -1,4 +1,4 @@
-"""The real program as a process, for tests."""
+"""The real program as a process, and the rig of many, for tests."""
 
 import asyncio
 import json
@@ -8,7 +8,51 @@
 import sys
 from pathlib import Path
 
+import pytest
+from net_helpers import run
+
+from dykefold.lab.fleet.run import Seen, play
+from dykefold.lab.fleet.scenario import FleetScenario
+
 ROOT = Path(__file__).parent.parent
+PLAYS_MOST = 3  # of what the machine's lateness made void
+
+
+def in_time(play_once, plays_most=PLAYS_MOST):
+    """What the first play in time has shown; fails when the machine was late in every one.
+
+    Args:
+        play_once: plays, checks what holds on a late machine too, and returns what was seen and why the
+            play is void, None if it is not.
+        plays_most: a bound, so that a machine which is always late is a failure and no pass.
+    """
+    reasons = []
+    for _ in range(plays_most):
+        seen, void = play_once()
+        if void is None:
+            return seen
+        reasons.append(void)
+    pytest.fail(f"nothing was judged, the machine was late in each of {plays_most} plays: {reasons}")
+
+
+def played_in_time(
+    scenario: FleetScenario, start_lag_most_s: float = float("inf"), lost_if_late: bool = False
+) -> Seen:
+    """A scenario of the rig, played until the rig kept up with it.
+
+    Args:
+        start_lag_most_s: that the rig may have been late before the load.
+        lost_if_late: whether requests may be lost in a play that is void for the rig's lateness.
+    """
+
+    def play_once():
+        seen = run(play(scenario))
+        assert not seen.verdict.violations and not seen.faults and None not in seen.ready_s
+        late = not seen.valid or seen.start_lag_s > start_lag_most_s
+        assert not seen.verdict.lost or (late and lost_if_late)
+        return seen, f"{seen.lag_s:.2f} s, {seen.start_lag_s:.2f} s at the start" if late else None
+
+    return in_time(play_once)
 
 
 class Process:
--- a/tests/routing/test_services.py
+++ b/tests/routing/test_services.py
@@ -12,6 +12,7 @@
 
 import pytest
 from net_helpers import HOST, Fake, answer_ok, ask, gated, read_message, reply, reset, run, silent, until
+from process_helpers import in_time
 
 from dykefold.admission.addresses import Caps
 from dykefold.interface import Effect
@@ -285,15 +286,18 @@
                 await until(lambda: all(load.answered > n for load, n in zip(loads, before, strict=True)))  # noqa: B023
             for load in loads:
                 await load.end()
-                # Where the machine took the core away some are refused, as ever; that is no loss.
-                late = node.engine.lag.worst_s >= LATE_S
-                assert set(load.codes) <= ({200, 503} if late else {200}) and not load.lost
+            # Where the machine took the core away some are refused, as ever; that is no loss, and no pass.
+            codes = set().union(*(load.codes for load in loads))
+            late_s = node.engine.lag.worst_s
+            void = 503 in codes and late_s >= LATE_S
+            assert codes <= ({200, 503} if void else {200}) and not any(load.lost for load in loads)
             ids = [got.headers["x-request-id"] for fake in fakes for got in fake.got]
             served = sum(load.codes[200] for load in loads)
             assert len(ids) == len(set(ids)) == served
             await until(lambda: len(node.engine.pools) == 2)
+        return None, f"the loop was late by {late_s:.2f} s, and some were refused" if void else None
 
-    run(play())
+    in_time(lambda: run(play()))
 
 
 def test_a_thousand_pools_that_came_and_went_leave_nothing(caplog):
--- a/tests/routing/test_usual_clients.py
+++ b/tests/routing/test_usual_clients.py
@@ -125,8 +125,9 @@
     run(play())
 
 
-@pytest.mark.skipif(shutil.which("curl") is None, reason="curl is not installed")
 def test_curl_through_a_pool():
+    assert shutil.which("curl"), "curl is not installed: this client was not looked at"
+
     async def play():
         async def curl(*arguments):
             process = await asyncio.create_subprocess_exec(
--- a/tests/test_crossings_processes.py
+++ b/tests/test_crossings_processes.py
@@ -22,13 +22,11 @@
     on_loop,
     read_message,
     reply,
-    run,
     until,
 )
-from process_helpers import Process
+from process_helpers import Process, played_in_time
 from test_net_discovery import listing
 
-from dykefold.lab.fleet.run import play
 from dykefold.lab.fleet.scenario import FaultTable, FleetScenario, FleetTable, ListTable
 
 READY = b"GET /-/ready HTTP/1.1\r\nHost: n0\r\n\r\n"
@@ -219,10 +217,7 @@
         FaultTable("kill", at_s=4.2, for_s=0.3, share=killed),
         FaultTable("servers", at_s=8, for_s=1, of="zone:b"),
     ]
-    seen = run(play(FleetScenario(fleet, ListTable(), faults=faults, span_s=13.0)))
-    assert not seen.verdict.violations and not seen.faults
-    if not seen.valid:
-        pytest.skip("the machine is busy with others: the rig was late")
-    assert not seen.verdict.lost
+    scenario = FleetScenario(fleet, ListTable(), faults=faults, span_s=13.0)
+    seen = played_in_time(scenario, lost_if_late=True)
     assert seen.cold_fall < 1.0
     assert seen.cold_load < most
