--- /dev/null
+++ b/benchmarks/slow_start.py
@@ -0,0 +1,91 @@
+"""Slow start over the fleet: what servers that start counted, against the budget that the settings give.
+
+`python -m benchmarks.slow_start [MEMBERS ...] [--only PLAY ...] [--seeds N]`: real processes, real sockets, a
+line for each play. `all` is the worst span of a server in slow start against its budget (N + 2 sqrt(N) + 2
+calls, N under 30: N + 3 sqrt(N) + 3), `told` the worst of which over two thirds came from sidecars that were
+notified of the start; over 1 is a fall, in `told` a broken rule. Behind them: the calls of that span, the
+sidecars that sent them, calls that were their sidecar's first to the server, further attempts, and the most
+of one sidecar. `short` is the same over half a second and against once of what the server can do: no rule.
+"""
+
+from __future__ import annotations
+
+import argparse
+import sys
+from typing import Any
+
+import uvloop
+
+from dykefold.lab.fleet.judge import SlowStartLoad
+from dykefold.lab.fleet.run import Seen, play
+from dykefold.lab.fleet.scenario import FaultTable, FleetScenario, FleetTable, ListTable
+
+MEMBERS = (1, 2, 5, 20, 30, 60)
+RATE = 450.0  # requests a second to all members together, of the 750 that six warm servers can do
+SPAN_S = 10.0
+DOWN_S, BACK_S = 2.0, 3.0
+ZONE = FaultTable("servers", at_s=DOWN_S, for_s=BACK_S - DOWN_S, of="zone:a")  # two of six
+TOGETHER = FaultTable("servers", at_s=DOWN_S, for_s=BACK_S - DOWN_S, share=0.5)  # three, one in each zone
+BURST = FaultTable("burst", at_s=BACK_S, for_s=3.0, load=1.5)
+RESETS = FaultTable("resets", at_s=BACK_S, for_s=5.0, of="zone:b", share=0.4)
+# A cold server can do 5 requests a second: 30 allowed over the usual 2 s, 10 over the tight second.
+COLD: dict[str, Any] = {"cores": 1, "cold_share": 0.04, "warm_s": 6.0}
+TIGHT: dict[str, Any] = {"fall_multiple": 2.0, "fall_s": 1.0}
+PLAYS: dict[str, tuple[list[FaultTable], dict[str, Any]]] = {
+    "one zone's servers": ([ZONE], {}),
+    "burst": ([ZONE, BURST], {}),
+    "several together": ([TOGETHER, BURST], {}),
+    "retries": ([ZONE, RESETS], {"again": 2}),
+    "hedges": ([ZONE, BURST], {"hedges": True}),
+    "clocks a second apart": ([ZONE, BURST], {"clock_s": 1.0}),
+    "tight": ([ZONE], TIGHT),
+    "all of it": ([TOGETHER, BURST, RESETS], {"again": 2, "hedges": True, "clock_s": 1.0}),
+}
+
+
+def scenario(name: str, members: int, seed: int = 1) -> FleetScenario:
+    """A play with so many sidecars."""
+    faults, more = PLAYS[name]
+    fleet = FleetTable(members=members, rate=RATE / members, servers=2, **COLD, **more)
+    return FleetScenario(fleet, ListTable(), faults=faults, seed=seed, span_s=SPAN_S)
+
+
+def row(name: str, members: int, seed: int, seen: Seen) -> str:
+    """A line of the table."""
+
+    def told(one: SlowStartLoad) -> str:
+        return (
+            f"{one.load:5.2f} at {one.age_s:4.2f} s {one.calls:4}/{one.allowed:5.1f} of {one.sidecars:3}"
+            f" first {one.openers:3} again {one.repeats:3} most {one.most:3}"
+        )
+
+    loads = (seen.slow_start, seen.slow_start_notified, seen.slow_start_short)
+    state = "" if seen.valid else f"  VOID: the rig was {seen.lag_s:.2f} s late"
+    served = sum(seen.served) / max(sum(seen.asked), 1)
+    broken = f"  broken {len(seen.verdict.broken)}" if seen.verdict.broken else ""
+    told_all = "  ".join(
+        f"{kind} {told(one)}" for kind, one in zip(("all", "told", "short"), loads, strict=True)
+    )
+    return f"{name:22} {members:4} {seed:3}  {told_all}  served {served:.2f}{broken}{state}"
+
+
+def main() -> None:
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("members", nargs="*", type=int, default=list(MEMBERS))
+    parser.add_argument("--only", nargs="+", default=list(PLAYS), choices=list(PLAYS))
+    parser.add_argument("--seeds", type=int, default=1)
+    options = parser.parse_args()
+    broken = False
+    for members in options.members or MEMBERS:
+        for name in options.only:
+            for seed in range(1, options.seeds + 1):
+                seen = uvloop.run(play(scenario(name, members, seed)))
+                broken |= seen.slow_start_notified.falls
+                print(row(name, members, seed, seen), flush=True)
+    sys.exit(1 if broken else 0)
+
+
+if __name__ == "__main__":
+    main()
--- a/dykefold/lab/fleet/desk.py
+++ b/dykefold/lab/fleet/desk.py
@@ -55,18 +55,21 @@
         rate: float,
         chance: np.random.Generator,
         new_share: float = 0.0,
+        again: int = 0,
     ) -> None:
         """Prepare.
 
         Args:
             rate: requests a second, as a Poisson stream.
             new_share: of the requests that are sent on a new connection, which is then closed.
+            again: times that a request which was refused or failed is asked again at once, under a new id.
         """
         self.number = number
         self.classes = classes
         self.rate = rate
         self.chance = chance
         self.new_share = new_share
+        self.again = again
         self.address: Address | None = None  # of its sidecar
         self.asked: list[Asked] = []
         self.idle: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
@@ -85,14 +88,16 @@
             await asyncio.sleep(max(next_s - loop.time(), 0.0))
             self.send()
 
-    def send(self, cls: str | None = None) -> asyncio.Task[None]:
+    def send(self, cls: str | None = None, again: int | None = None) -> asyncio.Task[None]:
         """Send one request now."""
         name = cls or self._names[int(self.chance.choice(len(self._names), p=self._shares))]
         ident = f"{self.number:x}-{len(self.asked):x}"
         asked = Asked(ident, name, self.number, asyncio.get_running_loop().time())
         self.asked.append(asked)
         new = bool(self.chance.random() < self.new_share)
-        task = asyncio.get_running_loop().create_task(self._ask(asked, new))
+        task = asyncio.get_running_loop().create_task(
+            self._ask(asked, new, self.again if again is None else again)
+        )
         self.open.add(task)
         task.add_done_callback(self.open.discard)
         return task
@@ -102,7 +107,7 @@
         while self.open:
             await asyncio.wait(list(self.open))
 
-    async def _ask(self, asked: Asked, new: bool) -> None:
+    async def _ask(self, asked: Asked, new: bool, again: int) -> None:
         loop = asyncio.get_running_loop()
         due_s = asked.sent_s + self.classes[asked.cls].deadline_ms / 1000
         try:
@@ -113,6 +118,8 @@
         asked.ended_s = loop.time()
         if asked.end is not End.LOST and asked.code and asked.ended_s > due_s + ANSWER_SLACK_S:
             asked.end = End.LATE
+        if again and asked.end in (End.REFUSED, End.FAILED):
+            self.send(asked.cls, again - 1)
 
     async def _exchange(self, asked: Asked, due_s: float, new: bool) -> End:
         kept = None if new else self._take_idle()
--- a/dykefold/lab/fleet/registry.py
+++ b/dykefold/lab/fleet/registry.py
@@ -40,6 +40,7 @@
         self.calls: Counter[int] = Counter()  # by second of the loop's time
         self.turned_away = 0
         self.told: dict[int, list[tuple[float, int]]] = {}  # by member, when it was told which version
+        self.starts: dict[str, dict[int, float]] = {}  # by server, when each member was notified of its start
         self.since_s = 0.0  # when it last came to say something new, or to answer again
 
     def change(self, entry: dict[str, Any]) -> None:
@@ -51,6 +52,7 @@
             self.entries.pop(entry["name"], None)
         else:
             self.entries[entry["name"]] = entry
+            self.starts[entry["name"]] = {}
         self.version += 1
         self.since_s = self.loop.time()
         self.changes.append((self.version, entry))
@@ -142,6 +144,12 @@
     def _note(self, caller: Caller) -> None:
         """From now on this caller has the present list."""
         self.told.setdefault(caller.member, []).append((self.loop.time(), self.version))
+        self.notify(caller.member)
+
+    def notify(self, member: int) -> None:
+        """From now on this member knows of every start that is listed."""
+        for notified_s in self.starts.values():
+            notified_s.setdefault(member, self.loop.time())
 
     def known(self, group: int) -> dict[str, Any]:
         """The list as a member of a group begins with it."""
--- a/dykefold/lab/fleet/run.py
+++ b/dykefold/lab/fleet/run.py
@@ -8,17 +8,28 @@
 import time
 from collections import Counter
 from collections.abc import AsyncIterator, Iterator
-from dataclasses import dataclass, field
+from dataclasses import asdict, dataclass, field
 from pathlib import Path
 from typing import Any
 
 from ...fleet.pace import Pace
 from ..chance import generator
 from ..emulator.server import Connection, Server, Truth
+from ..scenario import FaultTable as ServerFaultTable
 from ..scenario import LoadTable, Scenario, ServerTable
 from .desk import Asked, Desk, End, all_asked
-from .judge import COLD_S, Excuse, Verdict, cold_load, judge
-from .member import FALL_MULTIPLE, FALL_S, Member, entry, settings
+from .judge import (
+    COLD_S,
+    Excuse,
+    SlowStart,
+    SlowStartCall,
+    SlowStartLoad,
+    Verdict,
+    cold_load,
+    judge,
+    slow_start_load,
+)
+from .member import Member, entry, settings
 from .network import PORT, Datagrams, Link, free_block
 from .process import Process, StartError
 from .registry import Caller, Registry
@@ -53,6 +64,9 @@
         cold_load: of the worst cold server, in its worst moment, against what it can do then.
         cold_fall: ... against what the rules allow it then, which pushes it over.
         served: requests by the second of the load in which they were asked, and of these served in time.
+        slow_start: the worst span of a server in slow start, against the budget that the settings give it.
+        slow_start_notified: ... of the spans of which over two thirds knew: over 1 breaks the rule.
+        slow_start_short: the worst over half a second and against once of what the server can do.
         datagrams: that members sent; `datagram_bytes` what was delivered.
         looks: at the members' views, if they keep any.
         settled_s: from the end of the last fault until all views were right and stayed so.
@@ -79,6 +93,9 @@
     moves: int = 0
     cold_load: float = 0.0
     cold_fall: float = 0.0
+    slow_start: SlowStartLoad = field(default_factory=SlowStartLoad)
+    slow_start_notified: SlowStartLoad = field(default_factory=SlowStartLoad)
+    slow_start_short: SlowStartLoad = field(default_factory=SlowStartLoad)
     start_lag_s: float = 0.0
 
     @property
@@ -118,6 +135,9 @@
             "moves": self.moves,
             "cold_load": round(self.cold_load, 3),
             "cold_fall": round(self.cold_fall, 3),
+            "slow_start": asdict(self.slow_start),
+            "slow_start_notified": asdict(self.slow_start_notified),
+            "slow_start_short": asdict(self.slow_start_short),
             "datagrams": self.datagrams,
             "datagram_bytes": self.datagram_bytes,
             "view_settled_s": None if self.settled_s is None else round(self.settled_s, 2),
@@ -181,6 +201,7 @@
                 CLASSES,
                 fleet.rate * (1.0 if number else fleet.busy),
                 generator(scenario.seed, "desk", str(number)),
+                again=fleet.again,
             )
             for number in range(fleet.members)
         ]
@@ -235,6 +256,7 @@
         for zone in self.zones:
             for server in self.servers[zone][: round(share * len(self.servers[zone]))]:
                 server.started_s = self.loop.time()
+                self.registry.starts[server.name] = {}
                 self.registry.entries[server.name] = self._entry(server, zone, "SERVING", now_ms)
                 for of, known in enumerate(self.first_known):
                     gone = f"127.{self.block}.{200 + of}.252:9"  # nobody listens there
@@ -262,7 +284,15 @@
             "peers_all": self.datagrams.all_address,
             "known": self.first_known[zone],
             "settings": settings(
-                CLASSES, fleet.zones, zone, number, fleet.members, True, (fleet.cold_share, fleet.warm_s)
+                CLASSES,
+                fleet.zones,
+                zone,
+                number,
+                fleet.members,
+                True,
+                (fleet.cold_share, fleet.warm_s),
+                (fleet.fall_multiple, fleet.fall_s),
+                fleet.hedges,
             ),
         }
         if any(fault.kind == "upgrade" for fault in self.scenario.faults):
@@ -272,7 +302,9 @@
             parts.append(f"calls = true\ncalls_per_s = {fleet.calls_per_s}")
         if fleet.failover:
             parts.append("[failover]\non = true")
-        return Member(number, own, data, "\n".join(["[fleet]", *parts]) if parts else None)
+        member = Member(number, own, data, "\n".join(["[fleet]", *parts]) if parts else None)
+        member.clock_s = fleet.clock_s if number % 2 else -fleet.clock_s
+        return member
 
     # Members
 
@@ -281,6 +313,8 @@
         member, zone = self.members[number], self.scenario.zone_of(number)
         known = self.registry.known(zone) if member.processes else self.first_known[zone]
         self.registry.told.pop(number, None)
+        if member.processes:
+            self.registry.notify(number)  # by the list that it starts with
         process = await member.start(known=known, peers=self.datagrams.addresses())
         try:
             await process.listens()
@@ -405,6 +439,10 @@
             return self._move_list, lambda: None
         if fault.kind == "servers":
             return lambda: self._servers(fault, True), lambda: self._servers(fault, False)
+        if fault.kind == "resets":
+            return lambda: self._reset_answers(fault), lambda: None
+        if fault.kind == "burst":
+            return lambda: self._load(fault, fault.load), lambda: self._load(fault, 1.0 / fault.load)
         if fault.kind == "cut":
             return lambda: self._cut(fault, True), lambda: self._cut(fault, False)
         ways = [self.datagrams.way(one, other) for one, other in self._pairs(fault)]
@@ -464,6 +502,17 @@
                     since_ms = int(time.time() * 1000)
                     self.registry.change(self._entry(server, zone, "SERVING", since_ms))
 
+    def _reset_answers(self, fault: FaultTable) -> None:
+        """Servers answer some requests with a reset, which ends by itself."""
+        table = ServerFaultTable("reset", fault.at_s, fault.for_s, [], share=fault.share)
+        for zone in self.scenario.zones_of(fault.of):
+            for server in self.servers[zone]:
+                server.fault(table)
+
+    def _load(self, fault: FaultTable, times: float) -> None:
+        for number in self.scenario.members_of(fault.of):
+            self.desks[number].rate *= times
+
     # The run
 
     async def play(self) -> Seen:
@@ -495,7 +544,7 @@
         await asyncio.sleep(QUIET_S)
         lag.cancel()
         asked = list(all_asked(self.desks))
-        verdict = judge(asked, self.truth.arrivals, CLASSES, self.excuses)
+        verdict = judge(asked, self.truth.arrivals, CLASSES, self.excuses, hedged=self.scenario.fleet.hedges)
         return self._seen(verdict, asked, began_s)
 
     async def _watch_lag(self) -> None:
@@ -521,6 +570,7 @@
         servers = [server for zone in self.servers for server in zone]
         handshakes = [sum((link.accepted for link in server.links), Counter()) for server in servers]
         listed = self.registry.listed()
+        slow_starts = list(self._slow_starts(self.scenario.fleet.fall_multiple, self.scenario.fleet.fall_s))
         return Seen(
             verdict,
             self.ready_s,
@@ -544,7 +594,12 @@
             crossed=self._crossed(asked, began_s, seconds),
             moves=sum(line.count("works in zone") for line in self._lines()),
             cold_load=max(self._cold_loads(), default=0.0),
-            cold_fall=max(self._cold_loads(FALL_MULTIPLE, FALL_S), default=0.0),
+            cold_fall=max(
+                self._cold_loads(self.scenario.fleet.fall_multiple, self.scenario.fleet.fall_s), default=0.0
+            ),
+            slow_start=max((whole for whole, _ in slow_starts), key=_against_budget),
+            slow_start_notified=max((notified for _, notified in slow_starts), key=_against_budget),
+            slow_start_short=max((short for short, _ in self._slow_starts(1.0, COLD_S)), key=_against_budget),
             start_lag_s=self.start_lag_s,
         )
 
@@ -576,6 +631,25 @@
                 share, warm_s = fleet.cold_share, fleet.warm_s
                 yield cold_load(came, server.started_s, full, share, warm_s, multiple, span_s)
 
+    def _slow_starts(self, multiple: float, span_s: float) -> Iterator[tuple[SlowStartLoad, SlowStartLoad]]:
+        """Of each server, its worst span in slow start, and the worst that was known of."""
+        fleet = self.scenario.fleet
+        full = fleet.cores / QUICK.mean_ms * 1000  # every class here has the same mean work
+        rules = SlowStart(full, fleet.cold_share, fleet.warm_s, multiple, span_s)
+        attempts = sorted(
+            (one.came_s, one.ident, name) for name, came in self.truth.arrivals.items() for one in came
+        )
+        calls: dict[str, list[SlowStartCall]] = {}
+        begun: set[str] = set()
+        for came_s, ident, name in attempts:
+            sidecar = int(ident.partition("-")[0], 16)
+            calls.setdefault(name, []).append(SlowStartCall(came_s, sidecar, first=ident not in begun))
+            begun.add(ident)
+        for zone in self.servers:
+            for server in zone:
+                notified_s = self.registry.starts.get(server.name, {})
+                yield slow_start_load(calls.get(server.name, ()), server.started_s, rules, notified_s)
+
     async def close(self) -> None:
         """End all that the rig has begun."""
         for task in self.tasks:
@@ -596,6 +670,10 @@
     return ServerTable(name, count=count, cores=table.cores, cold_share=table.cold_share, warm_s=table.warm_s)
 
 
+def _against_budget(one: SlowStartLoad) -> float:
+    return one.load
+
+
 @contextlib.asynccontextmanager
 async def rigged(scenario: FleetScenario) -> AsyncIterator[Rig]:
     """A rig for a scenario; all of it is gone behind."""
