--- a/dykefold/lab/fleet/registry.py
+++ b/dykefold/lab/fleet/registry.py
@@ -17,18 +17,22 @@
 class Registry:
     """What is listed, and how calls are worked through."""
 
-    def __init__(self, calls_per_s: float, waiting_most: int, late_s: float) -> None:
+    def __init__(
+        self, calls_per_s: float, waiting_most: int, late_s: float, changes_kept: int = CHANGES_KEPT
+    ) -> None:
         """Begin with no server.
 
         Args:
             calls_per_s: that it works through, one after the other.
             waiting_most: calls that wait their turn; one more is answered 503.
             late_s: until a change is listed.
+            changes_kept: that it can tell by themselves; who knows less gets the whole list.
         """
         self.loop = asyncio.get_running_loop()
         self.calls_per_s = calls_per_s
         self.waiting_most = waiting_most
         self.late_s = late_s
+        self.changes_kept = changes_kept
         self.version = 1
         self.entries: dict[str, dict[str, Any]] = {}
         self.changes: list[tuple[int, dict[str, Any]]] = []
@@ -56,7 +60,7 @@
         self.version += 1
         self.since_s = self.loop.time()
         self.changes.append((self.version, entry))
-        del self.changes[:-CHANGES_KEPT]
+        del self.changes[: -self.changes_kept]
         for caller, after in list(self.watchers.items()):
             self.answer(caller, after)
 
