--- a/benchmarks/large_fleet.py
+++ b/benchmarks/large_fleet.py
@@ -5,7 +5,7 @@
 capacity of all servers together, and a quarter of the servers replaced in steps. Real processes, real
 sockets; servers and list service are stand-ins of this process, a listener each. One line a figure: at the
 usual size, the limit that follows from it, and what was measured; exit code 1 where a limit is broken, 2
-where this process was late itself and its figures say nothing.
+where the machine was late (this process, or a sidecar that waited for a core), whose figures say nothing.
 """
 
 from __future__ import annotations
@@ -18,6 +18,7 @@
 import sys
 import tempfile
 import time
+from collections import deque
 from collections.abc import AsyncIterator, Mapping
 from dataclasses import dataclass, field
 from pathlib import Path
@@ -48,7 +49,8 @@
 WAITING_MOST = 64
 LIST_LATE_S = 0.1
 ZONES = ["a", "b", "c"]
-LAG_MOST_S = 0.25  # of this process, beyond which a run says nothing
+LAG_MOST_S = 0.25  # of this process, or of a sidecar for want of a core, beyond which a run says nothing
+WAIT_OVER_S = 1.0  # over which a sidecar's wait for a core is looked at
 SAMPLE_S = 0.05
 WARM_S, COLD_SHARE = 4.0, 0.25
 DESCRIPTORS_APART = 256  # of this process, beyond listeners and connections
@@ -149,7 +151,8 @@
     truth: Truth = field(default_factory=Truth)
     standing: list[CountedServer] = field(default_factory=list)
     gone: list[CountedServer] = field(default_factory=list)
-    lag_s: float = 0.0
+    lag_s: float = 0.0  # the latest that this process was
+    waited_s: float = 0.0  # the longest that a sidecar waited for a core, in a second
     descriptors: list[int] = field(default_factory=list)
 
     async def play(self, folder: Path) -> dict[str, float]:
@@ -179,9 +182,10 @@
             looks.cancel()
             needs = [_needs(member.living[0].pid) for member in members]
         asked = list(all_asked(desks))
-        broken = judge(asked, self.truth.arrivals, CLASSES).broken
-        if broken:
-            print(f"{self.servers} servers: {len(broken)} rules broken, as: {broken[0]}")
+        verdict = judge(asked, self.truth.arrivals, CLASSES)
+        if verdict.broken:
+            print(f"{self.servers} servers: {len(verdict.broken)} rules broken, as: {verdict.broken[0]}")
+            print(f"  {verdict.counts}")
         served = sum(
             one.end is End.SERVED and one.ended_s - one.sent_s <= CLASSES[one.cls].aim_ms / 1000
             for one in asked
@@ -260,11 +264,14 @@
             await asyncio.sleep(max(STEP_S - DRAIN_S, 0.0))
 
     async def _look(self, members: list[Member]) -> None:
-        """The most descriptors that each holds, and how late this process is."""
+        """The most descriptors that each holds, and how late the machine is."""
         loop = asyncio.get_running_loop()
+        waits: list[deque[float]] = [deque(maxlen=round(WAIT_OVER_S / SAMPLE_S)) for _ in members]
         while True:
             for number, member in enumerate(members):
                 self.descriptors[number] = max(self.descriptors[number], member.living[0].held()[0])
+                waits[number].append(_waited_s(member.living[0].pid))
+                self.waited_s = max(self.waited_s, waits[number][-1] - waits[number][0])
             due_s = loop.time() + SAMPLE_S
             await asyncio.sleep(SAMPLE_S)
             self.lag_s = max(self.lag_s, loop.time() - due_s)
@@ -284,11 +291,22 @@
     return cpu_s, peak_kb * KB
 
 
+def _waited_s(pid: int) -> float:
+    """Seconds that a process was ready to run and had no core (Linux: /proc/PID/schedstat)."""
+    return int(Path(f"/proc/{pid}/schedstat").read_text().split()[1]) / 1e9
+
+
 def day(servers: int, times: int, members: int, push: bool, seed: int) -> tuple[dict[str, float], float]:
-    """A day's figures, and how late this process was while it played."""
+    """A day's figures, and how late the machine was while it was played."""
     one = Day(servers, times, members, push, seed)
     with tempfile.TemporaryDirectory() as folder:
-        return uvloop.run(one.play(Path(folder))), one.lag_s
+        figures = uvloop.run(one.play(Path(folder)))
+    print(
+        f"{servers} servers: this process was late by {one.lag_s:.2f} s,"
+        f" a sidecar waited {one.waited_s:.2f} s in {WAIT_OVER_S:.0f} s for a core",
+        file=sys.stderr,
+    )
+    return figures, max(one.lag_s, one.waited_s)
 
 
 def main() -> int:
@@ -308,17 +326,18 @@
         print(f"descriptors: {hard} allowed, expected {wanted} for {large} servers", file=sys.stderr)
         return 2
     resource.setrlimit(resource.RLIMIT_NOFILE, (max(soft, wanted), hard))
-    played = []
+    played, void = [], False
     for servers, times in ((options.servers, 1), (large, options.times)):
         figures, lag_s = day(servers, times, options.members, options.push, options.seed)
         played.append(figures)
-        if lag_s > LAG_MOST_S:
-            print(f"{servers} servers: void, this process was {lag_s:.2f} s late", file=sys.stderr)
-            return 2
+        void = void or lag_s > LAG_MOST_S
     print(f"a sidecar in the mean      {options.servers:6} servers  limit   {large:6} servers")
     lines = compared(played[0], played[1], large)
     for line in lines:
         print(line)
+    if void:
+        print(f"void: the machine was late by over {LAG_MOST_S} s; this says nothing")
+        return 2
     return 1 if any(line.broken for line in lines) else 0
 
 
--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -21,15 +21,17 @@
 from dykefold.lab.fleet.scenario import FaultTable, FleetScenario, FleetTable, ListTable
 
 MEMBERS = (1, 2, 5, 20, 30, 60)
-RATE = 450.0  # requests a second to all members together, of the 750 that six warm servers can do
+RATE = 450.0  # requests a second to all members together, of the 750 that six warm servers can do ...
+RATE_EACH = 60.0  # ... and no more than that to each
 SPAN_S = 10.0
 DOWN_S, BACK_S = 2.0, 3.0
 ZONE = FaultTable("servers", at_s=DOWN_S, for_s=BACK_S - DOWN_S, of="zone:a")  # two of six
 TOGETHER = FaultTable("servers", at_s=DOWN_S, for_s=BACK_S - DOWN_S, share=0.5)  # three, one in each zone
 BURST = FaultTable("burst", at_s=BACK_S, for_s=3.0, load=1.5)
 RESETS = FaultTable("resets", at_s=BACK_S, for_s=5.0, of="zone:b", share=0.4)
-# A cold server can do 5 requests a second: 30 allowed over the usual 2 s, 10 over the tight second.
-COLD: dict[str, Any] = {"cores": 1, "cold_share": 0.04, "warm_s": 6.0}
+# Of what six warm servers can do, each can do 1 / 25 at its start, or less in step with the traffic: with the
+# whole rate 30 requests are allowed over the usual 2 s then, 10 over the tight second.
+COLD_SHARE, WARM_S = 0.04, 30.0
 TIGHT: dict[str, Any] = {"fall_multiple": 2.0, "fall_s": 1.0}
 PLAYS: dict[str, tuple[list[FaultTable], dict[str, Any]]] = {
     "one zone's servers": ([ZONE], {}),
@@ -46,7 +48,11 @@
 def scenario(name: str, members: int, seed: int = 1) -> FleetScenario:
     """A play with so many sidecars."""
     faults, more = PLAYS[name]
-    fleet = FleetTable(members=members, rate=RATE / members, servers=2, **COLD, **more)
+    rate = min(RATE / members, RATE_EACH)
+    cold_share = COLD_SHARE * rate * members / RATE
+    fleet = FleetTable(
+        members=members, rate=rate, servers=2, cores=1, cold_share=cold_share, warm_s=WARM_S, **more
+    )
     return FleetScenario(fleet, ListTable(), faults=faults, seed=seed, span_s=SPAN_S)
 
 
@@ -62,7 +68,7 @@
     loads = (seen.slow_start, seen.slow_start_notified, seen.slow_start_short)
     state = "" if seen.valid else f"  VOID: the rig was {seen.lag_s:.2f} s late"
     served = sum(seen.served) / max(sum(seen.asked), 1)
-    broken = f"  broken {len(seen.verdict.broken)}" if seen.verdict.broken else ""
+    broken = f"  broken {len(seen.verdict.broken)}: {seen.verdict.broken[0]}" if seen.verdict.broken else ""
     told_all = "  ".join(
         f"{kind} {told(one)}" for kind, one in zip(("all", "told", "short"), loads, strict=True)
     )
