--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -41,6 +41,7 @@
     "hedges": ([ZONE, BURST], {"hedges": True}),
     "clocks a second apart": ([ZONE, BURST], {"clock_s": 1.0}),
     "tight": ([ZONE], TIGHT),
+    "slow when cold": ([ZONE, BURST], {"cold_quick": False}),
     "all of it": ([TOGETHER, BURST, RESETS], {"again": 2, "hedges": True, "clock_s": 1.0}),
 }
 
@@ -48,6 +49,7 @@
 def scenario(name: str, members: int, seed: int = 1) -> FleetScenario:
     """A play with so many sidecars."""
     faults, more = PLAYS[name]
+    more = {"cold_quick": True, **more}  # what answers slowly is shunned in any case
     rate = min(RATE / members, RATE_EACH)
     cold_share = COLD_SHARE * rate * members / RATE
     fleet = FleetTable(
--- a/dykefold/lab/fleet/run.py
+++ b/dykefold/lab/fleet/run.py
@@ -225,7 +225,8 @@
 
     def _make_servers(self, block: int) -> list[list[LinkedServer]]:
         fleet = self.scenario.fleet
-        table = ServerTable("s", cores=fleet.cores, cold_share=fleet.cold_share, warm_s=fleet.warm_s)
+        speed = 1.0 if fleet.cold_quick else fleet.cold_share
+        table = ServerTable("s", cores=fleet.cores, cold_share=speed, warm_s=fleet.warm_s)
         tables = [_named(table, f"s-{name}", fleet.servers) for name in fleet.zones]
         emulated = Scenario(tables, CLASSES, LoadTable(), seed=self.scenario.seed)
         return [
--- a/dykefold/lab/fleet/scenario.py
+++ b/dykefold/lab/fleet/scenario.py
@@ -38,6 +38,7 @@
     cores: Positive = 2  # of a server
     cold_share: Annotated[float, Meta(gt=0, le=1)] = 0.25  # of its speed right after a restart
     warm_s: NotBelow = 4.0
+    cold_quick: bool = False  # a cold server answers as quickly as a warm one, up to its fall
     rate: Above = 10.0  # requests a second to each member
     memory_mb: Positive = 80  # that a member is told
     sockets: Positive = 384
