--- a/dykefold/lab/fleet/registry.py
+++ b/dykefold/lab/fleet/registry.py
@@ -17,18 +17,22 @@
 class Registry:
     """What is listed, and how calls are worked through."""
 
-    def __init__(self, calls_per_s: float, waiting_most: int, late_s: float) -> None:
+    def __init__(
+        self, calls_per_s: float, waiting_most: int, late_s: float, changes_kept: int = CHANGES_KEPT
+    ) -> None:
         """Begin with no server.
 
         Args:
             calls_per_s: that it works through, one after the other.
             waiting_most: calls that wait their turn; one more is answered 503.
             late_s: until a change is listed.
+            changes_kept: that it can tell by themselves; who knows less gets the whole list.
         """
         self.loop = asyncio.get_running_loop()
         self.calls_per_s = calls_per_s
         self.waiting_most = waiting_most
         self.late_s = late_s
+        self.changes_kept = changes_kept
         self.version = 1
         self.entries: dict[str, dict[str, Any]] = {}
         self.changes: list[tuple[int, dict[str, Any]]] = []
@@ -40,6 +44,7 @@
         self.calls: Counter[int] = Counter()  # by second of the loop's time
         self.turned_away = 0
         self.told: dict[int, list[tuple[float, int]]] = {}  # by member, when it was told which version
+        self.starts: dict[str, dict[int, float]] = {}  # by server, when each member was notified of its start
         self.since_s = 0.0  # when it last came to say something new, or to answer again
 
     def change(self, entry: dict[str, Any]) -> None:
@@ -51,10 +56,11 @@
             self.entries.pop(entry["name"], None)
         else:
             self.entries[entry["name"]] = entry
+            self.starts[entry["name"]] = {}
         self.version += 1
         self.since_s = self.loop.time()
         self.changes.append((self.version, entry))
-        del self.changes[:-CHANGES_KEPT]
+        del self.changes[: -self.changes_kept]
         for caller, after in list(self.watchers.items()):
             self.answer(caller, after)
 
@@ -142,6 +148,12 @@
     def _note(self, caller: Caller) -> None:
         """From now on this caller has the present list."""
         self.told.setdefault(caller.member, []).append((self.loop.time(), self.version))
+        self.notify(caller.member)
+
+    def notify(self, member: int) -> None:
+        """From now on this member knows of every start that is listed."""
+        for notified_s in self.starts.values():
+            notified_s.setdefault(member, self.loop.time())
 
     def known(self, group: int) -> dict[str, Any]:
         """The list as a member of a group begins with it."""
