--- a/dykefold/sim/apps.py
+++ b/dykefold/sim/apps.py
@@ -77,6 +77,7 @@
             asked = self.open.popleft()
             if self.open:  # what was sent ahead has its time from here: answers come in order
                 self.open[0].wait_from(self.app.run.kernel.now_ns)
+                self.app.run.rules.time_runs(self.app.run.kernel.now_ns, self.open[0].ident)
             self.ending |= message.headers.get("connection") == "close"
             self.app.answered(
                 self, asked, code, message.body.partition(b"\n")[0].decode("latin-1"), message.headers
@@ -90,6 +91,10 @@
         waiting, self.open = list(self.open), deque()
         if self.left:
             return
+        if self.transport.sock.cut_off:  # the network's doing: for the sidecar its clients have gone
+            for asked in waiting:
+                self.app.run.rules.left(self.app.run.kernel.now_ns, asked.ident)
+            return
         peer = self.transport.sock.peer
         # An answer that breaks off has failed, and shows only by the connection's end: what was sent ahead
         # behind it has not been begun, and is the client's to send again (RFC 9112, 9.3.2).
@@ -158,6 +163,9 @@
         end = sock.sent_bytes + len(connection.transport.buffer) + len(data)
         process = sock.peer.loop
         paused_ns = process.paused_ns
+        head = end - len(data) + data.index(b"\r\n\r\n") + 4
+        self.run.rules.waits(ident, left_ms * MS, 2 if connection.open else 1)
+        self.run.wire.mark_read(sock.peer, head, lambda: self.run.rules.time_runs(kernel.now_ns, ident))
         if connection.open:  # answers come in order, so it can't be answered before those ahead of it
             due_ns = max(due_ns, connection.open[-1].due_ns)
             paused_ns = connection.open[-1].paused_ns
@@ -201,11 +209,20 @@
             self.run.kernel.note(f"{self.name} leaves {asked.ident}")
             engine = self.run.sidecars[self.number].engine
             if engine is not None and not engine.half_close:  # else it may only have ended its side
-                for each in connection.open:
-                    self.run.rules.left(self.run.kernel.now_ns, each.ident)
+                self._mark_left(connection)
             connection.left = True
             connection.transport.abort()
 
+    def _mark_left(self, connection: AppConnection) -> None:
+        """From the system call that closes the connection its clients have gone."""
+        idents = [each.ident for each in connection.open]
+
+        def closed() -> None:
+            for ident in idents:
+                self.run.rules.left(self.run.kernel.now_ns, ident)
+
+        self.run.wire.mark_end(connection.transport.sock, closed)
+
     def _give_up(self, connection: AppConnection, asked: Asked) -> None:
         if asked not in connection.open or connection.left:
             return
@@ -218,6 +235,7 @@
         peer = connection.transport.sock.peer
         if peer is not None and peer.read_bytes >= asked.end_bytes and self._same_life(asked):
             self.run.rules.lost(self.run.kernel.now_ns, asked.ident, "no answer in its time")
+        self._mark_left(connection)
         connection.left = True
         connection.transport.abort()
 
--- a/dykefold/sim/net.py
+++ b/dykefold/sim/net.py
@@ -18,7 +18,8 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from ..control.steering import SO_ATTACH_REUSEPORT_CBPF, SO_DETACH_REUSEPORT_BPF
-from .kernel import MS, Kernel, stream
+from .kernel import EPOCH_NS, MS, Kernel, stream
+from .syscalls import TAKES_ONE, FailingCalls, SystemCall
 
 if TYPE_CHECKING:
     from .loop import SimLoop
@@ -29,6 +30,7 @@
 BACKLOG = 128  # connections that a listener holds until they are accepted
 SYN_AGAIN_NS = 1_000 * MS  # a connect that finds the backlog full asks again after that (RFC 6298)
 DATAGRAM_MOST = 1500
+ROUTE_MS = 400.0  # until a connect that no server answers has failed, at most
 
 
 def network_of(sidecar: int) -> str:
@@ -43,6 +45,10 @@
         """A process has handed bytes to its kernel."""
         ...
 
+    def read(self, sock: SimSocket) -> None:
+        """A process has taken bytes from its kernel; `sock.read_bytes` tells how many so far."""
+        ...
+
     def arrived(self, sock: SimSocket) -> None:
         """Bytes have arrived at the kernel of a process; `sock.arrived_bytes` tells how many so far."""
         ...
@@ -59,6 +65,8 @@
 class NoTap:
     def sent(self, sock: SimSocket, data: bytes) -> None: ...
 
+    def read(self, sock: SimSocket) -> None: ...
+
     def arrived(self, sock: SimSocket) -> None: ...
 
     def ended(self, sock: SimSocket) -> None: ...
@@ -96,6 +104,7 @@
         self.on_readable: Callable[[], None] | None = None
         self.on_writable: Callable[[], None] | None = None
         self.starved = False  # a write found no room since the last that did
+        self.cut_off = False  # the world has ended it, by an error of the other side's system call
 
     # As a socket
 
@@ -109,12 +118,14 @@
         return self.local
 
     def getpeername(self) -> Address:
+        self._ask()
         if self.connecting is not None:
             raise OSError(errno.ENOTCONN, "not connected")
         return self.remote
 
     def setsockopt(self, level: int, option: int, value: Any) -> None:
         self._check()
+        self._ask()
         if option == socket.SO_LINGER and level == socket.SOL_SOCKET:
             self.linger = value != struct.pack("ii", 1, 0)
         elif option == SO_ATTACH_REUSEPORT_CBPF:
@@ -136,9 +147,36 @@
         if self.closed:
             raise OSError(errno.EBADF, "Bad file descriptor")
 
+    def _fails(self, call: SystemCall) -> int:
+        return self.network.failing.error(self.loop.host, call)
+
+    def _ask(self) -> None:
+        """A question about a connection that was reset right before."""
+        if self.peer is None or self.connecting is not None:
+            return
+        code = self._fails(SystemCall.OPTION)
+        if code:
+            self.break_off(errno.ECONNRESET)
+            raise OSError(code, "reset meanwhile")
+
+    def break_off(self, code: int) -> None:
+        """An error ends the connection on this side; what was sent may arrive, then a reset."""
+        if self.error or self.peer is None:
+            return
+        self.error = code
+        self.received.clear()
+        self.held_bytes = 0
+        self.peer.cut_off = True
+        self.network.tap.broken(self)
+        self.network.reset(self)
+        self.ready()
+
     def connect(self, address: Address, done: Callable[[OSError | None], None]) -> None:
         """Begin to connect; `done` is told the end of it."""
         self._check()
+        code = self._fails(SystemCall.CONNECT)
+        if code:
+            raise OSError(code, "connect")
         self.remote, self.connecting = address, done
         self.local = (self.network.hosts[self.loop.host], self.network.next_port())
         self.network.connect(self)
@@ -148,6 +186,11 @@
         if not self.queue:
             raise BlockingIOError(errno.EAGAIN, "nobody waits")
         self.network.check_descriptors(self.loop)
+        code = self._fails(SystemCall.ACCEPT)
+        if code:
+            if code in TAKES_ONE:
+                self.queue.popleft().abandon()
+            raise OSError(code, "accept")
         sock = self.queue.popleft()
         if sock.error:
             sock.close()
@@ -162,6 +205,10 @@
             raise OSError(self.error, "connection")
         if self.shut or self.peer is None:
             raise BrokenPipeError(errno.EPIPE, "it has ended")
+        code = self._fails(SystemCall.SEND)
+        if code:
+            self.break_off(code)
+            raise OSError(code, "send")
         room = WINDOW_BYTES - self.on_way_bytes - self.peer.held_bytes
         if room <= 0:
             self.starved = True
@@ -171,6 +218,8 @@
         first = self.accepted and not self.sent_bytes
         if len(part) > 1 and not first and self.network.random.random() < self.network.part_writes:
             part = part[: self.network.random.randrange(1, len(part))]
+        if len(part) > 1 and self._fails(SystemCall.SHORT):
+            part = part[: self.network.failing.random.randrange(1, len(part))]
         if len(part) < len(data):
             self.starved = True
             self.network.kernel.after(self.network.latency_ns(self), self.writable_again)
@@ -181,6 +230,12 @@
 
     def recv(self, most: int, flags: int = 0) -> bytes:
         self._check()
+        if self.peer is not None and not self.error:
+            code = self._fails(SystemCall.RECEIVE)
+            if code:
+                self.break_off(code)
+        if self.held_bytes > 1 and self._fails(SystemCall.SHORT):
+            most = min(most, self.network.failing.random.randrange(1, self.held_bytes))
         if not self.received:
             if self.error:
                 raise OSError(self.error, "connection")
@@ -197,6 +252,7 @@
         self.held_bytes -= len(data)
         if not self.shut:  # what is read behind the own end can't be answered, and is not taken
             self.read_bytes += len(data)
+            self.network.tap.read(self)
         if self.peer is not None and self.peer.starved:
             self.network.kernel.after(self.network.latency_ns(self), self.peer.writable_again)
         return data
@@ -300,6 +356,8 @@
         self.lag_ns: dict[frozenset[str], int] = {}
         self.lose = 0.05  # of the datagrams
         self.passes: Callable[[str, str], bool] = lambda _from, _to: True  # whether a datagram gets there
+        self.failing = FailingCalls(kernel.seed)
+        self.clock_steps_ns: dict[str, int] = {}  # by which the wall clock of a machine is wrong
         self.numbers = 0
         self.ports = 20_000
 
@@ -308,6 +366,10 @@
         self.owners[address] = name
         self.open.setdefault(name, {})
 
+    def wall_ns(self, host: str) -> int:
+        """Unix time as a machine's clock shows it, steps included."""
+        return EPOCH_NS + self.kernel.now_ns + self.clock_steps_ns.get(host, 0)
+
     def next_port(self) -> int:
         self.ports += 1
         return self.ports
@@ -332,13 +394,20 @@
 
     def socket(self, loop: SimLoop) -> SimSocket:
         """A new socket of a process; OSError if it may hold no more."""
+        code = self.failing.error(loop.host, SystemCall.SOCKET)
+        if code:
+            raise OSError(code, "socket")
+        return self._made(loop)
+
+    def _made(self, loop: SimLoop) -> SimSocket:
         self.check_descriptors(loop)
         sock = SimSocket(self, loop, 0)
         sock.number = self.register(sock)
         return sock
 
     def listen(self, loop: SimLoop, port: int) -> SimSocket:
-        sock = self.socket(loop)
+        """The listening socket of a process that starts: no stretch of errors reaches it."""
+        sock = self._made(loop)
         sock.local, sock.listening = (self.hosts[loop.host], port), True
         self.listeners.setdefault(sock.local, []).append(sock)
         return sock
@@ -413,6 +482,11 @@
     def _knock(self, sock: SimSocket) -> None:
         if sock.connecting is None:
             return
+        code = self.failing.error(sock.loop.host, SystemCall.ROUTE)
+        if code:
+            late_ns = int(self.failing.random.random() * ROUTE_MS * MS)
+            self._pass(sock, self.kernel.now_ns + late_ns, self._answered, sock, code)
+            return
         listener = self._listener(sock.remote)
         if listener is None:
             at_ns = self.kernel.now_ns + self.latency_ns(sock)
@@ -434,7 +508,7 @@
             return
         if code:
             sock.error = code
-            done(ConnectionRefusedError(code, "refused"))
+            done(OSError(code, "refused"))
         else:
             done(None)
 
@@ -531,7 +605,12 @@
         self.closing = False
 
     def sendto(self, data: bytes, address: Address) -> None:
-        if not self.closing:
+        if self.closing:
+            return
+        code = self.network.failing.error(self.loop.host, SystemCall.DATAGRAM)
+        if code:  # as uvloop tells it
+            self.protocol.error_received(OSError(code, "sendto"))
+        else:
             self.network.send_datagram(self, data, address)
 
     def is_closing(self) -> bool:
--- a/dykefold/sim/nodes.py
+++ b/dykefold/sim/nodes.py
@@ -5,11 +5,11 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from .kernel import EPOCH_NS, MS, SECOND, stream
+from .kernel import MS, SECOND, stream
 from .loop import SimLoop
 from .messages import Message, Messages
 from .rules import Cold
-from .schedule import Kind
+from .schedule import WORLDS, Kind
 
 if TYPE_CHECKING:
     from .world import Running
@@ -20,8 +20,6 @@
 QUEUE_MOST = 24  # requests that wait or are worked on
 CORES = 2
 IDLE_NS = 15 * SECOND
-COLD_SHARE = 0.25
-WARM_NS = 4 * SECOND
 SPOILT = (
     b"HTTP/1.1 200 OK\r\nContent-Length: many\r\n\r\nno",
     b"\x00\x01garbage\r\n\r\n",
@@ -62,6 +60,7 @@
 
     def __init__(self, run: Running, name: str, address: str, group: int, pool: str) -> None:
         self.run = run
+        self.world = WORLDS[run.scenario.world]
         self.name = name
         self.address = address
         self.group = group
@@ -83,9 +82,9 @@
         self.alive = True
         self.loop = SimLoop(kernel, self.name, self.run.network)
         if cold:
-            self.since_ms = (EPOCH_NS + kernel.now_ns) // MS
+            self.since_ms = self.run.stamp_ms(self)
             full = CORES * 1000.0 / WORK_MS[1]
-            self.cold = Cold(kernel.now_ns, full, COLD_SHARE, WARM_NS)
+            self.cold = Cold(kernel.now_ns, full, self.world.cold_share, self.world.warm_ns, self.since_ms)
             self.run.rules.started(self.name, self.cold)
         self.listener = self.run.network.listen(self.loop, PORT)
         self.loop.wake(self.loop.add_reader, self.listener.fileno(), self._accept)
--- a/dykefold/sim/process.py
+++ b/dykefold/sim/process.py
@@ -21,7 +21,7 @@
 from ..settings import Transport
 from ..system import System, Watch
 from .board import SimBoard
-from .kernel import EPOCH_NS, MS, SECOND, stream
+from .kernel import MS, SECOND, stream
 from .loop import SimLoop
 from .net import SimSocket, network_of
 from .schedule import WORLDS
@@ -66,7 +66,7 @@
         return self.monotonic_ns() / SECOND
 
     def time_ns(self) -> int:  # type: ignore[override]
-        return EPOCH_NS + self.loop.kernel.now_ns + self.loop.local_ns
+        return self.loop.network.wall_ns(self.loop.host) + self.loop.local_ns
 
     def tcp_socket(self) -> Any:
         return self.loop.network.socket(self.loop)
@@ -167,9 +167,7 @@
         known = read_news(self.run.known(self.name), names)
         for entry in known.entries:
             state = entry.endpoint.state.name == "READY"
-            self.run.rules.told_state(
-                self.run.kernel.now_ns, self.name, entry.name, state, entry.since_ms * MS
-            )
+            self.run.rules.told_state(self.run.kernel.now_ns, self.name, entry.name, state, entry.since_ms)
         transport = Transport(["std"], 15 * SECOND, 10_000)
         engine.serve_one(settings, transport, self.seed, self.run.registry.address, names, known)
         peers = [(side.address, PEER_PORT) for side in self.run.sidecars]
--- a/dykefold/sim/registry.py
+++ b/dykefold/sim/registry.py
@@ -77,7 +77,7 @@
             self.run.kernel.after(100 * MS, self.loop.wake, self._change, entry)
             return
         known = self.entries.get(entry["name"])
-        if known is not None and known["since_ms"] > entry["since_ms"]:
+        if known is not None and self.run.true_start_ms(known) > self.run.true_start_ms(entry):
             return
         if entry["status"] == "DELETED":
             self.entries.pop(entry["name"], None)
--- a/dykefold/sim/rules.py
+++ b/dykefold/sim/rules.py
@@ -14,7 +14,8 @@
 
 MS = 1_000_000
 ANSWER_SLACK_NS = 50 * MS  # beyond a client's time, as PROTOCOL says of each limit on sockets
-LEFT_SLACK_NS = 110 * MS  # after a client closed, an attempt may still begin; its end takes a while to arrive
+LEFT_SLACK_NS = 100 * MS  # after a client's close an attempt may still begin; later it is a lost request
+TOLD_SLACK_NS = 150 * MS  # more than the client has left, that a server may be told (PROTOCOL)
 DRAIN_SLACK_NS = 50 * MS
 COLD_SLACK = 3.0  # requests beyond the budget of a cold server: for chance, since each is a whole one
 KEPT_NS = 20_000 * MS  # ids and attempts are kept this long: longer than any deadline, window or grace
@@ -52,6 +53,9 @@
     effects: list[tuple[str, int]] = field(default_factory=list)  # server and time of each run
     answers: int = 0
     left_ns: int = -1  # when its client closed its connection; negative: it waits
+    whole_ns: int = -1  # how long its client waits in all; negative: not known
+    due_ns: int = -1  # the end of that time
+    unread: int = 0  # events that its time still waits for: read, and the answer ahead of it
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,6 +66,7 @@
     full_per_s: float  # requests that it can do in a second once it is warm
     share: float  # of that at its start
     warm_ns: int
+    since_ms: int = 0  # its start as discovery tells it: by wall clocks, which may be wrong
 
     def capacity(self, at_ns: int) -> float:
         """Requests a second that it can do at a time."""
@@ -89,12 +94,12 @@
         self.order: deque[tuple[int, str]] = deque()  # ids by age
         self.told: dict[tuple[str, str], int] = {}  # (sidecar, server) -> since when it is to be left alone
         self.out: dict[tuple[str, str], int] = {}  # ... since when by the operators, whatever the list says
-        self.knows: dict[tuple[str, str], int] = {}  # ... -> the start of the server as it was last told
+        self.knows: dict[tuple[str, str], int] = {}  # ... -> the server's `since_ms` as it was last told
         self.cold: dict[str, Cold] = {}
         self.cold_most = 0.0  # the largest part of a cold server's budget that was spent, by those who knew
         self.came: dict[str, deque[tuple[int, bool]]] = {}  # server -> when, and whether its start was known
         self.counts = {"requests": 0, "attempts": 0, "repeats": 0, "effects": 0, "served": 0, "refused": 0}
-        self.counts |= {"failed": 0, "drained": 0, "cold": 0}
+        self.counts |= {"failed": 0, "drained": 0, "cold": 0, "errors": 0}
 
     def breach(self, at_ns: int, rule: str, text: str) -> None:
         self.breaches.append(Breach(at_ns, rule, text))
@@ -138,10 +143,22 @@
         """A request that the sidecar had read was never answered."""
         self.breach(at_ns, "one answer", f"{ident} was lost: {how}")
 
+    def waits(self, ident: str, whole_ns: int, events: int) -> None:
+        """A client waits for so long, from the last of so many events on (`time_runs`)."""
+        story = self.stories[ident]
+        story.whole_ns, story.unread = whole_ns, events
+
+    def time_runs(self, at_ns: int, ident: str) -> None:
+        """A request's head was read, or the answer ahead of it has arrived."""
+        story = self.stories.get(ident)
+        if story is not None:
+            story.due_ns = at_ns + story.whole_ns
+            story.unread -= 1
+
     def left(self, at_ns: int, ident: str) -> None:
         """The client of a request has closed its connection."""
         story = self.stories.get(ident)
-        if story is not None:
+        if story is not None and story.left_ns < 0:
             story.left_ns = at_ns
 
     def not_taken(self, at_ns: int, ident: str) -> None:
@@ -156,8 +173,14 @@
 
     # Attempts
 
-    def began(self, at_ns: int, sidecar: str, ident: str, server: str, group: int) -> Try | None:
-        """The first byte of an attempt has gone to a server; None for a request that nobody knows."""
+    def began(
+        self, at_ns: int, sidecar: str, ident: str, server: str, group: int, told_ns: int = 0
+    ) -> Try | None:
+        """The first byte of an attempt has gone to a server; None for a request that nobody knows.
+
+        Args:
+            told_ns: the time that the server is told.
+        """
         story = self.stories.get(ident)
         if story is None:
             self.breach(at_ns, "own requests", f"{sidecar} sent {ident}, which no client asked")
@@ -178,6 +201,14 @@
             self.breach(
                 at_ns, "clients that left", f"{ident} went to {server} {late_ms:.0f} ms after its client"
             )
+        if story.whole_ns >= 0:
+            # Until its time runs, its client has all of it left.
+            left_ns = story.whole_ns if story.unread > 0 else story.due_ns - at_ns
+            if told_ns > left_ns + TOLD_SLACK_NS:
+                what = (
+                    f"{ident} told {server} {told_ns / MS:.0f} ms, its client has {left_ns / MS:.0f} ms left"
+                )
+                self.breach(at_ns, "deadlines", what)
         since = [told.get((sidecar, server)) for told in (self.told, self.out)]
         told = min((at for at in since if at is not None), default=None)
         if told is not None:
@@ -217,10 +248,10 @@
 
     # Servers
 
-    def told_state(self, at_ns: int, sidecar: str, server: str, takes_new: bool, started_ns: int) -> None:
+    def told_state(self, at_ns: int, sidecar: str, server: str, takes_new: bool, since_ms: int) -> None:
         """News of a server has arrived at a sidecar."""
         key = (sidecar, server)
-        self.knows[key] = started_ns
+        self.knows[key] = since_ms
         if takes_new:
             self.told.pop(key, None)
         else:
@@ -250,7 +281,7 @@
             return
         self.counts["cold"] += 1
         came = self.came[server]
-        came.append((at_ns, self.knows.get((sidecar, server)) == cold.started_ns))
+        came.append((at_ns, self.knows.get((sidecar, server)) == cold.since_ms))
         while came[0][0] < at_ns - self.overload_ns:
             came.popleft()
         span_s = self.overload_ns / 1e9
--- a/dykefold/sim/schedule.py
+++ b/dykefold/sim/schedule.py
@@ -47,6 +47,20 @@
     UPGRADE = "upgrade"  # a newer process begins; the older one is told to end when that one takes clients
     BAN = "ban"  # a server is taken out at one of the processes, and put back
     DISK = "disk"  # nothing can be written where the processes leave each other word
+    # Wall clocks that step, and back at the end: of a sidecar's machine, a server's, discovery's.
+    CLOCK_HERE = "clock_here"
+    CLOCK_THERE = "clock_there"
+    CLOCK_LIST = "clock_list"
+    # System calls of a sidecar that fail while it lasts (`syscalls.py`).
+    ACCEPTS = "accepts"
+    SOCKETS = "sockets"
+    CONNECTS = "connects"  # for a reason of the sidecar's own machine
+    ROUTES = "routes"  # ... of the server's, or of the way to it
+    SENDS = "sends"
+    RECEIVES = "receives"
+    SHORTS = "shorts"  # reads and writes are short
+    DATAGRAMS = "datagrams"
+    OPTIONS = "options"  # a connection is reset right before a question about it
 
 
 OF_SERVERS = frozenset(
@@ -66,6 +80,18 @@
 )
 OF_FLEETS = frozenset((Kind.HERD, Kind.ZONE, Kind.REPLACE, Kind.OVERBOOK, Kind.PART))
 OF_UPGRADES = frozenset((Kind.UPGRADE, Kind.BAN, Kind.DISK))
+OF_CLOCKS = (Kind.CLOCK_HERE, Kind.CLOCK_THERE, Kind.CLOCK_LIST)
+OF_CALLS = (
+    Kind.ACCEPTS,
+    Kind.SOCKETS,
+    Kind.CONNECTS,
+    Kind.ROUTES,
+    Kind.SENDS,
+    Kind.RECEIVES,
+    Kind.SHORTS,
+    Kind.DATAGRAMS,
+    Kind.OPTIONS,
+)
 OF_SIDECARS = frozenset((Kind.PAUSE, Kind.KILL, Kind.TERM, Kind.SQUEEZE, Kind.FLOOD, Kind.CUT))
 SPANS_MS = {
     Kind.CRASH: (300, 4000),
@@ -78,6 +104,7 @@
 }
 SPAN_MS = (300, 6000)  # of the others
 LOAD_BEGINS_NS = 200 * MS
+CLOCK_STEPS_NS = tuple(seconds * SECOND for seconds in (3600, -3600, 3, -3))
 
 
 @dataclass(frozen=True, slots=True)
@@ -144,6 +171,9 @@
         view: sidecars keep a view of their fleet, and the run goes on until it must have settled.
         calls: they spread their calls of the list service.
         failover: they may work away from their zone.
+        clocks: wall clocks are wrong from the start, by `CLOCK_STEPS_NS`.
+        cold_share: of its capacity that a server has at its start.
+        warm_ns: until it has all of it.
         ahead: of the requests are sent ahead of an answer, on a connection that waits for one.
         leaves: of the clients go away before their answer.
     """
@@ -163,9 +193,14 @@
     view: bool = False
     calls: bool = False
     failover: bool = False
+    clocks: bool = False
+    cold_share: float = 0.25
+    warm_ns: int = 4 * SECOND
 
 
-PLATFORM = tuple(kind for kind in Kind if kind not in OF_FLEETS | OF_UPGRADES)
+PLATFORM = tuple(
+    kind for kind in Kind if kind not in OF_FLEETS | OF_UPGRADES | frozenset((*OF_CLOCKS, *OF_CALLS))
+)
 WORLDS = {
     "parts": World(5, 2, 40.0, 0.8, PLATFORM, (1000, 800, 1200), (0.5, 0.28, 0.22)),
     "restarts": World(
@@ -210,6 +245,15 @@
         (*[Kind.ZONE] * 4, Kind.PART, Kind.HERD, Kind.KILL, Kind.SILENT, Kind.CRASH, Kind.STALE, Kind.CUT),
         (1000, 800, 1200), (0.5, 0.28, 0.22), zones="abc", spread=True, view=True, failover=True,
     ),
+    "clocks": World(
+        4, 30, 6.0, 1.5,
+        (*OF_CLOCKS, *[Kind.CRASH] * 3, Kind.DRAIN, Kind.KILL, Kind.TERM, Kind.MOVE),
+        (1000, 800, 1200), (0.6, 0.25, 0.15), clocks=True, cold_share=0.14, warm_ns=22 * SECOND,
+    ),
+    "syscalls": World(
+        4, 2, 40.0, 2.5, (*OF_CALLS, Kind.TERM, Kind.CRASH, Kind.DRAIN, Kind.MOVE),
+        (1000, 800, 1200), (0.5, 0.28, 0.22),
+    ),
 }  # fmt: skip
 
 
--- /dev/null
+++ b/dykefold/sim/syscalls.py
@@ -0,0 +1,75 @@
+"""System calls that fail for a while, drawn by seed: what Linux documents of each. No I/O.
+
+A stretch begins and ends by a fault of the world (`schedule.py`); while none holds on a host nothing is
+drawn, so that a world without them plays as before.
+"""
+
+from __future__ import annotations
+
+import errno
+from enum import StrEnum
+
+from .kernel import stream
+
+FAILING = (0.1, 0.5, 1.0)  # of the calls while a stretch lasts, one of these for each stretch
+BREAKING = (0.01, 0.03, 0.1)  # ... of those that end a connection
+
+
+class SystemCall(StrEnum):
+    """Calls of a process that may fail; named after the fault that has them fail."""
+
+    ACCEPT = "accepts"
+    SOCKET = "sockets"
+    CONNECT = "connects"  # before anything has left the machine
+    ROUTE = "routes"  # by what the other side or the way to it has answered
+    SEND = "sends"
+    RECEIVE = "receives"
+    SHORT = "shorts"
+    DATAGRAM = "datagrams"
+    OPTION = "options"
+
+
+ERRORS: dict[SystemCall, tuple[int, ...]] = {
+    SystemCall.ACCEPT: (
+        errno.ECONNABORTED, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPROTO,
+    ),
+    SystemCall.SOCKET: (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM),
+    SystemCall.CONNECT: (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS, errno.EINTR),
+    SystemCall.ROUTE: (errno.ECONNREFUSED, errno.EHOSTUNREACH, errno.ETIMEDOUT),
+    SystemCall.SEND: (errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT, errno.EHOSTUNREACH),
+    SystemCall.RECEIVE: (errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH),
+    SystemCall.SHORT: (errno.EAGAIN,),  # no error: less than was asked for
+    SystemCall.DATAGRAM: (errno.ENOBUFS, errno.EPERM, errno.ECONNREFUSED),
+    SystemCall.OPTION: (errno.EINVAL, errno.ENOTCONN, errno.ENOBUFS),
+}  # fmt: skip
+TAKES_ONE = frozenset(
+    (errno.ECONNABORTED, errno.EPROTO)
+)  # an accept that fails so has used up its connection
+BREAKS = frozenset((SystemCall.SEND, SystemCall.RECEIVE, SystemCall.OPTION))
+
+
+class FailingCalls:
+    """Which calls fail, of which hosts."""
+
+    def __init__(self, seed: int) -> None:
+        self.random = stream(seed, "syscalls")
+        self.shares: dict[tuple[str, SystemCall], list[float]] = {}  # of the stretches that last
+        self.count = 0  # calls that have failed
+
+    def begin(self, host: str, call: SystemCall) -> float:
+        """Have a call of a host fail from now on; returns what ends it (`end`)."""
+        share = self.random.choice(BREAKING if call in BREAKS else FAILING)
+        self.shares.setdefault((host, call), []).append(share)
+        return share
+
+    def end(self, host: str, call: SystemCall, share: float) -> None:
+        """End a stretch."""
+        self.shares[host, call].remove(share)
+
+    def error(self, host: str, call: SystemCall) -> int:
+        """The errno with which a call fails; 0: it does not."""
+        shares = self.shares.get((host, call))
+        if not shares or self.random.random() >= max(shares):
+            return 0
+        self.count += 1
+        return self.random.choice(ERRORS[call])
--- a/dykefold/sim/wire.py
+++ b/dykefold/sim/wire.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from ..net.dialect import BODY_MOST
-from .kernel import Kernel
+from .kernel import MS, Kernel
 from .net import SimSocket
 from .rules import Rules, Try
 
@@ -48,6 +48,8 @@
         self.place_of = place_of
         self.lines: dict[SimSocket, Line] = {}
         self.marks: dict[SimSocket, Marks] = {}
+        self.reads: dict[SimSocket, Marks] = {}
+        self.ends: dict[SimSocket, Callable[[], None]] = {}
 
     def sent(self, sock: SimSocket, data: bytes) -> None:
         if not sock.loop.host.startswith("sidecar"):
@@ -85,7 +87,9 @@
         if not lines[0].startswith("get /-/"):
             ident = headers.get("x-request-id", "")
             now = self.kernel.now_ns
-            line.current = self.rules.began(now, sock.loop.host, ident, line.server, line.group)
+            line.current = self.rules.began(
+                now, sock.loop.host, ident, line.server, line.group, told_ns(headers.get("x-deadline", ""))
+            )
             self.kernel.note(f"{sock.loop.name} sends {ident} to {line.server}")
         line.left = int(headers.get("content-length", 0))
         line.streamed = line.left > BODY_MOST
@@ -115,14 +119,26 @@
         """Have something told when so many bytes have arrived at a socket."""
         self.marks.setdefault(sock, Marks()).due.append((end_bytes, tell))
 
+    def mark_read(self, sock: SimSocket, end_bytes: int, tell: Callable[[], None]) -> None:
+        """Have something told when a process has taken so many bytes from a socket."""
+        self.reads.setdefault(sock, Marks()).due.append((end_bytes, tell))
+
+    def mark_end(self, sock: SimSocket, tell: Callable[[], None]) -> None:
+        """Have something told when a process ends its side of a connection."""
+        self.ends[sock] = tell
+
+    def read(self, sock: SimSocket) -> None:
+        _tell(self.reads.get(sock), sock.read_bytes)
+
     def arrived(self, sock: SimSocket) -> None:
-        marks = self.marks.get(sock)
-        while marks is not None and marks.due and marks.due[0][0] <= sock.arrived_bytes:
-            marks.due.popleft()[1]()
+        _tell(self.marks.get(sock), sock.arrived_bytes)
 
     def ended(self, sock: SimSocket) -> None:
         line = self.lines.pop(sock, None)
         self.marks.pop(sock, None)
+        self.reads.pop(sock, None)
+        if (tell := self.ends.pop(sock, None)) is not None:
+            tell()
         if line is not None and line.current is not None:
             line.current.out = False
 
@@ -130,3 +146,15 @@
         line = self.lines.get(sock)
         if line is not None and line.current is not None:
             line.current.out = False
+
+
+def _tell(marks: Marks | None, count: int) -> None:
+    while marks is not None and marks.due and marks.due[0][0] <= count:
+        marks.due.popleft()[1]()
+
+
+def told_ns(value: str) -> int:
+    """The time in an `X-Deadline` header (milliseconds `m` or microseconds `u`); 0 where it tells none."""
+    if not value:
+        return 0
+    return int(float(value[:-1]) * (MS if value[-1] == "m" else 1000))
--- a/dykefold/sim/world.py
+++ b/dykefold/sim/world.py
@@ -14,13 +14,14 @@
 from ..routing.plan import Plan
 from .apps import App
 from .board import Folder
-from .kernel import EPOCH_NS, MS, SECOND, Kernel
+from .kernel import EPOCH_NS, MS, SECOND, Kernel, stream
 from .net import Address, Network
-from .nodes import COLD_SHARE, WARM_NS, Node
+from .nodes import Node
 from .process import PORT, SOCKETS, Sidecar, bounds_broken, left_over
 from .registry import Registry
 from .rules import Breach, Rules
-from .schedule import WORLDS, Arrival, Fault, Kind, Scenario
+from .schedule import CLOCK_STEPS_NS, OF_CALLS, WORLDS, Arrival, Fault, Kind, Scenario
+from .syscalls import SystemCall
 from .view_rules import ViewRules
 from .wire import Wire
 
@@ -32,6 +33,7 @@
 LARGE = 25_000  # parts in the body of a request that can't be held: 100 KB, more than a window
 GRACE_NS = 500 * MS
 YES_NS = 6 * SECOND  # within which a newer process is to take clients (DAYS)
+DISCOVERY = "discovery"  # the machine whose clock it goes by, wherever it moves
 CLASSES = ("lookup", "hold", "order")
 POOLS = ("catalogue", "stock", "orders")
 
@@ -50,8 +52,8 @@
         fleet_size=scenario.sidecars,
         must_ask=True,
         drain_grace_ns=GRACE_NS,
-        start_capacity=COLD_SHARE,
-        warm_within_ns=WARM_NS,
+        start_capacity=WORLDS[scenario.world].cold_share,
+        warm_within_ns=WORLDS[scenario.world].warm_ns,
         overload_factor=3.0,
         overload_for_ns=2 * SECOND,
         max_attempts=3,
@@ -81,10 +83,14 @@
         self.network.tap = self.wire
         self.last_told: dict[str, tuple[tuple[int, int], dict[str, dict[str, Any]]]] = {}
         self.replaced = 0
+        self.true_ms: dict[tuple[str, int], int] = {}  # a start as it is told -> when it truly was
         self.started = 0  # processes that were started beside others
         self.asked_ns: dict[str, int] = {}  # when each sidecar called discovery last
         self.turned_ns = 0  # when discovery last came, went or moved
         self.nodes = [self._make_node(number) for number in range(scenario.servers)]
+        self.clock_steps = stream(scenario.seed, "clocks")
+        if WORLDS[scenario.world].clocks:
+            self._set_clocks()
         self.plan: Plan | None = None
         self.plan_number = 0
         self.listed: dict[str, set[str]] = {}  # sidecar -> servers that its plan names
@@ -154,6 +160,21 @@
             "since_ms": node.since_ms,
         }
 
+    def stamp_ms(self, node: Node) -> int:
+        """The start of a node, now, as the list will tell it.
+
+        Its own clock says it, or discovery's for every other node: which of them writes `since_ms` is the
+        operators' affair, and either clock may be wrong.
+        """
+        by_node = int(node.address.rpartition(".")[2]) % 2
+        told_ms = self.network.wall_ns(node.name if by_node else DISCOVERY) // MS
+        self.true_ms[node.name, told_ms] = (EPOCH_NS + self.kernel.now_ns) // MS
+        return told_ms
+
+    def true_start_ms(self, entry: dict[str, Any]) -> int:
+        """When the start that an entry tells of truly was, whatever the clocks said."""
+        return self.true_ms.get((entry["name"], entry["since_ms"]), entry["since_ms"])
+
     def front_address(self, number: int) -> Address:
         return self.sidecars[number].address, PORT
 
@@ -204,14 +225,14 @@
         before, known = self.last_told[sidecar]
         if (registry.number, version) < before:
             return  # older than what it has
-        if registry is not self.registry:
-            # Of one that it leaves just now: it may act on it or not, so that only what allows more counts.
+        moved = registry.number != before[0] and not whole
+        if registry is not self.registry or moved:
+            # Of one that it leaves just now, or a change to a list that it never had: it may act on it or
+            # not, so that only what allows more counts.
             for entry in entries:
                 if entry["status"] == "SERVING":
-                    since_ns = entry["since_ms"] * MS - EPOCH_NS
-                    self.rules.told_state(self.kernel.now_ns, sidecar, entry["name"], True, since_ns)
-            return
-        if registry.number != before[0] and not whole:
+                    since_ms = entry["since_ms"]
+                    self.rules.told_state(self.kernel.now_ns, sidecar, entry["name"], True, since_ms)
             return
         names = {entry["name"] for entry in entries}
         now = self.kernel.now_ns
@@ -221,7 +242,7 @@
             known = {}
         for entry in entries:
             serving = entry["status"] == "SERVING"
-            self.rules.told_state(now, sidecar, entry["name"], serving, entry["since_ms"] * MS - EPOCH_NS)
+            self.rules.told_state(now, sidecar, entry["name"], serving, entry["since_ms"])
             if entry["status"] == "DELETED":
                 known.pop(entry["name"], None)
             else:
@@ -278,7 +299,10 @@
 
     def _begin(self, fault: Fault) -> None:
         self.kernel.note(f"fault {fault.kind} server {fault.server} sidecar {fault.sidecar}")
-        getattr(self, f"_fault_{fault.kind}", self._fault_wrong)(fault)
+        if fault.kind in OF_CALLS:
+            self._begin_failing(fault)
+        else:
+            getattr(self, f"_fault_{fault.kind}", self._fault_wrong)(fault)
 
     def _later(self, fault: Fault, act: Any, *arguments: Any) -> None:
         self.kernel.after(fault.span_ns, act, *arguments)
@@ -453,6 +477,37 @@
             self.kernel.note(f"{side.process} {'takes out' if out else 'puts back'} {node.name}")
             self.rules.banned(self.kernel.now_ns, side.name, node.name, out)
 
+    def _set_clocks(self) -> None:
+        """Half of the machines have a wrong clock from the start."""
+        sidecars = [f"sidecar{number}" for number in range(self.scenario.sidecars)]
+        for host in [*sidecars, *(node.name for node in self.nodes), DISCOVERY]:
+            if self.clock_steps.random() < 0.5:
+                self._step_clock(host, self.clock_steps.choice(CLOCK_STEPS_NS))
+
+    def _step_clock(self, host: str, step_ns: int) -> None:
+        steps = self.network.clock_steps_ns
+        steps[host] = steps.get(host, 0) + step_ns
+        self.kernel.note(f"the clock of {host} steps by {step_ns // SECOND} s")
+
+    def _fault_clock_here(self, fault: Fault) -> None:
+        self._begin_step(fault, f"sidecar{fault.sidecar}")
+
+    def _fault_clock_there(self, fault: Fault) -> None:
+        self._begin_step(fault, self.nodes[fault.server].name)
+
+    def _fault_clock_list(self, fault: Fault) -> None:
+        self._begin_step(fault, DISCOVERY)
+
+    def _begin_step(self, fault: Fault, host: str) -> None:
+        step_ns = self.clock_steps.choice(CLOCK_STEPS_NS)
+        self._step_clock(host, step_ns)
+        self._later(fault, self._step_clock, host, -step_ns)
+
+    def _begin_failing(self, fault: Fault) -> None:
+        host, call = f"sidecar{fault.sidecar}", SystemCall(fault.kind)
+        share = self.network.failing.begin(host, call)
+        self._later(fault, self.network.failing.end, host, call, share)
+
     def _fault_disk(self, fault: Fault) -> None:
         folder = self.folders[fault.sidecar]
         folder.full += 1
@@ -604,6 +659,7 @@
             if side.alive and not side.ending and side.engine is not None:
                 for text in left_over(side.engine):
                     self.rules.breach(self.kernel.now_ns, "nothing left", f"{side.name}: {text}")
+        self.rules.counts["errors"] = self.network.failing.count
         return self.rules.breaches
 
 
--- a/tests/sim/test_judge.py
+++ b/tests/sim/test_judge.py
@@ -86,6 +86,36 @@
     assert broken(rules) == ["one answer", "in time", "own answer", "one answer"]
 
 
+@pytest.mark.parametrize(("at_ms", "rule"), [(99, None), (101, "clients that left")])
+def test_attempts_after_a_client_has_left(at_ms, rule):
+    """From its close on it counts; a second close, of a connection that has gone, changes nothing."""
+    rules = make()
+    rules.asked(0, "a", LOOKUP)
+    rules.left(10 * MS, "a")
+    rules.left(90 * MS, "a")
+    attempt(rules, 10 + at_ms)
+    assert broken(rules) == ([rule] if rule else [])
+
+
+@pytest.mark.parametrize(
+    ("events", "told_ms", "rule"),
+    [
+        (1, 0, None),  # nothing is told
+        (1, 749, None),  # at 400 ms, of 1000 ms since it was read
+        (1, 751, "deadlines"),
+        (2, 1149, None),  # it waits for the answer ahead of it: all of its time is left
+        (2, 1151, "deadlines"),
+    ],
+)
+def test_the_time_that_a_server_is_told(events, told_ms, rule):
+    rules = make()
+    rules.asked(0, "a", LOOKUP)
+    rules.waits("a", SECOND, events)
+    rules.time_runs(0, "a")
+    rules.began(400 * MS, "sidecar0", "a", "n0", 0, told_ms * MS)
+    assert broken(rules) == ([rule] if rule else [])
+
+
 def test_drains():
     rules = make()
     rules.asked(0, "a", LOOKUP)
@@ -99,13 +129,16 @@
     assert broken(rules) == ["drains"]
 
 
-@pytest.mark.parametrize(("told", "found"), [(True, 1), (False, 0)])
-def test_cold_servers(told, found):
-    """A capacity of 10 a second at the start and 40 when warm; 3 times that over 2 s, and 3 more."""
+@pytest.mark.parametrize(("told_ms", "found"), [(1_700_000_000_003, 1), (1_700_000_000_002, 0), (None, 0)])
+def test_cold_servers(told_ms, found):
+    """A capacity of 10 a second at the start and 40 when warm; 3 times that over 2 s, and 3 more.
+
+    Whoever was told knows this very start, which a wall clock named in whole milliseconds.
+    """
     rules = make()
-    rules.started("n0", Cold(0, 40.0, 0.25, 4 * SECOND))
-    if told:
-        rules.told_state(0, "sidecar0", "n0", True, 0)
+    rules.started("n0", Cold(0, 40.0, 0.25, 4 * SECOND, 1_700_000_000_003))
+    if told_ms is not None:
+        rules.told_state(0, "sidecar0", "n0", True, told_ms)
     for number in range(63):
         rules.reached(number * MS, "sidecar0", "n0")
     assert not rules.breaches
--- a/tests/sim/test_simulation.py
+++ b/tests/sim/test_simulation.py
@@ -47,7 +47,7 @@
     jobs = [
         (world, seed, 8.0)
         for world in WORLDS
-        if world not in ("fleet", "view", "coldstart")
+        if world not in ("fleet", "view", "coldstart", "clocks")
         for seed in range(1000, 1014)
     ]
     jobs += [("fleet", seed, 8.0) for seed in range(1000, 1004)]  # with 40 sidecars each
@@ -56,7 +56,24 @@
     assert [result for result in results if result.breaches] == []
     # The worlds do meet what they are for.
     counts = {name: sum(result.counts[name] for result in results) for name in results[0].counts}
-    assert all(counts[name] > 50 for name in ("served", "refused", "failed", "repeats", "cold")), counts
+    assert all(counts[name] > 50 for name in ("served", "refused", "failed", "repeats", "cold", "errors")), (
+        counts
+    )
+
+
+@pytest.mark.parametrize("seed", [11, 13, 26])
+def test_clocks_that_step_push_no_cold_server_over(seed):
+    """Seeds that broke the rule while the age of a start was taken from Unix time."""
+    result = play_seed("clocks", seed, 8.0)
+    assert not result.breaches, result.breaches[:3]
+    assert result.counts["served"] > 300 and result.counts["cold"] > 20
+
+
+@pytest.mark.parametrize("seed", range(6))
+def test_system_calls_that_fail_break_no_rule(seed):
+    result = play_seed("syscalls", seed, 6.0)
+    assert not result.breaches, result.breaches[:3]
+    assert result.counts["served"] > 100 and result.counts["errors"] > 20
 
 
 def test_each_mutant_is_found():
--- /dev/null
+++ b/tests/sim/test_syscalls.py
@@ -0,0 +1,119 @@
+"""System calls of the virtual network that fail: each with an error that Linux documents, and its effect."""
+
+import errno
+
+import pytest
+from test_network import ADDRESS, Pair
+
+from dykefold.sim.kernel import SECOND
+from dykefold.sim.net import Network
+from dykefold.sim.schedule import OF_CALLS
+from dykefold.sim.syscalls import ERRORS, TAKES_ONE, SystemCall
+
+HOSTS = {SystemCall.ACCEPT: "server"}
+
+
+class Failing(Pair):
+    """The client's calls fail, all of them; an accept is the server's."""
+
+    def fail(self, *calls):
+        for call in calls:
+            self.network.failing.shares[HOSTS.get(call, "client"), call] = [1.0]
+
+    def cease(self):
+        self.network.failing.shares.clear()
+
+
+def test_each_call_has_a_fault_of_a_world():
+    assert {kind.value for kind in OF_CALLS} == {call.value for call in SystemCall} == set(ERRORS)
+
+
+@pytest.mark.parametrize(
+    ("call", "act"),
+    [
+        (SystemCall.SOCKET, lambda pair, sock: pair.network.socket(pair.client)),
+        (SystemCall.CONNECT, lambda pair, sock: pair.network.socket(pair.client).connect(ADDRESS, print)),
+        (SystemCall.SEND, lambda pair, sock: sock.send(b"data")),
+        (SystemCall.RECEIVE, lambda pair, sock: sock.recv(10)),
+        (SystemCall.OPTION, lambda pair, sock: sock.setsockopt(1, 13, b"")),
+        (SystemCall.OPTION, lambda pair, sock: sock.getpeername()),
+    ],
+)
+def test_a_call_fails_while_its_stretch_lasts(call, act):
+    seen = set()
+    for seed in range(30):
+        pair = Failing(seed)
+        sock, _ = pair.connected()
+        pair.fail(call)
+        with pytest.raises(OSError) as error:
+            act(pair, sock)
+        seen.add(error.value.errno)
+    assert seen == set(ERRORS[call])
+
+
+@pytest.mark.parametrize("seed", range(12))
+def test_an_accept_that_fails_keeps_who_waits_or_ends_one(seed):
+    pair = Failing(seed)
+    ends = []
+    sock = pair.network.socket(pair.client)
+    sock.connect(ADDRESS, ends.append)
+    pair.run(5)
+    pair.fail(SystemCall.ACCEPT)
+    with pytest.raises(OSError) as error:
+        pair.listener.accept()
+    pair.cease()
+    pair.run(5)
+    if error.value.errno in TAKES_ONE:
+        assert sock.error == errno.ECONNRESET and not pair.listener.queue
+    else:
+        assert pair.listener.accept()[0].peer is sock
+
+
+def test_a_connect_that_the_way_refuses_is_told_late():
+    pair = Failing()
+    pair.fail(SystemCall.ROUTE)
+    told = []
+    pair.network.socket(pair.client).connect(ADDRESS, told.append)
+    assert not told
+    pair.run(500)
+    assert [one.errno in ERRORS[SystemCall.ROUTE] for one in told] == [True]
+
+
+def test_short_reads_and_writes_lose_nothing():
+    pair = Failing()
+    one, other = pair.connected()
+    pair.fail(SystemCall.SHORT)
+    data, sizes = bytes(range(200)), []
+    while sum(sizes) < len(data):
+        sizes.append(one.send(data[sum(sizes) :]))
+    pair.run(5)
+    pair.network.failing.shares["server", SystemCall.SHORT] = [1.0]
+    parts = []
+    while sum(map(len, parts)) < len(data):
+        parts.append(other.recv(1000))
+    assert min(len(sizes), len(parts)) > 2 and b"".join(parts) == data
+
+
+def test_an_error_ends_both_sides_behind_what_was_sent():
+    pair = Failing()
+    one, other = pair.connected()
+    one.send(b"sent")
+    pair.fail(SystemCall.RECEIVE)
+    with pytest.raises(OSError):
+        one.recv(10)
+    pair.run(5)
+    assert other.arrived_bytes == 4 and other.error == errno.ECONNRESET and other.cut_off
+
+
+def test_a_world_without_stretches_draws_nothing():
+    network: Network = Pair().network
+    before = network.failing.random.getstate()
+    assert not any(network.failing.error("client", call) for call in SystemCall)
+    assert network.failing.random.getstate() == before
+
+
+def test_a_clock_that_steps_moves_no_other():
+    pair = Pair()
+    pair.network.clock_steps_ns["client"] = -3600 * SECOND
+    apart_ns = pair.network.wall_ns("server") - pair.network.wall_ns("client")
+    assert apart_ns == 3600 * SECOND
