--- a/tests/admission/test_flood.py
+++ b/tests/admission/test_flood.py
@@ -12,6 +12,8 @@
 from net_helpers import HOST, Fake, answer_ok, config, entry, message, news, read_message, run, until
 from test_process import Process
 
+pytestmark = pytest.mark.processes
+
 FLOOD = "127.200.0.1"
 CONNECTIONS = 5000
 SOCKETS = 200  # by the system; the configuration says more
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -8,11 +8,14 @@
 import sys
 from pathlib import Path
 
+import pytest
 from net_helpers import HOST, Fake, answer_ok, ask, run
 from typer.testing import CliRunner
 
 from dykefold.cli.app import app
 
+pytestmark = pytest.mark.processes
+
 ROOT = Path(__file__).parents[2]
 ROUTE = '[[routes]]\nname = "a"\npool = "a"\n'
 
--- a/tests/cli/test_control.py
+++ b/tests/cli/test_control.py
@@ -8,6 +8,8 @@
 from process_helpers import Process
 from test_cli import play
 
+pytestmark = pytest.mark.processes
+
 
 def test_calls_their_exit_codes_and_their_json(tmp_path):
     async def scene():
--- a/tests/control/test_upgrade.py
+++ b/tests/control/test_upgrade.py
@@ -29,6 +29,8 @@
 from dykefold.control.estimates import restore, snapshot
 from dykefold.control.steering import steer
 
+pytestmark = pytest.mark.processes
+
 IDENTS = itertools.count()
 
 
--- a/tests/control/test_upgrade_faults.py
+++ b/tests/control/test_upgrade_faults.py
@@ -12,6 +12,8 @@
 from dykefold.lab.fleet.process import call
 from dykefold.lab.fleet.upgrades import CLASSES, FAULTS, GRACE_S, YES_S, world
 
+pytestmark = pytest.mark.processes
+
 FREE = 2  # requests that an upgrade may lose (DAYS)
 
 
--- a/tests/fleet/test_coldstart_processes.py
+++ b/tests/fleet/test_coldstart_processes.py
@@ -8,6 +8,8 @@
 from dykefold.lab.fleet.run import Seen
 from dykefold.lab.fleet.scenario import FaultTable, FleetScenario, FleetTable, ListTable
 
+pytestmark = pytest.mark.processes
+
 MEMBERS = 12
 SERVICE = 14.0  # calls a second, and 3 in wait: all at once are four times too many
 SPAN_MOST_S = 4.0  # 0.4 of the time within which the rules want a call
--- a/tests/fleet/test_slow_start_processes.py
+++ b/tests/fleet/test_slow_start_processes.py
@@ -12,6 +12,8 @@
 
 from benchmarks.slow_start import MEMBERS, PLAYS, scenario
 
+pytestmark = pytest.mark.processes
+
 MOST = "all of it"
 CASES = [(MOST, members) for members in MEMBERS]
 CASES += [(name, members) for name in PLAYS if name != MOST for members in (5, 30)]
--- a/tests/fleet/test_view_processes.py
+++ b/tests/fleet/test_view_processes.py
@@ -10,6 +10,8 @@
 from dykefold.lab.fleet.scenario import FaultTable, FleetScenario, FleetTable
 from dykefold.lab.fleet.views import Look, plotted
 
+pytestmark = pytest.mark.processes
+
 MEMBERS = 7  # not the same number in each zone
 
 
--- a/tests/lab/test_fleet_rig.py
+++ b/tests/lab/test_fleet_rig.py
@@ -17,6 +17,8 @@
 from dykefold.lab.fleet.scenario import FaultTable, FleetScenario, FleetTable, read_fleet
 from dykefold.operators import ServiceError
 
+pytestmark = pytest.mark.processes
+
 
 class Echo(asyncio.Protocol):
     came_s = None
--- a/tests/lab/test_run.py
+++ b/tests/lab/test_run.py
@@ -14,6 +14,8 @@
 from dykefold.lab.scenario import read_scenario
 from dykefold.operators import ServiceError
 
+pytestmark = pytest.mark.processes
+
 SMALL = """
 seed = 3
 span_s = 2.0
--- a/tests/routing/test_usual_clients.py
+++ b/tests/routing/test_usual_clients.py
@@ -13,6 +13,8 @@
 from net_helpers import HOST, Fake, read_message, reply, run, until
 from test_services import Node, get, pool_text
 
+pytestmark = pytest.mark.processes
+
 
 async def act(message, reader, writer):
     """A usual server: what it was asked, back as JSON; some paths have answers of their own."""
--- a/tests/test_crossings_processes.py
+++ b/tests/test_crossings_processes.py
@@ -29,6 +29,8 @@
 
 from dykefold.lab.fleet.scenario import FaultTable, FleetScenario, FleetTable, ListTable
 
+pytestmark = pytest.mark.processes
+
 READY = b"GET /-/ready HTTP/1.1\r\nHost: n0\r\n\r\n"
 READY_MOST_S, READY_ALL_S = 10.0, 30.0  # nine in ten restarted processes; each
 TOLD_WITHIN = 6.0  # seconds after a watch fell silent
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -34,6 +34,8 @@
 from dykefold.net.engine import planned_end
 from dykefold.settings import nested_settings, parse_settings
 
+pytestmark = pytest.mark.processes
+
 ROOT = Path(__file__).parent.parent
 READY = b"GET /-/ready HTTP/1.1\r\n\r\n"
 
