--- a/dykefold/net/pool.py
+++ b/dykefold/net/pool.py
@@ -39,6 +39,8 @@
 
 ATTEMPT_MARGIN_NS = 15 * MS  # before the client's deadline the last attempt is given up
 STALL_S = 3.0  # seconds in which a body or an answer that flows must move, where its server has the turn
+KEPT_BACK_NS = 50 * MS  # more than is left that a server may be told where its last byte was kept back
+FLOW_SPARED = 4  # one part in so many of its time is not told for a body that flows: it may be kept back
 GUARD_MARGIN_NS = 8 * MS  # ... and a request that then still has no answer gets one
 PROBE_TIMEOUT = 0.4  # seconds
 NEXT_TURN_S = 0.001  # the least that is a timer: uvloop takes none at all for `call_soon`, before sockets
@@ -106,7 +108,17 @@
 class Attempt(Exchange):
     """One try of a request at one server."""
 
-    __slots__ = ("answered_ns", "held", "moved", "number", "sent_ns", "server", "until_ns", "write_by_ns")
+    __slots__ = (
+        "answered_ns",
+        "held",
+        "moved",
+        "number",
+        "sent_ns",
+        "server",
+        "told_ns",
+        "until_ns",
+        "write_by_ns",
+    )
 
     def __init__(self, held: Held, number: int, server: int, sent_ns: int) -> None:
         super().__init__(b"", held.ended, BODY_MOST)
@@ -119,6 +131,7 @@
         self.sent_ns = sent_ns
         self.answered_ns = 0  # when an answer began that is passed on as it comes
         self.moved = -1  # bytes of what flows, when they were last looked at
+        self.told_ns = 0  # the time that its server is told to have
         self.until_ns = 0  # when it is given up; 0: its body is still on its way
         self.write_by_ns = 0  # when a connection comes later than this it is not written; 0: no such time
 
@@ -146,19 +159,35 @@
         return not self.connection.unwritten or self.moved != before
 
     def wanted(self) -> bool:
-        pool = self.held.pool
-        if self.write_by_ns and pool.now() >= self.write_by_ns:
+        now = self.held.pool.now()
+        if self.write_by_ns and now >= self.write_by_ns:
             return False  # it would be a second effect: its key is remembered no longer
-        return not self.held.asker.gone()
+        if self.until_ns and now >= self.until_ns:
+            return False  # a late loop has not heard that its time is up
+        return not self._told_too_much(now) and not self.held.asker.gone()
+
+    def _told_too_much(self, now: int) -> bool:
+        """Whether its server was told more, when its head went, than the client has left now.
+
+        The platform's servers begin with a request when its last byte has come (PROTOCOL, sidecars to
+        servers), and that can be kept back by a slow socket.
+        """
+        if self.connection is None or self.manner is not Manner.PLATFORM:
+            return False
+        return now + self.told_ns > self.held.call.deadline_ns + KEPT_BACK_NS
 
     def compose(self) -> bytes:
         """The message; where its connection came up late its server is told the time that is left now."""
-        pool = self.held.pool
-        now = pool.now()
+        now = self.held.pool.now()
         if self.until_ns and now - self.sent_ns >= MS:
-            self.payload = pool.message(self.held.call, self.until_ns - now)
+            self.tell(self.until_ns - now)
         return self.payload
 
+    def tell(self, left_ns: int) -> None:
+        """Word the message for a server that has so long."""
+        self.told_ns = left_ns
+        self.payload = self.held.pool.message(self.held.call, left_ns)
+
     def limit(self, after_s: float) -> None:
         """Give it another time limit, from now on."""
         if self.deadlines is not None and not self.ended:
@@ -437,6 +466,8 @@
         if call.upload is not None and not call.upload.ended:
             call.upload.on_whole = held.body_whole
         else:
+            if call.upload is not None:
+                call.deadline_ns = call.upload.whole_ns + call.wait_ns
             self._limit(held)
         self.post(
             api.Request(
@@ -468,6 +499,7 @@
         for number in range(held.attempts):
             attempt = self.attempts.get((held.id, number))
             if attempt is not None:
+                attempt.until_ns = call.deadline_ns - ATTEMPT_MARGIN_NS
                 attempt.limit(max(left_ns - ATTEMPT_MARGIN_NS, MS) / SECOND)
                 if call.upload.begun:
                     attempt.body_sent()
@@ -577,7 +609,8 @@
             attempt.end(Status.MOOT)
             return
         attempt.until_ns = 0 if flows else now + wait
-        attempt.payload = self.message(held.call, held.call.wait_ns if flows else wait)
+        # Of a body that flows the time begins with its last byte, which its server gets later than this.
+        attempt.tell(held.call.wait_ns - held.call.wait_ns // FLOW_SPARED if flows else wait)
         self.upstreams.start(action.server, attempt, wait / SECOND)
 
     def _window_end(self, held: Held) -> int:
@@ -673,7 +706,7 @@
             held.asker.end_answer(held.call, whole)
         elif upload is not None and upload.problem is not None:
             self._finish(held, upload.problem[0], b"", upload.problem[1])
-        elif status in (Status.FULL, Status.CONNECT_FAILED):
+        elif status in (Status.FULL, Status.CONNECT_FAILED, Status.MOOT):
             self._finish(held, 503, b"", b"refused\n")
         elif held.error is not None:
             self._pass_on(held, held.error)
--- a/dykefold/net/stream.py
+++ b/dykefold/net/stream.py
@@ -22,6 +22,10 @@
 
     def write_on(self, data: bytes) -> None: ...
 
+    def may_end(self) -> bool:
+        """Whether the last byte may still go; where it may not, the attempt is over behind this call."""
+        ...
+
 
 class Upload:
     """The body of one request between its client's connection and the one to its server.
@@ -98,9 +102,9 @@
         still = self.resumed_ns < self.stopped_ns
         rest = self.stopped_ns and (still or now_ns - self.resumed_ns < REST_NS)
         self.whole_ns = self.stopped_ns if rest else now_ns
-        self.flow()
-        if self.on_whole is not None:
+        if self.on_whole is not None:  # before its last byte goes, which is asked for its deadline
             self.on_whole()
+        self.flow()
 
     def spoil(self, code: int, text: str) -> None:
         """The body can't be read on: its attempt ends, and its request is answered with this."""
@@ -123,19 +127,30 @@
         self.sink = self.stop = None
 
     def flow(self) -> None:
-        """Pass on what waits, as far as the server takes it."""
+        """Pass on what waits, as far as the server takes it; the last byte only behind all others.
+
+        A server begins with a request when its last byte has come, so that is kept back until the body is
+        whole and the kernel has taken the rest, and asked for once more.
+        """
         sink = self.sink
         if sink is None or sink.unwritten or self.sent:
             return
         was_full = self.full
-        if self.held:
-            data = b"".join(self.held)
-            self.held, self.size = [], 0
-            self.passed += len(data)
-            sink.write_on(data if self.length is not None else b"%x\r\n%s\r\n" % (len(data), data))
-        if self.ended and not self.held:
+        self._pass_on(sink)
+        if self.ended and not sink.unwritten and sink.may_end():
             self.sent = True
-            if self.length is None:
-                sink.write_on(b"0\r\n\r\n")
-        if was_full:
+            last, self.held, self.size = b"".join(self.held), [], 0
+            self.passed += len(last)
+            sink.write_on(last if self.length is not None else b"0\r\n\r\n")
+        if was_full and not self.full:
             self.on_drain()
+
+    def _pass_on(self, sink: Sink) -> None:
+        """Write what has come, without the last byte of a body whose length is known."""
+        data, last = b"".join(self.held), b""
+        if self.length is not None and self.passed + len(data) >= self.length:
+            data, last = data[:-1], data[-1:]
+        self.held, self.size = [last] if last else [], len(last)
+        if data:
+            self.passed += len(data)
+            sink.write_on(data if self.length is not None else b"%x\r\n%s\r\n" % (len(data), data))
--- a/dykefold/net/upstream.py
+++ b/dykefold/net/upstream.py
@@ -282,8 +282,23 @@
 
     def _write_last(self) -> None:
         """Let go of the byte that was kept back: from here on the exchange may have run."""
-        last, self.last = self.last, b""
-        self.write_on(last)
+        if self.may_end():
+            last, self.last = self.last, b""
+            self.write_on(last)
+
+    def may_end(self) -> bool:
+        """Whether the last byte of the exchange on it may still go; where it may not, it is called off here.
+
+        Guards servers against beginning what was wanted when its first byte went, and is wanted no more.
+        """
+        exchange = self.exchange
+        assert exchange is not None
+        if exchange.wanted():
+            return True
+        self.exchange = None
+        self.close(discard=True)
+        exchange.end(Status.MOOT)
+        return False
 
     @property
     def incomplete(self) -> bool:
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -581,6 +581,9 @@
         asked = asyncio.create_task(ask(sidecar.port, message("order", "ab", "4000m", b"body")))
         await until(lambda: pool.attempts)
         (attempt,) = pool.attempts.values()
+        opening = pool.upstreams.targets[1].opening
+        # Its connect has found the listener full: its socket has a port from then on.
+        await until(lambda: all(made.sock.getsockname()[1] for made in opening.values()))
         for filler in fill:
             filler.close()
         sock.setblocking(False)
