--- a/dykefold/net/front.py
+++ b/dykefold/net/front.py
@@ -17,6 +17,7 @@
 from ..admission.clients import Clients
 from ..admission.rules import Client
 from ..system import System, Watch
+from .arrivals import Arrivals
 from .backlog import SLICE_BYTES, Backlog, cut
 from .dialect import BODY_MOST, Call, Message, RequestError
 from .ends import NO_LINGER
@@ -126,9 +127,11 @@
     # More than 30 attributes would not share their keys, and each look-up would cost a hash (CPython 3.11).
     __slots__ = (
         "__weakref__",
+        "arrivals",
         "begun",
         "body",
         "body_size",
+        "came_ns",
         "client",
         "closed",
         "current",
@@ -188,6 +191,8 @@
         self.source: Paced | None = None  # of the answer that is being passed on
         self.ends_with: bytes | None = None  # what its last byte is followed by; None: it has a length
         self.stays = True  # open after it
+        self.arrivals = Arrivals()  # of what was read later than it came
+        self.came_ns = 0  # when what is being read had come; 0: just now
         self.end: Watch | None = None  # on the client's end, once it was asked for
         self.linger_s = 0.0  # for which the other side is waited for, once this one has ended; 0 before
         self._begin()
@@ -278,6 +283,8 @@
 
     def _feed(self, data: bytes) -> None:
         self.size += len(data)
+        if self.arrivals.marks:
+            self.came_ns = self.arrivals.came_ns(not self.paused)
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
@@ -290,6 +297,7 @@
         # Guards the memory: the parser itself holds a header line of any length.
         if self.size > self.size_most:
             self._reject(431, "headers are too long")
+        self.arrivals.read += len(data)
         if self.in_body:
             self.engine.clients.progress(self.client, len(data))
         self._pump()
@@ -444,7 +452,7 @@
         """The message as a request; RequestError where it is answered here."""
         return self.engine.grammar.read(
             Message(
-                self.engine.now(),
+                self.came_ns or self.engine.now(),
                 self.parser.get_method(),
                 self.target,
                 self.headers,
@@ -522,12 +530,16 @@
         if not self.paused and self.transport is not None:
             self.paused = True
             self.transport.pause_reading()
+            self._count_unread()
             if self.upload is not None:
                 self.upload.stopped_ns = self.engine.now()
 
     def _resume(self) -> None:
         """Read on, what came already first, unless too much of it still has to be answered."""
-        if not self.paused or (self._must_wait() and not self.deaf):
+        if not self.paused:
+            return
+        self._count_unread()
+        if self._must_wait() and not self.deaf:
             return
         if self.unfed is not None:
             if not self.queued:
@@ -539,6 +551,14 @@
             if self.upload is not None:
                 self.upload.resumed_ns = self.engine.now()
 
+    def _count_unread(self) -> None:
+        """Note how much has come by now that waits for its turn; its client's time runs."""
+        if self.transport is not None and not self.transport.is_closing():
+            sock = self.transport.get_extra_info("socket")
+            there = self.engine.system.unread(sock) if sock is not None else 0
+            held = len(self.unfed) if self.unfed is not None else 0
+            self.arrivals.mark(self.engine.now(), held + there)
+
     def _must_wait(self) -> bool:
         """Whether no more may be read for now."""
         return len(self.waiting) >= WAITING_MOST or (self.upload is not None and self.upload.full)
--- a/dykefold/sim/process.py
+++ b/dykefold/sim/process.py
@@ -77,6 +77,9 @@
     def watch_end(self, sock: Any) -> Watch:
         return EndWatch(sock)
 
+    def unread(self, sock: Any) -> int:
+        return sock.held_bytes
+
     def open_spare(self) -> int:
         return self.loop.network.socket(self.loop).number
 
--- a/dykefold/system.py
+++ b/dykefold/system.py
@@ -7,9 +7,12 @@
 
 from __future__ import annotations
 
+import fcntl
 import os
 import select
 import socket
+import sys
+import termios
 import time
 from typing import Protocol
 
@@ -43,6 +46,14 @@
         watch.register(sock, select.POLLIN | select.POLLRDHUP)
         return watch
 
+    def unread(self, sock: socket.socket) -> int:
+        """Bytes that have come on a socket and wait unread (tcp(7), SIOCINQ); 0 where that is not told."""
+        try:
+            found = fcntl.ioctl(sock.fileno(), termios.FIONREAD, bytes(4))
+        except (OSError, ValueError):  # it has ended meanwhile
+            return 0
+        return int.from_bytes(found, sys.byteorder)
+
     def open_spare(self) -> int:
         """A descriptor that is kept only to be closed. Raises OSError if there is none left."""
         return os.open(os.devnull, os.O_RDONLY | os.O_CLOEXEC)
--- a/tests/test_net_hostile.py
+++ b/tests/test_net_hostile.py
@@ -34,6 +34,9 @@
     def is_closing(self):
         return self.closing
 
+    def get_extra_info(self, name):
+        return None
+
     def pause_reading(self):
         self.reading = False
 
