--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -7,10 +7,29 @@
 import asyncio
 import contextlib
 import socket
+import time
 
 import pytest
-from net_helpers import HOST, Sidecar, config, entry, message, news, on_loop, until
-
+from net_helpers import (
+    HOST,
+    MS,
+    WAIT,
+    Fake,
+    Sidecar,
+    answer_ok,
+    ask,
+    config,
+    entry,
+    message,
+    news,
+    on_loop,
+    reply,
+    stand_still,
+    until,
+)
+from test_net_upstream import full_listener
+
+from dykefold.net import upstream
 from dykefold.net.front import WAITING_MOST
 from dykefold.system import System
 
@@ -164,3 +183,135 @@
             await until(lambda: len(server.whole()) == 1)  # noqa: B023
             client.close()
         server.close()
+
+
+# What has not been written yet
+
+
+async def turned_away(got, reader, writer):
+    writer.write(reply(503, b"", "X-Not-Run: 1"))
+
+
+async def hang(got, reader, writer):
+    await reader.read()
+
+
+WAITS = {
+    # what the next attempt waits for: how servers act, and what the settings allow
+    "a repeat's backoff": (turned_away, {}),
+    "a hedged request's turn": (hang, {"second-copies": True}),
+    "a hedged request's turn, no cancel": (hang, {"second-copies": True, "cancel": False}),
+}
+
+
+@pytest.mark.parametrize("late", [0.0, LATE_S], ids=["in time", "late loop"])
+@pytest.mark.parametrize("paused", [False, True], ids=["read", "not read"])
+@pytest.mark.parametrize("how", ["close", "reset", "half"])
+@pytest.mark.parametrize("kind", WAITS)
+@on_loop
+async def test_no_further_attempt_begins_once_its_client_left(tmp_path, monkeypatch, kind, how, paused, late):
+    act, limits = WAITS[kind]
+    written_s, send = [], upstream.Connection.send
+
+    def noted(connection, exchange, now):
+        found = send(connection, exchange, now)
+        written_s.append(time.monotonic() if found else 0.0)
+        return found
+
+    monkeypatch.setattr(upstream.Connection, "send", noted)
+    fakes = [await Fake(act).start() for _ in range(3)]
+    data = config(news(1, *(entry(f"s{n}", fake.address) for n, fake in enumerate(fakes))))
+    data["settings"]["ceilings"].update(limits)
+    async with Sidecar(tmp_path / "c", data) as sidecar:
+        client, loop = socket.socket(), asyncio.get_running_loop()
+        client.setblocking(False)
+        await loop.sock_connect(client, (HOST, sidecar.port))
+        behind = 2 * WAITING_MOST if paused else 0
+        asked = [message("lookup", f"id{number}", "2000m") for number in range(1 + behind)]
+        await loop.sock_sendall(client, b"".join(asked))
+        await until(lambda: any(fake.got for fake in fakes))
+        left_s = []
+
+        def leave():
+            end(client, how)
+            left_s.append(time.monotonic())
+
+        if late:
+            stand_still(loop, late, leave)
+            await until(lambda: left_s)
+        else:
+            leave()
+        await until(lambda: gone(sidecar) and not sidecar.engine.pool.attempts)
+        client.close()
+    assert any(written_s) and not [at for at in written_s if at > left_s[0] + 0.1]
+
+
+@pytest.mark.parametrize("paused", [False, True], ids=["read", "not read"])
+@pytest.mark.parametrize("how", ["close", "reset", "half"])
+@on_loop
+async def test_what_waits_for_a_connection_is_not_written_once_its_client_left(tmp_path, how, paused):
+    """One of its own that is being made, and one that another request's answer sets free."""
+    sock, fill = full_listener()
+    data = config(news(1, entry("s1", f"{HOST}:{sock.getsockname()[1]}")))
+    data["settings"]["ceilings"]["connect-timeout-ns"] = 20_000 * MS
+    async with Sidecar(tmp_path / "c", data) as sidecar:
+        pool, loop = sidecar.engine.pool, asyncio.get_running_loop()
+        client = socket.socket()
+        client.setblocking(False)
+        await loop.sock_connect(client, (HOST, sidecar.port))
+        asked = [message("order", f"id{n}", "4000m") for n in range(1 + 2 * WAITING_MOST * paused)]
+        await loop.sock_sendall(client, b"".join(asked))
+        opening = pool.upstreams.targets[1].opening
+        await until(lambda: opening and all(made.sock.getsockname()[1] for made in opening.values()))
+        end(client, how)
+        for filler in fill:
+            filler.close()
+        sock.setblocking(False)
+        taken = []
+
+        async def take():
+            while True:
+                taken.append((await loop.sock_accept(sock))[0])
+
+        task = asyncio.create_task(take())
+        # Its system asks for the connection again after a second.
+        await until(lambda: gone(sidecar) and not pool.attempts and pool.upstreams.idle)
+        task.cancel()
+        for one in taken:
+            one.setblocking(False)
+            with contextlib.suppress(OSError):
+                assert not one.recv(4096)
+            one.close()
+        client.close()
+    sock.close()
+
+
+@pytest.mark.parametrize("how", ["close", "reset", "half"])
+@on_loop
+async def test_what_meets_only_resting_connections_is_not_written_once_its_client_left(tmp_path, how):
+    """Where servers answer twice connections rest, and a request has a new one made."""
+    fake = await Fake(answer_ok).start()
+    async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
+        pool, loop = sidecar.engine.pool, asyncio.get_running_loop()
+        assert (await ask(sidecar.port, message("order", "warm"))).code == 200
+        resting = pool.upstreams.quarantine
+        resting.limit_s, resting.seen_at_s = WAIT, time.monotonic()
+        client = socket.create_connection((HOST, sidecar.port))
+        connect = loop.sock_connect
+
+        class Loop:
+            """The loop, but that a connect takes a moment in which the client leaves."""
+
+            def __getattr__(self, name):
+                return connect_and_leave if name == "sock_connect" else getattr(loop, name)
+
+        async def connect_and_leave(*args):
+            end(client, how)
+            await connect(*args)
+
+        pool.upstreams.loop = Loop()
+        client.sendall(message("order", "ab"))
+        await until(lambda: len(pool.upstreams.idle) == 2)  # the one that was made is kept beside
+        await until(lambda: gone(sidecar) and not pool.attempts)
+        client.close()
+        assert [got.headers["x-request-id"] for got in fake.got] == ["warm"]
