--- a/dykefold/net/upstream.py
+++ b/dykefold/net/upstream.py
@@ -963,10 +963,13 @@
             pass
 
     def sweep(self) -> None:
-        """Close what has stood idle well before the server does, or a request would meet its end."""
+        """Close what has stood idle well before the server does, or a request would meet its end.
+
+        Looks at servers with idle connections alone: thousands may be listed.
+        """
         now = self.monotonic()
         spare_s = self.spare.limit(now)
-        for target in self.targets.values():
+        for target in dict.fromkeys(connection.target for connection in self.idle):
             before = now - min(target.ages.limit(now), spare_s)
             while target.idle and (first := next(iter(target.idle))).idle_since < before:
                 first.close()
--- /dev/null
+++ b/tests/test_net_sweep.py
@@ -0,0 +1,32 @@
+"""The sweep of idle connections costs what is idle, not what is listed (3,200 servers and more)."""
+
+from net_helpers import HOST, Fake, answer_ok, run
+from test_net_upstream import make, start
+
+from dykefold.interface import State, Status
+from dykefold.net.idle import Ages
+
+LISTED = 3200
+
+
+def test_a_sweep_looks_at_servers_with_idle_connections_alone(monkeypatch):
+    async def play():
+        fake = await Fake(answer_ok).start()
+        pool = make((HOST, fake.port))
+        pool.monotonic = lambda: clock[0]
+        for server in range(2, LISTED):
+            pool.update(server, (HOST, fake.port), 0, State.READY)
+        assert [(await start(pool, server)[1])[0] for server in (1, 7, 9)] == [Status.OK] * 3
+        looked = []
+        limit = Ages.limit
+        monkeypatch.setattr(Ages, "limit", lambda ages, now: looked.append(ages) or limit(ages, now))
+        pool.sweep()
+        assert len(looked) == 3
+        assert all(pool.targets[server].idle for server in (1, 7, 9))
+        clock[0] += 60.0
+        pool.sweep()
+        assert not any(target.idle for target in pool.targets.values())
+        pool.close()
+
+    clock = [1000.0]
+    run(play())
