--- a/tests/sim/mutants.py
+++ b/tests/sim/mutants.py
@@ -155,10 +155,10 @@
         "syscalls",
     ),
     Mutant(
-        "what failed while it was read has never run",
-        "net/upstream.py",
-        "            exchange.end(Status.CONNECT_FAILED if never else Status.RESET)",
-        "            exchange.end(Status.CONNECT_FAILED)",
+        "an order is sent again after a system call that failed",
+        "logic.py",
+        "PROVES_NOT_RUN = frozenset((Status.FULL,",
+        "PROVES_NOT_RUN = frozenset((Status.RESET, Status.FULL,",
         "syscalls",
     ),
     Mutant(
