--- a/dykefold/net/pool.py
+++ b/dykefold/net/pool.py
@@ -611,9 +611,18 @@
             return
         attempt.until_ns = 0 if flows else now + wait
         # Of a body that flows the time begins with its last byte, which its server gets later than this.
-        attempt.tell(held.call.wait_ns - held.call.wait_ns // FLOW_SPARED if flows else wait)
+        attempt.tell(self._flow_time_ns(held.call, now) if flows else wait)
         self.upstreams.start(action.server, attempt, wait / SECOND)
 
+    @staticmethod
+    def _flow_time_ns(call: Call, now: int) -> int:
+        """What the server of a body that flows is told: never more than is left since its head was read.
+
+        The client's time begins with its last byte, which may have come already and wait to be read.
+        """
+        spared_ns = call.wait_ns - call.wait_ns // FLOW_SPARED
+        return max(min(spared_ns, call.deadline_ns - now), MS)
+
     def _window_end(self, held: Held) -> int:
         """When a keyed request's key may be forgotten, by its first attempt that may have run; 0 for others.
 
