--- a/tests/test_client_closes.py
+++ b/tests/test_client_closes.py
@@ -4,6 +4,7 @@
 """
 
 import asyncio
+import errno
 import os
 import socket
 import time
@@ -25,6 +26,7 @@
 from dykefold.admission import rules
 from dykefold.admission.addresses import Caps
 from dykefold.net.backlog import SLICE_BYTES
+from dykefold.system import System
 
 PLACES = 8
 
@@ -236,3 +238,36 @@
         assert dict(zip(STOPS, played, strict=True)) == wanted
         await until(lambda: not sidecar.engine.clients.all)
         assert not sidecar.engine.memory.held
+
+
+# Without a look into the socket
+
+
+class Blind(System):
+    """A machine whose poll(2) fails."""
+
+    def __init__(self, error):
+        self.error = error
+
+    def watch_end(self, sock):
+        return self
+
+    def poll(self, timeout):
+        raise OSError(self.error, os.strerror(self.error))
+
+
+@pytest.mark.parametrize("error", [errno.ENOMEM, errno.EINTR, errno.EINVAL])
+@on_loop
+async def test_a_look_that_fails_stops_neither_answers_nor_closes(tmp_path, error):
+    async with one_server(tmp_path, answer_ok) as (sidecar, _fake):
+        engine = sidecar.engine
+        engine.system = Blind(error)
+        few_places(sidecar, 2)
+        opened = [await rested(sidecar.port, f"id{n}") for n in range(3)]  # the third takes a place
+        assert await codes(opened[0][0]) == ([], True)
+        engine.draining = True
+        engine._stop_taking()
+        assert [await codes(reader) for reader, _ in opened[1:]] == [([], True)] * 2
+        await until(lambda: not engine.clients.all)
+        for _, writer in opened:
+            writer.close()
