--- a/tests/faulty_system.py
+++ b/tests/faulty_system.py
@@ -6,6 +6,7 @@
 """
 
 import asyncio
+import contextlib
 import errno
 import os
 import random
@@ -108,7 +109,12 @@
         return FaultySocket.over(sock, self.faults), address
 
     def connect(self, address):
-        self.faults.meet("connect")
+        try:
+            self.faults.meet("connect")
+        except InterruptedError:  # a connect that is interrupted goes on by itself (connect(2))
+            with contextlib.suppress(BlockingIOError):
+                super().connect(address)
+            raise
         return super().connect(address)
 
     def send(self, data, flags=0):
