--- a/dykefold/control/estimates.py
+++ b/dykefold/control/estimates.py
@@ -1,7 +1,8 @@
 """What the decision module believes, as plain values that a newer process can begin with.
 
 No decisions: names of attributes, and the checks that what is read is of their kind. Numbers of servers,
-classes and kinds differ between processes, so all is written by name. Times are on the common clock.
+classes and kinds differ between processes, so all is written by name. Times are on the clock of the process
+that writes; whoever reads them says how far that is from its own.
 """
 
 from __future__ import annotations
@@ -25,6 +26,10 @@
     "strikes", "trial_at", "turned", "unit",
 )  # fmt: skip
 GROUP = ("lean", "load", "rel", "reports", "samples", "unit")
+TIMES = frozenset((
+    "began", "born", "bound_at", "cold_at", "cut_at", "demand_at", "heard", "last_ok", "limit_at",
+    "load_at", "pressed_at", "rate_at", "trial_at", "usual_at",
+))  # fmt: skip
 
 Values = dict[str, Any]
 
@@ -49,13 +54,17 @@
     }
 
 
-def restore(balancer: Balancer, names: Names, values: object) -> bool:
+def restore(balancer: Balancer, names: Names, values: object, shift_ns: int = 0) -> bool:
     """Have a module that has just begun believe this, of what it knows by name; False if it can't be used.
 
     A server that has started again since is not what was believed of it.
+
+    Args:
+        shift_ns: from the clock of the process that wrote this to the clock of this one.
     """
     if not isinstance(values, dict) or not _usable(values):
         return False
+    _shift(values, shift_ns)
     _set(balancer, (*WHOLE, *BEGAN), values["whole"])
     if len(values["asks"]) == len(balancer.asks):
         balancer.asks = [float(ask) for ask in values["asks"]]
@@ -85,13 +94,21 @@
             setattr(of, name, values[name])
 
 
+def _shift(values: Values, shift_ns: int) -> None:
+    """Move all times; 0 stands for never, and stays."""
+    for part in (values["whole"], *values["classes"].values(), *values["servers"].values()):
+        for name in TIMES & part.keys():
+            if part[name]:
+                part[name] += shift_ns
+
+
 def _usable(values: Values) -> bool:
     """Whether it has the form of a snapshot, and no value that could spoil what is counted with it."""
     try:
         parts = [values["whole"], *values["classes"].values(), *values["servers"].values(), *values["groups"]]
-        texts = ("kind", "far")
-        numbers = [n for part in parts for key, n in part.items() if key not in texts]
-        return all(_number(n) for n in [*numbers, *values["asks"]])
+        numbers = [n for part in parts for key, n in part.items() if key != "kind"]
+        kinds = [group.get("kind") for group in values["groups"]]
+        return all(_number(n) for n in [*numbers, *values["asks"]]) and all(isinstance(k, str) for k in kinds)
     except (KeyError, AttributeError, TypeError):
         return False
 
--- a/dykefold/control/upgrade.py
+++ b/dykefold/control/upgrade.py
@@ -6,13 +6,14 @@
 import logging
 import os
 import socket
+from collections.abc import Iterable, Mapping
 from typing import Any
 
 from ..net.engine import Engine
 from ..system import SYSTEM, System
 from .board import Board
 from .estimates import restore, snapshot
-from .handover import LOOK_NS, Handover, Sign, State, View
+from .handover import LOOK_NS, ROOM_WAIT_NS, Handover, Sign, State, View
 from .maintenance import OUT_MOST, Said
 from .places import Places
 
@@ -20,6 +21,14 @@
 
 LOOK_S = LOOK_NS / 1e9
 FORGET_NS = 5_000_000_000  # after its start a process takes away what older ones left that have not been seen
+KINDS = (
+    "state",
+    "list",
+    "maintenance",
+    "sign",
+)  # of records; the sign goes last: the others hang on it
+PLACES_MOST = 65_536  # listeners of one group: more than there are descriptors for
+TIME_MOST_NS = 2**63  # of a time that a record may name
 
 
 class Upgrade:
@@ -39,8 +48,10 @@
         self.sock: socket.socket | None = None  # that clients come to
         self.places = Places()
         self.steers = True  # no filter was refused, or it has been said
-        self.locked = False
+        self.stands = True  # what it has written was there at the last look
         self.told: dict[str, int] = {}  # versions of the lists that others can read
+        self.recorded: dict[str, Said] = {}  # the calls on servers that stand in a record that lasts
+        self.owes_state = False  # a newer process waits for the estimates, which could not be written
         self.timer: asyncio.TimerHandle | None = None
 
     # The start
@@ -48,20 +59,56 @@
     async def make_room(self) -> None:
         """Wait until older processes leave this one its part of the limits, or are seen to be gone."""
         self.keep()
-        while not self._look().may_serve and not self.engine.draining:
+        while not (self._look().may_serve and self._estimates_wait()) and not self.engine.draining:
             self.keep()  # what it is about to take, before it does
             await asyncio.sleep(LOOK_S / 4)
+        older = self._latest_older()
+        if older is not None:
+            self._begin_with(older)
+
+    def _latest_older(self) -> Sign | None:
         older = [sign for sign in self.others.values() if sign.born_ns < self.handover.born_ns]
-        if older:
-            self._begin_with(max(older, key=lambda sign: sign.born_ns))
+        return max(older, key=lambda sign: sign.born_ns, default=None)
+
+    def _estimates_wait(self) -> bool:
+        """Whether there is nothing more to wait for; the older process tries until it has written them."""
+        older = self._latest_older()
+        return (
+            older is None
+            or self.now_ns() - self.handover.born_ns >= ROOM_WAIT_NS
+            or self.board.read(f"state-{older.name}") is not None
+        )
 
     def _begin_with(self, older: Sign) -> None:
         """Believe what the latest older process believed, so as not to begin blind."""
-        known = _table(self.board.read(f"state-{older.name}"), "pools")
+        word = self.board.read(f"state-{older.name}")
+        known = _table(word, "pools")
+        shift_ns = read_shift(word, self._clock_word())
         for pool in self.engine.pools:
-            if pool.label in known and not restore(pool.balancer, pool.names, known[pool.label]):
+            if pool.label not in known:
+                continue
+            if shift_ns is None or not restore(pool.balancer, pool.names, known[pool.label], shift_ns):
                 log.warning("what %s knew of its servers is of no use here", older.name)
 
+    def _clock_word(self) -> dict[str, Any]:
+        """The clock that the times of estimates are on, by the one clock that all processes here share."""
+        return {
+            "boot": self.board.boot_id(),
+            "monotonic_ns": self.now_ns(),
+            "offset_ns": self.engine.clock.offset,
+        }
+
+    def _leave_estimates(self) -> None:
+        """Leave what this process believes; until it stands, as long as a newer one waits for it."""
+        pools = {pool.label: snapshot(pool.balancer, pool.names) for pool in self.engine.pools}
+        word = {"pools": pools, "clock": self._clock_word()}
+        written = self.board.write(f"state-{self.handover.name}", word)
+        waits = any(
+            sign.state is State.STARTING and sign.born_ns > self.handover.born_ns
+            for sign in self.others.values()
+        )
+        self.owes_state = waits and not written
+
     def takes(self, sock: socket.socket) -> None:
         """This process takes clients on a listening socket: new ones come to it from now on."""
         self.handover.serves()
@@ -107,17 +154,18 @@
         if self.others or self.board.changed() or not self.handover.shown:
             claim = self.handover.claim
             self._look()
-            if self.others or claim != self.handover.claim or not self.handover.shown:
+            if self.others or claim != self.handover.claim or not self.handover.shown or not self.stands:
                 self.keep()
         self.timer = self.loop.call_later(LOOK_S, self._tick)
 
     def _look(self) -> View:
         now_ns = self.now_ns()
-        words = self.board.read_all("sign-")
+        words = self.board.read_all("sign-", "maintenance-")
+        self._check_own(words)
         signs = {name: sign for name, word in words.items() if (sign := read_sign(word)) is not None}
         signs = {name: sign for name, sign in signs.items() if name == f"sign-{sign.name}"}
         for name, word in words.items():
-            if name != self._file:
+            if name not in (self._file, self._record):
                 self._merge(read_said(word))
         engine = self.engine
         lives = {sign.name: self.board.held(name) for name, sign in signs.items() if name != self._file}
@@ -135,18 +183,35 @@
         engine.share(view.parts, view.most)
         self.engine.handing = view.newer_takes
         self._steer(view.leads)
-        if view.arrived:
-            pools = {pool.label: snapshot(pool.balancer, pool.names) for pool in self.engine.pools}
-            self.board.write(f"state-{self.handover.name}", {"pools": pools})
+        if view.arrived or self.owes_state:
+            self._leave_estimates()
         for name in self.others:
             self._hear_lists(name, words[f"sign-{name}"])
         if now_ns - self.handover.born_ns > FORGET_NS:
-            for sign in signs.values():
-                if sign.name not in self.handover.sees and sign.beat_ns < self.handover.born_ns:
-                    for kind in ("sign", "list", "state"):
-                        self.board.remove(f"{kind}-{sign.name}")
+            self._forget(signs.values())
         return view
 
+    def _forget(self, signs: Iterable[Sign]) -> None:
+        """Take away what older processes left, once what they were told stands in a record of this one."""
+        gone = [
+            sign
+            for sign in signs
+            if sign.name not in self.handover.sees and sign.beat_ns < self.handover.born_ns
+        ]
+        if gone and self._record_said():
+            for sign in gone:
+                self._remove(sign.name)
+
+    def _remove(self, name: str) -> None:
+        for kind in KINDS:
+            self.board.remove(f"{kind}-{name}")
+
+    def _check_own(self, words: Mapping[str, Mapping[str, Any]]) -> None:
+        """Notice that records of this process were taken away or spoilt, so that they are written again."""
+        if self.recorded and read_said(words.get(self._record, {})) != self.recorded:
+            self.recorded = {}
+        self.stands = self._file in words and self.recorded == self._said()
+
     def _hear_lists(self, name: str, word: dict[str, Any]) -> None:
         """Take the lists of another process that are newer: what it was told, this sidecar was told."""
         told = _table(word, "lists")
@@ -173,22 +238,42 @@
         for pool in self.engine.pools:
             pool.merge_maintenance(said)
 
+    def _said(self) -> dict[str, Said]:
+        said: dict[str, Said] = {}
+        for pool in self.engine.pools:
+            said |= pool.maintenance.said
+        return said
+
     @property
     def _file(self) -> str:
         return f"sign-{self.handover.name}"
 
+    @property
+    def _record(self) -> str:
+        return f"maintenance-{self.handover.name}"
+
     def keep(self) -> bool:
-        """Show the sign of this process, with which servers are out; False if it can't be written."""
-        if not self.locked:
-            self.locked = self.board.hold(self._file)
-        said: dict[str, Said] = {}
-        for pool in self.engine.pools:
-            said |= pool.maintenance.said
+        """Show the sign of this process, and record which servers are out.
+
+        The sign is written ten times a second while others live, so it is not synced; the record is, and only
+        when it differs. What fails is tried again at each look.
+
+        Returns:
+            False if either can't be written, or the record may not outlast the machine.
+        """
+        self.board.hold(self._file)
         place = self.places.mine if self.engine.listener is not None else None
-        word = sign_word(self.handover.sign(self.now_ns(), place), said)
+        word = sign_word(self.handover.sign(self.now_ns(), place), self._said())
         written = self.board.write(self._file, {**word, "lists": self._tell_lists()})
         self.handover.showed(self.now_ns(), written)
-        return written
+        return self._record_said() and written
+
+    def _record_said(self) -> bool:
+        """Have all calls on servers in a record that lasts; False if they may not be."""
+        said = self._said()
+        if said != self.recorded and self.board.write(self._record, {"said": said_word(said)}, durable=True):
+            self.recorded = said
+        return said == self.recorded
 
     # The end
 
@@ -202,9 +287,18 @@
         """The process ends. What it knew stays for who comes next, unless a newer one has it already."""
         if self.timer is not None:
             self.timer.cancel()
-        if self.engine.handing:
-            for kind in ("sign", "list", "state"):
-                self.board.remove(f"{kind}-{self.handover.name}")
+        if self.engine.handing and self._handed():
+            self._remove(self.handover.name)
+
+    def _handed(self) -> bool:
+        """Whether all calls on servers that this process knows stand in records of others that live."""
+        words = self.board.read_all("maintenance-")
+        theirs: dict[str, Said] = {}
+        for name in self.others:
+            for server, one in read_said(words.get(f"maintenance-{name}", {})).items():
+                if server not in theirs or theirs[server].at_ns < one.at_ns:
+                    theirs[server] = one
+        return all(name in theirs and theirs[name].at_ns >= one.at_ns for name, one in self._said().items())
 
 
 def _table(word: object, key: str) -> dict[str, Any]:
@@ -232,10 +326,39 @@
         "sees": list(sign.sees),
         "most": sign.most,
         "place": sign.place,
-        "said": {name: [one.at_ns, one.out] for name, one in said.items()},
+        "said": said_word(said),
     }
 
 
+def said_word(said: Mapping[str, Said]) -> dict[str, list[int | bool]]:
+    """Calls on servers as they are written down; `read_said` reads it."""
+    return {name: [one.at_ns, one.out] for name, one in said.items()}
+
+
+def read_shift(word: object, mine: Mapping[str, Any]) -> int | None:
+    """How far times of another process are to be moved to be on the clock of this one, in nanoseconds.
+
+    Each process anchors its clock to the wall clock as it starts, and that may be stepped between two starts.
+
+    Args:
+        word: what another process left; without its clock, as an older version leaves it, nothing is moved.
+        mine: the clock of this process in the same form, now.
+
+    Returns:
+        None if the times are of another boot of the machine, and mean nothing here.
+    """
+    if not isinstance(word, dict) or "clock" not in word:
+        return 0
+    clock = _table(word, "clock")
+    at_ns, offset_ns = clock.get("monotonic_ns"), clock.get("offset_ns")
+    if not isinstance(at_ns, int) or not isinstance(offset_ns, int):
+        return None
+    if clock.get("boot") != mine["boot"] or not 0 <= at_ns <= mine["monotonic_ns"]:
+        return None
+    shift_ns: int = mine["offset_ns"] - offset_ns
+    return shift_ns
+
+
 def read_sign(word: dict[str, Any]) -> Sign | None:
     """A sign; None if it is none."""
     try:
@@ -246,19 +369,27 @@
             State(word["state"]),
             tuple(str(name) for name in word["sees"]),
             max(int(word["most"]), 0),
-            None if word.get("place") is None else int(word["place"]),
+            _place(word.get("place")),
         )
-    except (KeyError, TypeError, ValueError):
+    except (KeyError, TypeError, ValueError, OverflowError):
         return None
 
 
-def read_said(word: dict[str, Any]) -> dict[str, Said]:
+def _place(value: Any) -> int | None:
+    """A place in the group; None for none, or one that can't be."""
+    return None if value is None or not 0 <= int(value) < PLACES_MOST else int(value)
+
+
+def read_said(word: Mapping[str, Any]) -> dict[str, Said]:
     """Which servers another process was told to take out or put back; what can't be read is left out."""
     said = word.get("said")
     if not isinstance(said, dict):
         return {}
     found = {}
     for name, one in list(said.items())[: 2 * OUT_MOST]:
-        if isinstance(one, list) and len(one) == 2 and isinstance(one[0], int) and isinstance(one[1], bool):
-            found[name] = Said(one[0], one[1])
+        if not isinstance(one, list) or len(one) != 2:
+            continue
+        at_ns, out = one
+        if isinstance(at_ns, int) and 0 <= at_ns < TIME_MOST_NS and isinstance(out, bool):
+            found[name] = Said(at_ns, out)
     return found
--- a/dykefold/sim/board.py
+++ b/dykefold/sim/board.py
@@ -30,7 +30,7 @@
     def changed(self) -> bool:
         return self.folder.changes != self.seen
 
-    def write(self, name: str, word: Mapping[str, Any]) -> bool:
+    def write(self, name: str, word: Mapping[str, Any], durable: bool = False) -> bool:
         if self.folder.full:
             return False
         self.folder.words[name] = json.dumps(word)
@@ -41,9 +41,9 @@
         text = self.folder.words.get(name)
         return None if text is None else json.loads(text)
 
-    def read_all(self, prefix: str) -> dict[str, dict[str, Any]]:
+    def read_all(self, *prefixes: str) -> dict[str, dict[str, Any]]:
         self.seen = self.folder.changes
-        names = sorted(name for name in self.folder.words if name.startswith(prefix))
+        names = sorted(name for name in self.folder.words if name.startswith(prefixes))
         return {name: json.loads(self.folder.words[name]) for name in names}
 
     def remove(self, name: str) -> None:
@@ -61,3 +61,6 @@
     def held(self, name: str) -> bool | None:
         holder = self.folder.holders.get(name)
         return None if holder is None else holder.alive
+
+    def boot_id(self) -> str:
+        return ""  # its machines are told apart by their folders
--- /dev/null
+++ b/tests/control/hot_restart_rig.py
@@ -0,0 +1,162 @@
+"""Two processes' sides of a hot restart over one real folder, on a clock that the test sets."""
+
+import asyncio
+import os
+from dataclasses import replace
+from types import SimpleNamespace
+
+from helpers import MS, endpoint, make
+
+from dykefold.control.board import Files
+from dykefold.control.calls import Action, Call
+from dykefold.control.estimates import snapshot
+from dykefold.control.handover import LOOK_NS
+from dykefold.control.maintenance import Maintenance
+from dykefold.control.operator import Operator
+from dykefold.control.upgrade import LOOK_S, Upgrade
+from dykefold.net.clock import Clock
+from dykefold.net.discovery import Listed, Names
+
+SERVERS = ("s0", "s1")
+
+
+class Machine:
+    """CLOCK_MONOTONIC and the wall clock of one machine."""
+
+    def __init__(self, monotonic_ns=10**12, wall_ns=10**18):
+        self.mono_ns, self.wall_ns = monotonic_ns, wall_ns
+
+    def monotonic_ns(self):
+        return self.mono_ns
+
+    def time_ns(self):
+        return self.wall_ns
+
+    def passes(self, span_ns=LOOK_NS):
+        self.mono_ns += span_ns
+        self.wall_ns += span_ns
+
+
+class Pool:
+    """A pool with a real balancer and the real record of maintenance, with nothing on the network."""
+
+    label = ""
+    version = 1
+
+    def __init__(self, clock):
+        self.names = Names(["a", "b"], ["std"])
+        entries = [endpoint(self.names.server(name)) for name in SERVERS]
+        self.balancer, _ = make(entries=entries)
+        self.balancer.now = clock.now()
+        self.now = clock.now
+        self.maintenance = Maintenance(lambda entry, end: replace(entry, endpoint=end))
+        listed = [Listed(name, end, ("127.0.0.1", 1), 0) for name, end in zip(SERVERS, entries, strict=True)]
+        self.maintenance.fold(listed, True)
+
+    def list_word(self):
+        return {}
+
+    def adopt_list(self, word):
+        pass
+
+    def maintain(self, name, out):
+        before = self.maintenance.is_out(name)
+        self.maintenance.say(name, out, self.now())
+        return before is not out
+
+    def merge_maintenance(self, said):
+        self.maintenance.merge(said)
+
+
+class Engine:
+    def __init__(self, machine):
+        self.clock = Clock(machine)
+        self.pool = Pool(self.clock)
+        self.pools = {self.pool: None}
+        self.sockets = 384
+        self.handing = self.draining = False
+        self.listener = None
+
+    def needed(self):
+        return 10
+
+    def share(self, parts, most):
+        self.most = most
+
+
+class Member:
+    """One process of the sidecar."""
+
+    def __init__(self, folder, machine, wrap=lambda board: board, **files):
+        self.machine = machine
+        self.engine = Engine(machine)
+        self.files = Files(str(folder), **files)
+        self.board = wrap(self.files)
+        loop = SimpleNamespace(call_later=lambda delay, act: SimpleNamespace(cancel=lambda: None))
+        self.upgrade = Upgrade(loop, self.engine, self.board, machine)
+        # Two processes of one test share a process number.
+        machine.passes(MS)
+
+    @property
+    def out(self):
+        return sorted(self.engine.pool.maintenance.out())
+
+    def call(self, action, server="s0"):
+        return Operator(self.engine, self.upgrade).carry_out(Call(Action(action), server))
+
+    def serve(self):
+        """Take clients from now on, as `takes` does but for the socket."""
+        self.upgrade.handover.serves()
+        self.engine.listener = SimpleNamespace()
+        self.upgrade.keep()
+
+    def tick(self):
+        self.machine.passes()
+        self.upgrade._tick()
+
+    def start(self, *older):
+        """The whole start, while older processes look on."""
+
+        async def wait():
+            room = asyncio.ensure_future(self.upgrade.make_room())
+            while not room.done():
+                await asyncio.sleep(LOOK_S / 4)  # as often as it looks itself
+                self.machine.passes(LOOK_NS // 4)
+                for one in older:
+                    one.tick()
+            await room
+
+        asyncio.run(wait())
+        self.serve()
+
+    def ends(self, killed=False):
+        """The process is gone, with its lock."""
+        self.machine.passes()
+        if not killed:
+            self.upgrade.end()
+            self.upgrade.close()
+        if self.files.lock >= 0:
+            os.close(self.files.lock)
+            self.files.lock = -1
+
+
+class Flaky:
+    """A board on which writes of some names fail."""
+
+    def __init__(self, board):
+        self.board = board
+        self.failing = ()
+        self.wrote = []
+
+    def __getattr__(self, name):
+        return getattr(self.board, name)
+
+    def write(self, name, word, **more):
+        self.wrote.append(name)
+        if name.startswith(tuple(self.failing)):
+            return False
+        return self.board.write(name, word, **more)
+
+
+def known(member):
+    return snapshot(member.engine.pool.balancer, member.engine.pool.names)
--- a/tests/control/test_handover.py
+++ b/tests/control/test_handover.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from dykefold.control.board import FILE_MOST, Files
+from dykefold.control.board import FILE_MOST, LOOK_AGAIN_NS, SETTLE_NS, Files
 from dykefold.control.handover import LOOK_NS, MS, ROOM_WAIT_NS, STALE_NS, TABLE, Event, Handover, State
 from dykefold.control.maintenance import Said
 from dykefold.control.upgrade import read_said, read_sign, sign_word
@@ -249,12 +249,24 @@
 
 
 def test_a_change_is_noticed_and_a_write_that_fails_is_told(tmp_path):
-    board = Files(str(tmp_path))
-    board.read_all("sign-")
-    assert not board.changed()
+    now_ns = [0]
+    board = Files(str(tmp_path), monotonic_ns=lambda: now_ns[0])
+
+    def settle():
+        # A change of the same tick would leave the same time: it is read once more after that.
+        board.read_all("sign-")
+        assert board.changed()
+        now_ns[0] += SETTLE_NS
+        board.read_all("sign-")
+        assert not board.changed()
+
+    settle()
     assert board.write("sign-a", {}) and board.changed()
-    board.read_all("sign-")
-    assert not board.changed()
+    settle()
+    now_ns[0] += LOOK_AGAIN_NS
+    assert board.changed()  # whatever the folder's time says
+    settle_again = board.read_all("sign-")
+    assert list(settle_again) == ["sign-a"] and not board.changed()
     board.remove("sign-a")
     assert board.changed() and board.read("sign-a") is None
     (tmp_path / "dykefold").rmdir()
--- /dev/null
+++ b/tests/control/test_hot_restart_records.py
@@ -0,0 +1,166 @@
+"""Records that processes leave each other: written until they stand, kept until another has them."""
+
+import json
+
+import pytest
+from hot_restart_rig import Flaky, Machine, Member, known
+
+from dykefold.control.estimates import restore
+from dykefold.control.handover import LOOK_NS, ROOM_WAIT_NS
+from dykefold.control.upgrade import read_said, read_sign
+
+HOUR_NS = 3_600 * 10**9
+
+
+@pytest.fixture
+def machine():
+    return Machine()
+
+
+def running(tmp_path, machine, **more):
+    member = Member(tmp_path, machine, Flaky, **more)
+    member.start()
+    return member
+
+
+def test_estimates_are_written_until_they_stand_for_a_newer_process_that_waits(tmp_path, machine):
+    old = running(tmp_path, machine)
+    old.engine.pool.balancer.rate = 7.5
+    old.board.failing = ("state-",)
+    new = Member(tmp_path, machine)
+    new.upgrade.keep()
+    for _ in range(3):
+        old.tick()
+    assert old.board.read(f"state-{old.upgrade.handover.name}") is None
+    old.board.failing = ()
+    new.start(old)
+    assert new.engine.pool.balancer.rate == 7.5
+    old.board.wrote.clear()
+    for _ in range(5):
+        old.tick()
+    assert not [name for name in old.board.wrote if name.startswith("state-")]  # no longer wanted
+
+
+def test_estimates_that_can_not_be_written_hold_up_the_start_for_a_bounded_time(tmp_path, machine):
+    old = running(tmp_path, machine)
+    old.board.failing = ("state-",)
+    new = Member(tmp_path, machine)
+    born_ns = machine.mono_ns
+    new.start(old)
+    assert machine.mono_ns - born_ns <= ROOM_WAIT_NS + 3 * LOOK_NS
+
+
+def test_an_order_that_came_just_before_the_end_is_not_taken_away_with_the_record_of_it(tmp_path, machine):
+    old = running(tmp_path, machine)
+    new = Member(tmp_path, machine)
+    new.start(old)
+    old.tick()
+    assert old.engine.handing
+    assert old.call("maint").code == 200
+    old.ends()  # before the newer process has looked
+    new.ends(killed=True)
+    last = Member(tmp_path, machine)
+    last.start()
+    assert last.out == ["s0"]
+
+
+def test_the_record_of_a_process_that_is_gone_stays_until_another_one_has_it(tmp_path, machine):
+    old = running(tmp_path, machine)
+    assert old.call("maint").code == 200
+    old.ends(killed=True)
+    new = Member(tmp_path, machine, Flaky)
+    new.board.failing = ("sign-", "maintenance-")
+    new.start()
+    for number in range(70):  # past the moment at which leftovers are taken away
+        (tmp_path / "dykefold" / f"foreign-{number}").touch()  # something to look at
+        new.tick()
+    assert new.out == ["s0"]
+    new.ends(killed=True)
+    last = Member(tmp_path, machine)
+    last.start()
+    assert last.out == ["s0"]
+
+
+def test_an_order_that_was_not_written_is_said_to_be_so_and_is_written_later(tmp_path, machine):
+    one = running(tmp_path, machine)
+    one.board.failing = ("maintenance-", "sign-")
+    reply = one.call("maint")
+    assert reply.code == 500 and "newer process would not know" in reply.text and one.out == ["s0"]
+    one.board.failing = ()
+    one.tick()
+    one.ends(killed=True)
+    last = Member(tmp_path, machine)
+    last.start()
+    assert last.out == ["s0"]
+
+
+def test_a_folder_that_was_emptied_or_taken_away_is_written_again_by_one_that_is_alone(tmp_path, machine):
+    one = running(tmp_path, machine)
+    assert one.call("maint").code == 200
+    for path in (tmp_path / "dykefold").iterdir():
+        path.unlink()
+    for _ in range(12):
+        one.tick()
+    assert one.files.held(f"sign-{one.upgrade.handover.name}") is True
+    for path in (tmp_path / "dykefold").iterdir():
+        path.unlink()
+    (tmp_path / "dykefold").rmdir()
+    for _ in range(12):
+        one.tick()
+    one.ends(killed=True)
+    last = Member(tmp_path, machine)
+    last.start()
+    assert last.out == ["s0"]
+
+
+@pytest.mark.parametrize("step_ns", [HOUR_NS, -HOUR_NS, 0])
+def test_a_wall_clock_that_was_stepped_between_two_starts_moves_no_time_that_is_handed_over(
+    tmp_path, machine, step_ns
+):
+    old = running(tmp_path, machine)
+    balancer = old.engine.pool.balancer
+    (server, *_) = balancer.servers.values()
+    age_ns = 2 * 10**9
+    then = old.engine.clock.now() - age_ns
+    server.cold_at = server.trial_at = balancer.rate_at = balancer.live[0].usual_at = then
+    machine.wall_ns += step_ns
+    new = Member(tmp_path, machine)
+    began_ns = machine.mono_ns
+    new.start(old)
+    passed_ns = machine.mono_ns - began_ns
+    balancer = new.engine.pool.balancer
+    server = balancer.servers[server.id]
+    for at in (server.cold_at, server.trial_at, balancer.rate_at, balancer.live[0].usual_at):
+        assert abs(new.engine.clock.now() - at - age_ns - passed_ns) < 10**9
+    assert server.last_ok == 0 and balancer.cut_at == 0  # never is never on every scale
+
+
+STRANGE = [
+    ("most", float("inf")),
+    ("beat_ns", float("nan")),
+    ("place", 2**40),
+    ("place", -1),
+    ("sees", [["a"]]),
+    ("state", []),
+]
+
+
+@pytest.mark.parametrize(("key", "value"), STRANGE, ids=[f"{key}-{value}" for key, value in STRANGE])
+def test_a_record_with_values_that_can_not_be_is_no_crash(tmp_path, machine, key, value):
+    one = running(tmp_path, machine)
+    ghost = "99999999999999999999-1"
+    sign = one.board.read(f"sign-{one.upgrade.handover.name}")
+    word = {**sign, "name": ghost, "beat_ns": machine.mono_ns + 10**8, key: value}
+    (tmp_path / "dykefold" / f"sign-{ghost}.json").write_text(json.dumps(word))
+    one.tick()
+    found = read_sign(word)
+    assert found is None or found.place is None or 0 <= found.place < 2**16
+    assert read_said({"said": {"s0": [10**40, True], "s1": [-5, True]}}) == {}
+
+
+def test_estimates_with_names_that_are_none_are_left(tmp_path, machine):
+    one = running(tmp_path, machine)
+    pool = one.engine.pool
+    for kind in ([], {}, 3):
+        values = {**known(one), "groups": [{"kind": kind, "far": False, "rel": 1.0}]}
+        assert not restore(pool.balancer, pool.names, values)
