--- a/dykefold/control/operator.py
+++ b/dykefold/control/operator.py
@@ -23,8 +23,15 @@
 class Operator:
     """The calls of the door, on all pools of a node alike."""
 
-    def __init__(self, engine: Engine, keeper: Keeper | None = None) -> None:
+    def __init__(self, engine: Engine, keeper: Keeper | None = None, no_folder: bool = False) -> None:
+        """Prepare.
+
+        Args:
+            keeper: None where nothing is kept.
+            no_folder: there is to be a folder, and it can't be used: nothing stands there, and nothing will.
+        """
         self.engine = engine
+        self.no_folder = no_folder
         self.keeper = keeper
 
     def carry_out(self, call: Call) -> Reply:
@@ -45,7 +52,9 @@
         if changed:
             log.info("%s is %s", server, "out for maintenance" if out else "back from maintenance")
         # Asked of what was done before as well: the call may come again because this failed.
-        if self.keeper is None or self.keeper.keep():
+        if self.keeper is None and not (out and self.no_folder):
+            return YES
+        if self.keeper is not None and self.keeper.keep():
             return YES
         if out:
             return Reply(500, "out here, but a newer process would not know: call again")
--- a/dykefold/control/presence.py
+++ b/dykefold/control/presence.py
@@ -35,11 +35,13 @@
         self.address = address
         self.door: Door | None = None
         self.upgrade: Upgrade | None = None
+        self.no_folder = False  # there is to be one, and it can't be used
         if address is not None and folder:
             try:
                 self.upgrade = Upgrade(loop, engine, Files(folder))
             except OSError as error:
                 log.warning("%s: no upgrades: %s", folder, error.strerror)
+                self.no_folder = True
 
     @property
     def shared(self) -> bool:
@@ -59,12 +61,16 @@
         if self.address is None:
             return True
         sock = socket.create_server(self.address, backlog=DESCRIPTORS)
-        self.door = Door(self.loop, sock, Operator(self.engine, self.upgrade))
+        self.door = Door(self.loop, sock, self.operator())
         log.info("the door is at %s:%d", *self.door.address)
         if self.upgrade is not None:
             await self.upgrade.make_room()
         return not self.engine.draining
 
+    def operator(self) -> Operator:
+        """What carries the door's calls out."""
+        return Operator(self.engine, self.upgrade, no_folder=self.no_folder)
+
     def listen(self, address: Address) -> Address:
         """Take clients at an address; where it is. Raises OSError if it can't be."""
         sock = socket.create_server(address, backlog=BACKLOG, reuse_port=self.shared)
--- /dev/null
+++ b/tests/control/test_state_directory.py
@@ -0,0 +1,202 @@
+"""The state directory under file calls that fail: each one in turn, with a hot restart driven through it."""
+
+import errno
+import json
+import logging
+import os
+import signal
+import subprocess
+import sys
+
+import pytest
+from hot_restart_rig import Engine, Machine, Member
+
+from dykefold.control.board import Files
+from dykefold.control.calls import Action, Call
+from dykefold.control.files import FileSystem
+from dykefold.control.presence import Presence
+
+CALLS = (
+    "open",
+    "read",
+    "write",
+    "fsync",
+    "close",
+    "rename",
+    "unlink",
+    "mkdir",
+    "listdir",
+    "stat",
+    "fstat",
+    "flock",
+)
+CALLS_MOST = 400  # file calls of the whole story: far more than it makes
+
+
+class FailingCalls(FileSystem):
+    """Fails call number `at`, and the `span - 1` after it; a short write writes a single byte."""
+
+    def __init__(self, fault, at, span=1):
+        self.fault, self.at, self.span = fault, at, span
+        self.count = 0
+
+    def _due(self):
+        self.count += 1
+        return self.at <= self.count < self.at + self.span
+
+
+def _failing(name):
+    def call(self, *values):
+        real = getattr(FileSystem, name)
+        if not self._due():
+            return real(self, *values)
+        if self.fault == "short":
+            return real(self, values[0], values[1][:1]) if name == "write" else real(self, *values)
+        if name == "close":
+            real(self, *values)  # as Linux does it: the descriptor is gone, and the error is told
+        raise OSError(self.fault, os.strerror(self.fault))
+
+    return call
+
+
+for _name in CALLS:
+    setattr(FailingCalls, _name, _failing(_name))
+
+
+def story(folder, files):
+    """Orders at a process with failing calls, and hot restarts from it; what came of them."""
+    machine = Machine()
+    try:
+        old = Member(folder, machine, files=files)
+    except OSError:
+        return None  # no upgrades, said at the start
+    old.start()
+    old.call("maint")
+    for _ in range(3):
+        old.tick()  # what failed is tried again
+    new = Member(folder, machine)
+    new.start(old)
+    old.tick()
+    later = old.call("maint", "s1").code == 200
+    old.ends()
+    new.tick()
+    found = new.out
+    new.ends(killed=True)
+    last = Member(folder, machine)
+    last.start()
+    kept = last.out
+    last.ends(killed=True)
+    return later, found, kept
+
+
+@pytest.mark.parametrize("span", [1, 5])
+@pytest.mark.parametrize("fault", [errno.ENOSPC, errno.EIO, "short"])
+def test_whichever_file_call_fails_no_order_that_was_said_to_hold_is_lost(tmp_path, fault, span, monkeypatch):
+    monkeypatch.setattr("dykefold.control.upgrade.LOOK_S", 0.004)
+    monkeypatch.setattr("hot_restart_rig.LOOK_S", 0.004)
+    for at in range(1, CALLS_MOST, span):
+        (tmp_path / str(at)).mkdir()
+        files = FailingCalls(fault, at, span)
+        ends = story(tmp_path / str(at), files)
+        if ends is not None:
+            later, found, kept = ends
+            owed = ["s0"] + ["s1"] * later  # the first was tried again until it stood
+            assert set(owed) <= set(found) and set(owed) <= set(kept), (at, ends)
+        if files.count < at:
+            break
+    else:
+        raise AssertionError("the story makes more calls than were failed")
+    assert at > 50  # guards against a seam that nothing goes through
+
+
+WRITER = """
+import os, signal, sys
+from dykefold.control.board import Files
+from dykefold.control.files import FileSystem
+at, before = int(sys.argv[2]), sys.argv[3] == "before"
+class Killing(FileSystem):
+    count = 0
+def killing(name):
+    def call(self, *values):
+        Killing.count += 1
+        if before and Killing.count == at: os.kill(os.getpid(), signal.SIGKILL)
+        found = getattr(FileSystem, name)(self, *values)
+        if Killing.count == at: os.kill(os.getpid(), signal.SIGKILL)
+        return found
+    return call
+for name in ("open", "write", "fsync", "close", "rename", "flock", "listdir", "mkdir"):
+    setattr(Killing, name, killing(name))
+board = Files(sys.argv[1], Killing())
+board.hold("sign-1-a")
+for number in range(2):
+    if board.write("maintenance-1-a", {"number": number}, durable=True): print(number, flush=True)
+"""
+
+
+@pytest.mark.parametrize("moment", ["before", "after"])
+def test_a_kill_at_any_file_call_leaves_a_whole_record_and_nothing_half_written(tmp_path, moment):
+    for at in range(1, 60):
+        folder = tmp_path / str(at)
+        folder.mkdir()
+        done = subprocess.run(
+            [sys.executable, "-c", WRITER, str(folder), str(at), moment], capture_output=True, timeout=30
+        )
+        said = [int(line) for line in done.stdout.split()]
+        if (folder / "dykefold").exists():
+            word = Files(str(folder)).read("maintenance-1-a")
+            assert not said or word["number"] >= said[-1]
+            assert not [name for name in os.listdir(folder / "dykefold") if name.startswith(".")]
+        if done.returncode == 0:
+            break
+        assert done.returncode == -signal.SIGKILL
+    assert said == [0, 1] and at > 15
+
+
+def test_only_what_processes_that_are_gone_left_is_swept(tmp_path):
+    one = Files(str(tmp_path))
+    assert one.hold("sign-1-a")
+    folder = tmp_path / "dykefold"
+    lives, by_number = f".sign-1-a.{os.getpid()}", f".sign-2-b.{os.getppid()}"
+    gone, foreign = f".state-3-c.{os.getpid()}", ".profile"
+    for name in (lives, by_number, gone, foreign, "sign-4-d.lock"):
+        (folder / name).touch()
+    Files(str(tmp_path))
+    assert sorted(os.listdir(folder)) == sorted([lives, by_number, foreign, "sign-1-a.lock"])
+
+
+def test_what_is_foreign_is_one_log_line_and_blocks_nothing(tmp_path, caplog):
+    board = Files(str(tmp_path))
+    folder = tmp_path / "dykefold"
+    os.mkfifo(folder / "sign-pipe.json")
+    (folder / "sign-folder.json").mkdir()
+    (folder / "sign-loop.json").symlink_to(folder / "sign-loop.json")
+    (folder / "sign-empty.json").touch()
+    (folder / "sign-half.json").write_text(json.dumps({"version": 1, "name": "x" * 100})[:50])
+    with caplog.at_level(logging.WARNING):
+        for _ in range(3):
+            assert board.read_all("sign-") == {}
+    assert len(caplog.records) == 5
+
+
+def test_two_changes_with_one_time_of_the_folder_are_two(tmp_path):
+    now_ns = [0]
+    board = Files(str(tmp_path), monotonic_ns=lambda: now_ns[0])
+    other = Files(str(tmp_path))
+    assert other.write("sign-a", {"n": 1})
+    board.read_all("sign-")
+    seen = os.stat(tmp_path / "dykefold")
+    assert other.write("sign-a", {"n": 2})
+    os.utime(tmp_path / "dykefold", ns=(seen.st_atime_ns, seen.st_mtime_ns))  # as within one tick
+    board.state = board._look()  # ... the time of the last change of its data too
+    assert board.changed() and board.read_all("sign-")["sign-a"]["n"] == 2
+
+
+def test_an_order_where_the_folder_can_not_be_used_from_the_start_is_not_said_to_be_kept(tmp_path):
+    engine = Engine(Machine())
+    (tmp_path / "dykefold").touch()
+    presence = Presence(None, engine, ("127.0.0.1", 0), str(tmp_path))
+    assert presence.upgrade is None
+    operator = presence.operator()
+    out, back = (operator.carry_out(Call(action, "s0")) for action in (Action.OUT, Action.BACK))
+    assert out.code == 500 and "newer process would not know" in out.text
+    assert back.code == 200 and engine.pool.maintenance.out() == []  # nothing stands anywhere that it is out
