--- a/dykefold/net/pool.py
+++ b/dykefold/net/pool.py
@@ -178,9 +178,10 @@
 
     def compose(self) -> bytes:
         """The message; where its connection came up late its server is told the time that is left now."""
-        now = self.held.pool.now()
-        if self.until_ns and now - self.sent_ns >= MS:
-            self.tell(self.until_ns - now)
+        pool = self.held.pool
+        now = pool.now()
+        if now - self.sent_ns >= MS:
+            self.tell(self.until_ns - now if self.until_ns else pool.flow_time_ns(self.held.call, now))
         return self.payload
 
     def tell(self, left_ns: int) -> None:
@@ -611,11 +612,11 @@
             return
         attempt.until_ns = 0 if flows else now + wait
         # Of a body that flows the time begins with its last byte, which its server gets later than this.
-        attempt.tell(self._flow_time_ns(held.call, now) if flows else wait)
+        attempt.tell(self.flow_time_ns(held.call, now) if flows else wait)
         self.upstreams.start(action.server, attempt, wait / SECOND)
 
     @staticmethod
-    def _flow_time_ns(call: Call, now: int) -> int:
+    def flow_time_ns(call: Call, now: int) -> int:
         """What the server of a body that flows is told: never more than is left since its head was read.
 
         The client's time begins with its last byte, which may have come already and wait to be read.
