--- /dev/null
+++ b/tests/balancer/test_golden_actions.py
@@ -0,0 +1,88 @@
+"""What the balancer decides is what it decided: hashes of all actions, and a snapshot, of an earlier version.
+
+`python -m benchmarks.replay --golden` plays the whole set; this file plays the part that fits a test run.
+"""
+
+import json
+from collections import Counter
+from pathlib import Path
+
+import pytest
+
+from dykefold import interface as api
+from dykefold.control.estimates import restore, snapshot
+from dykefold.net.discovery import Names
+from standins.decision_world import PROFILES, ZONES, DecisionWorld, play
+
+HERE = Path(__file__).parent
+GOLDEN = json.loads((HERE / "golden_actions.json").read_text())
+SEEDS = 2
+SNAPSHOT = HERE / "golden_snapshot.json"
+SNAPSHOT_EVENTS = 1_500
+SNAPSHOT_WORLDS = [("tenants", 3), ("probing", 1), ("view", 5)]
+ENDS = {status.name for status in api.Status}
+NEVER_TAKEN = {"CloseIdle", "Fetch"}
+
+
+@pytest.fixture(scope="module")
+def played():
+    return {
+        f"{profile} {seed}": play(profile, seed, GOLDEN["events"])
+        for profile in PROFILES
+        for seed in range(SEEDS)
+    }
+
+
+def test_the_same_events_give_the_same_actions_and_random_draws(played):
+    assert {name: digest for name, (digest, _, _) in played.items()} == {
+        name: GOLDEN["worlds"][name] for name in played
+    }
+
+
+def test_every_kind_of_event_end_and_action_is_in_the_set(played):
+    events = sum((counts for _, counts, _ in played.values()), Counter())
+    actions = sum((counts for _, _, counts in played.values()), Counter())
+    kinds = {name.split()[0] for name in events}
+    assert kinds == {kind.__name__ for kind in api.Event.__args__}
+    assert {name.split()[1] for name in events if name.startswith("Outcome")} == ENDS
+    assert {name.split()[1] for name in events if name.startswith("Membership")} == {
+        k.name for k in api.ListKind
+    }
+    assert set(actions) == {kind.__name__ for kind in api.Action.__args__} - NEVER_TAKEN
+    assert events["Request retry"] and events["Request first"]
+
+
+def world_with_names(profile, seed):
+    """The world of a snapshot played to its end, and names for all its numbers."""
+    world = DecisionWorld(profile, seed)
+    world.play(SNAPSHOT_EVENTS)
+    names = Names(list(ZONES), ["small", "large"])
+    names.servers = {f"s{number}": number for number in world.speed}
+    return world, names
+
+
+def golden_snapshot(profile, seed):
+    return json.loads(SNAPSHOT.read_text())[f"{profile} {seed}"]
+
+
+def as_text(values):
+    return json.dumps(values, indent=1)
+
+
+@pytest.mark.parametrize(("profile", "seed"), SNAPSHOT_WORLDS)
+def test_a_snapshot_has_the_keys_and_values_of_the_earlier_version(profile, seed):
+    world, names = world_with_names(profile, seed)
+    assert as_text(snapshot(world.balancer, names)) == as_text(golden_snapshot(profile, seed))
+
+
+@pytest.mark.parametrize(("profile", "seed"), SNAPSHOT_WORLDS)
+def test_a_snapshot_of_the_earlier_version_is_read_whole(profile, seed):
+    world, names = world_with_names(profile, seed)
+    fresh = DecisionWorld(profile, seed).balancer
+    entries = [
+        api.Endpoint(server.id, server.zone, server.kind, server.cell, api.State.READY, 1.0, server.started)
+        for server in world.balancer.servers.values()
+    ]
+    fresh.handle(world.now, api.Membership(api.ListKind.FULL, 1, entries))
+    assert restore(fresh, names, golden_snapshot(profile, seed))
+    assert as_text(snapshot(fresh, names)) == as_text(golden_snapshot(profile, seed))
