--- a/dykefold/balancer/endpoints.py
+++ b/dykefold/balancer/endpoints.py
@@ -28,6 +28,7 @@
         sampled: whether it is in the own subset.
         ready: whether the list says that it takes requests.
         started_ns: when it started, by the list; 0: long ago.
+        ramp_from_ns: from when its slow start counts.
         relative_latency: smoothed; 1.0 before any answer, also for one that warms up, which is protected by
             slow start.
         samples: results taken into `relative_latency`.
@@ -42,6 +43,7 @@
         probation_ns: from when on one request may probe it while ejected.
         probation_pending: whether that request is in flight.
         slow_start_tokens: requests that it may be sent while it warms up, as of `slow_start_ns`.
+        slow_start_room: requests until the ceiling that no answers raise, as of then too.
     """
 
     __slots__ = (
@@ -62,6 +64,7 @@
         "lost",
         "probation_ns",
         "probation_pending",
+        "ramp_from_ns",
         "rank",
         "ready",
         "relative_latency",
@@ -69,6 +72,7 @@
         "sampled",
         "samples",
         "slow_start_ns",
+        "slow_start_room",
         "slow_start_tokens",
         "started_ns",
         "zone",
@@ -91,6 +95,7 @@
         self.cell = entry.cell
         self.ready = entry.state is State.READY
         self.started_ns = entry.started_ns
+        self.ramp_from_ns = entry.ramp_from_ns or entry.started_ns
         self.relative_latency = 1.0
         self.samples = 0
         self.last_sample_ns = 0
@@ -105,6 +110,7 @@
         self.probation_ns = 0
         self.probation_pending = False
         self.slow_start_tokens = 0.0
+        self.slow_start_room = 0.0
         self.slow_start_ns = 0
 
     def expected_responses(self) -> int:
--- a/dykefold/balancer/events.py
+++ b/dykefold/balancer/events.py
@@ -55,7 +55,8 @@
         cell: group of endpoints that know each other's idempotency keys.
         state: whether it takes requests.
         weight: capacity against others, where settings say that weights mean anything.
-        started_ns: when it started; 0: long ago.
+        started_ns: when it started; 0: long ago. Another value is another start.
+        ramp_from_ns: from when its slow start counts; 0: from `started_ns`, which is of the same clock.
     """
 
     server: int
@@ -65,6 +66,7 @@
     state: State
     weight: float = 1.0
     started_ns: int = 0
+    ramp_from_ns: int = 0
 
 
 @dataclass(slots=True)
--- a/standins/decision_world.py
+++ b/standins/decision_world.py
@@ -28,6 +28,7 @@
 SECOND = 1_000 * MS
 HOUR = 3_600 * SECOND
 START = 1_000 * SECOND
+OTHER_CLOCK = 1_700_000_000 * SECOND
 ZONES = ("a", "b", "c")
 ODD_LOADS = (float("nan"), float("inf"), -1.0)
 FAULTS = (Status.ERROR, Status.FULL, Status.TIMEOUT, Status.CONNECT_FAILED, Status.RESET, Status.MOOT)
@@ -49,6 +50,9 @@
         fleet_view: whether the balancer is told of the other sidecars.
         retunes: whether settings change on the way.
         long_gaps: whether hours and days pass without a request.
+        peer_ms: mean time between messages of peers.
+        shifting_timeouts: whether clients change now and then how long they wait.
+        other_clock: whether starts are told on another clock than the balancer's.
     """
 
     settings: Mapping[str, Any] = field(default_factory=dict)
@@ -62,9 +66,13 @@
     fleet_view: bool = False
     retunes: bool = False
     long_gaps: bool = False
+    peer_ms: float = 300.0
+    shifting_timeouts: bool = False
+    other_clock: bool = False
 
 
 LOADS = {"can_probe": True, "report_columns": ("eps", "inflight"), "price_probe": 1e-6}
+TENANTS = [Tenant("t0", 0.4, 15.0), Tenant("t1", 0.4, 15.0), Tenant("t2", 0.2, 0.0)]
 PROFILES: dict[str, Profile] = {
     "plain": Profile(),
     "ticks": Profile(tick_ms=5, rate=120.0),
@@ -86,7 +94,7 @@
     "overload": Profile({"goal_worst_class": 0.2}, servers=4, rate=150.0, slots=2, fault_rate=0.1),
     "tenants": Profile(
         {
-            "tenants": [Tenant("t0", 0.4, 15.0), Tenant("t1", 0.4, 15.0), Tenant("t2", 0.2, 0.0)],
+            "tenants": TENANTS,
             "can_tell": True,
             "fleet_size": 3,
             "over_share_worth": 0.1,
@@ -94,6 +102,23 @@
         rate=80.0,
         slots=2,
     ),
+    "tenants alone": Profile(
+        {"tenants": TENANTS, "fleet_size": 50, "over_share_worth": 0.1}, servers=4, rate=150.0, slots=1
+    ),
+    "tenants of slow peers": Profile(
+        {"tenants": TENANTS, "can_tell": True, "fleet_size": 3, "over_share_worth": 0.1},
+        servers=3,
+        rate=40.0,
+        slots=1,
+        service_ms=90.0,
+        peer_ms=4_000.0,
+    ),
+    "burst": Profile(servers=2, rate=500.0, service_ms=200.0, slots=8, fault_rate=0.01),
+    "late": Profile({"max_attempts": 6, "retry_after": True}, service_ms=500.0, slots=20, fault_rate=0.5),
+    "rare and slow": Profile({"fleet_size": 1000}, servers=30, rate=0.8, service_ms=2_500.0, fault_rate=0.2),
+    "shifting timeouts": Profile(servers=4, rate=150.0, slots=2, shifting_timeouts=True),
+    "registry down": Profile({"must_ask": True, "must_ask_in_ns": SECOND}, rate=4.0, long_gaps=True),
+    "other clock": Profile({"fleet_size": 12}, servers=20, rate=80.0, other_clock=True),
     "streams": Profile({"can_cancel": True}, streams=0.5),
     "view": Profile({"fleet_size": 12}, servers=20, fleet_view=True, fault_rate=0.12),
     "faults": Profile({"max_attempts": 5, "second_copies": True, "can_cancel": True}, fault_rate=0.35),
@@ -201,7 +226,10 @@
 
     def entry(self, server: int, state: State, started: int) -> api.Endpoint:
         """What the list says of an endpoint: zone, kind and cell follow from its number."""
-        return api.Endpoint(server, server % 3, server % 2, server // 3 % 4, state, 1.0, started)
+        place = server % 3, server % 2, server // 3 % 4
+        if self.profile.other_clock and started:
+            return api.Endpoint(server, *place, state, 1.0, started + OTHER_CLOCK, started)
+        return api.Endpoint(server, *place, state, 1.0, started)
 
     def later(self, when: int, made: Made) -> None:
         """Have an event made at that time, or None where it has no object any more."""
@@ -330,6 +358,8 @@
         usable = [n for n in range(len(self.config.classes)) if n not in self.retired]
         cls = rng.choice(usable)
         length = self.config.classes[cls].deadline_ns
+        if profile.shifting_timeouts and self.now // (2 * SECOND) % 2:
+            length //= 2
         if rng.random() < 0.1:
             length = int(length * rng.uniform(-0.05, 1.2))
         tenant = min(rng.randrange(4), 2) if self.config.tenants else 0
@@ -388,7 +418,9 @@
         for server in rng.sample(sorted(self.speed), max(1, len(self.listed) // 8)):
             draw = rng.random()
             known = self.listed.get(server)
-            state, started = State.READY, known.started_ns if known else self.now
+            state, started = State.READY, self.now
+            if known:
+                started = known.ramp_from_ns or known.started_ns
             if draw < 0.15:
                 state = State.GONE
             elif draw < 0.3:
@@ -428,7 +460,7 @@
 
     def peer_message(self) -> api.Event:
         """A peer tells its rates; now and then what no peer of ours would."""
-        self.later(self.now + self.exponential(300), self.peer_message)
+        self.later(self.now + self.exponential(self.profile.peer_ms), self.peer_message)
         data = struct.pack("<3I", *(self.rng.randrange(0, 64 * 30) for _ in range(3)))
         if self.rng.random() < 0.1:
             data = data[: self.rng.randrange(len(data))]
