--- /dev/null
+++ b/tests/balancer/test_concerns.py
@@ -0,0 +1,278 @@
+"""One table for each concern of the balancer: what its module answers by itself."""
+
+import math
+import random
+
+import pytest
+from helpers import MS, SECOND, START, endpoint, make, request, settings
+
+from dykefold import Balancer
+from dykefold.balancer import congestion, outlier_detection, poll_schedule, quotas, retry_policy, slow_start
+from dykefold.balancer.endpoints import EndpointState
+from dykefold.balancer.picker import random_below
+from dykefold.balancer.requests import PendingRequest
+from dykefold.balancer.timers import OVERDUE, POLL, RETRY
+from dykefold.interface import (
+    Effect,
+    Fleet,
+    ListKind,
+    Membership,
+    PeerMessage,
+    SetTimer,
+    Tell,
+    Tenant,
+    Watch,
+)
+
+
+def fresh(**more):
+    balancer = Balancer(settings(**more), 1)
+    balancer.context.now_ns = START
+    return balancer
+
+
+def pending(balancer, length=2 * SECOND):
+    context = balancer.context
+    return PendingRequest(request(1, context.now_ns, length), context.classes[0], 3, context.now_ns)
+
+
+@pytest.mark.parametrize(
+    ("started_ago", "ramp"),
+    [(None, 1.0), (0, 0.2), (-SECOND, 0.2), (5 * SECOND, 0.6), (10 * SECOND, 1.0), (60 * SECOND, 1.0)],
+)
+def test_the_ramp_of_slow_start_is_linear_and_ends(started_ago, ramp):
+    balancer = fresh(start_capacity=0.2, warm_within_ns=10 * SECOND)
+    started = 0 if started_ago is None else START - started_ago
+    assert balancer.slow_start.ramp(EndpointState(endpoint(1, started=started), 0.5)) == pytest.approx(ramp)
+
+
+def test_a_warm_endpoint_costs_no_tokens_and_a_cold_one_is_credited_for_its_answers():
+    balancer = fresh()
+    warm, cold = EndpointState(endpoint(1), 0.5), EndpointState(endpoint(2, started=START), 0.5)
+    stats = balancer.context.classes[0]
+    for one in (warm, cold):
+        balancer.slow_start.charge(one, stats)
+        balancer.slow_start.credit(one, stats)
+    assert warm.slow_start_tokens == 0.0
+    assert cold.slow_start_ns == START
+    assert -1.0 < cold.slow_start_tokens - slow_start.TOKENS_PER_ANSWER < 0.0
+
+
+@pytest.mark.parametrize("retries", [0, 1, 3, 6, 20])
+def test_backoff_is_a_drawn_part_of_the_time_left_that_doubles_up_to_a_quarter(retries):
+    ceiling = min(retry_policy.MAX_BACKOFF, retry_policy.BACKOFF_BASE * 2**retries)
+    delays = []
+    for seed in range(200):
+        balancer = Balancer(settings(tick_ns=0), seed)
+        balancer.context.now_ns = START
+        req = pending(balancer)
+        req.retries, req.written = retries, True
+        balancer.answers.pending[1] = req
+        balancer.retries.plan(req)
+        (due, kind, ident, _) = balancer.timers.heap[0]
+        assert (kind, ident, req.retries, req.retry_planned) == (RETRY, 1, retries + 1, True)
+        delays.append((due - START) / (2 * SECOND))
+    assert retry_policy.MIN_BACKOFF <= min(delays) < retry_policy.MIN_BACKOFF + 0.1 * ceiling
+    assert 0.8 * ceiling < max(delays) <= ceiling
+
+
+@pytest.mark.parametrize("spent", [0, 1, 5])
+def test_the_retry_budget_grows_by_a_tenth_a_request_up_to_its_reserve(spent):
+    balancer = fresh()
+    balancer.retries.budget -= spent
+    before = balancer.retries.budget
+    balancer.retries.count_request()
+    reserve = retry_policy.BUDGET_PER_REQUEST * retry_policy.BUDGET_RESERVE_S
+    assert balancer.retries.budget == min(before + retry_policy.BUDGET_PER_REQUEST, reserve)
+
+
+@pytest.mark.parametrize(
+    ("score", "max_ejected", "ejected"),
+    [(1.9, 1.0, False), (2.0, 1.0, True), (5.0, 0.1, False), (2.0, 0.17, True)],
+)
+def test_an_endpoint_is_ejected_by_its_score_within_the_part_that_may_be(score, max_ejected, ejected):
+    balancer, _ = make(servers=6)
+    one = balancer.endpoints.all[100]
+    balancer.outliers.record_failure(one, score, max_ejected)
+    assert one.ejected is ejected
+    assert balancer.endpoints.ejected == [one] * ejected
+
+
+@pytest.mark.parametrize("failures", [1, 2, 3, 4, 9])
+def test_each_failed_probation_doubles_the_wait_up_to_eight_times(failures):
+    balancer, now = make(servers=6)
+    one = balancer.endpoints.all[100]
+    for _ in range(failures):
+        balancer.outliers.record_failure(one, 2.0, 1.0)
+    factor = min(outlier_detection.EJECTION_GROWTH ** (failures - 1), outlier_detection.MAX_EJECTION_TIME)
+    wait = (one.probation_ns - now) / (2 * SECOND) / factor
+    assert 1.0 - outlier_detection.EJECTION_JITTER <= wait <= 1.0 + outlier_detection.EJECTION_JITTER
+
+
+@pytest.mark.parametrize(
+    ("values", "level"),
+    [([], congestion.PRIOR), ([1.0], 0.8), ([100.0], 1.8), ([2.0] * 98, 1.974)],
+)
+def test_the_congestion_signal_is_a_mean_with_its_prior(values, level):
+    balancer = fresh()
+    for value in values:
+        balancer.congestion.add(value, START)
+    balancer.congestion.fade()
+    assert balancer.congestion.level == pytest.approx(level, abs=0.001)
+
+
+def test_attempts_sent_before_a_cut_do_not_count_as_congestion():
+    balancer = fresh()
+    balancer.congestion.restart()
+    balancer.congestion.add(4.0, START - 1)
+    assert balancer.congestion.weight == 0.0
+
+
+@pytest.mark.parametrize(("elapsed", "known"), [(0, 1.0), (240 * MS, 0.9), (20 * SECOND, 0.0)])
+def test_what_was_seen_fades_to_the_prior(elapsed, known):
+    balancer = fresh()
+    balancer.congestion.add(4.0, START)
+    balancer.context.now_ns += elapsed
+    balancer.congestion.fade()
+    assert balancer.congestion.weight == pytest.approx(known, abs=0.1)
+
+
+TENANTS = [Tenant("a", 0.5, 10.0), Tenant("b", 0.5, 10.0), Tenant("c", 0.5, 0.0)]
+
+
+@pytest.mark.parametrize(
+    ("own", "peers", "over"),
+    [
+        ([5.0, 5.0, 50.0], [[4.0, 4.0, 0.0]], [0.0, 0.0, 0.0]),  # no quota, never over it
+        ([20.0, 5.0, 0.0], [[20.0, 0.0, 0.0]], [0.75, 0.0, 0.0]),
+        ([26.0, 10.0, 0.0], [], [0.5, 0.0, 0.0]),  # unheard peers: the middle tenant is the measure
+    ],
+)
+def test_quotas_hold_over_all_sidecars_or_by_the_middle_tenant(own, peers, over):
+    balancer = fresh(tenants=TENANTS, fleet_size=2, can_tell=True)
+    state = balancer.quotas
+    for rates in peers:
+        steps = [int(rate * quotas.RATE_UNIT) for rate in rates]
+        state.on_peer(PeerMessage(1, state.message.pack(*steps)))
+    state.rates, state.judged_ns = own, START - 10 * SECOND
+    state.counts = [rate * 10 for rate in own]
+    state.counts[0] -= 1.0  # the one that is counted now
+    state.count_request(0)
+    assert state.over_quota == pytest.approx(over)
+    (message,) = [action for action in balancer.context.actions if isinstance(action, Tell)]
+    assert state.message.unpack(message.data) == tuple(int(rate * quotas.RATE_UNIT) for rate in state.rates)
+
+
+@pytest.mark.parametrize(("sender", "size"), [(1, 11), (1, 13), (1, 0), (7, 12)])
+def test_messages_that_no_peer_sends_are_skipped(sender, size):
+    balancer = fresh(tenants=TENANTS, fleet_size=2)
+    balancer.quotas.on_peer(PeerMessage(sender, bytes(size)))
+    assert not balancer.quotas.peer_rates
+
+
+@pytest.mark.parametrize(
+    ("left", "is_retry", "votes", "value"),
+    [
+        (2_000, False, 10, 1.0),
+        (1_000, False, 10, 0.2),  # a second old: it cannot come in time
+        (1_000, False, 0, 1.0),  # but what clients wait is not known
+        (1_000, True, 0, 1.0),
+        (60, False, 0, 0.2),  # hardly enough time left for an answer
+    ],
+)
+def test_a_short_timeout_tells_that_a_request_is_old(left, is_retry, votes, value):
+    balancer = fresh()
+    stats = balancer.context.classes[0]
+    stats.first_timeout_ns, stats.first_timeout_votes = 2 * SECOND, votes
+    stats.typical_latency_ns = 125.0 * MS
+    req = pending(balancer, left * MS)
+    event = request(1, START, left * MS)
+    event.is_retry = is_retry
+    assert balancer.request_value.of(event, req) == pytest.approx(value)
+
+
+@pytest.mark.parametrize("failures", [1, 2, 3, 8])
+def test_polls_back_off_while_they_fail_and_stop_once_the_registry_answers(failures):
+    balancer = fresh(must_ask=True, must_ask_in_ns=10 * SECOND)
+    for _ in range(failures):
+        balancer.timers.heap.clear()
+        balancer.polls.on_failure()
+    (due, kind, *_) = balancer.timers.heap[0]
+    longest = min(10.0 * 0.05 * 2 ** (failures - 1), 10.0 * 0.4, poll_schedule.MAX_DELAY_S) * SECOND
+    assert kind == POLL and 0.1 * longest <= due - START <= longest + 1
+    balancer.polls.on_timer()
+    assert balancer.context.actions == [Watch(True)]
+    balancer.polls.on_list()
+    balancer.polls.on_timer()
+    assert balancer.context.actions == [Watch(True)] and balancer.polls.failures == 0
+
+
+@pytest.mark.parametrize(
+    ("fleet_size", "demand", "near", "far", "sees_little"),
+    [
+        (1, 0.0, 30, 30, False),
+        (6, 0.0, 30, 25, False),  # five sixths of the others, so that about five sidecars see each
+        (50, 0.0, 30, 3, False),
+        (300, 4.0, 8, 8, True),  # requests of two seconds
+        (300, 1_000.0, 30, 30, False),
+    ],
+)
+def test_the_subset_follows_demand_and_the_number_of_sidecars(fleet_size, demand, near, far, sees_little):
+    balancer = fresh(fleet_size=fleet_size)
+    balancer.endpoints.demand = demand
+    balancer.handle(START, Membership(ListKind.FULL, 1, [endpoint(n, n % 2) for n in range(60)]))
+    found = balancer.endpoints
+    assert (len(found.near), len(found.far), found.sees_little) == (near, far, sees_little)
+    assert len(found.rest) == 60 - near - far
+    assert all(one.sampled is (one not in found.rest) for one in found.all.values())
+
+
+def test_a_fleet_view_counts_for_more_than_the_settings():
+    balancer = fresh(fleet_size=4)
+    assert balancer.context.sidecar_count() == 4
+    balancer.handle(START, Fleet(9, {}))
+    assert balancer.context.sidecar_count() == 9
+
+
+def test_only_the_earliest_timer_is_armed_and_what_is_due_comes_in_order():
+    balancer = fresh()
+    timers = balancer.timers
+    for due, kind in ((START + 30, OVERDUE), (START + 10, RETRY), (START + 20, POLL)):
+        timers.add(due, kind, 1)
+        timers.arm()
+    assert balancer.context.actions == [SetTimer(30, 1), SetTimer(10, 2)]
+    timers.rang(1)  # of a timer that was replaced
+    timers.arm()
+    assert len(balancer.context.actions) == 2
+    balancer.context.now_ns += 20
+    assert [timers.next_due()[1], timers.next_due()[1], timers.next_due()] == [RETRY, POLL, None]
+
+
+@pytest.mark.parametrize("count", [1, 2, 3, 7, 8, 100])
+def test_a_number_below_is_drawn_as_the_standard_library_draws_it(count):
+    ours, theirs = random.Random(5), random.Random(5)
+    assert [random_below(ours, count) for _ in range(50)] == [theirs.randrange(count) for _ in range(50)]
+
+
+@pytest.mark.parametrize(
+    ("report", "load"),
+    [((3.0, 7.0), 7.0), ((3.0,), 0.0), ((), 0.0), ((0.0, math.nan), 0.0), ((0.0, -1.0), 0.0)],
+)
+def test_a_load_report_is_read_by_its_column_or_ignored(report, load):
+    balancer, _ = make(servers=2, report_columns=("eps", "inflight"))
+    one = balancer.endpoints.all[100]
+    balancer.load_reports.record(one, report)
+    assert one.reported_load == load
+    assert balancer.endpoints.group(one).reports == (load > 0.0)
+
+
+@pytest.mark.parametrize(
+    ("effect", "relative", "limit", "admitted"),
+    [(Effect.SAFE, 1.0, 3.0, True), (Effect.SAFE, 1.0, 2.0, False), (Effect.UNSAFE, 0.5, 5.0, False)],
+)
+def test_a_request_is_admitted_while_its_part_of_the_limit_has_room(effect, relative, limit, admitted):
+    balancer, now = make(servers=2, effect=effect)
+    state = balancer.limit
+    state.limit, state.corrected_ns, state.in_flight = limit, now, 2
+    assert state.admit(pending(balancer), relative) is admitted
+    assert state.rejected_ns == (0 if admitted else now)
