--- a/dykefold/balancer/attempt_results.py
+++ b/dykefold/balancer/attempt_results.py
@@ -40,6 +40,7 @@
         outliers: OutlierDetector,
         lost: LostAttempts,
     ) -> None:
+        """Learn into the state of these parts."""
         self.context = context
         self.endpoints = endpoints
         self.latency = latency
--- a/dykefold/balancer/attempt_rules.py
+++ b/dykefold/balancer/attempt_rules.py
@@ -13,6 +13,7 @@
     """Every attempt passes `may_send`, every rejection `may_reject`."""
 
     def __init__(self, context: BalancerContext, slow_start: SlowStart) -> None:
+        """Go by the settings of the context, and by slow start."""
         self.context = context
         self.slow_start = slow_start
 
--- a/dykefold/balancer/attempts.py
+++ b/dykefold/balancer/attempts.py
@@ -23,6 +23,7 @@
         limit: ConcurrencyLimit,
         slow_start: SlowStart,
     ) -> None:
+        """Account in these parts for what is sent."""
         self.context = context
         self.timers = timers
         self.latency = latency
--- a/dykefold/balancer/balancer.py
+++ b/dykefold/balancer/balancer.py
@@ -27,7 +27,7 @@
 from .lost_attempts import LostAttempts
 from .membership import EndpointListUpdater
 from .outlier_detection import OutlierDetector
-from .picker import Picker
+from .picker import CANDIDATES, Picker
 from .poll_schedule import PollSchedule
 from .quotas import Quotas
 from .request_value import RequestValue
@@ -151,7 +151,7 @@
     def _probe(self, req: PendingRequest) -> None:
         """Ask two endpoints for their load before the request is sent to one of them."""
         candidates = [endpoint for endpoint, _ in self.picker.candidates(req, ())]
-        if len(candidates) < 2:
+        if len(candidates) < CANDIDATES:
             self.retries.retry(req)
             return
         wait = self.load_reports.ask(req, candidates)
@@ -322,11 +322,6 @@
         """Own attempts that wait for a response, but for those at ejected endpoints."""
         return self.limit.in_flight
 
-    @property
-    def random(self) -> Any:
-        """The source of all random draws."""
-        return self.context.random
-
     def regroup(self) -> None:
         """Rebuild the lists of endpoints after their state was set from outside."""
         self.endpoints.rebuild()
--- a/dykefold/balancer/concurrency_limit.py
+++ b/dykefold/balancer/concurrency_limit.py
@@ -50,6 +50,7 @@
         congestion: CongestionSignal,
         quotas: Quotas,
     ) -> None:
+        """Begin without a limit, until the first correction."""
         self.context = context
         self.endpoints = endpoints
         self.congestion = congestion
--- a/dykefold/balancer/context.py
+++ b/dykefold/balancer/context.py
@@ -41,6 +41,7 @@
     )
 
     def __init__(self, settings: Settings, seed: int) -> None:
+        """Begin at time 0 with nothing known of any class."""
         self.random = random.Random(seed)
         self.now_ns = 0
         self.actions: list[Action] = []
--- a/dykefold/balancer/endpoints.py
+++ b/dykefold/balancer/endpoints.py
@@ -79,6 +79,7 @@
     )
 
     def __init__(self, entry: Endpoint, rank: float) -> None:
+        """Begin with nothing learnt of an endpoint that the list gives."""
         self.id = entry.server
         self.rank = rank
         self.in_flight: dict[AttemptKey, InFlightAttempt] = {}
@@ -136,6 +137,7 @@
     __slots__ = ("latency_per_request", "log_weight", "mean_load", "relative_latency", "reports", "samples")
 
     def __init__(self) -> None:
+        """Begin with nothing learnt."""
         self.relative_latency = 1.0
         self.samples = 0
         self.mean_load = 0.0
@@ -170,6 +172,7 @@
     )
 
     def __init__(self, spec: RequestClass) -> None:
+        """Begin with a guess by the latency objective."""
         self.spec = spec
         self.mean_latency_ns = spec.objective_ns * UNKNOWN_LATENCY
         self.latency_deviation_ns = self.mean_latency_ns / 2
--- a/dykefold/balancer/hedging.py
+++ b/dykefold/balancer/hedging.py
@@ -32,6 +32,7 @@
         retries: RetryPolicy,
         lost: LostAttempts,
     ) -> None:
+        """Judge by these parts."""
         self.context = context
         self.timers = timers
         self.congestion = congestion
--- a/dykefold/balancer/latency.py
+++ b/dykefold/balancer/latency.py
@@ -34,6 +34,7 @@
         throughput: Throughput,
         group_weights: GroupWeights,
     ) -> None:
+        """Keep the estimates of these endpoints."""
         self.context = context
         self.endpoints = endpoints
         self.throughput = throughput
@@ -58,13 +59,14 @@
             load = len(endpoint.in_flight) + 1
             delay = load * self.relative_latency(endpoint) * stats.mean_latency_ns
         stale = 1.0 - 0.5 ** ((now - known_ns) / (STALE_AFTER * shortest))
-        return delay * context.random.expovariate(1.0) ** (stale / STALE_SHARPNESS)
+        factor: float = context.random.expovariate(1.0) ** (stale / STALE_SHARPNESS)
+        return delay * factor
 
     def _delay_by_report(self, endpoint: EndpointState, stats: ClassStats) -> float:
         """Estimate the delay by the load that the endpoint reported, aged towards its group's mean."""
         group = self.endpoints.group(endpoint)
         age = self.context.now_ns - endpoint.load_reported_ns
-        known = 0.5 ** (age / (REPORT_FRESH * self.context.shortest_ns))
+        known: float = 0.5 ** (age / (REPORT_FRESH * self.context.shortest_ns))
         load = group.mean_load + (endpoint.reported_load - group.mean_load) * known
         load = max(load, len(endpoint.in_flight))
         unit = endpoint.latency_per_request or group.latency_per_request
@@ -76,7 +78,8 @@
         mean = self.endpoints.group(endpoint).relative_latency if self.endpoints.sees_little else 1.0
         known = endpoint.relative_latency if endpoint.samples else mean
         age = (now - endpoint.last_sample_ns) / self.throughput.half_life_ns
-        latency = mean + (known - mean) * 0.5**age
+        aged: float = 0.5**age
+        latency = mean + (known - mean) * aged
         if endpoint.in_flight:
             first = next(iter(endpoint.in_flight.values()))
             waited = now - max(first.sent_ns, endpoint.last_alive_ns)
--- a/dykefold/balancer/load_reports.py
+++ b/dykefold/balancer/load_reports.py
@@ -28,6 +28,7 @@
     """
 
     def __init__(self, context: BalancerContext, endpoints: EndpointSet) -> None:
+        """Begin without reports."""
         self.context = context
         self.endpoints = endpoints
         self.column: int | None = None
--- a/dykefold/balancer/lost_attempts.py
+++ b/dykefold/balancer/lost_attempts.py
@@ -18,6 +18,7 @@
     """
 
     def __init__(self, context: BalancerContext, limit: ConcurrencyLimit) -> None:
+        """Take lost attempts out of what this limit counts."""
         self.context = context
         self.limit = limit
 
--- a/dykefold/balancer/membership.py
+++ b/dykefold/balancer/membership.py
@@ -22,6 +22,7 @@
         limit: ConcurrencyLimit,
         polls: PollSchedule,
     ) -> None:
+        """Update this set of endpoints."""
         self.context = context
         self.endpoints = endpoints
         self.limit = limit
--- a/dykefold/balancer/outlier_detection.py
+++ b/dykefold/balancer/outlier_detection.py
@@ -36,6 +36,15 @@
         rules: AttemptRules,
         on_ejected: Callable[[EndpointState], None],
     ) -> None:
+        """Begin with no endpoint ejected.
+
+        Args:
+            context: shared by all parts.
+            endpoints: whose state holds the scores.
+            limit: which does not count attempts at ejected endpoints.
+            rules: by which an ejected endpoint may be probed.
+            on_ejected: called with each endpoint that is ejected, after the lists are rebuilt.
+        """
         self.context = context
         self.endpoints = endpoints
         self.limit = limit
--- a/dykefold/balancer/picker.py
+++ b/dykefold/balancer/picker.py
@@ -14,6 +14,7 @@
 from .requests import PendingRequest
 from .subsetting import EndpointSet
 
+CANDIDATES = 2  # the power of two choices
 CROSSING_OBJECTIVES = 4.0  # latency objectives of delay for each point of price for a crossing of zones
 
 
@@ -37,6 +38,7 @@
         rules: AttemptRules,
         outliers: OutlierDetector,
     ) -> None:
+        """Pick from these endpoints."""
         self.context = context
         self.endpoints = endpoints
         self.latency = latency
@@ -98,7 +100,7 @@
         fit = [one for one in endpoints.near + endpoints.far if one not in tried and may_send(req, one)]
         if not fit:
             fit = [one for one in endpoints.rest if one not in tried and may_send(req, one)]
-        if len(fit) <= 2:
+        if len(fit) <= CANDIDATES:
             return fit
         own, represented = self.context.settings.zone, endpoints.represented
         weights = [math.exp(endpoints.group(one).log_weight) * represented[one.zone != own] for one in fit]
@@ -117,13 +119,13 @@
             return found
         source, may_send = self.context.random, self.rules.may_send
         at = random_below(source, size)
-        step = 1 + random_below(source, size - 1) if size > 2 else 1
+        step = 1 + random_below(source, size - 1) if size > CANDIDATES else 1
         for turn in range(size + 1):
             # The first two are a uniform pair; the walk over all beyond them only replaces unfit ones.
-            endpoint = group[(at + (turn * step if turn < 2 else turn - 1)) % size]
+            endpoint = group[(at + (turn * step if turn < CANDIDATES else turn - 1)) % size]
             if endpoint in found or endpoint in tried or not may_send(req, endpoint):
                 continue
             found.append(endpoint)
-            if len(found) == 2:
+            if len(found) == CANDIDATES:
                 break
         return found
--- a/dykefold/balancer/request_value.py
+++ b/dykefold/balancer/request_value.py
@@ -23,6 +23,7 @@
     """Judges requests by their age, which a client does not state but its timeout tells."""
 
     def __init__(self, context: BalancerContext) -> None:
+        """Go by the settings of the context."""
         self.context = context
 
     def of(self, event: Request, req: PendingRequest) -> float:
--- a/dykefold/balancer/requests.py
+++ b/dykefold/balancer/requests.py
@@ -55,6 +55,7 @@
     __slots__ = ("overtaken", "sent_ns", "stats")
 
     def __init__(self, sent_ns: int, stats: ClassStats) -> None:
+        """Begin with an attempt that nothing has overtaken."""
         self.sent_ns = sent_ns
         self.stats = stats
         self.overtaken = 0
@@ -101,6 +102,7 @@
     )
 
     def __init__(self, request: Request, stats: ClassStats, max_attempts: int, now_ns: int) -> None:
+        """Accept a request now."""
         self.id = request.id
         self.stats = stats
         self.max_attempts = max_attempts
--- a/dykefold/balancer/retry_policy.py
+++ b/dykefold/balancer/retry_policy.py
@@ -39,6 +39,7 @@
         sender: AttemptSender,
         answers: FinalAnswers,
     ) -> None:
+        """Begin with the reserve of one request a second."""
         self.context = context
         self.timers = timers
         self.throughput = throughput
--- a/dykefold/balancer/slow_start.py
+++ b/dykefold/balancer/slow_start.py
@@ -20,6 +20,7 @@
     """Keeps a token bucket in the state of each endpoint that warms up."""
 
     def __init__(self, context: BalancerContext, endpoints: EndpointSet, throughput: Throughput) -> None:
+        """Limit what is sent to these endpoints."""
         self.context = context
         self.endpoints = endpoints
         self.throughput = throughput
--- a/dykefold/balancer/throughput.py
+++ b/dykefold/balancer/throughput.py
@@ -16,6 +16,7 @@
     """
 
     def __init__(self, context: BalancerContext) -> None:
+        """Begin without answers."""
         self.context = context
         self.answers_per_s = 0.0
         self.updated_ns = 0
--- a/standins/decision_world.py
+++ b/standins/decision_world.py
@@ -511,7 +511,7 @@
             event = made()
             if event is not None:
                 self.feed(event)
-        self.hash.update(repr(self.balancer.random.getstate()).encode())
+        self.hash.update(repr(self.balancer.context.random.getstate()).encode())
         return self.hash.hexdigest()
 
 
--- a/tests/balancer/test_concerns.py
+++ b/tests/balancer/test_concerns.py
@@ -76,6 +76,18 @@
     assert 0.8 * ceiling < max(delays) <= ceiling
 
 
+@pytest.mark.parametrize(("left", "planned"), [(120 * MS, False), (140 * MS, True)])
+def test_no_retry_is_planned_that_leaves_less_than_a_quarter_of_the_mean_latency(left, planned):
+    balancer = fresh(tick_ns=0)
+    balancer.context.classes[0].mean_latency_ns = 500.0 * MS
+    req = pending(balancer, left)
+    req.written = True
+    balancer.answers.pending[1] = req
+    balancer.retries.plan(req)
+    assert req.retry_planned is planned
+    assert (1 in balancer.answers.pending) is planned
+
+
 @pytest.mark.parametrize("spent", [0, 1, 5])
 def test_the_retry_budget_grows_by_a_tenth_a_request_up_to_its_reserve(spent):
     balancer = fresh()
@@ -276,3 +288,12 @@
     state.limit, state.corrected_ns, state.in_flight = limit, now, 2
     assert state.admit(pending(balancer), relative) is admitted
     assert state.rejected_ns == (0 if admitted else now)
+
+
+def test_a_congested_sidecar_with_little_traffic_admits_a_fifth_to_notice_recovery():
+    balancer = fresh(fleet_size=300)
+    state = balancer.limit
+    state.limit, state.corrected_ns = 0.0, START
+    balancer.endpoints.demand, balancer.congestion.level = 1.0, 4.0
+    admitted = sum(state.admit(pending(balancer), 1.0) for _ in range(2_000))
+    assert 0.17 < admitted / 2_000 < 0.23
