--- a/tests/balancer/test_concerns.py
+++ b/tests/balancer/test_concerns.py
@@ -46,6 +46,23 @@
     assert balancer.slow_start.ramp(EndpointState(endpoint(1, started=started), 0.5)) == pytest.approx(ramp)
 
 
+def test_the_ramp_never_starts_at_nothing():
+    balancer = fresh(start_capacity=0.0)
+    cold = EndpointState(endpoint(1, started=START), 0.5)
+    assert balancer.slow_start.ramp(cold) == slow_start.MIN_RAMP == 0.01
+
+
+@pytest.mark.parametrize(("samples", "tokens"), [(0, 6.0), (20, 8.0), (30, 9.0), (1000, 9.0)])
+def test_answers_let_a_cold_endpoint_have_more_at_once_but_not_without_end(samples, tokens):
+    balancer = fresh(start_capacity=0.2, warm_within_ns=1000 * SECOND)
+    balancer.throughput.answers_per_s, balancer.throughput.updated_ns = 100.0, START
+    cold = EndpointState(endpoint(1, started=START), 0.5)
+    cold.samples, cold.slow_start_ns = samples, START - 10 * SECOND
+    balancer.slow_start.allows(cold, balancer.context.classes[0])
+    # A quarter of a second of 1.2 times a fifth of 100 a second, and a tenth of a request for each answer.
+    assert cold.slow_start_tokens == pytest.approx(tokens)
+
+
 def test_a_warm_endpoint_costs_no_tokens_and_a_cold_one_is_credited_for_its_answers():
     balancer = fresh()
     warm, cold = EndpointState(endpoint(1), 0.5), EndpointState(endpoint(2, started=START), 0.5)
