--- a/tests/control/test_hot_restart_records.py
+++ b/tests/control/test_hot_restart_records.py
@@ -25,7 +25,7 @@
 
 def test_estimates_are_written_until_they_stand_for_a_newer_process_that_waits(tmp_path, machine):
     old = running(tmp_path, machine)
-    old.engine.pool.balancer.rate = 7.5
+    old.engine.pool.balancer.throughput.answers_per_s = 7.5
     old.board.failing = ("state-",)
     new = Member(tmp_path, machine)
     new.upgrade.keep()
@@ -34,7 +34,7 @@
     assert old.board.read(f"state-{old.upgrade.handover.name}") is None
     old.board.failing = ()
     new.start(old)
-    assert new.engine.pool.balancer.rate == 7.5
+    assert new.engine.pool.balancer.throughput.answers_per_s == 7.5
     old.board.wrote.clear()
     for _ in range(5):
         old.tick()
@@ -119,20 +119,22 @@
 ):
     old = running(tmp_path, machine)
     balancer = old.engine.pool.balancer
-    (server, *_) = balancer.servers.values()
+    (server, *_) = balancer.endpoints.all.values()
     age_ns = 2 * 10**9
     then = old.engine.clock.now() - age_ns
-    server.cold_at = server.trial_at = balancer.rate_at = balancer.live[0].usual_at = then
+    server.slow_start_ns = server.probation_ns = balancer.throughput.updated_ns = then
+    balancer.live[0].typical_updated_ns = then
     machine.wall_ns += step_ns
     new = Member(tmp_path, machine)
     began_ns = machine.mono_ns
     new.start(old)
     passed_ns = machine.mono_ns - began_ns
     balancer = new.engine.pool.balancer
-    server = balancer.servers[server.id]
-    for at in (server.cold_at, server.trial_at, balancer.rate_at, balancer.live[0].usual_at):
+    server = balancer.endpoints.all[server.id]
+    moved = (server.slow_start_ns, server.probation_ns, balancer.throughput.updated_ns)
+    for at in (*moved, balancer.live[0].typical_updated_ns):
         assert abs(new.engine.clock.now() - at - age_ns - passed_ns) < 10**9
-    assert server.last_ok == 0 and balancer.cut_at == 0  # never is never on every scale
+    assert server.last_ok == 0 and balancer.congestion.cut_ns == 0  # never is never on every scale
 
 
 STRANGE = [
--- a/tests/sim/mutants.py
+++ b/tests/sim/mutants.py
@@ -30,7 +30,7 @@
 MUTANTS = [
     Mutant(
         "an order is sent again after a reset",
-        "logic.py",
+        "balancer/balancer.py",
         "PROVES_NOT_RUN = frozenset((Status.FULL,",
         "PROVES_NOT_RUN = frozenset((Status.RESET, Status.FULL,",
     ),
@@ -156,22 +156,22 @@
     ),
     Mutant(
         "an order is sent again after a system call that failed",
-        "logic.py",
+        "balancer/balancer.py",
         "PROVES_NOT_RUN = frozenset((Status.FULL,",
         "PROVES_NOT_RUN = frozenset((Status.RESET, Status.FULL,",
         "syscalls",
     ),
     Mutant(
         "a cold server is not paced",
-        "logic.py",
-        "        if ramp >= 1.0:\n            return True\n",
-        "        return True\n",
+        "balancer/slow_start.py",
+        "        if ramp >= 1.0:\n            return None\n",
+        "        return None\n",
         "clocks",
     ),
     Mutant(
         "keyed requests are repeated anywhere",
-        "logic.py",
-        "if spec.scope is Scope.CELL and other.cell != server.cell:",
+        "balancer/attempt_rules.py",
+        "if spec.scope is Scope.CELL and attempt.endpoint.cell != endpoint.cell:",
         "if False:",
     ),
     Mutant(
--- a/tests/test_syscalls_upstream.py
+++ b/tests/test_syscalls_upstream.py
@@ -462,7 +462,7 @@
                 if weight >= 1.0:  # for an end; a lesser one is a hint that an answer is late
                     struck.append(server.id)
 
-            monkeypatch.setattr(balancer, "_strike", strike)
+            monkeypatch.setattr(balancer.outliers, "record_failure", strike)
             system.faults.on("connect", number, for_s=for_s)
             got = await ask_through(sidecar, int(for_s / 0.01), 0.01)
             served = sum(code == 200 for code, _ in got) / len(got)
@@ -471,7 +471,7 @@
             if number in THEIRS:
                 assert struck
                 return
-            assert not struck and not balancer.ejected
+            assert not struck and not balancer.endpoints.ejected
             assert late < PATIENT_MS / 1000
             assert served == 1.0 if for_s < PATIENT_MS / 2000 else served >= 0.6
 
@@ -578,7 +578,7 @@
 def test_what_this_machine_could_not_send_spends_no_attempt_and_no_retry_token(effect):
     balancer, now = balanced(effect=effect)
     action = send_one(balancer, now, 1)
-    tokens, sends, deadline = balancer.retry_tokens, [], now + 4 * SECOND
+    tokens, sends, deadline = balancer.retries.budget, [], now + 4 * SECOND
     for number in range(100):
         actions = balancer.handle(now, Outcome(1, number, action.server, Status.MOOT, 0, False))
         later = [(now, one) for one in actions] + play_timers(balancer, now, actions, deadline)
@@ -590,4 +590,4 @@
         sends.append(now)
     assert isinstance(action, Refuse) and 4 <= len(sends) <= 20
     assert all(later > earlier for earlier, later in itertools.pairwise(sends))
-    assert balancer.retry_tokens >= tokens and not balancer.ejected and not balancer.inflight
+    assert balancer.retries.budget >= tokens and not balancer.endpoints.ejected and not balancer.inflight
