--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -15,20 +15,10 @@
 import time
 from typing import Any
 
-import dykefold.net.pool
-from dykefold.interface import (
-    Effect,
-    Endpoint,
-    ListKind,
-    Membership,
-    Outcome,
-    Request,
-    RequestClass,
-    Send,
-    Settings,
-    State,
-    Status,
-)
+import dykefold.net.service.pool
+from dykefold.balancer.actions import Send
+from dykefold.balancer.events import Endpoint, ListKind, Membership, Outcome, Request, State, Status
+from dykefold.balancer.settings import Effect, RequestClass, Settings
 from dykefold.sim import schedule
 from dykefold.sim.kernel import MS, SECOND
 from dykefold.sim.schedule import Fault, Kind, draw
--- a/benchmarks/replay.py
+++ b/benchmarks/replay.py
@@ -24,7 +24,7 @@
 from pathlib import Path
 from typing import Any
 
-import dykefold.net.pool as pool_module
+import dykefold.net.service.pool as pool_module
 from dykefold import Balancer
 from dykefold.sim.run import play_seed
 from dykefold.sim.schedule import WORLDS
--- a/dykefold/__init__.py
+++ b/dykefold/__init__.py
@@ -1,6 +1,6 @@
 """dykefold: the decisions of a sidecar load balancer, without I/O."""
 
-from .interface import Settings
-from .logic import Balancer
+from .balancer.balancer import Balancer
+from .balancer.settings import Settings
 
 __all__ = ["Balancer", "Settings"]
--- a/dykefold/__main__.py
+++ b/dykefold/__main__.py
@@ -15,21 +15,21 @@
 
 import uvloop
 
-from .configuration import Config, ConfigError, read_config, read_service_file, system_limit
-from .control.door import DESCRIPTORS as DOOR_DESCRIPTORS
-from .control.door import Door
-from .control.presence import Presence
+from .control.admin_server import DESCRIPTORS as DOOR_DESCRIPTORS
+from .control.admin_server import Door
+from .control.process_lifecycle import Presence
 from .failover.options import Options as FailoverOptions
-from .net.engine import Engine
 from .net.peers import Address, Peers
+from .net.sidecar import Engine
+from .sidecar_config import Config, ConfigError, read_config, read_service_file, system_limit
 
 if TYPE_CHECKING:
     from .failover.edge import Failover
     from .fleet.edge import Fleet
     from .fleet.lists import Lists
-    from .operators import Service
     from .routing.plan import Plan
     from .routing.services import Services
+    from .service_config import Service
 
 log = logging.getLogger("dykefold")
 
@@ -159,7 +159,7 @@
     loop: asyncio.AbstractEventLoop, fleet: Fleet, address: Address, failover: Failover | None
 ) -> Door:
     """Answer those who ask for the view at an address. Raises OSError if it can't be had."""
-    from .control.calls import read_view
+    from .control.admin_requests import read_view
     from .fleet.edge import Teller
 
     sock = socket.create_server(address, backlog=DOOR_DESCRIPTORS, reuse_port=True)
--- a/dykefold/cli/control.py
+++ b/dykefold/cli/control.py
@@ -9,8 +9,8 @@
 
 import typer
 
-from ..control.calls import ID_MOST, Action
-from ..net.discovery import split_address
+from ..control.admin_requests import ID_MOST, Action
+from ..net.discovery.client import split_address
 
 TIMEOUT_S = 5.0  # the door answers in one second
 
--- a/dykefold/cli/fleet.py
+++ b/dykefold/cli/fleet.py
@@ -10,8 +10,8 @@
 from rich.console import Console
 from rich.table import Table
 
-from ..control.calls import Action
-from ..net.discovery import split_address
+from ..control.admin_requests import Action
+from ..net.discovery.client import split_address
 
 TIMEOUT_S = 5.0
 
--- a/dykefold/cli/lab.py
+++ b/dykefold/cli/lab.py
@@ -29,7 +29,7 @@
 def check(file: File) -> None:
     """Check SCENARIO whole: all that is wrong with it at once."""
     from ..lab.scenario import read_scenario
-    from ..operators import ServiceError
+    from ..service_config import ServiceError
 
     try:
         read_scenario(str(file))
@@ -48,7 +48,7 @@
 ) -> None:
     """Play SCENARIO once, as processes on loopback; exit code 1 if a rule is broken or the run is void."""
     from ..lab.run import DIRECT, RunError, play
-    from ..operators import ServiceError
+    from ..service_config import ServiceError
 
     try:
         result = play(file, DIRECT if direct else "dykefold")
@@ -78,7 +78,7 @@
     from ..lab.fleet.run import play
     from ..lab.fleet.scenario import read_fleet
     from ..lab.fleet.views import plotted
-    from ..operators import ServiceError
+    from ..service_config import ServiceError
 
     try:
         scenario = read_fleet(str(file))
--- a/dykefold/cli/services.py
+++ b/dykefold/cli/services.py
@@ -11,7 +11,7 @@
 from rich.table import Table
 
 from ..__main__ import ConfigError, serve_file
-from ..operators import Service, ServiceError, read_service
+from ..service_config import Service, ServiceError, read_service
 from .logs import LogFormat, set_up
 
 File = Annotated[Path, typer.Argument(metavar="FILE", help="The operator's file, as deploy/service.toml.")]
--- a/dykefold/control/operator.py
+++ b/dykefold/control/admin_operations.py
@@ -5,8 +5,8 @@
 import logging
 from typing import Protocol
 
-from ..net.engine import Engine
-from .calls import YES, Action, Call, Reply
+from ..net.sidecar import Engine
+from .admin_requests import YES, Action, Call, Reply
 from .maintenance import OUT_MOST
 
 log = logging.getLogger("dykefold.control")
--- a/dykefold/control/door.py
+++ b/dykefold/control/admin_server.py
@@ -18,7 +18,7 @@
 import httptools
 
 from ..system import SYSTEM, System
-from .calls import TARGET_MOST, Call, Reply, read_call
+from .admin_requests import TARGET_MOST, Call, Reply, read_call
 
 log = logging.getLogger("dykefold.control")
 
--- a/dykefold/control/estimates.py
+++ b/dykefold/control/balancer_snapshot.py
@@ -12,8 +12,9 @@
 from operator import attrgetter
 from typing import Any
 
-from ..logic import Balancer, Group
-from ..net.discovery import Names
+from ..balancer.balancer import Balancer
+from ..balancer.endpoints import EndpointGroup
+from ..net.discovery.client import Names
 
 # Stored key: the attribute that holds it, with the part of the balancer that owns it.
 WHOLE = {
@@ -124,7 +125,7 @@
     for known in values["groups"]:
         if known.get("kind") in names.kinds:
             group = balancer.endpoints.groups.setdefault(
-                (names.kinds[known["kind"]], bool(known.get("far"))), Group()
+                (names.kinds[known["kind"]], bool(known.get("far"))), EndpointGroup()
             )
             _set(group, GROUP, known)
     balancer.regroup()
--- a/dykefold/control/generations.py
+++ b/dykefold/control/class_generations.py
@@ -17,7 +17,7 @@
 from collections.abc import Collection
 from dataclasses import dataclass, field, replace
 
-from ..interface import RequestClass, Settings
+from ..balancer.settings import RequestClass, Settings
 
 LINGER_NS = 4_000_000_000  # clients turn to new settings some time after SIGHUP: 1.2 s on the platform
 NUMBERS_MOST = 256
--- a/dykefold/control/upgrade.py
+++ b/dykefold/control/hot_restart.py
@@ -9,13 +9,13 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from ..net.engine import Engine
+from ..net.sidecar import Engine
 from ..system import SYSTEM, System
-from .board import Board
-from .estimates import restore, snapshot
-from .handover import LOOK_NS, ROOM_WAIT_NS, Handover, Sign, State, View
+from .balancer_snapshot import restore, snapshot
+from .hot_restart_state import LOOK_NS, ROOM_WAIT_NS, Handover, Sign, State, View
 from .maintenance import OUT_MOST, Said
-from .places import Places
+from .reuseport_group import Places
+from .state_directory import Board
 
 log = logging.getLogger("dykefold.control")
 
@@ -133,7 +133,7 @@
         place = self.places.look(others)
         if self.sock is None or self.engine.listener is None or not leads or not others:
             return
-        from .steering import let_chance, steer  # not needed where there is nobody to take over from
+        from .reuseport_filter import let_chance, steer  # not needed where there is nobody to take over from
 
         try:
             if place is None:
--- a/dykefold/control/maintenance.py
+++ b/dykefold/control/maintenance.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, replace
 from typing import Generic, Protocol, TypeVar
 
-from ..interface import Endpoint, State
+from ..balancer.events import Endpoint, State
 
 OUT_MOST = 1024  # servers out at once: far more than are restarted together
 BACK_MOST = 1024  # calls back that are remembered, the latest
--- a/dykefold/control/presence.py
+++ b/dykefold/control/process_lifecycle.py
@@ -6,12 +6,12 @@
 import logging
 import socket
 
-from ..net.engine import Engine
 from ..net.peers import Address
-from .board import Files
-from .door import DESCRIPTORS, Door
-from .operator import Operator
-from .upgrade import Upgrade
+from ..net.sidecar import Engine
+from .admin_operations import Operator
+from .admin_server import DESCRIPTORS, Door
+from .hot_restart import Upgrade
+from .state_directory import Files
 
 log = logging.getLogger("dykefold.control")
 
--- a/dykefold/control/board.py
+++ b/dykefold/control/state_directory.py
@@ -26,7 +26,7 @@
 from pathlib import Path
 from typing import Any, Protocol
 
-from .files import FILE_SYSTEM, FileSystem
+from .file_system import FILE_SYSTEM, FileSystem
 
 log = logging.getLogger("dykefold.control")
 
--- a/dykefold/failover/edge.py
+++ b/dykefold/failover/edge.py
@@ -8,12 +8,12 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
+from ..balancer.events import Status
 from ..fleet.datagrams import Record
 from ..fleet.knowledge import Topic
 from ..fleet.pace import SECOND
 from ..fleet.view import View
 from ..fleet.words import zone_of
-from ..interface import Status
 from ..system import SYSTEM, System
 from .evidence import ZONES_MOST, Came, Evidence, Sight
 from .judgement import HARDLY, SAID_BY, Pair, Verdict, judge
--- a/dykefold/fleet/edge.py
+++ b/dykefold/fleet/edge.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable, Sequence
 from typing import Any, Protocol
 
-from .. import interface as api
-from ..control.calls import Action, Call, Reply
-from ..net.discovery import Discovery, Names
+from ..balancer.events import Event
+from ..control.admin_requests import Action, Call, Reply
+from ..net.discovery.client import Discovery, Names
 from ..net.peers import Address, Peers
 from ..system import SYSTEM, System
 from . import priors
@@ -40,7 +40,7 @@
     discovery: Discovery | None
     hinted: Callable[[int, bool], None]
 
-    def post(self, event: api.Event) -> None: ...
+    def post(self, event: Event) -> None: ...
 
     def named(self) -> dict[str, int]:
         """The numbers of the module's servers, by name."""
--- a/dykefold/fleet/lists.py
+++ b/dykefold/fleet/lists.py
@@ -6,7 +6,7 @@
 import logging
 import random
 
-from ..net.discovery import Discovery
+from ..net.discovery.client import Discovery
 from ..system import SYSTEM, System
 from . import priors
 from .asking import Asking
--- a/dykefold/lab/fleet/scenario.py
+++ b/dykefold/lab/fleet/scenario.py
@@ -9,8 +9,8 @@
 from msgspec import Meta
 
 from ...fleet.options import CALLS_PER_S
-from ...operators import ServiceError, read_toml
 from ...routing.config import struct_problems
+from ...service_config import ServiceError, read_toml
 from ..scenario import Above, ClassTable, NotBelow, Positive, ServiceTable, Share
 from .member import FALL_MULTIPLE, FALL_S
 
--- a/dykefold/lab/scenario.py
+++ b/dykefold/lab/scenario.py
@@ -7,8 +7,8 @@
 import msgspec
 from msgspec import Meta
 
-from ..operators import ServiceError, read_toml
 from ..routing.config import struct_problems
+from ..service_config import ServiceError, read_toml
 
 Positive = Annotated[int, Meta(ge=1)]
 Above = Annotated[float, Meta(gt=0)]
--- a/dykefold/net/clock.py
+++ b/dykefold/net/clock.py
@@ -5,7 +5,7 @@
 import logging
 from collections.abc import Iterable
 
-from ..interface import Endpoint, ListKind
+from ..balancer.events import Endpoint, ListKind
 from ..system import SYSTEM, System
 
 log = logging.getLogger("dykefold.clock")
--- /dev/null
+++ b/dykefold/net/discovery/__init__.py
@@ -0,0 +1,1 @@
+"""The endpoint list: its codec and the calls that watch it."""
--- a/dykefold/net/discovery.py
+++ b/dykefold/net/discovery/client.py
@@ -10,11 +10,11 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from ..admission.budget import CALLS, Allowance
-from ..interface import Endpoint, ListKind, Membership, State, Status
-from ..system import SYSTEM, System
-from .limits import MB, Memory
-from .upstream import Answer, Exchange, Upstreams
+from ...admission.budget import CALLS, Allowance
+from ...balancer.events import Endpoint, ListKind, Membership, State, Status
+from ...system import SYSTEM, System
+from ..memory_budget import MB, Memory
+from ..upstream.connection_pool import Answer, Exchange, Upstreams
 
 log = logging.getLogger("dykefold.discovery")
 
--- a/dykefold/net/front.py
+++ b/dykefold/net/downstream/connection.py
@@ -14,17 +14,17 @@
 
 import httptools
 
-from ..admission.clients import Clients
-from ..admission.rules import Client
-from ..system import System, Watch
+from ...admission.clients import Clients
+from ...admission.rules import Client
+from ...system import System, Watch
+from ..loop_lag import Lag
+from ..memory_budget import Memory
+from ..read_scheduler import SLICE_BYTES, Backlog, cut
+from ..streaming import BUFFER_BYTES, FRAMING_MOST, Upload
+from ..upstream.abort import NO_LINGER
+from ..upstream.connection_pool import BLANKS, HOP_BY_HOP, Manner, gather
 from .arrivals import Arrivals
-from .backlog import SLICE_BYTES, Backlog, cut
-from .dialect import BODY_MOST, Call, Message, RequestError
-from .ends import NO_LINGER
-from .lag import Lag
-from .limits import Memory
-from .stream import BUFFER_BYTES, FRAMING_MOST, Upload
-from .upstream import BLANKS, HOP_BY_HOP, Manner, gather
+from .request_parser import BODY_MOST, Call, Message, RequestError
 
 HEADERS_MOST = 32 * 1024
 HEADER_LINES_MOST = 256  # each costs some hundred bytes beside its own; the usual limit is 100
--- a/dykefold/net/dialect.py
+++ b/dykefold/net/downstream/request_parser.py
@@ -12,9 +12,9 @@
 
 import httptools
 
-from ..interface import Effect, Settings
-from .stream import Upload
-from .upstream import Manner
+from ...balancer.settings import Effect, Settings
+from ..streaming import Upload
+from ..upstream.connection_pool import Manner
 
 BODY_MOST = 64 * 1024
 STREAM_MOST = 40 * 1024 * 1024  # bytes of a body or an answer that goes on as it comes
--- a/dykefold/net/backlog.py
+++ b/dykefold/net/read_scheduler.py
@@ -13,7 +13,7 @@
 from typing import Protocol
 
 from ..system import SYSTEM, System
-from .lag import Lag
+from .loop_lag import Lag
 
 SLICE_BYTES = 2048  # at 18 bytes a request 113 of them: 2 to 3 ms, and a usual message is shorter
 SLICES_A_TURN = 2  # of all connections together
--- /dev/null
+++ b/dykefold/net/service/__init__.py
@@ -0,0 +1,1 @@
+"""One balanced service: its endpoints, pending requests and attempts."""
--- a/dykefold/net/reports.py
+++ b/dykefold/net/service/load_reports.py
@@ -4,7 +4,7 @@
 
 import re
 
-from ..settings import canonical_column
+from ...settings import canonical_column
 
 REPORT_MOST = 1024  # bytes: four figures need a hundred, and each pair costs a look-up
 FIGURE = re.compile(rb"\d{1,9}(?:\.\d{1,9})?")  # plain numbers: no sign, no exponent, nothing endless
--- a/dykefold/net/pool.py
+++ b/dykefold/net/service/pool.py
@@ -14,26 +14,56 @@
 from dataclasses import replace
 from typing import Any, Protocol
 
-from .. import interface as api
-from ..admission.budget import Allowance, Budget
-from ..admission.rules import Client
-from ..control.maintenance import Maintenance, Said
-from ..interface import Settings, State, Status
-from ..logic import USUAL_FIRST, Balancer
-from ..settings import Transport
-from ..system import System
-from .backlog import Backlog
-from .clock import MS, SECOND, Clock, StartTimes
-from .deadlines import Deadlines, Limited
-from .dialect import BODY_MOST, Call
-from .discovery import Discovery, Listed, Names, News, read_news, write_news
-from .front import Paced
-from .lag import Lag
-from .limits import Memory
-from .peers import Address, Peers
-from .reports import Reports
-from .stream import Upload
-from .upstream import LATE_S, READ_WITHIN, Answer, Exchange, Manner, Upstreams
+from ...admission.budget import Allowance, Budget
+from ...admission.rules import Client
+from ...balancer.actions import (
+    Cancel,
+    CloseIdle,
+    Fail,
+    Fetch,
+    Hint,
+    Log,
+    Probe,
+    Refuse,
+    Send,
+    SetTimer,
+    Tell,
+    Watch,
+)
+from ...balancer.balancer import Balancer
+from ...balancer.events import (
+    BodySent,
+    Dropped,
+    Event,
+    ListKind,
+    Membership,
+    Outcome,
+    PeerMessage,
+    ProbeResult,
+    Request,
+    Retune,
+    State,
+    Status,
+    StreamStarted,
+    Timer,
+)
+from ...balancer.latency import LEARNING_ANSWERS
+from ...balancer.settings import Effect, Settings
+from ...control.maintenance import Maintenance, Said
+from ...settings import Transport
+from ...system import System
+from ..clock import MS, SECOND, Clock, StartTimes
+from ..discovery.client import Discovery, Listed, Names, News, read_news, write_news
+from ..downstream.connection import Paced
+from ..downstream.request_parser import BODY_MOST, Call
+from ..loop_lag import Lag
+from ..memory_budget import Memory
+from ..peers import Address, Peers
+from ..read_scheduler import Backlog
+from ..streaming import Upload
+from ..timer_wheel import Deadlines, Limited
+from ..upstream.connection_pool import LATE_S, READ_WITHIN, Answer, Exchange, Manner, Upstreams
+from .load_reports import Reports
 
 log = logging.getLogger("dykefold")
 
@@ -197,13 +227,13 @@
 
     def upload_begins(self) -> None:
         held = self.held
-        held.pool.post(api.StreamStarted(held.id, self.number, self.server, 0, Status.MOOT))
+        held.pool.post(StreamStarted(held.id, self.number, self.server, 0, Status.MOOT))
         if held.call.upload is not None and held.call.upload.ended:
             self.body_sent()
 
     def body_sent(self) -> None:
         """The body that flowed has come whole: its server has the turn."""
-        self.held.pool.post(api.BodySent(self.held.id, self.number, self.server))
+        self.held.pool.post(BodySent(self.held.id, self.number, self.server))
 
     def begin_answer(
         self, code: int, headers: list[tuple[bytes, bytes]], length: int | None, load: bytes
@@ -219,7 +249,7 @@
                 self.sent_ns, self.upload.whole_ns if self.upload is not None else 0
             )
             report = pool.reports.read(load) if load and pool.reports.columns else ()
-            pool.post(api.StreamStarted(held.id, self.number, self.server, max(took, 0), Status.OK, report))
+            pool.post(StreamStarted(held.id, self.number, self.server, max(took, 0), Status.OK, report))
         return held.answering
 
     def answer_piece(self, data: bytes) -> None:
@@ -341,7 +371,7 @@
         self.held: dict[int, Held] = {}
         self.attempts: dict[tuple[int, int], Attempt] = {}  # those out, also of requests that are over
         self.next_id = 1
-        self.events: deque[api.Event] = deque()
+        self.events: deque[Event] = deque()
         self.attempted: Callable[[int, Status, int, int], None] | None = None  # told each attempt's end
         self.retired: frozenset[int] = frozenset()
         self.hinted: Callable[[int, bool], None] = lambda _server, _answers: None  # what it says to the fleet
@@ -352,13 +382,13 @@
         )
         self.starts = StartTimes()
         self.version = known.version
-        self._take_list(known, api.ListKind.CACHED)
+        self._take_list(known, ListKind.CACHED)
         if not settings.must_ask:
             self._watch(True)
 
     # Events to the module, its actions
 
-    def post(self, event: api.Event) -> None:
+    def post(self, event: Event) -> None:
         """Hand the module an event after those that came before it; then do what it says."""
         self.events.append(event)
         if self.handling:
@@ -385,21 +415,21 @@
     def _actions(self) -> dict[type, Callable[[Any], None]]:
         """What carries out each kind of action."""
         return {
-            api.Send: self._send,
-            api.SetTimer: self._set_timer,
-            api.Refuse: self._refuse,
-            api.Fail: self._fail,
-            api.Cancel: self._cancel,
-            api.Probe: lambda action: self._probe(action.server),
-            api.CloseIdle: lambda action: self.upstreams.close_idle(action.server),
-            api.Tell: self._tell,
-            api.Hint: lambda action: self.hinted(action.server, action.answers),
-            api.Watch: lambda action: self._watch(action.on),
-            api.Fetch: lambda _: self.discovery.fetch() if self.discovery is not None else None,
-            api.Log: lambda action: log.info(action.text),
+            Send: self._send,
+            SetTimer: self._set_timer,
+            Refuse: self._refuse,
+            Fail: self._fail,
+            Cancel: self._cancel,
+            Probe: lambda action: self._probe(action.server),
+            CloseIdle: lambda action: self.upstreams.close_idle(action.server),
+            Tell: self._tell,
+            Hint: lambda action: self.hinted(action.server, action.answers),
+            Watch: lambda action: self._watch(action.on),
+            Fetch: lambda _: self.discovery.fetch() if self.discovery is not None else None,
+            Log: lambda action: log.info(action.text),
         }
 
-    def _set_timer(self, action: api.SetTimer) -> None:
+    def _set_timer(self, action: SetTimer) -> None:
         # Whole milliseconds, upwards: the loop counts in these, and an early bell rings for nothing.
         after_s = -(-action.after_ns // MS) / 1000
         self.loop.call_later(after_s, self._ring, action.token, self.monotonic() + after_s)
@@ -414,13 +444,13 @@
         if self.monotonic() - due_s > LATE_S:
             self.loop.call_later(NEXT_TURN_S, self._ring, token, math.inf)
         else:
-            self.post(api.Timer(token))
+            self.post(Timer(token))
 
     def _watch(self, on: bool) -> None:
         if self.discovery is not None:
             self.discovery.watch(on)
 
-    def _fail(self, action: api.Fail) -> None:
+    def _fail(self, action: Fail) -> None:
         held = self.held.get(action.id)
         if held is None:
             return
@@ -432,7 +462,7 @@
     def _pass_on(self, held: Held, answer: Answer) -> None:
         self._finish(held, answer.code, _lines(answer.headers), answer.body)
 
-    def _tell(self, action: api.Tell) -> None:
+    def _tell(self, action: Tell) -> None:
         if self.home.peers is not None:
             self.home.peers.tell(action.data, action.peer)
 
@@ -447,7 +477,7 @@
         self.reports = Reports(settings.report_columns)
         self.probe_path = b"/-/load" if settings.report_columns else b"/-/healthy"
         self.retune_sockets(transport)
-        self.post(api.Retune(settings, retired))
+        self.post(Retune(settings, retired))
         if self.discovery is not None:
             self.discovery.retune(pushed=not settings.must_ask)
 
@@ -472,7 +502,7 @@
                 call.deadline_ns = call.upload.whole_ns + call.wait_ns
             self._limit(held)
         self.post(
-            api.Request(
+            Request(
                 held.id,
                 call.cls,
                 call.tenant,
@@ -520,7 +550,7 @@
             attempt.give_up(Status.TIMEOUT)
         if held.owed:
             self._finish_late(held)
-            self.post(api.Dropped(held.id))
+            self.post(Dropped(held.id))
 
     def _finish_late(self, held: Held) -> None:
         if held.may_have_run:
@@ -564,7 +594,7 @@
             attempt = self.attempts.get((held.id, number))
             if attempt is not None:
                 self.upstreams.abandon(attempt.server, attempt)
-        self.post(api.Dropped(held.id))
+        self.post(Dropped(held.id))
         if streams:
             # Nobody sends its body or reads its answer any more, so no end of its own would come.
             for number in range(held.attempts):
@@ -578,7 +608,7 @@
         for held in list(self.held.values()):
             self.guard(held)
 
-    def _refuse(self, action: api.Refuse) -> None:
+    def _refuse(self, action: Refuse) -> None:
         held = self.held.get(action.id)
         if held is None:
             return
@@ -589,7 +619,7 @@
 
     # Attempts
 
-    def _send(self, action: api.Send) -> None:
+    def _send(self, action: Send) -> None:
         held = self.held.get(action.id)
         if held is None:
             return  # over already: the module was told, or will be by an event in the queue
@@ -630,7 +660,7 @@
         Guards against a repeat that is decided on in time, and written when its connection came up later.
         """
         spec = self.settings.classes[held.call.cls]
-        if spec.effect is not api.Effect.KEYED:
+        if spec.effect is not Effect.KEYED:
             return 0
         out = [self.attempts.get((held.id, number)) for number in range(held.attempts - 1)]
         first_ns = min((attempt.sent_ns for attempt in out if attempt is not None), default=held.ran_ns)
@@ -693,7 +723,7 @@
         if self.attempted is not None:
             aim_ns = self.settings.classes[held.call.cls].objective_ns
             self.attempted(attempt.server, status, took, aim_ns)
-        self.post(api.Outcome(held.id, attempt.number, attempt.server, status, took, not held.owed, report))
+        self.post(Outcome(held.id, attempt.number, attempt.server, status, took, not held.owed, report))
         if self.gone is not None:
             self.loop.call_soon(self._leave_if_done)
 
@@ -728,7 +758,7 @@
         else:
             self._finish(held, 502, b"", b"failed\n")
 
-    def _cancel(self, action: api.Cancel) -> None:
+    def _cancel(self, action: Cancel) -> None:
         attempt = self.attempts.get((action.id, action.attempt))
         if attempt is None:
             return
@@ -741,7 +771,7 @@
     def _probe(self, server: int) -> None:
         started = self.now()
         if not self.budget.claim():
-            self.loop.call_soon(self.post, api.ProbeResult(server, Status.MOOT, 0, ()))
+            self.loop.call_soon(self.post, ProbeResult(server, Status.MOOT, 0, ()))
             return
 
         def done(_: Exchange, status: Status, answer: Answer | None) -> None:
@@ -749,7 +779,7 @@
             report: tuple[float, ...] = ()
             if answer is not None and self.reports.columns:
                 report = self.reports.read(answer.load or answer.body.strip())
-            self.post(api.ProbeResult(server, status, self.now() - started, report))
+            self.post(ProbeResult(server, status, self.now() - started, report))
 
         payload = b"GET %s HTTP/1.1\r\nHost: probe\r\n\r\n" % self.probe_path
         self.upstreams.start(server, Exchange(payload, done, BODY_MOST), PROBE_TIMEOUT)
@@ -762,14 +792,14 @@
             return
         if news is None:
             self.starts.broke()
-            self.post(api.Membership(api.ListKind.FAILED, 0, []))
+            self.post(Membership(ListKind.FAILED, 0, []))
         else:
             self._take_list(news)
 
-    def _take_list(self, news: News, kind: api.ListKind | None = None) -> None:
+    def _take_list(self, news: News, kind: ListKind | None = None) -> None:
         """Take what discovery says, with what operators say of maintenance on top."""
         self.version = news.version
-        complete = news.complete or kind is api.ListKind.CACHED
+        complete = news.complete or kind is ListKind.CACHED
         told = self.maintenance.fold(news.entries, complete)
         self._apply(News(news.version, news.complete, told), kind)
 
@@ -788,23 +818,23 @@
             return
         news = read_news(word, self.names)
         discovery.adopt(version)
-        self._take_list(news, api.ListKind.CACHED)  # it says nothing of the own watch
+        self._take_list(news, ListKind.CACHED)  # it says nothing of the own watch
 
     def maintain(self, name: str, out: bool) -> bool:
         """Take a known server out, or put it back; whether that changed anything."""
         before = self.maintenance.is_out(name)
         told = self.maintenance.say(name, out, self.now())
         if told:
-            self._apply(News(self.version, False, told), api.ListKind.LOCAL)
+            self._apply(News(self.version, False, told), ListKind.LOCAL)
         return before is not out
 
     def merge_maintenance(self, said: Mapping[str, Said]) -> None:
         """Take what another process of this sidecar was told of servers."""
         told = self.maintenance.merge(said)
         if told:
-            self._apply(News(self.version, False, told), api.ListKind.LOCAL)
+            self._apply(News(self.version, False, told), ListKind.LOCAL)
 
-    def _apply(self, news: News, kind: api.ListKind | None = None) -> None:
+    def _apply(self, news: News, kind: ListKind | None = None) -> None:
         began_s = self.monotonic()
         membership = news.membership(kind)
         starts = ((entry.name, entry.endpoint) for entry in news.entries)
@@ -859,7 +889,7 @@
 
     def home_at(self, zone: int) -> None:
         """Have the module take this zone for its own, until another is named or other settings come."""
-        self.post(api.Retune(replace(self.settings, zone=zone), self.retired))
+        self.post(Retune(replace(self.settings, zone=zone), self.retired))
 
     def placed(self) -> dict[int, int]:
         """Ready servers by zone."""
@@ -892,11 +922,11 @@
 
     def usual(self) -> dict[str, float]:
         """By class, its usual latency, nanoseconds, where that is well known."""
-        known = (work for work in self.balancer.live if work.seen >= USUAL_FIRST)
+        known = (work for work in self.balancer.live if work.seen >= LEARNING_ANSWERS)
         return {work.spec.name: work.usual for work in known}
 
     def on_peer(self, sender: int, data: bytes) -> None:
-        self.post(api.PeerMessage(sender, data))
+        self.post(PeerMessage(sender, data))
 
     def retire(self, gone: Callable[[Pool], None]) -> None:
         """Take part until what is held and what is out has ended, then let go of everything.
--- a/dykefold/net/engine.py
+++ b/dykefold/net/sidecar.py
@@ -16,20 +16,20 @@
 from ..admission.clients import Clients
 from ..admission.listener import Listener
 from ..admission.rules import Admission, Reason, Share
-from ..control.generations import LINGER_NS, Generation
-from ..interface import Settings
+from ..balancer.settings import Settings
+from ..control.class_generations import LINGER_NS, Generation
 from ..settings import Transport
 from ..system import SYSTEM, System
-from .backlog import Backlog
 from .clock import MS, SECOND, Clock
-from .deadlines import Deadlines
-from .dialect import Call, Grammar
-from .discovery import Names, News
-from .front import Front, Reader
-from .lag import Lag
-from .limits import Memory
+from .discovery.client import Names, News
+from .downstream.connection import Front, Reader
+from .downstream.request_parser import Call, Grammar
+from .loop_lag import Lag
+from .memory_budget import Memory
 from .peers import Address, Peers
-from .pool import Asker, Pool, retry_after
+from .read_scheduler import Backlog
+from .service.pool import Asker, Pool, retry_after
+from .timer_wheel import Deadlines
 
 log = logging.getLogger("dykefold")
 
--- /dev/null
+++ b/dykefold/net/upstream/__init__.py
@@ -0,0 +1,1 @@
+"""Connections to endpoints: pooling, exchanges, classification of what came back."""
--- a/dykefold/net/upstream.py
+++ b/dykefold/net/upstream/connection_pool.py
@@ -19,15 +19,15 @@
 
 import httptools
 
-from ..admission.budget import Allowance
-from ..interface import State, Status
-from ..system import SYSTEM, System, is_own
-from .backlog import SLICE_BYTES, Backlog, cut
-from .deadlines import Deadlines, Limited
-from .ends import sever
-from .idle import QUARANTINE_LEAST_S, Ages, Quarantine, Spare
-from .limits import Memory
-from .stream import Upload
+from ...admission.budget import Allowance
+from ...balancer.events import State, Status
+from ...system import SYSTEM, System, is_own
+from ..memory_budget import Memory
+from ..read_scheduler import SLICE_BYTES, Backlog, cut
+from ..streaming import Upload
+from ..timer_wheel import Deadlines, Limited
+from .abort import sever
+from .idle_timeouts import QUARANTINE_LEAST_S, Ages, Quarantine, Spare
 
 HEADERS_MOST = 32 * 1024
 STALL_MOST = 0.5  # seconds without a byte of an answer that has begun: servers write it when it is ready
--- a/dykefold/routing/config.py
+++ b/dykefold/routing/config.py
@@ -7,9 +7,9 @@
 import msgspec
 from msgspec import Meta
 
-from ..interface import Effect, RequestClass, Scope, Settings, Tenant
-from ..net.discovery import split_address
-from ..net.limits import MB
+from ..balancer.settings import Effect, RequestClass, Scope, Settings, Tenant
+from ..net.discovery.client import split_address
+from ..net.memory_budget import MB
 from .plan import MS, Mapping, Plan, PoolPlan, usual_classes
 from .shares import Part
 from .table import Rule
--- a/dykefold/routing/plan.py
+++ b/dykefold/routing/plan.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from ..interface import Effect, RequestClass, Scope, Settings
+from ..balancer.settings import Effect, RequestClass, Scope, Settings
 from .shares import Part
 from .table import Rule, Table, TableError
 
--- a/dykefold/routing/requests.py
+++ b/dykefold/routing/requests.py
@@ -10,9 +10,9 @@
 from collections.abc import Mapping as Map
 from typing import Any
 
-from ..interface import Effect, RequestClass
-from ..net.dialect import Call, Grammar, Message, RequestError, parse_deadline
-from ..net.upstream import Manner
+from ..balancer.settings import Effect, RequestClass
+from ..net.downstream.request_parser import Call, Grammar, Message, RequestError, parse_deadline
+from ..net.upstream.connection_pool import Manner
 from .names import TargetError, split_target
 from .plan import IDEMPOTENT_METHODS, Mapping
 from .table import Table
--- a/dykefold/routing/services.py
+++ b/dykefold/routing/services.py
@@ -12,10 +12,10 @@
 
 from ..admission.addresses import Caps
 from ..admission.budget import Budget
-from ..interface import Endpoint, State
-from ..net.discovery import Listed, Names, News
-from ..net.engine import Engine
-from ..net.pool import Pool
+from ..balancer.events import Endpoint, State
+from ..net.discovery.client import Listed, Names, News
+from ..net.service.pool import Pool
+from ..net.sidecar import Engine
 from ..settings import Transport
 from .plan import Plan, PoolPlan
 from .requests import Routed, Target
--- a/dykefold/settings.py
+++ b/dykefold/settings.py
@@ -6,10 +6,10 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from . import interface as api
+from .balancer.settings import Effect, RequestClass, Scope, Settings, Tenant
 
-EFFECTS = {"pure": api.Effect.SAFE, "token": api.Effect.KEYED, "side_effect": api.Effect.UNSAFE}
-SCOPES = {"all": api.Scope.ALL, "zone": api.Scope.ZONE, "cell": api.Scope.CELL}
+EFFECTS = {"pure": Effect.SAFE, "token": Effect.KEYED, "side_effect": Effect.UNSAFE}
+SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
 REPORTS = {
     "active": "inflight",
     "waiting": "queue",
@@ -114,27 +114,27 @@
         return self._convert(key, _name_list, [], [])
 
 
-def _request_class(pairs: _Pairs, at: str) -> api.RequestClass:
+def _request_class(pairs: _Pairs, at: str) -> RequestClass:
     deadline = pairs.positive(at + "deadline-ns")
-    return api.RequestClass(
+    return RequestClass(
         name=pairs.text(at + "name", ""),
         objective_ns=pairs.whole(at + "objective-ns", deadline),
         deadline_ns=deadline,
         worth=pairs.number(at + "points", 1.0),
         late_worth=pairs.number(at + "late-value", 0.0),
         effect=pairs.choice(at + "repeat", EFFECTS),
-        scope=pairs.choice(at + "key-scope", SCOPES, api.Scope.CELL),
+        scope=pairs.choice(at + "key-scope", SCOPES, Scope.CELL),
         window_ns=pairs.whole(at + "window-ns", 0),
         stream=pairs.flag(at + "stream", False),
     )
 
 
-def parse_settings(text: str) -> api.Settings:
+def parse_settings(text: str) -> Settings:
     """Read the settings text; unknown keys are skipped, unreadable ones raise SettingError."""
     return _read(_Pairs(dict(line.split("=", 1) for line in text.splitlines() if "=" in line), typed=False))
 
 
-def nested_settings(nested: object) -> api.Settings:
+def nested_settings(nested: object) -> Settings:
     """Read the same settings from the nested object of a sidecar's configuration."""
     return _read(_pairs_of(nested))
 
@@ -172,10 +172,10 @@
         into[at] = value
 
 
-def _read(pairs: _Pairs) -> api.Settings:
+def _read(pairs: _Pairs) -> Settings:
     count = pairs.positive("classes.count")
     tenants = [
-        api.Tenant(
+        Tenant(
             name=pairs.text(f"accounts.{n}.name", ""),
             share=pairs.number(f"accounts.{n}.share", 0.0),
             quota_per_s=pairs.number(f"accounts.{n}.allowance-per-s", 0.0),
@@ -184,7 +184,7 @@
     ]
     reports = pairs.text("telemetry.how", "silent") != "silent"
     columns = tuple(canonical_column(name) for name in pairs.names("telemetry.columns"))
-    settings = api.Settings(
+    settings = Settings(
         classes=[_request_class(pairs, f"classes.{n}.") for n in range(count)],
         zones=pairs.names("dcs"),
         zone=pairs.whole("my-zone", 0),
--- a/dykefold/configuration.py
+++ b/dykefold/sidecar_config.py
@@ -15,15 +15,15 @@
 from typing import TYPE_CHECKING, Any, TypeVar
 
 from .admission.addresses import Caps
+from .balancer.settings import Settings
 from .fleet.options import Options
-from .interface import Settings
-from .net.discovery import Names, News, read_news, split_address
-from .net.limits import MB
+from .net.discovery.client import Names, News, read_news, split_address
+from .net.memory_budget import MB
 from .net.peers import Address
 from .settings import Transport, nested_settings, nested_transport
 
 if TYPE_CHECKING:
-    from .operators import Service
+    from .service_config import Service
 
 SOCKETS = 1024  # where the configuration names no limit
 MEMORY_MB = 192  # likewise
@@ -233,7 +233,7 @@
 
 def read_service_file(path: str) -> Service:
     """The operator's file; ConfigError with all that is wrong with it."""
-    from .operators import ServiceError, read_service  # not part of the platform's sidecar
+    from .service_config import ServiceError, read_service  # not part of the platform's sidecar
 
     try:
         return read_service(path)
--- a/dykefold/sim/net.py
+++ b/dykefold/sim/net.py
@@ -17,7 +17,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any, Protocol
 
-from ..control.steering import SO_ATTACH_REUSEPORT_CBPF, SO_DETACH_REUSEPORT_BPF
+from ..control.reuseport_filter import SO_ATTACH_REUSEPORT_CBPF, SO_DETACH_REUSEPORT_BPF
 from .kernel import EPOCH_NS, MS, Kernel, stream
 from .syscalls import TAKES_ONE, FailingCalls, SystemCall
 
@@ -413,7 +413,7 @@
         return sock
 
     def listens_no_more(self, sock: SimSocket) -> None:
-        """The last one of a group takes the place of one that ends (`control/places.py`)."""
+        """The last one of a group takes the place of one that ends (`control/reuseport_group.py`)."""
         group = self.listeners[sock.local]
         place = group.index(sock)
         group[place] = group[-1]
--- a/dykefold/sim/process.py
+++ b/dykefold/sim/process.py
@@ -7,24 +7,24 @@
 from typing import TYPE_CHECKING, Any
 
 from ..admission.addresses import Caps
-from ..control.upgrade import Upgrade
+from ..control.hot_restart import Upgrade
 from ..failover.edge import Failover
 from ..failover.options import Options as FailoverOptions
 from ..fleet.edge import Fleet
 from ..fleet.lists import Lists
 from ..fleet.options import CALLS_PER_S
-from ..net.discovery import Names, read_news
-from ..net.engine import Engine
-from ..net.limits import MB
+from ..net.discovery.client import Names, read_news
+from ..net.memory_budget import MB
 from ..net.peers import Peers
+from ..net.sidecar import Engine
 from ..routing.services import Services
 from ..settings import Transport
 from ..system import System, Watch
-from .board import SimBoard
 from .kernel import MS, SECOND, stream
 from .loop import SimLoop
 from .net import SimSocket, network_of
 from .schedule import WORLDS
+from .state_directory import SimBoard
 
 if TYPE_CHECKING:
     from .world import Running
--- a/dykefold/sim/rules.py
+++ b/dykefold/sim/rules.py
@@ -10,7 +10,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from ..interface import Effect, RequestClass, Scope
+from ..balancer.settings import Effect, RequestClass, Scope
 
 MS = 1_000_000
 ANSWER_SLACK_NS = 50 * MS  # beyond a client's time, as PROTOCOL says of each limit on sockets
--- a/dykefold/sim/upgrades.py
+++ b/dykefold/sim/upgrades.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, replace
 from enum import IntEnum
 
-from ..control.handover import LEADING, ROOM_WAIT_NS, SERVING, STALE_NS, Handover, Sign, State
+from ..control.hot_restart_state import LEADING, ROOM_WAIT_NS, SERVING, STALE_NS, Handover, Sign, State
 
 UNIT_NS = 750_000_000
 STALE = -(-STALE_NS // UNIT_NS)  # units until a sign is stale
@@ -157,7 +157,7 @@
         return replace(at, ones=tuple(ones), calm=min(at.calm + 1, CALM))
 
     def _look(self, at: Sidecar, number: int) -> Sidecar:
-        """A look, as the edge does it: `control/upgrade.py`."""
+        """A look, as the edge does it: `control/hot_restart.py`."""
         one = at.ones[number]
         signs, living = [], []
         for other, seen in enumerate(at.ones):
--- a/dykefold/sim/wire.py
+++ b/dykefold/sim/wire.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ..net.dialect import BODY_MOST
+from ..net.downstream.request_parser import BODY_MOST
 from .kernel import MS, Kernel
 from .net import SimSocket
 from .rules import Rules, Try
--- a/dykefold/sim/world.py
+++ b/dykefold/sim/world.py
@@ -7,13 +7,12 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..control.calls import Action, Call
-from ..control.operator import Operator
-from ..interface import Effect, RequestClass, Scope, Settings
+from ..balancer.settings import Effect, RequestClass, Scope, Settings
+from ..control.admin_operations import Operator
+from ..control.admin_requests import Action, Call
 from ..routing.config import read_plan
 from ..routing.plan import Plan
 from .apps import App
-from .board import Folder
 from .kernel import EPOCH_NS, MS, SECOND, Kernel, stream
 from .net import Address, Network
 from .nodes import Node
@@ -21,6 +20,7 @@
 from .registry import Registry
 from .rules import Breach, Rules
 from .schedule import CLOCK_STEPS_NS, OF_CALLS, WORLDS, Arrival, Fault, Kind, Scenario
+from .state_directory import Folder
 from .syscalls import SystemCall
 from .view_rules import ViewRules
 from .wire import Wire
--- a/dykefold/wirehost.py
+++ b/dykefold/simulator_adapter.py
@@ -11,8 +11,36 @@
 import traceback
 from typing import BinaryIO
 
-from . import interface as api
-from .logic import Balancer
+from .balancer.actions import (
+    Action,
+    Cancel,
+    CloseIdle,
+    Fail,
+    Fetch,
+    Log,
+    Probe,
+    Refuse,
+    Send,
+    SetTimer,
+    Tell,
+    Watch,
+)
+from .balancer.balancer import Balancer
+from .balancer.events import (
+    Dropped,
+    Endpoint,
+    Event,
+    ListKind,
+    Membership,
+    Outcome,
+    PeerMessage,
+    ProbeResult,
+    Request,
+    State,
+    Status,
+    StreamStarted,
+    Timer,
+)
 from .settings import SettingError, parse_settings
 
 HEADER = struct.Struct("<QI")
@@ -47,21 +75,21 @@
 EVERY_PEER = 0xFFFFFFFF
 
 STATUS = {
-    200: api.Status.OK,
-    500: api.Status.ERROR,
-    503: api.Status.FULL,
-    504: api.Status.TIMEOUT,
-    502: api.Status.CONNECT_FAILED,
-    598: api.Status.RESET,
-    499: api.Status.CANCELLED,
-    410: api.Status.MOOT,
+    200: Status.OK,
+    500: Status.ERROR,
+    503: Status.FULL,
+    504: Status.TIMEOUT,
+    502: Status.CONNECT_FAILED,
+    598: Status.RESET,
+    499: Status.CANCELLED,
+    410: Status.MOOT,
 }
-STATES = {0: api.State.GONE, 1: api.State.READY, 2: api.State.DRAINING}
+STATES = {0: State.GONE, 1: State.READY, 2: State.DRAINING}
 LIST_KINDS = {
-    0: api.ListKind.DELTA,
-    1: api.ListKind.FULL,
-    2: api.ListKind.CACHED,
-    3: api.ListKind.FAILED,
+    0: ListKind.DELTA,
+    1: ListKind.FULL,
+    2: ListKind.CACHED,
+    3: ListKind.FAILED,
 }
 
 
@@ -74,7 +102,7 @@
 
     def __init__(self) -> None:
         self.balancers: dict[int, Balancer] = {}
-        self.lists: dict[int, list[api.Endpoint]] = {}
+        self.lists: dict[int, list[Endpoint]] = {}
         self.records: list[bytes] = []
         self.tail = bytearray()
 
@@ -110,7 +138,7 @@
             event = self._decode(code, body, at + FIELDS, tail_at)
             balancer = self.balancers.get(instance)
             if event is not None and balancer is not None:
-                if type(event) is api.Request and event.cls >= len(balancer.settings.classes):
+                if type(event) is Request and event.cls >= len(balancer.settings.classes):
                     raise FrameError(f"request {event.id} is of unknown class {event.cls}")
                 self._encode(instance, balancer.handle(now, event))
         except (FrameError, SettingError):
@@ -119,46 +147,46 @@
             traceback.print_exc(file=sys.stderr)
             self._text(19, instance, f"{type(error).__name__}: {error}")
 
-    def _decode(self, code: int, body: bytes, at: int, tail_at: int) -> api.Event | None:
+    def _decode(self, code: int, body: bytes, at: int, tail_at: int) -> Event | None:
         if code == 20:
             ticket, n, server, reason, took, last, columns, *report = SETTLED.unpack_from(body, at)
-            status = STATUS.get(reason, api.Status.ERROR)
-            return api.Outcome(ticket, n, server, status, took, last != 0, tuple(report[:columns]))
+            status = STATUS.get(reason, Status.ERROR)
+            return Outcome(ticket, n, server, status, took, last != 0, tuple(report[:columns]))
         if code == 18:
             ticket, cls, tenant, key, deadline, cost, bits = INBOUND.unpack_from(body, at)
-            return api.Request(
+            return Request(
                 ticket, cls, tenant, deadline, key, cost if bits & 1 else 0, bits & 2 != 0, bits & 4 != 0
             )
         if code == 22:
-            return api.Timer(BELL.unpack_from(body, at)[0])
+            return Timer(BELL.unpack_from(body, at)[0])
         if code == 21:
-            return api.Dropped(DROPPED.unpack_from(body, at)[0])
+            return Dropped(DROPPED.unpack_from(body, at)[0])
         if code == 17:
             scope, version, number = ENDPOINTS.unpack_from(body, at)
             kind = LIST_KINDS.get(scope)
             if kind is None:
                 return None
-            if kind is api.ListKind.FAILED:
-                return api.Membership(kind, version, [])
+            if kind is ListKind.FAILED:
+                return Membership(kind, version, [])
             if number not in self.lists:
                 raise FrameError(f"list {number} was never sent")
-            return api.Membership(kind, version, self.lists[number])
+            return Membership(kind, version, self.lists[number])
         if code == 24:
             sender, offset, size = NOTE_FROM.unpack_from(body, at)
-            return api.PeerMessage(sender, _slice(body, tail_at, offset, size))
+            return PeerMessage(sender, _slice(body, tail_at, offset, size))
         if code == 23:
             server, reason, took, columns, *report = HEALTH.unpack_from(body, at)
-            status = STATUS.get(reason, api.Status.ERROR)
-            return api.ProbeResult(server, status, took, tuple(report[:columns]))
+            status = STATUS.get(reason, Status.ERROR)
+            return ProbeResult(server, status, took, tuple(report[:columns]))
         if code == 19:
-            return api.StreamStarted(*FIRST.unpack_from(body, at))
+            return StreamStarted(*FIRST.unpack_from(body, at))
         raise FrameError(f"event code {code} is unknown")
 
     def _rows(self, body: bytes, at: int, tail_at: int) -> None:
         number, offset, count = SNAPSHOT_ROWS.unpack_from(body, at)
         rows = _slice(body, tail_at, offset, count * ENTRY.size)
         self.lists[number] = [
-            api.Endpoint(server, zone, kind, cell, STATES.get(phase, api.State.GONE), weight, started)
+            Endpoint(server, zone, kind, cell, STATES.get(phase, State.GONE), weight, started)
             for server, zone, kind, cell, phase, weight, started in ENTRY.iter_unpack(rows)
         ]
 
@@ -167,32 +195,32 @@
         self.records.append(TEXT.pack(code, instance, len(self.tail), len(data)))
         self.tail += data
 
-    def _encode(self, i: int, actions: list[api.Action]) -> None:
+    def _encode(self, i: int, actions: list[Action]) -> None:
         add = self.records.append
         for act in actions:
-            if isinstance(act, api.Send):
+            if isinstance(act, Send):
                 add(DISPATCH.pack(25, i, act.id, act.timeout_ns, act.server))
-            elif isinstance(act, api.SetTimer):
+            elif isinstance(act, SetTimer):
                 add(SET_TIMER.pack(27, i, act.after_ns, act.token))
-            elif isinstance(act, api.Refuse):
+            elif isinstance(act, Refuse):
                 add(TURN_AWAY.pack(23, i, act.id, act.retry_after_ns))
-            elif isinstance(act, api.Fail):
+            elif isinstance(act, Fail):
                 add(ABORT.pack(26, i, act.id))
-            elif isinstance(act, api.Cancel):
+            elif isinstance(act, Cancel):
                 add(RETRACT.pack(17, i, act.id, act.attempt))
-            elif isinstance(act, api.Tell):
+            elif isinstance(act, Tell):
                 peer = EVERY_PEER if act.peer is None else act.peer
                 add(SHARE.pack(16, i, peer, len(self.tail), len(act.data)))
                 self.tail += act.data
-            elif isinstance(act, api.Probe):
+            elif isinstance(act, Probe):
                 add(ONE_SERVER.pack(22, i, act.server))
-            elif isinstance(act, api.CloseIdle):
+            elif isinstance(act, CloseIdle):
                 add(ONE_SERVER.pack(20, i, act.server))
-            elif isinstance(act, api.Watch):
+            elif isinstance(act, Watch):
                 add(FOLLOW.pack(18, i, act.on))
-            elif isinstance(act, api.Fetch):
+            elif isinstance(act, Fetch):
                 add(RESOLVE.pack(24, i))
-            elif isinstance(act, api.Log):
+            elif isinstance(act, Log):
                 self._text(21, i, act.text)
             else:
                 raise TypeError(f"no action: {act!r}")
--- a/standins/decision_world.py
+++ b/standins/decision_world.py
@@ -21,8 +21,38 @@
 from typing import Any
 
 from dykefold import Balancer
-from dykefold import interface as api
-from dykefold.interface import Effect, ListKind, RequestClass, Scope, Settings, State, Status, Tenant
+from dykefold.balancer.actions import (
+    Action,
+    Cancel,
+    Fail,
+    Hint,
+    Log,
+    Probe,
+    Refuse,
+    Send,
+    SetTimer,
+    Tell,
+    Watch,
+)
+from dykefold.balancer.events import (
+    BodySent,
+    Dropped,
+    Endpoint,
+    Event,
+    Fleet,
+    ListKind,
+    Membership,
+    Outcome,
+    PeerMessage,
+    ProbeResult,
+    Request,
+    Retune,
+    State,
+    Status,
+    StreamStarted,
+    Timer,
+)
+from dykefold.balancer.settings import Effect, RequestClass, Scope, Settings, Tenant
 
 MS = 1_000_000
 SECOND = 1_000 * MS
@@ -167,33 +197,33 @@
     return Settings(**{**values, **fixed})
 
 
-def encoded(action: api.Action) -> str:
+def encoded(action: Action) -> str:
     """An action as text that does not hang on how its type is called."""
     match action:
-        case api.Send():
+        case Send():
             return f"send {action.id} {action.server} {action.timeout_ns}"
-        case api.SetTimer():
+        case SetTimer():
             return f"timer {action.after_ns} {action.token}"
-        case api.Refuse():
+        case Refuse():
             return f"refuse {action.id} {action.retry_after_ns}"
-        case api.Fail():
+        case Fail():
             return f"fail {action.id}"
-        case api.Cancel():
+        case Cancel():
             return f"cancel {action.id} {action.attempt}"
-        case api.Probe():
+        case Probe():
             return f"probe {action.server}"
-        case api.Tell():
+        case Tell():
             return f"tell {action.peer} {action.data.hex()}"
-        case api.Hint():
+        case Hint():
             return f"hint {action.server} {action.answers}"
-        case api.Watch():
+        case Watch():
             return f"watch {action.on}"
-        case api.Log():
+        case Log():
             return f"log {action.text}"
     raise TypeError(f"no action that a balancer takes: {action!r}")
 
 
-Made = Callable[[], api.Event | None]
+Made = Callable[[], Event | None]
 
 
 class DecisionWorld:
@@ -216,7 +246,7 @@
         self.settled: set[tuple[int, int]] = set()
         self.attempts: dict[int, int] = {}  # attempts so far by request
         self.sent: dict[tuple[int, int], tuple[int, int]] = {}  # server and time by request and attempt
-        self.requests: dict[int, api.Request] = {}
+        self.requests: dict[int, Request] = {}
         self.load: Counter[int] = Counter()  # own attempts out, by server
         self.speed = {n: self.rng.choice([0.5, 1.0, 1.0, 1.0, 3.0]) for n in range(3 * profile.servers)}
         self.hung: set[int] = set()
@@ -224,12 +254,12 @@
         self.listed = {n: self.entry(n, State.READY, 0) for n in range(profile.servers)}
         self.version = 1
 
-    def entry(self, server: int, state: State, started: int) -> api.Endpoint:
+    def entry(self, server: int, state: State, started: int) -> Endpoint:
         """What the list says of an endpoint: zone, kind and cell follow from its number."""
         place = server % 3, server % 2, server // 3 % 4
         if self.profile.other_clock and started:
-            return api.Endpoint(server, *place, state, 1.0, started + OTHER_CLOCK, started)
-        return api.Endpoint(server, *place, state, 1.0, started)
+            return Endpoint(server, *place, state, 1.0, started + OTHER_CLOCK, started)
+        return Endpoint(server, *place, state, 1.0, started)
 
     def later(self, when: int, made: Made) -> None:
         """Have an event made at that time, or None where it has no object any more."""
@@ -240,7 +270,7 @@
         self.order += 1
         heapq.heappush(self.queue, (when, self.order, made))
 
-    def feed(self, event: api.Event) -> None:
+    def feed(self, event: Event) -> None:
         """Hand one event to the balancer, take its actions into the hash and carry them out."""
         actions = self.balancer.handle(self.now, event)
         self.events[_kind(event)] += 1
@@ -249,23 +279,23 @@
             self.actions[type(action).__name__] += 1
             self.carry_out(action)
 
-    def carry_out(self, action: api.Action) -> None:
+    def carry_out(self, action: Action) -> None:
         """Do what the balancer wants, and have what follows happen later."""
-        if isinstance(action, api.SetTimer):
-            self.later(self.now + action.after_ns, lambda: api.Timer(action.token))
-        elif isinstance(action, api.Refuse):
+        if isinstance(action, SetTimer):
+            self.later(self.now + action.after_ns, lambda: Timer(action.token))
+        elif isinstance(action, Refuse):
             self.ended.add(action.id)
             self.come_back(action)
-        elif isinstance(action, api.Fail):
+        elif isinstance(action, Fail):
             self.ended.add(action.id)
-        elif isinstance(action, api.Send):
+        elif isinstance(action, Send):
             self.take_attempt(action)
-        elif isinstance(action, api.Cancel):
+        elif isinstance(action, Cancel):
             key = action.id, action.attempt
             self.later(self.now + 5 * MS, lambda: self.settle(key, Status.CANCELLED))
-        elif isinstance(action, api.Probe):
+        elif isinstance(action, Probe):
             self.answer_probe(action.server)
-        elif isinstance(action, api.Watch):
+        elif isinstance(action, Watch):
             kind = ListKind.FAILED if self.rng.random() < 0.4 else ListKind.FULL
             self.later(self.now + self.exponential(50), lambda: self.membership(kind))
 
@@ -275,7 +305,7 @@
 
     # Servers
 
-    def take_attempt(self, action: api.Send) -> None:
+    def take_attempt(self, action: Send) -> None:
         """An attempt reaches its server: draw how and when it ends."""
         number = self.attempts[action.id] = self.attempts.get(action.id, -1) + 1
         key, server, request = (action.id, number), action.server, self.requests[action.id]
@@ -306,17 +336,17 @@
             return
         self.later(self.now + self.exponential(5), lambda: self.started(key, server, Status.MOOT))
         whole = self.now + self.exponential(300)
-        self.later(whole, lambda: None if key in self.settled else api.BodySent(*key, server))
+        self.later(whole, lambda: None if key in self.settled else BodySent(*key, server))
         end = Status.OK if self.rng.random() < 0.8 else Status.RESET
         self.later(whole + took, lambda: self.settle(key, end))
 
-    def started(self, key: tuple[int, int], server: int, status: Status) -> api.Event | None:
+    def started(self, key: tuple[int, int], server: int, status: Status) -> Event | None:
         """The first byte of a body flows."""
         if key in self.settled:
             return None
-        return api.StreamStarted(*key, server, self.now - self.sent[key][1], status, self.report(server))
+        return StreamStarted(*key, server, self.now - self.sent[key][1], status, self.report(server))
 
-    def settle(self, key: tuple[int, int], status: Status) -> api.Event | None:
+    def settle(self, key: tuple[int, int], status: Status) -> Event | None:
         """The one end of an attempt."""
         if key in self.settled:
             return None
@@ -326,7 +356,7 @@
         if status is Status.OK:
             self.ended.add(key[0])
         report = self.report(server) if status in (Status.OK, Status.ERROR) else ()
-        return api.Outcome(*key, server, status, self.now - sent, key[0] in self.ended, report)
+        return Outcome(*key, server, status, self.now - sent, key[0] in self.ended, report)
 
     def report(self, server: int) -> tuple[float, ...]:
         """What a server says of its load: now and then nonsense, or too few columns."""
@@ -343,11 +373,11 @@
         status = Status.OK if self.rng.random() < 0.85 and server not in self.hung else Status.TIMEOUT
         took = self.exponential(8 if status is Status.OK else 200)
         report = self.report(server) if status is Status.OK else ()
-        self.later(self.now + took, lambda: api.ProbeResult(server, status, took, report))
+        self.later(self.now + took, lambda: ProbeResult(server, status, took, report))
 
     # Clients
 
-    def arrive(self) -> api.Event | None:
+    def arrive(self) -> Event | None:
         """A first try of a client; the next one follows."""
         rng, profile = self.rng, self.profile
         surge = 5.0 if self.now // (3 * SECOND) % 4 == 3 else 1.0
@@ -365,24 +395,24 @@
         tenant = min(rng.randrange(4), 2) if self.config.tenants else 0
         return self.request(cls, tenant, length, False)
 
-    def request(self, cls: int, tenant: int, length: int, is_retry: bool) -> api.Request:
+    def request(self, cls: int, tenant: int, length: int, is_retry: bool) -> Request:
         """A request that may be given up later."""
         ident = self.next_request
         self.next_request += 1
-        made = api.Request(ident, cls, tenant, self.now + length, is_retry=is_retry)
+        made = Request(ident, cls, tenant, self.now + length, is_retry=is_retry)
         self.requests[ident] = made
         if self.rng.random() < 0.02:
             self.later(self.now + int(abs(length) * self.rng.random()), lambda: self.drop(ident))
         return made
 
-    def drop(self, ident: int) -> api.Event | None:
+    def drop(self, ident: int) -> Event | None:
         """The client of a request has gone."""
         if ident in self.ended:
             return None
         self.ended.add(ident)
-        return api.Dropped(ident)
+        return Dropped(ident)
 
-    def come_back(self, refusal: api.Refuse) -> None:
+    def come_back(self, refusal: Refuse) -> None:
         """A rejected client tries again in the time that it has left, marked or not."""
         was = self.requests[refusal.id]
         when = self.now + refusal.retry_after_ns + self.exponential(30)
@@ -390,7 +420,7 @@
             return
         marked = self.rng.random() < 0.7
 
-        def again() -> api.Event | None:
+        def again() -> Event | None:
             if was.cls in self.retired:
                 return None
             return self.request(was.cls, was.tenant, was.deadline_ns - self.now, marked)
@@ -399,19 +429,19 @@
 
     # The list, peers, settings
 
-    def membership(self, kind: ListKind) -> api.Event:
+    def membership(self, kind: ListKind) -> Event:
         """A change of the list, or the whole of it."""
         rng = self.rng
         self.version += 1
         if kind is ListKind.FAILED:
-            return api.Membership(kind, self.version, [])
+            return Membership(kind, self.version, [])
         changed = self.changes()
         whole = kind in (ListKind.FULL, ListKind.CACHED)
         entries = list(self.listed.values()) if whole else changed
         rng.shuffle(entries)
-        return api.Membership(kind, self.version, entries)
+        return Membership(kind, self.version, entries)
 
-    def changes(self) -> list[api.Endpoint]:
+    def changes(self) -> list[Endpoint]:
         """Some endpoints come, drain, go, start again, hang or reject all."""
         rng = self.rng
         changed = []
@@ -445,7 +475,7 @@
                 self.listed[server] = made
         return changed
 
-    def list_changes(self) -> api.Event:
+    def list_changes(self) -> Event:
         """The list changes of itself, and again later."""
         self.later(self.now + self.exponential(2_500), self.list_changes)
         kinds = [
@@ -458,20 +488,20 @@
         ]
         return self.membership(self.rng.choice(kinds))
 
-    def peer_message(self) -> api.Event:
+    def peer_message(self) -> Event:
         """A peer tells its rates; now and then what no peer of ours would."""
         self.later(self.now + self.exponential(self.profile.peer_ms), self.peer_message)
         data = struct.pack("<3I", *(self.rng.randrange(0, 64 * 30) for _ in range(3)))
         if self.rng.random() < 0.1:
             data = data[: self.rng.randrange(len(data))]
-        return api.PeerMessage(self.rng.randrange(4), data)
+        return PeerMessage(self.rng.randrange(4), data)
 
-    def fleet_view(self) -> api.Event:
+    def fleet_view(self) -> Event:
         """What the view of the fleet tells of other sidecars."""
         rng = self.rng
         self.later(self.now + self.exponential(800), self.fleet_view)
         servers = sorted(self.speed)
-        return api.Fleet(
+        return Fleet(
             live=rng.choice([2, 8, 12, 12, 12, 60]),
             ranks={server: rng.random() for server in servers if rng.random() < 0.8},
             part=rng.uniform(0.2, 1.0),
@@ -480,7 +510,7 @@
             usual={n: 70 * MS for n in range(len(self.config.classes)) if rng.random() < 0.5},
         )
 
-    def retune(self) -> api.Event:
+    def retune(self) -> Event:
         """Other settings: a class under the same name gets a new number, its old one is retired."""
         rng = self.rng
         self.later(self.now + self.exponential(1_000), self.retune)
@@ -493,7 +523,7 @@
         self.retired.add(old)
         changed = {"max_attempts": rng.randrange(1, 6), "zone": rng.randrange(len(ZONES))}
         self.config = replace(self.config, classes=classes, **changed)
-        return api.Retune(self.config, frozenset(self.retired))
+        return Retune(self.config, frozenset(self.retired))
 
     def play(self, events: int) -> str:
         """Feed so many events; the hash of all actions and of the random state at the end."""
@@ -515,13 +545,13 @@
         return self.hash.hexdigest()
 
 
-def _kind(event: api.Event) -> str:
+def _kind(event: Event) -> str:
     """What the coverage counts: the type of an event, with the kind of a list and the status of an end."""
-    if isinstance(event, api.Membership):
+    if isinstance(event, Membership):
         return f"Membership {event.kind.name}"
-    if isinstance(event, api.Outcome | api.ProbeResult | api.StreamStarted):
+    if isinstance(event, Outcome | ProbeResult | StreamStarted):
         return f"{type(event).__name__} {event.status.name}"
-    if isinstance(event, api.Request):
+    if isinstance(event, Request):
         return "Request retry" if event.is_retry else "Request first"
     return type(event).__name__
 
--- a/tests/admission/test_accept_errors.py
+++ b/tests/admission/test_accept_errors.py
@@ -26,7 +26,7 @@
 
 from dykefold.admission import refusals
 from dykefold.admission.addresses import Caps
-from dykefold.net.ends import NO_LINGER
+from dykefold.net.upstream.abort import NO_LINGER
 
 # accept(2): those of the call, and those of the network that come through it.
 NAMES = "ECONNABORTED EINTR EMFILE ENFILE ENOBUFS ENOMEM EPERM EPROTO ENETDOWN ENOPROTOOPT EHOSTDOWN ENONET"
--- a/tests/admission/test_flood.py
+++ b/tests/admission/test_flood.py
@@ -141,7 +141,7 @@
     from pathlib import Path
 
     from dykefold.admission.addresses import Caps
-    from dykefold.operators import read_service
+    from dykefold.service_config import read_service
 
     read = read_service(str(Path(__file__).parents[2] / "deploy" / "service.toml"))
     assert read.caps == Caps() and read.plan is None
--- a/tests/admission/test_listener.py
+++ b/tests/admission/test_listener.py
@@ -25,10 +25,10 @@
     until,
 )
 
-from dykefold import configuration
+from dykefold import sidecar_config as configuration
 from dykefold.admission import listener
 from dykefold.admission.addresses import Caps
-from dykefold.net import upstream
+from dykefold.net.upstream import connection_pool as upstream
 
 
 class Starving(socket.socket):
--- a/tests/balancer/test_attempt_rules.py
+++ b/tests/balancer/test_attempt_rules.py
@@ -5,8 +5,9 @@
 
 from dykefold import Balancer
 from dykefold.balancer.endpoints import EndpointState
+from dykefold.balancer.events import State
 from dykefold.balancer.requests import IN_FLIGHT, MAY_HAVE_RUN, NEVER_RAN, Attempt, PendingRequest
-from dykefold.interface import Effect, Scope, State
+from dykefold.balancer.settings import Effect, Scope
 
 WINDOW = 4 * SECOND
 TICK = 5 * MS
--- a/tests/balancer/test_concerns.py
+++ b/tests/balancer/test_concerns.py
@@ -8,21 +8,13 @@
 
 from dykefold import Balancer
 from dykefold.balancer import congestion, outlier_detection, poll_schedule, quotas, retry_policy, slow_start
+from dykefold.balancer.actions import SetTimer, Tell, Watch
 from dykefold.balancer.endpoints import EndpointState
+from dykefold.balancer.events import Fleet, ListKind, Membership, PeerMessage
 from dykefold.balancer.picker import random_below
 from dykefold.balancer.requests import PendingRequest
+from dykefold.balancer.settings import Effect, Tenant
 from dykefold.balancer.timers import OVERDUE, POLL, RETRY
-from dykefold.interface import (
-    Effect,
-    Fleet,
-    ListKind,
-    Membership,
-    PeerMessage,
-    SetTimer,
-    Tell,
-    Tenant,
-    Watch,
-)
 
 
 def fresh(**more):
--- a/tests/balancer/test_golden_actions.py
+++ b/tests/balancer/test_golden_actions.py
@@ -9,9 +9,10 @@
 
 import pytest
 
-from dykefold import interface as api
-from dykefold.control.estimates import restore, snapshot
-from dykefold.net.discovery import Names
+from dykefold.balancer.actions import Action
+from dykefold.balancer.events import Endpoint, Event, ListKind, Membership, State, Status
+from dykefold.control.balancer_snapshot import restore, snapshot
+from dykefold.net.discovery.client import Names
 from standins.decision_world import PROFILES, ZONES, DecisionWorld, play
 
 HERE = Path(__file__).parent
@@ -20,7 +21,7 @@
 SNAPSHOT = HERE / "golden_snapshot.json"
 SNAPSHOT_EVENTS = 1_500
 SNAPSHOT_WORLDS = [("tenants", 3), ("probing", 1), ("view", 5)]
-ENDS = {status.name for status in api.Status}
+ENDS = {status.name for status in Status}
 NEVER_TAKEN = {"CloseIdle", "Fetch"}
 
 
@@ -43,12 +44,10 @@
     events = sum((counts for _, counts, _ in played.values()), Counter())
     actions = sum((counts for _, _, counts in played.values()), Counter())
     kinds = {name.split()[0] for name in events}
-    assert kinds == {kind.__name__ for kind in api.Event.__args__}
+    assert kinds == {kind.__name__ for kind in Event.__args__}
     assert {name.split()[1] for name in events if name.startswith("Outcome")} == ENDS
-    assert {name.split()[1] for name in events if name.startswith("Membership")} == {
-        k.name for k in api.ListKind
-    }
-    assert set(actions) == {kind.__name__ for kind in api.Action.__args__} - NEVER_TAKEN
+    assert {name.split()[1] for name in events if name.startswith("Membership")} == {k.name for k in ListKind}
+    assert set(actions) == {kind.__name__ for kind in Action.__args__} - NEVER_TAKEN
     assert events["Request retry"] and events["Request first"]
 
 
@@ -88,9 +87,9 @@
     world, names = world_with_names(profile, seed)
     fresh = DecisionWorld(profile, seed).balancer
     entries = [
-        api.Endpoint(one.id, one.zone, one.kind, one.cell, api.State.READY, 1.0, one.started_ns)
+        Endpoint(one.id, one.zone, one.kind, one.cell, State.READY, 1.0, one.started_ns)
         for one in world.balancer.endpoints.all.values()
     ]
-    fresh.handle(world.now, api.Membership(api.ListKind.FULL, 1, entries))
+    fresh.handle(world.now, Membership(ListKind.FULL, 1, entries))
     assert restore(fresh, names, golden_snapshot(profile, seed))
     assert as_text(snapshot(fresh, names)) == as_text(golden_snapshot(profile, seed))
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -1,20 +1,8 @@
 """The four rules, judged from outside by what went in and what came out. Shares no code with the module."""
 
-from dykefold.interface import (
-    Cancel,
-    Effect,
-    Fail,
-    Membership,
-    Outcome,
-    Probe,
-    Refuse,
-    Request,
-    Scope,
-    Send,
-    State,
-    Status,
-    StreamStarted,
-)
+from dykefold.balancer.actions import Cancel, Fail, Probe, Refuse, Send
+from dykefold.balancer.events import Membership, Outcome, Request, State, Status, StreamStarted
+from dykefold.balancer.settings import Effect, Scope
 
 NEVER = (Status.FULL, Status.CONNECT_FAILED, Status.MOOT)
 
--- a/tests/control/hot_restart_rig.py
+++ b/tests/control/hot_restart_rig.py
@@ -7,15 +7,15 @@
 
 from helpers import MS, endpoint, make
 
-from dykefold.control.board import Files
-from dykefold.control.calls import Action, Call
-from dykefold.control.estimates import snapshot
-from dykefold.control.handover import LOOK_NS
+from dykefold.control.admin_operations import Operator
+from dykefold.control.admin_requests import Action, Call
+from dykefold.control.balancer_snapshot import snapshot
+from dykefold.control.hot_restart import LOOK_S, Upgrade
+from dykefold.control.hot_restart_state import LOOK_NS
 from dykefold.control.maintenance import Maintenance
-from dykefold.control.operator import Operator
-from dykefold.control.upgrade import LOOK_S, Upgrade
+from dykefold.control.state_directory import Files
 from dykefold.net.clock import Clock
-from dykefold.net.discovery import Listed, Names
+from dykefold.net.discovery.client import Listed, Names
 
 SERVERS = ("s0", "s1")
 
--- a/tests/control/test_calls.py
+++ b/tests/control/test_admin_requests.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dykefold.control.calls import Action, Call, Reply, read_call
+from dykefold.control.admin_requests import Action, Call, Reply, read_call
 
 
 @pytest.mark.parametrize(
--- a/tests/control/test_door.py
+++ b/tests/control/test_admin_server.py
@@ -22,10 +22,10 @@
     until,
 )
 
-from dykefold.control import door as door_module
-from dykefold.control.door import CONNECTIONS, DESCRIPTORS, Door
-from dykefold.control.operator import Operator
-from dykefold.net.discovery import read_news
+from dykefold.control import admin_server as door_module
+from dykefold.control.admin_operations import Operator
+from dykefold.control.admin_server import CONNECTIONS, DESCRIPTORS, Door
+from dykefold.net.discovery.client import read_news
 
 
 class Operated(Sidecar):
--- a/tests/control/test_generations.py
+++ b/tests/control/test_class_generations.py
@@ -10,11 +10,11 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 from net_helpers import MS, Fake, Sidecar, answer_ok, ask, config, entry, gated, message, news, run, until
 
-from dykefold.configuration import ConfigError, lacking, read_config, shape_of
-from dykefold.control import generations
-from dykefold.control.generations import LINGER_NS, Generation
-from dykefold.interface import Effect, RequestClass, Settings
-from dykefold.net import engine as engine_module
+from dykefold.balancer.settings import Effect, RequestClass, Settings
+from dykefold.control import class_generations as generations
+from dykefold.control.class_generations import LINGER_NS, Generation
+from dykefold.net import sidecar as engine_module
+from dykefold.sidecar_config import ConfigError, lacking, read_config, shape_of
 
 SECOND = 1000 * MS
 
--- a/tests/control/test_upgrade.py
+++ b/tests/control/test_hot_restart.py
@@ -26,8 +26,8 @@
 )
 from process_helpers import Process
 
-from dykefold.control.estimates import restore, snapshot
-from dykefold.control.steering import steer
+from dykefold.control.balancer_snapshot import restore, snapshot
+from dykefold.control.reuseport_filter import steer
 
 pytestmark = pytest.mark.processes
 
--- a/tests/control/test_handover_orders.py
+++ b/tests/control/test_hot_restart_orders.py
@@ -6,11 +6,11 @@
 
 import pytest
 from net_helpers import HOST
-from test_upgrade import waiting
+from test_hot_restart import waiting
 
-from dykefold.control import handover
-from dykefold.control.places import Places
-from dykefold.control.steering import let_chance, steer
+from dykefold.control import hot_restart_state as handover
+from dykefold.control.reuseport_filter import let_chance, steer
+from dykefold.control.reuseport_group import Places
 from dykefold.sim.explore import explore
 from dykefold.sim.upgrades import Model
 
--- a/tests/control/test_hot_restart_records.py
+++ b/tests/control/test_hot_restart_records.py
@@ -5,9 +5,9 @@
 import pytest
 from hot_restart_rig import Flaky, Machine, Member, known
 
-from dykefold.control.estimates import restore
-from dykefold.control.handover import LOOK_NS, ROOM_WAIT_NS
-from dykefold.control.upgrade import read_said, read_sign
+from dykefold.control.balancer_snapshot import restore
+from dykefold.control.hot_restart import read_said, read_sign
+from dykefold.control.hot_restart_state import LOOK_NS, ROOM_WAIT_NS
 
 HOUR_NS = 3_600 * 10**9
 
--- a/tests/control/test_handover.py
+++ b/tests/control/test_hot_restart_state.py
@@ -9,10 +9,19 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from dykefold.control.board import FILE_MOST, LOOK_AGAIN_NS, SETTLE_NS, Files
-from dykefold.control.handover import LOOK_NS, MS, ROOM_WAIT_NS, STALE_NS, TABLE, Event, Handover, State
+from dykefold.control.hot_restart import read_said, read_sign, sign_word
+from dykefold.control.hot_restart_state import (
+    LOOK_NS,
+    MS,
+    ROOM_WAIT_NS,
+    STALE_NS,
+    TABLE,
+    Event,
+    Handover,
+    State,
+)
 from dykefold.control.maintenance import Said
-from dykefold.control.upgrade import read_said, read_sign, sign_word
+from dykefold.control.state_directory import FILE_MOST, LOOK_AGAIN_NS, SETTLE_NS, Files
 
 WHOLE = 384  # descriptors
 
--- a/tests/control/test_maintenance.py
+++ b/tests/control/test_maintenance.py
@@ -6,9 +6,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
+from dykefold.balancer.events import Endpoint, State
 from dykefold.control import maintenance as module
 from dykefold.control.maintenance import Maintenance
-from dykefold.interface import Endpoint, State
 
 NAMES = ["s0", "s1", "s2", "s3"]
 
--- a/tests/control/test_state_directory.py
+++ b/tests/control/test_state_directory.py
@@ -11,10 +11,10 @@
 import pytest
 from hot_restart_rig import Engine, Machine, Member
 
-from dykefold.control.board import Files
-from dykefold.control.calls import Action, Call
-from dykefold.control.files import FileSystem
-from dykefold.control.presence import Presence
+from dykefold.control.admin_requests import Action, Call
+from dykefold.control.file_system import FileSystem
+from dykefold.control.process_lifecycle import Presence
+from dykefold.control.state_directory import Files
 
 CALLS = (
     "open",
@@ -111,8 +111,8 @@
 
 WRITER = """
 import os, signal, sys
-from dykefold.control.board import Files
-from dykefold.control.files import FileSystem
+from dykefold.control.state_directory import Files
+from dykefold.control.file_system import FileSystem
 at, before = int(sys.argv[2]), sys.argv[3] == "before"
 class Killing(FileSystem):
     count = 0
--- a/tests/failover/test_failover_edge.py
+++ b/tests/failover/test_failover_edge.py
@@ -7,11 +7,11 @@
 import pytest
 from net_helpers import run
 
+from dykefold.balancer.events import Status
 from dykefold.failover.edge import Failover
 from dykefold.failover.options import Options
 from dykefold.fleet.pace import SECOND
-from dykefold.interface import Status
-from dykefold.operators import ServiceError, read_service
+from dykefold.service_config import ServiceError, read_service
 from dykefold.sim.views import Views
 
 
--- a/tests/fleet/test_edge.py
+++ b/tests/fleet/test_edge.py
@@ -15,7 +15,7 @@
 from dykefold.lab.fleet.run import VIEW_PORT, rigged
 from dykefold.lab.fleet.scenario import FleetScenario, FleetTable
 from dykefold.lab.fleet.views import ask
-from dykefold.operators import ServiceError, read_service
+from dykefold.service_config import ServiceError, read_service
 
 
 def view(*arguments: str):
--- a/tests/fleet/test_priors.py
+++ b/tests/fleet/test_priors.py
@@ -8,12 +8,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from dykefold.balancer.actions import Hint
+from dykefold.balancer.events import Fleet, Outcome, Status
 from dykefold.fleet import priors
 from dykefold.fleet.coverage import KNOWN_BY, PAIRS_MOST, Ranking, part
 from dykefold.fleet.knowledge import Topic
 from dykefold.fleet.priors import NO_SUBJECT, enough, newest_list, say_found, say_list
 from dykefold.fleet.view import View
-from dykefold.interface import Fleet, Hint, Outcome, Status
 from dykefold.sim.views import Views
 
 ZONES = 3
--- a/tests/golden/forms.py
+++ b/tests/golden/forms.py
@@ -17,16 +17,16 @@
 import net_helpers  # noqa: E402
 from typer.testing import CliRunner  # noqa: E402
 
+from dykefold.balancer.events import Outcome, Status  # noqa: E402
 from dykefold.cli.app import app as command_line  # noqa: E402
-from dykefold.control.board import Files  # noqa: E402
-from dykefold.control.calls import Call, read_call, read_view  # noqa: E402
-from dykefold.control.estimates import snapshot  # noqa: E402
-from dykefold.control.handover import Sign, State  # noqa: E402
+from dykefold.control.admin_requests import Call, read_call, read_view  # noqa: E402
+from dykefold.control.balancer_snapshot import snapshot  # noqa: E402
+from dykefold.control.hot_restart import sign_word  # noqa: E402
+from dykefold.control.hot_restart_state import Sign, State  # noqa: E402
 from dykefold.control.maintenance import Said  # noqa: E402
-from dykefold.control.upgrade import sign_word  # noqa: E402
+from dykefold.control.state_directory import Files  # noqa: E402
 from dykefold.fleet import datagrams  # noqa: E402
-from dykefold.interface import Outcome, Status  # noqa: E402
-from dykefold.net.discovery import Names, read_news, write_news  # noqa: E402
+from dykefold.net.discovery.client import Names, read_news, write_news  # noqa: E402
 
 OWN = 0x0000_0123_4567_0000
 SIGN = {"name": "00000000000000000007-41", "born_ns": 7, "beat_ns": 11, "sees": ("a", "b"), "most": 96}
--- a/tests/golden/test_golden_forms.py
+++ b/tests/golden/test_golden_forms.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from dykefold.control.estimates import restore, snapshot
-from dykefold.control.upgrade import read_said, read_sign
+from dykefold.control.balancer_snapshot import restore, snapshot
+from dykefold.control.hot_restart import read_said, read_sign
 from golden import forms
 
 GOLDEN = json.loads((Path(__file__).parent / "forms.json").read_text())
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,22 +1,9 @@
 """Small settings and events for the tests."""
 
 from dykefold import Balancer
-from dykefold.interface import (
-    Effect,
-    Endpoint,
-    ListKind,
-    Membership,
-    Outcome,
-    Request,
-    RequestClass,
-    Scope,
-    Send,
-    SetTimer,
-    Settings,
-    State,
-    Status,
-    Timer,
-)
+from dykefold.balancer.actions import Send, SetTimer
+from dykefold.balancer.events import Endpoint, ListKind, Membership, Outcome, Request, State, Status, Timer
+from dykefold.balancer.settings import Effect, RequestClass, Scope, Settings
 
 MS = 1_000_000
 SECOND = 1_000 * MS
--- a/tests/lab/test_fleet_rig.py
+++ b/tests/lab/test_fleet_rig.py
@@ -15,7 +15,7 @@
 from dykefold.lab.fleet.network import Datagrams, Link, free_block
 from dykefold.lab.fleet.registry import Caller, Registry
 from dykefold.lab.fleet.scenario import FaultTable, FleetScenario, FleetTable, read_fleet
-from dykefold.operators import ServiceError
+from dykefold.service_config import ServiceError
 
 pytestmark = pytest.mark.processes
 
--- a/tests/lab/test_run.py
+++ b/tests/lab/test_run.py
@@ -12,7 +12,7 @@
 from dykefold.lab.load.client import Load
 from dykefold.lab.run import play
 from dykefold.lab.scenario import read_scenario
-from dykefold.operators import ServiceError
+from dykefold.service_config import ServiceError
 
 pytestmark = pytest.mark.processes
 
--- a/tests/net_helpers.py
+++ b/tests/net_helpers.py
@@ -12,7 +12,7 @@
 import uvloop
 
 from dykefold.__main__ import Reload, start_engine
-from dykefold.configuration import read_config
+from dykefold.sidecar_config import read_config
 
 HOST = "127.0.0.1"
 MS = 1_000_000
--- a/tests/routing/test_config.py
+++ b/tests/routing/test_config.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from dykefold.interface import Effect
+from dykefold.balancer.settings import Effect
 from dykefold.routing.config import read_plan
 
 GOOD = """
--- a/tests/routing/test_requests.py
+++ b/tests/routing/test_requests.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from dykefold.interface import Effect, RequestClass, Scope, Settings, Tenant
-from dykefold.net.dialect import Message, RequestError
-from dykefold.net.upstream import Manner
+from dykefold.balancer.settings import Effect, RequestClass, Scope, Settings, Tenant
+from dykefold.net.downstream.request_parser import Message, RequestError
+from dykefold.net.upstream.connection_pool import Manner
 from dykefold.routing.plan import Mapping, usual_classes
 from dykefold.routing.requests import Routed, Target
 from dykefold.routing.table import Rule, Table
--- a/tests/routing/test_services.py
+++ b/tests/routing/test_services.py
@@ -15,9 +15,9 @@
 from process_helpers import in_time
 
 from dykefold.admission.addresses import Caps
-from dykefold.interface import Effect
-from dykefold.net.engine import Engine
-from dykefold.net.lag import LATE_S
+from dykefold.balancer.settings import Effect
+from dykefold.net.loop_lag import LATE_S
+from dykefold.net.sidecar import Engine
 from dykefold.routing.config import read_plan
 from dykefold.routing.services import Services
 
--- a/tests/routing/test_streams.py
+++ b/tests/routing/test_streams.py
@@ -13,9 +13,9 @@
 from test_services import Node, get, pool_text
 
 from dykefold.admission.budget import Allowance
-from dykefold.interface import State, Status
-from dykefold.net.limits import Memory
-from dykefold.net.upstream import Exchange, Manner, Upstreams
+from dykefold.balancer.events import State, Status
+from dykefold.net.memory_budget import Memory
+from dykefold.net.upstream.connection_pool import Exchange, Manner, Upstreams
 
 
 def head(length, *lines, path="/a/x", method="PUT"):
@@ -314,7 +314,7 @@
 
 def test_a_body_that_waited_for_its_server_has_come_when_reading_was_stopped():
     """Guards the answer in time: the rest of a body is in the socket's buffer while nothing is read."""
-    from dykefold.net.stream import REST_NS, Upload
+    from dykefold.net.streaming import REST_NS, Upload
 
     def finished(stopped, resumed, now):
         upload = Upload(None, b"", lambda: None)
--- a/tests/sim/test_judge.py
+++ b/tests/sim/test_judge.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from dykefold.interface import Effect, RequestClass, Scope
+from dykefold.balancer.settings import Effect, RequestClass, Scope
 from dykefold.sim.rules import Cold, Rules
 
 MS = 1_000_000
--- a/tests/sim/test_reality.py
+++ b/tests/sim/test_reality.py
@@ -9,10 +9,10 @@
 import pytest
 from net_helpers import HOST, Fake, ask, entry, news, reply, run
 
-from dykefold.net.discovery import Names, read_news
-from dykefold.net.engine import Engine
-from dykefold.net.lag import LATE_S
-from dykefold.net.limits import MB
+from dykefold.net.discovery.client import Names, read_news
+from dykefold.net.loop_lag import LATE_S
+from dykefold.net.memory_budget import MB
+from dykefold.net.sidecar import Engine
 from dykefold.settings import Transport
 from dykefold.sim import apps, nodes
 from dykefold.sim.kernel import MS, SECOND
--- a/tests/test_client_closes.py
+++ b/tests/test_client_closes.py
@@ -25,7 +25,7 @@
 
 from dykefold.admission import rules
 from dykefold.admission.addresses import Caps
-from dykefold.net.backlog import SLICE_BYTES
+from dykefold.net.read_scheduler import SLICE_BYTES
 from dykefold.system import System
 
 PLACES = 8
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -29,8 +29,8 @@
 )
 from test_net_upstream import full_listener
 
-from dykefold.net import upstream
-from dykefold.net.front import WAITING_MOST
+from dykefold.net.downstream.connection import WAITING_MOST
+from dykefold.net.upstream import connection_pool as upstream
 from dykefold.system import System
 
 LATE_S = 0.15  # after a close; nothing may go out later than 0.1 s after it
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -16,19 +16,9 @@
 from helpers import MS, SECOND, START, endpoint, settings
 
 from dykefold import Balancer
-from dykefold.interface import (
-    Effect,
-    ListKind,
-    Membership,
-    Outcome,
-    Probe,
-    Request,
-    RequestClass,
-    Send,
-    SetTimer,
-    Status,
-    Timer,
-)
+from dykefold.balancer.actions import Probe, Send, SetTimer
+from dykefold.balancer.events import ListKind, Membership, Outcome, Request, Status, Timer
+from dykefold.balancer.settings import Effect, RequestClass
 
 ZONES = 3
 START_CAPACITY, WARM_S, FACTOR, SPAN_S = 0.14, 22.0, 3.0, 3.0
--- a/tests/test_cold_budget_quick_servers.py
+++ b/tests/test_cold_budget_quick_servers.py
@@ -9,7 +9,8 @@
 import pytest
 from helpers import MS, SECOND, START, endpoint, make, request
 
-from dykefold.interface import ListKind, Membership, Outcome, Send, Status
+from dykefold.balancer.actions import Send
+from dykefold.balancer.events import ListKind, Membership, Outcome, Status
 from dykefold.lab.fleet.judge import SlowStart, SlowStartCall, slow_start_load
 
 SERVERS, COLD = 6, 100
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -35,13 +35,13 @@
 from test_net_upstream import full_listener, make
 
 from dykefold.admission import rules
+from dykefold.balancer.events import Status
 from dykefold.balancer.timers import OVERDUE
-from dykefold.interface import Status
-from dykefold.net import front as front_module
-from dykefold.net import upstream
-from dykefold.net.discovery import read_news
-from dykefold.net.front import WAITING_MOST
-from dykefold.net.upstream import Exchange
+from dykefold.net.discovery.client import read_news
+from dykefold.net.downstream import connection as front_module
+from dykefold.net.downstream.connection import WAITING_MOST
+from dykefold.net.upstream import connection_pool as upstream
+from dykefold.net.upstream.connection_pool import Exchange
 
 STILL = 0.3  # seconds for which a loop stands still: more than a client's leave may go unheeded
 
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -27,21 +27,12 @@
     until,
 )
 
-from dykefold.interface import (
-    Effect,
-    Endpoint,
-    ListKind,
-    Membership,
-    RequestClass,
-    SetTimer,
-    Settings,
-    State,
-    Timer,
-    Watch,
-)
-from dykefold.logic import Balancer
-from dykefold.net import discovery
-from dykefold.net.discovery import Discovery, Names
+from dykefold.balancer.actions import SetTimer, Watch
+from dykefold.balancer.balancer import Balancer
+from dykefold.balancer.events import Endpoint, ListKind, Membership, State, Timer
+from dykefold.balancer.settings import Effect, RequestClass, Settings
+from dykefold.net.discovery import client as discovery
+from dykefold.net.discovery.client import Discovery, Names
 
 SECOND = 1_000_000_000
 TOLD_WITHIN = 6.0  # seconds after which a change counts as told that a silent or failed call has missed
--- a/tests/test_deadline_told.py
+++ b/tests/test_deadline_told.py
@@ -32,10 +32,10 @@
 from test_client_gone import KB, SlowServer, SmallSockets, announced, chunked
 from test_net_upstream import full_listener
 
-from dykefold.net import pool as pool_module
-from dykefold.net import upstream
-from dykefold.net.arrivals import MARKS_MOST, Arrivals
-from dykefold.net.front import WAITING_MOST
+from dykefold.net.downstream.arrivals import MARKS_MOST, Arrivals
+from dykefold.net.downstream.connection import WAITING_MOST
+from dykefold.net.service import pool as pool_module
+from dykefold.net.upstream import connection_pool as upstream
 
 SLACK_S = 0.15
 HELD_UP_S = 0.15  # at most, between reading the clock and writing
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -5,7 +5,9 @@
 import pytest
 from helpers import MS, SECOND, endpoint, make, request, send_one
 
-from dykefold.interface import Effect, ListKind, Membership, Outcome, Send, Status
+from dykefold.balancer.actions import Send
+from dykefold.balancer.events import ListKind, Membership, Outcome, Status
+from dykefold.balancer.settings import Effect
 
 ZONES = 5
 
--- a/tests/test_flights.py
+++ b/tests/test_flights.py
@@ -5,7 +5,8 @@
 from hypothesis import strategies as st
 from test_overload import Feed
 
-from dykefold.interface import Effect, Refuse
+from dykefold.balancer.actions import Refuse
+from dykefold.balancer.settings import Effect
 
 SERVERS = 12
 OFFERED = 300  # requests a second
--- a/tests/test_little.py
+++ b/tests/test_little.py
@@ -3,21 +3,19 @@
 from helpers import MS, SECOND, START, endpoint, kinds, play_timers, request, send_one, serve
 from helpers import make as make_any
 
-from dykefold.interface import (
+from dykefold.balancer.actions import Probe, Refuse, Send
+from dykefold.balancer.events import (
     Dropped,
-    Effect,
     Endpoint,
     ListKind,
     Membership,
     Outcome,
-    Probe,
     ProbeResult,
-    Refuse,
-    Send,
     State,
     Status,
     Timer,
 )
+from dykefold.balancer.settings import Effect
 
 
 def make(**more):
--- a/tests/test_lost.py
+++ b/tests/test_lost.py
@@ -3,7 +3,9 @@
 import pytest
 from helpers import MS, SECOND, make, request, send_one, serve
 
-from dykefold.interface import Cancel, Effect, Outcome, Refuse, Send, Status
+from dykefold.balancer.actions import Cancel, Refuse, Send
+from dykefold.balancer.events import Outcome, Status
+from dykefold.balancer.settings import Effect
 
 
 def warm(balancer, now, count=300, took=40 * MS):
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -20,9 +20,9 @@
     until,
 )
 
-from dykefold.interface import State
-from dykefold.net import discovery
-from dykefold.net.discovery import Discovery, ListError, Names, read_news, split_address
+from dykefold.balancer.events import State
+from dykefold.net.discovery import client as discovery
+from dykefold.net.discovery.client import Discovery, ListError, Names, read_news, split_address
 
 
 def names():
--- a/tests/test_net_ends.py
+++ b/tests/test_net_ends.py
@@ -15,8 +15,8 @@
 from net_helpers import WAIT, run
 from test_net_upstream import PAYLOAD, make
 
-from dykefold.interface import State, Status
-from dykefold.net.upstream import Exchange
+from dykefold.balancer.events import State, Status
+from dykefold.net.upstream.connection_pool import Exchange
 from standins.load import desks
 from standins.sidecar import ROOT, sidecar
 from standins.truth import CLOSE, GOOD, NEVER, SILENCE, SPOILT, Truth
--- a/tests/test_net_front.py
+++ b/tests/test_net_front.py
@@ -24,8 +24,9 @@
 
 from dykefold.admission import rules
 from dykefold.admission.budget import Budget
-from dykefold.net import engine, front
-from dykefold.net.limits import MB, Memory
+from dykefold.net import sidecar as engine
+from dykefold.net.downstream import connection as front
+from dykefold.net.memory_budget import MB, Memory
 from dykefold.net.peers import Peers
 
 ID = b"X-Request-Id: ab\r\n"
--- a/tests/test_net_hostile.py
+++ b/tests/test_net_hostile.py
@@ -11,10 +11,10 @@
 from hypothesis import strategies as st
 from net_helpers import MS, WAIT, Sidecar, config, message, news, run, until
 
-from dykefold.net.backlog import SLICE_BYTES, SLICES_A_TURN
-from dykefold.net.dialect import BODY_MOST
-from dykefold.net.front import HEADERS_MOST, Front
-from dykefold.net.reports import Reports
+from dykefold.net.downstream.connection import HEADERS_MOST, Front
+from dykefold.net.downstream.request_parser import BODY_MOST
+from dykefold.net.read_scheduler import SLICE_BYTES, SLICES_A_TURN
+from dykefold.net.service.load_reports import Reports
 
 CALLS_A_BYTE = 1.5  # Python calls: the worst are requests of 18 bytes, with some twenty for each
 CALLS_AT_ONCE = 200  # ... and so many whatever comes
--- a/tests/test_net_idle.py
+++ b/tests/test_net_idle.py
@@ -1,6 +1,6 @@
 """At what age idle connections turn out dead: learned per server, from all of them, and forgotten."""
 
-from dykefold.net.idle import EDGES_S, SPARE_DOUBLE_S, SPARE_LEAST_S, Ages, Spare
+from dykefold.net.upstream.idle_timeouts import EDGES_S, SPARE_DOUBLE_S, SPARE_LEAST_S, Ages, Spare
 
 MOST = 42.0
 
--- a/tests/test_net_long_day.py
+++ b/tests/test_net_long_day.py
@@ -2,7 +2,7 @@
 
 from net_helpers import HOST, Fake, Sidecar, answer_ok, ask, config, entry, message, news, run, until
 
-from dykefold.net.discovery import read_news
+from dykefold.net.discovery.client import read_news
 
 DAYS_WORTH = 3000
 
--- a/tests/test_net_long_messages.py
+++ b/tests/test_net_long_messages.py
@@ -19,7 +19,7 @@
 )
 from stream_helpers import BIG, KB, Server, digest, read_body
 
-from dykefold.net import pool as pool_module
+from dykefold.net.service import pool as pool_module
 
 
 def listed(*servers):
--- a/tests/test_net_pool.py
+++ b/tests/test_net_pool.py
@@ -8,14 +8,14 @@
 from dykefold.admission.addresses import Caps
 from dykefold.admission.budget import Budget
 from dykefold.admission.rules import Admission, Share
-from dykefold.net.backlog import Backlog
 from dykefold.net.clock import Clock
-from dykefold.net.deadlines import Deadlines
-from dykefold.net.dialect import Call
-from dykefold.net.discovery import Names, read_news
-from dykefold.net.lag import Lag
-from dykefold.net.limits import MB, Memory
-from dykefold.net.pool import Pool
+from dykefold.net.discovery.client import Names, read_news
+from dykefold.net.downstream.request_parser import Call
+from dykefold.net.loop_lag import Lag
+from dykefold.net.memory_budget import MB, Memory
+from dykefold.net.read_scheduler import Backlog
+from dykefold.net.service.pool import Pool
+from dykefold.net.timer_wheel import Deadlines
 from dykefold.settings import nested_settings, nested_transport
 from dykefold.system import SYSTEM
 
--- a/tests/test_net_requests.py
+++ b/tests/test_net_requests.py
@@ -23,7 +23,8 @@
     until,
 )
 
-from dykefold import interface as api
+from dykefold.balancer.actions import CloseIdle, Probe
+from dykefold.balancer.events import Outcome, Request, Status, Timer
 
 NOT_RUN = "X-Not-Run: 1"
 
@@ -88,8 +89,8 @@
         assert sent.headers["idempotency-key"] == "key-of-ab12"
         # The attempt's own time: no more than the client's, less what has passed.
         assert 0 < int(sent.headers["x-deadline"].removesuffix("m")) < 900
-        (outcome,) = [event for event in heard if isinstance(event, api.Outcome)]
-        assert outcome.report == (7.0, 0.5) and outcome.final and outcome.status is api.Status.OK
+        (outcome,) = [event for event in heard if isinstance(event, Outcome)]
+        assert outcome.report == (7.0, 0.5) and outcome.final and outcome.status is Status.OK
 
     run(play())
 
@@ -217,7 +218,7 @@
             handle = sidecar.engine.pool.balancer.handle
 
             def failing(now, event):
-                if isinstance(event, api.Request) and event.cls == 2:
+                if isinstance(event, Request) and event.cls == 2:
                     sidecar.engine.pool.balancer.actions = []
                     raise ZeroDivisionError("of the module")
                 return handle(now, event)
@@ -239,7 +240,7 @@
             handle = sidecar.engine.pool.balancer.handle
 
             def deaf(now, event):
-                if isinstance(event, api.Outcome | api.Timer):
+                if isinstance(event, Outcome | Timer):
                     sidecar.engine.pool.balancer.actions = []
                     raise ZeroDivisionError("of the module")
                 return handle(now, event)
@@ -338,15 +339,15 @@
             engine = sidecar.engine
             (server,) = engine.pool.upstreams.targets
             engine.pool.balancer.handle = lambda now, event: heard.append(event) or []
-            engine.pool.carry_out[api.Probe](api.Probe(server))
+            engine.pool.carry_out[Probe](Probe(server))
             await until(lambda: heard)
-            assert heard[0].status is api.Status.OK and heard[0].report == (7.0, 0.5)
-            engine.pool.carry_out[api.CloseIdle](api.CloseIdle(server))
+            assert heard[0].status is Status.OK and heard[0].report == (7.0, 0.5)
+            engine.pool.carry_out[CloseIdle](CloseIdle(server))
             assert not engine.pool.upstreams.connections
             fake.server.close()
-            engine.pool.carry_out[api.Probe](api.Probe(server))
+            engine.pool.carry_out[Probe](Probe(server))
             await until(lambda: len(heard) > 1)
-            assert heard[1].status is api.Status.CONNECT_FAILED and heard[1].report == ()
+            assert heard[1].status is Status.CONNECT_FAILED and heard[1].report == ()
 
     run(play())
 
--- a/tests/test_net_sweep.py
+++ b/tests/test_net_sweep.py
@@ -3,8 +3,8 @@
 from net_helpers import HOST, Fake, answer_ok, run
 from test_net_upstream import make, start
 
-from dykefold.interface import State, Status
-from dykefold.net.idle import Ages
+from dykefold.balancer.events import State, Status
+from dykefold.net.upstream.idle_timeouts import Ages
 
 LISTED = 3200
 
--- a/tests/test_net_upstream.py
+++ b/tests/test_net_upstream.py
@@ -12,11 +12,11 @@
 from net_helpers import HOST, WAIT, Fake, answer_ok, reply, reset, run, silent, until
 
 from dykefold.admission.budget import Allowance
-from dykefold.interface import State, Status
-from dykefold.net import upstream
-from dykefold.net.deadlines import Deadlines
-from dykefold.net.limits import MB, Memory
-from dykefold.net.upstream import Exchange, Upstreams
+from dykefold.balancer.events import State, Status
+from dykefold.net.memory_budget import MB, Memory
+from dykefold.net.timer_wheel import Deadlines
+from dykefold.net.upstream import connection_pool as upstream
+from dykefold.net.upstream.connection_pool import Exchange, Upstreams
 
 PAYLOAD = b"GET /lookup HTTP/1.1\r\nX-Request-Id: ab\r\n\r\n"
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -6,22 +6,9 @@
 from helpers import MS, SECOND, START, endpoint, make, play_timers, request, settings
 
 from dykefold import Balancer
-from dykefold.interface import (
-    Effect,
-    ListKind,
-    Membership,
-    Outcome,
-    PeerMessage,
-    Refuse,
-    Request,
-    RequestClass,
-    Send,
-    SetTimer,
-    Status,
-    Tell,
-    Tenant,
-    Timer,
-)
+from dykefold.balancer.actions import Refuse, Send, SetTimer, Tell
+from dykefold.balancer.events import ListKind, Membership, Outcome, PeerMessage, Request, Status, Timer
+from dykefold.balancer.settings import Effect, RequestClass, Tenant
 
 
 class Feed:
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -11,7 +11,9 @@
 from helpers import MS, SECOND, START, endpoint, make, request, settings
 
 from dykefold import Balancer
-from dykefold.interface import Effect, ListKind, Membership, Outcome, Send, SetTimer, Status, Timer
+from dykefold.balancer.actions import Send, SetTimer
+from dykefold.balancer.events import ListKind, Membership, Outcome, Status, Timer
+from dykefold.balancer.settings import Effect
 
 ROOT = Path(__file__).parent.parent
 
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -31,7 +31,7 @@
 )
 from process_helpers import Process
 
-from dykefold.net.engine import planned_end
+from dykefold.net.sidecar import planned_end
 from dykefold.settings import nested_settings, parse_settings
 
 pytestmark = pytest.mark.processes
@@ -321,7 +321,7 @@
         "import sys, dykefold.__main__ as program; program.read_config(sys.argv[1]);"
         "print([name for name in sys.modules if name.split('.')[0] in"
         " ('msgspec', 'tomllib', 'typer', 'click', 'rich', 'structlog')"
-        " or name == 'dykefold.operators' or name.startswith(('dykefold.routing', 'dykefold.cli'))])"
+        " or name == 'dykefold.service_config' or name.startswith(('dykefold.routing', 'dykefold.cli'))])"
     )
     done = subprocess.run([sys.executable, "-c", code, str(path)], cwd=ROOT, capture_output=True, text=True)
     assert done.stdout.strip() == "[]", done.stderr
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -10,32 +10,24 @@
 from hypothesis import strategies as st
 
 from dykefold import Balancer, Settings
+from dykefold.balancer.actions import Cancel, Fail, Probe, Refuse, Send, SetTimer
 from dykefold.balancer.attempt_rules import AttemptRules
-from dykefold.balancer.final_answers import FinalAnswers
-from dykefold.balancer.latency import LatencyEstimator
-from dykefold.balancer.slow_start import SlowStart
-from dykefold.balancer.subsetting import EndpointSet
-from dykefold.interface import (
-    Cancel,
+from dykefold.balancer.events import (
     Dropped,
-    Effect,
-    Fail,
     ListKind,
     Membership,
     Outcome,
-    Probe,
     ProbeResult,
-    Refuse,
     Request,
-    RequestClass,
-    Scope,
-    Send,
-    SetTimer,
     State,
     Status,
-    Tenant,
     Timer,
 )
+from dykefold.balancer.final_answers import FinalAnswers
+from dykefold.balancer.latency import LatencyEstimator
+from dykefold.balancer.settings import Effect, RequestClass, Scope, Tenant
+from dykefold.balancer.slow_start import SlowStart
+from dykefold.balancer.subsetting import EndpointSet
 
 TICK = 5 * MS
 STATUSES = [Status.OK] * 6 + [
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -3,7 +3,9 @@
 import pytest
 from helpers import MS, SECOND, kinds, make, play_timers, request, send_one, serve
 
-from dykefold.interface import Effect, Fail, Outcome, Refuse, Scope, Send, Status, Timer
+from dykefold.balancer.actions import Fail, Refuse, Send
+from dykefold.balancer.events import Outcome, Status, Timer
+from dykefold.balancer.settings import Effect, Scope
 
 
 def _finish(balancer, now, ident, server, status, attempt=0, final=False):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,27 +3,20 @@
 from helpers import MS, SECOND, START, endpoint, kinds, make, play_timers, request, send_one, serve, settings
 
 from dykefold import Balancer
-from dykefold.interface import (
-    Cancel,
+from dykefold.balancer.actions import Cancel, Fail, Refuse, Send, SetTimer, Watch
+from dykefold.balancer.events import (
     Dropped,
-    Effect,
-    Fail,
     ListKind,
     Membership,
     Outcome,
     PeerMessage,
     ProbeResult,
-    Refuse,
-    Scope,
-    Send,
-    SetTimer,
     State,
     Status,
     StreamStarted,
-    Tenant,
     Timer,
-    Watch,
 )
+from dykefold.balancer.settings import Effect, Scope, Tenant
 
 
 def test_a_timeout_at_the_deadline_is_answered_at_once():
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -8,7 +8,7 @@
 from helpers import MS, SECOND, endpoint, make, settings
 from net_helpers import HOST, Fake, Sidecar, config, entry, news, on_loop, reply, until
 
-from dykefold.interface import Endpoint, ListKind, Membership, State
+from dykefold.balancer.events import Endpoint, ListKind, Membership, State
 from dykefold.net.clock import LIST_LAG_NS, StartTimes
 from dykefold.system import System
 
--- a/tests/test_syscalls_upstream.py
+++ b/tests/test_syscalls_upstream.py
@@ -34,13 +34,15 @@
 from test_net_upstream import listener, start
 
 from dykefold.admission.budget import Allowance
-from dykefold.interface import Effect, Fail, Outcome, Refuse, Send, State, Status
-from dykefold.net import upstream
-from dykefold.net.discovery import Discovery, Names
-from dykefold.net.engine import Engine
-from dykefold.net.limits import MB, Memory
+from dykefold.balancer.actions import Fail, Refuse, Send
+from dykefold.balancer.events import Outcome, State, Status
+from dykefold.balancer.settings import Effect
+from dykefold.net.discovery.client import Discovery, Names
+from dykefold.net.memory_budget import MB, Memory
 from dykefold.net.peers import Peers
-from dykefold.net.upstream import Upstreams
+from dykefold.net.sidecar import Engine
+from dykefold.net.upstream import connection_pool as upstream
+from dykefold.net.upstream.connection_pool import Upstreams
 
 OWN = [
     errno.EADDRNOTAVAIL, errno.EADDRINUSE, errno.ENOBUFS, errno.ENOMEM, errno.ENETUNREACH, errno.ENETDOWN,
--- a/tests/test_turned_away.py
+++ b/tests/test_turned_away.py
@@ -2,8 +2,8 @@
 
 from helpers import MS, SECOND, make, send_one, serve
 
+from dykefold.balancer.events import Outcome, Status
 from dykefold.balancer.requests import InFlightAttempt
-from dykefold.interface import Outcome, Status
 
 
 def hear(balancer, now, server, status):
--- a/tests/test_wear.py
+++ b/tests/test_wear.py
@@ -9,7 +9,9 @@
 
 from helpers import MS, SECOND, START, endpoint, make
 
-from dykefold.interface import Effect, Outcome, Request, RequestClass, Send, SetTimer, Status, Timer
+from dykefold.balancer.actions import Send, SetTimer
+from dykefold.balancer.events import Outcome, Request, Status, Timer
+from dykefold.balancer.settings import Effect, RequestClass
 
 CORES = 4
 WORK_S = 0.12  # mean of an exponential distribution
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -8,8 +8,9 @@
 
 import pytest
 
-from dykefold import settings, wirehost
-from dykefold.interface import Effect, Scope
+from dykefold import settings
+from dykefold import simulator_adapter as wirehost
+from dykefold.balancer.settings import Effect, Scope
 
 ROOT = Path(__file__).parent.parent
 TEXT = """\
@@ -154,7 +155,11 @@
 )
 def test_a_broken_frame_is_one_line_and_a_failure(data):
     run = subprocess.run(
-        [sys.executable, "-m", "dykefold.wirehost"], input=data, capture_output=True, cwd=ROOT, check=False
+        [sys.executable, "-m", "dykefold.simulator_adapter"],
+        input=data,
+        capture_output=True,
+        cwd=ROOT,
+        check=False,
     )
     assert run.returncode != 0
     assert run.stdout == b""
