--- a/dykefold/__main__.py
+++ b/dykefold/__main__.py
@@ -15,12 +15,12 @@
 
 import uvloop
 
-from .control.admin_server import DESCRIPTORS as DOOR_DESCRIPTORS
-from .control.admin_server import Door
-from .control.process_lifecycle import Presence
+from .control.admin_server import RESERVED_DESCRIPTORS as DOOR_DESCRIPTORS
+from .control.admin_server import AdminServer
+from .control.process_lifecycle import ProcessLifecycle
 from .failover.options import Options as FailoverOptions
-from .net.peers import Address, Peers
-from .net.sidecar import Engine
+from .net.peers import Address, PeerChannel
+from .net.sidecar import SidecarServer
 from .sidecar_config import Config, ConfigError, read_config, read_service_file, system_limit
 
 if TYPE_CHECKING:
@@ -34,10 +34,10 @@
 log = logging.getLogger("dykefold")
 
 
-def start_engine(loop: asyncio.AbstractEventLoop, config: Config) -> Engine:
+def start_engine(loop: asyncio.AbstractEventLoop, config: Config) -> SidecarServer:
     doors = [config.control, config.fleet.listen if config.fleet.view else None]
     set_aside = DOOR_DESCRIPTORS * sum(door is not None for door in doors)
-    engine = Engine(loop, config.sockets, config.memory, config.caps, set_aside=set_aside)
+    engine = SidecarServer(loop, config.sockets, config.memory, config.caps, set_aside=set_aside)
     engine.serve_one(
         config.settings, config.transport, config.seed, config.discovery, config.names, config.known
     )
@@ -47,7 +47,7 @@
 class Reload:
     """Applies the platform's file again, whole or not at all."""
 
-    def __init__(self, engine: Engine, config: Config, path: str | None, service: str | None) -> None:
+    def __init__(self, engine: SidecarServer, config: Config, path: str | None, service: str | None) -> None:
         self.engine = engine
         self.config = config  # what the process runs by
         self.path = path
@@ -85,7 +85,7 @@
     loop = asyncio.get_running_loop()
     engine = start_engine(loop, config)
     # Where the platform gives no door there are no upgrades either, and nobody to share an address with.
-    presence = Presence(loop, engine, config.control, os.environ.get("TMPDIR"))
+    presence = ProcessLifecycle(loop, engine, config.control, os.environ.get("TMPDIR"))
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, presence.drain)
     reload = Reload(engine, config, path, service)
@@ -97,7 +97,7 @@
             _end_unbegun(engine, presence)
             return
         if config.peer_listen is not None:
-            peers = Peers(config.settings.index, config.peers, config.peers_all, engine.pool.on_peer)
+            peers = PeerChannel(config.settings.index, config.peers, config.peers_all, engine.pool.on_peer)
             await loop.create_datagram_endpoint(
                 lambda: peers, sock=_datagram_socket(config.peer_listen, presence.shared)
             )
@@ -120,7 +120,7 @@
         lists.close()
 
 
-def _spread_calls(engine: Engine, config: Config) -> Lists | None:
+def _spread_calls(engine: SidecarServer, config: Config) -> Lists | None:
     """Spread calls of the list service over the fleet, where the operator's file asks for it."""
     settings, discovery = config.settings, engine.pool.discovery
     if not (config.fleet.calls and settings.must_ask and discovery is not None):
@@ -131,7 +131,9 @@
     return Lists(discovery, within_ns, rate, settings.index, settings.fleet_size, config.seed)
 
 
-def _keep_view(loop: asyncio.AbstractEventLoop, engine: Engine, config: Config, peers: Peers) -> Fleet | None:
+def _keep_view(
+    loop: asyncio.AbstractEventLoop, engine: SidecarServer, config: Config, peers: PeerChannel
+) -> Fleet | None:
     """Take part in the fleet's view, where the operator's file asks for it and the settings allow it."""
     settings = config.settings
     known = len(config.peers) > 1 and 0 <= settings.index < len(config.peers)
@@ -145,7 +147,9 @@
     return fleet
 
 
-def _fail_over(loop: asyncio.AbstractEventLoop, engine: Engine, config: Config, fleet: Fleet) -> Failover:
+def _fail_over(
+    loop: asyncio.AbstractEventLoop, engine: SidecarServer, config: Config, fleet: Fleet
+) -> Failover:
     """Take part in the failover between zones."""
     from .failover.edge import Failover
 
@@ -157,14 +161,14 @@
 
 def _show_view(
     loop: asyncio.AbstractEventLoop, fleet: Fleet, address: Address, failover: Failover | None
-) -> Door:
+) -> AdminServer:
     """Answer those who ask for the view at an address. Raises OSError if it can't be had."""
-    from .control.admin_requests import read_view
+    from .control.admin_requests import parse_membership_request
     from .fleet.edge import Teller
 
     sock = socket.create_server(address, backlog=DOOR_DESCRIPTORS, reuse_port=True)
     plan = failover.shown if failover is not None else None
-    door = Door(loop, sock, Teller(fleet, plan), read=read_view)
+    door = AdminServer(loop, sock, Teller(fleet, plan), read=parse_membership_request)
     log.info("the view is told at %s:%d", *door.address)
     return door
 
@@ -178,14 +182,14 @@
     return sock
 
 
-def _end_unbegun(engine: Engine, presence: Presence) -> None:
+def _end_unbegun(engine: SidecarServer, presence: ProcessLifecycle) -> None:
     log.info("it ends before it has taken clients")
     presence.close()
     engine.close()
 
 
 async def _until_stopped(
-    engine: Engine, name: str, address: Address, presence: Presence, fleet: Fleet | None = None
+    engine: SidecarServer, name: str, address: Address, presence: ProcessLifecycle, fleet: Fleet | None = None
 ) -> None:
     # What was made until now lives as long as the process: collections need not look at it again, nor
     # come as often as for a program that makes cycles.
@@ -207,8 +211,8 @@
     loop = asyncio.get_running_loop()
     sockets = min(plan.sockets, system_limit())
     set_aside = DOOR_DESCRIPTORS if service.control is not None else 0
-    engine = Engine(loop, sockets, plan.memory_bytes, service.caps, set_aside=set_aside)
-    presence = Presence(loop, engine, service.control, service.folder)
+    engine = SidecarServer(loop, sockets, plan.memory_bytes, service.caps, set_aside=set_aside)
+    presence = ProcessLifecycle(loop, engine, service.control, service.folder)
     services = Services(engine, lambda: random.getrandbits(63))
     try:
         services.apply(plan, sockets, service.caps)
--- a/dykefold/balancer/actions.py
+++ b/dykefold/balancer/actions.py
@@ -63,7 +63,7 @@
 
 
 @dataclass(slots=True)
-class Tell:
+class SendToPeer:
     """Send a message to other sidecars.
 
     Attributes:
@@ -76,7 +76,7 @@
 
 
 @dataclass(slots=True)
-class Hint:
+class ReportEndpointHealth:
     """Tell the fleet that an endpoint is given up on, or that it answers again."""
 
     server: int
@@ -110,4 +110,17 @@
     text: str
 
 
-Action = Send | Refuse | Fail | Cancel | Probe | CloseIdle | Tell | Hint | Watch | Fetch | SetTimer | Log
+Action = (
+    Send
+    | Refuse
+    | Fail
+    | Cancel
+    | Probe
+    | CloseIdle
+    | SendToPeer
+    | ReportEndpointHealth
+    | Watch
+    | Fetch
+    | SetTimer
+    | Log
+)
--- a/dykefold/balancer/attempt_results.py
+++ b/dykefold/balancer/attempt_results.py
@@ -95,7 +95,7 @@
             endpoint.probation_pending = False
         if status is Status.OK:
             self._learn_success(endpoint, attempt, event)
-        elif status is Status.MOOT:
+        elif status is Status.NOT_ATTEMPTED:
             return
         elif status is Status.FULL:
             self._learn_rejection(endpoint, attempt)
--- a/dykefold/balancer/balancer.py
+++ b/dykefold/balancer/balancer.py
@@ -40,8 +40,8 @@
 from .timers import OVERDUE, POLL, RETRY, TimerQueue
 
 Status = events.Status
-PROVES_NOT_RUN = frozenset((Status.FULL, Status.CONNECT_FAILED, Status.MOOT))
-UNWRITTEN = frozenset((Status.CONNECT_FAILED, Status.MOOT))
+PROVES_NOT_RUN = frozenset((Status.FULL, Status.CONNECT_FAILED, Status.NOT_ATTEMPTED))
+UNWRITTEN = frozenset((Status.CONNECT_FAILED, Status.NOT_ATTEMPTED))
 
 
 class Balancer:
@@ -104,14 +104,14 @@
             events.Request: self.on_request,
             events.Outcome: self.on_outcome,
             events.Timer: self.on_timer,
-            events.Dropped: self.on_dropped,
+            events.ClientDisconnected: self.on_dropped,
             events.Membership: self.list_updater.on_membership,
             events.PeerMessage: self.quotas.on_peer,
             events.ProbeResult: self.on_probe_result,
             events.StreamStarted: self.on_stream_started,
             events.BodySent: self.on_body_sent,
-            events.Retune: self.on_retune,
-            events.Fleet: self.on_fleet,
+            events.SettingsChanged: self.on_retune,
+            events.MembershipChanged: self.on_fleet,
         }
 
     def handle(self, now_ns: int, event: events.Event) -> list[Action]:
@@ -177,7 +177,7 @@
         if req is None:
             return
         status = event.status
-        not_attempted = status is Status.MOOT
+        not_attempted = status is Status.NOT_ATTEMPTED
         if event.attempt < len(req.attempts):
             req.attempts[event.attempt].state = NEVER_RAN if status in PROVES_NOT_RUN else MAY_HAVE_RUN
             req.written |= status not in UNWRITTEN
@@ -191,7 +191,7 @@
         elif not req.retry_planned:
             self.retries.plan(req, not_attempted)
 
-    def on_dropped(self, event: events.Dropped) -> None:
+    def on_dropped(self, event: events.ClientDisconnected) -> None:
         """The client of a request has gone."""
         req = self.answers.pending.get(event.id)
         if req is not None:
@@ -247,7 +247,7 @@
                 req.retry_planned = False
                 self.retries.retry(req)
 
-    def on_retune(self, event: events.Retune) -> None:
+    def on_retune(self, event: events.SettingsChanged) -> None:
         """Go by other settings. Estimates of a class go on under its name, pending requests by their own."""
         context = self.context
         classes = context.classes
@@ -266,7 +266,7 @@
         self.load_reports.apply_settings()
         self.endpoints.rebuild()
 
-    def on_fleet(self, event: events.Fleet) -> None:
+    def on_fleet(self, event: events.MembershipChanged) -> None:
         """Who is there, and what several sidecars found."""
         context = self.context
         context.fleet = event
@@ -307,22 +307,22 @@
         return self.endpoints.all
 
     @property
-    def open(self) -> dict[int, PendingRequest]:
+    def pending(self) -> dict[int, PendingRequest]:
         """Requests without a final answer, by number."""
         return self.answers.pending
 
     @property
-    def works(self) -> list[ClassStats]:
+    def classes(self) -> list[ClassStats]:
         """All classes by number, retired ones too."""
         return self.context.classes
 
     @property
-    def live(self) -> list[ClassStats]:
+    def live_classes(self) -> list[ClassStats]:
         """The classes that new requests may be of."""
         return self.context.live_classes
 
     @property
-    def inflight(self) -> int:
+    def in_flight(self) -> int:
         """Own attempts that wait for a response, but for those at ejected endpoints."""
         return self.limit.in_flight
 
--- a/dykefold/balancer/context.py
+++ b/dykefold/balancer/context.py
@@ -6,7 +6,7 @@
 
 from .actions import Action, Log
 from .endpoints import ClassStats
-from .events import Fleet
+from .events import MembershipChanged
 from .settings import Effect, Settings
 
 SECOND_NS = 1_000_000_000
@@ -46,7 +46,7 @@
         self.now_ns = 0
         self.actions: list[Action] = []
         self.classes = [ClassStats(spec) for spec in settings.classes]
-        self.fleet: Fleet | None = None
+        self.fleet: MembershipChanged | None = None
         self.log_due_ns = 0
         self.apply(settings, self.classes)
 
--- a/dykefold/balancer/events.py
+++ b/dykefold/balancer/events.py
@@ -23,7 +23,7 @@
     CONNECT_FAILED = 4  # no connection was made
     RESET = 5  # the connection broke; may have run
     CANCELLED = 6  # cancelled; may have run
-    MOOT = 7  # never sent
+    NOT_ATTEMPTED = 7  # never sent
 
 
 class State(IntEnum):
@@ -134,7 +134,7 @@
 
 @dataclass(slots=True)
 class StreamStarted:
-    """A body has begun to flow: an answer, which ends the attempt's service; or, as MOOT, the request's.
+    """A body has begun to flow: a response, which ends the attempt, or (NOT_ATTEMPTED) a request.
 
     Attributes: as those of `Outcome`.
     """
@@ -157,7 +157,7 @@
 
 
 @dataclass(slots=True)
-class Dropped:
+class ClientDisconnected:
     """The client of a request has gone."""
 
     id: int
@@ -194,7 +194,7 @@
 
 
 @dataclass(slots=True)
-class Fleet:
+class MembershipChanged:
     """What the membership of the sidecars tells; see docs/design/view.md.
 
     Attributes:
@@ -222,7 +222,7 @@
 
 
 @dataclass(slots=True)
-class Retune:
+class SettingsChanged:
     """Other settings from now on.
 
     Attributes:
@@ -240,10 +240,10 @@
     | Outcome
     | StreamStarted
     | BodySent
-    | Dropped
+    | ClientDisconnected
     | ProbeResult
     | PeerMessage
     | Timer
-    | Retune
-    | Fleet
+    | SettingsChanged
+    | MembershipChanged
 )
--- a/dykefold/balancer/outlier_detection.py
+++ b/dykefold/balancer/outlier_detection.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from .actions import Hint
+from .actions import ReportEndpointHealth
 from .attempt_rules import AttemptRules
 from .concurrency_limit import ConcurrencyLimit
 from .context import BalancerContext
@@ -88,7 +88,7 @@
         """Set when the endpoint is probed next, and tell the fleet that it is given up on."""
         context = self.context
         if context.fleet:
-            context.actions.append(Hint(endpoint.id, False))
+            context.actions.append(ReportEndpointHealth(endpoint.id, False))
         wait = context.shortest_ns * min(
             EJECTION_TIME * EJECTION_GROWTH**endpoint.ejections, MAX_EJECTION_TIME
         )
@@ -112,7 +112,7 @@
 
     def _readmit(self, endpoint: EndpointState) -> None:
         if self.context.fleet:
-            self.context.actions.append(Hint(endpoint.id, True))
+            self.context.actions.append(ReportEndpointHealth(endpoint.id, True))
         endpoint.ejected = False
         self.limit.in_flight += endpoint.expected_responses()
         endpoint.relative_latency = min(endpoint.relative_latency, MAX_READMITTED_LATENCY)
--- a/dykefold/balancer/quotas.py
+++ b/dykefold/balancer/quotas.py
@@ -4,7 +4,7 @@
 
 import struct
 
-from .actions import Tell
+from .actions import SendToPeer
 from .context import SECOND_NS, BalancerContext
 from .events import PeerMessage
 
@@ -55,7 +55,7 @@
         self.counts = [0.0] * len(self.counts)
         if context.settings.can_tell and context.settings.fleet_size > 1:
             steps = [min(int(rate * RATE_UNIT), MAX_RATE) for rate in self.rates]
-            context.actions.append(Tell(self.message.pack(*steps)))
+            context.actions.append(SendToPeer(self.message.pack(*steps)))
         self._judge()
 
     def on_peer(self, event: PeerMessage) -> None:
--- a/dykefold/cli/control.py
+++ b/dykefold/cli/control.py
@@ -9,7 +9,7 @@
 
 import typer
 
-from ..control.admin_requests import ID_MOST, Action
+from ..control.admin_requests import MAX_ID_CHARACTERS, Action
 from ..net.discovery.client import split_address
 
 TIMEOUT_S = 5.0  # the door answers in one second
@@ -52,8 +52,8 @@
         host, port = split_address(at)
     except ValueError as error:
         raise typer.BadParameter(str(error), param_hint="--at") from None
-    if action is not Action.HEALTH and not 0 < len(server) <= ID_MOST:
-        raise typer.BadParameter(f"expected 1 to {ID_MOST} characters", param_hint="ID")
+    if action is not Action.HEALTH and not 0 < len(server) <= MAX_ID_CHARACTERS:
+        raise typer.BadParameter(f"expected 1 to {MAX_ID_CHARACTERS} characters", param_hint="ID")
     code, text = _answer(host, port, action, server)
     good = code is not None and 200 <= code < 300
     if as_json:
--- a/dykefold/control/admin_requests.py
+++ b/dykefold/control/admin_requests.py
@@ -10,8 +10,8 @@
 from enum import Enum
 from urllib.parse import unquote_to_bytes
 
-TARGET_MOST = 1024  # bytes of a path; ids are names of servers
-ID_MOST = 256  # characters of an id
+MAX_TARGET_BYTES = 1024  # bytes of a path; ids are names of servers
+MAX_ID_CHARACTERS = 256  # characters of an id
 
 
 class Action(Enum):
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
+class AdminRequest:
     """A call that was understood.
 
     Attributes:
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
+class AdminResponse:
     """An answer: a status code of HTTP, and a line for people."""
 
     code: int
@@ -46,37 +46,45 @@
     allow: str = ""  # the method that the path takes, where another one came
 
 
-YES = Reply(200, "ok")
+OK = AdminResponse(200, "ok")
 
 
-def read_view(method: str, target: str) -> Call | Reply:
+def parse_membership_request(method: str, target: str) -> AdminRequest | AdminResponse:
     """The calls that there are at a listener for the view."""
     action = {f"/{one.value}": one for one in (Action.VIEW, Action.BRIEF, Action.PLAN)}.get(
         target.partition("?")[0]
     )
     if action is None:
-        return Reply(404, "no such call")
-    return Call(action) if method == "GET" else Reply(405, "the view is asked for with GET", "GET")
+        return AdminResponse(404, "no such call")
+    return (
+        AdminRequest(action)
+        if method == "GET"
+        else AdminResponse(405, "the view is asked for with GET", "GET")
+    )
 
 
-def read_call(method: str, target: str) -> Call | Reply:
+def parse_admin_request(method: str, target: str) -> AdminRequest | AdminResponse:
     """The call that a request is, or the answer to one that is none."""
-    if len(target) > TARGET_MOST:
-        return Reply(414, f"the path is longer than {TARGET_MOST} bytes")
+    if len(target) > MAX_TARGET_BYTES:
+        return AdminResponse(414, f"the path is longer than {MAX_TARGET_BYTES} bytes")
     path = target.partition("?")[0]
     if not path.startswith("/"):
-        return Reply(400, "the target is no path")
+        return AdminResponse(400, "the target is no path")
     parts = path[1:].split("/")
     if parts == [Action.HEALTH.value]:
-        return Call(Action.HEALTH) if method == "GET" else Reply(405, "a health call is a GET", "GET")
+        return (
+            AdminRequest(Action.HEALTH)
+            if method == "GET"
+            else AdminResponse(405, "a health call is a GET", "GET")
+        )
     if len(parts) != 3 or parts[0] != "servers" or parts[2] not in (Action.OUT.value, Action.BACK.value):
-        return Reply(404, "no such call")
+        return AdminResponse(404, "no such call")
     if method != "POST":
-        return Reply(405, "a server is taken out or put back with POST", "POST")
+        return AdminResponse(405, "a server is taken out or put back with POST", "POST")
     try:
         server = unquote_to_bytes(parts[1]).decode()
     except UnicodeDecodeError:
-        return Reply(400, "the id is no UTF-8")
-    if not server or len(server) > ID_MOST or not server.isprintable():
-        return Reply(400, f"the id must be 1 to {ID_MOST} printable characters")
-    return Call(Action(parts[2]), server)
+        return AdminResponse(400, "the id is no UTF-8")
+    if not server or len(server) > MAX_ID_CHARACTERS or not server.isprintable():
+        return AdminResponse(400, f"the id must be 1 to {MAX_ID_CHARACTERS} printable characters")
+    return AdminRequest(Action(parts[2]), server)
--- a/dykefold/control/admin_server.py
+++ b/dykefold/control/admin_server.py
@@ -1,7 +1,7 @@
 """The operators' door: a listener beside the clients', HTTP/1.1, one call to a connection.
 
 It has descriptors of its own, and the oldest connection with no whole call gives way to a new one: whoever
-connects and says nothing holds up nobody. All that is decided stands in `calls` and behind `Operations`.
+connects and says nothing holds up nobody. All that is decided stands in `calls` and behind `AdminHandler`.
 """
 
 from __future__ import annotations
@@ -18,36 +18,38 @@
 import httptools
 
 from ..system import SYSTEM, System
-from .admin_requests import TARGET_MOST, Call, Reply, read_call
+from .admin_requests import MAX_TARGET_BYTES, AdminRequest, AdminResponse, parse_admin_request
 
 log = logging.getLogger("dykefold.control")
 
-CONNECTIONS = 24  # at once; the same number may wait in the kernel's queue
-DESCRIPTORS = CONNECTIONS + 2  # with the listener, and one that is accepted before the oldest goes
-HEAD_MOST = 8 * 1024  # bytes of a call's line and headers
-BODY_MOST = 4 * 1024  # of a body, which no call needs
-CALL_MOST_S = 5.0  # from connecting to a call's last byte
+MAX_CONNECTIONS = 24  # at once; the same number may wait in the kernel's queue
+RESERVED_DESCRIPTORS = (
+    MAX_CONNECTIONS + 2
+)  # with the listener, and one that is accepted before the oldest goes
+MAX_HEAD_BYTES = 8 * 1024  # bytes of a call's line and headers
+MAX_BODY_BYTES = 4 * 1024  # of a body, which no call needs
+MAX_REQUEST_S = 5.0  # from connecting to a call's last byte
 LINGER_S = 1.0  # in which a caller may read its answer and close
 
 
-class Operations(Protocol):
+class AdminHandler(Protocol):
     """What a call is carried out by."""
 
-    def carry_out(self, call: Call) -> Reply:
+    def carry_out(self, call: AdminRequest) -> AdminResponse:
         """Do what a call asks for; the answer says whether it was done."""
         ...
 
 
-class Door:
+class AdminServer:
     """Accepts calls on one non-blocking listening socket."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         sock: socket.socket,
-        operations: Operations,
+        operations: AdminHandler,
         system: System = SYSTEM,
-        read: Callable[[str, str], Call | Reply] = read_call,
+        read: Callable[[str, str], AdminRequest | AdminResponse] = parse_admin_request,
     ) -> None:
         """Begin to take calls.
 
@@ -59,7 +61,7 @@
         self.sock = sock
         self.operations = operations
         self.monotonic = system.monotonic
-        self.callers: OrderedDict[Caller, None] = OrderedDict()  # the oldest first
+        self.callers: OrderedDict[AdminConnection, None] = OrderedDict()  # the oldest first
         self.starting: set[asyncio.Task[None]] = set()
         self.closed = False
         sock.setblocking(False)
@@ -70,7 +72,7 @@
         return self.sock.getsockname()[:2]
 
     def _ready(self) -> None:
-        for _ in range(CONNECTIONS):
+        for _ in range(MAX_CONNECTIONS):
             try:
                 sock, _ = self.sock.accept()
             except (BlockingIOError, InterruptedError):
@@ -78,15 +80,15 @@
             except OSError:
                 return  # of this one connection, or out of descriptors: the listener stays readable
             sock.setblocking(False)
-            if len(self.callers) >= CONNECTIONS:
+            if len(self.callers) >= MAX_CONNECTIONS:
                 next(iter(self.callers)).close()
-            caller = Caller(self)
+            caller = AdminConnection(self)
             self.callers[caller] = None
             task = self.loop.create_task(self._start(sock, caller))
             self.starting.add(task)
             task.add_done_callback(self.starting.discard)
 
-    async def _start(self, sock: socket.socket, caller: Caller) -> None:
+    async def _start(self, sock: socket.socket, caller: AdminConnection) -> None:
         try:
             await self.loop.connect_accepted_socket(lambda: caller, sock)
         except (OSError, asyncio.CancelledError):
@@ -104,17 +106,17 @@
             caller.close()
 
 
-class Caller(asyncio.Protocol):
+class AdminConnection(asyncio.Protocol):
     """One connection: at most one call is read of it, and answered once."""
 
-    def __init__(self, door: Door) -> None:
+    def __init__(self, door: AdminServer) -> None:
         self.door = door
         self.parser = httptools.HttpRequestParser(self)
         self.transport: asyncio.Transport | None = None
         self.target = b""
         self.size = 0
         self.head_ended = self.answered = self.closing = False
-        self.timer = door.loop.call_later(CALL_MOST_S, self._late)
+        self.timer = door.loop.call_later(MAX_REQUEST_S, self._late)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport  # type: ignore[assignment]
@@ -128,11 +130,11 @@
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self.answer(Reply(400, "upgrades are not known here"))
+            self.answer(AdminResponse(400, "upgrades are not known here"))
         except httptools.HttpParserError:
-            self.answer(Reply(400, "the call can't be read"))
-        if self.size > HEAD_MOST + (BODY_MOST if self.head_ended else 0):
-            self.answer(Reply(431 if not self.head_ended else 413, "the call is too long"))
+            self.answer(AdminResponse(400, "the call can't be read"))
+        if self.size > MAX_HEAD_BYTES + (MAX_BODY_BYTES if self.head_ended else 0):
+            self.answer(AdminResponse(431 if not self.head_ended else 413, "the call is too long"))
 
     def eof_received(self) -> bool:
         if not self.answered:
@@ -149,7 +151,7 @@
 
     def on_url(self, url: bytes) -> None:
         # No more than can be told to be too long need be held.
-        self.target = (self.target + url)[: TARGET_MOST + 1]
+        self.target = (self.target + url)[: MAX_TARGET_BYTES + 1]
 
     def on_headers_complete(self) -> None:
         self.head_ended = True
@@ -159,16 +161,16 @@
             return
         method = self.parser.get_method().decode("latin-1")
         call = self.door.read(method, self.target.decode("latin-1"))
-        if isinstance(call, Call):
+        if isinstance(call, AdminRequest):
             try:
                 call = self.door.operations.carry_out(call)
             except Exception:
                 # Guards the loop and the caller alike: a fault here must be a no, and said.
                 log.exception("a call failed")
-                call = Reply(500, "failed; see the log")
+                call = AdminResponse(500, "failed; see the log")
         self.answer(call)
 
-    def answer(self, reply: Reply) -> None:
+    def answer(self, reply: AdminResponse) -> None:
         """The one answer; the connection ends behind it."""
         if self.answered or self.transport is None:
             return
@@ -185,7 +187,7 @@
         self.timer = self.door.loop.call_later(LINGER_S, self.close)
 
     def _late(self) -> None:
-        self.answer(Reply(408, "the call took too long to come"))
+        self.answer(AdminResponse(408, "the call took too long to come"))
 
     def close(self) -> None:
         self.closing = True
--- a/dykefold/control/balancer_snapshot.py
+++ b/dykefold/control/balancer_snapshot.py
@@ -14,7 +14,7 @@
 
 from ..balancer.balancer import Balancer
 from ..balancer.endpoints import EndpointGroup
-from ..net.discovery.client import Names
+from ..net.discovery.client import NameTable
 
 # Stored key: the attribute that holds it, with the part of the balancer that owns it.
 WHOLE = {
@@ -82,14 +82,14 @@
 Values = dict[str, Any]
 
 
-def snapshot(balancer: Balancer, names: Names) -> Values:
+def snapshot(balancer: Balancer, names: NameTable) -> Values:
     """All that is believed of servers, classes and the load, for `restore`."""
     servers = {number: name for name, number in names.servers.items()}
     kinds = {number: name for name, number in names.kinds.items()}
     return {
         "whole": _values(balancer, WHOLE | BEGAN),
         "asks": list(balancer.quotas.rates),
-        "classes": {work.spec.name: _values(work, WORK) for work in balancer.live},
+        "classes": {work.spec.name: _values(work, WORK) for work in balancer.live_classes},
         "servers": {
             servers[server.id]: {"started": server.started_ns, **_values(server, SERVER)}
             for server in balancer.servers.values()
@@ -102,7 +102,7 @@
     }
 
 
-def restore(balancer: Balancer, names: Names, values: object, shift_ns: int = 0) -> bool:
+def restore(balancer: Balancer, names: NameTable, values: object, shift_ns: int = 0) -> bool:
     """Have a module that has just begun believe this, of what it knows by name; False if it can't be used.
 
     A server that has started again since is not what was believed of it.
@@ -116,7 +116,7 @@
     _set(balancer, WHOLE | BEGAN, values["whole"])
     if len(values["asks"]) == len(balancer.quotas.rates):
         balancer.quotas.rates = [float(ask) for ask in values["asks"]]
-    for work in balancer.live:
+    for work in balancer.live_classes:
         _set(work, WORK, values["classes"].get(work.spec.name))
     for name, known in values["servers"].items():
         server = balancer.servers.get(names.servers.get(name, -1))
--- a/dykefold/control/class_generations.py
+++ b/dykefold/control/class_generations.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Generation:
+class ClassGeneration:
     """The settings as they are now.
 
     Attributes:
@@ -40,7 +40,7 @@
         named = enumerate(self.settings.classes)
         return {spec.name: number for number, spec in named if number not in self.retired}
 
-    def next(self, wanted: Settings, held: Collection[int], now_ns: int) -> Generation:
+    def next(self, wanted: Settings, held: Collection[int], now_ns: int) -> ClassGeneration:
         """The settings after a change.
 
         Args:
@@ -74,4 +74,4 @@
                 classes.append(spec)
             else:
                 raise ValueError(f"classes: more than {NUMBERS_MOST} would be in use at once")
-        return Generation(replace(wanted, classes=classes), retired)
+        return ClassGeneration(replace(wanted, classes=classes), retired)
--- a/dykefold/control/hot_restart.py
+++ b/dykefold/control/hot_restart.py
@@ -9,13 +9,20 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from ..net.sidecar import Engine
+from ..net.sidecar import SidecarServer
 from ..system import SYSTEM, System
 from .balancer_snapshot import restore, snapshot
-from .hot_restart_state import LOOK_NS, ROOM_WAIT_NS, Handover, Sign, State, View
-from .maintenance import OUT_MOST, Said
-from .reuseport_group import Places
-from .state_directory import Board
+from .hot_restart_state import (
+    LOOK_NS,
+    ROOM_WAIT_NS,
+    HotRestartMachine,
+    HotRestartState,
+    ProcessHeartbeat,
+    RestartView,
+)
+from .maintenance import MAX_OUT_OF_SERVICE, MaintenanceOrder
+from .reuseport_group import ReuseportGroup
+from .state_directory import StateDirectory
 
 log = logging.getLogger("dykefold.control")
 
@@ -31,26 +38,32 @@
 TIME_MOST_NS = 2**63  # of a time that a record may name
 
 
-class Upgrade:
+class HotRestart:
     """The signs of this process and of the others, and what follows from them."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, engine: Engine, board: Board, system: System = SYSTEM
+        self,
+        loop: asyncio.AbstractEventLoop,
+        engine: SidecarServer,
+        board: StateDirectory,
+        system: System = SYSTEM,
     ) -> None:
         self.loop = loop
         self.engine = engine
         self.board = board
         self.now_ns = system.monotonic_ns
         born_ns = self.now_ns()
-        self.handover = Handover(f"{born_ns:020d}-{os.getpid()}", born_ns)
+        self.handover = HotRestartMachine(f"{born_ns:020d}-{os.getpid()}", born_ns)
         self.parts = 1
-        self.others: dict[str, Sign] = {}  # of the processes that live
+        self.others: dict[str, ProcessHeartbeat] = {}  # of the processes that live
         self.sock: socket.socket | None = None  # that clients come to
-        self.places = Places()
+        self.places = ReuseportGroup()
         self.steers = True  # no filter was refused, or it has been said
         self.stands = True  # what it has written was there at the last look
         self.told: dict[str, int] = {}  # versions of the lists that others can read
-        self.recorded: dict[str, Said] = {}  # the calls on servers that stand in a record that lasts
+        self.recorded: dict[
+            str, MaintenanceOrder
+        ] = {}  # the calls on servers that stand in a record that lasts
         self.owes_state = False  # a newer process waits for the estimates, which could not be written
         self.timer: asyncio.TimerHandle | None = None
 
@@ -66,7 +79,7 @@
         if older is not None:
             self._begin_with(older)
 
-    def _latest_older(self) -> Sign | None:
+    def _latest_older(self) -> ProcessHeartbeat | None:
         older = [sign for sign in self.others.values() if sign.born_ns < self.handover.born_ns]
         return max(older, key=lambda sign: sign.born_ns, default=None)
 
@@ -79,7 +92,7 @@
             or self.board.read(f"state-{older.name}") is not None
         )
 
-    def _begin_with(self, older: Sign) -> None:
+    def _begin_with(self, older: ProcessHeartbeat) -> None:
         """Believe what the latest older process believed, so as not to begin blind."""
         word = self.board.read(f"state-{older.name}")
         known = _table(word, "pools")
@@ -104,7 +117,7 @@
         word = {"pools": pools, "clock": self._clock_word()}
         written = self.board.write(f"state-{self.handover.name}", word)
         waits = any(
-            sign.state is State.STARTING and sign.born_ns > self.handover.born_ns
+            sign.state is HotRestartState.STARTING and sign.born_ns > self.handover.born_ns
             for sign in self.others.values()
         )
         self.owes_state = waits and not written
@@ -158,15 +171,15 @@
                 self.keep()
         self.timer = self.loop.call_later(LOOK_S, self._tick)
 
-    def _look(self) -> View:
+    def _look(self) -> RestartView:
         now_ns = self.now_ns()
         words = self.board.read_all("sign-", "maintenance-")
         self._check_own(words)
-        signs = {name: sign for name, word in words.items() if (sign := read_sign(word)) is not None}
+        signs = {name: sign for name, word in words.items() if (sign := parse_heartbeat(word)) is not None}
         signs = {name: sign for name, sign in signs.items() if name == f"sign-{sign.name}"}
         for name, word in words.items():
             if name not in (self._file, self._record):
-                self._merge(read_said(word))
+                self._merge(parse_maintenance_orders(word))
         engine = self.engine
         lives = {sign.name: self.board.held(name) for name, sign in signs.items() if name != self._file}
         view = self.handover.look(
@@ -191,7 +204,7 @@
             self._forget(signs.values())
         return view
 
-    def _forget(self, signs: Iterable[Sign]) -> None:
+    def _forget(self, signs: Iterable[ProcessHeartbeat]) -> None:
         """Take away what older processes left, once what they were told stands in a record of this one."""
         gone = [
             sign
@@ -208,7 +221,7 @@
 
     def _check_own(self, words: Mapping[str, Mapping[str, Any]]) -> None:
         """Notice that records of this process were taken away or spoilt, so that they are written again."""
-        if self.recorded and read_said(words.get(self._record, {})) != self.recorded:
+        if self.recorded and parse_maintenance_orders(words.get(self._record, {})) != self.recorded:
             self.recorded = {}
         self.stands = self._file in words and self.recorded == self._said()
 
@@ -234,12 +247,12 @@
                 self.told = versions
         return self.told
 
-    def _merge(self, said: dict[str, Said]) -> None:
+    def _merge(self, said: dict[str, MaintenanceOrder]) -> None:
         for pool in self.engine.pools:
             pool.merge_maintenance(said)
 
-    def _said(self) -> dict[str, Said]:
-        said: dict[str, Said] = {}
+    def _said(self) -> dict[str, MaintenanceOrder]:
+        said: dict[str, MaintenanceOrder] = {}
         for pool in self.engine.pools:
             said |= pool.maintenance.said
         return said
@@ -263,7 +276,7 @@
         """
         self.board.hold(self._file)
         place = self.places.mine if self.engine.listener is not None else None
-        word = sign_word(self.handover.sign(self.now_ns(), place), self._said())
+        word = heartbeat_record(self.handover.sign(self.now_ns(), place), self._said())
         written = self.board.write(self._file, {**word, "lists": self._tell_lists()})
         self.handover.showed(self.now_ns(), written)
         return self._record_said() and written
@@ -293,9 +306,9 @@
     def _handed(self) -> bool:
         """Whether all calls on servers that this process knows stand in records of others that live."""
         words = self.board.read_all("maintenance-")
-        theirs: dict[str, Said] = {}
+        theirs: dict[str, MaintenanceOrder] = {}
         for name in self.others:
-            for server, one in read_said(words.get(f"maintenance-{name}", {})).items():
+            for server, one in parse_maintenance_orders(words.get(f"maintenance-{name}", {})).items():
                 if server not in theirs or theirs[server].at_ns < one.at_ns:
                     theirs[server] = one
         return all(name in theirs and theirs[name].at_ns >= one.at_ns for name, one in self._said().items())
@@ -311,13 +324,13 @@
     return value if isinstance(value, int) else -1
 
 
-def view_names(handover: Handover) -> set[str]:
+def view_names(handover: HotRestartMachine) -> set[str]:
     """The other processes that were seen to live."""
     return set(handover.sees) - {handover.name}
 
 
-def sign_word(sign: Sign, said: dict[str, Said]) -> dict[str, Any]:
-    """A sign as it is written down; `read_sign` and `read_said` read it."""
+def heartbeat_record(sign: ProcessHeartbeat, said: dict[str, MaintenanceOrder]) -> dict[str, Any]:
+    """A sign as it is written down; `parse_heartbeat` and `parse_maintenance_orders` read it."""
     return {
         "name": sign.name,
         "born_ns": sign.born_ns,
@@ -330,8 +343,8 @@
     }
 
 
-def said_word(said: Mapping[str, Said]) -> dict[str, list[int | bool]]:
-    """Calls on servers as they are written down; `read_said` reads it."""
+def said_word(said: Mapping[str, MaintenanceOrder]) -> dict[str, list[int | bool]]:
+    """Calls on servers as they are written down; `parse_maintenance_orders` reads it."""
     return {name: [one.at_ns, one.out] for name, one in said.items()}
 
 
@@ -359,14 +372,14 @@
     return shift_ns
 
 
-def read_sign(word: dict[str, Any]) -> Sign | None:
+def parse_heartbeat(word: dict[str, Any]) -> ProcessHeartbeat | None:
     """A sign; None if it is none."""
     try:
-        return Sign(
+        return ProcessHeartbeat(
             str(word["name"]),
             int(word["born_ns"]),
             int(word["beat_ns"]),
-            State(word["state"]),
+            HotRestartState(word["state"]),
             tuple(str(name) for name in word["sees"]),
             max(int(word["most"]), 0),
             _place(word.get("place")),
@@ -380,16 +393,16 @@
     return None if value is None or not 0 <= int(value) < PLACES_MOST else int(value)
 
 
-def read_said(word: Mapping[str, Any]) -> dict[str, Said]:
+def parse_maintenance_orders(word: Mapping[str, Any]) -> dict[str, MaintenanceOrder]:
     """Which servers another process was told to take out or put back; what can't be read is left out."""
     said = word.get("said")
     if not isinstance(said, dict):
         return {}
     found = {}
-    for name, one in list(said.items())[: 2 * OUT_MOST]:
+    for name, one in list(said.items())[: 2 * MAX_OUT_OF_SERVICE]:
         if not isinstance(one, list) or len(one) != 2:
             continue
         at_ns, out = one
         if isinstance(at_ns, int) and 0 <= at_ns < TIME_MOST_NS and isinstance(out, bool):
-            found[name] = Said(at_ns, out)
+            found[name] = MaintenanceOrder(at_ns, out)
     return found
--- a/dykefold/control/hot_restart_state.py
+++ b/dykefold/control/hot_restart_state.py
@@ -1,9 +1,9 @@
 """Two processes, one sidecar: the hand-over from an older one to a newer one. No I/O.
 
-Each process shows a `Sign` where the others can read it and looks at theirs every `LOOK_NS`. Two questions
-are kept apart. Whether a process *lives*: it does while it holds its lock, which the kernel takes from it
-however it ends; where there are no locks, while its sign is fresh. What lives counts against the limits, also
-if it stands still, since it holds what it held. Whether a process *speaks*: its sign is younger than
+Each process shows a `ProcessHeartbeat` where the others can read it and looks at theirs every `LOOK_NS`. Two
+questions are kept apart. Whether a process *lives*: it does while it holds its lock, which the kernel takes
+from it however it ends; where there are no locks, while its sign is fresh. What lives counts against the
+limits, also if it stands still, since it holds what it held. Whether a process *speaks*: its sign is younger than
 `STALE_NS`. One that does not speak (stopped, starved, unable to write) is given no clients: they go to the
 newest that does, and come back to it when it speaks again.
 
@@ -47,7 +47,7 @@
 OLDER_MOST = 0.75  # of the descriptors, whatever it holds
 
 
-class State(Enum):
+class HotRestartState(Enum):
     STARTING = "starting"
     TAKING = "taking"
     SHARING = "sharing"
@@ -55,7 +55,7 @@
     ENDING = "ending"
 
 
-class Event(Enum):
+class HotRestartEvent(Enum):
     MAY_SERVE = "may serve"
     NEWER_STARTS = "newer starts"
     NEWER_TAKES = "newer takes"
@@ -63,22 +63,24 @@
     TO_END = "is to end"
 
 
-TABLE: dict[tuple[State, Event], State] = {
-    (State.STARTING, Event.MAY_SERVE): State.TAKING,
-    (State.TAKING, Event.NEWER_STARTS): State.SHARING,
-    (State.TAKING, Event.NEWER_TAKES): State.HANDING,
-    (State.SHARING, Event.NEWER_TAKES): State.HANDING,
-    (State.SHARING, Event.NEWER_MUTE): State.TAKING,
-    (State.HANDING, Event.NEWER_STARTS): State.SHARING,
-    (State.HANDING, Event.NEWER_MUTE): State.TAKING,
-    **{(state, Event.TO_END): State.ENDING for state in State},
+TABLE: dict[tuple[HotRestartState, HotRestartEvent], HotRestartState] = {
+    (HotRestartState.STARTING, HotRestartEvent.MAY_SERVE): HotRestartState.TAKING,
+    (HotRestartState.TAKING, HotRestartEvent.NEWER_STARTS): HotRestartState.SHARING,
+    (HotRestartState.TAKING, HotRestartEvent.NEWER_TAKES): HotRestartState.HANDING,
+    (HotRestartState.SHARING, HotRestartEvent.NEWER_TAKES): HotRestartState.HANDING,
+    (HotRestartState.SHARING, HotRestartEvent.NEWER_MUTE): HotRestartState.TAKING,
+    (HotRestartState.HANDING, HotRestartEvent.NEWER_STARTS): HotRestartState.SHARING,
+    (HotRestartState.HANDING, HotRestartEvent.NEWER_MUTE): HotRestartState.TAKING,
+    **{(state, HotRestartEvent.TO_END): HotRestartState.ENDING for state in HotRestartState},
 }
-LEADING = frozenset((State.TAKING, State.SHARING))
-SERVING = frozenset((State.TAKING, State.SHARING, State.HANDING))  # and so it says
+LEADING = frozenset((HotRestartState.TAKING, HotRestartState.SHARING))
+SERVING = frozenset(
+    (HotRestartState.TAKING, HotRestartState.SHARING, HotRestartState.HANDING)
+)  # and so it says
 
 
 @dataclass(frozen=True, slots=True)
-class Sign:
+class ProcessHeartbeat:
     """What a process shows of itself.
 
     Attributes:
@@ -94,14 +96,14 @@
     name: str
     born_ns: int
     beat_ns: int
-    state: State
+    state: HotRestartState
     sees: tuple[str, ...]
     most: int
     place: int | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class View:
+class RestartView:
     """What a look has shown.
 
     Attributes:
@@ -121,31 +123,36 @@
     may_serve: bool
 
 
-def speaks(sign: Sign, now_ns: int) -> bool:
+def speaks(sign: ProcessHeartbeat, now_ns: int) -> bool:
     """Whether a process has shown itself of late; a time to come is of another boot of the machine."""
     return 0 <= now_ns - sign.beat_ns < STALE_NS
 
 
-class Handover:
+class HotRestartMachine:
     """One process's side of it."""
 
     def __init__(self, name: str, born_ns: int) -> None:
         self.name = name
         self.born_ns = born_ns
-        self.state = State.STARTING
+        self.state = HotRestartState.STARTING
         self.sees: tuple[str, ...] = (name,)
         self.most = 0  # descriptors that it may hold
         self.claim = 0  # ... and that its sign says
         self.shown = True  # that sign could be written ...
         self.hidden_ns: int | None = None  # ... and when it last could not
 
-    def sign(self, now_ns: int, place: int | None = None) -> Sign:
-        """What to show now; `place` as in `Sign`."""
-        return Sign(self.name, self.born_ns, now_ns, self.state, self.sees, self.claim, place)
+    def sign(self, now_ns: int, place: int | None = None) -> ProcessHeartbeat:
+        """What to show now; `place` as in `ProcessHeartbeat`."""
+        return ProcessHeartbeat(self.name, self.born_ns, now_ns, self.state, self.sees, self.claim, place)
 
     def look(
-        self, now_ns: int, signs: Iterable[Sign], whole: int, held: int, living: Collection[str] = ()
-    ) -> View:
+        self,
+        now_ns: int,
+        signs: Iterable[ProcessHeartbeat],
+        whole: int,
+        held: int,
+        living: Collection[str] = (),
+    ) -> RestartView:
         """Take what the others show.
 
         Args:
@@ -166,23 +173,23 @@
         heard = {sign.state for sign in newer if speaks(sign, now_ns)}
         newer_takes = not heard.isdisjoint(SERVING)
         if newer_takes:
-            self._go(Event.NEWER_TAKES)
-        elif State.STARTING in heard:
-            self._go(Event.NEWER_STARTS)
+            self._go(HotRestartEvent.NEWER_TAKES)
+        elif HotRestartState.STARTING in heard:
+            self._go(HotRestartEvent.NEWER_STARTS)
         else:  # none that is heard will take clients
-            self._go(Event.NEWER_MUTE)
+            self._go(HotRestartEvent.NEWER_MUTE)
         room = max(whole - sum(sign.most for sign in others), 0)
         if newer:
             self.most = min(self.most, max(held, whole // 2), int(OLDER_MOST * whole))
             if newer_takes:
                 self.most = min(self.most, held)
             self.claim = self.most
-        elif self.state is not State.ENDING:
+        elif self.state is not HotRestartState.ENDING:
             hidden = self.hidden_ns is not None and now_ns - self.hidden_ns < HIDDEN_NS
             self.most = min(max(self.most, min(self.claim, whole // 2) if hidden else self.claim), room)
             self.claim = room
         made_room = all(self.name in sign.sees for sign in older)
-        return View(
+        return RestartView(
             parts=len(self.sees),
             most=self.most,
             newer_takes=newer_takes,
@@ -199,13 +206,13 @@
 
     def serves(self) -> None:
         """It takes clients from now on."""
-        self._go(Event.MAY_SERVE)
+        self._go(HotRestartEvent.MAY_SERVE)
 
     def ends(self) -> None:
         """Its planned end has begun. One that has not served yet never will, and claims nothing."""
-        if self.state is State.STARTING:
+        if self.state is HotRestartState.STARTING:
             self.most = self.claim = 0
-        self._go(Event.TO_END)
+        self._go(HotRestartEvent.TO_END)
 
-    def _go(self, event: Event) -> None:
+    def _go(self, event: HotRestartEvent) -> None:
         self.state = TABLE.get((self.state, event), self.state)
--- a/dykefold/control/maintenance.py
+++ b/dykefold/control/maintenance.py
@@ -7,7 +7,8 @@
    what they take out, and the list may not know of that yet.
 3. Only a server that somebody knows can be taken out: by a list, or as one that is out already.
 4. Of two calls on one server the later holds, whichever process took it (`merge`).
-5. What is remembered has a bound: `OUT_MOST` servers, and calls back only while they could still be news.
+5. What is remembered has a bound: `MAX_OUT_OF_SERVICE` servers, and calls back only while they could still be
+   news.
 """
 
 from __future__ import annotations
@@ -18,8 +19,8 @@
 
 from ..balancer.events import Endpoint, State
 
-OUT_MOST = 1024  # servers out at once: far more than are restarted together
-BACK_MOST = 1024  # calls back that are remembered, the latest
+MAX_OUT_OF_SERVICE = 1024  # servers out at once: far more than are restarted together
+MAX_REMEMBERED_RETURNS = 1024  # calls back that are remembered, the latest
 
 
 class Entry(Protocol):
@@ -34,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Said:
+class MaintenanceOrder:
     """The latest call on one server.
 
     Attributes:
@@ -57,7 +58,7 @@
         """
         self.copy = copy
         self.listed: dict[str, E] = {}  # by name, as discovery has it now
-        self.said: dict[str, Said] = {}
+        self.said: dict[str, MaintenanceOrder] = {}
 
     def out(self) -> list[str]:
         """The names of the servers that are out."""
@@ -98,7 +99,7 @@
 
     def full(self, name: str) -> bool:
         """Whether one more server can't be taken out."""
-        return not self.is_out(name) and len(self.out()) >= OUT_MOST
+        return not self.is_out(name) and len(self.out()) >= MAX_OUT_OF_SERVICE
 
     def say(self, name: str, out: bool, at_ns: int) -> list[E]:
         """Take a call on a known server; returns what the module has to hear of it."""
@@ -108,9 +109,11 @@
         if out and before is not None and before.out:
             return []
         # On one clock a later call never has an earlier time; two processes may differ by some of it.
-        return self._set(name, Said(max(at_ns, before.at_ns + 1 if before is not None else 0), out))
+        return self._set(
+            name, MaintenanceOrder(max(at_ns, before.at_ns + 1 if before is not None else 0), out)
+        )
 
-    def merge(self, said: Mapping[str, Said]) -> list[E]:
+    def merge(self, said: Mapping[str, MaintenanceOrder]) -> list[E]:
         """Take what another process was told; returns what the module has to hear."""
         told = []
         for name, theirs in said.items():
@@ -121,7 +124,7 @@
                 told += self._set(name, theirs)
         return told
 
-    def _set(self, name: str, said: Said) -> list[E]:
+    def _set(self, name: str, said: MaintenanceOrder) -> list[E]:
         self.said.pop(name, None)
         self.said[name] = said
         if not said.out:
@@ -131,5 +134,5 @@
 
     def _forget_old(self) -> None:
         back = [name for name, said in self.said.items() if not said.out]
-        for name in back[: max(len(back) - BACK_MOST, 0)]:
+        for name in back[: max(len(back) - MAX_REMEMBERED_RETURNS, 0)]:
             del self.said[name]
--- a/dykefold/control/process_lifecycle.py
+++ b/dykefold/control/process_lifecycle.py
@@ -7,22 +7,26 @@
 import socket
 
 from ..net.peers import Address
-from ..net.sidecar import Engine
-from .admin_operations import Operator
-from .admin_server import DESCRIPTORS, Door
-from .hot_restart import Upgrade
-from .state_directory import Files
+from ..net.sidecar import SidecarServer
+from .admin_operations import AdminOperations
+from .admin_server import RESERVED_DESCRIPTORS, AdminServer
+from .hot_restart import HotRestart
+from .state_directory import FileStateDirectory
 
 log = logging.getLogger("dykefold.control")
 
 BACKLOG = 512  # connections of clients that may wait to be accepted
 
 
-class Presence:
+class ProcessLifecycle:
     """What operators meet of this process; where there is no door, nothing but a listener."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, engine: Engine, address: Address | None, folder: str | None
+        self,
+        loop: asyncio.AbstractEventLoop,
+        engine: SidecarServer,
+        address: Address | None,
+        folder: str | None,
     ) -> None:
         """Prepare.
 
@@ -33,12 +37,12 @@
         self.loop = loop
         self.engine = engine
         self.address = address
-        self.door: Door | None = None
-        self.upgrade: Upgrade | None = None
+        self.door: AdminServer | None = None
+        self.upgrade: HotRestart | None = None
         self.no_folder = False  # there is to be one, and it can't be used
         if address is not None and folder:
             try:
-                self.upgrade = Upgrade(loop, engine, Files(folder))
+                self.upgrade = HotRestart(loop, engine, FileStateDirectory(folder))
             except OSError as error:
                 log.warning("%s: no upgrades: %s", folder, error.strerror)
                 self.no_folder = True
@@ -60,16 +64,16 @@
         """
         if self.address is None:
             return True
-        sock = socket.create_server(self.address, backlog=DESCRIPTORS)
-        self.door = Door(self.loop, sock, self.operator())
+        sock = socket.create_server(self.address, backlog=RESERVED_DESCRIPTORS)
+        self.door = AdminServer(self.loop, sock, self.operator())
         log.info("the door is at %s:%d", *self.door.address)
         if self.upgrade is not None:
             await self.upgrade.make_room()
         return not self.engine.draining
 
-    def operator(self) -> Operator:
+    def operator(self) -> AdminOperations:
         """What carries the door's calls out."""
-        return Operator(self.engine, self.upgrade, no_folder=self.no_folder)
+        return AdminOperations(self.engine, self.upgrade, no_folder=self.no_folder)
 
     def listen(self, address: Address) -> Address:
         """Take clients at an address; where it is. Raises OSError if it can't be."""
--- a/dykefold/control/reuseport_group.py
+++ b/dykefold/control/reuseport_group.py
@@ -11,7 +11,7 @@
 from collections.abc import Mapping
 
 
-class Places:
+class ReuseportGroup:
     """The place of one listener."""
 
     def __init__(self) -> None:
--- a/dykefold/control/state_directory.py
+++ b/dykefold/control/state_directory.py
@@ -40,7 +40,7 @@
 TEMPORARY = re.compile(r"\.(?P<name>.+)\.(?P<process>\d{1,10})")
 
 
-class Board(Protocol):
+class StateDirectory(Protocol):
     """A place to leave word by name, which every process of the sidecar can read."""
 
     def changed(self) -> bool:
@@ -83,7 +83,7 @@
         ...
 
 
-class Files:
+class FileStateDirectory:
     """A board of files in `$TMPDIR`."""
 
     def __init__(
--- a/dykefold/failover/edge.py
+++ b/dykefold/failover/edge.py
@@ -91,7 +91,7 @@
     def _note(self, server: int, status: Status, took_ns: int, aim_ns: int) -> None:
         """An attempt has ended."""
         zone = self.pool.zone_of(server)
-        if zone is None or status in (Status.MOOT, Status.CANCELLED):
+        if zone is None or status in (Status.NOT_ATTEMPTED, Status.CANCELLED):
             return
         now_ns = self.system.monotonic_ns()
         if status in (Status.OK, Status.ERROR):
--- a/dykefold/fleet/edge.py
+++ b/dykefold/fleet/edge.py
@@ -11,9 +11,9 @@
 from typing import Any, Protocol
 
 from ..balancer.events import Event
-from ..control.admin_requests import Action, Call, Reply
-from ..net.discovery.client import Discovery, Names
-from ..net.peers import Address, Peers
+from ..control.admin_requests import Action, AdminRequest, AdminResponse
+from ..net.discovery.client import DiscoveryClient, NameTable
+from ..net.peers import Address, PeerChannel
 from ..system import SYSTEM, System
 from . import priors
 from .coverage import Ranking
@@ -35,9 +35,9 @@
 class Pool(Protocol):
     """The pool whose module uses the view."""
 
-    names: Names
+    names: NameTable
     version: int
-    discovery: Discovery | None
+    discovery: DiscoveryClient | None
     hinted: Callable[[int, bool], None]
 
     def post(self, event: Event) -> None: ...
@@ -69,7 +69,7 @@
         self,
         loop: asyncio.AbstractEventLoop,
         node: Node,
-        peers: Peers,
+        peers: PeerChannel,
         roster: Sequence[Address],
         me: int,
         zone: int,
@@ -289,16 +289,20 @@
     def __init__(self, fleet: Fleet, plan: Callable[[], dict[str, Any]] | None = None) -> None:
         self.fleet, self.plan = fleet, plan
 
-    def carry_out(self, call: Call) -> Reply:
+    def carry_out(self, call: AdminRequest) -> AdminResponse:
         """The view, as JSON."""
         fleet = self.fleet
         if fleet.closed:
-            return Reply(503, "a newer process of this member keeps the view")
+            return AdminResponse(503, "a newer process of this member keeps the view")
         if call.action is Action.PLAN:
             if self.plan is None:
-                return Reply(404, "no failover: [failover] of the operator's file does not ask for it")
-            return Reply(200, json.dumps(self.plan()))
-        return Reply(200, json.dumps(fleet.in_brief() if call.action is Action.BRIEF else fleet.in_full()))
+                return AdminResponse(
+                    404, "no failover: [failover] of the operator's file does not ask for it"
+                )
+            return AdminResponse(200, json.dumps(self.plan()))
+        return AdminResponse(
+            200, json.dumps(fleet.in_brief() if call.action is Action.BRIEF else fleet.in_full())
+        )
 
 
 def described(change: Change) -> str:
--- a/dykefold/fleet/lists.py
+++ b/dykefold/fleet/lists.py
@@ -6,7 +6,7 @@
 import logging
 import random
 
-from ..net.discovery.client import Discovery
+from ..net.discovery.client import DiscoveryClient
 from ..system import SYSTEM, System
 from . import priors
 from .asking import Asking
@@ -21,7 +21,7 @@
 
     def __init__(
         self,
-        discovery: Discovery,
+        discovery: DiscoveryClient,
         must_ask_ns: int,
         calls_per_s: float,
         place: int,
--- a/dykefold/fleet/priors.py
+++ b/dykefold/fleet/priors.py
@@ -9,7 +9,7 @@
 import zlib
 from collections.abc import Mapping
 
-from ..balancer.events import Fleet
+from ..balancer.events import MembershipChanged
 from .coverage import Ranking, part
 from .knowledge import Topic
 from .view import View
@@ -89,7 +89,7 @@
 
 def event(
     view: View, now_ns: int, servers: Mapping[str, int], classes: Mapping[str, int], ranking: Ranking
-) -> Fleet:
+) -> MembershipChanged:
     """What the module is to know now.
 
     Args:
@@ -100,7 +100,7 @@
     live = view.live(now_ns)
     if live == [view.me]:
         # Nobody is heard. Those who can't be may well be there and use the same servers: count on them all.
-        return Fleet(len(view.addresses), {})
+        return MembershipChanged(len(view.addresses), {})
     # Servers too are shared out among those who may be about to come back: else a mass restart would move
     # what each samples twice within seconds, a connection for each move.
     expected = view.expected(now_ns)
@@ -118,7 +118,9 @@
             if len(said) - sum(said) >= least:
                 failing.add(by_subject[subject])
     ranks = {by_subject[subject]: rank for subject, rank in placed.items()}
-    return Fleet(len(expected), ranks, part(zones), failing, answering, _usual(view, now_ns, classes))
+    return MembershipChanged(
+        len(expected), ranks, part(zones), failing, answering, _usual(view, now_ns, classes)
+    )
 
 
 def say_usual(view: View, now_ns: int, usual: Mapping[str, float]) -> None:
--- a/dykefold/net/discovery/client.py
+++ b/dykefold/net/discovery/client.py
@@ -13,8 +13,8 @@
 from ...admission.budget import CALLS, Allowance
 from ...balancer.events import Endpoint, ListKind, Membership, State, Status
 from ...system import SYSTEM, System
-from ..memory_budget import MB, Memory
-from ..upstream.connection_pool import Answer, Exchange, Upstreams
+from ..memory_budget import MB, MemoryBudget
+from ..upstream.connection_pool import ConnectionPool, Exchange, Response
 
 log = logging.getLogger("dykefold.discovery")
 
@@ -40,12 +40,12 @@
 DISCOVERY = 0  # the one target of the calls' own connections
 
 
-class ListError(ValueError):
+class EndpointListError(ValueError):
     """What came is no list of servers."""
 
 
 @dataclass(slots=True)
-class Listed:
+class EndpointRecord:
     """One entry, with what only the sockets need."""
 
     name: str
@@ -55,19 +55,19 @@
 
 
 @dataclass(slots=True)
-class News:
+class EndpointUpdate:
     """One answer of discovery."""
 
     version: int
     complete: bool
-    entries: list[Listed]
+    entries: list[EndpointRecord]
 
     def membership(self, kind: ListKind | None = None) -> Membership:
         kind = kind or (ListKind.FULL if self.complete else ListKind.DELTA)
         return Membership(kind, self.version, [entry.endpoint for entry in self.entries])
 
 
-class Names:
+class NameTable:
     """The numbers by which the module knows servers, zones and kinds."""
 
     def __init__(self, zones: list[str], kinds: list[str]) -> None:
@@ -111,24 +111,26 @@
     return host, int(port)
 
 
-def read_news(data: object, names: Names) -> News:
+def parse_endpoint_update(data: object, names: NameTable) -> EndpointUpdate:
     """Read a list or a change of it, whole or not at all: an unreadable one leaves no names behind."""
     try:
         if not isinstance(data, dict) or not isinstance(data["endpoints"], list):
-            raise ListError("no list of endpoints")
+            raise EndpointListError("no list of endpoints")
         version, complete = int(data["index"]), bool(data["snapshot"])
         entries = [_read_entry(entry) for entry in data["endpoints"]]
     except (KeyError, TypeError, ValueError, OverflowError, AttributeError) as error:
-        raise ListError(f"{type(error).__name__}: {error}") from None
+        raise EndpointListError(f"{type(error).__name__}: {error}") from None
     for listed, zone, kind in entries:
         endpoint = listed.endpoint
         endpoint.server = names.server(listed.name)
         endpoint.zone, endpoint.kind = names.zone(zone), names.kind(kind)
-    return News(version, complete, [listed for listed, _, _ in entries])
+    return EndpointUpdate(version, complete, [listed for listed, _, _ in entries])
 
 
-def write_news(version: int, entries: Iterable[Listed], names: Names) -> dict[str, Any]:
-    """A whole list in discovery's own form, as `read_news` reads it."""
+def endpoint_update_record(
+    version: int, entries: Iterable[EndpointRecord], names: NameTable
+) -> dict[str, Any]:
+    """A whole list in discovery's own form, as `parse_endpoint_update` reads it."""
     zones = {number: name for name, number in names.zones.items()}
     kinds = {number: name for name, number in names.kinds.items()}
     return {
@@ -150,11 +152,11 @@
     }
 
 
-def _read_entry(entry: dict) -> tuple[Listed, str, str]:
+def _read_entry(entry: dict) -> tuple[EndpointRecord, str, str]:
     """An entry without its numbers, with the names of its zone and kind."""
     since_ms = int(entry.get("since_ms") or 0)
     if since_ms < 0:
-        raise ListError(f"since_ms is {since_ms}")
+        raise EndpointListError(f"since_ms is {since_ms}")
     endpoint = Endpoint(
         server=0,
         zone=0,
@@ -165,11 +167,11 @@
         weight=float(entry.get("weight", 1.0)),
         started_ns=since_ms * 1_000_000,
     )
-    listed = Listed(str(entry["name"]), endpoint, split_address(entry["address"]), since_ms)
+    listed = EndpointRecord(str(entry["name"]), endpoint, split_address(entry["address"]), since_ms)
     return listed, str(entry.get("zone", "")), str(entry.get("type", ""))
 
 
-class Schedule(Protocol):
+class PollSchedule(Protocol):
     """Says when calls may go out, and hears what became of them; seconds from now."""
 
     def opens_s(self) -> float:
@@ -196,7 +198,7 @@
     read_within = LIST_READ_WITHIN
 
 
-class Source:
+class ListSource:
     """A discovery at one address, and how far its list is known."""
 
     def __init__(
@@ -207,10 +209,12 @@
         self.version = version  # None: a whole list is wanted first
         self.taken = 0  # answers
         # An allowance of its own: the cap on connections to servers must never keep the list from being read.
-        self.calls = Upstreams(loop, Allowance(CALLS), Memory(192 * MB), CONNECT_WITHIN, 30.0, system=system)
+        self.calls = ConnectionPool(
+            loop, Allowance(CALLS), MemoryBudget(192 * MB), CONNECT_WITHIN, 30.0, system=system
+        )
         self.calls.update(DISCOVERY, address, 0, State.READY)
 
-    def in_order(self, news: News, taken: int) -> News:
+    def in_order(self, news: EndpointUpdate, taken: int) -> EndpointUpdate:
         """Guards the list against answers that come after a newer one to another call.
 
         Args:
@@ -218,21 +222,21 @@
         """
         if self.version is None:
             if not news.complete:
-                raise ListError("changes came in place of the whole list")
+                raise EndpointListError("changes came in place of the whole list")
         elif news.version < self.version:
             if taken != self.taken:
-                return News(self.version, False, [])
+                return EndpointUpdate(self.version, False, [])
             if not news.complete:
                 self.version = None
-                raise ListError("the index went back")
+                raise EndpointListError("the index went back")
         return news
 
-    def take(self, news: News) -> None:
+    def take(self, news: EndpointUpdate) -> None:
         self.version = news.version
         self.taken += 1
 
 
-class Discovery:
+class DiscoveryClient:
     """Watches and fetches when told to; any failure is news of its own and ends no watcher for good.
 
     A call that brings nothing in time is left open, and another is made beside it: whichever is answered
@@ -244,9 +248,9 @@
         self,
         loop: asyncio.AbstractEventLoop,
         address: tuple[str, int],
-        names: Names,
+        names: NameTable,
         version: int,
-        heard: Callable[[News | None], None],
+        heard: Callable[[EndpointUpdate | None], None],
         pushed: bool,
         system: System = SYSTEM,
     ) -> None:
@@ -260,11 +264,11 @@
         self.called = 0.0
         self.failing = False
         self.closed = False
-        self.schedule: Schedule | None = None  # None: each call as soon as it is wanted
+        self.schedule: PollSchedule | None = None  # None: each call as soon as it is wanted
         self.open: dict[ListCall, None] = {}  # of the watch, in the order in which they went out
         self.latest: ListCall | None = None  # of these
-        self.source = Source(loop, address, version, system)
-        self.left: Source | None = None  # the one before, until this one has told its list
+        self.source = ListSource(loop, address, version, system)
+        self.left: ListSource | None = None  # the one before, until this one has told its list
         self.listed_by = self.source.host  # who told the list that is held
 
     @property
@@ -290,7 +294,7 @@
             return
         log.info("discovery is now at %s:%d", *address)
         self._drop_left()
-        self.left, self.source = self.source, Source(self.loop, address, None, self.system)
+        self.left, self.source = self.source, ListSource(self.loop, address, None, self.system)
         self.open.clear()
         self.latest = None
         self.watching = False
@@ -374,19 +378,19 @@
             self._next_watch(number, WATCH_NOW_MS)
 
     def _call(
-        self, target: str, within: float, done: Callable[[ListCall, News | None, str], None]
+        self, target: str, within: float, done: Callable[[ListCall, EndpointUpdate | None, str], None]
     ) -> ListCall:
         source = self.source
         payload = f"GET {target} HTTP/1.1\r\nHost: {source.host}\r\nAccept: application/json\r\n\r\n".encode()
         taken = source.taken
 
-        def ended(call: Exchange, status: Status, answer: Answer | None) -> None:
+        def ended(call: Exchange, status: Status, answer: Response | None) -> None:
             if self.closed or (source is not self.source and source is not self.left):
                 return  # an answer of a discovery that has been left
             news, reason = None, status.name
             if status is Status.OK and answer is not None:
                 try:
-                    news = source.in_order(read_news(json.loads(answer.body), self.names), taken)
+                    news = source.in_order(parse_endpoint_update(json.loads(answer.body), self.names), taken)
                 except (ValueError, RecursionError) as error:
                     reason = str(error)
             elif answer is not None:
@@ -402,7 +406,7 @@
         source.calls.start(DISCOVERY, call, within)
         return call
 
-    def _watched(self, call: ListCall, news: News | None, reason: str) -> None:
+    def _watched(self, call: ListCall, news: EndpointUpdate | None, reason: str) -> None:
         self.open.pop(call, None)
         if news is None:
             if call is self.latest:  # else another is out, or the next one is planned
@@ -429,14 +433,14 @@
             if number == self.round:
                 self._next_in(pause)
 
-    def _fetched(self, _: ListCall, news: News | None, reason: str) -> None:
+    def _fetched(self, _: ListCall, news: EndpointUpdate | None, reason: str) -> None:
         self._note(news, reason)
         if news is None:
             self.heard(None)
         else:
             self._take(self.source, news)
 
-    def _note(self, news: News | None, reason: str) -> None:
+    def _note(self, news: EndpointUpdate | None, reason: str) -> None:
         """Log the first failure and the recovery: an outage lasts, and what it says does not change."""
         if self.schedule is not None:
             if news is None:
@@ -450,7 +454,7 @@
             else:
                 log.info("discovery answers again")
 
-    def _take(self, source: Source, news: News) -> None:
+    def _take(self, source: ListSource, news: EndpointUpdate) -> None:
         source.take(news)
         self.listed_by = source.host
         if source is self.source:
--- a/dykefold/net/downstream/connection.py
+++ b/dykefold/net/downstream/connection.py
@@ -17,14 +17,14 @@
 from ...admission.clients import Clients
 from ...admission.rules import Client
 from ...system import System, Watch
-from ..loop_lag import Lag
-from ..memory_budget import Memory
-from ..read_scheduler import SLICE_BYTES, Backlog, cut
+from ..loop_lag import LoopLagMonitor
+from ..memory_budget import MemoryBudget
+from ..read_scheduler import SLICE_BYTES, ReadScheduler, cut
 from ..streaming import BUFFER_BYTES, FRAMING_MOST, Upload
 from ..upstream.abort import NO_LINGER
-from ..upstream.connection_pool import BLANKS, HOP_BY_HOP, Manner, gather
+from ..upstream.connection_pool import BLANKS, HOP_BY_HOP, HttpProfile, gather
 from .arrivals import Arrivals
-from .request_parser import BODY_MOST, Call, Message, RequestError
+from .request_parser import BODY_MOST, Message, ParsedRequest, RequestError
 
 HEADERS_MOST = 32 * 1024
 HEADER_LINES_MOST = 256  # each costs some hundred bytes beside its own; the usual limit is 100
@@ -46,7 +46,7 @@
 
 
 @dataclass(slots=True)
-class Ready:
+class ReadinessCheck:
     """A question whether this sidecar takes requests."""
 
     keep_alive: bool
@@ -57,17 +57,17 @@
     return length.isdigit() and int(length[:12]) > BODY_MOST
 
 
-class Reader(Protocol):
+class MessageReader(Protocol):
     """What makes a request of a message, as `Grammar` does."""
 
     streams: bool  # whether larger bodies may be taken, each up to its request's `body_most`
 
-    def read(self, message: Message) -> Call:
+    def read(self, message: Message) -> ParsedRequest:
         """The request that a message is; RequestError where it is answered here."""
         ...
 
 
-class Paced(Protocol):
+class FlowControlled(Protocol):
     """Where an answer comes from that is passed on piece by piece."""
 
     def block(self, on: bool) -> None:
@@ -75,15 +75,15 @@
         ...
 
 
-class Taker(Protocol):
+class RequestHandler(Protocol):
     """Who takes requests, as a client's connection needs it."""
 
     loop: asyncio.AbstractEventLoop
     clients: Clients
-    memory: Memory
-    backlog: Backlog
-    lag: Lag
-    grammar: Reader
+    memory: MemoryBudget
+    backlog: ReadScheduler
+    lag: LoopLagMonitor
+    grammar: MessageReader
     draining: bool
     handing: bool  # clients have a newer process to go to, and do so behind their next answer
     taking: bool
@@ -104,15 +104,15 @@
         """Nanoseconds on the clock that deadlines are told in."""
         ...
 
-    def admit(self, front: Front, call: Call) -> tuple[int, bytes, bytes] | None:
+    def admit(self, front: ClientConnection, call: ParsedRequest) -> tuple[int, bytes, bytes] | None:
         """Set aside what a request will need; or the code, headers and text with which it is turned away."""
         ...
 
-    def take(self, front: Front, call: Call) -> None:
+    def take(self, front: ClientConnection, call: ParsedRequest) -> None:
         """Take an admitted request: `Front.answer` is called for it once."""
         ...
 
-    def disconnected(self, front: Front, call: Call | None) -> None:
+    def disconnected(self, front: ClientConnection, call: ParsedRequest | None) -> None:
         """The client has gone, with this request open."""
         ...
 
@@ -121,7 +121,7 @@
         ...
 
 
-class Front(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """A client's connection: one request after another, one answer to each in their order."""
 
     # More than 30 attributes would not share their keys, and each look-up would cost a hash (CPython 3.11).
@@ -168,14 +168,14 @@
         "waiting",
     )
 
-    def __init__(self, engine: Taker, client: Client) -> None:
+    def __init__(self, engine: RequestHandler, client: Client) -> None:
         self.engine = engine
         self.client = client
         self.parser = httptools.HttpRequestParser(self)
         self.transport: asyncio.Transport | None = None
         self.sock: socket.socket | None = None  # as it was accepted, until the transport has it
-        self.waiting: deque[Call | Ready | RequestError] = deque()
-        self.current: Call | None = None
+        self.waiting: deque[ParsedRequest | ReadinessCheck | RequestError] = deque()
+        self.current: ParsedRequest | None = None
         self.pumping = False
         self.deaf = False  # nothing more is read: what follows an error cannot be told apart
         self.closed = False
@@ -190,7 +190,7 @@
         self.queued = False  # for that turn
         self.upload: Upload | None = None  # the body of the message that is being read, if it is passed on
         self.upload_most = 0  # bytes of it
-        self.source: Paced | None = None  # of the answer that is being passed on
+        self.source: FlowControlled | None = None  # of the answer that is being passed on
         self.ends_with: bytes | None = None  # what its last byte is followed by; None: it has a length
         self.stays = True  # open after it
         self.arrivals = Arrivals()  # of what was read later than it came
@@ -227,9 +227,9 @@
         """Whether a request of it is open or waits, or an answer is still on its way out."""
         return self.current is not None or bool(self.waiting) or self.unread
 
-    def calls(self) -> list[Call]:
+    def calls(self) -> list[ParsedRequest]:
         """The requests of it that are not over."""
-        waiting = [item for item in self.waiting if isinstance(item, Call)]
+        waiting = [item for item in self.waiting if isinstance(item, ParsedRequest)]
         return waiting if self.current is None else [self.current, *waiting]
 
     def accepted(self, sock: socket.socket) -> None:
@@ -455,7 +455,7 @@
         self.upload = None
         upload.spoil(code, text)
 
-    def _read(self, body: bytes) -> Call:
+    def _read(self, body: bytes) -> ParsedRequest:
         """The message as a request; RequestError where it is answered here."""
         return self.engine.grammar.read(
             Message(
@@ -514,7 +514,7 @@
         self.messages += 1
         keep_alive = self.parser.should_keep_alive()
         if self.target == READY_TARGET:
-            self.waiting.append(Ready(keep_alive))
+            self.waiting.append(ReadinessCheck(keep_alive))
             self._release(self.message_size)
         else:
             try:
@@ -599,7 +599,7 @@
         try:
             while self.waiting and self.current is None and not self.unread and not self.closed:
                 item = self.waiting.popleft()
-                if isinstance(item, Call):
+                if isinstance(item, ParsedRequest):
                     problem = item.upload.problem if item.upload is not None else None
                     refusal: tuple[int, bytes, bytes] | None
                     if problem is not None:
@@ -613,8 +613,8 @@
                         self._release(item.size)
                         if item.upload is not None:
                             self._stop_upload(item.upload, item)
-                        self._respond(*refusal, item.keep_alive, item.manner is Manner.HEAD)
-                elif isinstance(item, Ready):
+                        self._respond(*refusal, item.keep_alive, item.manner is HttpProfile.HEAD)
+                elif isinstance(item, ReadinessCheck):
                     ok = not self.engine.draining
                     text = b"ready\n" if ok else b"draining\n"
                     self._respond(200 if ok else 503, b"", text, item.keep_alive)
@@ -625,7 +625,7 @@
             self.pumping = False
         self._resume()
 
-    def answer(self, call: Call, code: int, headers: bytes, body: bytes) -> None:
+    def answer(self, call: ParsedRequest, code: int, headers: bytes, body: bytes) -> None:
         """The final answer to the request that is being served."""
         if self.current is not call:
             return
@@ -635,18 +635,20 @@
             headers += call.told
         if call.upload is not None:
             self._stop_upload(call.upload, call)
-        self._respond(code, headers, body, call.keep_alive, call.manner is Manner.HEAD)
+        self._respond(code, headers, body, call.keep_alive, call.manner is HttpProfile.HEAD)
         self._pump()
         self.engine.clients.place(self)
 
-    def _stop_upload(self, upload: Upload, call: Call) -> None:
+    def _stop_upload(self, upload: Upload, call: ParsedRequest) -> None:
         """Its request is answered before its body has come: where the next one begins will not be known."""
         if not upload.ended:
             call.keep_alive = False
             self.deaf = True
             self.upload = None
 
-    def begin_answer(self, call: Call, code: int, headers: bytes, length: int | None, paced: Paced) -> bool:
+    def begin_answer(
+        self, call: ParsedRequest, code: int, headers: bytes, length: int | None, paced: FlowControlled
+    ) -> bool:
         """Begin the final answer to the request that is being served; its body follows in pieces.
 
         Args:
@@ -672,12 +674,12 @@
         self._write(_head(code, headers + call.told + framing, self.stays))
         return True
 
-    def answer_piece(self, call: Call, data: bytes) -> None:
+    def answer_piece(self, call: ParsedRequest, data: bytes) -> None:
         """The next bytes of the answer that has begun."""
         if self.current is call and data:
             self._write(data if self.ends_with is None else b"%x\r\n%s\r\n" % (len(data), data))
 
-    def end_answer(self, call: Call, whole: bool) -> None:
+    def end_answer(self, call: ParsedRequest, whole: bool) -> None:
         """The answer that has begun is over; one that is not whole ends its connection, so that it shows."""
         if self.current is not call:
             return
--- a/dykefold/net/downstream/request_parser.py
+++ b/dykefold/net/downstream/request_parser.py
@@ -14,7 +14,7 @@
 
 from ...balancer.settings import Effect, Settings
 from ..streaming import Upload
-from ..upstream.connection_pool import Manner
+from ..upstream.connection_pool import HttpProfile
 
 BODY_MOST = 64 * 1024
 STREAM_MOST = 40 * 1024 * 1024  # bytes of a body or an answer that goes on as it comes
@@ -34,7 +34,7 @@
         self.head = False  # its answer has no body
 
 
-class FormError(RequestError):
+class MalformedRequestError(RequestError):
     """A request that is of no class by the settings, or not in the form that its class has."""
 
 
@@ -53,7 +53,7 @@
 
 
 @dataclass(slots=True)
-class Call:
+class ParsedRequest:
     """A request as the client sent it."""
 
     ident: bytes  # as the client named it
@@ -72,7 +72,7 @@
     size: int = 0  # of what is held of it
     ticket: int = 0  # the pool's number for it
     pool: Any = None  # which takes it: a request keeps the one that it was read for
-    manner: Manner = Manner.PLATFORM
+    manner: HttpProfile = HttpProfile.PLATFORM
     told: bytes = b""  # header lines of its answer, whatever that is
     body_most: int = BODY_MOST  # bytes of a body that may come as a stream
     answer_most: int = 0  # likewise of an answer
@@ -89,13 +89,17 @@
     return int(float(match[1]) * DEADLINE_UNITS[match[2]])
 
 
-class Grammar:
+class RequestParser:
     """What the settings say of requests: which classes and tenants there are."""
 
     streams = True
 
     def __init__(
-        self, settings: Settings, pool: object, retired: Collection[int] = (), before: Grammar | None = None
+        self,
+        settings: Settings,
+        pool: object,
+        retired: Collection[int] = (),
+        before: RequestParser | None = None,
     ) -> None:
         """Take settings.
 
@@ -111,7 +115,7 @@
         self.before = before
         self.until_ns = 0  # on the clock, for the one that comes after this
 
-    def lingers(self, now_ns: int, until_ns: int) -> Grammar:
+    def lingers(self, now_ns: int, until_ns: int) -> RequestParser:
         """Let what was written for these settings still be read until then; those before may go."""
         self.until_ns = until_ns
         grammar = self
@@ -122,11 +126,11 @@
             grammar = grammar.before
         return self
 
-    def read(self, message: Message) -> Call:
+    def read(self, message: Message) -> ParsedRequest:
         """A request of the platform's dialect; RequestError where it is answered here."""
         try:
             return self._read(message)
-        except FormError:
+        except MalformedRequestError:
             if self.before is None:
                 raise
             if message.now >= self.before.until_ns:
@@ -138,7 +142,7 @@
                 pass  # what is wrong with it by the present settings is what its client can mend
             raise
 
-    def _read(self, message: Message) -> Call:
+    def _read(self, message: Message) -> ParsedRequest:
         headers, method, target = message.headers, message.method, message.target
         path = target
         if not path.startswith(b"/"):  # the absolute form, as to a proxy
@@ -151,16 +155,16 @@
         if cls is None and b"%" in name:  # a name that a path has to escape (RFC 3986, 2.1)
             cls = self.classes.get(unquote_to_bytes(name))
         if cls is None:
-            raise FormError(404, "unknown class")
+            raise MalformedRequestError(404, "unknown class")
         spec = self.specs[cls]
         if method != (b"GET" if spec.effect is Effect.SAFE else b"POST"):
-            raise FormError(405, "the method is not that of the class")
+            raise MalformedRequestError(405, "the method is not that of the class")
         ident = headers.get(b"x-request-id")
         if not ident:
             raise RequestError(400, "X-Request-Id is missing")
         # Guards the rule on effects: without the key no server could drop a repeat.
         if spec.effect is Effect.KEYED and not headers.get(b"idempotency-key"):
-            raise FormError(400, "Idempotency-Key is missing")
+            raise MalformedRequestError(400, "Idempotency-Key is missing")
         wait = spec.deadline_ns
         if (value := headers.get(b"x-deadline")) is not None:
             # The class's deadline covers all tries; a client that states more does not wait for it.
@@ -179,7 +183,7 @@
         key = 0
         if b"x-key" in headers and (value := headers[b"x-key"]):
             key = int.from_bytes(blake2b(value, digest_size=8).digest(), "little")
-        return Call(
+        return ParsedRequest(
             ident,
             method,
             target,
--- a/dykefold/net/loop_lag.py
+++ b/dykefold/net/loop_lag.py
@@ -19,7 +19,7 @@
 SPAN_S = 10.0  # over which the worst is kept, and between two lines
 
 
-class Lag:
+class LoopLagMonitor:
     """The worst lateness of the loop in the last `SPAN_S` to twice that, seconds."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, system: System = SYSTEM) -> None:
--- a/dykefold/net/memory_budget.py
+++ b/dykefold/net/memory_budget.py
@@ -5,7 +5,7 @@
 MB = 1024 * 1024
 
 
-class Memory:
+class MemoryBudget:
     """The memory of all messages that are held, requests and answers."""
 
     PROGRAM = 20 * MB  # what the program takes without any
--- a/dykefold/net/peers.py
+++ b/dykefold/net/peers.py
@@ -11,7 +11,7 @@
 Address = tuple[str, int]
 
 
-class Peers(asyncio.DatagramProtocol):
+class PeerChannel(asyncio.DatagramProtocol):
     """Sends to peers by their number and hands on what known ones send."""
 
     def __init__(
--- a/dykefold/net/read_scheduler.py
+++ b/dykefold/net/read_scheduler.py
@@ -13,7 +13,7 @@
 from typing import Protocol
 
 from ..system import SYSTEM, System
-from .loop_lag import Lag
+from .loop_lag import LoopLagMonitor
 
 SLICE_BYTES = 2048  # at 18 bytes a request 113 of them: 2 to 3 ms, and a usual message is shorter
 SLICES_A_TURN = 2  # of all connections together
@@ -29,11 +29,11 @@
         ...
 
 
-class Backlog:
+class ReadScheduler:
     """The connections whose input waits, each at most once."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, lag: Lag | None = None, system: System = SYSTEM
+        self, loop: asyncio.AbstractEventLoop, lag: LoopLagMonitor | None = None, system: System = SYSTEM
     ) -> None:
         self.loop = loop
         self.monotonic = system.monotonic
--- a/dykefold/net/service/load_reports.py
+++ b/dykefold/net/service/load_reports.py
@@ -10,7 +10,7 @@
 FIGURE = re.compile(rb"\d{1,9}(?:\.\d{1,9})?")  # plain numbers: no sign, no exponent, nothing endless
 
 
-class Reports:
+class LoadReportParser:
     """Reads load reports by the names of their fields, in the order that the module expects."""
 
     def __init__(self, columns: tuple[str, ...]) -> None:
--- a/dykefold/net/service/pool.py
+++ b/dykefold/net/service/pool.py
@@ -1,7 +1,7 @@
 """A pool: one service's servers, its module, and the requests that it holds. Events in, actions out.
 
-It knows no listener and no client's socket: who asks is an `Asker`, what the process shares comes from a
-`Home`. So a pool can be made and driven without a node, and a node can have several.
+It knows no listener and no client's socket: who asks is a `ResponseSink`, what the process shares comes from
+a `PoolHost`. So a pool can be made and driven without a node, and a node can have several.
 """
 
 from __future__ import annotations
@@ -21,19 +21,19 @@
     CloseIdle,
     Fail,
     Fetch,
-    Hint,
     Log,
     Probe,
     Refuse,
+    ReportEndpointHealth,
     Send,
+    SendToPeer,
     SetTimer,
-    Tell,
     Watch,
 )
 from ...balancer.balancer import Balancer
 from ...balancer.events import (
     BodySent,
-    Dropped,
+    ClientDisconnected,
     Event,
     ListKind,
     Membership,
@@ -41,7 +41,7 @@
     PeerMessage,
     ProbeResult,
     Request,
-    Retune,
+    SettingsChanged,
     State,
     Status,
     StreamStarted,
@@ -49,21 +49,28 @@
 )
 from ...balancer.latency import LEARNING_ANSWERS
 from ...balancer.settings import Effect, Settings
-from ...control.maintenance import Maintenance, Said
+from ...control.maintenance import Maintenance, MaintenanceOrder
 from ...settings import Transport
 from ...system import System
 from ..clock import MS, SECOND, Clock, StartTimes
-from ..discovery.client import Discovery, Listed, Names, News, read_news, write_news
-from ..downstream.connection import Paced
-from ..downstream.request_parser import BODY_MOST, Call
-from ..loop_lag import Lag
-from ..memory_budget import Memory
-from ..peers import Address, Peers
-from ..read_scheduler import Backlog
+from ..discovery.client import (
+    DiscoveryClient,
+    EndpointRecord,
+    EndpointUpdate,
+    NameTable,
+    endpoint_update_record,
+    parse_endpoint_update,
+)
+from ..downstream.connection import FlowControlled
+from ..downstream.request_parser import BODY_MOST, ParsedRequest
+from ..loop_lag import LoopLagMonitor
+from ..memory_budget import MemoryBudget
+from ..peers import Address, PeerChannel
+from ..read_scheduler import ReadScheduler
 from ..streaming import Upload
-from ..timer_wheel import Deadlines, Limited
-from ..upstream.connection_pool import LATE_S, READ_WITHIN, Answer, Exchange, Manner, Upstreams
-from .load_reports import Reports
+from ..timer_wheel import Timed, TimerWheel
+from ..upstream.connection_pool import LATE_S, READ_WITHIN, ConnectionPool, Exchange, HttpProfile, Response
+from .load_reports import LoadReportParser
 
 log = logging.getLogger("dykefold")
 
@@ -77,7 +84,7 @@
 BODIED = frozenset((b"POST", b"PUT", b"PATCH"))  # methods whose requests say that their body is empty
 
 
-class Asker(Protocol):
+class ResponseSink(Protocol):
     """Who asked, as a pool needs it."""
 
     client: Client
@@ -86,46 +93,48 @@
         """Whether it has left, though that was not heard yet: nothing more is to be sent for it."""
         ...
 
-    def answer(self, call: Call, code: int, headers: bytes, body: bytes) -> None:
+    def answer(self, call: ParsedRequest, code: int, headers: bytes, body: bytes) -> None:
         """The one final answer; a later one has no effect."""
         ...
 
-    def begin_answer(self, call: Call, code: int, headers: bytes, length: int | None, paced: Paced) -> bool:
+    def begin_answer(
+        self, call: ParsedRequest, code: int, headers: bytes, length: int | None, paced: FlowControlled
+    ) -> bool:
         """The one final answer begins, its body follows; False if this client can't be given it so."""
         ...
 
-    def answer_piece(self, call: Call, data: bytes) -> None:
+    def answer_piece(self, call: ParsedRequest, data: bytes) -> None:
         """The next bytes of that body."""
         ...
 
-    def end_answer(self, call: Call, whole: bool) -> None:
+    def end_answer(self, call: ParsedRequest, whole: bool) -> None:
         """The body has ended; where it is not whole the client is let know."""
         ...
 
 
-class Home(Protocol):
+class PoolHost(Protocol):
     """What a process shares among its pools."""
 
     loop: asyncio.AbstractEventLoop
     system: System
     clock: Clock
     budget: Budget
-    memory: Memory
-    backlog: Backlog
-    deadlines: Deadlines
-    lag: Lag
-    peers: Peers | None
+    memory: MemoryBudget
+    backlog: ReadScheduler
+    deadlines: TimerWheel
+    lag: LoopLagMonitor
+    peers: PeerChannel | None
 
     def fault(self, text: str) -> None:
         """Log the exception that is being handled, now and then."""
         ...
 
-    def settled(self, asker: Asker, call: Call, served: bool) -> None:
+    def settled(self, asker: ResponseSink, call: ParsedRequest, served: bool) -> None:
         """A request is owed nothing any more; its answer, if there is one, is given after this."""
         ...
 
 
-class Claims(Protocol):
+class DescriptorReservations(Protocol):
     """The descriptors that a pool may set aside, as `Budget` gives them."""
 
     upstreams: Allowance
@@ -150,7 +159,7 @@
         "write_by_ns",
     )
 
-    def __init__(self, held: Held, number: int, server: int, sent_ns: int) -> None:
+    def __init__(self, held: PendingRequest, number: int, server: int, sent_ns: int) -> None:
         super().__init__(b"", held.ended, BODY_MOST)
         self.manner = held.call.manner
         self.stream_most = held.call.answer_most
@@ -202,7 +211,7 @@
         The platform's servers begin with a request when its last byte has come (PROTOCOL, sidecars to
         servers), and that can be kept back by a slow socket.
         """
-        if self.connection is None or self.manner is not Manner.PLATFORM:
+        if self.connection is None or self.manner is not HttpProfile.PLATFORM:
             return False
         return now + self.told_ns > self.held.call.deadline_ns + KEPT_BACK_NS
 
@@ -227,7 +236,7 @@
 
     def upload_begins(self) -> None:
         held = self.held
-        held.pool.post(StreamStarted(held.id, self.number, self.server, 0, Status.MOOT))
+        held.pool.post(StreamStarted(held.id, self.number, self.server, 0, Status.NOT_ATTEMPTED))
         if held.call.upload is not None and held.call.upload.ended:
             self.body_sent()
 
@@ -261,7 +270,7 @@
             self.connection.block(on)
 
 
-class Held(Limited):
+class PendingRequest(Timed):
     """A request that this sidecar has taken. Its limit is the last guard on its answer."""
 
     __slots__ = (
@@ -280,7 +289,7 @@
         "ran_ns",
     )
 
-    def __init__(self, ident: int, call: Call, asker: Asker, pool: Pool) -> None:
+    def __init__(self, ident: int, call: ParsedRequest, asker: ResponseSink, pool: Pool) -> None:
         self.tick = 0
         self.id = ident
         self.call = call
@@ -294,7 +303,7 @@
         self.ran_ns = 0  # when the first of these began
         self.owed = True  # its final answer
         self.answering = False  # which has begun to be passed on
-        self.error: Answer | None = None  # what a server said of its failure, where that is passed on
+        self.error: Response | None = None  # what a server said of its failure, where that is passed on
 
     def expire(self) -> None:
         self.pool.guard(self)
@@ -303,21 +312,21 @@
         """The last byte of its body has come: its time counts from now on (PROTOCOL, figures)."""
         self.pool.start_time(self)
 
-    def ended(self, attempt: Exchange, status: Status, answer: Answer | None) -> None:
+    def ended(self, attempt: Exchange, status: Status, answer: Response | None) -> None:
         self.pool.end_attempt(self, attempt, status, answer)  # type: ignore[arg-type]
 
 
 class Pool:
     def __init__(
         self,
-        home: Home,
+        home: PoolHost,
         settings: Settings,
         transport: Transport,
         seed: int,
         discovery: Address | None,
-        names: Names,
-        known: News,
-        budget: Claims | None = None,
+        names: NameTable,
+        known: EndpointUpdate,
+        budget: DescriptorReservations | None = None,
         elsewhere: Callable[[], bool] | None = None,
         label: str = "",
     ) -> None:
@@ -336,15 +345,15 @@
         self.monotonic = home.system.monotonic
         self.clock = home.clock
         self.now = home.clock.now
-        self.budget: Claims = budget if budget is not None else home.budget
+        self.budget: DescriptorReservations = budget if budget is not None else home.budget
         self.deadlines = home.deadlines
         self.settings = settings
         self.max_open = transport.max_open
         self.names = names
         self.balancer = Balancer(settings, seed)
-        self.reports = Reports(settings.report_columns)
+        self.reports = LoadReportParser(settings.report_columns)
         self.probe_path = b"/-/load" if settings.report_columns else b"/-/healthy"
-        self.upstreams = Upstreams(
+        self.upstreams = ConnectionPool(
             home.loop,
             home.budget.upstreams,
             home.memory,
@@ -355,9 +364,9 @@
             elsewhere,
             home.system,
         )
-        self.discovery: Discovery | None = None
+        self.discovery: DiscoveryClient | None = None
         if discovery is not None:
-            self.discovery = Discovery(
+            self.discovery = DiscoveryClient(
                 home.loop,
                 discovery,
                 names,
@@ -368,7 +377,7 @@
             )
         self.closed = False
         self.gone: Callable[[Pool], None] | None = None  # told when it has retired
-        self.held: dict[int, Held] = {}
+        self.held: dict[int, PendingRequest] = {}
         self.attempts: dict[tuple[int, int], Attempt] = {}  # those out, also of requests that are over
         self.next_id = 1
         self.events: deque[Event] = deque()
@@ -377,7 +386,7 @@
         self.hinted: Callable[[int, bool], None] = lambda _server, _answers: None  # what it says to the fleet
         self.handling = False
         self.carry_out = self._actions()
-        self.maintenance: Maintenance[Listed] = Maintenance(
+        self.maintenance: Maintenance[EndpointRecord] = Maintenance(
             lambda entry, endpoint: replace(entry, endpoint=endpoint)
         )
         self.starts = StartTimes()
@@ -422,8 +431,8 @@
             Cancel: self._cancel,
             Probe: lambda action: self._probe(action.server),
             CloseIdle: lambda action: self.upstreams.close_idle(action.server),
-            Tell: self._tell,
-            Hint: lambda action: self.hinted(action.server, action.answers),
+            SendToPeer: self._tell,
+            ReportEndpointHealth: lambda action: self.hinted(action.server, action.answers),
             Watch: lambda action: self._watch(action.on),
             Fetch: lambda _: self.discovery.fetch() if self.discovery is not None else None,
             Log: lambda action: log.info(action.text),
@@ -459,10 +468,10 @@
         else:
             self._finish(held, 502, b"", b"failed\n")
 
-    def _pass_on(self, held: Held, answer: Answer) -> None:
+    def _pass_on(self, held: PendingRequest, answer: Response) -> None:
         self._finish(held, answer.code, _lines(answer.headers), answer.body)
 
-    def _tell(self, action: Tell) -> None:
+    def _tell(self, action: SendToPeer) -> None:
         if self.home.peers is not None:
             self.home.peers.tell(action.data, action.peer)
 
@@ -474,10 +483,10 @@
             retired: numbers that no new request is of.
         """
         self.settings, self.retired = settings, retired
-        self.reports = Reports(settings.report_columns)
+        self.reports = LoadReportParser(settings.report_columns)
         self.probe_path = b"/-/load" if settings.report_columns else b"/-/healthy"
         self.retune_sockets(transport)
-        self.post(Retune(settings, retired))
+        self.post(SettingsChanged(settings, retired))
         if self.discovery is not None:
             self.discovery.retune(pushed=not settings.must_ask)
 
@@ -489,9 +498,9 @@
 
     # Requests
 
-    def take(self, asker: Asker, call: Call) -> None:
+    def take(self, asker: ResponseSink, call: ParsedRequest) -> None:
         """Take an admitted request: from here on it is owed one final answer."""
-        held = Held(self.next_id, call, asker, self)
+        held = PendingRequest(self.next_id, call, asker, self)
         call.ticket = held.id
         self.next_id += 1
         self.held[held.id] = held
@@ -514,12 +523,12 @@
             )
         )
 
-    def _limit(self, held: Held) -> None:
+    def _limit(self, held: PendingRequest) -> None:
         now_s = self.monotonic()
         left = max(held.call.deadline_ns - GUARD_MARGIN_NS - self.clock.at(now_s), 0)
         self.deadlines.start(held, left / SECOND, now_s)
 
-    def start_time(self, held: Held) -> None:
+    def start_time(self, held: PendingRequest) -> None:
         """The body of a request has come to its end: from here on it has the time that its client stated."""
         if not held.owed or held.answering:
             return
@@ -536,7 +545,7 @@
                 if call.upload.begun:
                     attempt.body_sent()
 
-    def guard(self, held: Held) -> None:
+    def guard(self, held: PendingRequest) -> None:
         """Time is up: whatever the module still plans, the client gets its answer now."""
         if not held.owed:
             return
@@ -550,20 +559,20 @@
             attempt.give_up(Status.TIMEOUT)
         if held.owed:
             self._finish_late(held)
-            self.post(Dropped(held.id))
+            self.post(ClientDisconnected(held.id))
 
-    def _finish_late(self, held: Held) -> None:
+    def _finish_late(self, held: PendingRequest) -> None:
         if held.may_have_run:
             self._finish(held, 504, b"", b"failed: out of time\n")
         else:
             self._finish(held, 503, b"", b"refused: out of time\n")
 
-    def _finish(self, held: Held, code: int, headers: bytes, body: bytes) -> None:
+    def _finish(self, held: PendingRequest, code: int, headers: bytes, body: bytes) -> None:
         """Give the one final answer."""
         self._settle(held, served=code < 400)
         held.asker.answer(held.call, code, headers, body)
 
-    def _settle(self, held: Held, served: bool = False) -> None:
+    def _settle(self, held: PendingRequest, served: bool = False) -> None:
         held.owed = False
         self._unclaim(held)
         self.held.pop(held.id, None)
@@ -572,14 +581,14 @@
         if self.gone is not None:
             self.loop.call_soon(self._leave_if_done)
 
-    def _unclaim(self, held: Held) -> None:
+    def _unclaim(self, held: PendingRequest) -> None:
         """Give back what was set aside for attempts that no longer can be; one that is out keeps its own."""
         needed = held.out or held.owed
         while held.claims > needed:
             held.claims -= 1
             self.budget.unclaim()
 
-    def drop(self, call: Call) -> bool:
+    def drop(self, call: ParsedRequest) -> bool:
         """The client has gone: its request is over, what is out for it the module may call off.
 
         Returns whether the request was open.
@@ -594,7 +603,7 @@
             attempt = self.attempts.get((held.id, number))
             if attempt is not None:
                 self.upstreams.abandon(attempt.server, attempt)
-        self.post(Dropped(held.id))
+        self.post(ClientDisconnected(held.id))
         if streams:
             # Nobody sends its body or reads its answer any more, so no end of its own would come.
             for number in range(held.attempts):
@@ -638,7 +647,7 @@
         if held.may_have_run or held.out > 1:
             attempt.write_by_ns = self._window_end(held)
         if held.attempts > held.most or wait <= 0 or not attempt.wanted() or not self._claim_attempt(held):
-            attempt.end(Status.MOOT)
+            attempt.end(Status.NOT_ATTEMPTED)
             return
         attempt.until_ns = 0 if flows else now + wait
         # Of a body that flows the time begins with its last byte, which its server gets later than this.
@@ -646,7 +655,7 @@
         self.upstreams.start(action.server, attempt, wait / SECOND)
 
     @staticmethod
-    def flow_time_ns(call: Call, now: int) -> int:
+    def flow_time_ns(call: ParsedRequest, now: int) -> int:
         """What the server of a body that flows is told: never more than is left since its head was read.
 
         The client's time begins with its last byte, which may have come already and wait to be read.
@@ -654,7 +663,7 @@
         spared_ns = call.wait_ns - call.wait_ns // FLOW_SPARED
         return max(min(spared_ns, call.deadline_ns - now), MS)
 
-    def _window_end(self, held: Held) -> int:
+    def _window_end(self, held: PendingRequest) -> int:
         """When a keyed request's key may be forgotten, by its first attempt that may have run; 0 for others.
 
         Guards against a repeat that is decided on in time, and written when its connection came up later.
@@ -667,7 +676,7 @@
         first_ns = min(first_ns, held.ran_ns) if held.ran_ns else first_ns
         return first_ns + spec.window_ns - self.settings.tick_ns
 
-    def _claim_attempt(self, held: Held) -> bool:
+    def _claim_attempt(self, held: PendingRequest) -> bool:
         """Whether a descriptor is set aside for one more attempt: always, unless two may be out at once."""
         if held.claims < held.out:
             if not self.budget.claim():
@@ -676,7 +685,7 @@
         return True
 
     @staticmethod
-    def message(call: Call, wait: int) -> bytes:
+    def message(call: ParsedRequest, wait: int) -> bytes:
         """A request as a server gets it, with the nanoseconds that it is told to have."""
         if call.upload is not None:
             announced = call.upload.length
@@ -695,7 +704,9 @@
             call.body,
         )
 
-    def end_attempt(self, held: Held, attempt: Attempt, status: Status, answer: Answer | None) -> None:
+    def end_attempt(
+        self, held: PendingRequest, attempt: Attempt, status: Status, answer: Response | None
+    ) -> None:
         """An attempt has ended: a whole 200 reaches the client, the module hears of all."""
         self.attempts.pop((held.id, attempt.number), None)
         held.out -= 1
@@ -703,9 +714,9 @@
         upload = held.call.upload
         if upload is not None and upload.begun:
             status = self._of_part(held, upload, status)
-        if status is Status.MOOT:
+        if status is Status.NOT_ATTEMPTED:
             held.most += 1  # it was no attempt
-        if status not in (Status.FULL, Status.CONNECT_FAILED, Status.MOOT):
+        if status not in (Status.FULL, Status.CONNECT_FAILED, Status.NOT_ATTEMPTED):
             held.may_have_run = True
             held.ran_ns = min(held.ran_ns or attempt.sent_ns, attempt.sent_ns)
         report: tuple[float, ...] = ()
@@ -714,7 +725,7 @@
                 report = self.reports.read(answer.load)
             if status is Status.OK and held.owed and not held.answering:
                 self._pass_on(held, answer)
-            elif status is Status.ERROR and held.call.manner is not Manner.PLATFORM:
+            elif status is Status.ERROR and held.call.manner is not HttpProfile.PLATFORM:
                 held.error = answer
         if held.owed and (held.answering or (upload is not None and upload.begun)):
             self._end_stream(held, status)
@@ -728,19 +739,19 @@
             self.loop.call_soon(self._leave_if_done)
 
     @staticmethod
-    def _of_part(held: Held, upload: Upload, status: Status) -> Status:
+    def _of_part(held: PendingRequest, upload: Upload, status: Status) -> Status:
         """What the end of an attempt proves of which a part of the body had gone out.
 
         The platform's servers begin with a request when its last byte has come (PROTOCOL, sidecars to
         servers); others may act on a part.
         """
-        if held.call.manner is not Manner.PLATFORM:
+        if held.call.manner is not HttpProfile.PLATFORM:
             return Status.RESET if status is Status.CONNECT_FAILED else status
         if not upload.sent and status in (Status.RESET, Status.TIMEOUT, Status.CANCELLED):
             return Status.CONNECT_FAILED
         return status
 
-    def _end_stream(self, held: Held, status: Status) -> None:
+    def _end_stream(self, held: PendingRequest, status: Status) -> None:
         """The one attempt of a request whose body or answer flows is over, and so is the request."""
         upload = held.call.upload
         if held.answering:
@@ -749,7 +760,7 @@
             held.asker.end_answer(held.call, whole)
         elif upload is not None and upload.problem is not None:
             self._finish(held, upload.problem[0], b"", upload.problem[1])
-        elif status in (Status.FULL, Status.CONNECT_FAILED, Status.MOOT):
+        elif status in (Status.FULL, Status.CONNECT_FAILED, Status.NOT_ATTEMPTED):
             self._finish(held, 503, b"", b"refused\n")
         elif held.error is not None:
             self._pass_on(held, held.error)
@@ -771,10 +782,10 @@
     def _probe(self, server: int) -> None:
         started = self.now()
         if not self.budget.claim():
-            self.loop.call_soon(self.post, ProbeResult(server, Status.MOOT, 0, ()))
+            self.loop.call_soon(self.post, ProbeResult(server, Status.NOT_ATTEMPTED, 0, ()))
             return
 
-        def done(_: Exchange, status: Status, answer: Answer | None) -> None:
+        def done(_: Exchange, status: Status, answer: Response | None) -> None:
             self.budget.unclaim()
             report: tuple[float, ...] = ()
             if answer is not None and self.reports.columns:
@@ -786,7 +797,7 @@
 
     # The list of servers
 
-    def on_news(self, news: News | None) -> None:
+    def on_news(self, news: EndpointUpdate | None) -> None:
         """Take a list, a change of it, or that discovery failed."""
         if self.closed:
             return
@@ -796,17 +807,20 @@
         else:
             self._take_list(news)
 
-    def _take_list(self, news: News, kind: ListKind | None = None) -> None:
+    def _take_list(self, news: EndpointUpdate, kind: ListKind | None = None) -> None:
         """Take what discovery says, with what operators say of maintenance on top."""
         self.version = news.version
         complete = news.complete or kind is ListKind.CACHED
         told = self.maintenance.fold(news.entries, complete)
-        self._apply(News(news.version, news.complete, told), kind)
+        self._apply(EndpointUpdate(news.version, news.complete, told), kind)
 
     def list_word(self) -> dict[str, Any]:
         """The list as discovery has told it, with the discovery that its version counts at."""
         at = self.discovery.listed_by if self.discovery is not None else ""
-        return {"discovery": at, **write_news(self.version, self.maintenance.listed.values(), self.names)}
+        return {
+            "discovery": at,
+            **endpoint_update_record(self.version, self.maintenance.listed.values(), self.names),
+        }
 
     def adopt_list(self, word: Mapping[str, Any]) -> None:
         """Take a list that another process of this sidecar was told, if it is newer. Raises ListError."""
@@ -816,7 +830,7 @@
         version = word.get("index")
         if not isinstance(version, int) or version <= self.version or discovery.version is None:
             return
-        news = read_news(word, self.names)
+        news = parse_endpoint_update(word, self.names)
         discovery.adopt(version)
         self._take_list(news, ListKind.CACHED)  # it says nothing of the own watch
 
@@ -825,16 +839,16 @@
         before = self.maintenance.is_out(name)
         told = self.maintenance.say(name, out, self.now())
         if told:
-            self._apply(News(self.version, False, told), ListKind.LOCAL)
+            self._apply(EndpointUpdate(self.version, False, told), ListKind.LOCAL)
         return before is not out
 
-    def merge_maintenance(self, said: Mapping[str, Said]) -> None:
+    def merge_maintenance(self, said: Mapping[str, MaintenanceOrder]) -> None:
         """Take what another process of this sidecar was told of servers."""
         told = self.maintenance.merge(said)
         if told:
-            self._apply(News(self.version, False, told), ListKind.LOCAL)
+            self._apply(EndpointUpdate(self.version, False, told), ListKind.LOCAL)
 
-    def _apply(self, news: News, kind: ListKind | None = None) -> None:
+    def _apply(self, news: EndpointUpdate, kind: ListKind | None = None) -> None:
         began_s = self.monotonic()
         membership = news.membership(kind)
         starts = ((entry.name, entry.endpoint) for entry in news.entries)
@@ -854,7 +868,7 @@
         self.names.keep(set(self.balancer.servers) | set(self.upstreams.targets))
         self.home.lag.took(began_s, f"a list of {len(news.entries)} servers")
 
-    def _apply_entry(self, entry: Listed) -> None:
+    def _apply_entry(self, entry: EndpointRecord) -> None:
         endpoint = entry.endpoint
         target = self.upstreams.targets.get(endpoint.server)
         if target is not None and (target.takes_new != (endpoint.state is State.READY)):
@@ -889,7 +903,7 @@
 
     def home_at(self, zone: int) -> None:
         """Have the module take this zone for its own, until another is named or other settings come."""
-        self.post(Retune(replace(self.settings, zone=zone), self.retired))
+        self.post(SettingsChanged(replace(self.settings, zone=zone), self.retired))
 
     def placed(self) -> dict[int, int]:
         """Ready servers by zone."""
@@ -918,11 +932,11 @@
     def classes(self) -> dict[str, int]:
         """The numbers of the module's classes, by name."""
         balancer = self.balancer
-        return {work.spec.name: n for n, work in enumerate(balancer.works) if work in balancer.live}
+        return {work.spec.name: n for n, work in enumerate(balancer.classes) if work in balancer.live_classes}
 
     def usual(self) -> dict[str, float]:
         """By class, its usual latency, nanoseconds, where that is well known."""
-        known = (work for work in self.balancer.live if work.seen >= LEARNING_ANSWERS)
+        known = (work for work in self.balancer.live_classes if work.seen >= LEARNING_ANSWERS)
         return {work.spec.name: work.usual for work in known}
 
     def on_peer(self, sender: int, data: bytes) -> None:
--- a/dykefold/net/sidecar.py
+++ b/dykefold/net/sidecar.py
@@ -17,19 +17,19 @@
 from ..admission.listener import Listener
 from ..admission.rules import Admission, Reason, Share
 from ..balancer.settings import Settings
-from ..control.class_generations import LINGER_NS, Generation
+from ..control.class_generations import LINGER_NS, ClassGeneration
 from ..settings import Transport
 from ..system import SYSTEM, System
 from .clock import MS, SECOND, Clock
-from .discovery.client import Names, News
-from .downstream.connection import Front, Reader
-from .downstream.request_parser import Call, Grammar
-from .loop_lag import Lag
-from .memory_budget import Memory
-from .peers import Address, Peers
-from .read_scheduler import Backlog
-from .service.pool import Asker, Pool, retry_after
-from .timer_wheel import Deadlines
+from .discovery.client import EndpointUpdate, NameTable
+from .downstream.connection import ClientConnection, MessageReader
+from .downstream.request_parser import ParsedRequest, RequestParser
+from .loop_lag import LoopLagMonitor
+from .memory_budget import MemoryBudget
+from .peers import Address, PeerChannel
+from .read_scheduler import ReadScheduler
+from .service.pool import Pool, ResponseSink, retry_after
+from .timer_wheel import TimerWheel
 
 log = logging.getLogger("dykefold")
 
@@ -62,7 +62,7 @@
     return max(answer_s - LAST_ANSWERS, ACCEPT_AFTER_TERM), answer_s, answer_s + FLUSH_FOR
 
 
-class Engine:
+class SidecarServer:
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
@@ -84,19 +84,19 @@
         self.monotonic = system.monotonic
         self.clock = Clock(system)
         self.now = self.clock.now
-        self.grammar: Reader
+        self.grammar: MessageReader
         self.pools: dict[Pool, None] = {}  # those that are served and those that retire
         self.half_close = False
         self.sockets, self.memory_limit = sockets, memory  # of the sidecar, and of its processes ...
         self.parts = 1  # ... that live just now: this one takes one part of the memory
         self.most = sockets  # descriptors that this one may hold
         self.budget = Budget(sockets, set_aside)
-        self.memory = Memory(memory)
+        self.memory = MemoryBudget(memory)
         self.clients = Clients(Admission(self._share(), caps or Caps()), system)
-        self.lag = Lag(loop, system)
-        self.backlog = Backlog(loop, self.lag, system)
-        self.deadlines = Deadlines(loop, system)
-        self.peers: Peers | None = None
+        self.lag = LoopLagMonitor(loop, system)
+        self.backlog = ReadScheduler(loop, self.lag, system)
+        self.deadlines = TimerWheel(loop, system)
+        self.peers: PeerChannel | None = None
         self.ids: set[bytes] = set()  # as clients named the requests that are open or have just been
         self.old_ids: deque[tuple[float, bytes]] = deque()
         self.draining = False
@@ -115,14 +115,14 @@
         transport: Transport,
         seed: int,
         discovery: Address,
-        names: Names,
-        known: News,
+        names: NameTable,
+        known: EndpointUpdate,
     ) -> None:
         """Give all requests to one pool, as on the platform."""
         self.pool = Pool(self, settings, transport, seed, discovery, names, known)
         self.pools[self.pool] = None
-        self.generation = Generation(settings)
-        self.grammar = Grammar(settings, self.pool)
+        self.generation = ClassGeneration(settings)
+        self.grammar = RequestParser(settings, self.pool)
 
     def retune(self, settings: Settings, transport: Transport) -> None:
         """Have the one pool go by other settings, from the next request that is read on.
@@ -142,9 +142,9 @@
         log.info("classes are now %s", ", ".join(generation.numbers()))
         self.generation = generation
         pool.retune(generation.settings, transport, frozenset(generation.retired))
-        assert isinstance(self.grammar, Grammar)
+        assert isinstance(self.grammar, RequestParser)
         before = self.grammar.lingers(now_ns, now_ns + LINGER_NS)
-        self.grammar = Grammar(generation.settings, pool, generation.retired, before)
+        self.grammar = RequestParser(generation.settings, pool, generation.retired, before)
 
     def forget(self, pool: Pool) -> None:
         """A pool has retired: nothing of it is left."""
@@ -161,7 +161,7 @@
 
     # Requests
 
-    def admit(self, front: Front, call: Call) -> tuple[int, bytes, bytes] | None:
+    def admit(self, front: ClientConnection, call: ParsedRequest) -> tuple[int, bytes, bytes] | None:
         """Set aside what a request will need; or the code, headers and text with which it is turned away.
 
         The id must be new: guards an open request against another one under its id, which its server
@@ -188,11 +188,11 @@
         self.ids.add(call.ident)
         return None
 
-    def take(self, front: Front, call: Call) -> None:
+    def take(self, front: ClientConnection, call: ParsedRequest) -> None:
         """Take an admitted request: from here on it is owed one final answer."""
         call.pool.take(front, call)
 
-    def settled(self, asker: Asker, call: Call, served: bool) -> None:
+    def settled(self, asker: ResponseSink, call: ParsedRequest, served: bool) -> None:
         """A request is over: give back what it had of the process."""
         self.clients.close_request(asker.client, served)
         self.old_ids.append((self.monotonic(), call.ident))
@@ -201,7 +201,7 @@
 
     # Clients
 
-    def disconnected(self, front: Front, call: Call | None) -> None:
+    def disconnected(self, front: ClientConnection, call: ParsedRequest | None) -> None:
         """A client has gone, and its open request with it."""
         self.clients.remove(front.client)
         if self.listener is not None:
@@ -222,7 +222,7 @@
     def listen(self, sock: socket.socket) -> Listener:
         """Begin to take clients' connections on a listening socket."""
         self.listener = Listener(
-            self.loop, sock, self.clients, lambda client: Front(self, client), self.system
+            self.loop, sock, self.clients, lambda client: ClientConnection(self, client), self.system
         )
         return self.listener
 
--- a/dykefold/net/timer_wheel.py
+++ b/dykefold/net/timer_wheel.py
@@ -15,7 +15,7 @@
 TICK_S = 0.002  # how late a limit may ring; the margins before a client's deadline are 8 and 15 ms
 
 
-class Limited:
+class Timed:
     """Something with one time limit at a time."""
 
     __slots__ = ("tick",)
@@ -27,7 +27,7 @@
         raise NotImplementedError
 
 
-class Deadlines:
+class TimerWheel:
     """The limits that are running: one for each open request and each attempt that is out.
 
     A tick stands in the heap once, also when all its limits are over, until its time has come: as many
@@ -37,12 +37,12 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, system: System = SYSTEM) -> None:
         self.loop = loop
         self.monotonic = system.monotonic
-        self.buckets: dict[int, dict[Limited, None] | None] = {}  # None: all its limits are over
+        self.buckets: dict[int, dict[Timed, None] | None] = {}  # None: all its limits are over
         self.ticks: list[int] = []  # a heap of the buckets' ticks
         self.timer: asyncio.TimerHandle | None = None
         self.rings_at = 0
 
-    def start(self, item: Limited, after_s: float, now_s: float) -> None:
+    def start(self, item: Timed, after_s: float, now_s: float) -> None:
         """Have an item expire after this time and at most a tick more."""
         tick = item.tick = int((now_s + after_s) / TICK_S) + 1
         bucket = self.buckets.get(tick)
@@ -55,7 +55,7 @@
         if self.timer is None or tick < self.rings_at:
             self._arm(now_s)
 
-    def stop(self, item: Limited) -> None:
+    def stop(self, item: Timed) -> None:
         """The item is over; again it does nothing."""
         bucket = self.buckets.get(item.tick)
         if bucket is not None:
--- a/dykefold/net/upstream/abort.py
+++ b/dykefold/net/upstream/abort.py
@@ -16,7 +16,7 @@
 NO_LINGER = struct.pack("ii", 1, 0)
 
 
-def sever(sock: socket.socket, transport: asyncio.Transport | None, discard: bool) -> None:
+def abort_connection(sock: socket.socket, transport: asyncio.Transport | None, discard: bool) -> None:
     """End a connection so that nothing sent after this call can overlap with what was on it.
 
     The end (FIN) is queued behind the bytes that the kernel has taken, no further byte can be written,
--- a/dykefold/net/upstream/connection_pool.py
+++ b/dykefold/net/upstream/connection_pool.py
@@ -22,11 +22,11 @@
 from ...admission.budget import Allowance
 from ...balancer.events import State, Status
 from ...system import SYSTEM, System, is_own
-from ..memory_budget import Memory
-from ..read_scheduler import SLICE_BYTES, Backlog, cut
+from ..memory_budget import MemoryBudget
+from ..read_scheduler import SLICE_BYTES, ReadScheduler, cut
 from ..streaming import Upload
-from ..timer_wheel import Deadlines, Limited
-from .abort import sever
+from ..timer_wheel import Timed, TimerWheel
+from .abort import abort_connection
 from .idle_timeouts import QUARANTINE_LEAST_S, Ages, Quarantine, Spare
 
 HEADERS_MOST = 32 * 1024
@@ -54,7 +54,7 @@
 
 
 @dataclass(slots=True)
-class Answer:
+class Response:
     """A whole answer."""
 
     code: int
@@ -64,7 +64,7 @@
     load: bytes
 
 
-class Manner(IntEnum):
+class HttpProfile(IntEnum):
     """How what a server answers is understood."""
 
     PLATFORM = 0  # 200 is served, 503 or 504 with X-Not-Run never ran, all else has failed
@@ -72,10 +72,10 @@
     HEAD = 2  # likewise, and no body follows (RFC 9110, 9.3.2)
 
 
-Done = Callable[["Exchange", Status, Answer | None], None]
+Done = Callable[["Exchange", Status, Response | None], None]
 
 
-class Exchange(Limited):
+class Exchange(Timed):
     """One request on its way to one server, until its one end."""
 
     __slots__ = (
@@ -98,16 +98,16 @@
         self.answer_most = answer_most  # bytes of an answer that is held until it is whole
         self.stream_most = 0  # ... and of one that may be passed on as it comes
         self.upload: Upload | None = None  # what follows the payload
-        self.manner = Manner.PLATFORM
-        self.connection: Connection | None = None  # once the first byte has gone out
+        self.manner = HttpProfile.PLATFORM
+        self.connection: UpstreamConnection | None = None  # once the first byte has gone out
         self.opening: asyncio.Task[None] | None = None  # while a connection is being made
-        self.deadlines: Deadlines | None = None  # where its time limit runs
+        self.deadlines: TimerWheel | None = None  # where its time limit runs
 
     @property
     def ended(self) -> bool:
         return self.done is None
 
-    def end(self, status: Status, answer: Answer | None = None) -> None:
+    def end(self, status: Status, answer: Response | None = None) -> None:
         # Guards the memory as well: who waits refers to this, and would else be left to the collector.
         done, self.done = self.done, None
         if done is None:
@@ -180,7 +180,7 @@
         self.end(status)
 
 
-class Target:
+class Upstream:
     """A server as an address with its connections."""
 
     def __init__(self, address: tuple[str, int], since_ms: int, ages: Ages) -> None:
@@ -189,11 +189,13 @@
         self.since_ms = since_ms
         self.generation = 0  # grows with each restart or move: connections of an earlier one are not kept
         self.takes_new = True
-        self.idle: OrderedDict[Connection, None] = OrderedDict()  # the most recently used last
-        self.opening: dict[Exchange, Connection] = {}  # those that wait for one that is made, in order
+        self.idle: OrderedDict[UpstreamConnection, None] = OrderedDict()  # the most recently used last
+        self.opening: dict[
+            Exchange, UpstreamConnection
+        ] = {}  # those that wait for one that is made, in order
 
 
-class Connection(asyncio.Protocol):
+class UpstreamConnection(asyncio.Protocol):
     """A connection to a server, with at most one exchange on it."""
 
     # More than 30 attributes would not share their keys, and each look-up would cost a hash (CPython 3.11).
@@ -235,7 +237,7 @@
         "whole",
     )
 
-    def __init__(self, upstreams: Upstreams, target: Target, sock: socket.socket) -> None:
+    def __init__(self, upstreams: ConnectionPool, target: Upstream, sock: socket.socket) -> None:
         self.upstreams = upstreams
         self.target = target
         self.generation = target.generation
@@ -274,7 +276,7 @@
         self.not_run = False
         self.keep_alive = False
         self.load = b""
-        self.whole: Answer | None = None
+        self.whole: Response | None = None
         self.stray = False
 
     # The transport's calls
@@ -310,7 +312,7 @@
             return True
         self.exchange = None
         self.close(discard=True)
-        exchange.end(Status.MOOT)
+        exchange.end(Status.NOT_ATTEMPTED)
         return False
 
     @property
@@ -432,7 +434,7 @@
         open_ended = self.in_body and not (self.encoding or self.length or self.spoilt or self.unfed)
         if open_ended and self.exchange is not None and self.whole is None:
             code = self.parser.get_status_code()
-            self.whole = Answer(code, self.headers, bytes(self.body), self.not_run, self.load)
+            self.whole = Response(code, self.headers, bytes(self.body), self.not_run, self.load)
             self._finish()
             return
         if self.exchange is None and not self.closed and self.idle_since:
@@ -477,10 +479,10 @@
         assert self.exchange is not None
         if self.exchange.manner:
             code = self.parser.get_status_code()
-            if self.exchange.manner is Manner.HEAD:
+            if self.exchange.manner is HttpProfile.HEAD:
                 # The parser waits for a body that does not come: the connection is of no further use.
                 headers = [*self.headers, (b"Content-Length", self.length)] if self.length else self.headers
-                self.whole = Answer(code, headers, b"", self.not_run, self.load)
+                self.whole = Response(code, headers, b"", self.not_run, self.load)
                 return
             if code in (204, 304):
                 return
@@ -549,7 +551,7 @@
         # Asked here, since the parser answers for the next message as soon as this call is over: asked
         # later it is always no, and every request pays for a connection of its own.
         self.keep_alive = self.parser.should_keep_alive()
-        self.whole = Answer(code, self.headers, bytes(self.body), self.not_run, self.load)
+        self.whole = Response(code, self.headers, bytes(self.body), self.not_run, self.load)
 
     # Ends
 
@@ -636,7 +638,7 @@
         if not never:
             exchange.end(Status.RESET)
         elif own and exchange.upload is None:
-            exchange.end(Status.MOOT)
+            exchange.end(Status.NOT_ATTEMPTED)
         else:
             exchange.end(Status.CONNECT_FAILED)
 
@@ -647,7 +649,7 @@
         self.closed = True
         self.upstreams.dropped(self)
         self._let_go()
-        sever(self.sock, self.transport, discard)
+        abort_connection(self.sock, self.transport, discard)
 
 
 def _stands(sock: socket.socket) -> bool:
@@ -684,9 +686,9 @@
         except OSError:
             number = 0
         if not number:  # the system may have been asked for it only just now
-            return Status.MOOT
+            return Status.NOT_ATTEMPTED
         error = OSError(number, os.strerror(number))
-    return Status.MOOT if is_own(error) else Status.CONNECT_FAILED
+    return Status.NOT_ATTEMPTED if is_own(error) else Status.CONNECT_FAILED
 
 
 def _tune(sock: socket.socket) -> None:
@@ -707,7 +709,7 @@
     return held
 
 
-def classify(answer: Answer, manner: Manner = Manner.PLATFORM) -> Status:
+def classify(answer: Response, manner: HttpProfile = HttpProfile.PLATFORM) -> Status:
     """What an answer proves. Only the header proves that a request never ran, not the code alone."""
     if answer.code == 200 or (manner and answer.code < 500):
         return Status.OK
@@ -716,18 +718,18 @@
     return Status.ERROR
 
 
-class Upstreams:
+class ConnectionPool:
     """All connections to servers."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         allowance: Allowance,
-        memory: Memory,
+        memory: MemoryBudget,
         connect_timeout: float,
         idle_most: float,
-        backlog: Backlog | None = None,
-        deadlines: Deadlines | None = None,
+        backlog: ReadScheduler | None = None,
+        deadlines: TimerWheel | None = None,
         elsewhere: Callable[[], bool] | None = None,
         system: System = SYSTEM,
     ) -> None:
@@ -735,8 +737,8 @@
         self.system = system
         self.monotonic = system.monotonic
         self.elsewhere = elsewhere  # closes a connection that another pool does not need
-        self.deadlines = deadlines or Deadlines(loop, system)
-        self.backlog = backlog or Backlog(loop, system=system)
+        self.deadlines = deadlines or TimerWheel(loop, system)
+        self.backlog = backlog or ReadScheduler(loop, system=system)
         self.lag = self.backlog.lag
         self.allowance = allowance
         self.memory = memory
@@ -746,10 +748,12 @@
         self.quarantine = Quarantine()
         self.ages = Ages(self.idle_most)  # of all servers
         self.kinds: dict[int, Ages] = {}  # ... and of those of one kind
-        self.targets: dict[int, Target] = {}
-        self.connections: dict[Connection, None] = {}
-        self.idle: OrderedDict[Connection, None] = OrderedDict()  # of all targets, the longest idle first
-        self.unneeded: dict[Connection, Exchange] = {}  # being made for one that has taken another
+        self.targets: dict[int, Upstream] = {}
+        self.connections: dict[UpstreamConnection, None] = {}
+        self.idle: OrderedDict[UpstreamConnection, None] = (
+            OrderedDict()
+        )  # of all targets, the longest idle first
+        self.unneeded: dict[UpstreamConnection, Exchange] = {}  # being made for one that has taken another
 
     def retune(self, connect_timeout: float, idle_most: float) -> None:
         """Take other times, in seconds; what was learned of idle connections stays, under the new most."""
@@ -773,7 +777,7 @@
         if target is None:
             # Kinds are numbered by discovery's names, of which there is a bounded number.
             alike = self.kinds.setdefault(kind, Ages(self.idle_most, self.ages))
-            target = self.targets[server] = Target(address, since_ms, Ages(self.idle_most, alike))
+            target = self.targets[server] = Upstream(address, since_ms, Ages(self.idle_most, alike))
         elif target.since_ms != since_ms or target.address != address:
             self.close_idle(server)
             if target.address != address:  # what comes up there is this server's no more
@@ -788,7 +792,7 @@
             self._give_up_opening(target)
 
     @staticmethod
-    def _give_up_opening(target: Target) -> None:
+    def _give_up_opening(target: Upstream) -> None:
         for exchange in list(target.opening):
             exchange.give_up(Status.CONNECT_FAILED)
 
@@ -818,26 +822,26 @@
             connection.close()  # found dead before anything was written: no attempt was made
         self._open(target, exchange)
 
-    def _open(self, target: Target, exchange: Exchange) -> None:
+    def _open(self, target: Upstream, exchange: Exchange) -> None:
         # Requests have their descriptor set aside, so one of those that are not in use can always go.
         if self.allowance.full and not self._make_room():
             # The own lack says nothing of the server, which must not be held to have failed.
-            self.loop.call_soon(exchange.end, Status.MOOT)
+            self.loop.call_soon(exchange.end, Status.NOT_ATTEMPTED)
             return
         try:
             sock = self.system.tcp_socket()
         except OSError:  # out of descriptors in spite of the count: one request less, not the process
             self._make_room()
-            self.loop.call_soon(exchange.end, Status.MOOT)
+            self.loop.call_soon(exchange.end, Status.NOT_ATTEMPTED)
             return
         _tune(sock)
-        connection = Connection(self, target, sock)
+        connection = UpstreamConnection(self, target, sock)
         self.connections[connection] = None
         self.allowance.held += 1
         target.opening[exchange] = connection
         exchange.opening = self.loop.create_task(self._connect(target, exchange, connection))
 
-    async def _connect(self, target: Target, exchange: Exchange, connection: Connection) -> None:
+    async def _connect(self, target: Upstream, exchange: Exchange, connection: UpstreamConnection) -> None:
         sock, began_s = connection.sock, self.monotonic()
         try:
             if connection.closed or (exchange.ended and connection not in self.unneeded):
@@ -868,11 +872,11 @@
             if connection.transport is None:
                 sock.close()
             if is_own(error):
-                failed = Status.MOOT
+                failed = Status.NOT_ATTEMPTED
         finally:
             target.opening.pop(exchange, None)
         if exchange.connection is None and not (exchange.ended or exchange.wanted()):
-            exchange.end(Status.MOOT)
+            exchange.end(Status.NOT_ATTEMPTED)
         if exchange.ended or exchange.connection is not None:  # it is over, or took one that came free
             self.keep(connection, self.monotonic())
         elif connection.closed or not connection.send(exchange, self.monotonic()):
@@ -881,7 +885,7 @@
 
     # The pool
 
-    def keep(self, connection: Connection, now: float) -> None:
+    def keep(self, connection: UpstreamConnection, now: float) -> None:
         target = connection.target
         if connection.closed or not target.takes_new or connection.generation != target.generation:
             connection.close()
@@ -894,7 +898,7 @@
             if not exchange.ended and exchange.wanted():
                 break
             self._let_be(target, exchange)
-            self.loop.call_soon(exchange.end, Status.MOOT)
+            self.loop.call_soon(exchange.end, Status.NOT_ATTEMPTED)
         # One that has just answered may have to rest; one that was made and carried nothing need not.
         if target.opening and (not connection.sent_at or not self.quarantine.limit(now)):
             exchange = next(iter(target.opening))
@@ -918,15 +922,15 @@
         if exchange.connection is None and not exchange.ended:
             if target is not None and exchange in target.opening:
                 self._let_be(target, exchange)
-            exchange.end(Status.MOOT)
+            exchange.end(Status.NOT_ATTEMPTED)
 
-    def _let_be(self, target: Target, exchange: Exchange) -> None:
+    def _let_be(self, target: Upstream, exchange: Exchange) -> None:
         """Take an exchange that is not to be written from those that wait for a connection."""
         made = target.opening.pop(exchange)
         if exchange.opening is not None:
             self.unneeded[made] = exchange
 
-    def dropped(self, connection: Connection) -> None:
+    def dropped(self, connection: UpstreamConnection) -> None:
         """A connection closes: from here on it is neither counted nor used."""
         self.connections.pop(connection, None)
         self.allowance.held -= 1
@@ -939,7 +943,7 @@
             for connection in list(target.idle):
                 connection.close()
 
-    def _take_idle(self, target: Target, now: float) -> Connection | None:
+    def _take_idle(self, target: Upstream, now: float) -> UpstreamConnection | None:
         """The most recently used that has rested: it is the least likely to have been closed meanwhile.
 
         Where no server was seen to answer twice, one that has not rested is still better than a new one.
--- a/dykefold/routing/requests.py
+++ b/dykefold/routing/requests.py
@@ -11,8 +11,14 @@
 from typing import Any
 
 from ..balancer.settings import Effect, RequestClass
-from ..net.downstream.request_parser import Call, Grammar, Message, RequestError, parse_deadline
-from ..net.upstream.connection_pool import Manner
+from ..net.downstream.request_parser import (
+    Message,
+    ParsedRequest,
+    RequestError,
+    RequestParser,
+    parse_deadline,
+)
+from ..net.upstream.connection_pool import HttpProfile
 from .names import TargetError, split_target
 from .plan import IDEMPOTENT_METHODS, Mapping
 from .table import Table
@@ -56,12 +62,12 @@
         self.mapping = mapping
         self.make_id = make_id
         self.key_header = mapping.key_header.encode()
-        self.grammar = Grammar(pool.settings, pool)
+        self.grammar = RequestParser(pool.settings, pool)
         self.tenant_header = mapping.tenant_header.encode()
         self.tenants = {tenant.name.encode(): n for n, tenant in enumerate(pool.settings.tenants)}
         self.classes = {spec.name: (number, spec) for number, spec in enumerate(pool.settings.classes)}
 
-    def read(self, message: Message) -> Call:
+    def read(self, message: Message) -> ParsedRequest:
         """A request of this route; RequestError where it is answered here."""
         if self.mapping.platform:
             call = self.grammar.read(message)
@@ -83,7 +89,7 @@
         if (value := headers.get(b"x-deadline")) is not None:
             wait = parse_deadline(value)
         wait = min(wait, spec.deadline_ns)
-        return Call(
+        return ParsedRequest(
             ident=self.space + ident,
             method=method,
             target=message.target,
@@ -98,7 +104,7 @@
             is_retry=headers.get(b"x-retry") == b"1",
             keep_alive=message.keep_alive,
             pool=self.pool,
-            manner=Manner.HEAD if method == b"HEAD" else Manner.USUAL,
+            manner=HttpProfile.HEAD if method == b"HEAD" else HttpProfile.USUAL,
             told=told,
             body_most=self.mapping.body_most_bytes,
             answer_most=self.mapping.answer_most_bytes,
@@ -137,7 +143,7 @@
         self.table = table
         self.targets = targets
 
-    def read(self, message: Message) -> Call:
+    def read(self, message: Message) -> ParsedRequest:
         """Find the route of a message and read it there; RequestError where it is answered here."""
         headers = message.headers
         hosts = [headers[b"host"].decode("latin-1")] if b"host" in headers else []
--- a/dykefold/routing/services.py
+++ b/dykefold/routing/services.py
@@ -13,9 +13,9 @@
 from ..admission.addresses import Caps
 from ..admission.budget import Budget
 from ..balancer.events import Endpoint, State
-from ..net.discovery.client import Listed, Names, News
+from ..net.discovery.client import EndpointRecord, EndpointUpdate, NameTable
 from ..net.service.pool import Pool
-from ..net.sidecar import Engine
+from ..net.sidecar import SidecarServer
 from ..settings import Transport
 from .plan import Plan, PoolPlan
 from .requests import Routed, Target
@@ -59,7 +59,7 @@
 class Services:
     """The pools of a node by name, and the table that leads to them."""
 
-    def __init__(self, engine: Engine, seed: Callable[[], int]) -> None:
+    def __init__(self, engine: SidecarServer, seed: Callable[[], int]) -> None:
         """Take a node that has no pool yet.
 
         Args:
@@ -112,7 +112,7 @@
         log.info("table %d: %d routes to %d pools", table.number, len(plan.rules), len(self.by_name))
 
     def _make(self, plan: PoolPlan) -> Service:
-        names = Names(plan.settings.zones, [])
+        names = NameTable(plan.settings.zones, [])
         budget = PoolBudget(self.engine.budget, self.shares)
         pool = Pool(
             self.engine,
@@ -141,14 +141,14 @@
         return service
 
 
-def _listed(plan: PoolPlan, names: Names, version: int) -> News:
+def _listed(plan: PoolPlan, names: NameTable, version: int) -> EndpointUpdate:
     """The list that a file gives: a server is known by its address, and is in the one zone there is."""
     entries = []
     for address in plan.servers:
         name = f"{address[0]}:{address[1]}"
         endpoint = Endpoint(names.server(name), 0, 0, 0, State.READY)
-        entries.append(Listed(name, endpoint, address, 0))
-    return News(version, True, entries)
+        entries.append(EndpointRecord(name, endpoint, address, 0))
+    return EndpointUpdate(version, True, entries)
 
 
 def _make_id() -> str:
--- a/dykefold/sidecar_config.py
+++ b/dykefold/sidecar_config.py
@@ -17,7 +17,7 @@
 from .admission.addresses import Caps
 from .balancer.settings import Settings
 from .fleet.options import Options
-from .net.discovery.client import Names, News, read_news, split_address
+from .net.discovery.client import EndpointUpdate, NameTable, parse_endpoint_update, split_address
 from .net.memory_budget import MB
 from .net.peers import Address
 from .settings import Transport, nested_settings, nested_transport
@@ -61,8 +61,8 @@
     peers_all: Address | None
     settings: Settings
     transport: Transport
-    names: Names
-    known: News
+    names: NameTable
+    known: EndpointUpdate
     caps: Caps
     fleet: Options
     shape: Shape
@@ -168,7 +168,7 @@
     nobody = ("0.0.0.0", 0)
     settings = checked.need("settings", nested_settings, Settings([], [""]))
     transport = checked.read("settings", nested_transport, Transport([], 0, 0))
-    names = Names(settings.zones, transport.kinds)
+    names = NameTable(settings.zones, transport.kinds)
     limits = checked.read("limits", _limits, (SOCKETS, MEMORY_MB * MB))
     return Config(
         name=checked.need("name", str, ""),
@@ -184,7 +184,9 @@
         settings=settings,
         transport=transport,
         names=names,
-        known=checked.need("known", lambda known: read_news(known, names), News(0, True, [])),
+        known=checked.need(
+            "known", lambda known: parse_endpoint_update(known, names), EndpointUpdate(0, True, [])
+        ),
         caps=caps,
         fleet=fleet,
         shape=shape_of(checked.data),
--- a/dykefold/sim/process.py
+++ b/dykefold/sim/process.py
@@ -7,16 +7,16 @@
 from typing import TYPE_CHECKING, Any
 
 from ..admission.addresses import Caps
-from ..control.hot_restart import Upgrade
+from ..control.hot_restart import HotRestart
 from ..failover.edge import Failover
 from ..failover.options import Options as FailoverOptions
 from ..fleet.edge import Fleet
 from ..fleet.lists import Lists
 from ..fleet.options import CALLS_PER_S
-from ..net.discovery.client import Names, read_news
+from ..net.discovery.client import NameTable, parse_endpoint_update
 from ..net.memory_budget import MB
-from ..net.peers import Peers
-from ..net.sidecar import Engine
+from ..net.peers import PeerChannel
+from ..net.sidecar import SidecarServer
 from ..routing.services import Services
 from ..settings import Transport
 from ..system import System, Watch
@@ -107,9 +107,9 @@
         self.system: SimSystem
         self.alive = False
         self.ending = False
-        self.engine: Engine | None = None
+        self.engine: SidecarServer | None = None
         self.services: Services | None = None
-        self.upgrade: Upgrade | None = None
+        self.upgrade: HotRestart | None = None
         self.fleet: Fleet | None = None
         self.failover: Failover | None = None
         if not place:
@@ -134,7 +134,7 @@
         self.loop.wake(self._boot)
 
     def _boot(self) -> None:
-        engine = self.engine = Engine(self.loop, SOCKETS, MEMORY, Caps(), self.system)
+        engine = self.engine = SidecarServer(self.loop, SOCKETS, MEMORY, Caps(), self.system)
         if self.run.plan is not None:
             self.services = Services(engine, lambda: self.seed)
             self.apply()
@@ -145,12 +145,12 @@
         engine.stopped.add_done_callback(self._stopped)
         if self.run.scenario.world == "upgrade":
             board = SimBoard(self.run.folders[self.number], self.loop)
-            self.upgrade = Upgrade(self.loop, engine, board, self.system)
+            self.upgrade = HotRestart(self.loop, engine, board, self.system)
             self.loop.create_task(self._take_over(engine, self.upgrade))
         else:
             engine.listen(self.run.network.listen(self.loop, PORT))  # type: ignore[arg-type]
 
-    async def _take_over(self, engine: Engine, upgrade: Upgrade) -> None:
+    async def _take_over(self, engine: SidecarServer, upgrade: HotRestart) -> None:
         """As `control.presence` does it."""
         await upgrade.make_room()
         if not engine.draining and self.alive:
@@ -159,15 +159,15 @@
             upgrade.takes(sock)  # type: ignore[arg-type]
             self.run.kernel.note(f"{self.process} takes clients")
 
-    def _drain(self, engine: Engine) -> None:
+    def _drain(self, engine: SidecarServer) -> None:
         if self.upgrade is not None:
             self.upgrade.end()
         engine.drain()
 
-    def _serve_one(self, engine: Engine) -> None:
+    def _serve_one(self, engine: SidecarServer) -> None:
         settings = self.run.settings_at(self.number)
-        names = Names(settings.zones, ["std"])
-        known = read_news(self.run.known(self.name), names)
+        names = NameTable(settings.zones, ["std"])
+        known = parse_endpoint_update(self.run.known(self.name), names)
         for entry in known.entries:
             state = entry.endpoint.state.name == "READY"
             self.run.rules.told_state(self.run.kernel.now_ns, self.name, entry.name, state, entry.since_ms)
@@ -175,7 +175,7 @@
         engine.serve_one(settings, transport, self.seed, self.run.registry.address, names, known)
         peers = [(side.address, PEER_PORT) for side in self.run.sidecars]
         if settings.can_tell:
-            made = Peers(self.number, peers, None, engine.pool.on_peer)  # type: ignore[arg-type]
+            made = PeerChannel(self.number, peers, None, engine.pool.on_peer)  # type: ignore[arg-type]
             self.loop.network.bind_datagrams(self.loop, peers[self.number], made)
             made.connection_made(self.loop.network.datagrams[peers[self.number]])  # type: ignore[arg-type]
             engine.peers = made
@@ -260,7 +260,7 @@
         self.engine = self.services = self.upgrade = self.fleet = None
 
 
-def bounds_broken(engine: Engine, network_open: dict[int, SimSocket]) -> list[str]:
+def bounds_broken(engine: SidecarServer, network_open: dict[int, SimSocket]) -> list[str]:
     """Which of the bounds that a node states do not hold."""
     found = []
     if not 0 <= engine.memory.held <= engine.memory.most:
@@ -283,7 +283,7 @@
     return found
 
 
-def left_over(engine: Engine) -> list[str]:
+def left_over(engine: SidecarServer) -> list[str]:
     """What a node still has that has nobody to ask and nobody to wait for."""
     found = {
         "clients": len(engine.clients.all),
@@ -295,6 +295,6 @@
     for number, pool in enumerate(engine.pools):
         found[f"requests of pool {number}"] = len(pool.held)
         found[f"attempts of pool {number}"] = len(pool.attempts)
-        found[f"requests of module {number}"] = len(pool.balancer.open)
-        found[f"in flight of module {number}"] = pool.balancer.inflight
+        found[f"requests of module {number}"] = len(pool.balancer.pending)
+        found[f"in flight of module {number}"] = pool.balancer.in_flight
     return [f"{name}: {count}" for name, count in found.items() if count]
--- a/dykefold/sim/upgrades.py
+++ b/dykefold/sim/upgrades.py
@@ -11,7 +11,15 @@
 from dataclasses import dataclass, replace
 from enum import IntEnum
 
-from ..control.hot_restart_state import LEADING, ROOM_WAIT_NS, SERVING, STALE_NS, Handover, Sign, State
+from ..control.hot_restart_state import (
+    LEADING,
+    ROOM_WAIT_NS,
+    SERVING,
+    STALE_NS,
+    HotRestartMachine,
+    HotRestartState,
+    ProcessHeartbeat,
+)
 
 UNIT_NS = 750_000_000
 STALE = -(-STALE_NS // UNIT_NS)  # units until a sign is stale
@@ -32,7 +40,7 @@
 class Shown:
     """A sign, with its age in units, `STALE` at most."""
 
-    state: State
+    state: HotRestartState
     sees: tuple[str, ...]
     most: int
     age: int
@@ -40,10 +48,10 @@
 
 @dataclass(frozen=True, slots=True)
 class One:
-    """A process. `age` in units, `ROOM_WAIT` at most; the rest as in `Handover` and `Sign`."""
+    """A process. `age` in units, `ROOM_WAIT` at most; the rest as in `HotRestartMachine`."""
 
     life: Life = Life.UNBORN
-    state: State = State.STARTING
+    state: HotRestartState = HotRestartState.STARTING
     sees: tuple[str, ...] = ()
     most: int = 0
     claim: int = 0
@@ -72,7 +80,7 @@
         held: int,
         locks: bool = True,
         stops: bool = True,
-        kind: type[Handover] = Handover,
+        kind: type[HotRestartMachine] = HotRestartMachine,
     ) -> None:
         """Make a model.
 
@@ -94,8 +102,8 @@
     def first(self) -> Sidecar:
         """One process that has served for long, and has had nobody to show itself to."""
         name = self._name(0)
-        shown = Shown(State.TAKING, (name,), WHOLE, STALE)
-        one = One(Life.RUNS, State.TAKING, (name,), WHOLE, WHOLE, ROOM_WAIT, shown=shown)
+        shown = Shown(HotRestartState.TAKING, (name,), WHOLE, STALE)
+        one = One(Life.RUNS, HotRestartState.TAKING, (name,), WHOLE, WHOLE, ROOM_WAIT, shown=shown)
         return Sidecar((one, *[One()] * (self.processes - 1)), 0, CALM)
 
     @staticmethod
@@ -110,8 +118,8 @@
         for number, one in enumerate(at.ones):
             name = self._name(number)
             if one.life is Life.UNBORN:
-                shown = Shown(State.STARTING, (name,), 0, 0)
-                born = One(Life.RUNS, State.STARTING, (name,), shown=shown)
+                shown = Shown(HotRestartState.STARTING, (name,), 0, 0)
+                born = One(Life.RUNS, HotRestartState.STARTING, (name,), shown=shown)
                 yield f"{name} starts", self._event(at, number, born)
                 return  # the next one starts only after it
             if one.life is Life.RUNS and not one.looked:
@@ -134,7 +142,7 @@
             if one.life is Life.STOPPED:
                 yield f"{name} goes on", self._event(at, number, replace(one, life=Life.RUNS, looked=False))
 
-    def _handover(self, at: Sidecar, number: int) -> Handover:
+    def _handover(self, at: Sidecar, number: int) -> HotRestartMachine:
         one = at.ones[number]
         handover = self.kind(self._name(number), NOW_NS - one.age * UNIT_NS + number)
         handover.state, handover.sees = one.state, one.sees
@@ -166,12 +174,12 @@
             name, shown = self._name(other), seen.shown
             beat_ns = NOW_NS - shown.age * UNIT_NS
             born_ns = NOW_NS - seen.age * UNIT_NS + other  # the order is that of the numbers
-            signs.append(Sign(name, born_ns, beat_ns, shown.state, shown.sees, shown.most))
+            signs.append(ProcessHeartbeat(name, born_ns, beat_ns, shown.state, shown.sees, shown.most))
             if self.locks:
                 living.append(name)
         handover = self._handover(at, number)
         view = handover.look(NOW_NS, signs, WHOLE, self.held, living)
-        starting = handover.state is State.STARTING
+        starting = handover.state is HotRestartState.STARTING
         if starting and view.may_serve:
             handover.serves()
         changed = handover.claim != one.claim
@@ -192,15 +200,15 @@
     def wrong(self, at: Sidecar) -> str | None:
         """What is wrong with a state; None if nothing is."""
         serving = [one for one in at.ones if one.life in (Life.RUNS, Life.STOPPED)]
-        serving = [one for one in serving if one.state is not State.STARTING]
+        serving = [one for one in serving if one.state is not HotRestartState.STARTING]
         if sum(one.most for one in serving) > WHOLE:
             return f"descriptors: {[one.most for one in serving]} of {WHOLE}"
-        if any(one.told and one.state is not State.ENDING for one in at.ones):
+        if any(one.told and one.state is not HotRestartState.ENDING for one in at.ones):
             return "one that was told to end serves"
         running = [one for one in at.ones if one.life is Life.RUNS]
         able = [one for one in running if one.state in SERVING]
         leading = [one for one in able if one.state in LEADING]
-        waiting = [one for one in running if one.state is State.STARTING]
+        waiting = [one for one in running if one.state is HotRestartState.STARTING]
         if waiting and at.calm > ROOM_WAIT + 1:
             return "one that starts waits for ever"
         if at.calm >= CALM and able and not leading:
--- a/dykefold/sim/world.py
+++ b/dykefold/sim/world.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from ..balancer.settings import Effect, RequestClass, Scope, Settings
-from ..control.admin_operations import Operator
-from ..control.admin_requests import Action, Call
+from ..control.admin_operations import AdminOperations
+from ..control.admin_requests import Action, AdminRequest
 from ..routing.config import read_plan
 from ..routing.plan import Plan
 from .apps import App
@@ -470,8 +470,8 @@
         """A call at a process's door; from its yes it binds the sidecar, over upgrades too."""
         if side.life != life or side.engine is None or side.upgrade is None or side.ending:
             return
-        reply = Operator(side.engine, side.upgrade).carry_out(
-            Call(Action.OUT if out else Action.BACK, node.name)
+        reply = AdminOperations(side.engine, side.upgrade).carry_out(
+            AdminRequest(Action.OUT if out else Action.BACK, node.name)
         )
         if reply.code == 200:
             self.kernel.note(f"{side.process} {'takes out' if out else 'puts back'} {node.name}")
--- a/dykefold/simulator_adapter.py
+++ b/dykefold/simulator_adapter.py
@@ -21,13 +21,13 @@
     Probe,
     Refuse,
     Send,
+    SendToPeer,
     SetTimer,
-    Tell,
     Watch,
 )
 from .balancer.balancer import Balancer
 from .balancer.events import (
-    Dropped,
+    ClientDisconnected,
     Endpoint,
     Event,
     ListKind,
@@ -82,7 +82,7 @@
     502: Status.CONNECT_FAILED,
     598: Status.RESET,
     499: Status.CANCELLED,
-    410: Status.MOOT,
+    410: Status.NOT_ATTEMPTED,
 }
 STATES = {0: State.GONE, 1: State.READY, 2: State.DRAINING}
 LIST_KINDS = {
@@ -160,7 +160,7 @@
         if code == 22:
             return Timer(BELL.unpack_from(body, at)[0])
         if code == 21:
-            return Dropped(DROPPED.unpack_from(body, at)[0])
+            return ClientDisconnected(DROPPED.unpack_from(body, at)[0])
         if code == 17:
             scope, version, number = ENDPOINTS.unpack_from(body, at)
             kind = LIST_KINDS.get(scope)
@@ -208,7 +208,7 @@
                 add(ABORT.pack(26, i, act.id))
             elif isinstance(act, Cancel):
                 add(RETRACT.pack(17, i, act.id, act.attempt))
-            elif isinstance(act, Tell):
+            elif isinstance(act, SendToPeer):
                 peer = EVERY_PEER if act.peer is None else act.peer
                 add(SHARE.pack(16, i, peer, len(self.tail), len(act.data)))
                 self.tail += act.data
--- a/standins/decision_world.py
+++ b/standins/decision_world.py
@@ -25,28 +25,28 @@
     Action,
     Cancel,
     Fail,
-    Hint,
     Log,
     Probe,
     Refuse,
+    ReportEndpointHealth,
     Send,
+    SendToPeer,
     SetTimer,
-    Tell,
     Watch,
 )
 from dykefold.balancer.events import (
     BodySent,
-    Dropped,
+    ClientDisconnected,
     Endpoint,
     Event,
-    Fleet,
     ListKind,
     Membership,
+    MembershipChanged,
     Outcome,
     PeerMessage,
     ProbeResult,
     Request,
-    Retune,
+    SettingsChanged,
     State,
     Status,
     StreamStarted,
@@ -61,7 +61,14 @@
 OTHER_CLOCK = 1_700_000_000 * SECOND
 ZONES = ("a", "b", "c")
 ODD_LOADS = (float("nan"), float("inf"), -1.0)
-FAULTS = (Status.ERROR, Status.FULL, Status.TIMEOUT, Status.CONNECT_FAILED, Status.RESET, Status.MOOT)
+FAULTS = (
+    Status.ERROR,
+    Status.FULL,
+    Status.TIMEOUT,
+    Status.CONNECT_FAILED,
+    Status.RESET,
+    Status.NOT_ATTEMPTED,
+)
 
 
 @dataclass(frozen=True)
@@ -212,9 +219,9 @@
             return f"cancel {action.id} {action.attempt}"
         case Probe():
             return f"probe {action.server}"
-        case Tell():
+        case SendToPeer():
             return f"tell {action.peer} {action.data.hex()}"
-        case Hint():
+        case ReportEndpointHealth():
             return f"hint {action.server} {action.answers}"
         case Watch():
             return f"watch {action.on}"
@@ -334,7 +341,7 @@
             self.later(done, lambda: self.started(key, server, Status.OK))
             self.later(done + self.exponential(400), lambda: self.settle(key, Status.OK))
             return
-        self.later(self.now + self.exponential(5), lambda: self.started(key, server, Status.MOOT))
+        self.later(self.now + self.exponential(5), lambda: self.started(key, server, Status.NOT_ATTEMPTED))
         whole = self.now + self.exponential(300)
         self.later(whole, lambda: None if key in self.settled else BodySent(*key, server))
         end = Status.OK if self.rng.random() < 0.8 else Status.RESET
@@ -410,7 +417,7 @@
         if ident in self.ended:
             return None
         self.ended.add(ident)
-        return Dropped(ident)
+        return ClientDisconnected(ident)
 
     def come_back(self, refusal: Refuse) -> None:
         """A rejected client tries again in the time that it has left, marked or not."""
@@ -501,7 +508,7 @@
         rng = self.rng
         self.later(self.now + self.exponential(800), self.fleet_view)
         servers = sorted(self.speed)
-        return Fleet(
+        return MembershipChanged(
             live=rng.choice([2, 8, 12, 12, 12, 60]),
             ranks={server: rng.random() for server in servers if rng.random() < 0.8},
             part=rng.uniform(0.2, 1.0),
@@ -523,7 +530,7 @@
         self.retired.add(old)
         changed = {"max_attempts": rng.randrange(1, 6), "zone": rng.randrange(len(ZONES))}
         self.config = replace(self.config, classes=classes, **changed)
-        return Retune(self.config, frozenset(self.retired))
+        return SettingsChanged(self.config, frozenset(self.retired))
 
     def play(self, events: int) -> str:
         """Feed so many events; the hash of all actions and of the random state at the end."""
--- a/tests/balancer/test_concerns.py
+++ b/tests/balancer/test_concerns.py
@@ -8,9 +8,9 @@
 
 from dykefold import Balancer
 from dykefold.balancer import congestion, outlier_detection, poll_schedule, quotas, retry_policy, slow_start
-from dykefold.balancer.actions import SetTimer, Tell, Watch
+from dykefold.balancer.actions import SendToPeer, SetTimer, Watch
 from dykefold.balancer.endpoints import EndpointState
-from dykefold.balancer.events import Fleet, ListKind, Membership, PeerMessage
+from dykefold.balancer.events import ListKind, Membership, MembershipChanged, PeerMessage
 from dykefold.balancer.picker import random_below
 from dykefold.balancer.requests import PendingRequest
 from dykefold.balancer.settings import Effect, Tenant
@@ -180,7 +180,7 @@
     state.counts[0] -= 1.0  # the one that is counted now
     state.count_request(0)
     assert state.over_quota == pytest.approx(over)
-    (message,) = [action for action in balancer.context.actions if isinstance(action, Tell)]
+    (message,) = [action for action in balancer.context.actions if isinstance(action, SendToPeer)]
     assert state.message.unpack(message.data) == tuple(int(rate * quotas.RATE_UNIT) for rate in state.rates)
 
 
@@ -251,7 +251,7 @@
 def test_a_fleet_view_counts_for_more_than_the_settings():
     balancer = fresh(fleet_size=4)
     assert balancer.context.sidecar_count() == 4
-    balancer.handle(START, Fleet(9, {}))
+    balancer.handle(START, MembershipChanged(9, {}))
     assert balancer.context.sidecar_count() == 9
 
 
--- a/tests/balancer/test_golden_actions.py
+++ b/tests/balancer/test_golden_actions.py
@@ -12,7 +12,7 @@
 from dykefold.balancer.actions import Action
 from dykefold.balancer.events import Endpoint, Event, ListKind, Membership, State, Status
 from dykefold.control.balancer_snapshot import restore, snapshot
-from dykefold.net.discovery.client import Names
+from dykefold.net.discovery.client import NameTable
 from standins.decision_world import PROFILES, ZONES, DecisionWorld, play
 
 HERE = Path(__file__).parent
@@ -46,7 +46,9 @@
     kinds = {name.split()[0] for name in events}
     assert kinds == {kind.__name__ for kind in Event.__args__}
     assert {name.split()[1] for name in events if name.startswith("Outcome")} == ENDS
-    assert {name.split()[1] for name in events if name.startswith("Membership")} == {k.name for k in ListKind}
+    assert {name.split()[1] for name in events if name.startswith("Membership ")} == {
+        k.name for k in ListKind
+    }
     assert set(actions) == {kind.__name__ for kind in Action.__args__} - NEVER_TAKEN
     assert events["Request retry"] and events["Request first"]
 
@@ -55,7 +57,7 @@
     """The world of a snapshot played to its end, and names for all its numbers."""
     world = DecisionWorld(profile, seed)
     world.play(SNAPSHOT_EVENTS)
-    names = Names(list(ZONES), ["small", "large"])
+    names = NameTable(list(ZONES), ["small", "large"])
     names.servers = {f"s{number}": number for number in world.speed}
     return world, names
 
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -4,7 +4,7 @@
 from dykefold.balancer.events import Membership, Outcome, Request, State, Status, StreamStarted
 from dykefold.balancer.settings import Effect, Scope
 
-NEVER = (Status.FULL, Status.CONNECT_FAILED, Status.MOOT)
+NEVER = (Status.FULL, Status.CONNECT_FAILED, Status.NOT_ATTEMPTED)
 
 
 class BrokenRuleError(AssertionError):
--- a/tests/control/hot_restart_rig.py
+++ b/tests/control/hot_restart_rig.py
@@ -7,15 +7,15 @@
 
 from helpers import MS, endpoint, make
 
-from dykefold.control.admin_operations import Operator
-from dykefold.control.admin_requests import Action, Call
+from dykefold.control.admin_operations import AdminOperations
+from dykefold.control.admin_requests import Action, AdminRequest
 from dykefold.control.balancer_snapshot import snapshot
-from dykefold.control.hot_restart import LOOK_S, Upgrade
+from dykefold.control.hot_restart import LOOK_S, HotRestart
 from dykefold.control.hot_restart_state import LOOK_NS
 from dykefold.control.maintenance import Maintenance
-from dykefold.control.state_directory import Files
+from dykefold.control.state_directory import FileStateDirectory
 from dykefold.net.clock import Clock
-from dykefold.net.discovery.client import Listed, Names
+from dykefold.net.discovery.client import EndpointRecord, NameTable
 
 SERVERS = ("s0", "s1")
 
@@ -44,13 +44,15 @@
     version = 1
 
     def __init__(self, clock):
-        self.names = Names(["a", "b"], ["std"])
+        self.names = NameTable(["a", "b"], ["std"])
         entries = [endpoint(self.names.server(name)) for name in SERVERS]
         self.balancer, _ = make(entries=entries)
         self.balancer.now = clock.now()
         self.now = clock.now
         self.maintenance = Maintenance(lambda entry, end: replace(entry, endpoint=end))
-        listed = [Listed(name, end, ("127.0.0.1", 1), 0) for name, end in zip(SERVERS, entries, strict=True)]
+        listed = [
+            EndpointRecord(name, end, ("127.0.0.1", 1), 0) for name, end in zip(SERVERS, entries, strict=True)
+        ]
         self.maintenance.fold(listed, True)
 
     def list_word(self):
@@ -90,10 +92,10 @@
     def __init__(self, folder, machine, wrap=lambda board: board, **files):
         self.machine = machine
         self.engine = Engine(machine)
-        self.files = Files(str(folder), **files)
+        self.files = FileStateDirectory(str(folder), **files)
         self.board = wrap(self.files)
         loop = SimpleNamespace(call_later=lambda delay, act: SimpleNamespace(cancel=lambda: None))
-        self.upgrade = Upgrade(loop, self.engine, self.board, machine)
+        self.upgrade = HotRestart(loop, self.engine, self.board, machine)
         # Two processes of one test share a process number.
         machine.passes(MS)
 
@@ -102,7 +104,7 @@
         return sorted(self.engine.pool.maintenance.out())
 
     def call(self, action, server="s0"):
-        return Operator(self.engine, self.upgrade).carry_out(Call(Action(action), server))
+        return AdminOperations(self.engine, self.upgrade).carry_out(AdminRequest(Action(action), server))
 
     def serve(self):
         """Take clients from now on, as `takes` does but for the socket."""
--- a/tests/control/test_admin_server.py
+++ b/tests/control/test_admin_server.py
@@ -23,9 +23,9 @@
 )
 
 from dykefold.control import admin_server as door_module
-from dykefold.control.admin_operations import Operator
-from dykefold.control.admin_server import CONNECTIONS, DESCRIPTORS, Door
-from dykefold.net.discovery.client import read_news
+from dykefold.control.admin_operations import AdminOperations
+from dykefold.control.admin_server import MAX_CONNECTIONS, RESERVED_DESCRIPTORS, AdminServer
+from dykefold.net.discovery.client import parse_endpoint_update
 
 
 class Operated(Sidecar):
@@ -33,8 +33,8 @@
 
     async def __aenter__(self):
         await super().__aenter__()
-        sock = socket.create_server((HOST, 0), backlog=DESCRIPTORS)
-        self.door = Door(self.engine.loop, sock, Operator(self.engine))
+        sock = socket.create_server((HOST, 0), backlog=RESERVED_DESCRIPTORS)
+        self.door = AdminServer(self.engine.loop, sock, AdminOperations(self.engine))
         self.door_port = self.door.address[1]
         return self
 
@@ -87,7 +87,9 @@
             name, rest = ("s0", "s1") if used is fakes[0] else ("s1", "s0")
             assert await sidecar.out(name) == 200 and await sidecar.out(name) == 200
             pool.on_news(None)
-            pool.on_news(read_news(listed(*fakes, version=2), pool.names))  # it serves, says the list
+            pool.on_news(
+                parse_endpoint_update(listed(*fakes, version=2), pool.names)
+            )  # it serves, says the list
             for number in range(20):
                 assert (await ask(sidecar.port, message("lookup", f"b{number}"))).code == 200
             assert len(used.got) == 1 and len(other.got) == 20
@@ -192,13 +194,13 @@
         fakes = await two(answer_ok)
         async with Operated(tmp_path / "c", config(listed(*fakes))) as sidecar:
             held = []
-            for number in range(3 * CONNECTIONS):
+            for number in range(3 * MAX_CONNECTIONS):
                 _, writer = await asyncio.open_connection(HOST, sidecar.door_port)
                 writer.write(b"GET /health" if number % 2 else b"")
                 held.append(writer)
                 if number % 8 == 0:
                     assert await sidecar.call("GET /healthcheck") == 200
-            assert len(sidecar.door.callers) <= CONNECTIONS
+            assert len(sidecar.door.callers) <= MAX_CONNECTIONS
             assert await sidecar.out("s0") == 200
             for writer in held:
                 writer.close()
@@ -208,7 +210,7 @@
 
 
 def test_a_caller_that_says_nothing_is_answered_in_the_end(tmp_path, monkeypatch):
-    monkeypatch.setattr(door_module, "CALL_MOST_S", 0.1)
+    monkeypatch.setattr(door_module, "MAX_REQUEST_S", 0.1)
 
     async def play():
         fakes = await two(answer_ok)
--- a/tests/control/test_class_generations.py
+++ b/tests/control/test_class_generations.py
@@ -12,7 +12,7 @@
 
 from dykefold.balancer.settings import Effect, RequestClass, Settings
 from dykefold.control import class_generations as generations
-from dykefold.control.class_generations import LINGER_NS, Generation
+from dykefold.control.class_generations import LINGER_NS, ClassGeneration
 from dykefold.net import sidecar as engine_module
 from dykefold.sidecar_config import ConfigError, lacking, read_config, shape_of
 
@@ -28,7 +28,7 @@
 
 
 def test_a_class_keeps_its_number_until_it_changes_and_no_number_changes_its_meaning():
-    first = Generation(having(spec("a"), spec("b")))
+    first = ClassGeneration(having(spec("a"), spec("b")))
     second = first.next(having(spec("b"), spec("a", Effect.UNSAFE)), (), 100)
     assert second.numbers() == {"a": 2, "b": 1} and second.retired == {0: 100}
     assert second.settings.classes[0] == spec("a")  # for requests that hold it
@@ -43,7 +43,7 @@
 
 def test_more_classes_than_numbers_are_turned_down(monkeypatch):
     monkeypatch.setattr(generations, "NUMBERS_MOST", 3)
-    first = Generation(having(spec("a"), spec("b")))
+    first = ClassGeneration(having(spec("a"), spec("b")))
     with pytest.raises(ValueError, match="more than 3"):
         first.next(having(spec("c"), spec("d")), (), 0)
 
@@ -54,7 +54,7 @@
     def __init__(self):
         super().__init__()
         self.now = 0
-        self.generation = Generation(having(spec("a"), spec("b")))
+        self.generation = ClassGeneration(having(spec("a"), spec("b")))
         self.open = []  # number and what it meant
 
     @rule(
@@ -304,10 +304,10 @@
             for number in range(20):
                 await ask(sidecar.port, message("lookup", f"a{number}"))
             rate = balancer.throughput.answers_per_s
-            before = balancer.works[0].mean_latency_ns, balancer.limit.limit, rate
+            before = balancer.classes[0].mean_latency_ns, balancer.limit.limit, rate
             rewrite(tmp_path, with_classes(data, lookup="side_effect", order="side_effect"))
             sidecar.reload()
-            (work,) = [work for work in balancer.live if work.spec.name == "lookup"]
+            (work,) = [work for work in balancer.live_classes if work.spec.name == "lookup"]
             assert work.spec.effect is Effect.UNSAFE
             assert before == (work.mean_latency_ns, balancer.limit.limit, balancer.throughput.answers_per_s)
 
--- a/tests/control/test_hot_restart.py
+++ b/tests/control/test_hot_restart.py
@@ -301,7 +301,9 @@
             assert new.balancer.servers[new.names.servers["s1"]].relative_latency == 2.5
             assert new.balancer.limit.limit == old.balancer.limit.limit
             assert new.balancer.throughput.answers_per_s == old.balancer.throughput.answers_per_s
-            assert new.balancer.live[0].mean_latency_ns == old.balancer.live[0].mean_latency_ns
+            assert (
+                new.balancer.live_classes[0].mean_latency_ns == old.balancer.live_classes[0].mean_latency_ns
+            )
             assert (await ask(two.port, message("lookup", "b"))).code == 200
             # One that has started again since is not what was believed of it.
             values["servers"]["s0"]["started"] += 1
--- a/tests/control/test_hot_restart_orders.py
+++ b/tests/control/test_hot_restart_orders.py
@@ -10,7 +10,7 @@
 
 from dykefold.control import hot_restart_state as handover
 from dykefold.control.reuseport_filter import let_chance, steer
-from dykefold.control.reuseport_group import Places
+from dykefold.control.reuseport_group import ReuseportGroup
 from dykefold.sim.explore import explore
 from dykefold.sim.upgrades import Model
 
@@ -31,7 +31,7 @@
     assert found.whole and found.states > least
 
 
-class Grasping(handover.Handover):
+class Grasping(handover.HotRestartMachine):
     """It makes no room for a newer one."""
 
     def look(self, now_ns, signs, whole, held, living=()):
@@ -54,13 +54,15 @@
             "one that ends comes back",
             lambda patch: patch.setitem(
                 handover.TABLE,
-                (handover.State.ENDING, handover.Event.NEWER_MUTE),
-                handover.State.TAKING,
+                (handover.HotRestartState.ENDING, handover.HotRestartEvent.NEWER_MUTE),
+                handover.HotRestartState.TAKING,
             ),
         ),
         (
             "a newer one that is mute keeps the clients",
-            lambda patch: patch.delitem(handover.TABLE, (handover.State.HANDING, handover.Event.NEWER_MUTE)),
+            lambda patch: patch.delitem(
+                handover.TABLE, (handover.HotRestartState.HANDING, handover.HotRestartEvent.NEWER_MUTE)
+            ),
         ),
         ("nobody is ever mute", lambda patch: patch.setattr(handover, "speaks", lambda sign, now_ns: True)),
     ],
@@ -82,7 +84,7 @@
         address = first.getsockname()
         more = [socket.create_server(address, backlog=64, reuse_port=True) for _ in range(2)]
         socks = dict(enumerate([first, *(stack.enter_context(sock) for sock in more)]))
-        places = {number: Places() for number in socks}
+        places = {number: ReuseportGroup() for number in socks}
         shown = {}
         for number, place in places.items():
             place.joins(dict(shown))
@@ -105,7 +107,7 @@
 
 
 def test_who_can_not_tell_its_place_lets_chance_decide():
-    places = Places()
+    places = ReuseportGroup()
     places.joins({"a": 0, "b": 1, "c": 2})
     assert places.look({"a": 0, "b": 1, "c": 2}) == 3
     assert places.look({"c": 2}) is None  # two have left, in an order that nobody saw
@@ -117,9 +119,9 @@
 
 
 def test_a_place_that_another_one_still_shows_is_not_believed_yet():
-    places = Places()
+    places = ReuseportGroup()
     places.joins({"a": 0, "b": 1})
     assert places.look({"b": 1}) == 0
-    other = Places()
+    other = ReuseportGroup()
     other.joins({"a": 0})
     assert other.look({"a": 0, "c": 1}) is None and other.look({"a": 0, "c": 2}) == 1
--- a/tests/control/test_hot_restart_records.py
+++ b/tests/control/test_hot_restart_records.py
@@ -6,7 +6,7 @@
 from hot_restart_rig import Flaky, Machine, Member, known
 
 from dykefold.control.balancer_snapshot import restore
-from dykefold.control.hot_restart import read_said, read_sign
+from dykefold.control.hot_restart import parse_heartbeat, parse_maintenance_orders
 from dykefold.control.hot_restart_state import LOOK_NS, ROOM_WAIT_NS
 
 HOUR_NS = 3_600 * 10**9
@@ -123,7 +123,7 @@
     age_ns = 2 * 10**9
     then = old.engine.clock.now() - age_ns
     server.slow_start_ns = server.probation_ns = balancer.throughput.updated_ns = then
-    balancer.live[0].typical_updated_ns = then
+    balancer.live_classes[0].typical_updated_ns = then
     machine.wall_ns += step_ns
     new = Member(tmp_path, machine)
     began_ns = machine.mono_ns
@@ -132,7 +132,7 @@
     balancer = new.engine.pool.balancer
     server = balancer.endpoints.all[server.id]
     moved = (server.slow_start_ns, server.probation_ns, balancer.throughput.updated_ns)
-    for at in (*moved, balancer.live[0].typical_updated_ns):
+    for at in (*moved, balancer.live_classes[0].typical_updated_ns):
         assert abs(new.engine.clock.now() - at - age_ns - passed_ns) < 10**9
     assert server.last_ok == 0 and balancer.congestion.cut_ns == 0  # never is never on every scale
 
@@ -155,9 +155,9 @@
     word = {**sign, "name": ghost, "beat_ns": machine.mono_ns + 10**8, key: value}
     (tmp_path / "dykefold" / f"sign-{ghost}.json").write_text(json.dumps(word))
     one.tick()
-    found = read_sign(word)
+    found = parse_heartbeat(word)
     assert found is None or found.place is None or 0 <= found.place < 2**16
-    assert read_said({"said": {"s0": [10**40, True], "s1": [-5, True]}}) == {}
+    assert parse_maintenance_orders({"said": {"s0": [10**40, True], "s1": [-5, True]}}) == {}
 
 
 def test_estimates_with_names_that_are_none_are_left(tmp_path, machine):
--- a/tests/control/test_hot_restart_state.py
+++ b/tests/control/test_hot_restart_state.py
@@ -9,19 +9,19 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from dykefold.control.hot_restart import read_said, read_sign, sign_word
+from dykefold.control.hot_restart import heartbeat_record, parse_heartbeat, parse_maintenance_orders
 from dykefold.control.hot_restart_state import (
     LOOK_NS,
     MS,
     ROOM_WAIT_NS,
     STALE_NS,
     TABLE,
-    Event,
-    Handover,
-    State,
+    HotRestartEvent,
+    HotRestartMachine,
+    HotRestartState,
 )
-from dykefold.control.maintenance import Said
-from dykefold.control.state_directory import FILE_MOST, LOOK_AGAIN_NS, SETTLE_NS, Files
+from dykefold.control.maintenance import MaintenanceOrder
+from dykefold.control.state_directory import FILE_MOST, LOOK_AGAIN_NS, SETTLE_NS, FileStateDirectory
 
 WHOLE = 384  # descriptors
 
@@ -30,7 +30,7 @@
     """A process of a sidecar: it looks every `LOOK_NS` and shows itself as the edge does."""
 
     def __init__(self, number, now):
-        self.handover = Handover(f"p{number}", now)
+        self.handover = HotRestartMachine(f"p{number}", now)
         self.alive = True
         self.parts = None  # of the memory it takes one in so many; None: it takes none yet
         self.held = 100
@@ -44,7 +44,7 @@
     def read(self, now, signs):
         if not self.alive:
             return
-        self.claimed, self.starting = self.handover.claim, self.handover.state is State.STARTING
+        self.claimed, self.starting = self.handover.claim, self.handover.state is HotRestartState.STARTING
         self.view = self.handover.look(now, signs, WHOLE, self.held)
         if self.starting and self.view.may_serve:
             self.handover.serves()
@@ -76,7 +76,7 @@
 def test_an_upgrade_takes_its_steps():
     lives, now = upgraded()
     old, new = lives
-    assert old.handover.state is State.TAKING and old.parts == 1
+    assert old.handover.state is HotRestartState.TAKING and old.parts == 1
     new.look(now, lives)
     assert new.parts is None  # it waits until there is room
     old.held = 250
@@ -84,7 +84,7 @@
     assert (old.parts, new.parts) == (2, 2)
     assert (old.view.most, new.view.most) == (250, WHOLE - 250)  # its clients keep their connections
     now = play(lives, now, 1)
-    assert old.handover.state is State.HANDING and old.view.newer_takes
+    assert old.handover.state is HotRestartState.HANDING and old.view.newer_takes
     old.held = 80
     now = play(lives, now, 2)
     assert (old.view.most, new.view.most) == (80, WHOLE - 80)
@@ -93,35 +93,35 @@
     assert old.view.most == 80  # what it gave away it does not take back
     old.handover.ends()
     now = play(lives, now, 3)
-    assert old.handover.state is State.ENDING
+    assert old.handover.state is HotRestartState.ENDING
     old.alive = False
     play(lives, now, STALE_NS // LOOK_NS + 2)
-    assert new.parts == 1 and new.handover.state is State.TAKING
+    assert new.parts == 1 and new.handover.state is HotRestartState.TAKING
 
 
 def test_a_new_one_that_dies_before_its_yes_leaves_all_to_the_old_one():
     lives, now = upgraded()
     lives[0].look(now, lives)
-    assert lives[0].handover.state is State.SHARING and lives[0].parts == 2
+    assert lives[0].handover.state is HotRestartState.SHARING and lives[0].parts == 2
     lives[1].alive = False
     play(lives, now, STALE_NS // LOOK_NS + 2)
-    assert lives[0].handover.state is State.TAKING and lives[0].parts == 1
+    assert lives[0].handover.state is HotRestartState.TAKING and lives[0].parts == 1
 
 
 def test_a_new_one_that_dies_after_its_yes_gives_its_clients_back():
     lives, now = upgraded()
     now = play(lives, now, 3)
-    assert lives[0].handover.state is State.HANDING
+    assert lives[0].handover.state is HotRestartState.HANDING
     lives[1].alive = False
     play(lives, now, STALE_NS // LOOK_NS + 2)
-    assert lives[0].handover.state is State.TAKING and not lives[0].view.newer_takes
+    assert lives[0].handover.state is HotRestartState.TAKING and not lives[0].view.newer_takes
 
 
 def test_an_old_one_that_was_killed_is_not_waited_for_long():
     lives, now = upgraded()
     lives[0].alive = False
     play(lives, now, ROOM_WAIT_NS // LOOK_NS + 1)
-    assert lives[1].parts == 1 and lives[1].handover.state is State.TAKING
+    assert lives[1].parts == 1 and lives[1].handover.state is HotRestartState.TAKING
 
 
 def test_two_upgrades_at_once_share_and_the_newest_takes():
@@ -147,11 +147,14 @@
         for life in (one, other):
             life.look(now, [one, other])
             assert one.view.most + other.view.most <= WHOLE
-    assert other.view.most == WHOLE - one.view.most and other.handover.state is State.TAKING
+    assert other.view.most == WHOLE - one.view.most and other.handover.state is HotRestartState.TAKING
 
 
 def test_one_that_ends_never_takes_again():
-    assert all(TABLE.get((State.ENDING, event), State.ENDING) is State.ENDING for event in Event)
+    assert all(
+        TABLE.get((HotRestartState.ENDING, event), HotRestartState.ENDING) is HotRestartState.ENDING
+        for event in HotRestartEvent
+    )
 
 
 class Machine(RuleBasedStateMachine):
@@ -227,14 +230,16 @@
 
 
 def test_signs_are_read_as_they_were_written_and_nothing_else_is(tmp_path):
-    board = Files(str(tmp_path))
-    sign = Handover("a", 5).sign(7)
-    said = {"s1": Said(9, True), "s2": Said(8, False)}
-    assert board.write("sign-a", sign_word(sign, said))
+    board = FileStateDirectory(str(tmp_path))
+    sign = HotRestartMachine("a", 5).sign(7)
+    said = {"s1": MaintenanceOrder(9, True), "s2": MaintenanceOrder(8, False)}
+    assert board.write("sign-a", heartbeat_record(sign, said))
     (word,) = board.read_all("sign-").values()
-    assert read_sign(word) == sign and read_said(word) == said
-    assert read_sign({"name": "a"}) is None and read_sign({**word, "state": "flying"}) is None
-    assert read_said({"said": {"s1": [1], "s2": "x", "s3": [1, 2], "s4": [5, True]}}) == {"s4": Said(5, True)}
+    assert parse_heartbeat(word) == sign and parse_maintenance_orders(word) == said
+    assert parse_heartbeat({"name": "a"}) is None and parse_heartbeat({**word, "state": "flying"}) is None
+    assert parse_maintenance_orders({"said": {"s1": [1], "s2": "x", "s3": [1, 2], "s4": [5, True]}}) == {
+        "s4": MaintenanceOrder(5, True)
+    }
 
 
 @pytest.mark.parametrize(
@@ -251,7 +256,7 @@
     ids=["empty", "torn", "newer", "list", "bytes", "deep", "huge"],
 )
 def test_what_can_not_be_read_counts_as_not_there(tmp_path, data):
-    board = Files(str(tmp_path))
+    board = FileStateDirectory(str(tmp_path))
     (tmp_path / "dykefold" / "sign-a.json").write_bytes(data)
     board.write("sign-b", {"name": "b"})
     assert list(board.read_all("sign-")) == ["sign-b"] and board.read("sign-a") is None
@@ -259,7 +264,7 @@
 
 def test_a_change_is_noticed_and_a_write_that_fails_is_told(tmp_path):
     now_ns = [0]
-    board = Files(str(tmp_path), monotonic_ns=lambda: now_ns[0])
+    board = FileStateDirectory(str(tmp_path), monotonic_ns=lambda: now_ns[0])
 
     def settle():
         # A change of the same tick would leave the same time: it is read once more after that.
@@ -283,7 +288,7 @@
 
 
 def test_who_can_not_show_its_claim_takes_half_until_it_has_shown_it_for_a_while():
-    one, other = Handover("a", 0), Handover("b", 1)
+    one, other = HotRestartMachine("a", 0), HotRestartMachine("b", 1)
     views = {}
     for now in range(0, 2 * ROOM_WAIT_NS, LOOK_NS):
         for handover in (one, other):
@@ -297,7 +302,7 @@
 
 
 def test_locks_tell_who_lives_and_one_that_can_not_be_had_leaves_nothing(tmp_path, monkeypatch):
-    board = Files(str(tmp_path))
+    board = FileStateDirectory(str(tmp_path))
     assert board.held("sign-a") is None
     assert board.hold("sign-a") and board.held("sign-a") is True
     os.close(board.lock)  # as when its process ends
--- a/tests/control/test_maintenance.py
+++ b/tests/control/test_maintenance.py
@@ -62,8 +62,8 @@
 
 
 def test_what_nobody_knows_is_not_known_and_the_sets_are_bounded(monkeypatch):
-    monkeypatch.setattr(module, "OUT_MOST", 2)
-    monkeypatch.setattr(module, "BACK_MOST", 1)
+    monkeypatch.setattr(module, "MAX_OUT_OF_SERVICE", 2)
+    monkeypatch.setattr(module, "MAX_REMEMBERED_RETURNS", 1)
     keeper = make()
     assert not keeper.knows("s0")
     keeper.fold([listed(name) for name in NAMES], True)
--- a/tests/control/test_state_directory.py
+++ b/tests/control/test_state_directory.py
@@ -11,10 +11,10 @@
 import pytest
 from hot_restart_rig import Engine, Machine, Member
 
-from dykefold.control.admin_requests import Action, Call
+from dykefold.control.admin_requests import Action, AdminRequest
 from dykefold.control.file_system import FileSystem
-from dykefold.control.process_lifecycle import Presence
-from dykefold.control.state_directory import Files
+from dykefold.control.process_lifecycle import ProcessLifecycle
+from dykefold.control.state_directory import FileStateDirectory
 
 CALLS = (
     "open",
@@ -92,7 +92,7 @@
 @pytest.mark.parametrize("span", [1, 5])
 @pytest.mark.parametrize("fault", [errno.ENOSPC, errno.EIO, "short"])
 def test_whichever_file_call_fails_no_order_that_was_said_to_hold_is_lost(tmp_path, fault, span, monkeypatch):
-    monkeypatch.setattr("dykefold.control.upgrade.LOOK_S", 0.004)
+    monkeypatch.setattr("dykefold.control.hot_restart.LOOK_S", 0.004)
     monkeypatch.setattr("hot_restart_rig.LOOK_S", 0.004)
     for at in range(1, CALLS_MOST, span):
         (tmp_path / str(at)).mkdir()
@@ -111,7 +111,7 @@
 
 WRITER = """
 import os, signal, sys
-from dykefold.control.state_directory import Files
+from dykefold.control.state_directory import FileStateDirectory
 from dykefold.control.file_system import FileSystem
 at, before = int(sys.argv[2]), sys.argv[3] == "before"
 class Killing(FileSystem):
@@ -126,7 +126,7 @@
     return call
 for name in ("open", "write", "fsync", "close", "rename", "flock", "listdir", "mkdir"):
     setattr(Killing, name, killing(name))
-board = Files(sys.argv[1], Killing())
+board = FileStateDirectory(sys.argv[1], Killing())
 board.hold("sign-1-a")
 for number in range(2):
     if board.write("maintenance-1-a", {"number": number}, durable=True): print(number, flush=True)
@@ -143,7 +143,7 @@
         )
         said = [int(line) for line in done.stdout.split()]
         if (folder / "dykefold").exists():
-            word = Files(str(folder)).read("maintenance-1-a")
+            word = FileStateDirectory(str(folder)).read("maintenance-1-a")
             assert not said or word["number"] >= said[-1]
             assert not [name for name in os.listdir(folder / "dykefold") if name.startswith(".")]
         if done.returncode == 0:
@@ -153,19 +153,19 @@
 
 
 def test_only_what_processes_that_are_gone_left_is_swept(tmp_path):
-    one = Files(str(tmp_path))
+    one = FileStateDirectory(str(tmp_path))
     assert one.hold("sign-1-a")
     folder = tmp_path / "dykefold"
     lives, by_number = f".sign-1-a.{os.getpid()}", f".sign-2-b.{os.getppid()}"
     gone, foreign = f".state-3-c.{os.getpid()}", ".profile"
     for name in (lives, by_number, gone, foreign, "sign-4-d.lock"):
         (folder / name).touch()
-    Files(str(tmp_path))
+    FileStateDirectory(str(tmp_path))
     assert sorted(os.listdir(folder)) == sorted([lives, by_number, foreign, "sign-1-a.lock"])
 
 
 def test_what_is_foreign_is_one_log_line_and_blocks_nothing(tmp_path, caplog):
-    board = Files(str(tmp_path))
+    board = FileStateDirectory(str(tmp_path))
     folder = tmp_path / "dykefold"
     os.mkfifo(folder / "sign-pipe.json")
     (folder / "sign-folder.json").mkdir()
@@ -180,8 +180,8 @@
 
 def test_two_changes_with_one_time_of_the_folder_are_two(tmp_path):
     now_ns = [0]
-    board = Files(str(tmp_path), monotonic_ns=lambda: now_ns[0])
-    other = Files(str(tmp_path))
+    board = FileStateDirectory(str(tmp_path), monotonic_ns=lambda: now_ns[0])
+    other = FileStateDirectory(str(tmp_path))
     assert other.write("sign-a", {"n": 1})
     board.read_all("sign-")
     seen = os.stat(tmp_path / "dykefold")
@@ -194,9 +194,9 @@
 def test_an_order_where_the_folder_can_not_be_used_from_the_start_is_not_said_to_be_kept(tmp_path):
     engine = Engine(Machine())
     (tmp_path / "dykefold").touch()
-    presence = Presence(None, engine, ("127.0.0.1", 0), str(tmp_path))
+    presence = ProcessLifecycle(None, engine, ("127.0.0.1", 0), str(tmp_path))
     assert presence.upgrade is None
     operator = presence.operator()
-    out, back = (operator.carry_out(Call(action, "s0")) for action in (Action.OUT, Action.BACK))
+    out, back = (operator.carry_out(AdminRequest(action, "s0")) for action in (Action.OUT, Action.BACK))
     assert out.code == 500 and "newer process would not know" in out.text
     assert back.code == 200 and engine.pool.maintenance.out() == []  # nothing stands anywhere that it is out
--- a/tests/failover/test_failover_edge.py
+++ b/tests/failover/test_failover_edge.py
@@ -86,8 +86,8 @@
         aim_ns = SECOND
         for server, status, took_ns in (
             (0, Status.OK, 1), (0, Status.OK, 2 * SECOND), (0, Status.FULL, 1), (0, Status.TIMEOUT, SECOND),
-            (0, Status.CANCELLED, 1), (0, Status.MOOT, 1), (99, Status.OK, 1), (1, Status.TIMEOUT, SECOND),
-            (1, Status.RESET, 1),
+            (0, Status.CANCELLED, 1), (0, Status.NOT_ATTEMPTED, 1), (99, Status.OK, 1),
+            (1, Status.TIMEOUT, SECOND), (1, Status.RESET, 1),
         ):  # fmt: skip
             pool.attempted(server, status, took_ns, aim_ns)  # type: ignore[misc]
         assert made.evidence.counts == {0: [1.0, 2.0, 1.0]}  # what is lost is counted by servers
--- a/tests/fleet/test_priors.py
+++ b/tests/fleet/test_priors.py
@@ -8,8 +8,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dykefold.balancer.actions import Hint
-from dykefold.balancer.events import Fleet, Outcome, Status
+from dykefold.balancer.actions import ReportEndpointHealth
+from dykefold.balancer.events import MembershipChanged, Outcome, Status
 from dykefold.fleet import priors
 from dykefold.fleet.coverage import KNOWN_BY, PAIRS_MOST, Ranking, part
 from dykefold.fleet.knowledge import Topic
@@ -28,7 +28,7 @@
     return world
 
 
-def event(view: View, now_ns: int, servers: dict[str, int]) -> Fleet:
+def event(view: View, now_ns: int, servers: dict[str, int]) -> MembershipChanged:
     return priors.event(view, now_ns, servers, {}, Ranking(view.me))
 
 
@@ -113,7 +113,7 @@
     world.run(20 * SECOND)
     view = world.living[0]
     assert view.live(world.now_ns) == [0]
-    assert event(view, world.now_ns, {"s-1": 11}) == Fleet(6, {})
+    assert event(view, world.now_ns, {"s-1": 11}) == MembershipChanged(6, {})
 
 
 def test_those_who_went_count_until_they_could_have_been_started_again() -> None:
@@ -149,7 +149,7 @@
     hints = {}
     for told in (False, True):
         balancer, now = make(servers=6, fleet_size=4)
-        balancer.handle(now, Fleet(4, {}, failing=frozenset({102}) if told else frozenset()))
+        balancer.handle(now, MembershipChanged(4, {}, failing=frozenset({102}) if told else frozenset()))
         assert not balancer.endpoints.all[102].ejected  # never by hints alone
         ident = 1
         while True:
@@ -160,39 +160,39 @@
             balancer.handle(now, Outcome(ident - 1, 0, send.server, Status.OK, SECOND // 50, True))
         actions = balancer.handle(now, Outcome(ident - 1, 0, 102, Status.RESET, SECOND // 50, False))
         assert balancer.endpoints.all[102].ejected is told
-        hints[told] = [action for action in actions if isinstance(action, Hint)]
-    assert hints == {False: [], True: [Hint(102, False)]}
+        hints[told] = [action for action in actions if isinstance(action, ReportEndpointHealth)]
+    assert hints == {False: [], True: [ReportEndpointHealth(102, False)]}
 
 
 def test_the_module_tries_at_once_what_answers_others_and_says_so_when_it_answers_here() -> None:
     balancer, now = make(servers=6, fleet_size=4)
-    balancer.handle(now, Fleet(4, {}, failing=frozenset({102})))
+    balancer.handle(now, MembershipChanged(4, {}, failing=frozenset({102})))
     server = balancer.endpoints.all[102]
     balancer.context.now_ns, balancer.context.actions = now, []
     balancer.outliers.eject(server)
     assert server.probation_ns > now
-    balancer.handle(now, Fleet(4, {}, answering=frozenset({102})))
+    balancer.handle(now, MembershipChanged(4, {}, answering=frozenset({102})))
     actions = balancer.handle(now, request(900, now))
     (send,) = [action for action in actions if hasattr(action, "server")]
     assert send.server == 102
     actions = balancer.handle(now, Outcome(900, 0, 102, Status.OK, SECOND // 50, True))
-    assert Hint(102, True) in actions
+    assert ReportEndpointHealth(102, True) in actions
 
 
 def test_a_module_that_hears_of_no_fleet_says_no_hints_and_counts_what_is_set() -> None:
     balancer, now = make(servers=6, fleet_size=4)
     balancer.context.now_ns, balancer.context.actions = now, []
     balancer.outliers.eject(balancer.endpoints.all[102])
-    assert not any(isinstance(action, Hint) for action in balancer.context.actions)
+    assert not any(isinstance(action, ReportEndpointHealth) for action in balancer.context.actions)
     assert balancer.context.sidecar_count() == 4
-    balancer.handle(now, Fleet(12, {}))
+    balancer.handle(now, MembershipChanged(12, {}))
     assert balancer.context.sidecar_count() == 12
 
 
 def test_a_fresh_module_begins_with_what_others_tell_and_soon_goes_by_its_own() -> None:
     balancer, now = make(servers=6, fleet_size=4)
     work = balancer.context.classes[0]
-    balancer.handle(now, Fleet(4, {}, usual={0: SECOND / 4}))
+    balancer.handle(now, MembershipChanged(4, {}, usual={0: SECOND / 4}))
     assert work.mean_latency_ns == work.typical_latency_ns == SECOND / 4
     for ident in range(1, 61):
         send = send_one(balancer, now, ident)
@@ -200,7 +200,7 @@
         now += SECOND // 20
     # Wrong by twelve times, and mostly forgotten after sixty answers.
     assert work.typical_latency_ns < SECOND / 10
-    balancer.handle(now, Fleet(4, {}, usual={0: SECOND / 4}))
+    balancer.handle(now, MembershipChanged(4, {}, usual={0: SECOND / 4}))
     assert work.typical_latency_ns < SECOND / 10  # it knows better
 
 
