--- a/tests/golden/forms.py
+++ b/tests/golden/forms.py
@@ -19,14 +19,14 @@
 
 from dykefold.balancer.events import Outcome, Status  # noqa: E402
 from dykefold.cli.app import app as command_line  # noqa: E402
-from dykefold.control.admin_requests import Call, read_call, read_view  # noqa: E402
+from dykefold.control.admin_requests import AdminRequest, parse_admin_request, parse_membership_request  # noqa: E402
 from dykefold.control.balancer_snapshot import snapshot  # noqa: E402
-from dykefold.control.hot_restart import sign_word  # noqa: E402
-from dykefold.control.hot_restart_state import Sign, State  # noqa: E402
-from dykefold.control.maintenance import Said  # noqa: E402
-from dykefold.control.state_directory import Files  # noqa: E402
+from dykefold.control.hot_restart import heartbeat_record  # noqa: E402
+from dykefold.control.hot_restart_state import HotRestartState, ProcessHeartbeat  # noqa: E402
+from dykefold.control.maintenance import MaintenanceOrder  # noqa: E402
+from dykefold.control.state_directory import FileStateDirectory  # noqa: E402
 from dykefold.fleet import datagrams  # noqa: E402
-from dykefold.net.discovery.client import Names, read_news, write_news  # noqa: E402
+from dykefold.net.discovery.client import NameTable, endpoint_update_record, parse_endpoint_update  # noqa: E402
 
 OWN = 0x0000_0123_4567_0000
 SIGN = {"name": "00000000000000000007-41", "born_ns": 7, "beat_ns": 11, "sees": ("a", "b"), "most": 96}
@@ -64,19 +64,22 @@
     """Names and contents of the files that processes of one sidecar leave for each other."""
     forms = {}
     with tempfile.TemporaryDirectory() as folder:
-        files = Files(folder)
-        sign = Sign(**SIGN, state=State.SHARING, place=1)
-        said = {"s-1": Said(1_790_000_000_000_000_000, True), "s-2": Said(1_790_000_000_000_000_001, False)}
+        files = FileStateDirectory(folder)
+        sign = ProcessHeartbeat(**SIGN, state=HotRestartState.SHARING, place=1)
+        said = {
+            "s-1": MaintenanceOrder(1_790_000_000_000_000_000, True),
+            "s-2": MaintenanceOrder(1_790_000_000_000_000_001, False),
+        }
         files.hold(f"sign-{sign.name}")
-        files.write(f"sign-{sign.name}", {**sign_word(sign, said), "lists": {"": 4}})
-        names = Names(["a", "b"], ["std"])
-        entries = read_news(endpoint_list(), names).entries
-        files.write(f"list-{sign.name}", {"pools": {"": write_news(4, entries, names)}})
+        files.write(f"sign-{sign.name}", {**heartbeat_record(sign, said), "lists": {"": 4}})
+        names = NameTable(["a", "b"], ["std"])
+        entries = parse_endpoint_update(endpoint_list(), names).entries
+        files.write(f"list-{sign.name}", {"pools": {"": endpoint_update_record(4, entries, names)}})
         files.write(f"state-{sign.name}", {"pools": {"": snapshot_form()}})
         for path in sorted(Path(folder).rglob("*")):
             name = str(path.relative_to(folder))
             forms[name] = json.loads(path.read_text()) if path.suffix == ".json" else path.is_dir()
-    forms["states"] = sorted(state.value for state in State)
+    forms["states"] = sorted(state.value for state in HotRestartState)
     return forms
 
 
@@ -88,9 +91,9 @@
 
 def snapshot_form():
     """The estimates that a newer process begins with, after a few requests."""
-    names = Names(["a", "b"], ["std"])
+    names = NameTable(["a", "b"], ["std"])
     balancer, now = helpers.make(
-        entries=[listed.endpoint for listed in read_news(endpoint_list(), names).entries]
+        entries=[listed.endpoint for listed in parse_endpoint_update(endpoint_list(), names).entries]
     )
     for ident in range(12):
         sent = helpers.send_one(balancer, now, ident)
@@ -103,10 +106,10 @@
 def admin_forms():
     """What the admin API makes of a method and a target."""
     forms = {}
-    for read, calls in ((read_call, CALLS), (read_view, VIEW_CALLS)):
+    for read, calls in ((parse_admin_request, CALLS), (parse_membership_request, VIEW_CALLS)):
         for method, target in calls:
             known = read(method, target)
-            if isinstance(known, Call):
+            if isinstance(known, AdminRequest):
                 told = {"action": known.action.value, "server": known.server}
             else:
                 told = {"code": known.code, "text": known.text, "allow": known.allow}
--- a/tests/golden/test_golden_forms.py
+++ b/tests/golden/test_golden_forms.py
@@ -6,7 +6,8 @@
 import pytest
 
 from dykefold.control.balancer_snapshot import restore, snapshot
-from dykefold.control.hot_restart import read_said, read_sign
+from dykefold.control.hot_restart import parse_heartbeat, parse_maintenance_orders
+from dykefold.control.hot_restart_state import HotRestartState
 from golden import forms
 
 GOLDEN = json.loads((Path(__file__).parent / "forms.json").read_text())
@@ -36,14 +37,14 @@
     """Signs, calls on servers, lists and estimates that stand in a folder from before."""
     left = {name.split("/")[1].split("-")[0]: word for name, word in GOLDEN["state directory"].items()
             if name.endswith(".json")}  # fmt: skip
-    sign = read_sign(left["sign"])
+    sign = parse_heartbeat(left["sign"])
     assert (sign.name, sign.state, sign.sees, sign.place) == (
         forms.SIGN["name"],
-        forms.State.SHARING,
+        HotRestartState.SHARING,
         ("a", "b"),
         1,
     )
-    assert {name: one.out for name, one in read_said(left["sign"]).items()} == {
+    assert {name: one.out for name, one in parse_maintenance_orders(left["sign"]).items()} == {
         "s-1": True,
         "s-2": False,
     }
--- a/tests/routing/test_services.py
+++ b/tests/routing/test_services.py
@@ -17,7 +17,7 @@
 from dykefold.admission.addresses import Caps
 from dykefold.balancer.settings import Effect
 from dykefold.net.loop_lag import LATE_S
-from dykefold.net.sidecar import Engine
+from dykefold.net.sidecar import SidecarServer
 from dykefold.routing.config import read_plan
 from dykefold.routing.services import Services
 
@@ -41,7 +41,7 @@
     """A node with services in the test's own loop."""
 
     def __init__(self, text, sockets=512):
-        self.engine = Engine(asyncio.get_running_loop(), sockets, 192 * MB)
+        self.engine = SidecarServer(asyncio.get_running_loop(), sockets, 192 * MB)
         self.services = Services(self.engine, lambda: 7)
         self.apply(text, sockets)
 
--- a/tests/routing/test_streams.py
+++ b/tests/routing/test_streams.py
@@ -14,8 +14,8 @@
 
 from dykefold.admission.budget import Allowance
 from dykefold.balancer.events import State, Status
-from dykefold.net.memory_budget import Memory
-from dykefold.net.upstream.connection_pool import Exchange, Manner, Upstreams
+from dykefold.net.memory_budget import MemoryBudget
+from dykefold.net.upstream.connection_pool import ConnectionPool, Exchange, HttpProfile
 
 
 def head(length, *lines, path="/a/x", method="PUT"):
@@ -264,12 +264,12 @@
     async def play():
         server = await Server(big).start()
         loop = asyncio.get_running_loop()
-        pool = Upstreams(loop, Allowance(8), Memory(192 * KB * KB), 5.0, 60.0)
+        pool = ConnectionPool(loop, Allowance(8), MemoryBudget(192 * KB * KB), 5.0, 60.0)
         pool.update(1, (HOST, server.port), 0, State.READY)
         for _ in range(2):
             end = loop.create_future()
             exchange = HeldUp(get("/a/x"), lambda _, status, answer, end=end: end.set_result(status), 64 * KB)
-            exchange.manner, exchange.stream_most = Manner.USUAL, 2 * len(BIG)
+            exchange.manner, exchange.stream_most = HttpProfile.USUAL, 2 * len(BIG)
             pool.start(1, exchange, 5.0)
             assert await end is Status.OK
         assert len(pool.connections) == 1
--- a/tests/sim/mutants.py
+++ b/tests/sim/mutants.py
@@ -37,8 +37,8 @@
     Mutant(
         "a request is answered twice",
         "net/downstream/connection.py",
-        "        self._respond(code, headers, body, call.keep_alive, call.manner is Manner.HEAD)\n",
-        "        self._respond(code, headers, body, call.keep_alive, call.manner is Manner.HEAD)\n" * 2,
+        "        self._respond(code, headers, body, call.keep_alive, call.manner is HttpProfile.HEAD)\n",
+        "        self._respond(code, headers, body, call.keep_alive, call.manner is HttpProfile.HEAD)\n" * 2,
         "parts",
     ),
     Mutant(
@@ -125,7 +125,7 @@
     Mutant(
         "a ban is not handed on",
         "control/hot_restart.py",
-        "                self._merge(read_said(word))\n",
+        "                self._merge(parse_maintenance_orders(word))\n",
         "                pass\n",
         "upgrade",
     ),
--- a/tests/sim/test_reality.py
+++ b/tests/sim/test_reality.py
@@ -9,10 +9,10 @@
 import pytest
 from net_helpers import HOST, Fake, ask, entry, news, reply, run
 
-from dykefold.net.discovery.client import Names, read_news
+from dykefold.net.discovery.client import NameTable, parse_endpoint_update
 from dykefold.net.loop_lag import LATE_S
 from dykefold.net.memory_budget import MB
-from dykefold.net.sidecar import Engine
+from dykefold.net.sidecar import SidecarServer
 from dykefold.settings import Transport
 from dykefold.sim import apps, nodes
 from dykefold.sim.kernel import MS, SECOND
@@ -71,12 +71,17 @@
         await Fake(RealNode(number, wrong if number == 0 else None).act).start()
         for number in range(scenario.servers)
     ]
-    engine = Engine(loop, 256, 64 * MB)
+    engine = SidecarServer(loop, 256, 64 * MB)
     settings = settings_of(scenario)
-    names = Names(settings.zones, ["std"])
+    names = NameTable(settings.zones, ["std"])
     known = news(10, *(entry(f"n{n}", fake.address, group=n % 2) for n, fake in enumerate(fakes)))
     engine.serve_one(
-        settings, Transport(["std"], 15 * SECOND, 10_000), 7, (HOST, 9), names, read_news(known, names)
+        settings,
+        Transport(["std"], 15 * SECOND, 10_000),
+        7,
+        (HOST, 9),
+        names,
+        parse_endpoint_update(known, names),
     )
     _, port = engine.listen(socket.create_server((HOST, 0))).address
     counts = Counter()
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -211,14 +211,14 @@
 @on_loop
 async def test_no_further_attempt_begins_once_its_client_left(tmp_path, monkeypatch, kind, how, paused, late):
     act, limits = WAITS[kind]
-    written_s, send = [], upstream.Connection.send
+    written_s, send = [], upstream.UpstreamConnection.send
 
     def noted(connection, exchange, now):
         found = send(connection, exchange, now)
         written_s.append(time.monotonic() if found else 0.0)
         return found
 
-    monkeypatch.setattr(upstream.Connection, "send", noted)
+    monkeypatch.setattr(upstream.UpstreamConnection, "send", noted)
     fakes = [await Fake(act).start() for _ in range(3)]
     data = config(news(1, *(entry(f"s{n}", fake.address) for n, fake in enumerate(fakes))))
     data["settings"]["ceilings"].update(limits)
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -37,7 +37,7 @@
 from dykefold.admission import rules
 from dykefold.balancer.events import Status
 from dykefold.balancer.timers import OVERDUE
-from dykefold.net.discovery.client import read_news
+from dykefold.net.discovery.client import parse_endpoint_update
 from dykefold.net.downstream import connection as front_module
 from dykefold.net.downstream.connection import WAITING_MOST
 from dykefold.net.upstream import connection_pool as upstream
@@ -389,7 +389,7 @@
     async def lose(message, reader, writer):
         # The repeat has one server to go to, at which connections do not come up.
         changes = entry("s1", first.address, "DRAINING"), entry("s2", late)
-        pool.on_news(read_news(news(2, *changes), pool.names))
+        pool.on_news(parse_endpoint_update(news(2, *changes), pool.names))
         reset(writer)
 
     first = await Fake(lose).start()
@@ -627,7 +627,7 @@
         pool, loop = sidecar.engine.pool, asyncio.get_running_loop()
         asked = asyncio.create_task(ask(sidecar.port, message("order", "ab", "4000m")))
         await until(lambda: pool.attempts)
-        pool.on_news(read_news(news(2, entry("s1", new.address), snapshot=False), pool.names))
+        pool.on_news(parse_endpoint_update(news(2, entry("s1", new.address), snapshot=False), pool.names))
         for filler in fill:
             filler.close()
         sock.setblocking(False)
@@ -649,7 +649,7 @@
     assert len(new.got) == 1
 
 
-class Late(upstream.Connection):
+class Late(upstream.UpstreamConnection):
     """A connection that hears late that what it had buffered has gone, as on uvloop by a turn."""
 
     __slots__ = ()
@@ -660,7 +660,7 @@
 
 @on_loop
 async def test_an_exchange_that_counts_as_never_run_is_never_whole_at_its_server(monkeypatch):
-    monkeypatch.setattr(upstream, "Connection", Late)
+    monkeypatch.setattr(upstream, "UpstreamConnection", Late)
     sock = socket.create_server((HOST, 0))
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     pool = make(sock.getsockname())
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -32,7 +32,7 @@
 from dykefold.balancer.events import Endpoint, ListKind, Membership, State, Timer
 from dykefold.balancer.settings import Effect, RequestClass, Settings
 from dykefold.net.discovery import client as discovery
-from dykefold.net.discovery.client import Discovery, Names
+from dykefold.net.discovery.client import DiscoveryClient, NameTable
 
 SECOND = 1_000_000_000
 TOLD_WITHIN = 6.0  # seconds after which a change counts as told that a silent or failed call has missed
@@ -47,8 +47,8 @@
 
 
 def watcher(fake, heard, pushed=False):
-    names = Names(["a", "b"], ["std"])
-    made = Discovery(asyncio.get_running_loop(), (HOST, fake.port), names, 40, heard.append, pushed)
+    names = NameTable(["a", "b"], ["std"])
+    made = DiscoveryClient(asyncio.get_running_loop(), (HOST, fake.port), names, 40, heard.append, pushed)
     made.watch(True)
     return made
 
@@ -321,8 +321,8 @@
     teller = Teller()
     teller.start()
     heard = []
-    names = Names(["a", "b"], ["std"])
-    asker = Discovery(asyncio.get_running_loop(), (HOST, teller.port), names, 40, heard.append, False)
+    names = NameTable(["a", "b"], ["std"])
+    asker = DiscoveryClient(asyncio.get_running_loop(), (HOST, teller.port), names, 40, heard.append, False)
     asker.fetch()
     await until(teller.asked.is_set)
 
--- a/tests/test_deadline_told.py
+++ b/tests/test_deadline_told.py
@@ -91,7 +91,7 @@
 
 
 HELD_UP = {
-    "before the connection is chosen": (upstream.Upstreams, "start", True),
+    "before the connection is chosen": (upstream.ConnectionPool, "start", True),
     "before the time is computed": (pool_module.Attempt, "compose", True),
     "between the time and the write": (pool_module.Attempt, "compose", False),
     "between wanting and starting": (pool_module.Attempt, "wanted", False),
--- a/tests/test_little.py
+++ b/tests/test_little.py
@@ -5,7 +5,7 @@
 
 from dykefold.balancer.actions import Probe, Refuse, Send
 from dykefold.balancer.events import (
-    Dropped,
+    ClientDisconnected,
     Endpoint,
     ListKind,
     Membership,
@@ -182,7 +182,7 @@
 
 def test_a_request_dropped_while_it_asks_stays_dropped():
     balancer, now, probes, _ = crowded()
-    balancer.handle(now + MS, Dropped(99))
+    balancer.handle(now + MS, ClientDisconnected(99))
     done = [balancer.handle(now + MS, ProbeResult(p.server, Status.OK, MS, (1.0, 0.0))) for p in probes]
     done.append(balancer.handle(now + SECOND, Timer(balancer.timers.token)))
     assert not [kinds(actions, Send, Refuse) for actions in done if kinds(actions, Send, Refuse)]
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -22,11 +22,17 @@
 
 from dykefold.balancer.events import State
 from dykefold.net.discovery import client as discovery
-from dykefold.net.discovery.client import Discovery, ListError, Names, read_news, split_address
+from dykefold.net.discovery.client import (
+    DiscoveryClient,
+    EndpointListError,
+    NameTable,
+    parse_endpoint_update,
+    split_address,
+)
 
 
 def names():
-    return Names(["a", "b"], ["std"])
+    return NameTable(["a", "b"], ["std"])
 
 
 def listing(index, *entries, snapshot=True):
@@ -80,7 +86,7 @@
 
         fake = await Fake(act).start()
         heard = []
-        watcher = Discovery(
+        watcher = DiscoveryClient(
             asyncio.get_running_loop(), (HOST, fake.port), names(), 40, heard.append, pushed=False
         )
         watcher.watch(True)
@@ -101,7 +107,9 @@
 
         fake = await Fake(act).start()
         heard = []
-        asker = Discovery(asyncio.get_running_loop(), (HOST, fake.port), names(), 0, heard.append, False)
+        asker = DiscoveryClient(
+            asyncio.get_running_loop(), (HOST, fake.port), names(), 0, heard.append, False
+        )
         for count in range(1, 6):
             asker.fetch()
             await until(lambda: len(heard) == count)  # noqa: B023
@@ -124,7 +132,7 @@
         times = []
         fake = await Fake(act).start()
         heard = []
-        watcher = Discovery(
+        watcher = DiscoveryClient(
             asyncio.get_running_loop(), (HOST, fake.port), names(), 40, heard.append, pushed=False
         )
         watcher.watch(True)
@@ -141,7 +149,9 @@
     async def play():
         fake = await Fake(say(listing(7))).start()
         heard = []
-        asker = Discovery(asyncio.get_running_loop(), (HOST, fake.port), names(), 0, heard.append, False)
+        asker = DiscoveryClient(
+            asyncio.get_running_loop(), (HOST, fake.port), names(), 0, heard.append, False
+        )
         asker.fetch()
         await until(lambda: heard)
         assert heard[0].complete and fake.got[0].first == "GET /api/targets HTTP/1.1"
@@ -213,7 +223,7 @@
             assert (await ask(sidecar.port, message("lookup", "ab"))).code == 200
             for index in range(2, 50):
                 engine.pool.on_news(
-                    read_news(news(index, entry(f"s{index}", fake.address)), engine.pool.names)
+                    parse_endpoint_update(news(index, entry(f"s{index}", fake.address)), engine.pool.names)
                 )
             assert len(engine.pool.upstreams.targets) == 1 and len(engine.pool.names.servers) <= 2
             assert (await ask(sidecar.port, message("lookup", "cd"))).code == 200
@@ -222,7 +232,7 @@
 
 
 def test_entries_of_tomorrow_are_read_with_care():
-    got = read_news(news(1, entry("s1", f"{HOST}:7", "STARTING", zone="c")), names())
+    got = parse_endpoint_update(news(1, entry("s1", f"{HOST}:7", "STARTING", zone="c")), names())
     assert got.entries[0].endpoint.state is State.DRAINING
     assert got.entries[0].endpoint.zone == 2
 
@@ -233,8 +243,8 @@
 def test_what_is_no_address_is_refused(text):
     with pytest.raises(ValueError):
         split_address(text)
-    with pytest.raises(ListError):
-        read_news(news(1, entry("s1", text)), names())
+    with pytest.raises(EndpointListError):
+        parse_endpoint_update(news(1, entry("s1", text)), names())
 
 
 def test_an_older_answer_sets_nothing_back():
@@ -253,7 +263,9 @@
         go = asyncio.Event()
         fake = await Fake(act).start()
         heard = []
-        both = Discovery(asyncio.get_running_loop(), (HOST, fake.port), names(), 40, heard.append, False)
+        both = DiscoveryClient(
+            asyncio.get_running_loop(), (HOST, fake.port), names(), 40, heard.append, False
+        )
         both.watch(True)
         await until(lambda: fake.got)
         both.fetch()
@@ -275,7 +287,9 @@
 
         fake = await Fake(act).start()
         heard = []
-        watcher = Discovery(asyncio.get_running_loop(), (HOST, fake.port), names(), 40, heard.append, False)
+        watcher = DiscoveryClient(
+            asyncio.get_running_loop(), (HOST, fake.port), names(), 40, heard.append, False
+        )
         watcher.watch(True)
         await until(lambda: heard)
         watcher.watch(True)
@@ -288,10 +302,12 @@
 
 def test_an_unreadable_list_leaves_no_names_and_new_zones_are_bounded():
     known = names()
-    with pytest.raises(ListError):
-        read_news(news(1, entry("s1", f"{HOST}:7", zone="new"), entry("s2", "nowhere")), known)
+    with pytest.raises(EndpointListError):
+        parse_endpoint_update(news(1, entry("s1", f"{HOST}:7", zone="new"), entry("s2", "nowhere")), known)
     assert not known.servers and len(known.zones) == 2
     for number in range(3000):
-        read_news(news(1, {**entry("s1", f"{HOST}:7", zone=f"z{number}"), "type": f"k{number}"}), known)
+        parse_endpoint_update(
+            news(1, {**entry("s1", f"{HOST}:7", zone=f"z{number}"), "type": f"k{number}"}), known
+        )
     assert len(known.zones) == len(known.kinds) == discovery.NAMES_MOST
     assert known.zone("a") == 0 and known.kind("std") == 0
--- a/tests/test_net_front.py
+++ b/tests/test_net_front.py
@@ -26,8 +26,8 @@
 from dykefold.admission.budget import Budget
 from dykefold.net import sidecar as engine
 from dykefold.net.downstream import connection as front
-from dykefold.net.memory_budget import MB, Memory
-from dykefold.net.peers import Peers
+from dykefold.net.memory_budget import MB, MemoryBudget
+from dykefold.net.peers import PeerChannel
 
 ID = b"X-Request-Id: ab\r\n"
 
@@ -177,8 +177,8 @@
 
 
 def test_bodies_are_bounded_all_together(tmp_path, monkeypatch):
-    monkeypatch.setattr(Memory, "LEAST", 3000)
-    monkeypatch.setattr(Memory, "MOST", 3000)
+    monkeypatch.setattr(MemoryBudget, "LEAST", 3000)
+    monkeypatch.setattr(MemoryBudget, "MOST", 3000)
 
     async def play():
         fake = await Fake(answer_ok).start()
@@ -263,7 +263,7 @@
         heard = []
 
         async def open_peer(index, peers):
-            peer = Peers(index, peers, None, lambda number, data: heard.append((number, data)))
+            peer = PeerChannel(index, peers, None, lambda number, data: heard.append((number, data)))
             transport, _ = await loop.create_datagram_endpoint(lambda: peer, local_addr=(HOST, 0))
             return peer, transport.get_extra_info("sockname")
 
@@ -289,7 +289,7 @@
         budget = Budget(sockets)
         assert budget.clients > budget.usable == sockets // 3  # what clients hold at most for requests
         assert budget.upstreams.most > sockets / 3
-    assert Memory(32 * MB).most <= 4 * MB and Memory(192 * MB).most == Memory.MOST
+    assert MemoryBudget(32 * MB).most <= 4 * MB and MemoryBudget(192 * MB).most == MemoryBudget.MOST
 
 
 def test_silent_clients_go_first_and_leave_room_for_attempts(tmp_path):
--- a/tests/test_net_hostile.py
+++ b/tests/test_net_hostile.py
@@ -11,10 +11,10 @@
 from hypothesis import strategies as st
 from net_helpers import MS, WAIT, Sidecar, config, message, news, run, until
 
-from dykefold.net.downstream.connection import HEADERS_MOST, Front
+from dykefold.net.downstream.connection import HEADERS_MOST, ClientConnection
 from dykefold.net.downstream.request_parser import BODY_MOST
 from dykefold.net.read_scheduler import SLICE_BYTES, SLICES_A_TURN
-from dykefold.net.service.load_reports import Reports
+from dykefold.net.service.load_reports import LoadReportParser
 
 CALLS_A_BYTE = 1.5  # Python calls: the worst are requests of 18 bytes, with some twenty for each
 CALLS_AT_ONCE = 200  # ... and so many whatever comes
@@ -77,7 +77,7 @@
     """Give pieces to a front as a transport would; its wire, the front and the meter."""
     engine = sidecar.engine
     client, _ = engine.clients.admit("127.9.9.9")
-    front, wire, meter = Front(engine, client), Wire(), Meter()
+    front, wire, meter = ClientConnection(engine, client), Wire(), Meter()
     engine.clients.add(front)
     front.connection_made(wire)
     turn = engine.backlog._turn
@@ -175,7 +175,7 @@
 
 
 def test_a_report_of_many_pairs_is_not_read():
-    assert Reports(("rps",)).read(b"rps=1," + b"x=1," * 10000) == ()
+    assert LoadReportParser(("rps",)).read(b"rps=1," + b"x=1," * 10000) == ()
 
 
 def test_a_late_loop_is_told_once_with_what_ran(tmp_path, caplog):
--- a/tests/test_net_pool.py
+++ b/tests/test_net_pool.py
@@ -9,13 +9,13 @@
 from dykefold.admission.budget import Budget
 from dykefold.admission.rules import Admission, Share
 from dykefold.net.clock import Clock
-from dykefold.net.discovery.client import Names, read_news
-from dykefold.net.downstream.request_parser import Call
-from dykefold.net.loop_lag import Lag
-from dykefold.net.memory_budget import MB, Memory
-from dykefold.net.read_scheduler import Backlog
+from dykefold.net.discovery.client import NameTable, parse_endpoint_update
+from dykefold.net.downstream.request_parser import ParsedRequest
+from dykefold.net.loop_lag import LoopLagMonitor
+from dykefold.net.memory_budget import MB, MemoryBudget
+from dykefold.net.read_scheduler import ReadScheduler
 from dykefold.net.service.pool import Pool
-from dykefold.net.timer_wheel import Deadlines
+from dykefold.net.timer_wheel import TimerWheel
 from dykefold.settings import nested_settings, nested_transport
 from dykefold.system import SYSTEM
 
@@ -28,10 +28,10 @@
         self.system = SYSTEM
         self.clock = Clock()
         self.budget = Budget(256)
-        self.memory = Memory(64 * MB)
-        self.lag = Lag(self.loop)
-        self.backlog = Backlog(self.loop, self.lag)
-        self.deadlines = Deadlines(self.loop)
+        self.memory = MemoryBudget(64 * MB)
+        self.lag = LoopLagMonitor(self.loop)
+        self.backlog = ReadScheduler(self.loop, self.lag)
+        self.deadlines = TimerWheel(self.loop)
         self.peers = None
         self.over = []
 
@@ -59,14 +59,16 @@
 def make(home, *entries):
     data = config(news(1, *entries))
     settings, transport = nested_settings(data["settings"]), nested_transport(data["settings"])
-    names = Names(settings.zones, transport.kinds)
-    return Pool(home, settings, transport, 1, ("127.0.0.1", 9), names, read_news(data["known"], names))
+    names = NameTable(settings.zones, transport.kinds)
+    return Pool(
+        home, settings, transport, 1, ("127.0.0.1", 9), names, parse_endpoint_update(data["known"], names)
+    )
 
 
 def call(home, ident, within_ms, method=b"GET"):
     line = b"X-Request-Id: %s\r\n" % ident
     due = home.clock.now() + within_ms * MS
-    return Call(ident, method, b"/lookup/part", [line], b"", 0, 0, 0, due, due, 0, False, True)
+    return ParsedRequest(ident, method, b"/lookup/part", [line], b"", 0, 0, 0, due, due, 0, False, True)
 
 
 def test_a_pool_serves_and_guards_its_requests_without_a_node():
--- a/tests/test_net_requests.py
+++ b/tests/test_net_requests.py
@@ -280,7 +280,7 @@
             await until(lambda: fake.ended == 1, "its attempt is called off")
             engine = sidecar.engine
             await until(
-                lambda: not engine.pool.held and not engine.pool.attempts and not engine.pool.balancer.open
+                lambda: not engine.pool.held and not engine.pool.attempts and not engine.pool.balancer.pending
             )
             assert not engine.clients.all
             (server,) = engine.pool.balancer.servers.values()
--- a/tests/test_net_upstream.py
+++ b/tests/test_net_upstream.py
@@ -13,16 +13,18 @@
 
 from dykefold.admission.budget import Allowance
 from dykefold.balancer.events import State, Status
-from dykefold.net.memory_budget import MB, Memory
-from dykefold.net.timer_wheel import Deadlines
+from dykefold.net.memory_budget import MB, MemoryBudget
+from dykefold.net.timer_wheel import TimerWheel
 from dykefold.net.upstream import connection_pool as upstream
-from dykefold.net.upstream.connection_pool import Exchange, Upstreams
+from dykefold.net.upstream.connection_pool import ConnectionPool, Exchange
 
 PAYLOAD = b"GET /lookup HTTP/1.1\r\nX-Request-Id: ab\r\n\r\n"
 
 
 def make(address, connect_timeout=5.0, limit=1024, idle=60.0):
-    pool = Upstreams(asyncio.get_running_loop(), Allowance(limit), Memory(192 * MB), connect_timeout, idle)
+    pool = ConnectionPool(
+        asyncio.get_running_loop(), Allowance(limit), MemoryBudget(192 * MB), connect_timeout, idle
+    )
     pool.update(1, address, 0, State.READY)
     return pool
 
@@ -264,7 +266,7 @@
             raise OSError(errno.EMFILE, "Too many open files")
 
         monkeypatch.setattr(upstream.socket, "socket", exhausted)
-        assert await start(pool)[1] == (Status.MOOT, None)  # it says nothing of the server
+        assert await start(pool)[1] == (Status.NOT_ATTEMPTED, None)  # it says nothing of the server
         monkeypatch.setattr(upstream.socket, "socket", real)
         assert (await start(pool)[1])[0] is Status.OK
         pool.close()
@@ -284,7 +286,7 @@
         waits = [start(pool, 2)[1] for _ in range(8)]
         await until(lambda: len(other.got) == 8)
         assert not pool.targets[1].idle and pool.allowance.held == 8
-        assert await start(pool, 2)[1] == (Status.MOOT, None)
+        assert await start(pool, 2)[1] == (Status.NOT_ATTEMPTED, None)
         assert not any(end.done() for end in waits)
         pool.close()
         for end in waits:
@@ -515,7 +517,7 @@
     """Guards the memory: each request makes and empties the bucket of its tick."""
 
     async def play():
-        deadlines = Deadlines(asyncio.get_running_loop())
+        deadlines = TimerWheel(asyncio.get_running_loop())
         rung = []
         items = [Exchange(b"", lambda _, status, answer: rung.append(status), 1) for _ in range(1000)]
         for item in items:
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -6,7 +6,7 @@
 from helpers import MS, SECOND, START, endpoint, make, play_timers, request, settings
 
 from dykefold import Balancer
-from dykefold.balancer.actions import Refuse, Send, SetTimer, Tell
+from dykefold.balancer.actions import Refuse, Send, SendToPeer, SetTimer
 from dykefold.balancer.events import ListKind, Membership, Outcome, PeerMessage, Request, Status, Timer
 from dykefold.balancer.settings import Effect, RequestClass, Tenant
 
@@ -263,7 +263,7 @@
     balancer = Balancer(config, 1)
     balancer.handle(START, Membership(ListKind.FULL, 1, [endpoint(n) for n in range(4)]))
     feed = Feed(balancer, START)
-    told = [a.data for _, a in feed.run(5, 20, fast, tenant=lambda n: 0) if isinstance(a, Tell)]
+    told = [a.data for _, a in feed.run(5, 20, fast, tenant=lambda n: 0) if isinstance(a, SendToPeer)]
     assert told
     balancer.handle(feed.now, PeerMessage(1, told[-1][:3]))
     balancer.handle(feed.now, PeerMessage(1, told[-1]))
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -23,7 +23,7 @@
     space = {}
     exec(code, space)
     assert space["send"].server in (1, 2, 3)
-    assert not space["balancer"].open
+    assert not space["balancer"].pending
 
 
 BALANCER = sorted((ROOT / "dykefold" / "balancer").glob("*.py"))
@@ -137,7 +137,7 @@
         if ident % 50 == 0:
             entries = [endpoint(ident + n) for n in range(6)]
             balancer.handle(when, Membership(ListKind.FULL, ident, entries))
-            sizes.append((len(balancer.servers), len(balancer.timers.heap), len(balancer.open)))
+            sizes.append((len(balancer.servers), len(balancer.timers.heap), len(balancer.pending)))
 
     _drive(balancer, now, 4000, roll)
     assert max(size[0] for size in sizes) <= 60
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -13,7 +13,7 @@
 from dykefold.balancer.actions import Cancel, Fail, Probe, Refuse, Send, SetTimer
 from dykefold.balancer.attempt_rules import AttemptRules
 from dykefold.balancer.events import (
-    Dropped,
+    ClientDisconnected,
     ListKind,
     Membership,
     Outcome,
@@ -162,7 +162,7 @@
             return None
         self.ended.add(ident)
         self.checker.requests[ident][2] = True
-        return Dropped(ident)
+        return ClientDisconnected(ident)
 
     def change_list(self):
         rng = self.rng
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,7 +5,7 @@
 from dykefold import Balancer
 from dykefold.balancer.actions import Cancel, Fail, Refuse, Send, SetTimer, Watch
 from dykefold.balancer.events import (
-    Dropped,
+    ClientDisconnected,
     ListKind,
     Membership,
     Outcome,
@@ -49,8 +49,8 @@
     balancer, now = make(effect=Effect.SAFE)
     first = send_one(balancer, now, 1)
     actions = balancer.handle(now + MS, Outcome(1, 0, first.server, Status.FULL, MS, False))
-    balancer.handle(now + MS, Dropped(1))
-    balancer.handle(now + MS, Dropped(1))
+    balancer.handle(now + MS, ClientDisconnected(1))
+    balancer.handle(now + MS, ClientDisconnected(1))
     done = play_timers(balancer, now + MS, actions, now + 3 * SECOND)
     assert not [a for _, a in done if isinstance(a, Send | Refuse | Fail)]
 
@@ -251,7 +251,7 @@
     for event in (
         Outcome(99, 0, 12345, Status.OK, MS, True),
         Outcome(99, 3, 100, Status.TIMEOUT, MS, False),
-        Dropped(98),
+        ClientDisconnected(98),
         StreamStarted(97, 0, 12345, MS),
         ProbeResult(12345, Status.OK, MS),
         PeerMessage(1, b"\xff"),
--- a/tests/test_syscalls_upstream.py
+++ b/tests/test_syscalls_upstream.py
@@ -37,12 +37,12 @@
 from dykefold.balancer.actions import Fail, Refuse, Send
 from dykefold.balancer.events import Outcome, State, Status
 from dykefold.balancer.settings import Effect
-from dykefold.net.discovery.client import Discovery, Names
-from dykefold.net.memory_budget import MB, Memory
-from dykefold.net.peers import Peers
-from dykefold.net.sidecar import Engine
+from dykefold.net.discovery.client import DiscoveryClient, NameTable
+from dykefold.net.memory_budget import MB, MemoryBudget
+from dykefold.net.peers import PeerChannel
+from dykefold.net.sidecar import SidecarServer
 from dykefold.net.upstream import connection_pool as upstream
-from dykefold.net.upstream.connection_pool import Upstreams
+from dykefold.net.upstream.connection_pool import ConnectionPool
 
 OWN = [
     errno.EADDRNOTAVAIL, errno.EADDRINUSE, errno.ENOBUFS, errno.ENOMEM, errno.ENETUNREACH, errno.ENETDOWN,
@@ -53,8 +53,13 @@
 
 
 def make(address, system, connect_timeout=0.25):
-    pool = Upstreams(
-        asyncio.get_running_loop(), Allowance(64), Memory(192 * MB), connect_timeout, 60.0, system=system
+    pool = ConnectionPool(
+        asyncio.get_running_loop(),
+        Allowance(64),
+        MemoryBudget(192 * MB),
+        connect_timeout,
+        60.0,
+        system=system,
     )
     pool.update(1, address, 0, State.READY)
     return pool
@@ -74,7 +79,10 @@
         fake, system = await Fake(answer_ok).start(), FaultySystem()
         pool = make((HOST, fake.port), system)
         system.faults.on("connect", number, times=1)
-        assert await start(pool)[1] == (Status.MOOT if number in OWN else Status.CONNECT_FAILED, None)
+        assert await start(pool)[1] == (
+            Status.NOT_ATTEMPTED if number in OWN else Status.CONNECT_FAILED,
+            None,
+        )
         assert (await start(pool)[1])[0] is Status.OK
         await nothing_left(pool, system)
 
@@ -112,7 +120,7 @@
         fake, system = await Fake(answer_ok).start(), FaultySystem()
         pool = make((HOST, fake.port), system)
         system.faults.on("socket", number, times=1)
-        assert await start(pool)[1] == (Status.MOOT, None)
+        assert await start(pool)[1] == (Status.NOT_ATTEMPTED, None)
         assert (await start(pool)[1])[0] is Status.OK
         await nothing_left(pool, system)
 
@@ -166,7 +174,7 @@
         pool = make(address, system)
         try:
             end = start(pool)[1]
-            assert await end == (Status.MOOT, None)
+            assert await end == (Status.NOT_ATTEMPTED, None)
         finally:
             give_back()
         if lack is descriptors_run_out:
@@ -183,7 +191,7 @@
         fake, system = await Fake(answer_ok).start(), FaultySystem()
         pool = make((HOST, fake.port), system)
         system.faults.on("setsockopt", errno.ENOBUFS, after=2)
-        assert await start(pool)[1] == (Status.MOOT, None)
+        assert await start(pool)[1] == (Status.NOT_ATTEMPTED, None)
         assert not system.open_ones() and not pool.allowance.held
         system.faults.clear()
         gc.collect()  # of what asyncio's loop still knows by the descriptor's number
@@ -303,7 +311,7 @@
         system.faults.on("send", number)
         status, answer = await start(pool, payload=b"GET /lookup HTTP/1.1\r\nX-Request-Id: a\r\n\r\n")[1]
         # All before its last byte had gone: it may have left with the write that failed.
-        never = Status.CONNECT_FAILED if number in PATHS else Status.MOOT
+        never = Status.CONNECT_FAILED if number in PATHS else Status.NOT_ATTEMPTED
         assert (status, answer) == (Status.RESET if taken == 40 else never, None)
         assert not fake.got
         await nothing_left(pool, system)
@@ -373,8 +381,8 @@
         ran = {int(got.headers["x-request-id"]) for got in fake.got}
         for number, end in enumerate(ends):
             status, _ = end.result()
-            assert status in (Status.OK, Status.MOOT, Status.CONNECT_FAILED, Status.RESET)
-            if status in (Status.MOOT, Status.CONNECT_FAILED):
+            assert status in (Status.OK, Status.NOT_ATTEMPTED, Status.CONNECT_FAILED, Status.RESET)
+            if status in (Status.NOT_ATTEMPTED, Status.CONNECT_FAILED):
                 never += 1
                 assert number not in ran, status
         assert never and not problems and sum(system.faults.made.values()) > 50
@@ -452,7 +460,9 @@
 
         fakes = [await Fake(act).start() for _ in range(6)]
         system = FaultySystem()
-        monkeypatch.setattr("dykefold.__main__.Engine", functools.partial(Engine, system=system))
+        monkeypatch.setattr(
+            "dykefold.__main__.SidecarServer", functools.partial(SidecarServer, system=system)
+        )
         entries = [entry(f"s{at}", fake.address) for at, fake in enumerate(fakes)]
         async with Sidecar(tmp_path / "c", config(news(1, *entries))) as sidecar:
             warm = await ask_through(sidecar, 40, 0.01)
@@ -500,7 +510,9 @@
         addresses = [sock.getsockname() for sock in socks]
         peers = [*addresses, closed.getsockname(), *UNSENDABLE]
         closed.close()
-        ends = [Peers(at, peers, ("255.255.255.255", 9), lambda *what: heard.append(what)) for at in (0, 1)]
+        ends = [
+            PeerChannel(at, peers, ("255.255.255.255", 9), lambda *what: heard.append(what)) for at in (0, 1)
+        ]
         for end, sock in zip(ends, socks, strict=True):
             await loop.create_datagram_endpoint(lambda end=end: end, sock=sock)
         for _ in range(20):
@@ -535,7 +547,7 @@
             if self.sent < 3:
                 raise OSError(number, "no")
 
-    peers = Peers(0, [(HOST, 1), (HOST, 2)], None, lambda *_: None)
+    peers = PeerChannel(0, [(HOST, 1), (HOST, 2)], None, lambda *_: None)
     peers.transport = Refusing()
     for _ in range(3):
         peers.tell(b"x", 1)
@@ -554,8 +566,8 @@
             writer.close()
 
         fake, system, heard = await Fake(act).start(), FaultySystem(), []
-        discovery = Discovery(
-            asyncio.get_running_loop(), (HOST, fake.port), Names([], []), 1, heard.append, pushed, system
+        discovery = DiscoveryClient(
+            asyncio.get_running_loop(), (HOST, fake.port), NameTable([], []), 1, heard.append, pushed, system
         )
 
         def hear(told):
@@ -582,7 +594,7 @@
     action = send_one(balancer, now, 1)
     tokens, sends, deadline = balancer.retries.budget, [], now + 4 * SECOND
     for number in range(100):
-        actions = balancer.handle(now, Outcome(1, number, action.server, Status.MOOT, 0, False))
+        actions = balancer.handle(now, Outcome(1, number, action.server, Status.NOT_ATTEMPTED, 0, False))
         later = [(now, one) for one in actions] + play_timers(balancer, now, actions, deadline)
         ends = [(at, one) for at, one in later if isinstance(one, Send | Refuse | Fail)]
         assert len(ends) == 1 and ends[0][0] >= now
@@ -592,4 +604,4 @@
         sends.append(now)
     assert isinstance(action, Refuse) and 4 <= len(sends) <= 20
     assert all(later > earlier for earlier, later in itertools.pairwise(sends))
-    assert balancer.retries.budget >= tokens and not balancer.endpoints.ejected and not balancer.inflight
+    assert balancer.retries.budget >= tokens and not balancer.endpoints.ejected and not balancer.in_flight
--- a/tests/test_wear.py
+++ b/tests/test_wear.py
@@ -97,7 +97,7 @@
         sidecar, ident, sent = item
         self.workers[server].running -= 1
         self.begin(server)
-        open_ = self.balancers[sidecar].open.get(ident)
+        open_ = self.balancers[sidecar].pending.get(ident)
         took = self.now - sent
         self.served += open_ is not None and took <= open_.spec.objective_ns
         self.tell(sidecar, Outcome(ident, 0, server, Status.OK, took, open_ is not None))
