--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -1,18 +1,20 @@
 """Upgrades of one sidecar under load, alone and under each fault between its two processes.
 
 `python -m benchmarks.upgrade [N]`: N upgrades of each kind (20), a line each. `--orders`: the search of the
-hand-over's orders with three processes instead, some minutes.
+hot restart's orders with three processes instead, some minutes. `--with TREE`: each process runs the program
+of this checkout and of TREE in turn, so that each version takes over from the other.
 """
 
 from __future__ import annotations
 
-import sys
+import argparse
 import tempfile
 import time
 from pathlib import Path
 
 import uvloop
 
+from dykefold.lab.fleet.process import OWN_TREE
 from dykefold.lab.fleet.upgrades import FAULTS, measure
 from dykefold.sim.explore import explore
 from dykefold.sim.upgrades import Model
@@ -20,12 +22,12 @@
 COUNTED = ("served", "refused", "failed", "late", "crossed", "unsent")
 
 
-def upgrades(count: int) -> None:
+def upgrades(count: int, trees: tuple[Path, ...]) -> None:
     heads = ("requests", *COUNTED, "lost", "excused", "rules", "gap s", "MB", "descriptors")
     print(f"| {count} upgrades | " + " | ".join(heads) + " |")
     for fault in FAULTS:
         with tempfile.TemporaryDirectory() as folder:
-            row = uvloop.run(measure(Path(folder), fault, count))
+            row = uvloop.run(measure(Path(folder), fault, count, trees=trees))
         counts, verdict = row.verdict.counts, row.verdict
         cells = [sum(counts.values()), *(counts.get(end, 0) for end in COUNTED)]
         cells += [len(verdict.lost), verdict.excused, len(verdict.violations)]
@@ -44,8 +46,18 @@
         print(f"{found.states} states, {found.moves} moves, wrong: {found.wrong}, {took_s:.0f} s", flush=True)
 
 
-if __name__ == "__main__":
-    if "--orders" in sys.argv:
+def main() -> None:
+    """Read the command line."""
+    parser = argparse.ArgumentParser()
+    parser.add_argument("count", type=int, nargs="?", default=20, help="upgrades of each kind")
+    parser.add_argument("--orders", action="store_true", help="search the orders of three processes instead")
+    parser.add_argument("--with", dest="tree", type=Path, help="a checkout of another version")
+    options = parser.parse_args()
+    if options.orders:
         orders()
     else:
-        upgrades(int(sys.argv[1]) if len(sys.argv) > 1 else 20)
+        upgrades(options.count, (OWN_TREE, options.tree.resolve()) if options.tree is not None else ())
+
+
+if __name__ == "__main__":
+    main()
--- a/dykefold/lab/fleet/member.py
+++ b/dykefold/lab/fleet/member.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from ..scenario import ClassTable
-from .process import DESCRIPTORS_APART, Address, Peak, Process
+from .process import DESCRIPTORS_APART, OWN_TREE, Address, Peak, Process
 
 MS = 1_000_000
 EFFECTS = {"safe": "pure", "keyed": "token", "unsafe": "side_effect"}
@@ -118,6 +118,7 @@
         self.processes: list[Process] = []
         self.spare: Process | None = None  # ready to become the next one
         self.clock_s = 0.0  # how far the clock on the wall is off for those that are prepared from now on
+        self.trees: tuple[Path, ...] = (OWN_TREE,)  # checkouts whose programs its processes run, in turn
         self.peak = Peak()  # of all its processes together
         (folder / "tmp").mkdir(exist_ok=True)
 
@@ -138,7 +139,8 @@
                 service.write_text(self.service)
                 environment["DYKEFOLD_SERVICE"] = str(service)
             descriptors = self.data["limits"]["sockets"] + DESCRIPTORS_APART
-            self.spare = Process(environment, descriptors, self.clock_s)
+            tree = self.trees[len(self.processes) % len(self.trees)]
+            self.spare = Process(environment, descriptors, self.clock_s, tree)
             await self.spare.prepare()
 
     async def start(self, **more: Any) -> Process:
--- a/dykefold/lab/fleet/process.py
+++ b/dykefold/lab/fleet/process.py
@@ -13,7 +13,8 @@
 from pathlib import Path
 
 LISTENS = re.compile(r"listens at ([\d.]+):(\d+)")
-DOOR = re.compile(r"the door is at ([\d.]+):(\d+)")
+# Of earlier versions too: a rig may play one beside the other.
+DOOR = re.compile(r"(?:the door is at|admin API listens on) ([\d.]+):(\d+)")
 LINES_KEPT = 400  # of its log, the last ones
 START_S = 30.0  # until it listens: 200 of them start on few cores
 DESCRIPTORS_APART = 64  # that a process may have beyond what it was told: interpreter, loop, files it reads
@@ -32,6 +33,9 @@
     """The program ended or did not listen in time; the text has what it said last."""
 
 
+OWN_TREE = Path(__file__).parents[3]
+
+
 @dataclass(slots=True)
 class Peak:
     """The most that was seen of a process, or of several together."""
@@ -48,7 +52,11 @@
     """One life of the program."""
 
     def __init__(
-        self, environment: dict[str, str], descriptors: int | None = None, clock_s: float = 0.0
+        self,
+        environment: dict[str, str],
+        descriptors: int | None = None,
+        clock_s: float = 0.0,
+        tree: Path = OWN_TREE,
     ) -> None:
         """Prepare.
 
@@ -56,8 +64,10 @@
             environment: beside the caller's own, with `GW_CONFIG`.
             descriptors: that the system lets it have; None for the caller's limit.
             clock_s: how far its clock on the wall is off.
+            tree: the checkout whose program it runs.
         """
         self.clock_s = clock_s
+        self.tree = tree
         self.environment = environment
         self.descriptors = descriptors
         self.lines: deque[str] = deque(maxlen=LINES_KEPT)
@@ -96,7 +106,7 @@
             "-c",
             line,
             sys.executable,
-            cwd=Path(__file__).parents[3],
+            cwd=self.tree,
             env={**environment, **self.environment},
             stdin=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.PIPE,
--- a/dykefold/lab/fleet/upgrades.py
+++ b/dykefold/lab/fleet/upgrades.py
@@ -114,8 +114,20 @@
     memory_mb: int = 192,
     sockets: int = 512,
     seed: int = 1,
+    trees: tuple[Path, ...] = (),
 ) -> AsyncIterator[World]:
-    """A sidecar that serves under load; the load ends, and all is let go of, behind it."""
+    """A sidecar that serves under load; the load ends, and all is let go of, behind it.
+
+    Args:
+        folder: that the sidecar's processes share.
+        rate: requests a second.
+        new_share: fraction of the requests that come on new connections.
+        servers: endpoints.
+        memory_mb: limit of the sidecar.
+        sockets: limit of the sidecar.
+        seed: of the load.
+        trees: checkouts whose programs its processes run, in turn; none for this one.
+    """
     scenario = Scenario(
         [ServerTable("std", count=servers, cores=4)], CLASSES, LoadTable(rate=rate), seed=seed, span_s=60.0
     )
@@ -136,6 +148,7 @@
         "settings": settings(CLASSES, ["a", "b"]),
     }
     member = Member(0, folder, data)
+    member.trees = trees or member.trees
     desk = Desk(0, CLASSES, rate, generator(seed, "desk"), new_share)
     watch: asyncio.Task[None] | None = None
     try:
@@ -294,9 +307,11 @@
     descriptors: int
 
 
-async def measure(folder: Path, fault: str, upgrades: int, seed: int = 1) -> Row:
+async def measure(
+    folder: Path, fault: str, upgrades: int, seed: int = 1, trees: tuple[Path, ...] = ()
+) -> Row:
     """Play one kind of upgrade again and again under load, each from a sidecar of one process."""
-    async with world(folder, seed=seed) as it:
+    async with world(folder, seed=seed, trees=trees) as it:
         for _ in range(upgrades):
             await FAULTS[fault](it)
             await it.serves_on()
