--- a/dykefold/net/downstream/arrivals.py
+++ b/dykefold/net/downstream/arrivals.py
@@ -1,28 +1,39 @@
-"""When bytes had come that are read later than they come, since their reader waits. No I/O.
+"""Arrival times of bytes that are parsed later than they arrive, since reading is paused. No I/O.
 
-A client's time counts from the last byte of its request. While reading is paused behind requests that wait,
-what comes stays in the kernel; so it is counted there now and then, and what was not there at one count
-came after it, at the earliest.
+A client's deadline counts from the last byte of its request. While reading is paused behind requests that
+wait, arriving bytes stay in the kernel. They are counted there now and then: a byte that was not there at one
+count arrived after it, at the earliest.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-MARKS_MOST = 64  # counts that are remembered; beyond these the latest replaces the one before it
+MARKS_MOST = 64  # further ones replace the latest
 
 
 class Arrivals:
-    """Counts of one connection's bytes, nanoseconds on the clock that deadlines are told in."""
+    """Counts of one connection's bytes, with times in nanoseconds on the clock of deadlines.
+
+    Attributes:
+        read: Bytes that were parsed so far.
+        marks: Time of each count, and how many bytes had arrived by then in all.
+    """
 
     __slots__ = ("marks", "read")
 
     def __init__(self) -> None:
-        self.read = 0  # bytes that were read and understood so far
-        self.marks: deque[tuple[int, int]] = deque()  # when, and how many bytes had come by then
+        """Begin with nothing read or counted."""
+        self.read = 0
+        self.marks: deque[tuple[int, int]] = deque()
 
     def mark(self, now_ns: int, unread: int) -> None:
-        """So many bytes have come by now beside those that were read."""
+        """Record a count.
+
+        Args:
+            now_ns: When it was made.
+            unread: Bytes that had arrived by then and were not parsed.
+        """
         came = self.read + unread
         marks = self.marks
         if len(marks) > 1 and (marks[-1][1] == came or len(marks) >= MARKS_MOST):
@@ -30,13 +41,13 @@
         marks.append((now_ns, came))
 
     def came_ns(self, live: bool) -> int:
-        """The earliest moment at which the byte behind those that were read can have come.
+        """Return the earliest time at which the next byte to be parsed can have arrived.
 
         Args:
-            live: reading goes on: what was in no count has just come.
+            live: Reading is not paused: what was in no count has just arrived.
 
         Returns:
-            The time of a count; 0 if it comes just now.
+            The time of a count in nanoseconds; 0 if the byte arrives just now.
         """
         marks = self.marks
         while len(marks) > 1 and marks[1][1] <= self.read:
--- /dev/null
+++ b/dykefold/net/downstream/connection_state.py
@@ -0,0 +1,247 @@
+"""The state of a client's connection, and the hooks by which its two halves call each other.
+
+A connection is one object in layers, each with one job: `ConnectionState` (this module) holds the fields,
+`ResponseWriter` writes answers, `RequestReader` reads requests, and `ClientConnection` owns the lifecycle.
+The layers are classes in one line of inheritance rather than objects of their own: the transport and the
+parser call bound methods of one object, and a small request pays for no delegation.
+
+Three aspects are independent of each other; the fields that define each state are in parentheses.
+
+Lifecycle, in this order, where states may be left out:
+
+| state | fields | next |
+| --- | --- | --- |
+| accepted, no transport yet | `sock` set, `transport` None | open; closing (`close`) |
+| open | `transport` set | half-closed; lingering; closing |
+| half-closed by the client, awaiting answers | `half_closed` | lingering; closing |
+| lingering: own side ended, input discarded | `linger_s` > 0, `deaf` | closing |
+| closing: aborted, or refusal being flushed | `closing` | closed |
+| closed | `closed` | |
+
+Input:
+
+| state | fields | next |
+| --- | --- | --- |
+| between messages | none of those below | in a message |
+| in a message | `message_begun` (`in_body` behind its headers) | between messages; in an upload; discarded |
+| in an upload: a body passed on as it comes | `upload` | between messages; discarded |
+| discarded: the start of a next message is unknown | `deaf` | |
+
+Reading may be paused in each of these (`paused`); bytes that were read but not parsed are in `unfed`, and
+`scheduled` says that the read scheduler has the connection.
+
+Output:
+
+| state | fields | next |
+| --- | --- | --- |
+| idle | `current` None, `waiting` empty | serving |
+| serving: one request, others wait in `waiting` | `current` | idle; streaming |
+| streaming: the answer's body follows in pieces | `current`, `response_source` | idle |
+
+In each of these the client may leave bytes unread (`unread`); no further request is then dispatched.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections import deque
+from dataclasses import dataclass
+
+import httptools
+
+from ...admission.rules import Client
+from ...system import Watch
+from ..streaming import Upload
+from .arrivals import Arrivals
+from .protocols import FlowControlled, RequestHandler
+from .request_parser import ParsedRequest, RequestError
+
+MAX_HEADERS_BYTES = 32 * 1024
+
+
+@dataclass(slots=True)
+class ReadinessCheck:
+    """A client's question whether this sidecar accepts requests.
+
+    Attributes:
+        keep_alive: Whether the client wants the connection to stay open.
+    """
+
+    keep_alive: bool
+
+
+class ConnectionState:
+    """The fields of one client's connection.
+
+    Attributes:
+        client: The client's entry in the table of open connections.
+        current: The request that is being served.
+        waiting: What was read and waits for its turn, in order.
+        messages: Whole messages so far.
+        paused: Nothing is read until some of what waits is answered.
+        deaf: Input is discarded, since where a next message begins is unknown.
+        unread: The client leaves answers unread.
+        closed: The connection is lost.
+    """
+
+    # More than 30 attributes would not share their keys, and each look-up would cost a hash (CPython 3.11).
+    __slots__ = (
+        "__weakref__",
+        "arrivals",
+        "arrived_ns",
+        "body",
+        "body_bytes",
+        "client",
+        "closed",
+        "closing",
+        "current",
+        "deaf",
+        "dispatching",
+        "duplicate_header",
+        "end",
+        "engine",
+        "final_chunk",
+        "half_closed",
+        "header_lines",
+        "headers",
+        "in_body",
+        "keep_alive",
+        "linger_s",
+        "max_message_bytes",
+        "max_upload_bytes",
+        "message_begun",
+        "message_bytes",
+        "message_reserved_bytes",
+        "messages",
+        "parser",
+        "paused",
+        "reserved_bytes",
+        "response_source",
+        "scheduled",
+        "sock",
+        "stall_timer",
+        "target",
+        "transport",
+        "unfed",
+        "unread",
+        "upload",
+        "waiting",
+    )
+
+    def __init__(self, engine: RequestHandler, client: Client) -> None:
+        """Prepare a connection that was accepted.
+
+        Args:
+            engine: Accepts the requests.
+            client: The client's entry in the table of open connections.
+        """
+        self.engine = engine
+        self.client = client
+        self.parser = httptools.HttpRequestParser(self)
+        self.transport: asyncio.Transport | None = None
+        self.sock: socket.socket | None = None  # as it was accepted, until the transport has it
+        self.waiting: deque[ParsedRequest | ReadinessCheck | RequestError] = deque()
+        self.current: ParsedRequest | None = None
+        self.dispatching = False
+        self.deaf = False
+        self.closed = False
+        self.paused = False
+        self.unread = False
+        self.stall_timer: asyncio.TimerHandle | None = None
+        self.closing = False  # without a transport yet: it is aborted once it has one
+        self.half_closed = False  # the client has ended its side, and waits for answers
+        self.messages = 0
+        self.reserved_bytes = 0  # of the memory budget, for all pending messages
+        self.unfed: memoryview | None = None  # bytes that were read and wait to be parsed
+        self.scheduled = False  # in the read scheduler, to parse them
+        self.upload: Upload | None = None  # the body of the message that is being read, if it is passed on
+        self.max_upload_bytes = 0
+        self.response_source: FlowControlled | None = None  # of the answer that is being streamed
+        self.final_chunk: bytes | None = None  # that ends this answer; None: it has a length
+        self.keep_alive = True  # the connection stays open after it
+        self.arrivals = Arrivals()
+        self.arrived_ns = 0  # when the bytes being parsed arrived; 0: just now
+        self.end: Watch | None = None  # watches for the client's close, once needed
+        self.linger_s = 0.0  # to wait for the client's close after the own one; 0 before that
+        self._reset_message()
+
+    def _reset_message(self) -> None:
+        self.message_begun = False  # and not ended
+        self.duplicate_header = False
+        self.target = b""
+        self.headers: dict[bytes, bytes] = {}
+        self.header_lines: list[bytes] = []
+        self.body: bytes | bytearray = b""
+        self.body_bytes = 0
+        self.message_bytes = 0  # received, framing included
+        self.max_message_bytes = MAX_HEADERS_BYTES
+        self.message_reserved_bytes = 0  # of the memory budget, for this message
+        self.in_body = False
+
+    @property
+    def owes(self) -> bool:
+        """Whether a message has begun and not ended."""
+        return self.message_begun or self.upload is not None
+
+    @property
+    def idle(self) -> bool:
+        """Whether it can be closed without harm: nothing is pending, and input is not discarded."""
+        return not self.busy and not self.deaf
+
+    @property
+    def busy(self) -> bool:
+        """Whether a request is served or waits, or the client leaves bytes of an answer unread."""
+        return self.current is not None or bool(self.waiting) or self.unread
+
+    def calls(self) -> list[ParsedRequest]:
+        """Return its pending requests, in order."""
+        waiting = [item for item in self.waiting if isinstance(item, ParsedRequest)]
+        return waiting if self.current is None else [self.current, *waiting]
+
+    def _end_unfinished(self) -> None:
+        """Count the message no longer as unfinished by its client."""
+        self.engine.clients.free(self.client, self.message_reserved_bytes)
+
+    def _release(self, size: int) -> None:
+        """Return bytes to the memory budget."""
+        self.engine.memory.release(size)
+        self.reserved_bytes -= size
+
+    # Hooks: what one layer calls and a later one defines.
+
+    def accepted(self, sock: socket.socket) -> None:
+        """Note the accepted socket; its transport is still to be made."""
+        raise NotImplementedError
+
+    def asks(self) -> bool:
+        """Whether bytes of the client, or its end, are there that were not read yet."""
+        raise NotImplementedError
+
+    def close(self, reset: bool = False, flush: bool = False) -> None:
+        """Close the connection; see `ClientConnection.close`."""
+        raise NotImplementedError
+
+    def leave(self) -> None:
+        """Close while nothing of this client is open, unless something of it waits to be read."""
+        raise NotImplementedError
+
+    def give_way(self) -> None:
+        """Close for the sake of other clients."""
+        raise NotImplementedError
+
+    def refuse_rest(self, text: str) -> None:
+        """Reject the message that has begun, behind the answers to those before it."""
+        raise NotImplementedError
+
+    def expire(self) -> None:
+        """Reject the message that has not come to an end in time."""
+        raise NotImplementedError
+
+    def _dispatch_waiting(self) -> None:
+        """Serve what waits, one item at a time."""
+        raise NotImplementedError
+
+    def _shut_down(self) -> None:
+        """End the connection behind the last answer."""
+        raise NotImplementedError
--- /dev/null
+++ b/dykefold/net/downstream/protocols.py
@@ -0,0 +1,98 @@
+"""What a client's connection needs of others: handler of requests, parser, source of a streamed answer."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Protocol
+
+from ...admission.clients import Clients
+from ...system import System
+from ..loop_lag import LoopLagMonitor
+from ..memory_budget import MemoryBudget
+from ..read_scheduler import ReadScheduler
+from .request_parser import Message, ParsedRequest
+
+if TYPE_CHECKING:
+    from .connection import ClientConnection
+
+
+class MessageReader(Protocol):
+    """Turns a whole message into a request, as `RequestParser` does."""
+
+    streams: bool  # whether larger bodies may be taken, each up to its request's `body_most`
+
+    def read(self, message: Message) -> ParsedRequest:
+        """Parse a message.
+
+        Raises:
+            RequestError: The message is answered here and never reaches an endpoint.
+        """
+        ...
+
+
+class FlowControlled(Protocol):
+    """The source of an answer that is passed on piece by piece."""
+
+    def block(self, on: bool) -> None:
+        """Pause the source, or let it go on.
+
+        Args:
+            on: Whether it pauses.
+        """
+        ...
+
+
+class RequestHandler(Protocol):
+    """Accepts requests and answers them; the sidecar, as a client's connection sees it."""
+
+    loop: asyncio.AbstractEventLoop
+    clients: Clients
+    memory: MemoryBudget
+    backlog: ReadScheduler
+    lag: LoopLagMonitor
+    grammar: MessageReader
+    draining: bool
+    handing: bool  # clients have a newer process to go to, and do so behind their next answer
+    taking: bool
+    half_close: bool  # a client that has ended its side may still wait for answers
+
+    @property
+    def monotonic(self) -> Callable[[], float]:
+        """The monotonic clock, in seconds."""
+        ...
+
+    @property
+    def system(self) -> System:
+        """The machine's clocks and sockets."""
+        ...
+
+    @property
+    def now(self) -> Callable[[], int]:
+        """The clock that deadlines are stated in, in nanoseconds."""
+        ...
+
+    def admit(self, front: ClientConnection, call: ParsedRequest) -> tuple[int, bytes, bytes] | None:
+        """Reserve what a request will need.
+
+        Returns:
+            None if it is admitted, else status code, header lines and text of its rejection.
+        """
+        ...
+
+    def take(self, front: ClientConnection, call: ParsedRequest) -> None:
+        """Accept an admitted request: `ClientConnection.answer`, or `begin_answer`, is called for it once."""
+        ...
+
+    def disconnected(self, front: ClientConnection, call: ParsedRequest | None) -> None:
+        """Note that the client's connection is lost.
+
+        Args:
+            front: The connection.
+            call: Its request that was being served, if any.
+        """
+        ...
+
+    def fault(self, text: str) -> None:
+        """Log the exception that is being handled, at a limited rate."""
+        ...
--- a/dykefold/net/downstream/request_parser.py
+++ b/dykefold/net/downstream/request_parser.py
@@ -20,18 +20,30 @@
 STREAM_MOST = 40 * 1024 * 1024  # bytes of a body or an answer that goes on as it comes
 DEADLINE = re.compile(rb"(\d{1,12}(?:\.\d{1,9})?)([mu])")
 DEADLINE_UNITS = {b"m": 1_000_000, b"u": 1_000}
-DEADLINES_MOST = 256  # that are remembered: clients send the same few again and again
+MAX_CACHED_DEADLINES = 256  # clients send the same few values
 COST = re.compile(rb"\d{1,12}(?:\.\d{1,9})?")
 
 
 class RequestError(Exception):
-    """A request that is answered here and never reaches the module."""
+    """A request that is answered here and never reaches an endpoint.
+
+    Attributes:
+        code: The HTTP status of its answer.
+        keep_alive: Whether the connection may stay open behind it.
+        head: Whether its answer has no body.
+    """
 
     def __init__(self, code: int, text: str) -> None:
+        """Describe the error.
+
+        Args:
+            code: The HTTP status of the answer.
+            text: The reason, for the client.
+        """
         super().__init__(text)
         self.code = code
         self.keep_alive = True
-        self.head = False  # its answer has no body
+        self.head = False
 
 
 class MalformedRequestError(RequestError):
@@ -40,13 +52,13 @@
 
 @dataclass(slots=True)
 class Message:
-    """A whole message of a client, not yet understood."""
+    """A whole message of a client, before it is parsed as a request."""
 
-    now: int  # on the clock, when its last byte was read
+    now: int  # when its last byte arrived: nanoseconds on the clock of deadlines
     method: bytes
     target: bytes
-    headers: dict[bytes, bytes]  # by lower-case name, the last where one comes more than once
-    lines: list[bytes]  # whole, as they go on
+    headers: dict[bytes, bytes]  # by lower-case name; the last value of a repeated one
+    lines: list[bytes]  # whole header lines, as they are forwarded
     body: bytes
     keep_alive: bool
     old: bool = False  # HTTP/1.0, where it matters
@@ -59,7 +71,7 @@
     ident: bytes  # as the client named it
     method: bytes
     target: bytes
-    headers: list[bytes]  # whole lines, as they go on
+    headers: list[bytes]  # whole lines, as they are forwarded
     body: bytes
     cls: int
     tenant: int
@@ -69,20 +81,24 @@
     cost_ns: int
     is_retry: bool
     keep_alive: bool
-    size: int = 0  # of what is held of it
-    ticket: int = 0  # the pool's number for it
-    pool: Any = None  # which takes it: a request keeps the one that it was read for
+    size: int = 0  # bytes reserved of the memory budget
+    ticket: int = 0  # the pool's number of it
+    pool: Any = None  # the service pool that serves it; kept when settings change
     manner: HttpProfile = HttpProfile.PLATFORM
-    told: bytes = b""  # header lines of its answer, whatever that is
+    told: bytes = b""  # header lines for its answer, whatever that is
     body_most: int = BODY_MOST  # bytes of a body that may come as a stream
     answer_most: int = 0  # likewise of an answer
     old: bool = False  # its client speaks HTTP/1.0
     upload: Upload | None = None  # the body, where it is passed on as it comes
 
 
-@lru_cache(maxsize=DEADLINES_MOST)
+@lru_cache(maxsize=MAX_CACHED_DEADLINES)
 def parse_deadline(value: bytes) -> int:
-    """Nanoseconds of an X-Deadline value; RequestError if it is none."""
+    """Return the nanoseconds of an X-Deadline value.
+
+    Raises:
+        RequestError: The value is malformed.
+    """
     match = DEADLINE.fullmatch(value.strip())
     if match is None:
         raise RequestError(400, "X-Deadline is no number with a unit m or u")
@@ -90,7 +106,7 @@
 
 
 class RequestParser:
-    """What the settings say of requests: which classes and tenants there are."""
+    """Parses requests by one version of the settings: its classes and tenants."""
 
     streams = True
 
@@ -101,22 +117,23 @@
         retired: Collection[int] = (),
         before: RequestParser | None = None,
     ) -> None:
-        """Take settings.
+        """Index the settings.
 
         Args:
-            pool: of which the requests are.
-            retired: numbers of classes that requests are not read as any more.
-            before: by which a request is read that does not fit these settings, while `lingers`.
+            settings: The classes and tenants.
+            pool: The service pool that serves the requests.
+            retired: Numbers of classes that are not accepted any more.
+            before: The parser of the previous settings, for requests that do not fit these, while `lingers`.
         """
         self.pool = pool
         self.specs = settings.classes
         self.classes = {spec.name.encode(): n for n, spec in enumerate(settings.classes) if n not in retired}
         self.tenants = {tenant.name.encode(): number for number, tenant in enumerate(settings.tenants)}
         self.before = before
-        self.until_ns = 0  # on the clock, for the one that comes after this
+        self.until_ns = 0  # until when the next parser may fall back on this one
 
     def lingers(self, now_ns: int, until_ns: int) -> RequestParser:
-        """Let what was written for these settings still be read until then; those before may go."""
+        """Let requests for these settings be parsed until `until_ns`; drop expired older parsers."""
         self.until_ns = until_ns
         grammar = self
         while grammar.before is not None:
@@ -127,7 +144,11 @@
         return self
 
     def read(self, message: Message) -> ParsedRequest:
-        """A request of the platform's dialect; RequestError where it is answered here."""
+        """Parse a message, by the previous settings if it does not fit the present ones.
+
+        Raises:
+            RequestError: The message is answered here and never reaches an endpoint.
+        """
         try:
             return self._read(message)
         except MalformedRequestError:
@@ -143,6 +164,10 @@
             raise
 
     def _read(self, message: Message) -> ParsedRequest:
+        """Parse a message by these settings alone.
+
+        One function for all headers, since each further call would be paid by every request.
+        """
         headers, method, target = message.headers, message.method, message.target
         path = target
         if not path.startswith(b"/"):  # the absolute form, as to a proxy
@@ -162,12 +187,12 @@
         ident = headers.get(b"x-request-id")
         if not ident:
             raise RequestError(400, "X-Request-Id is missing")
-        # Guards the rule on effects: without the key no server could drop a repeat.
+        # Without the key no endpoint could recognize a retry, and the effect could occur twice.
         if spec.effect is Effect.KEYED and not headers.get(b"idempotency-key"):
             raise MalformedRequestError(400, "Idempotency-Key is missing")
         wait = spec.deadline_ns
         if (value := headers.get(b"x-deadline")) is not None:
-            # The class's deadline covers all tries; a client that states more does not wait for it.
+            # The class's deadline covers all attempts; a client that states more does not wait for it.
             wait = min(wait, parse_deadline(value))
         tenant = 0
         if self.tenants and (value := headers.get(b"x-tenant")) is not None:
--- /dev/null
+++ b/dykefold/net/downstream/request_reader.py
@@ -0,0 +1,331 @@
+"""Requests of a client's connection: input in slices, limits, the parser's callbacks, message assembly."""
+
+from __future__ import annotations
+
+import httptools
+
+from ..read_scheduler import SLICE_BYTES, cut
+from ..streaming import BUFFER_BYTES, FRAMING_MOST, Upload
+from ..upstream.connection_pool import BLANKS, HOP_BY_HOP, gather
+from .connection_state import MAX_HEADERS_BYTES, ReadinessCheck
+from .request_parser import BODY_MOST, Message, ParsedRequest, RequestError
+from .response_writer import ResponseWriter
+
+MAX_HEADER_LINES = 256  # each costs some hundred bytes beside its own; the usual limit is 100
+MAX_MESSAGE_BYTES = 8 * BODY_MOST  # with the framing of many small chunks
+MAX_WAITING_REQUESTS = 16  # that a client may send ahead of their answers before it is read no further
+READY_TARGET = b"/-/ready"
+# Each may come once: of two values, two readers could each believe another one.
+SINGLE = frozenset(
+    (b"x-request-id", b"idempotency-key", b"x-deadline", b"x-key", b"x-tenant", b"transfer-encoding")
+)
+NOT_PASSED_ON = HOP_BY_HOP | {b"expect", b"x-deadline"}
+
+
+class RequestReader(ResponseWriter):
+    """The reading half of a client's connection."""
+
+    __slots__ = ()
+
+    def data_received(self, data: bytes) -> None:
+        """Parse the first slice at once; longer input waits for the read scheduler."""
+        if self.deaf or self.closed:
+            return
+        if len(data) <= SLICE_BYTES:
+            began_s = self.engine.monotonic()
+            self._parse(data)
+            self.engine.lag.took(began_s, "a client's message")
+            return
+        # The first slice may show that the rest is of no use, so that it need not be kept.
+        self._parse(data[:SLICE_BYTES])
+        if self.deaf or self.closed:
+            return
+        rest = memoryview(data)[SLICE_BYTES:]
+        if not self.engine.memory.reserve(len(rest)):
+            self._reject(503, "too much is held")
+            self._dispatch_waiting()
+            self.engine.clients.place(self)
+            return
+        self.unfed = rest
+        self._pause()
+        self._resume()
+
+    def feed_slice(self) -> bool:
+        """Parse the next slice; return whether another one can follow in the next turn of the loop."""
+        if self.closing:  # nobody is left to answer: nothing more may be accepted
+            self._drop_unfed()
+        if self.unfed is not None:
+            data, self.unfed = cut(self.unfed)
+            self.engine.memory.release(len(data))
+            self._parse(data)
+        if self.deaf:
+            self._drop_unfed()
+        self.scheduled = self.unfed is not None and not self._is_full()
+        if not self.scheduled:
+            self._resume()
+        return self.scheduled
+
+    def _drop_unfed(self) -> None:
+        """Discard the input that waits to be parsed."""
+        if self.unfed is not None:
+            self.engine.memory.release(len(self.unfed))
+            self.unfed = None
+
+    def _parse(self, data: bytes) -> None:
+        """Parse a slice; the parser calls the `on_...` methods meanwhile."""
+        self.message_bytes += len(data)
+        if self.arrivals.marks:
+            self.arrived_ns = self.arrivals.came_ns(not self.paused)
+        try:
+            self.parser.feed_data(data)
+        except httptools.HttpParserUpgrade:
+            self._reject(400, "upgrades are not known here")
+        except httptools.HttpParserCallbackError:
+            self.engine.fault("a request could not be read")
+            self._reject(400, "unreadable request")
+        except httptools.HttpParserError:
+            self._reject(400, "malformed request")
+        # The parser itself would buffer a header line of any length.
+        if self.message_bytes > self.max_message_bytes:
+            self._reject(431, "headers are too long")
+        self.arrivals.read += len(data)
+        if self.in_body:
+            self.engine.clients.progress(self.client, len(data))
+        self._dispatch_waiting()
+        self.engine.clients.place(self)
+
+    def expire(self) -> None:
+        """Reject the message that has not come to an end in time, behind the answers to those before it."""
+        if self.owes:
+            self._reject(408, "the request took too long to come")
+            self._dispatch_waiting()
+            self.engine.clients.place(self)
+        elif self.idle:
+            self.leave()
+
+    # Flow control
+
+    def _pause(self) -> None:
+        """Stop reading from the socket."""
+        if not self.paused and self.transport is not None:
+            self.paused = True
+            self.transport.pause_reading()
+            self._count_unread()
+            if self.upload is not None:
+                self.upload.stopped_ns = self.engine.now()
+
+    def _resume(self) -> None:
+        """Read on, beginning with what was read already, unless too much still has to be answered."""
+        if not self.paused:
+            return
+        self._count_unread()
+        if self._is_full() and not self.deaf:
+            return
+        if self.unfed is not None:
+            if not self.scheduled:
+                self.scheduled = True
+                self.engine.backlog.add(self)
+        elif self.transport is not None and not self.transport.is_closing():
+            self.paused = False
+            self.transport.resume_reading()
+            if self.upload is not None:
+                self.upload.resumed_ns = self.engine.now()
+
+    def _count_unread(self) -> None:
+        """Record how much has arrived unparsed: the deadlines of requests in it count from now."""
+        if self.transport is not None and not self.transport.is_closing():
+            sock = self.transport.get_extra_info("socket")
+            there = self.engine.system.unread(sock) if sock is not None else 0
+            unparsed = len(self.unfed) if self.unfed is not None else 0
+            self.arrivals.mark(self.engine.now(), unparsed + there)
+
+    def _is_full(self) -> bool:
+        """Whether no more may be read for now."""
+        return len(self.waiting) >= MAX_WAITING_REQUESTS or (self.upload is not None and self.upload.full)
+
+    # The parser's calls
+
+    def on_message_begin(self) -> None:
+        """Note the first byte of a message."""
+        self.message_begun = True
+
+    def on_url(self, url: bytes) -> None:
+        """Append to the request target."""
+        self.target += url
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """Keep a header, both by its name and as the line that is forwarded."""
+        if self.in_body:  # a trailer
+            return
+        low = name.lower()
+        # The parser does not know `chunked` with a tab behind it.
+        value = value.strip(b" " if low == b"transfer-encoding" else BLANKS)
+        headers = self.headers
+        if low in headers:
+            if low in SINGLE:
+                self.duplicate_header = True
+            elif low == b"host":
+                value = headers[low] + b", " + value  # no host: routes must not choose one of two
+        headers[low] = value
+        if low not in NOT_PASSED_ON:
+            self.header_lines.append(b"%b: %b\r\n" % (name, value))
+
+    def on_headers_complete(self) -> None:
+        """Check the limits of headers, and begin an upload if the announced body is too large to keep."""
+        self.in_body = True
+        self.max_message_bytes = MAX_MESSAGE_BYTES
+        headers = self.headers
+        size = sum(map(len, self.header_lines)) + len(self.target)
+        if size > MAX_HEADERS_BYTES or len(self.header_lines) > MAX_HEADER_LINES:
+            self._reject(431, "headers are too long")
+        elif b"transfer-encoding" in headers and headers[b"transfer-encoding"].lower() != b"chunked":
+            self._reject(501, "Transfer-Encoding must be chunked")
+        elif self._reserve(size):
+            expects = b"expect" in headers and headers[b"expect"].lower() == b"100-continue" and self.idle
+            if b"content-length" in headers and _exceeds_max_body(headers[b"content-length"]):
+                self._begin_upload(int(headers[b"content-length"]))
+            if expects and not self.deaf:
+                self._write(b"HTTP/1.1 100 Continue\r\n\r\n")
+
+    def on_body(self, data: bytes) -> None:
+        """Keep a piece of a body, or pass it on if the body is an upload."""
+        if self.deaf:
+            return
+        self.body_bytes += len(data)
+        if self.upload is not None:
+            self._feed_upload(self.upload, data)
+        elif self.body_bytes > BODY_MOST:
+            self._begin_upload(None)
+            if self.upload is not None:
+                self._feed_upload(self.upload, data)
+        elif self._reserve(len(data)):
+            self.body = gather(self.body, data)
+
+    def on_message_complete(self) -> None:
+        """Queue the message as a request, a readiness check or an error."""
+        if self.deaf:
+            return
+        if self.parser.should_upgrade():
+            self._reject(400, "upgrades are not known here")
+            return
+        if self.upload is not None:
+            upload, self.upload = self.upload, None
+            self._reset_message()
+            upload.finish(self.engine.now())
+            return
+        self.messages += 1
+        keep_alive = self.parser.should_keep_alive()
+        if self.target == READY_TARGET:
+            self.waiting.append(ReadinessCheck(keep_alive))
+            self._release(self.message_reserved_bytes)
+        else:
+            try:
+                call = self._build_request(bytes(self.body))
+                call.size = self.message_reserved_bytes
+                self.waiting.append(call)
+            except RequestError as problem:
+                problem.keep_alive = keep_alive
+                problem.head = self.parser.get_method() == b"HEAD"
+                self.waiting.append(problem)
+                self._release(self.message_reserved_bytes)
+        self._end_unfinished()
+        self._reset_message()
+        if len(self.waiting) >= MAX_WAITING_REQUESTS:
+            self._pause()
+
+    # Messages
+
+    def _build_request(self, body: bytes) -> ParsedRequest:
+        """Return the message as a request.
+
+        Raises:
+            RequestError: It is answered here and never reaches an endpoint.
+        """
+        if self.duplicate_header:
+            raise RequestError(400, "a header came twice")
+        return self.engine.grammar.read(
+            Message(
+                self.arrived_ns or self.engine.now(),
+                self.parser.get_method(),
+                self.target,
+                self.headers,
+                self.header_lines,
+                body,
+                self.parser.should_keep_alive(),
+                self.engine.grammar.streams and self.parser.get_http_version() == "1.0",
+            )
+        )
+
+    def _reserve(self, size: int) -> bool:
+        """Reserve memory for more of a message; reject the message if there is no capacity."""
+        if not self.engine.memory.reserve(size):
+            self._reject(503, "too much is held")
+            return False
+        if not self.engine.clients.hold(self.client, size):
+            self.engine.memory.release(size)
+            self._reject(429, "too much is unfinished from this address")
+            return False
+        self.reserved_bytes += size
+        self.message_reserved_bytes += size
+        return True
+
+    def _reject(self, code: int, text: str, head: bool = False) -> None:
+        """Queue an error as the last answer, and discard input: where a next message begins is unknown."""
+        if self.upload is not None and not self.deaf:
+            # Its request is accepted or waits, and gets this for its one answer.
+            self._fail_upload(self.upload, code, text)
+        if not self.deaf:
+            self.deaf = True
+            self.message_begun = False
+            self._end_unfinished()
+            self._release(self.message_reserved_bytes)
+            self.message_reserved_bytes = 0
+            self.body = b""
+            problem = RequestError(code, text)
+            problem.head = head
+            self.waiting.append(problem)
+
+    # Bodies that are passed on as they come
+
+    def _begin_upload(self, length: int | None) -> None:
+        """Queue a request whose body is too large to be kept: its bytes follow as they arrive."""
+        if not self.engine.grammar.streams:
+            self._reject(413, "the body is too large")
+            return
+        try:
+            call = self._build_request(b"")
+        except RequestError as problem:
+            self._reject(problem.code, str(problem), self.parser.get_method() == b"HEAD")
+            return
+        if (length or self.body_bytes) > call.body_most:
+            self._reject(413, "the body is too large")
+        elif self._reserve(max(BUFFER_BYTES - self.message_reserved_bytes, 0)):
+            self.upload = call.upload = Upload(length, bytes(self.body), self._resume)
+            self.body = b""
+            self.max_message_bytes = MAX_HEADERS_BYTES + FRAMING_MOST * call.body_most
+            self._end_unfinished()
+            self.message_begun = False
+            self.messages += 1
+            call.size, self.message_reserved_bytes = self.message_reserved_bytes, 0
+            self.max_upload_bytes = call.body_most
+            self.waiting.append(call)
+
+    def _feed_upload(self, upload: Upload, data: bytes) -> None:
+        """Pass on a piece of a body."""
+        if self.body_bytes > self.max_upload_bytes:
+            self._fail_upload(upload, 413, "the body is too large")
+            return
+        upload.feed(data)
+        if upload.full:
+            self._pause()
+
+    def _fail_upload(self, upload: Upload, code: int, text: str) -> None:
+        """Discard the rest of a body; its request, which is accepted or waits, is answered with this."""
+        self.deaf = True
+        self.upload = None
+        upload.spoil(code, text)
+
+
+def _exceeds_max_body(length: bytes) -> bool:
+    # The first digits suffice: the parser itself bounds how many there may be.
+    return length.isdigit() and int(length[:12]) > BODY_MOST
--- a/tests/sim/mutants.py
+++ b/tests/sim/mutants.py
@@ -36,7 +36,7 @@
     ),
     Mutant(
         "a request is answered twice",
-        "net/downstream/connection.py",
+        "net/downstream/response_writer.py",
         "        self._respond(code, headers, body, call.keep_alive, call.manner is HttpProfile.HEAD)\n",
         "        self._respond(code, headers, body, call.keep_alive, call.manner is HttpProfile.HEAD)\n" * 2,
         "parts",
@@ -90,9 +90,9 @@
     ),
     Mutant(
         "message memory is not given back",
-        "net/downstream/connection.py",
-        "        self.engine.memory.release(size)\n        self.held_size -= size",
-        "        self.held_size -= size",
+        "net/downstream/connection_state.py",
+        "        self.engine.memory.release(size)\n        self.reserved_bytes -= size",
+        "        self.reserved_bytes -= size",
         "parts",
     ),
     Mutant(
--- a/tests/test_net_front.py
+++ b/tests/test_net_front.py
@@ -25,7 +25,7 @@
 from dykefold.admission import rules
 from dykefold.admission.budget import Budget
 from dykefold.net import sidecar as engine
-from dykefold.net.downstream import connection as front
+from dykefold.net.downstream import request_parser, response_writer
 from dykefold.net.memory_budget import MB, MemoryBudget
 from dykefold.net.peers import PeerChannel
 
@@ -119,7 +119,7 @@
             chunks = b"3\r\nabc\r\n2\r\nde\r\n0\r\nX-Deadline: bad\r\n\r\n"
             data = raw(b"POST /order", ID + b"Transfer-Encoding: chunked\r\n", chunks)
             assert (await ask(sidecar.port, data)).body == b"abcde"
-            body = b"x" * front.BODY_MOST
+            body = b"x" * request_parser.BODY_MOST
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
             whole = message("order", "big", "3000m", body, "Expect: 100-continue")
             writer.write(whole[: -len(body)])
@@ -145,7 +145,7 @@
 
 def test_a_slow_reader_is_let_go_and_bounded(tmp_path, monkeypatch):
     """Guards the memory: what a client does not read is not piled up for it."""
-    monkeypatch.setattr(front, "SLOW_READER", 0.2)
+    monkeypatch.setattr(response_writer, "MAX_STALL_S", 0.2)
 
     async def play():
         async def big(message, reader, writer):
@@ -220,7 +220,7 @@
 
 def test_a_planned_end_cuts_no_answer_that_is_being_read(tmp_path, monkeypatch):
     """Guards answers on their way out when idle clients are closed."""
-    monkeypatch.setattr(front, "SLOW_READER", 60.0)
+    monkeypatch.setattr(response_writer, "MAX_STALL_S", 60.0)
 
     async def play():
         async def big(message, reader, writer):
