--- a/tests/test_client_closes.py
+++ b/tests/test_client_closes.py
@@ -65,14 +65,14 @@
 
 
 def begun(sidecar):
-    return [front for front in sidecar.engine.clients.all.values() if front.owes]
+    return [connection for connection in sidecar.engine.clients.all.values() if connection.owes]
 
 
 # Room for a newcomer
 
 
 @on_loop
-async def test_a_request_that_is_there_when_its_connection_is_to_make_room_is_served(tmp_path):
+async def test_a_request_that_is_there_when_its_connection_is_to_give_way_is_served(tmp_path):
     """Whose place a newcomer takes was closed whatever waited in its socket."""
     async with one_server(tmp_path, answer_ok) as (sidecar, fake):
         few_places(sidecar)
@@ -90,7 +90,7 @@
 
 @pytest.mark.parametrize("limit", ["places", "descriptors", "settings"])
 @on_loop
-async def test_when_all_have_come_back_nobody_makes_room(tmp_path, limit):
+async def test_when_all_have_sent_again_no_connection_gives_way(tmp_path, limit):
     async with one_server(tmp_path, answer_ok) as (sidecar, fake):
         few_places(sidecar)
         clients = sidecar.engine.clients
@@ -110,8 +110,8 @@
 
 
 @on_loop
-async def test_a_new_connection_with_its_request_there_makes_no_room(tmp_path):
-    """All places are taken by connections that were accepted in this turn: none has been read yet."""
+async def test_a_new_connection_with_its_request_there_does_not_give_way(tmp_path):
+    """All places are in use by connections that were accepted in this turn: none has been read yet."""
     async with one_server(tmp_path, answer_ok) as (sidecar, fake):
         few_places(sidecar)
         opened = []
@@ -146,7 +146,7 @@
 @pytest.mark.parametrize("cut", [False, True], ids=["in time", "all answered at once"])
 @pytest.mark.parametrize("after", [b"", b"GET /look"], ids=["whole", "and half"])
 @on_loop
-async def test_requests_that_were_sent_ahead_are_answered_before_a_planned_end_closes(tmp_path, after, cut):
+async def test_pipelined_requests_are_answered_before_a_graceful_shutdown_closes(tmp_path, after, cut):
     """The answer before them said `Connection: close`, and what was read behind it went with it."""
     go, act = gated()
     many = 3 * SLICE_BYTES // len(message("lookup", "id00"))  # beyond the slice that is parsed at once
@@ -169,7 +169,7 @@
 
 
 @on_loop
-async def test_a_request_in_the_socket_behind_the_last_answer_of_a_planned_end_is_served(tmp_path):
+async def test_a_request_in_the_socket_behind_the_last_answer_of_a_shutdown_is_served(tmp_path):
     go, act = gated()
     async with one_server(tmp_path, act) as (sidecar, fake):
         reader, writer = await asyncio.open_connection(HOST, sidecar.port)
@@ -178,8 +178,8 @@
         engine = sidecar.engine
         engine.draining = True
         engine._stop_taking()
-        front = next(iter(engine.clients.all.values()))
-        front._pause()  # or it is read at once
+        connection = next(iter(engine.clients.all.values()))
+        connection._pause()  # or it is read at once
         now(writer, message("order", "cd"))
         go.set()
         first = await read_message(reader)
--- a/tests/test_net_front.py
+++ b/tests/test_net_front.py
@@ -143,8 +143,8 @@
     run(play())
 
 
-def test_a_slow_reader_is_let_go_and_bounded(tmp_path, monkeypatch):
-    """Guards the memory: what a client does not read is not piled up for it."""
+def test_a_client_that_stops_reading_is_closed_and_its_memory_bounded(tmp_path, monkeypatch):
+    """Answers that a client does not read must not fill the memory."""
     monkeypatch.setattr(response_writer, "MAX_STALL_S", 0.2)
 
     async def play():
@@ -203,7 +203,7 @@
     run(play())
 
 
-def test_at_the_cap_idle_clients_make_room(tmp_path):
+def test_at_the_connection_limit_idle_clients_are_closed(tmp_path):
     async def play():
         fake = await Fake(answer_ok).start()
         data = config(news(1, entry("s1", fake.address)), limits={"sockets": 80})
@@ -218,8 +218,8 @@
     run(play())
 
 
-def test_a_planned_end_cuts_no_answer_that_is_being_read(tmp_path, monkeypatch):
-    """Guards answers on their way out when idle clients are closed."""
+def test_a_graceful_shutdown_cuts_no_answer_that_is_being_read(tmp_path, monkeypatch):
+    """A client that still reads its answer is not idle when idle clients are closed."""
     monkeypatch.setattr(response_writer, "MAX_STALL_S", 60.0)
 
     async def play():
@@ -284,7 +284,7 @@
     run(play())
 
 
-def test_the_share_of_clients_and_the_memory_follow_the_configuration():
+def test_the_client_quota_and_the_memory_follow_the_configuration():
     for sockets in (256, 384, 1024):
         budget = Budget(sockets)
         assert budget.clients > budget.usable == sockets // 3  # what clients hold at most for requests
@@ -292,8 +292,8 @@
     assert MemoryBudget(32 * MB).most <= 4 * MB and MemoryBudget(192 * MB).most == MemoryBudget.MOST
 
 
-def test_silent_clients_go_first_and_leave_room_for_attempts(tmp_path):
-    """Guards attempts: silent clients took every descriptor, and pooled connections were closed for them."""
+def test_silent_clients_are_closed_first_and_leave_descriptors_for_attempts(tmp_path):
+    """Silent clients once used every descriptor, and pooled connections were closed for them."""
 
     async def play():
         fake = await Fake(answer_ok).start()
@@ -316,7 +316,7 @@
     run(play())
 
 
-def test_clients_that_never_end_a_message_are_answered_and_let_go(tmp_path, monkeypatch):
+def test_clients_that_never_end_a_message_are_answered_and_closed(tmp_path, monkeypatch):
     monkeypatch.setattr(rules, "HEAD_MOST_S", 0.3)
     monkeypatch.setattr(rules, "IDLE_MOST_S", 60.0)
 
@@ -335,7 +335,7 @@
             writer.close()
             for half in (b"G", message("lookup", "a")[:-2], message("order", "b", "900m", b"body")[:-1]):
                 assert (await ask(sidecar.port, half)).code == 408
-            go.set()  # the request that was taken is answered all the same
+            go.set()  # the accepted request is answered all the same
             assert (await read_message(held_reader)).code == 200
             assert (await read_message(held_reader)).code == 408
             held_writer.close()
@@ -345,7 +345,7 @@
     run(play())
 
 
-def test_clients_that_ask_once_and_stay_are_let_go(tmp_path, monkeypatch):
+def test_clients_that_stay_idle_after_one_request_are_closed(tmp_path, monkeypatch):
     monkeypatch.setattr(rules, "IDLE_MOST_S", 0.2)
 
     async def play():
@@ -365,7 +365,7 @@
 
 
 def test_a_body_of_many_megabytes_is_refused_at_its_head_and_read_to_the_end(tmp_path):
-    """Guards the answer: closing with input unread would reset the connection before it is seen."""
+    """Closing with input unread would reset the connection before the client sees the answer."""
 
     async def play():
         fake = await Fake(answer_ok).start()
@@ -384,7 +384,7 @@
 
 
 def test_an_id_that_is_open_or_has_just_been_is_not_sent_again(tmp_path):
-    """Guards the rule on duplicates, and the first request from noticing anything of the second."""
+    """A duplicate is rejected, and the first request is not affected by it."""
 
     async def play():
         async def act(message, reader, writer):
--- a/tests/test_net_hostile.py
+++ b/tests/test_net_hostile.py
@@ -74,23 +74,23 @@
 
 
 async def feed(sidecar, pieces):
-    """Give pieces to a front as a transport would; its wire, the front and the meter."""
+    """Give pieces to a client's connection as a transport would; its wire and the meter."""
     engine = sidecar.engine
     client, _ = engine.clients.admit("127.9.9.9")
-    front, wire, meter = ClientConnection(engine, client), Wire(), Meter()
-    engine.clients.add(front)
-    front.connection_made(wire)
+    connection, wire, meter = ClientConnection(engine, client), Wire(), Meter()
+    engine.clients.add(connection)
+    connection.connection_made(wire)
     turn = engine.backlog._turn
     engine.backlog._turn = lambda: meter.run(SLICES_A_TURN * SLICE_BYTES, turn)
     for piece in pieces:
         async with asyncio.timeout(WAIT):
             while not wire.reading and not wire.closing:
                 await asyncio.sleep(0)
-        meter.run(min(len(piece), SLICE_BYTES), front.data_received, piece)
+        meter.run(min(len(piece), SLICE_BYTES), connection.data_received, piece)
     async with asyncio.timeout(WAIT):
-        while front.unfed is not None or front.current is not None:
+        while connection.unfed is not None or connection.current is not None:
             await asyncio.sleep(0)
-    front.connection_lost(None)
+    connection.connection_lost(None)
     engine.backlog._turn = turn
     assert not engine.memory.held
     return wire, meter
@@ -121,7 +121,7 @@
 
 
 @pytest.mark.parametrize("kind", HOSTILE)
-def test_no_turn_does_more_than_its_bytes_are_worth(tmp_path, kind):
+def test_the_calls_of_one_turn_are_bounded_by_its_bytes(tmp_path, kind):
     data, piece, answer = HOSTILE[kind]
 
     async def play(sidecar):
@@ -134,7 +134,7 @@
 
 
 def test_a_body_of_one_byte_chunks_is_gathered_in_linear_time(tmp_path):
-    """Guards against a sum over all pieces at each piece, which took ten seconds for this one."""
+    """Adding up all pieces at each piece once cost ten seconds for this body."""
 
     async def play(sidecar):
         began = time.monotonic()
@@ -178,7 +178,7 @@
     assert LoadReportParser(("rps",)).read(b"rps=1," + b"x=1," * 10000) == ()
 
 
-def test_a_late_loop_is_told_once_with_what_ran(tmp_path, caplog):
+def test_a_late_loop_is_logged_once_with_what_ran(tmp_path, caplog):
     async def play(sidecar):
         lag = sidecar.engine.lag
         with caplog.at_level(logging.WARNING):
--- a/tests/test_net_requests.py
+++ b/tests/test_net_requests.py
@@ -96,7 +96,7 @@
 
 
 def test_connections_are_used_again(tmp_path):
-    """Guards against asking the parser too late whether a connection stays open: it then always says no."""
+    """Asked too late whether a connection stays open, the parser always says no."""
 
     async def play():
         fake = await Fake(answer_ok).start()
@@ -115,7 +115,7 @@
         # Proven not to have run: any class may be sent again.
         (say(reply(503, b"", NOT_RUN)), {200}, {2}),
         (say(reply(504, b"", NOT_RUN)), {200}, {2}),
-        # A plain error is an answer that may have had its effect: refused only if a repeat does no harm.
+        # A plain error is an answer that may have had its effect: refused only if a retry does no harm.
         (say(reply(500)), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
         (say(reply(503)), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
         (say(reply(504)), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
@@ -209,8 +209,8 @@
     run(play())
 
 
-def test_the_last_guard_answers_when_the_module_errs(tmp_path):
-    """Guards all other requests, and the process, against an exception in one."""
+def test_the_fallback_answers_when_the_balancer_raises(tmp_path):
+    """An exception in one request must not disturb the others or the process."""
 
     async def play():
         fake = await Fake(answer_ok).start()
@@ -233,7 +233,7 @@
     run(play())
 
 
-def test_the_last_guard_fails_what_may_have_run(tmp_path):
+def test_the_fallback_fails_what_may_have_run(tmp_path):
     async def play():
         fake = await Fake(silent).start()
         async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
@@ -284,12 +284,12 @@
             )
             assert not engine.clients.all
             (server,) = engine.pool.balancer.servers.values()
-            assert not server.in_flight  # the attempt's end was told as well
+            assert not server.in_flight  # the attempt's end was reported as well
 
     run(play())
 
 
-def test_a_refusal_comes_at_once_and_tells_when_to_come_back(tmp_path):
+def test_a_rejection_comes_at_once_and_states_when_to_retry(tmp_path):
     async def play():
         fake = await Fake(say(reply(500))).start()
         async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
@@ -325,7 +325,7 @@
     run(play())
 
 
-def test_a_probe_asks_for_the_load_and_tells_what_came(tmp_path):
+def test_a_probe_asks_for_the_load_and_reports_the_result(tmp_path):
     async def play():
         act = first_then_ok(say(reply(200, b"rps=7,cpu=0.5")))
 
@@ -364,8 +364,8 @@
     run(play())
 
 
-def test_what_is_sent_ahead_into_the_end_of_a_planned_end_is_refused(tmp_path):
-    """Guards a request against being held when the process stops: its connection was never idle."""
+def test_what_is_pipelined_into_the_end_of_a_shutdown_is_rejected(tmp_path):
+    """No request may be pending when the process stops, though its connection was never idle."""
 
     async def play():
         go = asyncio.Event()
