--- a/dykefold/cli/services.py
+++ b/dykefold/cli/services.py
@@ -10,8 +10,9 @@
 from rich.console import Console
 from rich.table import Table
 
-from ..__main__ import ConfigError, serve_file
+from ..__main__ import serve_file
 from ..service_config import Service, ServiceError, read_service
+from ..sidecar_config import ConfigError
 from .logs import LogFormat, set_up
 
 File = Annotated[Path, typer.Argument(metavar="FILE", help="The operator's file, as deploy/service.toml.")]
--- a/dykefold/net/service/pool.py
+++ b/dykefold/net/service/pool.py
@@ -61,7 +61,7 @@
     endpoint_update_record,
     parse_endpoint_update,
 )
-from ..downstream.connection import FlowControlled
+from ..downstream.protocols import FlowControlled
 from ..downstream.request_parser import BODY_MOST, ParsedRequest
 from ..loop_lag import LoopLagMonitor
 from ..memory_budget import MemoryBudget
--- a/dykefold/net/sidecar.py
+++ b/dykefold/net/sidecar.py
@@ -22,7 +22,8 @@
 from ..system import SYSTEM, System
 from .clock import MS, SECOND, Clock
 from .discovery.client import EndpointUpdate, NameTable
-from .downstream.connection import ClientConnection, MessageReader
+from .downstream.connection import ClientConnection
+from .downstream.protocols import MessageReader
 from .downstream.request_parser import ParsedRequest, RequestParser
 from .loop_lag import LoopLagMonitor
 from .memory_budget import MemoryBudget
