--- a/tests/golden/forms.py
+++ b/tests/golden/forms.py
@@ -21,15 +21,21 @@
 from dykefold.cli.app import app as command_line  # noqa: E402
 from dykefold.control.admin_requests import AdminRequest, parse_admin_request, parse_membership_request  # noqa: E402
 from dykefold.control.balancer_snapshot import snapshot  # noqa: E402
-from dykefold.control.hot_restart import heartbeat_record  # noqa: E402
 from dykefold.control.hot_restart_state import HotRestartState, ProcessHeartbeat  # noqa: E402
 from dykefold.control.maintenance import MaintenanceOrder  # noqa: E402
+from dykefold.control.process_records import heartbeat_record  # noqa: E402
 from dykefold.control.state_directory import FileStateDirectory  # noqa: E402
 from dykefold.fleet import datagrams  # noqa: E402
 from dykefold.net.discovery.client import NameTable, endpoint_update_record, parse_endpoint_update  # noqa: E402
 
 OWN = 0x0000_0123_4567_0000
-SIGN = {"name": "00000000000000000007-41", "born_ns": 7, "beat_ns": 11, "sees": ("a", "b"), "most": 96}
+SIGN = {
+    "name": "00000000000000000007-41",
+    "born_ns": 7,
+    "beat_ns": 11,
+    "acknowledged": ("a", "b"),
+    "max_descriptors": 96,
+}
 SERVICE_FILES = {
     "good": (ROOT / "deploy/service.toml").read_text(),
     "not toml": "[pools\n",
@@ -65,7 +71,7 @@
     forms = {}
     with tempfile.TemporaryDirectory() as folder:
         files = FileStateDirectory(folder)
-        sign = ProcessHeartbeat(**SIGN, state=HotRestartState.SHARING, place=1)
+        sign = ProcessHeartbeat(**SIGN, state=HotRestartState.SHARING, listener_index=1)
         said = {
             "s-1": MaintenanceOrder(1_790_000_000_000_000_000, True),
             "s-2": MaintenanceOrder(1_790_000_000_000_000_001, False),
