--- a/dykefold/balancer/subsetting.py
+++ b/dykefold/balancer/subsetting.py
@@ -14,6 +14,12 @@
 SUBSET_INTERVAL = 1.0  # or as many as requests in a shortest deadline: each is heard from once in it
 REMOTE_SAMPLERS = 5  # sidecars of other zones, about, for an endpoint: its load must not hang on one or two
 REMOTE_SUBSET = 0.25  # or this part of a subset: each costs a connection, and most requests stay in the zone
+FAR_MORE = 4.0  # endpoints for each sidecar from which on the own zone is sampled in part too ...
+FAR_MORE_KEPT = 3.0  # ... and down to which that stays so
+LOCAL_SAMPLERS = 10.0  # sidecars, about, for an endpoint of the own zone then: shares differ by a third or so
+FOR_EACH_IN_FLIGHT = 4.0  # or so many endpoints for each own request in flight: none is busy with it for long
+LOCAL_GROWTH = 1.5  # times its size that must be wanted before that part grows ...
+LOCAL_SHRINKAGE = 0.5  # ... or at most this: each change costs connections
 DEMAND_INTERVAL = 5.0  # shortest deadlines over which the own requests are counted
 
 by_rank = attrgetter("rank")
@@ -32,6 +38,7 @@
         crowded: whether there are more sidecars than endpoints.
         sees_little: whether it has, in a crowd, fewer requests in a deadline than there are endpoints.
         subset_size: endpoints to sample of each side, by the demand.
+        local_size: endpoints of the own zone to sample where endpoints far outnumber sidecars; 0: all.
         represented: ready endpoints near and far for each one sampled.
         groups: by kind, and whether in another zone.
         demand: own requests a second, as of `demand_ns`.
@@ -51,6 +58,7 @@
         self.crowded = True
         self.sees_little = True
         self.subset_size = 0
+        self.local_size = 0
         self.represented = [1.0, 1.0]
         self.groups: defaultdict[tuple[int, bool], EndpointGroup] = defaultdict(EndpointGroup)
         self.demand = 0.0
@@ -76,6 +84,7 @@
         # Where endpoints outnumber sidecars each makes much of an endpoint's load, whatever it sends now.
         self.crowded = self.ready_count < self.context.sidecar_count()
         self.sees_little = self.crowded and self.subset_size < self.ready_count
+        self.local_size = self._wanted_local_size(len(near))
         self._split(near, far)
         for endpoint in ready:
             endpoint.sampled = True
@@ -90,7 +99,9 @@
             far.sort(key=by_rank)
             near_size = far_size = self.subset_size
         else:
-            near_size = self.ready_count
+            near_size = self.local_size or self.ready_count
+            if near_size < len(near):
+                near.sort(key=by_rank)
             far_size = max(MIN_SUBSET, int(REMOTE_SUBSET * self.subset_size), self._remote_part(far))
             if far_size < len(far):
                 far.sort(key=by_rank)
@@ -104,6 +115,24 @@
             return sum(endpoint.rank < fleet.part for endpoint in far)
         return math.ceil(REMOTE_SAMPLERS * len(far) / self.context.sidecar_count())
 
+    def _wanted_local_size(self, near_count: int) -> int:
+        """Count the endpoints of the own zone to sample; 0 for all of them.
+
+        Guards against a new connection for nearly each request where a sidecar could not meet all endpoints
+        again before their connections are closed. All sidecars together still reach each endpoint several
+        times, and few sidecars sample all of them: a subset is never smaller than the fleet's share.
+        """
+        sidecars = max(self.context.sidecar_count(), 1)
+        if self.ready_count < (FAR_MORE_KEPT if self.local_size else FAR_MORE) * sidecars:
+            return 0
+        share = math.ceil(LOCAL_SAMPLERS * self.ready_count / sidecars)
+        live = self.context.live_classes
+        typical_s = sum(stats.typical_latency_ns for stats in live) / len(live) / SECOND_NS
+        wanted = max(share, math.ceil(FOR_EACH_IN_FLIGHT * self.demand * typical_s))  # Little's law
+        if LOCAL_SHRINKAGE * self.local_size < wanted < LOCAL_GROWTH * self.local_size:
+            wanted = self.local_size
+        return wanted if wanted < near_count else 0
+
     def _wanted_size(self) -> int:
         """Endpoints of a side to sample from: so many that each is heard from about once a deadline.
 
