--- a/dykefold/net/upstream/abort.py
+++ b/dykefold/net/upstream/abort.py
@@ -1,9 +1,9 @@
-"""How a connection to a server ends: at once, for the other side too.
+"""How a connection to an endpoint is closed: at once, for the other side too.
 
 `transport.abort()` promises less than it seems to. On uvloop it schedules the close for a later turn of
 the loop; until then the descriptor is open, and bytes that the transport has buffered are still
-written. A repeat that goes out in the same turn then meets an earlier attempt that still stands, and a
-half written order may be completed after it was reported as one that can never run.
+written. A retry that goes out in the same turn then meets an earlier attempt that still stands, and a
+half written unsafe request may be completed after it was reported as one that can never run.
 """
 
 from __future__ import annotations
--- a/tests/sim/mutants.py
+++ b/tests/sim/mutants.py
@@ -57,7 +57,7 @@
     ),
     Mutant(
         "an attempt that is given up keeps its connection",
-        "net/upstream/connection_pool.py",
+        "net/upstream/exchange.py",
         "            connection.close(discard=True)\n        self.end(status)",
         "        self.end(status)",
     ),
@@ -70,9 +70,9 @@
     ),
     Mutant(
         "the header that says never run is not asked for",
-        "net/upstream/connection_pool.py",
-        "if answer.code in (503, 504) and answer.not_run:",
-        "if answer.code >= 500:",
+        "net/upstream/classify.py",
+        "if answer.code in CODES_NOT_RUN and answer.not_run:",
+        "if answer.code >= HTTP_SERVER_ERROR:",
     ),
     Mutant(
         "a connection is closed and still counted",
@@ -97,7 +97,7 @@
     ),
     Mutant(
         "half written counts as whole and whole as half",
-        "net/upstream/connection_pool.py",
+        "net/upstream/exchange.py",
         "if connection is None or connection.incomplete:",
         "if True:",
     ),
@@ -110,7 +110,7 @@
     ),
     Mutant(
         "a connection that its last piece has held up is not read on",
-        "net/upstream/connection_pool.py",
+        "net/upstream/connection.py",
         "            self.block(False)\n        written",
         "            pass\n        written",
         "services",
--- a/tests/test_net_idle.py
+++ b/tests/test_net_idle.py
@@ -1,6 +1,12 @@
 """At what age idle connections turn out dead: learned per server, from all of them, and forgotten."""
 
-from dykefold.net.upstream.idle_timeouts import EDGES_S, SPARE_DOUBLE_S, SPARE_LEAST_S, Ages, Spare
+from dykefold.net.upstream.idle_timeouts import (
+    EDGES_S,
+    SCARCITY_DOUBLE_S,
+    SCARCITY_MIN_S,
+    IdleAgeStats,
+    ScarcityLimit,
+)
 
 MOST = 42.0
 
@@ -11,13 +17,13 @@
 
 
 def test_without_evidence_the_settings_hold():
-    ages = Ages(MOST)
+    ages = IdleAgeStats(MOST)
     uses(ages, 1000, 5.0, 0)
     assert ages.limit(0.0) == MOST
 
 
 def test_the_first_age_at_which_clearly_more_die_is_the_limit():
-    ages = Ages(MOST)
+    ages = IdleAgeStats(MOST)
     uses(ages, 200, 0.01, 0)
     uses(ages, 50, 0.15, 0)
     uses(ages, 20, 0.3, 5)
@@ -27,21 +33,21 @@
 
 def test_resets_at_any_age_are_no_reason_to_close_old_ones():
     """Guards days on which servers reset kept connections at random: new ones fare no better."""
-    ages = Ages(MOST)
+    ages = IdleAgeStats(MOST)
     for age in EDGES_S:
         uses(ages, 100, age, 10)
     assert ages.limit(0.0) == MOST
 
 
 def test_one_dead_connection_is_chance():
-    ages = Ages(MOST)
+    ages = IdleAgeStats(MOST)
     uses(ages, 1, 0.3, 1)
     assert ages.limit(0.0) == MOST
 
 
 def test_a_server_that_nothing_is_known_of_is_taken_for_one_like_the_others():
-    every = Ages(MOST)
-    known, other, good = (Ages(MOST, every) for _ in range(3))
+    every = IdleAgeStats(MOST)
+    known, other, good = (IdleAgeStats(MOST, every) for _ in range(3))
     uses(known, 20, 0.3, 10)
     assert known.limit(0.0) == other.limit(0.0) == 0.2
     uses(good, 200, 0.3, 0)  # its own news count for more in the end
@@ -49,16 +55,20 @@
 
 
 def test_what_was_learned_is_tried_again_after_a_while():
-    ages = Ages(MOST)
+    ages = IdleAgeStats(MOST)
     uses(ages, 20, 0.3, 10)
     assert ages.limit(0.0) == 0.2
     assert ages.limit(60.0) == MOST
 
 
 def test_what_the_server_closes_unused_tells_before_any_request_dies():
-    every = Ages(MOST)
-    kind = Ages(MOST, every)
-    first, alike, other = Ages(MOST, kind), Ages(MOST, kind), Ages(MOST, Ages(MOST, every))
+    every = IdleAgeStats(MOST)
+    kind = IdleAgeStats(MOST, every)
+    first, alike, other = (
+        IdleAgeStats(MOST, kind),
+        IdleAgeStats(MOST, kind),
+        IdleAgeStats(MOST, IdleAgeStats(MOST, every)),
+    )
     uses(other, 200, 0.3, 0)
     for _ in range(3):
         first.closed(0.3, 0.0)
@@ -67,7 +77,7 @@
 
 
 def test_a_server_that_goes_says_nothing_of_an_idle_limit():
-    ages = Ages(MOST)
+    ages = IdleAgeStats(MOST)
     for _ in range(20):
         ages.closed(0.02, 0.0)
     assert ages.limit(0.0) == MOST
@@ -75,20 +85,20 @@
 
 def test_where_places_run_short_idle_connections_are_given_back_sooner():
     """Guards servers whose few places stand taken by connections that nobody uses."""
-    spare = Spare(MOST)
-    assert spare.limit(100.0) == MOST
-    spare.refused(100.0)
-    spare.refused(100.1)  # of the same shortage
-    assert 0.2 * MOST < spare.limit(100.1) < 0.3 * MOST
+    scarcity = ScarcityLimit(MOST)
+    assert scarcity.limit(100.0) == MOST
+    scarcity.rejected(100.0)
+    scarcity.rejected(100.1)  # of the same shortage
+    assert 0.2 * MOST < scarcity.limit(100.1) < 0.3 * MOST
     for second in range(101, 120):
-        spare.refused(float(second))
-    assert SPARE_LEAST_S <= spare.limit(120.0) < 1.2 * SPARE_LEAST_S
-    assert spare.limit(121.0 + SPARE_DOUBLE_S) > 2.0 * SPARE_LEAST_S
-    assert spare.limit(1e9) == MOST
+        scarcity.rejected(float(second))
+    assert SCARCITY_MIN_S <= scarcity.limit(120.0) < 1.2 * SCARCITY_MIN_S
+    assert scarcity.limit(121.0 + SCARCITY_DOUBLE_S) > 2.0 * SCARCITY_MIN_S
+    assert scarcity.limit(1e9) == MOST
 
 
 def test_a_clock_that_went_back_grows_nothing():
-    spare = Spare(MOST)
-    spare.refused(100.0)
-    before = spare.limit(100.0)
-    assert spare.limit(50.0) == before
+    scarcity = ScarcityLimit(MOST)
+    scarcity.rejected(100.0)
+    before = scarcity.limit(100.0)
+    assert scarcity.limit(50.0) == before
--- a/tests/test_net_sweep.py
+++ b/tests/test_net_sweep.py
@@ -4,7 +4,7 @@
 from test_net_upstream import make, start
 
 from dykefold.balancer.events import State, Status
-from dykefold.net.upstream.idle_timeouts import Ages
+from dykefold.net.upstream.idle_timeouts import IdleAgeStats
 
 LISTED = 3200
 
@@ -18,8 +18,8 @@
             pool.update(server, (HOST, fake.port), 0, State.READY)
         assert [(await start(pool, server)[1])[0] for server in (1, 7, 9)] == [Status.OK] * 3
         looked = []
-        limit = Ages.limit
-        monkeypatch.setattr(Ages, "limit", lambda ages, now: looked.append(ages) or limit(ages, now))
+        limit = IdleAgeStats.limit
+        monkeypatch.setattr(IdleAgeStats, "limit", lambda ages, now: looked.append(ages) or limit(ages, now))
         pool.sweep()
         assert len(looked) == 3
         assert all(pool.targets[server].idle for server in (1, 7, 9))
--- a/tests/test_net_upstream.py
+++ b/tests/test_net_upstream.py
@@ -15,6 +15,7 @@
 from dykefold.balancer.events import State, Status
 from dykefold.net.memory_budget import MB, MemoryBudget
 from dykefold.net.timer_wheel import TimerWheel
+from dykefold.net.upstream import connection
 from dykefold.net.upstream import connection_pool as upstream
 from dykefold.net.upstream.connection_pool import ConnectionPool, Exchange
 
@@ -132,7 +133,7 @@
         _, end = start(pool)
         assert latest.exchange is not None
         await end
-        next(iter(pool.targets[1].idle)).idle_since -= 60.0 * upstream.IDLE_PART
+        next(iter(pool.targets[1].idle)).idle_since -= 60.0 * upstream.IDLE_FRACTION
         pool.sweep()
         assert len(pool.targets[1].idle) == 2 and latest in pool.targets[1].idle
         pool.close()
@@ -320,7 +321,7 @@
 )
 def test_a_spoilt_answer_is_a_reset_at_once_and_its_connection_is_closed(spoilt, monkeypatch):
     """Guards requests against waiting to their deadline at a connection that stays open and is of no use."""
-    monkeypatch.setattr(upstream, "STALL_MOST", 0.2)
+    monkeypatch.setattr(connection, "MAX_STALL_S", 0.2)
 
     async def play():
         async def act(message, reader, writer):
--- a/tests/test_syscalls_upstream.py
+++ b/tests/test_syscalls_upstream.py
@@ -405,7 +405,7 @@
         for end in [start(pool)[1] for _ in range(1 + spare)]:
             assert (await end)[0] is Status.OK
         await until(lambda: len(pool.targets[1].idle) == 1 + spare)
-        monkeypatch.setattr(upstream, "QUARANTINE_LEAST_S", WAIT)  # however late this machine is
+        monkeypatch.setattr(upstream, "QUARANTINE_MIN_S", WAIT)  # however late this machine is
         for connection in pool.targets[1].idle:
             connection.idle_since -= WAIT
         exchange, end = start(pool)
