--- a/dykefold/net/discovery/client.py
+++ b/dykefold/net/discovery/client.py
@@ -14,7 +14,9 @@
 from ...balancer.events import Endpoint, ListKind, Membership, State, Status
 from ...system import SYSTEM, System
 from ..memory_budget import MB, MemoryBudget
-from ..upstream.connection_pool import ConnectionPool, Exchange, Response
+from ..upstream.classify import Response
+from ..upstream.connection_pool import ConnectionPool
+from ..upstream.exchange import Exchange
 
 log = logging.getLogger("dykefold.discovery")
 
--- a/dykefold/net/downstream/connection.py
+++ b/dykefold/net/downstream/connection.py
@@ -13,7 +13,7 @@
 
 from ...system import Watch
 from ..upstream.abort import NO_LINGER
-from ..upstream.connection_pool import HttpProfile
+from ..upstream.classify import HttpProfile
 from .connection_state import MAX_HEADERS_BYTES
 from .protocols import FlowControlled, MessageReader, RequestHandler
 from .request_parser import BODY_MOST, ParsedRequest, RequestError
--- a/dykefold/net/downstream/request_parser.py
+++ b/dykefold/net/downstream/request_parser.py
@@ -14,7 +14,7 @@
 
 from ...balancer.settings import Effect, Settings
 from ..streaming import Upload
-from ..upstream.connection_pool import HttpProfile
+from ..upstream.classify import HttpProfile
 
 BODY_MOST = 64 * 1024
 STREAM_MOST = 40 * 1024 * 1024  # bytes of a body or an answer that goes on as it comes
--- a/dykefold/net/downstream/request_reader.py
+++ b/dykefold/net/downstream/request_reader.py
@@ -6,7 +6,7 @@
 
 from ..read_scheduler import SLICE_BYTES, cut
 from ..streaming import BUFFER_BYTES, FRAMING_MOST, Upload
-from ..upstream.connection_pool import BLANKS, HOP_BY_HOP, gather
+from ..upstream.http_fields import BLANKS, HOP_BY_HOP, gather
 from .connection_state import MAX_HEADERS_BYTES, ReadinessCheck
 from .request_parser import BODY_MOST, Message, ParsedRequest, RequestError
 from .response_writer import ResponseWriter
--- a/dykefold/net/downstream/response_writer.py
+++ b/dykefold/net/downstream/response_writer.py
@@ -5,7 +5,7 @@
 from http import HTTPStatus
 
 from ..streaming import Upload
-from ..upstream.connection_pool import HttpProfile
+from ..upstream.classify import HttpProfile
 from .connection_state import ConnectionState
 from .protocols import FlowControlled
 from .request_parser import ParsedRequest
--- a/dykefold/net/service/pool.py
+++ b/dykefold/net/service/pool.py
@@ -69,7 +69,10 @@
 from ..read_scheduler import ReadScheduler
 from ..streaming import Upload
 from ..timer_wheel import Timed, TimerWheel
-from ..upstream.connection_pool import LATE_S, READ_WITHIN, ConnectionPool, Exchange, HttpProfile, Response
+from ..upstream.classify import HttpProfile, Response
+from ..upstream.connection_pool import ConnectionPool
+from ..upstream.connector import LATE_S
+from ..upstream.exchange import READ_WITHIN, Exchange
 from .load_reports import LoadReportParser
 
 log = logging.getLogger("dykefold")
--- a/dykefold/routing/requests.py
+++ b/dykefold/routing/requests.py
@@ -18,7 +18,7 @@
     RequestParser,
     parse_deadline,
 )
-from ..net.upstream.connection_pool import HttpProfile
+from ..net.upstream.classify import HttpProfile
 from .names import TargetError, split_target
 from .plan import IDEMPOTENT_METHODS, Mapping
 from .table import Table
--- a/tests/routing/test_requests.py
+++ b/tests/routing/test_requests.py
@@ -4,7 +4,7 @@
 
 from dykefold.balancer.settings import Effect, RequestClass, Scope, Settings, Tenant
 from dykefold.net.downstream.request_parser import Message, RequestError
-from dykefold.net.upstream.connection_pool import HttpProfile
+from dykefold.net.upstream.classify import HttpProfile
 from dykefold.routing.plan import Mapping, usual_classes
 from dykefold.routing.requests import Routed, Target
 from dykefold.routing.table import Rule, Table
--- a/tests/routing/test_streams.py
+++ b/tests/routing/test_streams.py
@@ -15,7 +15,9 @@
 from dykefold.admission.budget import Allowance
 from dykefold.balancer.events import State, Status
 from dykefold.net.memory_budget import MemoryBudget
-from dykefold.net.upstream.connection_pool import ConnectionPool, Exchange, HttpProfile
+from dykefold.net.upstream.classify import HttpProfile
+from dykefold.net.upstream.connection_pool import ConnectionPool
+from dykefold.net.upstream.exchange import Exchange
 
 
 def head(length, *lines, path="/a/x", method="PUT"):
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -41,7 +41,7 @@
 from dykefold.net.downstream import connection as front_module
 from dykefold.net.downstream.connection import WAITING_MOST
 from dykefold.net.upstream import connection_pool as upstream
-from dykefold.net.upstream.connection_pool import Exchange
+from dykefold.net.upstream.exchange import Exchange
 
 STILL = 0.3  # seconds for which a loop stands still: more than a client's leave may go unheeded
 
--- a/tests/test_net_ends.py
+++ b/tests/test_net_ends.py
@@ -16,7 +16,7 @@
 from test_net_upstream import PAYLOAD, make
 
 from dykefold.balancer.events import State, Status
-from dykefold.net.upstream.connection_pool import Exchange
+from dykefold.net.upstream.exchange import Exchange
 from standins.load import desks
 from standins.sidecar import ROOT, sidecar
 from standins.truth import CLOSE, GOOD, NEVER, SILENCE, SPOILT, Truth
--- a/tests/test_net_upstream.py
+++ b/tests/test_net_upstream.py
@@ -17,7 +17,8 @@
 from dykefold.net.timer_wheel import TimerWheel
 from dykefold.net.upstream import connection
 from dykefold.net.upstream import connection_pool as upstream
-from dykefold.net.upstream.connection_pool import ConnectionPool, Exchange
+from dykefold.net.upstream.connection_pool import ConnectionPool
+from dykefold.net.upstream.exchange import Exchange
 
 PAYLOAD = b"GET /lookup HTTP/1.1\r\nX-Request-Id: ab\r\n\r\n"
 
