--- a/dykefold/net/discovery/client.py
+++ b/dykefold/net/discovery/client.py
@@ -1,247 +1,143 @@
-"""The list of servers: what discovery's answers say, and the calls that ask for them."""
+"""The calls of discovery: watches that bring each change of the endpoint list, and whole lists."""
 
 from __future__ import annotations
 
 import asyncio
 import json
 import logging
-import socket
-from collections.abc import Callable, Iterable
-from dataclasses import dataclass
-from typing import Any, Protocol
+from collections.abc import Callable
+from typing import cast
 
 from ...admission.budget import CALLS, Allowance
-from ...balancer.events import Endpoint, ListKind, Membership, State, Status
+from ...balancer.events import State, Status
 from ...system import SYSTEM, System
 from ..memory_budget import MB, MemoryBudget
 from ..upstream.connection_pool import ConnectionPool, Exchange, Response
+from .codec import (
+    EndpointListError,
+    EndpointRecord,
+    EndpointUpdate,
+    NameTable,
+    endpoint_update_record,
+    parse_endpoint_update,
+    split_address,
+)
+from .watch_schedule import (
+    ANSWER_TIMEOUT_S,
+    CONNECT_TIMEOUT_S,
+    LIST_READ_GRACE_S,
+    MAX_OPEN_CALLS,
+    MIN_CALL_INTERVAL_S,
+    OVERDUE_POLLED_S,
+    OVERDUE_PUSHED_S,
+    RETRY_PUSHED_S,
+    WATCH_IMMEDIATE_MS,
+    WATCH_POLLED_MS,
+    WATCH_PUSHED_MS,
+    PollSchedule,
+)
+
+__all__ = [
+    "DiscoveryClient",
+    "EndpointListError",
+    "EndpointRecord",
+    "EndpointUpdate",
+    "ListCall",
+    "ListSource",
+    "NameTable",
+    "PollSchedule",
+    "endpoint_update_record",
+    "parse_endpoint_update",
+    "split_address",
+]
 
 log = logging.getLogger("dykefold.discovery")
 
-STATES = {"SERVING": State.READY, "DRAINING": State.DRAINING, "DELETED": State.GONE}
-# The budget of a change (docs/design/discovery.md): it counts as told 6 s after a watch fell silent or a call
-# failed, and not before 2 s after the end of a wait. So from the call on:
-#   asked:  wait 20 s, overdue 0.8 s, the answer to the call beside it 1.2 s; after a failure the module
-#           pauses 1.5 s at most, connect and answer take 3.5 s: 5 s
-#   pushed: wait 2.5 s, overdue 0.5 s, a further call each 0.25 s, as what the agent has counts at once
-WATCH_ASKED_MS = 20_000  # one service for all: a call of each process may take it 8 s
-WATCH_PUSHED_MS = 2_500  # the agent is on the own machine, and calls of it cost nothing
-WATCH_NOW_MS = 1  # of a call beside a silent one: whatever there is to tell, at once
-OVERDUE_ASKED = 0.8  # seconds beyond a watch's wait, until another call is made beside it
-OVERDUE_PUSHED = 0.5
-AGAIN_PUSHED = 0.25  # seconds until the agent is called again that did not answer at once, or failed
-OPEN_MOST = CALLS - 1  # calls of one watch that are out at once; the oldest goes
-ANSWER_WITHIN = 3.5  # seconds beyond a watch's own wait: discovery works through calls in turn
-LIST_READ_WITHIN = 0.1  # seconds more for an answer that has come and was not read yet: lists are long
-CONNECT_WITHIN = 2.0
-LIST_MOST = 4 * 1024 * 1024
-CALLS_APART = 0.1  # seconds between calls that are answered at once with nothing new
-NAMES_MOST = 256  # zones, and kinds, that are told apart
+MAX_LIST_BYTES = 4 * 1024 * 1024
+MAX_CALLS_BYTES = 192 * MB  # the limit of the calls' own memory budget, as for a process
+IDLE_TIMEOUT_S = 30.0  # of a connection between two calls
 DISCOVERY = 0  # the one target of the calls' own connections
-
-
-class EndpointListError(ValueError):
-    """What came is no list of servers."""
-
-
-@dataclass(slots=True)
-class EndpointRecord:
-    """One entry, with what only the sockets need."""
-
-    name: str
-    endpoint: Endpoint
-    address: tuple[str, int]
-    since_ms: int
-
-
-@dataclass(slots=True)
-class EndpointUpdate:
-    """One answer of discovery."""
-
-    version: int
-    complete: bool
-    entries: list[EndpointRecord]
-
-    def membership(self, kind: ListKind | None = None) -> Membership:
-        kind = kind or (ListKind.FULL if self.complete else ListKind.DELTA)
-        return Membership(kind, self.version, [entry.endpoint for entry in self.entries])
-
-
-class NameTable:
-    """The numbers by which the module knows servers, zones and kinds."""
-
-    def __init__(self, zones: list[str], kinds: list[str]) -> None:
-        self.servers: dict[str, int] = {}
-        self.zones = {name: number for number, name in enumerate(zones)}
-        self.kinds = {name: number for number, name in enumerate(kinds)}
-        self.next_server = 1
-
-    def server(self, name: str) -> int:
-        number = self.servers.get(name)
-        if number is None:
-            number = self.servers[name] = self.next_server
-            self.next_server += 1
-        return number
-
-    def zone(self, name: str) -> int:
-        return _number(self.zones, name)
-
-    def kind(self, name: str) -> int:
-        return _number(self.kinds, name)
-
-    def keep(self, numbers: set[int]) -> None:
-        """Forget servers that are known nowhere any more."""
-        self.servers = {name: number for name, number in self.servers.items() if number in numbers}
-
-
-def _number(known: dict[str, int], name: str) -> int:
-    # Guards the memory: lists that go on naming new zones or kinds get one number for all of these.
-    return known.setdefault(name, len(known)) if len(known) < NAMES_MOST else known.get(name, len(known))
-
-
-def split_address(text: object, least_port: int = 1) -> tuple[str, int]:
-    """A numeric address as host and port; ValueError if it is none."""
-    host, _, port = str(text).rpartition(":")
-    try:
-        socket.inet_pton(socket.AF_INET, host)
-    except OSError:
-        raise ValueError(f"no address: {text!r}") from None
-    if not (port.isascii() and port.isdigit() and least_port <= int(port) < 65536):
-        raise ValueError(f"no address: {text!r}")
-    return host, int(port)
-
-
-def parse_endpoint_update(data: object, names: NameTable) -> EndpointUpdate:
-    """Read a list or a change of it, whole or not at all: an unreadable one leaves no names behind."""
-    try:
-        if not isinstance(data, dict) or not isinstance(data["endpoints"], list):
-            raise EndpointListError("no list of endpoints")
-        version, complete = int(data["index"]), bool(data["snapshot"])
-        entries = [_read_entry(entry) for entry in data["endpoints"]]
-    except (KeyError, TypeError, ValueError, OverflowError, AttributeError) as error:
-        raise EndpointListError(f"{type(error).__name__}: {error}") from None
-    for listed, zone, kind in entries:
-        endpoint = listed.endpoint
-        endpoint.server = names.server(listed.name)
-        endpoint.zone, endpoint.kind = names.zone(zone), names.kind(kind)
-    return EndpointUpdate(version, complete, [listed for listed, _, _ in entries])
-
-
-def endpoint_update_record(
-    version: int, entries: Iterable[EndpointRecord], names: NameTable
-) -> dict[str, Any]:
-    """A whole list in discovery's own form, as `parse_endpoint_update` reads it."""
-    zones = {number: name for name, number in names.zones.items()}
-    kinds = {number: name for name, number in names.kinds.items()}
-    return {
-        "index": version,
-        "snapshot": True,
-        "endpoints": [
-            {
-                "name": entry.name,
-                "address": f"{entry.address[0]}:{entry.address[1]}",
-                "zone": zones.get(entry.endpoint.zone, ""),
-                "type": kinds.get(entry.endpoint.kind, ""),
-                "group": entry.endpoint.cell,
-                "status": "SERVING" if entry.endpoint.state is State.READY else "DRAINING",
-                "weight": entry.endpoint.weight,
-                "since_ms": entry.since_ms,
-            }
-            for entry in entries
-        ],
-    }
-
-
-def _read_entry(entry: dict) -> tuple[EndpointRecord, str, str]:
-    """An entry without its numbers, with the names of its zone and kind."""
-    since_ms = int(entry.get("since_ms") or 0)
-    if since_ms < 0:
-        raise EndpointListError(f"since_ms is {since_ms}")
-    endpoint = Endpoint(
-        server=0,
-        zone=0,
-        kind=0,
-        cell=int(entry.get("group") or 0),
-        # A status of tomorrow is no invitation to send anything new.
-        state=STATES.get(entry["status"], State.DRAINING),
-        weight=float(entry.get("weight", 1.0)),
-        started_ns=since_ms * 1_000_000,
-    )
-    listed = EndpointRecord(str(entry["name"]), endpoint, split_address(entry["address"]), since_ms)
-    return listed, str(entry.get("zone", "")), str(entry.get("type", ""))
-
-
-class PollSchedule(Protocol):
-    """Says when calls may go out, and hears what became of them; seconds from now."""
-
-    def opens_s(self) -> float:
-        """Until a watch may be opened."""
-        ...
-
-    def goes_on_s(self) -> float:
-        """Until the next call of a watch, after an answer."""
-        ...
-
-    def called(self) -> None: ...
-
-    def answered(self) -> None: ...
-
-    def failed(self) -> None: ...
-
-    def moved(self) -> None: ...
+TARGET = "/api/targets"
 
 
 class ListCall(Exchange):
-    """A call of discovery. An answer that is there when its time is up has been told."""
+    """One call of discovery."""
 
     __slots__ = ()
-    read_within = LIST_READ_WITHIN
+    read_within = LIST_READ_GRACE_S
 
 
 class ListSource:
-    """A discovery at one address, and how far its list is known."""
+    """Discovery at one address, and how far its list is known.
+
+    Attributes:
+        address: host and port.
+        host: the same as text; it names the source.
+        version: the index of the list that is known; None: a whole list must come first.
+        accepted: how many answers have been accepted.
+        calls: the connections of the calls.
+    """
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, address: tuple[str, int], version: int | None, system: System
     ) -> None:
+        """Prepare calls of an address; `version` is what is known of its list."""
         self.address = address
         self.host = f"{address[0]}:{address[1]}"
-        self.version = version  # None: a whole list is wanted first
-        self.taken = 0  # answers
+        self.version = version
+        self.accepted = 0
         # An allowance of its own: the cap on connections to servers must never keep the list from being read.
-        self.calls = ConnectionPool(
-            loop, Allowance(CALLS), MemoryBudget(192 * MB), CONNECT_WITHIN, 30.0, system=system
-        )
+        allowance, memory = Allowance(CALLS), MemoryBudget(MAX_CALLS_BYTES)
+        self.calls = ConnectionPool(loop, allowance, memory, CONNECT_TIMEOUT_S, IDLE_TIMEOUT_S, system=system)
         self.calls.update(DISCOVERY, address, 0, State.READY)
 
-    def in_order(self, news: EndpointUpdate, taken: int) -> EndpointUpdate:
-        """Guards the list against answers that come after a newer one to another call.
+    def in_order(self, update: EndpointUpdate, accepted: int) -> EndpointUpdate:
+        """Check an answer against those accepted before: calls in flight together may answer out of order.
 
         Args:
-            taken: answers that had been taken when the call went out.
+            update: the answer.
+            accepted: how many answers had been accepted when the call was made.
+
+        Returns:
+            The update; an empty one in place of an answer that a newer one to another call overtook.
+
+        Raises:
+            EndpointListError: the answer does not follow the list that is known.
         """
         if self.version is None:
-            if not news.complete:
-                raise EndpointListError("changes came in place of the whole list")
-        elif news.version < self.version:
-            if taken != self.taken:
+            if not update.complete:
+                raise EndpointListError(
+                    field="snapshot", value=update.complete, expected="true: the whole list comes first"
+                )
+        elif update.version < self.version:
+            if accepted != self.accepted:
                 return EndpointUpdate(self.version, False, [])
-            if not news.complete:
-                self.version = None
-                raise EndpointListError("the index went back")
-        return news
+            if not update.complete:
+                known, self.version = self.version, None
+                raise EndpointListError(field="index", value=update.version, expected=f"{known} or more")
+        return update
 
-    def take(self, news: EndpointUpdate) -> None:
-        self.version = news.version
-        self.taken += 1
+    def accept(self, update: EndpointUpdate) -> None:
+        """Record that this update is part of the list from now on."""
+        self.version = update.version
+        self.accepted += 1
 
 
 class DiscoveryClient:
-    """Watches and fetches when told to; any failure is news of its own and ends no watcher for good.
-
-    A call that brings nothing in time is left open, and another is made beside it: whichever is answered
-    first counts, and only then is the other one given up. So there is no moment in which something was told
-    that nobody reads any more, and a call that was given up had nothing to tell.
+    """Watches the endpoint list, and fetches it as a whole; a failed call ends no watch for good.
+
+    A call that brings nothing in time stays open, and another is made beside it: whichever is answered
+    first counts, and only then is the other one cancelled. So discovery never notifies a call that nobody
+    reads any more, and a call that is cancelled had nothing to bring.
+
+    Attributes:
+        heard: called with each update, and with None for each failure of a watch or a fetch.
+        pushed: discovery is an agent on the same machine, which only this client calls again after a failure.
+        watching: a watch is open, or its next call is scheduled.
+        called: when the latest call of the watch was made, in seconds of the monotonic clock.
+        closed: the client makes no more calls.
+        schedule: spreads the calls; None: each call is made as soon as it is wanted.
+        listed_by: the source of the list that is known, as `host` names it.
     """
 
     def __init__(
@@ -254,215 +150,248 @@
         pushed: bool,
         system: System = SYSTEM,
     ) -> None:
+        """Prepare calls; the first is made by `watch` or `fetch`.
+
+        Args:
+            loop: runs the calls.
+            address: host and port of discovery.
+            names: numbers the endpoints.
+            version: the index of the list that is known.
+            heard: as the attribute.
+            pushed: as the attribute.
+            system: the clocks and sockets.
+        """
         self.loop = loop
         self.system = system
         self.names = names
         self.heard = heard
         self.pushed = pushed
         self.watching = False
-        self.round = 0  # of watching: what was planned in an earlier one is not done
+        self.watch_round = 0  # what was scheduled in an earlier round of watching is not done
         self.called = 0.0
-        self.failing = False
+        self.failing = False  # the last call failed
         self.closed = False
-        self.schedule: PollSchedule | None = None  # None: each call as soon as it is wanted
-        self.open: dict[ListCall, None] = {}  # of the watch, in the order in which they went out
-        self.latest: ListCall | None = None  # of these
+        self.schedule: PollSchedule | None = None
+        self.open_calls: dict[ListCall, None] = {}  # of the watch, in the order in which they were made
+        self.latest_call: ListCall | None = None  # of these
         self.source = ListSource(loop, address, version, system)
-        self.left: ListSource | None = None  # the one before, until this one has told its list
-        self.listed_by = self.source.host  # who told the list that is held
+        self.previous: ListSource | None = None  # until the source in use has sent its list
+        self.listed_by = self.source.host
 
     @property
     def version(self) -> int | None:
-        """Of the list that is known; None where a whole one is wanted first."""
+        """The index of the list that is known; None where a whole list must come first."""
         return self.source.version
 
     @property
     def address(self) -> tuple[str, int]:
+        """Host and port of discovery."""
         return self.source.address
 
     @property
     def host(self) -> str:
+        """The address of discovery as text."""
         return self.source.host
 
     def turn(self, address: tuple[str, int]) -> None:
-        """Go over to another discovery at once, with a whole list first.
+        """Call discovery at another address from now on, for a whole list first.
+
+        The index there may have begun anew, so it is not compared with the old one. What the old source
+        still sends on its open watch counts until the new one has sent its list, which may take a while;
+        the old one gets no more calls.
 
-        Guards against the new one's index having begun anew. What the old one still tells on the watch that
-        is open counts until the new one has told its list, which may take a while; it is asked no more.
+        Args:
+            address: host and port.
         """
         if self.closed or address == self.source.address:
             return
-        log.info("discovery is now at %s:%d", *address)
-        self._drop_left()
-        self.left, self.source = self.source, ListSource(self.loop, address, None, self.system)
-        self.open.clear()
-        self.latest = None
+        log.info("discovery address changed to %s:%d", *address)
+        self._close_previous()
+        self.previous, self.source = self.source, ListSource(self.loop, address, None, self.system)
+        self.open_calls.clear()
+        self.latest_call = None
         self.watching = False
         if self.schedule is not None:
             self.schedule.moved()
         self.watch(True)
 
     def retune(self, pushed: bool) -> None:
-        """Go by other settings: who is to call after a failure, and how long calls wait.
+        """Follow changed settings: who calls again after a failure, and how long calls wait.
 
         Args:
-            pushed: discovery is an agent on the own machine, which nobody but this calls again.
+            pushed: as the attribute.
         """
-        if pushed != self.pushed:
-            self.pushed = pushed
-            if pushed:  # what is open waits as for a service, or the module was to call and does no more
-                self.ask_now()
+        if pushed == self.pushed:
+            return
+        self.pushed = pushed
+        if pushed:  # the open call waits as for a service, or the balancer was to retry and no longer does
+            self.ask_now()
 
-    def _drop_left(self) -> None:
-        left, self.left = self.left, None
-        if left is not None:
-            left.calls.close()
+    def _close_previous(self) -> None:
+        previous, self.previous = self.previous, None
+        if previous is not None:
+            previous.calls.close()
 
     def adopt(self, version: int) -> None:
-        """The list of this version has come another way: what is older is news no more."""
+        """Record that the list of this index came another way, so that older answers count no more."""
         self.source.version = version
-        self.source.taken += 1
+        self.source.accepted += 1
         self.listed_by = self.source.host
 
     def watch(self, on: bool) -> None:
+        """Begin or end watching; the calls that are open stay open."""
         if on == self.watching:
             return
         self.watching = on
-        self.round += 1
+        self.watch_round += 1
         if on:
-            self._next_in(self.schedule.opens_s() if self.schedule is not None else 0.0)
+            self._schedule_call(self.schedule.opens_s() if self.schedule is not None else 0.0)
 
     def ask_now(self) -> None:
-        """Make a call at once, beside one that is open or in the place of one that is waited for."""
+        """Make a call at once, beside an open one or in place of a scheduled one."""
         if self.closed:
             return
         self.watching = True
-        self.round += 1
-        self._next_watch(self.round, WATCH_NOW_MS if self.open else self._wait_ms())
+        self.watch_round += 1
+        self._call_watch(self.watch_round, WATCH_IMMEDIATE_MS if self.open_calls else self._wait_ms())
+
+    def fetch(self) -> None:
+        """Call for the whole list once."""
+        self._call(TARGET, ANSWER_TIMEOUT_S, self._on_fetch_end)
 
     def _wait_ms(self) -> int:
-        return WATCH_PUSHED_MS if self.pushed else WATCH_ASKED_MS
+        return WATCH_PUSHED_MS if self.pushed else WATCH_POLLED_MS
 
-    def _next_in(self, wait_s: float) -> None:
+    def _schedule_call(self, wait_s: float) -> None:
         if wait_s > 0.0:
-            self.loop.call_later(wait_s, self._next_watch, self.round, self._wait_ms())
+            self.loop.call_later(wait_s, self._call_watch, self.watch_round, self._wait_ms())
         else:
-            self._next_watch(self.round, self._wait_ms())
-
-    def fetch(self) -> None:
-        self._call("/api/targets", ANSWER_WITHIN, self._fetched)
+            self._call_watch(self.watch_round, self._wait_ms())
 
-    def _next_watch(self, number: int, wait_ms: int) -> None:
-        if number != self.round or self.closed:
+    def _call_watch(self, watch_round: int, wait_ms: int) -> None:
+        if watch_round != self.watch_round or self.closed:
             return
         self.called = self.system.monotonic()
-        target, wait_s = "/api/targets", 0.0
+        target, wait_s = TARGET, 0.0
         if self.version is not None:
             target += f"?after={self.version}&wait_ms={wait_ms}"
             wait_s = wait_ms / 1000
-        self.latest = None  # what ends from here on makes room, and is no failure
-        while len(self.open) >= OPEN_MOST:
-            next(iter(self.open)).give_up(Status.CANCELLED)
-        call = self.latest = self._call(target, wait_s + ANSWER_WITHIN, self._watched)
-        self.open[call] = None
-        waits = wait_s > 0.0 and wait_ms != WATCH_NOW_MS
+        self.latest_call = None  # what ends from here on frees its place, and is no failure
+        while len(self.open_calls) >= MAX_OPEN_CALLS:
+            next(iter(self.open_calls)).give_up(Status.CANCELLED)
+        call = self.latest_call = self._call(target, wait_s + ANSWER_TIMEOUT_S, self._on_watch_end)
+        self.open_calls[call] = None
+        waits = wait_s > 0.0 and wait_ms != WATCH_IMMEDIATE_MS
         if self.pushed:
-            overdue_s = wait_s + OVERDUE_PUSHED if waits else AGAIN_PUSHED
-            self.loop.call_later(overdue_s, self._overdue, number, call)
-        elif waits:  # the service gives others their turn first: one that should not wait has its time
-            self.loop.call_later(wait_s + OVERDUE_ASKED, self._overdue, number, call)
+            overdue_s = wait_s + OVERDUE_PUSHED_S if waits else RETRY_PUSHED_S
+            self.loop.call_later(overdue_s, self._on_overdue, watch_round, call)
+        elif waits:  # a service serves other callers first: a call that does not wait has its whole time
+            self.loop.call_later(wait_s + OVERDUE_POLLED_S, self._on_overdue, watch_round, call)
 
-    def _overdue(self, number: int, call: ListCall) -> None:
-        """Guards against a watch that has fallen silent, and what it misses counts as told."""
-        if call is self.latest and not call.ended:
-            self._next_watch(number, WATCH_NOW_MS)
+    def _on_overdue(self, watch_round: int, call: ListCall) -> None:
+        """Call beside a silent watch: the changes that it misses count as notified."""
+        if call is self.latest_call and not call.ended:
+            self._call_watch(watch_round, WATCH_IMMEDIATE_MS)
 
     def _call(
         self, target: str, within: float, done: Callable[[ListCall, EndpointUpdate | None, str], None]
     ) -> ListCall:
+        """Make one call.
+
+        Args:
+            target: path and query.
+            within: seconds until the call fails.
+            done: called at its end with the update, or with None and the reason of the failure.
+        """
         source = self.source
         payload = f"GET {target} HTTP/1.1\r\nHost: {source.host}\r\nAccept: application/json\r\n\r\n".encode()
-        taken = source.taken
+        accepted = source.accepted
 
         def ended(call: Exchange, status: Status, answer: Response | None) -> None:
-            if self.closed or (source is not self.source and source is not self.left):
-                return  # an answer of a discovery that has been left
-            news, reason = None, status.name
+            if self.closed or (source is not self.source and source is not self.previous):
+                return  # an answer of a source that is in use no more
+            update, reason = None, status.name
             if status is Status.OK and answer is not None:
                 try:
-                    news = source.in_order(parse_endpoint_update(json.loads(answer.body), self.names), taken)
+                    parsed = parse_endpoint_update(json.loads(answer.body), self.names)
+                    update = source.in_order(parsed, accepted)
                 except (ValueError, RecursionError) as error:
                     reason = str(error)
             elif answer is not None:
                 reason = f"answer {answer.code}"
             if source is self.source:
-                done(call, news, reason)  # type: ignore[arg-type]
-            elif news is not None:
-                self._take(source, news)
+                done(cast(ListCall, call), update, reason)
+            elif update is not None:
+                self._accept(source, update)
 
         if self.schedule is not None:
             self.schedule.called()
-        call = ListCall(payload, ended, LIST_MOST)
+        call = ListCall(payload, ended, MAX_LIST_BYTES)
         source.calls.start(DISCOVERY, call, within)
         return call
 
-    def _watched(self, call: ListCall, news: EndpointUpdate | None, reason: str) -> None:
-        self.open.pop(call, None)
-        if news is None:
-            if call is self.latest:  # else another is out, or the next one is planned
-                self._note(None, reason)
-                self.watch(False)
-                if self.pushed:  # nobody asks the agent but this; the module only waits for what it tells
-                    self.loop.call_later(AGAIN_PUSHED, self.watch, True)
-                self.heard(None)
+    def _on_watch_end(self, call: ListCall, update: EndpointUpdate | None, reason: str) -> None:
+        self.open_calls.pop(call, None)
+        if update is None:
+            if call is self.latest_call:  # else another is in flight, or the next one is scheduled
+                self._on_watch_failure(reason)
             return
-        self._note(news, reason)
-        self.latest = None
-        for other in list(self.open):  # what they would tell is in this answer, or in the next
+        self._record_outcome(update, reason)
+        self.latest_call = None
+        for other in list(self.open_calls):  # what they would bring is in this answer, or in the next
             other.give_up(Status.CANCELLED)
         self.watching = True
-        self.round += 1  # a call that was planned is not wanted
-        number = self.round
+        self.watch_round += 1  # a call that was scheduled is not wanted
+        watch_round = self.watch_round
         try:
-            self._take(self.source, news)
+            self._accept(self.source, update)
         finally:
-            # Guards against asking an agent in a tight loop; a pause within 200 ms ends no watch.
-            pause = 0.0 if news.entries else CALLS_APART - (self.system.monotonic() - self.called)
+            # An agent that answers at once with nothing new must not be called in a tight loop; a pause of
+            # less than 200 ms ends no watch.
+            pause = 0.0 if update.entries else MIN_CALL_INTERVAL_S - (self.system.monotonic() - self.called)
             if self.schedule is not None:
                 pause = max(pause, self.schedule.goes_on_s())
-            if number == self.round:
-                self._next_in(pause)
+            if watch_round == self.watch_round:
+                self._schedule_call(pause)
+
+    def _on_watch_failure(self, reason: str) -> None:
+        self._record_outcome(None, reason)
+        self.watch(False)
+        if self.pushed:  # only this client calls an agent again; the balancer just waits for its updates
+            self.loop.call_later(RETRY_PUSHED_S, self.watch, True)
+        self.heard(None)
 
-    def _fetched(self, _: ListCall, news: EndpointUpdate | None, reason: str) -> None:
-        self._note(news, reason)
-        if news is None:
+    def _on_fetch_end(self, _: ListCall, update: EndpointUpdate | None, reason: str) -> None:
+        self._record_outcome(update, reason)
+        if update is None:
             self.heard(None)
         else:
-            self._take(self.source, news)
+            self._accept(self.source, update)
 
-    def _note(self, news: EndpointUpdate | None, reason: str) -> None:
-        """Log the first failure and the recovery: an outage lasts, and what it says does not change."""
+    def _record_outcome(self, update: EndpointUpdate | None, reason: str) -> None:
+        """Notify the schedule; log only the first failure and the recovery, as an outage lasts."""
         if self.schedule is not None:
-            if news is None:
+            if update is None:
                 self.schedule.failed()
             else:
                 self.schedule.answered()
-        if self.failing != (news is None):
-            self.failing = news is None
+        if self.failing != (update is None):
+            self.failing = update is None
             if self.failing:
                 log.warning("discovery failed: %s", reason)
             else:
-                log.info("discovery answers again")
+                log.info("discovery recovered")
 
-    def _take(self, source: ListSource, news: EndpointUpdate) -> None:
-        source.take(news)
+    def _accept(self, source: ListSource, update: EndpointUpdate) -> None:
+        source.accept(update)
         self.listed_by = source.host
         if source is self.source:
-            self._drop_left()
-        self.heard(news)
+            self._close_previous()
+        self.heard(update)
 
     def close(self) -> None:
+        """Make no more calls, and close the connections of those that are open."""
         self.closed = True
         self.watch(False)
         self.source.calls.close()
-        self._drop_left()
+        self._close_previous()
--- /dev/null
+++ b/dykefold/net/discovery/codec.py
@@ -0,0 +1,259 @@
+"""The form of the endpoint list: what an answer of discovery says, read and written without I/O."""
+
+from __future__ import annotations
+
+import reprlib
+import socket
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass
+from typing import Any, TypeVar
+
+from ...balancer.events import Endpoint, ListKind, Membership, State
+
+STATES = {"SERVING": State.READY, "DRAINING": State.DRAINING, "DELETED": State.GONE}
+MAX_NAMES = 256  # zones, and machine types, that are distinguished
+MAX_PORT = 65535
+NS_PER_MS = 1_000_000
+
+_Value = TypeVar("_Value")
+_UNREADABLE = (KeyError, TypeError, ValueError, OverflowError, AttributeError)
+
+
+class EndpointListError(ValueError):
+    """An answer is not a valid endpoint list.
+
+    Attributes:
+        field: the key that is wrong, after the number of its endpoint.
+        value: what stands there; None where the key is missing.
+        expected: what may stand there.
+    """
+
+    def __init__(self, field: str, value: object, expected: str) -> None:
+        """Name what is wrong, and what was expected in its place."""
+        self.field = field
+        self.value = value
+        self.expected = expected
+        super().__init__(f"{field} is {reprlib.repr(value)}, expected {expected}")
+
+
+class AddressError(ValueError):
+    """A text is not a numeric address with a port.
+
+    Attributes:
+        value: the text.
+    """
+
+    def __init__(self, value: object) -> None:
+        """Name the text that is no address."""
+        self.value = value
+        super().__init__(f"no address: {value!r}")
+
+
+@dataclass(slots=True)
+class EndpointRecord:
+    """One entry of an endpoint list, with what only the sockets need.
+
+    Attributes:
+        name: the endpoint's name in discovery.
+        endpoint: what the balancer knows of it.
+        address: host and port to connect to.
+        since_ms: when it started, as Unix time in milliseconds; 0: not known.
+    """
+
+    name: str
+    endpoint: Endpoint
+    address: tuple[str, int]
+    since_ms: int
+
+
+@dataclass(slots=True)
+class EndpointUpdate:
+    """One answer of discovery.
+
+    Attributes:
+        version: the index of the list after this update.
+        complete: whether the entries are the whole list, or only those that changed.
+        entries: the endpoints.
+    """
+
+    version: int
+    complete: bool
+    entries: list[EndpointRecord]
+
+    def membership(self, kind: ListKind | None = None) -> Membership:
+        """Return the event for the balancer.
+
+        Args:
+            kind: how the list was obtained; None: from a watch.
+        """
+        kind = kind or (ListKind.FULL if self.complete else ListKind.DELTA)
+        return Membership(kind, self.version, [entry.endpoint for entry in self.entries])
+
+
+class NameTable:
+    """The numbers by which the balancer knows endpoints, zones and machine types."""
+
+    def __init__(self, zones: list[str], kinds: list[str]) -> None:
+        """Number the zones and machine types of the settings in their order."""
+        self.servers: dict[str, int] = {}
+        self.zones = {name: number for number, name in enumerate(zones)}
+        self.kinds = {name: number for number, name in enumerate(kinds)}
+        self.next_server = 1
+
+    def server(self, name: str) -> int:
+        """Return an endpoint's number; a new name gets the next one."""
+        number = self.servers.get(name)
+        if number is None:
+            number = self.servers[name] = self.next_server
+            self.next_server += 1
+        return number
+
+    def zone(self, name: str) -> int:
+        """Return a zone's number; all names beyond `MAX_NAMES` share one."""
+        return _number(self.zones, name)
+
+    def kind(self, name: str) -> int:
+        """Return a machine type's number; all names beyond `MAX_NAMES` share one."""
+        return _number(self.kinds, name)
+
+    def keep(self, numbers: set[int]) -> None:
+        """Forget the names of all endpoints but these."""
+        self.servers = {name: number for name, number in self.servers.items() if number in numbers}
+
+
+def _number(known: dict[str, int], name: str) -> int:
+    # The names come from outside, so without a bound lists with ever new zones would fill the memory.
+    return known.setdefault(name, len(known)) if len(known) < MAX_NAMES else known.get(name, len(known))
+
+
+def split_address(text: object, least_port: int = 1) -> tuple[str, int]:
+    """Parse a numeric IPv4 address with a port.
+
+    Args:
+        text: `host:port`.
+        least_port: the lowest port that is valid here.
+
+    Returns:
+        The host and the port.
+
+    Raises:
+        AddressError: the text is no such address.
+    """
+    host, _, port = str(text).rpartition(":")
+    try:
+        socket.inet_pton(socket.AF_INET, host)
+    except (OSError, ValueError):  # a host with a null or a lone surrogate in it is a ValueError
+        raise AddressError(text) from None
+    if not (port.isascii() and port.isdigit() and least_port <= int(port) <= MAX_PORT):
+        raise AddressError(text)
+    return host, int(port)
+
+
+def parse_endpoint_update(data: object, names: NameTable) -> EndpointUpdate:
+    """Read an endpoint list or a change of it, as a whole or not at all.
+
+    Args:
+        data: the answer, decoded from JSON.
+        names: gets the names of the list; an unreadable list leaves none behind.
+
+    Returns:
+        The update, its endpoints numbered by `names`.
+
+    Raises:
+        EndpointListError: the answer is not an endpoint list.
+    """
+    if not isinstance(data, dict):
+        raise EndpointListError(field="answer", value=data, expected="an object")
+    listed = data.get("endpoints")
+    if not isinstance(listed, list):
+        raise EndpointListError(field="endpoints", value=listed, expected="a list")
+    version = _field(data, "index", int, "an integer")
+    complete = _field(data, "snapshot", bool, "a boolean")
+    entries = [_read_entry(number, entry) for number, entry in enumerate(listed)]
+    for record, zone, kind in entries:
+        endpoint = record.endpoint
+        endpoint.server = names.server(record.name)
+        endpoint.zone, endpoint.kind = names.zone(zone), names.kind(kind)
+    return EndpointUpdate(version, complete, [record for record, _, _ in entries])
+
+
+def endpoint_update_record(
+    version: int, entries: Iterable[EndpointRecord], names: NameTable
+) -> dict[str, Any]:
+    """Write a whole list in discovery's own form.
+
+    Args:
+        version: the index of the list.
+        entries: its endpoints.
+        names: in which their zones and machine types are numbered.
+
+    Returns:
+        An object for JSON, which `parse_endpoint_update` reads.
+    """
+    zones = {number: name for name, number in names.zones.items()}
+    kinds = {number: name for name, number in names.kinds.items()}
+    return {
+        "index": version,
+        "snapshot": True,
+        "endpoints": [
+            {
+                "name": entry.name,
+                "address": f"{entry.address[0]}:{entry.address[1]}",
+                "zone": zones.get(entry.endpoint.zone, ""),
+                "type": kinds.get(entry.endpoint.kind, ""),
+                "group": entry.endpoint.cell,
+                "status": "SERVING" if entry.endpoint.state is State.READY else "DRAINING",
+                "weight": entry.endpoint.weight,
+                "since_ms": entry.since_ms,
+            }
+            for entry in entries
+        ],
+    }
+
+
+def _read_entry(number: int, entry: object) -> tuple[EndpointRecord, str, str]:
+    """Return an endpoint without its numbers, and the names of its zone and machine type."""
+    if not isinstance(entry, dict):
+        raise EndpointListError(field=f"endpoints[{number}]", value=entry, expected="an object")
+    try:
+        since_ms = int(entry.get("since_ms") or 0)
+        endpoint = Endpoint(
+            server=0,
+            zone=0,
+            kind=0,
+            cell=int(entry.get("group") or 0),
+            # A status that this version does not know is no invitation to send anything new.
+            state=STATES.get(entry["status"], State.DRAINING),
+            weight=float(entry.get("weight", 1.0)),
+            started_ns=since_ms * NS_PER_MS,
+        )
+        record = EndpointRecord(str(entry["name"]), endpoint, split_address(entry["address"]), since_ms)
+    except _UNREADABLE as error:
+        raise _entry_error(number, entry) from error
+    if since_ms < 0:
+        raise EndpointListError(field=f"endpoints[{number}].since_ms", value=since_ms, expected="0 or more")
+    return record, str(entry.get("zone", "")), str(entry.get("type", ""))
+
+
+def _entry_error(number: int, entry: dict[str, Any]) -> EndpointListError:
+    """Find the wrong field of an unreadable entry; apart from reading, as nearly all entries are valid."""
+    where = f"endpoints[{number}]."
+    try:
+        _field({"since_ms": entry.get("since_ms") or 0}, "since_ms", int, "milliseconds", where)
+        _field({"group": entry.get("group") or 0}, "group", int, "an integer", where)
+        _field(entry, "status", STATES.get, "a text", where)
+        _field({"weight": entry.get("weight", 1.0)}, "weight", float, "a number", where)
+        _field(entry, "name", str, "a text", where)
+        _field(entry, "address", split_address, "host:port", where)
+    except EndpointListError as error:
+        return error
+    return EndpointListError(field=f"endpoints[{number}]", value=entry, expected="an endpoint")
+
+
+def _field(
+    data: dict[str, Any], key: str, convert: Callable[[Any], _Value], expected: str, where: str = ""
+) -> _Value:
+    try:
+        return convert(data[key])
+    except _UNREADABLE:
+        raise EndpointListError(where + key, data.get(key), expected) from None
--- a/tests/sim/mutants.py
+++ b/tests/sim/mutants.py
@@ -50,7 +50,7 @@
     ),
     Mutant(
         "a drain is ignored",
-        "net/discovery/client.py",
+        "net/discovery/codec.py",
         '"DRAINING": State.DRAINING',
         '"DRAINING": State.READY',
         "restarts",
@@ -181,7 +181,7 @@
     Mutant(
         "after an answer nobody calls again",
         "net/discovery/client.py",
-        "            if number == self.round:\n                self._next_in(pause)\n",
+        "            if watch_round == self.watch_round:\n                self._schedule_call(pause)\n",
         "            pass\n",
         "coldstart",
     ),
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -55,20 +55,20 @@
 
 @pytest.mark.parametrize("pushed", [False, True], ids=["asked", "pushed"])
 def test_the_chain_from_silence_to_the_next_answer_is_within_its_bound(pushed):
-    wait_s = (discovery.WATCH_PUSHED_MS if pushed else discovery.WATCH_ASKED_MS) / 1000
+    wait_s = (discovery.WATCH_PUSHED_MS if pushed else discovery.WATCH_POLLED_MS) / 1000
     bound_s = max(TOLD_WITHIN, wait_s + TOLD_AFTER_WAIT)
     if pushed:
-        assert wait_s + discovery.OVERDUE_PUSHED + 4 * discovery.AGAIN_PUSHED < bound_s
+        assert wait_s + discovery.OVERDUE_PUSHED_S + 4 * discovery.RETRY_PUSHED_S < bound_s
     else:
-        assert wait_s + discovery.OVERDUE_ASKED + 1.0 < bound_s  # what a call that is not silent may take
-    assert wait_s <= 60.0 and discovery.OPEN_MOST >= 2
+        assert wait_s + discovery.OVERDUE_POLLED_S + 1.0 < bound_s  # what a call that is not silent may take
+    assert wait_s <= 60.0 and discovery.MAX_OPEN_CALLS >= 2
 
 
 @pytest.mark.parametrize("pushed", [False, True], ids=["asked", "pushed"])
 @on_loop
 async def test_a_silent_watch_is_replaced_before_it_is_given_up(pushed, monkeypatch):
     """calm+brink: all open watches fall silent, servers begin to drain; it was heard of after 24 s."""
-    monkeypatch.setattr(discovery, "WATCH_ASKED_MS", 200)
+    monkeypatch.setattr(discovery, "WATCH_POLLED_MS", 200)
     monkeypatch.setattr(discovery, "WATCH_PUSHED_MS", 200)
 
     async def act(message, reader, writer):
@@ -113,8 +113,8 @@
 async def test_a_silent_agent_is_asked_again_and_again_with_a_bound(monkeypatch):
     """An agent cut off from discovery holds its answers; what it gets at the return counts at once."""
     monkeypatch.setattr(discovery, "WATCH_PUSHED_MS", 100)
-    monkeypatch.setattr(discovery, "OVERDUE_PUSHED", 0.05)
-    monkeypatch.setattr(discovery, "AGAIN_PUSHED", 0.05)
+    monkeypatch.setattr(discovery, "OVERDUE_PUSHED_S", 0.05)
+    monkeypatch.setattr(discovery, "RETRY_PUSHED_S", 0.05)
 
     async def act(message, reader, writer):
         standing.append(fake.connections - fake.ended)
@@ -128,7 +128,7 @@
     heard = []
     agent = watcher(fake, heard, pushed=True)
     await until(lambda: len(fake.got) > 8)
-    assert not heard and max(standing) <= discovery.OPEN_MOST + 1  # one of these is on its way out
+    assert not heard and max(standing) <= discovery.MAX_OPEN_CALLS + 1  # one of these is on its way out
     back.set()
     returned = time.monotonic()
     await until(lambda: heard)
@@ -164,8 +164,8 @@
 
 @on_loop
 async def test_an_older_answer_to_the_earlier_of_two_calls_sets_nothing_back(monkeypatch):
-    monkeypatch.setattr(discovery, "WATCH_ASKED_MS", 100)
-    monkeypatch.setattr(discovery, "OVERDUE_ASKED", 0.05)
+    monkeypatch.setattr(discovery, "WATCH_POLLED_MS", 100)
+    monkeypatch.setattr(discovery, "OVERDUE_POLLED_S", 0.05)
 
     async def act(message, reader, writer):
         writers.append(writer)
@@ -188,8 +188,8 @@
 @on_loop
 async def test_a_call_beside_a_silent_one_that_fails_ends_neither_of_them(answers, monkeypatch):
     """The silent one may speak yet; and the call after the failure is made as after any failure."""
-    monkeypatch.setattr(discovery, "WATCH_ASKED_MS", 100)
-    monkeypatch.setattr(discovery, "OVERDUE_ASKED", 0.05)
+    monkeypatch.setattr(discovery, "WATCH_POLLED_MS", 100)
+    monkeypatch.setattr(discovery, "OVERDUE_POLLED_S", 0.05)
 
     async def act(message, reader, writer):
         calls.append(writer)
@@ -214,7 +214,7 @@
     await until(lambda: len(calls) > (3 if answers == "the third" else 2))
     assert "after=41&" in fake.got[-1].first  # one watch goes on, whichever told
     asker.watch(True)  # the module's own timer, which is late, opens no second one
-    assert len(asker.open) == 1
+    assert len(asker.open_calls) == 1
     asker.close()
 
 
@@ -273,7 +273,7 @@
         await until(lambda: len(fake.got) >= before + 4)
         gap_s = (time.monotonic() - began) / 4
         assert found.pushed is (modes[1] == "push")
-        assert gap_s < 1.0 if found.pushed else gap_s > discovery.AGAIN_PUSHED
+        assert gap_s < 1.0 if found.pushed else gap_s > discovery.RETRY_PUSHED_S
 
 
 @on_loop
@@ -289,7 +289,7 @@
         moved.turn((HOST, fake.port))
     await until(lambda: fakes[2].connections - fakes[2].ended == 1)
     await until(lambda: fakes[0].connections == fakes[0].ended)
-    assert moved.left is not None and moved.address == (HOST, fakes[2].port)
+    assert moved.previous is not None and moved.address == (HOST, fakes[2].port)
     moved.close()
     await until(lambda: all(fake.connections == fake.ended for fake in fakes))
 
@@ -317,7 +317,7 @@
 @on_loop
 async def test_a_list_that_waits_unread_when_its_call_s_time_is_up_is_read(monkeypatch):
     """Timers fire before sockets are read: a loop that was late gave up what had been told."""
-    monkeypatch.setattr(discovery, "ANSWER_WITHIN", 0.3)
+    monkeypatch.setattr(discovery, "ANSWER_TIMEOUT_S", 0.3)
     teller = Teller()
     teller.start()
     heard = []
@@ -353,5 +353,5 @@
         while not any(isinstance(action, Watch) and action.on for action in actions):
             timer = next(action for action in actions if isinstance(action, SetTimer))
             now += timer.after_ns
-            assert now <= due - (discovery.ANSWER_WITHIN + 0.9) * SECOND
+            assert now <= due - (discovery.ANSWER_TIMEOUT_S + 0.9) * SECOND
             actions = balancer.handle(now, Timer(timer.token))
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -29,6 +29,7 @@
     parse_endpoint_update,
     split_address,
 )
+from dykefold.net.discovery.codec import MAX_NAMES
 
 
 def names():
@@ -75,8 +76,8 @@
     ids=["503", "bad-json", "deep-json", "bad-entry", "bad-list", "cut-off", "reset", "hang"],
 )
 def test_a_broken_call_is_told_as_failed_and_the_next_watch_works(trouble, monkeypatch):
-    monkeypatch.setattr(discovery, "WATCH_ASKED_MS", 200)
-    monkeypatch.setattr(discovery, "ANSWER_WITHIN", 0.3)
+    monkeypatch.setattr(discovery, "WATCH_POLLED_MS", 200)
+    monkeypatch.setattr(discovery, "ANSWER_TIMEOUT_S", 0.3)
 
     async def play():
         async def act(message, reader, writer):
@@ -117,7 +118,7 @@
 
     caplog.set_level("INFO", "dykefold.discovery")
     run(play())
-    assert caplog.messages == ["discovery failed: answer 503", "discovery answers again"]
+    assert caplog.messages == ["discovery failed: answer 503", "discovery recovered"]
 
 
 def test_a_watch_goes_on_by_itself_from_the_latest_version():
@@ -161,7 +162,7 @@
 
 
 def test_pushed_lists_are_watched_again_after_a_failure_unasked(tmp_path, monkeypatch):
-    monkeypatch.setattr(discovery, "AGAIN_PUSHED", 0.01)
+    monkeypatch.setattr(discovery, "RETRY_PUSHED_S", 0.01)
 
     async def play():
         async def act(message, reader, writer):
@@ -309,5 +310,5 @@
         parse_endpoint_update(
             news(1, {**entry("s1", f"{HOST}:7", zone=f"z{number}"), "type": f"k{number}"}), known
         )
-    assert len(known.zones) == len(known.kinds) == discovery.NAMES_MOST
+    assert len(known.zones) == len(known.kinds) == MAX_NAMES
     assert known.zone("a") == 0 and known.kind("std") == 0
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -297,7 +297,7 @@
             assert await sidecar.process.wait() == 0
             log = await sidecar.log
             assert b"Traceback" not in log and len(old.got) == 1
-            assert log.count(b"stays as it was") in (0, 1) and log.count(b"discovery is now at") == 1
+            assert log.count(b"stays as it was") in (0, 1) and log.count(b"discovery address changed to") == 1
 
     run(play())
 
