--- a/tests/admission/test_accept_errors.py
+++ b/tests/admission/test_accept_errors.py
@@ -77,7 +77,7 @@
         )
         if ends:
             engine.drain()
-            engine._stop_accepting()
+            engine.shutdown.stop_accepting()
         answers = await whole(*socks)
         assert [answer[:13] for answer in answers] == [b"HTTP/1.1 200 "] * 2
         # A loop that spins would have been there thousands of times.
@@ -93,9 +93,9 @@
         faulty(sidecar).on("accept", errno.EMFILE)
         (sock,) = connected(sidecar.port, b"")
         engine.drain()
-        engine.answer_at = engine.monotonic() + 0.2
-        engine._stop_accepting()
-        engine._stop_taking()
+        engine.shutdown.answer_at = engine.monotonic() + 0.2
+        engine.shutdown.stop_accepting()
+        engine.shutdown.stop_requests()
         assert engine.listener is not None
         async with asyncio.timeout(WAIT):
             await engine.stopped
--- a/tests/control/test_hot_restart.py
+++ b/tests/control/test_hot_restart.py
@@ -206,7 +206,7 @@
         async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
             # All in one turn of the loop: none of them can be accepted on the way.
             early = [socket.create_connection((HOST, sidecar.port)) for _ in range(40)]
-            sidecar.engine._close_listener()
+            sidecar.engine.shutdown.close_listener()
             for number, sock in enumerate(early):
                 reader, writer = await asyncio.open_connection(sock=sock)
                 writer.write(message("lookup", f"a{number}"))
--- a/tests/sim/mutants.py
+++ b/tests/sim/mutants.py
@@ -117,8 +117,8 @@
     ),
     Mutant(
         "a planned end goes on taking what is sent ahead",
-        "net/sidecar.py",
-        "        self.ended = True\n",
+        "net/shutdown.py",
+        "        self.server.ended = True\n",
         "",
         "ahead",
     ),
--- a/tests/test_client_closes.py
+++ b/tests/test_client_closes.py
@@ -156,11 +156,11 @@
         writer.write(b"".join(message("lookup", f"id{n:02}") for n in range(many)) + after)
         await until(lambda: fake.got)
         engine.draining = True
-        engine._stop_taking()
+        engine.shutdown.stop_requests()
         if not cut:
             go.set()
             await until(lambda: len(fake.got) == many and not engine.pool.held)
-        engine._answer_all()
+        engine.shutdown.answer_all()
         found, ended = await codes(reader)
         assert ended and len(found) == many + bool(after)
         assert set(found[:many]) <= ({503, 504} if cut else {200}) and found[many:] in ([], [503])
@@ -177,7 +177,7 @@
         await until(lambda: fake.got)
         engine = sidecar.engine
         engine.draining = True
-        engine._stop_taking()
+        engine.shutdown.stop_requests()
         front = next(iter(engine.clients.all.values()))
         front._pause()  # or it is read at once
         now(writer, message("order", "cd"))
@@ -266,7 +266,7 @@
         opened = [await rested(sidecar.port, f"id{n}") for n in range(3)]  # the third takes a place
         assert await codes(opened[0][0]) == ([], True)
         engine.draining = True
-        engine._stop_taking()
+        engine.shutdown.stop_requests()
         assert [await codes(reader) for reader, _ in opened[1:]] == [([], True)] * 2
         await until(lambda: not engine.clients.all)
         for _, writer in opened:
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -318,7 +318,7 @@
         fronts = engine.clients.all
         await until(lambda: any(front.owes for front in fronts.values()))
         engine.drain()
-        engine._stop_taking()
+        engine.shutdown.stop_requests()
         writer.write(whole[40:])
         got = await read_message(reader)
         assert got.code == 200 and got.headers["connection"] == "close"
@@ -337,7 +337,7 @@
         engine.listener.take_rest()
         assert len(engine.clients.all) == 2
         engine.drain()
-        engine._stop_taking()
+        engine.shutdown.stop_requests()
         got = await asyncio.to_thread(read_all, asked)
         assert got.startswith(b"HTTP/1.1 200 ") and b"Connection: close" in got
         assert await asyncio.to_thread(read_all, resting) == b""
@@ -356,7 +356,7 @@
         sock = socket.create_connection((HOST, sidecar.port))
         sock.sendall(message("order", "ab"))
         engine.drain()
-        engine._stop_accepting()
+        engine.shutdown.stop_accepting()
         assert (await asyncio.to_thread(read_all, sock)).startswith(b"HTTP/1.1 200 ")
         sock.close()
     assert len(fake.got) == 1
@@ -371,7 +371,7 @@
         writer.write(message("order", "ab"))
         assert (await read_message(reader)).code == 200
         engine.drain()
-        engine._stop_taking()
+        engine.shutdown.stop_requests()
         writer.write(message("order", "cd"))
         assert await reader.read() == b""
         writer.close()
--- a/tests/test_net_front.py
+++ b/tests/test_net_front.py
@@ -241,7 +241,7 @@
                 sent += 1
                 await until(lambda: len(fake.got) == sent and client.current is None)  # noqa: B023
             sidecar.engine.draining = True
-            sidecar.engine._stop_taking()
+            sidecar.engine.shutdown.stop_requests()
             got = bytearray()
             while data := await loop.sock_recv(sock, 65536):
                 got += data
@@ -406,7 +406,7 @@
 
 
 def test_the_ids_that_are_kept_are_bounded(tmp_path, monkeypatch):
-    monkeypatch.setattr(engine, "IDS_MOST", 100)
+    monkeypatch.setattr(engine, "MAX_RECENT_IDS", 100)
 
     async def play():
         fake = await Fake(answer_ok).start()
--- a/tests/test_net_requests.py
+++ b/tests/test_net_requests.py
@@ -381,7 +381,7 @@
             writer.write(message("lookup", "a") + message("lookup", "b"))
             await until(lambda: fake.got)
             sidecar.engine.draining, sidecar.engine.taking = True, False
-            sidecar.engine._answer_all()
+            sidecar.engine.shutdown.answer_all()
             got = [await read_message(reader), await read_message(reader)]
             assert [one.code for one in got] == [504, 503]
             assert "retry-after" in got[1].headers and got[1].headers["connection"] == "close"
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -31,7 +31,7 @@
 )
 from process_helpers import Process
 
-from dykefold.net.sidecar import planned_end
+from dykefold.net.shutdown import shutdown_times
 from dykefold.settings import nested_settings, parse_settings
 
 pytestmark = pytest.mark.processes
@@ -87,7 +87,7 @@
 @given(st.floats(min_value=0.3, max_value=60.0))
 def test_a_planned_end_is_over_before_the_platform_may_kill(longest_s):
     """Full score, first deployment: requests taken until 2.3 s were lost at the kill."""
-    take_s, answer_s, stop_s = planned_end(longest_s)
+    take_s, answer_s, stop_s = shutdown_times(longest_s)
     assert 0.5 <= take_s < stop_s and answer_s < stop_s
     assert stop_s <= min(longest_s, 3.0) + 0.65
 
