--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -9,7 +9,7 @@
 from net_helpers import HOST, Fake, Sidecar, config, entry, news, on_loop, reply, until
 
 from dykefold.balancer.events import Endpoint, ListKind, Membership, State
-from dykefold.net.clock import LIST_LAG_NS, StartTimes
+from dykefold.net.start_times import LIST_LAG_NS, StartTimes
 from dykefold.system import System
 
 HOUR = 3600 * SECOND
@@ -175,7 +175,7 @@
 
 
 def test_what_is_remembered_of_starts_has_a_bound():
-    starts = StartTimes(most=100)
+    starts = StartTimes(max_starts=100)
     starts.place(UNIX, ListKind.FULL, "one", [])
     for number in range(1000):
         entry = Endpoint(number, 0, 0, 0, State.READY, started_ns=UNIX)
