--- a/dykefold/net/memory_budget.py
+++ b/dykefold/net/memory_budget.py
@@ -1,4 +1,4 @@
-"""The memory of messages that this process may hold, by the configuration."""
+"""How much memory the messages of this process may take, by the configuration."""
 
 from __future__ import annotations
 
@@ -6,26 +6,40 @@
 
 
 class MemoryBudget:
-    """The memory of all messages that are held, requests and answers."""
+    """The memory of all buffered messages, requests and responses.
 
-    PROGRAM = 20 * MB  # what the program takes without any
-    PART = 0.3  # of the rest: a message is held up to twice, and freed memory is in pieces
-    LEAST = MB
-    MOST = 48 * MB
+    Attributes:
+        held: bytes that are reserved.
+        most: bytes that may be reserved.
+    """
+
+    PROGRAM_BYTES = 20 * MB  # what the program takes without any message
+    FRACTION = 0.3  # of the rest: a message is buffered up to twice, and freed memory is fragmented
+    MIN_BYTES = MB
+    MAX_BYTES = 48 * MB
 
     def __init__(self, limit: int) -> None:
+        """Begin with nothing reserved; `limit` as for `resize`."""
         self.held = 0
         self.resize(limit)
 
     def resize(self, limit: int) -> None:
-        """Take another limit on the memory of the whole process, in bytes; what is held stays held."""
-        self.most = int(min(max((limit - self.PROGRAM) * self.PART, self.LEAST), self.MOST))
+        """Apply another limit; what is reserved stays reserved.
+
+        Args:
+            limit: bytes that the whole process may take.
+        """
+        self.most = int(
+            min(max((limit - self.PROGRAM_BYTES) * self.FRACTION, self.MIN_BYTES), self.MAX_BYTES)
+        )
 
     def reserve(self, size: int) -> bool:
+        """Reserve this many bytes; return False, and reserve none, where they exceed the budget."""
         if self.held + size > self.most:
             return False
         self.held += size
         return True
 
     def release(self, size: int) -> None:
+        """Release bytes that were reserved."""
         self.held -= size
--- a/dykefold/net/read_scheduler.py
+++ b/dykefold/net/read_scheduler.py
@@ -15,17 +15,21 @@
 from ..system import SYSTEM, System
 from .loop_lag import LoopLagMonitor
 
-SLICE_BYTES = 2048  # at 18 bytes a request 113 of them: 2 to 3 ms, and a usual message is shorter
-SLICES_A_TURN = 2  # of all connections together
+SLICE_BYTES = 2048  # at 18 bytes a request 113 of them: 2 to 3 ms, and a typical message is shorter
+MAX_SLICES_PER_TURN = 2  # of all connections together
 
 
 class Reader(Protocol):
-    """A connection whose input may have to wait."""
+    """A connection whose input may have to wait.
 
-    unfed: memoryview | None  # what waits, in order
+    Attributes:
+        unfed: the input that waits, in order; None: nothing waits.
+    """
+
+    unfed: memoryview | None
 
     def feed_slice(self) -> bool:
-        """Parse at most a slice of what waits; whether more waits that can go on in the next turn."""
+        """Parse at most a slice of what waits; return whether more can be parsed in the next turn."""
         ...
 
 
@@ -35,19 +39,27 @@
     def __init__(
         self, loop: asyncio.AbstractEventLoop, lag: LoopLagMonitor | None = None, system: System = SYSTEM
     ) -> None:
+        """Prepare.
+
+        Args:
+            loop: runs the turns.
+            lag: is notified of the time that each turn took.
+            system: the clock.
+        """
         self.loop = loop
         self.monotonic = system.monotonic
         self.lag = lag
         self.queue: deque[Reader] = deque()
 
     def add(self, reader: Reader) -> None:
+        """Have a connection's waiting input parsed; it must not be in the queue already."""
         self.queue.append(reader)
         if len(self.queue) == 1:
             self.loop.call_soon(self._turn)
 
     def _turn(self) -> None:
         began_s = self.monotonic()
-        for _ in range(min(SLICES_A_TURN, len(self.queue))):
+        for _ in range(min(MAX_SLICES_PER_TURN, len(self.queue))):
             reader = self.queue.popleft()
             if reader.feed_slice():
                 self.queue.append(reader)
@@ -58,6 +70,6 @@
 
 
 def cut(data: memoryview) -> tuple[bytes, memoryview | None]:
-    """The next slice, and what is left after it."""
+    """Split input into its next slice and what is left after it; None: nothing is left."""
     rest = data[SLICE_BYTES:]
     return bytes(data[:SLICE_BYTES]), rest if len(rest) else None
--- a/dykefold/net/start_times.py
+++ b/dykefold/net/start_times.py
@@ -33,8 +33,8 @@
     - In a first list, which no answer came before (a cached list, the first answer behind it, the first
       whole list of another discovery), no such bound exists: most of its endpoints did start long ago, and
       with all of them in slow start a restarted sidecar would have no capacity. Their ages are believed, but
-      for a start in this machine's future, which counts as of now; and where most of the list lies there, it is
-      this clock that is behind, and ages are counted from the newest start. A clock that was too far ahead
+      for a start in this machine's future, which counts as of now; and where most of the list lies there, it
+      is this clock that is behind, and ages are counted from the newest start. A clock that was too far ahead
       before the process began hides a start that is younger than a slow start and stands in a first list:
       nothing here tells it from an old one. A start that is notified later is not touched by that.
 
--- a/dykefold/net/streaming.py
+++ b/dykefold/net/streaming.py
@@ -1,8 +1,8 @@
-"""Bodies too large to be held: they go on piece by piece as they come, and never twice.
+"""Request bodies too large to be buffered: they are forwarded piece by piece as they come, and never twice.
 
-A body that is held can be sent again; one that passes through can't, so a request whose body has begun to
-flow gets no second attempt, whatever its class allows. Both directions are paced by the slower side: who
-can't write on stops the one who reads, and what waits between the two is bounded.
+A buffered body can be sent with a retry; one that streams through can't, so a request whose body has begun
+to flow gets no second attempt, whatever its class allows. Both directions follow the slower side (flow
+control): who can't write on stops the one who reads, and the bytes between the two are bounded.
 """
 
 from __future__ import annotations
@@ -10,20 +10,26 @@
 from collections.abc import Callable
 from typing import Protocol
 
-BUFFER_BYTES = 64 * 1024  # of an upload that wait for its server; a whole body that is held may be as long
-REST_NS = 50_000_000  # in which what the kernel holds of a body is read, once it is read on
-FRAMING_MOST = 8  # times the body's own bytes that chunks may take, as for bodies that are held
+BUFFER_BYTES = 64 * 1024  # of an upload that wait for its server; a buffered body may be as long
+SOCKET_READ_NS = 50_000_000  # in which the kernel's part of a body is read, once reading resumes
+FRAMING_MOST = 8  # times the body's own bytes that chunks may take, as for buffered bodies
 
 
 class Sink(Protocol):
-    """Where an upload's bytes go: a connection to a server."""
+    """Where an upload's bytes go: a connection to a server.
 
-    unwritten: bool  # bytes wait for its socket
+    Attributes:
+        unwritten: bytes wait for its socket.
+    """
 
-    def write_on(self, data: bytes) -> None: ...
+    unwritten: bool
+
+    def write_on(self, data: bytes) -> None:
+        """Write the next bytes."""
+        ...
 
     def may_end(self) -> bool:
-        """Whether the last byte may still go; where it may not, the attempt is over behind this call."""
+        """Return whether the last byte may still be sent; if not, this call has ended the attempt."""
         ...
 
 
@@ -35,9 +41,9 @@
         begun: bytes of it have gone to a server, so it can't be sent again.
         sent: its last byte has gone to the server's connection.
         passed: bytes that went to a server's connection so far.
-        whole_ns: when its last byte had come, on the clock; 0 before.
-        stopped_ns, resumed_ns: when reading it was last stopped and begun again; 0 if it never was.
-        on_whole: called then, once.
+        whole_ns: when its last byte had come, in nanoseconds of `Clock`; 0 before.
+        stopped_ns, resumed_ns: when reading it was last stopped and resumed; 0 if it never was.
+        on_whole: called once, when its last byte has come.
         problem: code and text with which the request is to be answered, if the body can't be read on.
     """
 
@@ -62,8 +68,9 @@
         """Make an upload.
 
         Args:
+            length: bytes that were announced; None where the body comes in chunks.
             prefix: what has come of the body already.
-            on_drain: called when less waits than `BUFFER_BYTES` again.
+            on_drain: called when less than `BUFFER_BYTES` waits again.
         """
         self.length = length
         self.held: list[bytes] = [prefix] if prefix else []
@@ -75,7 +82,7 @@
         self.whole_ns = self.stopped_ns = self.resumed_ns = 0
         self.problem: tuple[int, bytes] | None = None
         self.sink: Sink | None = None
-        self.stop: Callable[[], None] | None = None  # gives up the attempt that it flows to
+        self.stop: Callable[[], None] | None = None  # cancels the attempt that it flows to
 
     @property
     def full(self) -> bool:
@@ -90,30 +97,46 @@
 
     @property
     def ended(self) -> bool:
-        """Whether its last byte has come from the client."""
+        """Whether the last byte has come from the client."""
         return self.whole_ns > 0
 
     def finish(self, now_ns: int) -> None:
-        """The body is whole.
+        """Record that the body is complete, and send its last byte when it may go.
 
-        Guards the answer against coming too late: what was read right after a stop had come by its beginning,
-        since less than `BUFFER_BYTES` of it fit any socket, and the client's time counts from its last byte.
+        The client's deadline counts from its last byte. What was read right after a stop had come before the
+        stop began, since less than `BUFFER_BYTES` of it fit any socket; so the time of the stop counts then.
+
+        Args:
+            now_ns: the time in nanoseconds of `Clock`.
         """
-        still = self.resumed_ns < self.stopped_ns
-        rest = self.stopped_ns and (still or now_ns - self.resumed_ns < REST_NS)
-        self.whole_ns = self.stopped_ns if rest else now_ns
-        if self.on_whole is not None:  # before its last byte goes, which is asked for its deadline
+        stopped = self.resumed_ns < self.stopped_ns
+        came_before = self.stopped_ns and (stopped or now_ns - self.resumed_ns < SOCKET_READ_NS)
+        self.whole_ns = self.stopped_ns if came_before else now_ns
+        if self.on_whole is not None:  # before the last byte goes, as its deadline is checked then
             self.on_whole()
         self.flow()
 
     def spoil(self, code: int, text: str) -> None:
-        """The body can't be read on: its attempt ends, and its request is answered with this."""
+        """Record that the body can't be read on: end its attempt.
+
+        Args:
+            code: of the response to its request.
+            text: of that response.
+        """
         self.problem = (code, f"{text}\n".encode())
         if self.stop is not None:
             self.stop()
 
     def attach(self, sink: Sink, stop: Callable[[], None]) -> bool:
-        """Flow to a connection on which the request's head has been written; False if it is spoilt."""
+        """Flow to a connection on which the request's head has been written.
+
+        Args:
+            sink: the connection.
+            stop: cancels the attempt.
+
+        Returns:
+            False if the body can't be read on; the attempt has been cancelled then.
+        """
         self.sink, self.stop = sink, stop
         if self.problem is not None:
             stop()
@@ -123,20 +146,20 @@
         return True
 
     def detach(self) -> None:
-        """The attempt that it flowed to is over."""
+        """Flow no more to the attempt, which is over."""
         self.sink = self.stop = None
 
     def flow(self) -> None:
-        """Pass on what waits, as far as the server takes it; the last byte only behind all others.
+        """Forward what waits, as far as the server reads it; the last byte only after all others.
 
-        A server begins with a request when its last byte has come, so that is kept back until the body is
-        whole and the kernel has taken the rest, and asked for once more.
+        A server begins with a request when its last byte has come. So that byte is kept back until the body
+        is complete and the kernel has accepted the rest, and `Sink.may_end` has confirmed the deadline.
         """
         sink = self.sink
         if sink is None or sink.unwritten or self.sent:
             return
         was_full = self.full
-        self._pass_on(sink)
+        self._forward(sink)
         if self.ended and not sink.unwritten and sink.may_end():
             self.sent = True
             last, self.held, self.size = b"".join(self.held), [], 0
@@ -145,7 +168,7 @@
         if was_full and not self.full:
             self.on_drain()
 
-    def _pass_on(self, sink: Sink) -> None:
+    def _forward(self, sink: Sink) -> None:
         """Write what has come, without the last byte of a body whose length is known."""
         data, last = b"".join(self.held), b""
         if self.length is not None and self.passed + len(data) >= self.length:
--- a/dykefold/net/timer_wheel.py
+++ b/dykefold/net/timer_wheel.py
@@ -1,4 +1,4 @@
-"""Time limits of requests and attempts, nearly none of which is ever met.
+"""Time limits of requests and attempts, nearly none of which ever expires.
 
 A timer of the loop costs some microseconds to start and to cancel, and each request needs two. Here a
 limit is an entry in the bucket of its tick, and one timer of the loop waits for the first bucket that is
@@ -12,38 +12,49 @@
 
 from ..system import SYSTEM, System
 
-TICK_S = 0.002  # how late a limit may ring; the margins before a client's deadline are 8 and 15 ms
+TICK_S = 0.002  # how late a limit may expire; the margins before a client's deadline are 8 and 15 ms
 
 
 class Timed:
-    """Something with one time limit at a time."""
+    """Something with one time limit at a time.
+
+    Attributes:
+        tick: of its limit; 0: no limit runs.
+    """
 
     __slots__ = ("tick",)
 
-    tick: int  # of its limit; 0: none
+    tick: int
 
     def expire(self) -> None:
-        """The limit is met; called once, from the loop."""
+        """Handle the end of the limit; called once, from the event loop."""
         raise NotImplementedError
 
 
 class TimerWheel:
-    """The limits that are running: one for each open request and each attempt that is out.
+    """The limits that run: one for each pending request and each attempt in flight.
 
-    A tick stands in the heap once, also when all its limits are over, until its time has come: as many
+    A tick stays in the heap, once, until its time has come, also when all its limits were stopped: as many
     entries as there are ticks in the longest limit, 2,000 for 4 s.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, system: System = SYSTEM) -> None:
+        """Begin with no limit."""
         self.loop = loop
         self.monotonic = system.monotonic
-        self.buckets: dict[int, dict[Timed, None] | None] = {}  # None: all its limits are over
+        self.buckets: dict[int, dict[Timed, None] | None] = {}  # None: all its limits were stopped
         self.ticks: list[int] = []  # a heap of the buckets' ticks
         self.timer: asyncio.TimerHandle | None = None
-        self.rings_at = 0
+        self.expires_at = 0
 
     def start(self, item: Timed, after_s: float, now_s: float) -> None:
-        """Have an item expire after this time and at most a tick more."""
+        """Have an item expire after this time and at most a tick more.
+
+        Args:
+            item: must have no limit that runs.
+            after_s: seconds from now.
+            now_s: the time, in seconds of the monotonic clock.
+        """
         tick = item.tick = int((now_s + after_s) / TICK_S) + 1
         bucket = self.buckets.get(tick)
         if bucket is not None:
@@ -52,11 +63,11 @@
         if tick not in self.buckets:
             heapq.heappush(self.ticks, tick)
         self.buckets[tick] = {item: None}
-        if self.timer is None or tick < self.rings_at:
+        if self.timer is None or tick < self.expires_at:
             self._arm(now_s)
 
     def stop(self, item: Timed) -> None:
-        """The item is over; again it does nothing."""
+        """Stop an item's limit; without one that runs, do nothing."""
         bucket = self.buckets.get(item.tick)
         if bucket is not None:
             bucket.pop(item, None)
@@ -71,13 +82,13 @@
         while self.ticks and self.buckets[self.ticks[0]] is None:
             del self.buckets[heapq.heappop(self.ticks)]
         if self.ticks:
-            self.rings_at = self.ticks[0]
-            self.timer = self.loop.call_later(max(self.rings_at * TICK_S - now_s, 0.0), self._ring)
+            self.expires_at = self.ticks[0]
+            self.timer = self.loop.call_later(max(self.expires_at * TICK_S - now_s, 0.0), self._expire_due)
 
-    def _ring(self) -> None:
+    def _expire_due(self) -> None:
         self.timer = None
         now_s = self.monotonic()
-        due = int(now_s / TICK_S + 0.5)  # the loop's own clock may be a part of a millisecond behind
+        due = int(now_s / TICK_S + 0.5)  # the loop's own clock may be less than a millisecond behind
         while self.ticks and self.ticks[0] <= due:
             tick = heapq.heappop(self.ticks)  # first: one that expires may start or stop others
             while bucket := self.buckets.get(tick):
--- a/dykefold/system.py
+++ b/dykefold/system.py
@@ -1,8 +1,8 @@
 """What the program takes from its machine directly, beside the event loop: time, sockets, descriptors.
 
-The one seam between the production code and its machine. Whoever holds a `System` reads no other clock and
-opens no other socket, so that the same code runs on a virtual machine (`dykefold.sim`). On a real one
-each of these is the system's own function: the seam costs an attribute look-up.
+The one interface between the production code and its machine. Code that has a `System` reads no other clock
+and opens no other socket, so that the same code runs on a virtual machine (`dykefold.sim`). On a real one
+each of these is the system's own function: the interface costs an attribute look-up.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 def is_own(error: BaseException | None) -> bool:
-    """Whether a system call failed for this machine's sake, which says nothing of the other side.
+    """Return whether a system call failed for a reason of this machine, which says nothing of the other side.
 
     A refusal, a reset, ETIMEDOUT and EHOSTUNREACH are the other side's or the path's.
     """
@@ -45,9 +45,11 @@
 
 
 class Watch(Protocol):
-    """Tells without waiting whether bytes or an end wait on one socket."""
+    """Shows without waiting whether bytes or an end of stream wait on one socket."""
 
-    def poll(self, timeout: float, /) -> list: ...
+    def poll(self, timeout: float, /) -> list[tuple[int, int]]:
+        """Return a non-empty list if something waits; as select.poll, with a timeout in milliseconds."""
+        ...
 
 
 class System:
@@ -58,23 +60,27 @@
     time_ns = staticmethod(time.time_ns)  # Unix time
 
     def tcp_socket(self) -> socket.socket:
-        """A TCP socket over IPv4 that never blocks. Raises OSError if there is no descriptor left."""
+        """Open a TCP socket over IPv4 that never blocks.
+
+        Raises:
+            OSError: there is no descriptor left.
+        """
         return socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
 
     def watch(self, sock: socket.socket) -> Watch:
-        """A watch on a socket; asking it costs less than a read that fails."""
+        """Return a watch on a socket; polling it costs less than a read that fails."""
         watch = select.poll()
         watch.register(sock, select.POLLIN)
         return watch
 
     def watch_end(self, sock: socket.socket) -> Watch:
-        """A watch on whether bytes wait on a socket, or its other side has ended behind them (poll(2))."""
+        """Return a watch on whether bytes wait, or the other side has closed its stream behind them."""
         watch = select.poll()
         watch.register(sock, select.POLLIN | select.POLLRDHUP)
         return watch
 
     def unread(self, sock: socket.socket) -> int:
-        """Bytes that have come on a socket and wait unread (tcp(7), SIOCINQ); 0 where that is not told."""
+        """Return how many bytes wait unread on a socket (tcp(7), SIOCINQ); 0 where that is not known."""
         try:
             found = fcntl.ioctl(sock.fileno(), termios.FIONREAD, bytes(4))
         except (OSError, ValueError):  # it has ended meanwhile
@@ -82,10 +88,15 @@
         return int.from_bytes(found, sys.byteorder)
 
     def open_spare(self) -> int:
-        """A descriptor that is kept only to be closed. Raises OSError if there is none left."""
+        """Open a reserve descriptor, kept only to be closed when another is needed.
+
+        Raises:
+            OSError: there is no descriptor left.
+        """
         return os.open(os.devnull, os.O_RDONLY | os.O_CLOEXEC)
 
     def close_spare(self, number: int) -> None:
+        """Close such a descriptor."""
         os.close(number)
 
 
--- a/tests/routing/test_services.py
+++ b/tests/routing/test_services.py
@@ -16,7 +16,7 @@
 
 from dykefold.admission.addresses import Caps
 from dykefold.balancer.settings import Effect
-from dykefold.net.loop_lag import LATE_S
+from dykefold.net.loop_lag import MIN_LOGGED_S
 from dykefold.net.sidecar import SidecarServer
 from dykefold.routing.config import read_plan
 from dykefold.routing.services import Services
@@ -289,7 +289,7 @@
             # Where the machine took the core away some are refused, as ever; that is no loss, and no pass.
             codes = set().union(*(load.codes for load in loads))
             late_s = node.engine.lag.worst_s
-            void = 503 in codes and late_s >= LATE_S
+            void = 503 in codes and late_s >= MIN_LOGGED_S
             assert codes <= ({200, 503} if void else {200}) and not any(load.lost for load in loads)
             ids = [got.headers["x-request-id"] for fake in fakes for got in fake.got]
             served = sum(load.codes[200] for load in loads)
--- a/tests/routing/test_streams.py
+++ b/tests/routing/test_streams.py
@@ -314,7 +314,7 @@
 
 def test_a_body_that_waited_for_its_server_has_come_when_reading_was_stopped():
     """Guards the answer in time: the rest of a body is in the socket's buffer while nothing is read."""
-    from dykefold.net.streaming import REST_NS, Upload
+    from dykefold.net.streaming import SOCKET_READ_NS, Upload
 
     def finished(stopped, resumed, now):
         upload = Upload(None, b"", lambda: None)
@@ -323,6 +323,6 @@
         return upload.whole_ns
 
     assert finished(0, 0, 900) == 900
-    assert finished(100, 800, 800 + REST_NS - 1) == 100  # right behind: it was there
-    assert finished(100, 800, 800 + REST_NS) == 800 + REST_NS  # the client had more to send
-    assert finished(100, 50, 10 * REST_NS) == 100  # still stopped: out of what had been read already
+    assert finished(100, 800, 800 + SOCKET_READ_NS - 1) == 100  # right behind: it was there
+    assert finished(100, 800, 800 + SOCKET_READ_NS) == 800 + SOCKET_READ_NS  # the client had more to send
+    assert finished(100, 50, 10 * SOCKET_READ_NS) == 100  # still stopped: out of what had been read already
--- a/tests/sim/test_reality.py
+++ b/tests/sim/test_reality.py
@@ -10,7 +10,7 @@
 from net_helpers import HOST, Fake, ask, entry, news, reply, run
 
 from dykefold.net.discovery.client import NameTable, parse_endpoint_update
-from dykefold.net.loop_lag import LATE_S
+from dykefold.net.loop_lag import MIN_LOGGED_S
 from dykefold.net.memory_budget import MB
 from dykefold.net.sidecar import SidecarServer
 from dykefold.settings import Transport
@@ -123,7 +123,7 @@
     on_network = [virtual(replace(scenario, seed=seed)) for seed in range(SEEDS)]
     for _ in range(PLAYS_MOST):
         on_loopback, late_s = run(real(scenario, wrong))
-        if late_s < LATE_S:
+        if late_s < MIN_LOGGED_S:
             break
     for key, share in on_loopback.items():
         seen = [outcome[key] for outcome in on_network]
--- a/tests/test_net_hostile.py
+++ b/tests/test_net_hostile.py
@@ -13,7 +13,7 @@
 
 from dykefold.net.downstream.connection import HEADERS_MOST, ClientConnection
 from dykefold.net.downstream.request_parser import BODY_MOST
-from dykefold.net.read_scheduler import SLICE_BYTES, SLICES_A_TURN
+from dykefold.net.read_scheduler import MAX_SLICES_PER_TURN, SLICE_BYTES
 from dykefold.net.service.load_reports import LoadReportParser
 
 CALLS_A_BYTE = 1.5  # Python calls: the worst are requests of 18 bytes, with some twenty for each
@@ -81,7 +81,7 @@
     engine.clients.add(front)
     front.connection_made(wire)
     turn = engine.backlog._turn
-    engine.backlog._turn = lambda: meter.run(SLICES_A_TURN * SLICE_BYTES, turn)
+    engine.backlog._turn = lambda: meter.run(MAX_SLICES_PER_TURN * SLICE_BYTES, turn)
     for piece in pieces:
         async with asyncio.timeout(WAIT):
             while not wire.reading and not wire.closing:
