--- a/dykefold/settings.py
+++ b/dykefold/settings.py
@@ -3,8 +3,9 @@
 from __future__ import annotations
 
 import math
-from collections.abc import Mapping
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass
+from typing import Any, TypeVar
 
 from .balancer.settings import Effect, RequestClass, Scope, Settings, Tenant
 
@@ -20,13 +21,28 @@
 }
 
 
+DEFAULT_CONNECTION_IDLE_NS = 60_000_000_000
+DEFAULT_MAX_OPEN = 20_000
+DEFAULT_TICK_NS = 1_000_000
+DEFAULT_MUST_ASK_IN_NS = 10_000_000_000
+DEFAULT_OVERLOAD_FOR_NS = 3_000_000_000
+
+_Value = TypeVar("_Value")
+
+
 class SettingError(ValueError):
     """Settings are missing or unreadable; the text names each of them."""
 
 
 @dataclass(slots=True)
 class Transport:
-    """What the module need not know, but the sockets do."""
+    """What the sockets go by, and the balancer need not know.
+
+    Attributes:
+        kinds: names of the machine types.
+        conn_idle_ns: idle timeout of connections to servers, in nanoseconds.
+        max_open: requests that may be pending at once.
+    """
 
     kinds: list[str]
     conn_idle_ns: int
@@ -34,7 +50,7 @@
 
 
 def canonical_column(name: str) -> str:
-    """The name that the module knows a field of load reports by."""
+    """Return the name that the balancer knows a field of load reports by."""
     return REPORTS.get(name, name)
 
 
@@ -44,12 +60,13 @@
 
 
 class _Pairs:
-    """Settings by their path. What is wrong is noted, with its path, and read as something harmless."""
+    """Settings by their path. What is wrong is collected, with its path, and read as a harmless value."""
 
     def __init__(self, values: Mapping[str, object], typed: bool) -> None:
-        """Take settings.
+        """Prepare to read settings.
 
         Args:
+            values: by path.
             typed: numbers come as such, and a text that looks like one is none.
         """
         self.values = values
@@ -61,7 +78,9 @@
         if self.problems:
             raise SettingError("; ".join(self.problems))
 
-    def _convert(self, key: str, kind, default, harmless):
+    def _convert(
+        self, key: str, convert: Callable[[Any], _Value], default: _Value | None, harmless: _Value
+    ) -> _Value:
         raw = self.values.get(key)
         if raw is None:
             if default is None:
@@ -69,14 +88,14 @@
                 return harmless
             return default
         try:
-            return kind(raw)
+            return convert(raw)
         except (ValueError, KeyError, TypeError, OverflowError):
             self.problems.append(f"setting {key} is unreadable: {raw!r}")
             return harmless
 
     def _finite(self, raw: object) -> float:
         if isinstance(raw, bool) or not isinstance(raw, self.numeric):
-            raise ValueError(raw)
+            raise TypeError(raw)
         value = float(raw)  # type: ignore[arg-type]  # of a type in `numeric`
         if not math.isfinite(value):
             raise ValueError(raw)
@@ -88,6 +107,8 @@
             raise ValueError(raw)
         return value
 
+    # Each of these reads one setting; without a default it must be there.
+
     def text(self, key: str, default: str | None = None) -> str:
         return self._convert(key, str, default, "")
 
@@ -102,11 +123,10 @@
         return self._convert(key, self._finite, default, 1.0)
 
     def flag(self, key: str, default: bool | None = None) -> bool:
-        return self._convert(
-            key, {"true": True, "false": False, True: True, False: False}.__getitem__, default, False
-        )
+        flags: dict[object, bool] = {"true": True, "false": False, True: True, False: False}
+        return self._convert(key, flags.__getitem__, default, False)
 
-    def choice(self, key: str, choices: dict, default=None):
+    def choice(self, key: str, choices: Mapping[str, _Value], default: _Value | None = None) -> _Value:
         return self._convert(key, choices.__getitem__, default, next(iter(choices.values())))
 
     def names(self, key: str) -> list[str]:
@@ -130,22 +150,37 @@
 
 
 def parse_settings(text: str) -> Settings:
-    """Read the settings text; unknown keys are skipped, unreadable ones raise SettingError."""
+    """Read the settings from their text form.
+
+    Args:
+        text: a line `path=value` for each setting; unknown ones are skipped.
+
+    Raises:
+        SettingError: with each setting that is missing or unreadable.
+    """
     return _read(_Pairs(dict(line.split("=", 1) for line in text.splitlines() if "=" in line), typed=False))
 
 
 def nested_settings(nested: object) -> Settings:
-    """Read the same settings from the nested object of a sidecar's configuration."""
+    """Read the same settings from the nested object of a sidecar's configuration.
+
+    Raises:
+        SettingError: with each setting that is missing or unreadable.
+    """
     return _read(_pairs_of(nested))
 
 
 def nested_transport(nested: object) -> Transport:
-    """Read from that object what the sockets need to know beside."""
+    """Read from that object what the sockets go by.
+
+    Raises:
+        SettingError: with each setting that is unreadable.
+    """
     pairs = _pairs_of(nested)
     transport = Transport(
         kinds=pairs.names("kinds"),
-        conn_idle_ns=pairs.whole("ceilings.conn-idle-ns", 60_000_000_000),
-        max_open=pairs.whole("ceilings.max-open", 20_000),
+        conn_idle_ns=pairs.whole("ceilings.conn-idle-ns", DEFAULT_CONNECTION_IDLE_NS),
+        max_open=pairs.whole("ceilings.max-open", DEFAULT_MAX_OPEN),
     )
     pairs.finish()
     return transport
@@ -153,7 +188,8 @@
 
 def _pairs_of(nested: object) -> _Pairs:
     if not isinstance(nested, dict):
-        raise SettingError("settings are no object")
+        problem = "settings are no object"
+        raise SettingError(problem)
     values: dict[str, object] = {}
     _flatten("", nested, values)
     return _Pairs(values, typed=True)
@@ -173,8 +209,18 @@
 
 
 def _read(pairs: _Pairs) -> Settings:
-    count = pairs.positive("classes.count")
-    tenants = [
+    settings = _balancer_settings(pairs)
+    names = [spec.name for spec in settings.classes if spec.name]
+    duplicates = sorted({name for name in names if names.count(name) > 1})
+    pairs.problems += [f"class {name!r} comes twice" for name in duplicates]
+    if settings.zones and not 0 <= settings.zone < len(settings.zones):
+        pairs.problems.append(f"setting my-zone is unreadable: {settings.zone}")
+    pairs.finish()
+    return settings
+
+
+def _tenants(pairs: _Pairs) -> list[Tenant]:
+    return [
         Tenant(
             name=pairs.text(f"accounts.{n}.name", ""),
             share=pairs.number(f"accounts.{n}.share", 0.0),
@@ -182,9 +228,14 @@
         )
         for n in range(pairs.whole("accounts.count", 0))
     ]
+
+
+def _balancer_settings(pairs: _Pairs) -> Settings:
+    count = pairs.positive("classes.count")
+    tenants = _tenants(pairs)
     reports = pairs.text("telemetry.how", "silent") != "silent"
     columns = tuple(canonical_column(name) for name in pairs.names("telemetry.columns"))
-    settings = Settings(
+    return Settings(
         classes=[_request_class(pairs, f"classes.{n}.") for n in range(count)],
         zones=pairs.names("dcs"),
         zone=pairs.whole("my-zone", 0),
@@ -193,15 +244,15 @@
         worth_by_work=pairs.text("worth-by", "request") == "work",
         index=pairs.whole("index", 0),
         fleet_size=pairs.whole("fleet-size", 1),
-        tick_ns=pairs.whole("tick-ns", 1_000_000),
+        tick_ns=pairs.whole("tick-ns", DEFAULT_TICK_NS),
         must_ask=pairs.text("discovery", "push") == "ask",
-        must_ask_in_ns=pairs.whole("rules.must-ask-in-ns", 10_000_000_000),
+        must_ask_in_ns=pairs.whole("rules.must-ask-in-ns", DEFAULT_MUST_ASK_IN_NS),
         drain_grace_ns=pairs.whole("rules.drain-grace-ns", 0),
         answer_slack_ns=pairs.whole("rules.answer-slack-ns", 0),
         start_capacity=pairs.number("rules.start-capacity", 1.0),
         warm_within_ns=pairs.whole("rules.warm-within-ns", 0),
         overload_factor=pairs.number("rules.overload-factor", 3.0),
-        overload_for_ns=pairs.whole("rules.overload-for-ns", 3_000_000_000),
+        overload_for_ns=pairs.whole("rules.overload-for-ns", DEFAULT_OVERLOAD_FOR_NS),
         max_attempts=pairs.positive("ceilings.send-cap"),
         second_copies=pairs.flag("ceilings.second-copies", False),
         can_cancel=pairs.flag("ceilings.cancel", False),
@@ -218,10 +269,3 @@
         price_probe=pairs.number("prices.probe", 0.0),
         price_peer=pairs.number("prices.peer", 0.0),
     )
-    names = [spec.name for spec in settings.classes if spec.name]
-    twice = sorted({name for name in names if names.count(name) > 1})
-    pairs.problems += [f"class {name!r} comes twice" for name in twice]
-    if settings.zones and not 0 <= settings.zone < len(settings.zones):
-        pairs.problems.append(f"setting my-zone is unreadable: {settings.zone}")
-    pairs.finish()
-    return settings
--- a/dykefold/sidecar_config.py
+++ b/dykefold/sidecar_config.py
@@ -1,8 +1,7 @@
-"""The platform's configuration of a sidecar: read, checked whole, and only then used.
+"""The platform's configuration of a sidecar: read, checked as a whole, and only then used.
 
-Three steps, so that a file which is bad in any way changes nothing: `read_config` reads and checks, with all
-that is wrong at once; `lacking` tells what a later file leaves out that the first one had; applying it is the
-caller's.
+A file that is wrong in any way changes nothing: `read_config` reads and checks it, and reports all problems
+at once; `lacking` lists what a later file leaves out that the first one had; the caller applies it.
 """
 
 from __future__ import annotations
@@ -25,27 +24,47 @@
 if TYPE_CHECKING:
     from .service_config import Service
 
-SOCKETS = 1024  # where the configuration names no limit
-MEMORY_MB = 192  # likewise
+DEFAULT_SOCKETS = 1024  # where the configuration names no limit
+DEFAULT_MEMORY_MB = 192  # likewise
+MAX_LIMIT = 1e9
 
 T = TypeVar("T")
 
 
 class ConfigError(Exception):
-    """The sidecar can't start; the text says why, and `code` is what the process ends with."""
+    """The sidecar can't start; the text says why.
+
+    Attributes:
+        code: exit code of the process.
+    """
 
     def __init__(self, text: str, code: int = 1) -> None:
+        """Say why, and with which exit code."""
         super().__init__(text)
         self.code = code
 
 
 @dataclass(slots=True)
 class Config:
-    """What a sidecar is told.
+    """The configuration of a sidecar.
 
     Attributes:
-        control: where operators call; None where there is no door.
-        fleet: what the operator's file asks of the view.
+        name: of the sidecar.
+        listen: where it accepts clients.
+        control: where the admin API listens; None where there is none.
+        discovery: where the endpoint list comes from.
+        seed: of the balancer's random draws.
+        sockets: descriptors that the sidecar may hold.
+        memory: bytes that it may take.
+        peer_listen: where it receives datagrams of peers; None: nowhere.
+        peers: addresses of the peers by number.
+        peers_all: the address that reaches all peers; None where there is none.
+        settings: what the balancer goes by.
+        transport: what the sockets go by.
+        names: numbers the endpoints of `known`.
+        known: the endpoint list to begin with.
+        caps: limits on clients by address.
+        fleet: the operator's options of the fleet.
         shape: the keys of the file, for `lacking`.
     """
 
@@ -73,7 +92,7 @@
 
 
 def shape_of(value: object) -> Shape:
-    """The keys of a JSON value."""
+    """Return the keys of a JSON value."""
     if isinstance(value, dict):
         return {key: shape_of(inner) for key, inner in value.items()}
     if isinstance(value, list):
@@ -84,9 +103,14 @@
 
 
 def lacking(shape: Shape, value: object, at: str = "") -> list[str]:
-    """Paths of the keys that a shape has and a JSON value leaves out.
+    """Return the paths of the keys that a shape has and a JSON value leaves out.
 
     An object in a list lacks what all objects of that list had, such as each class of the settings.
+
+    Args:
+        shape: the keys that are expected.
+        value: the JSON value.
+        at: the path of the value.
     """
     found: list[str] = []
     if isinstance(shape, dict) and isinstance(value, dict):
@@ -101,19 +125,21 @@
 
 
 def system_limit() -> int:
-    """Descriptors that the system lets this process hold; it may be changed while running."""
+    """Return how many descriptors the system lets this process hold; it may be changed while running."""
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    return SOCKETS if soft == resource.RLIM_INFINITY else soft
+    return DEFAULT_SOCKETS if soft == resource.RLIM_INFINITY else soft
 
 
 def read_config(path: str | None, service: str | None = None, before: Config | None = None) -> Config:
     """Read the platform's configuration and, where one is named, the operator's file.
 
     Args:
-        before: what the process runs by, where it does: the file must have all keys that this had.
+        path: of the platform's file.
+        service: path of the operator's file; None: there is none.
+        before: the configuration that is in use, if any: the file must have all keys that this one had.
 
     Raises:
-        ConfigError: with all that is wrong.
+        ConfigError: with all problems.
     """
     if not path:
         raise ConfigError("GW_CONFIG is not set")
@@ -122,7 +148,7 @@
         with open(path, encoding="utf-8") as file:
             data = json.load(file)
     except (OSError, ValueError, RecursionError) as error:
-        raise ConfigError(f"{path}: {_words(error)}") from None
+        raise ConfigError(f"{path}: {_one_line(error)}") from None
     if not isinstance(data, dict):
         raise ConfigError(f"{path}: no JSON object")
     checked = _Checked(data)
@@ -135,32 +161,32 @@
 
 
 class _Checked:
-    """The values of a configuration. What is wrong is noted, and read as the harmless value given."""
+    """The values of a configuration. What is wrong is collected, and read as the harmless value given."""
 
     def __init__(self, data: Mapping[str, Any]) -> None:
         self.data = data
         self.problems: list[str] = []
 
     def need(self, key: str, read: Callable[[Any], T], harmless: T) -> T:
-        """The value of a key that must be there."""
+        """Return the value of a key that must be there."""
         if key not in self.data:
             self.problems.append(f"{key} is missing")
             return harmless
         return self.read(key, read, harmless)
 
     def read(self, key: str, read: Callable[[Any], T], default: T) -> T:
-        """The value of a key that may be left out, or be empty."""
+        """Return the value of a key that may be left out, or be empty."""
         value = self.data.get(key)
         if value is None and key not in self.data:
             return default
         try:
             return read(value)
         except (ValueError, TypeError, AttributeError, KeyError, OverflowError, RecursionError) as error:
-            self.problems.append(f"{key}: {_words(error)}")
+            self.problems.append(f"{key}: {_one_line(error)}")
             return default
 
 
-def _words(error: Exception) -> str:
+def _one_line(error: Exception) -> str:
     return " ".join(str(error).split())
 
 
@@ -169,14 +195,14 @@
     settings = checked.need("settings", nested_settings, Settings([], [""]))
     transport = checked.read("settings", nested_transport, Transport([], 0, 0))
     names = NameTable(settings.zones, transport.kinds)
-    limits = checked.read("limits", _limits, (SOCKETS, MEMORY_MB * MB))
+    limits = checked.read("limits", _limits, (DEFAULT_SOCKETS, DEFAULT_MEMORY_MB * MB))
     return Config(
         name=checked.need("name", str, ""),
         listen=checked.need("listen", _any_port, nobody),
         control=checked.read("control", _maybe_any_port, None) or _from_environment(),
         discovery=checked.need("discovery", split_address, nobody),
         seed=checked.need("seed", lambda text: int(text, 16), 0),
-        sockets=min(limits[0], SOCKETS, system_limit()),
+        sockets=min(limits[0], DEFAULT_SOCKETS, system_limit()),
         memory=limits[1],
         peer_listen=checked.read("peer_listen", _maybe, None),
         peers=checked.read("peers", lambda peers: [split_address(peer) for peer in peers], []),
@@ -206,7 +232,7 @@
 
 
 def _from_environment() -> Address | None:
-    """The door's address where only the environment names it."""
+    """Return the admin API's address where only the environment names it."""
     try:
         return _maybe_any_port(os.environ.get("GW_CONTROL"))
     except ValueError as error:
@@ -214,9 +240,9 @@
 
 
 def _limits(limits: Mapping[str, Any]) -> tuple[int, int]:
-    sockets, memory_mb = limits.get("sockets", SOCKETS), limits.get("memory_mb", MEMORY_MB)
+    sockets, memory_mb = limits.get("sockets", DEFAULT_SOCKETS), limits.get("memory_mb", DEFAULT_MEMORY_MB)
     for name, value in (("sockets", sockets), ("memory_mb", memory_mb)):
-        if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value < 1e9:
+        if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value < MAX_LIMIT:
             raise ValueError(f"{name} is no number above 0: {value!r}")
     return int(sockets), int(memory_mb * MB)
 
@@ -234,7 +260,11 @@
 
 
 def read_service_file(path: str) -> Service:
-    """The operator's file; ConfigError with all that is wrong with it."""
+    """Read the operator's file.
+
+    Raises:
+        ConfigError: with all problems.
+    """
     from .service_config import ServiceError, read_service  # not part of the platform's sidecar
 
     try:
