--- a/dykefold/__main__.py
+++ b/dykefold/__main__.py
@@ -1,4 +1,4 @@
-"""The real sidecar as a process: its configuration, signals and exit code."""
+"""The sidecar as a process: its configuration, signals and exit code."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 import uvloop
 
-from .control.admin_server import RESERVED_DESCRIPTORS as DOOR_DESCRIPTORS
+from .control.admin_server import RESERVED_DESCRIPTORS as ADMIN_DESCRIPTORS
 from .control.admin_server import AdminServer
 from .control.process_lifecycle import ProcessLifecycle
 from .failover.options import Options as FailoverOptions
@@ -35,8 +35,9 @@
 
 
 def start_engine(loop: asyncio.AbstractEventLoop, config: Config) -> SidecarServer:
-    doors = [config.control, config.fleet.listen if config.fleet.view else None]
-    set_aside = DOOR_DESCRIPTORS * sum(door is not None for door in doors)
+    """Make the server of the platform's sidecar, with its one pool; it does not listen yet."""
+    admin_addresses = [config.control, config.fleet.listen if config.fleet.view else None]
+    set_aside = ADMIN_DESCRIPTORS * sum(address is not None for address in admin_addresses)
     engine = SidecarServer(loop, config.sockets, config.memory, config.caps, set_aside=set_aside)
     engine.serve_one(
         config.settings, config.transport, config.seed, config.discovery, config.names, config.known
@@ -45,11 +46,19 @@
 
 
 class Reload:
-    """Applies the platform's file again, whole or not at all."""
+    """Applies the platform's file again, as a whole or not at all."""
 
     def __init__(self, engine: SidecarServer, config: Config, path: str | None, service: str | None) -> None:
+        """Prepare.
+
+        Args:
+            engine: is to follow the file.
+            config: what the process runs by.
+            path: of the platform's file.
+            service: path of the operator's file; None: there is none.
+        """
         self.engine = engine
-        self.config = config  # what the process runs by
+        self.config = config
         self.path = path
         self.service = service
         self.fleet: Fleet | None = None
@@ -57,10 +66,11 @@
         self.failover: Failover | None = None
 
     def __call__(self) -> None:
+        """Read and apply the file; log why where it can't be applied."""
         engine = self.engine
         try:
             config = read_config(self.path, self.service, self.config)
-            # First what may be turned down, so that nothing else is half applied.
+            # First what may be rejected, so that nothing else is half applied.
             engine.retune(config.settings, config.transport)
         except (ConfigError, ValueError) as error:
             log.warning("the configuration stays as it was: %s", error)
@@ -82,9 +92,14 @@
 
 
 async def run(config: Config, path: str | None, service: str | None) -> None:
+    """Serve as the platform's sidecar until the graceful shutdown is over.
+
+    Raises:
+        ConfigError: an address can't be listened on.
+    """
     loop = asyncio.get_running_loop()
     engine = start_engine(loop, config)
-    # Where the platform gives no door there are no upgrades either, and nobody to share an address with.
+    # Where the platform gives no admin address there is no hot restart either, and no address is shared.
     presence = ProcessLifecycle(loop, engine, config.control, os.environ.get("TMPDIR"))
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, presence.drain)
@@ -121,7 +136,7 @@
 
 
 def _spread_calls(engine: SidecarServer, config: Config) -> Lists | None:
-    """Spread calls of the list service over the fleet, where the operator's file asks for it."""
+    """Spread the polls of discovery over the fleet, where the operator's file asks for it."""
     settings, discovery = config.settings, engine.pool.discovery
     if not (config.fleet.calls and settings.must_ask and discovery is not None):
         return None
@@ -134,7 +149,7 @@
 def _keep_view(
     loop: asyncio.AbstractEventLoop, engine: SidecarServer, config: Config, peers: PeerChannel
 ) -> Fleet | None:
-    """Take part in the fleet's view, where the operator's file asks for it and the settings allow it."""
+    """Take part in the fleet's membership, where the operator's file and the settings allow it."""
     settings = config.settings
     known = len(config.peers) > 1 and 0 <= settings.index < len(config.peers)
     if not (config.fleet.view and settings.can_tell and known):
@@ -162,15 +177,19 @@
 def _show_view(
     loop: asyncio.AbstractEventLoop, fleet: Fleet, address: Address, failover: Failover | None
 ) -> AdminServer:
-    """Answer those who ask for the view at an address. Raises OSError if it can't be had."""
+    """Serve the fleet's membership at an address.
+
+    Raises:
+        OSError: the address can't be listened on.
+    """
     from .control.admin_requests import parse_membership_request
     from .fleet.edge import Teller
 
-    sock = socket.create_server(address, backlog=DOOR_DESCRIPTORS, reuse_port=True)
+    sock = socket.create_server(address, backlog=ADMIN_DESCRIPTORS, reuse_port=True)
     plan = failover.shown if failover is not None else None
-    door = AdminServer(loop, sock, Teller(fleet, plan), read=parse_membership_request)
-    log.info("the view is told at %s:%d", *door.address)
-    return door
+    server = AdminServer(loop, sock, Teller(fleet, plan), read=parse_membership_request)
+    log.info("fleet membership is served at %s:%d", *server.address)
+    return server
 
 
 def _datagram_socket(address: Address, shared: bool) -> socket.socket:
@@ -183,7 +202,7 @@
 
 
 def _end_unbegun(engine: SidecarServer, presence: ProcessLifecycle) -> None:
-    log.info("it ends before it has taken clients")
+    log.info("sidecar stopped before it accepted clients")
     presence.close()
     engine.close()
 
@@ -191,8 +210,8 @@
 async def _until_stopped(
     engine: SidecarServer, name: str, address: Address, presence: ProcessLifecycle, fleet: Fleet | None = None
 ) -> None:
-    # What was made until now lives as long as the process: collections need not look at it again, nor
-    # come as often as for a program that makes cycles.
+    # What exists now lives as long as the process: garbage collections need not scan it again, nor run as
+    # often as for a program that makes cycles.
     gc.collect()
     gc.freeze()
     gc.set_threshold(20_000, 20, 50)
@@ -205,12 +224,16 @@
 
 
 async def serve(service: Service, plan: Plan, path: str) -> None:
-    """Serve the pools of an operator's file until a planned end; SIGHUP reads the file again."""
+    """Serve the pools of an operator's file until the graceful shutdown is over; SIGHUP reads the file again.
+
+    Raises:
+        ConfigError: the file can't be applied, or an address can't be listened on.
+    """
     from .routing.services import Services  # not part of the platform's sidecar
 
     loop = asyncio.get_running_loop()
     sockets = min(plan.sockets, system_limit())
-    set_aside = DOOR_DESCRIPTORS if service.control is not None else 0
+    set_aside = ADMIN_DESCRIPTORS if service.control is not None else 0
     engine = SidecarServer(loop, sockets, plan.memory_bytes, service.caps, set_aside=set_aside)
     presence = ProcessLifecycle(loop, engine, service.control, service.folder)
     services = Services(engine, lambda: random.getrandbits(63))
@@ -232,7 +255,7 @@
 
 
 def reload_services(services: Services, path: str) -> None:
-    """Read an operator's file again. What can't be read or carried out changes nothing."""
+    """Read an operator's file again; one that can't be read or applied changes nothing."""
     try:
         read = read_service_file(path)
         if read.plan is None:
@@ -244,7 +267,7 @@
 
 
 def check(path: str) -> int:
-    """Check an operator's file: all that is wrong with it, and exit code 2 if anything is."""
+    """Check an operator's file; print all problems, and return the exit code, 2 if there are any."""
     try:
         read_service_file(path)
     except ConfigError as error:
@@ -255,6 +278,7 @@
 
 
 def main() -> int:
+    """Run by the command line; return the exit code."""
     if len(sys.argv) == 3 and sys.argv[1] == "check":
         return check(sys.argv[2])
     serves = len(sys.argv) == 3 and sys.argv[1] == "serve"
@@ -264,7 +288,7 @@
         print(usage, file=sys.stderr)
         return 2
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(levelname)s %(name)s: %(message)s")
-    # Guards the start and the end, when no loop listens: the signal's default would end the process.
+    # While no loop handles the signal, at the start and the end, its default would end the process.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     path, service = os.environ.get("GW_CONFIG"), os.environ.get("DYKEFOLD_SERVICE")
     try:
@@ -285,7 +309,11 @@
 
 
 def serve_file(path: str) -> None:
-    """Serve an operator's file until a planned end; ConfigError if it can't be."""
+    """Serve an operator's file until the graceful shutdown is over.
+
+    Raises:
+        ConfigError: the file can't be read or applied.
+    """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the loop listens
     service = read_service_file(path)
     if service.plan is None:
