--- a/tests/sim/mutants.py
+++ b/tests/sim/mutants.py
@@ -51,7 +51,7 @@
     ),
     Mutant(
         "a drain is ignored",
-        "net/discovery/client.py",
+        "net/discovery/codec.py",
         '"DRAINING": State.DRAINING',
         '"DRAINING": State.READY',
         "restarts",
@@ -120,8 +120,8 @@
     ),
     Mutant(
         "a planned end goes on taking what is sent ahead",
-        "net/sidecar.py",
-        "        self.ended = True\n",
+        "net/shutdown.py",
+        "        self.server.ended = True\n",
         "",
         "ahead",
         first_seed=3,
@@ -190,7 +190,7 @@
     Mutant(
         "after an answer nobody calls again",
         "net/discovery/client.py",
-        "            if number == self.round:\n                self._next_in(pause)\n",
+        "            if watch_round == self.watch_round:\n                self._schedule_call(pause)\n",
         "            pass\n",
         "coldstart",
     ),
