--- a/dykefold/cli/control.py
+++ b/dykefold/cli/control.py
@@ -10,7 +10,7 @@
 import typer
 
 from ..control.admin_requests import MAX_ID_CHARACTERS, Action
-from ..net.discovery.client import split_address
+from ..net.discovery.codec import split_address
 
 TIMEOUT_S = 5.0  # the door answers in one second
 
--- a/dykefold/cli/fleet.py
+++ b/dykefold/cli/fleet.py
@@ -11,7 +11,7 @@
 from rich.table import Table
 
 from ..control.admin_requests import Action
-from ..net.discovery.client import split_address
+from ..net.discovery.codec import split_address
 
 TIMEOUT_S = 5.0
 
--- a/dykefold/control/balancer_snapshot.py
+++ b/dykefold/control/balancer_snapshot.py
@@ -16,7 +16,7 @@
 
 from ..balancer.balancer import Balancer
 from ..balancer.endpoints import EndpointGroup
-from ..net.discovery.client import NameTable
+from ..net.discovery.codec import NameTable
 
 Values = dict[str, Any]
 
--- a/dykefold/fleet/edge.py
+++ b/dykefold/fleet/edge.py
@@ -12,7 +12,8 @@
 
 from ..balancer.events import Event
 from ..control.admin_requests import Action, AdminRequest, AdminResponse
-from ..net.discovery.client import DiscoveryClient, NameTable
+from ..net.discovery.client import DiscoveryClient
+from ..net.discovery.codec import NameTable
 from ..net.peers import Address, PeerChannel
 from ..system import SYSTEM, System
 from . import priors
--- a/dykefold/net/service/pool.py
+++ b/dykefold/net/service/pool.py
@@ -52,9 +52,9 @@
 from ...control.maintenance import Maintenance, MaintenanceOrder
 from ...settings import Transport
 from ...system import System
-from ..clock import MS, SECOND, Clock, StartTimes
-from ..discovery.client import (
-    DiscoveryClient,
+from ..clock import MS, SECOND, Clock
+from ..discovery.client import DiscoveryClient
+from ..discovery.codec import (
     EndpointRecord,
     EndpointUpdate,
     NameTable,
@@ -67,6 +67,7 @@
 from ..memory_budget import MemoryBudget
 from ..peers import Address, PeerChannel
 from ..read_scheduler import ReadScheduler
+from ..start_times import StartTimes
 from ..streaming import Upload
 from ..timer_wheel import Timed, TimerWheel
 from ..upstream.classify import HttpProfile, Response
--- a/dykefold/net/sidecar.py
+++ b/dykefold/net/sidecar.py
@@ -21,7 +21,7 @@
 from ..settings import Transport
 from ..system import SYSTEM, System
 from .clock import MS, Clock
-from .discovery.client import EndpointUpdate, NameTable
+from .discovery.codec import EndpointUpdate, NameTable
 from .downstream.connection import ClientConnection
 from .downstream.protocols import MessageReader
 from .downstream.request_parser import ParsedRequest, RequestParser
--- a/dykefold/routing/config.py
+++ b/dykefold/routing/config.py
@@ -8,7 +8,7 @@
 from msgspec import Meta
 
 from ..balancer.settings import Effect, RequestClass, Scope, Settings, Tenant
-from ..net.discovery.client import split_address
+from ..net.discovery.codec import split_address
 from ..net.memory_budget import MB
 from .plan import MS, Mapping, Plan, PoolPlan, usual_classes
 from .shares import Part
--- a/dykefold/routing/services.py
+++ b/dykefold/routing/services.py
@@ -13,7 +13,7 @@
 from ..admission.addresses import Caps
 from ..admission.budget import Budget
 from ..balancer.events import Endpoint, State
-from ..net.discovery.client import EndpointRecord, EndpointUpdate, NameTable
+from ..net.discovery.codec import EndpointRecord, EndpointUpdate, NameTable
 from ..net.service.pool import Pool
 from ..net.sidecar import SidecarServer
 from ..settings import Transport
--- a/dykefold/service_config.py
+++ b/dykefold/service_config.py
@@ -17,7 +17,7 @@
 from .admission.addresses import Caps
 from .failover.options import Options as Failover
 from .fleet.options import CALLS_PER_S, Options
-from .net.discovery.client import split_address
+from .net.discovery.codec import split_address
 from .routing.config import read_plan, struct_problems
 from .routing.plan import Plan
 
--- a/dykefold/sidecar_config.py
+++ b/dykefold/sidecar_config.py
@@ -16,7 +16,7 @@
 from .admission.addresses import Caps
 from .balancer.settings import Settings
 from .fleet.options import Options
-from .net.discovery.client import EndpointUpdate, NameTable, parse_endpoint_update, split_address
+from .net.discovery.codec import EndpointUpdate, NameTable, parse_endpoint_update, split_address
 from .net.memory_budget import MB
 from .net.peers import Address
 from .settings import Transport, nested_settings, nested_transport
--- a/dykefold/sim/process.py
+++ b/dykefold/sim/process.py
@@ -13,7 +13,7 @@
 from ..fleet.edge import Fleet
 from ..fleet.lists import Lists
 from ..fleet.options import CALLS_PER_S
-from ..net.discovery.client import NameTable, parse_endpoint_update
+from ..net.discovery.codec import NameTable, parse_endpoint_update
 from ..net.memory_budget import MB
 from ..net.peers import PeerChannel
 from ..net.sidecar import SidecarServer
--- a/tests/balancer/test_golden_actions.py
+++ b/tests/balancer/test_golden_actions.py
@@ -12,7 +12,7 @@
 from dykefold.balancer.actions import Action
 from dykefold.balancer.events import Endpoint, Event, ListKind, Membership, State, Status
 from dykefold.control.balancer_snapshot import restore, snapshot
-from dykefold.net.discovery.client import NameTable
+from dykefold.net.discovery.codec import NameTable
 from standins.decision_world import PROFILES, ZONES, DecisionWorld, play
 
 HERE = Path(__file__).parent
--- a/tests/control/hot_restart_rig.py
+++ b/tests/control/hot_restart_rig.py
@@ -15,7 +15,7 @@
 from dykefold.control.maintenance import Maintenance
 from dykefold.control.state_directory import FileStateDirectory
 from dykefold.net.clock import Clock
-from dykefold.net.discovery.client import EndpointRecord, NameTable
+from dykefold.net.discovery.codec import EndpointRecord, NameTable
 
 SERVERS = ("s0", "s1")
 
--- a/tests/control/test_admin_server.py
+++ b/tests/control/test_admin_server.py
@@ -25,7 +25,7 @@
 from dykefold.control import admin_server as door_module
 from dykefold.control.admin_operations import AdminOperations
 from dykefold.control.admin_server import MAX_CONNECTIONS, RESERVED_DESCRIPTORS, AdminServer
-from dykefold.net.discovery.client import parse_endpoint_update
+from dykefold.net.discovery.codec import parse_endpoint_update
 
 
 class Operated(Sidecar):
--- a/tests/golden/forms.py
+++ b/tests/golden/forms.py
@@ -26,7 +26,7 @@
 from dykefold.control.process_records import heartbeat_record  # noqa: E402
 from dykefold.control.state_directory import FileStateDirectory  # noqa: E402
 from dykefold.fleet import datagrams  # noqa: E402
-from dykefold.net.discovery.client import NameTable, endpoint_update_record, parse_endpoint_update  # noqa: E402
+from dykefold.net.discovery.codec import NameTable, endpoint_update_record, parse_endpoint_update  # noqa: E402
 
 OWN = 0x0000_0123_4567_0000
 SIGN = {
--- a/tests/sim/test_reality.py
+++ b/tests/sim/test_reality.py
@@ -9,7 +9,7 @@
 import pytest
 from net_helpers import HOST, Fake, ask, entry, news, reply, run
 
-from dykefold.net.discovery.client import NameTable, parse_endpoint_update
+from dykefold.net.discovery.codec import NameTable, parse_endpoint_update
 from dykefold.net.loop_lag import MIN_LOGGED_S
 from dykefold.net.memory_budget import MB
 from dykefold.net.sidecar import SidecarServer
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -37,7 +37,7 @@
 from dykefold.admission import rules
 from dykefold.balancer.events import Status
 from dykefold.balancer.timers import OVERDUE
-from dykefold.net.discovery.client import parse_endpoint_update
+from dykefold.net.discovery.codec import parse_endpoint_update
 from dykefold.net.downstream import connection as front_module
 from dykefold.net.downstream.connection import WAITING_MOST
 from dykefold.net.upstream import connection_pool as upstream
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -32,7 +32,8 @@
 from dykefold.balancer.events import Endpoint, ListKind, Membership, State, Timer
 from dykefold.balancer.settings import Effect, RequestClass, Settings
 from dykefold.net.discovery import client as discovery
-from dykefold.net.discovery.client import DiscoveryClient, NameTable
+from dykefold.net.discovery.client import DiscoveryClient
+from dykefold.net.discovery.codec import NameTable
 
 SECOND = 1_000_000_000
 TOLD_WITHIN = 6.0  # seconds after which a change counts as told that a silent or failed call has missed
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -22,14 +22,14 @@
 
 from dykefold.balancer.events import State
 from dykefold.net.discovery import client as discovery
-from dykefold.net.discovery.client import (
-    DiscoveryClient,
+from dykefold.net.discovery.client import DiscoveryClient
+from dykefold.net.discovery.codec import (
+    MAX_NAMES,
     EndpointListError,
     NameTable,
     parse_endpoint_update,
     split_address,
 )
-from dykefold.net.discovery.codec import MAX_NAMES
 
 
 def names():
--- a/tests/test_net_long_day.py
+++ b/tests/test_net_long_day.py
@@ -2,7 +2,7 @@
 
 from net_helpers import HOST, Fake, Sidecar, answer_ok, ask, config, entry, message, news, run, until
 
-from dykefold.net.discovery.client import parse_endpoint_update
+from dykefold.net.discovery.codec import parse_endpoint_update
 
 DAYS_WORTH = 3000
 
--- a/tests/test_net_pool.py
+++ b/tests/test_net_pool.py
@@ -9,7 +9,7 @@
 from dykefold.admission.budget import Budget
 from dykefold.admission.rules import Admission, Share
 from dykefold.net.clock import Clock
-from dykefold.net.discovery.client import NameTable, parse_endpoint_update
+from dykefold.net.discovery.codec import NameTable, parse_endpoint_update
 from dykefold.net.downstream.request_parser import ParsedRequest
 from dykefold.net.loop_lag import LoopLagMonitor
 from dykefold.net.memory_budget import MB, MemoryBudget
--- a/tests/test_syscalls_upstream.py
+++ b/tests/test_syscalls_upstream.py
@@ -37,7 +37,8 @@
 from dykefold.balancer.actions import Fail, Refuse, Send
 from dykefold.balancer.events import Outcome, State, Status
 from dykefold.balancer.settings import Effect
-from dykefold.net.discovery.client import DiscoveryClient, NameTable
+from dykefold.net.discovery.client import DiscoveryClient
+from dykefold.net.discovery.codec import NameTable
 from dykefold.net.memory_budget import MB, MemoryBudget
 from dykefold.net.peers import PeerChannel
 from dykefold.net.sidecar import SidecarServer
