--- a/dykefold/net/service/load_reports.py
+++ b/dykefold/net/service/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports: what servers say of themselves, as figures that the module can use."""
+"""Load reports of endpoints, parsed into the figures that the balancer expects."""
 
 from __future__ import annotations
 
@@ -6,31 +6,40 @@
 
 from ...settings import canonical_column
 
-REPORT_MOST = 1024  # bytes: four figures need a hundred, and each pair costs a look-up
-FIGURE = re.compile(rb"\d{1,9}(?:\.\d{1,9})?")  # plain numbers: no sign, no exponent, nothing endless
+MAX_REPORT_BYTES = 1024  # four figures need a hundred bytes, and each pair costs a look-up
+FIGURE = re.compile(rb"\d{1,9}(?:\.\d{1,9})?")  # a plain number: no sign, exponent, infinity or NaN
 
 
 class LoadReportParser:
-    """Reads load reports by the names of their fields, in the order that the module expects."""
+    """Parses load reports by field name, in the order of the configured columns."""
 
     def __init__(self, columns: tuple[str, ...]) -> None:
+        """Expect these columns, by their canonical names."""
         self.columns = columns
-        self.places = {column.encode(): place for place, column in enumerate(columns)}
+        self.positions = {column.encode(): position for position, column in enumerate(columns)}
 
     def read(self, text: bytes) -> tuple[float, ...]:
-        """The figures; none at all if one is missing, comes twice or is unreadable."""
-        if len(text) > REPORT_MOST:
+        """Parse `name=figure` pairs that are separated by commas.
+
+        Returns:
+            One figure a column; empty if a column is missing, comes twice or is unreadable.
+        """
+        if len(text) > MAX_REPORT_BYTES:
             return ()
         values: list[float | None] = [None] * len(self.columns)
         for pair in text.split(b","):
             name, _, value = pair.partition(b"=")
-            name = name.strip()
-            place = self.places.get(name)
-            if place is None:
-                place = self.places.get(canonical_column(name.decode("latin-1")).encode())
-            if place is not None:
-                if values[place] is not None or not FIGURE.fullmatch(value.strip()):
-                    return ()
-                values[place] = float(value)
+            position = self._position(name.strip())
+            if position is None:
+                continue
+            if values[position] is not None or not FIGURE.fullmatch(value.strip()):
+                return ()
+            values[position] = float(value)
         known = [value for value in values if value is not None]
         return tuple(known) if len(known) == len(values) else ()
+
+    def _position(self, name: bytes) -> int | None:
+        position = self.positions.get(name)
+        if position is None:
+            position = self.positions.get(canonical_column(name.decode("latin-1")).encode())
+        return position
--- a/tests/sim/mutants.py
+++ b/tests/sim/mutants.py
@@ -43,9 +43,9 @@
     ),
     Mutant(
         "no final answer when the module gives up",
-        "net/service/pool.py",
-        '            self._finish(held, 502, b"", b"failed\\n")\n\n    def _pass_on',
-        "            self._settle(held)\n\n    def _pass_on",
+        "net/service/pending_requests.py",
+        '            self._answer(request, 502, b"", b"failed\\n")\n\n    def forward',
+        "            self._settle(request)\n\n    def forward",
         "parts",
     ),
     Mutant(
@@ -83,8 +83,8 @@
     ),
     Mutant(
         "a descriptor is not given back",
-        "net/service/pool.py",
-        "            self.budget.unclaim()\n",
+        "net/service/pending_requests.py",
+        "            self.pool.budget.unclaim()\n",
         "",
         "parts",
     ),
@@ -103,8 +103,8 @@
     ),
     Mutant(
         "a body that has begun to flow is left to the module's repeats",
-        "net/service/pool.py",
-        "            self._end_stream(held, status)\n",
+        "net/service/attempts.py",
+        "            pool.requests.end_streamed(request, status)\n",
         "            pass\n",
         "services",
     ),
@@ -146,9 +146,9 @@
     ),
     Mutant(
         "a server is told more time than its client has left",
-        "net/service/pool.py",
-        "            max(wait // MS, 1),\n",
-        "            max(wait // MS, 1) + 200,\n",
+        "net/service/http_encoding.py",
+        "        max(time_left_ns // MS, 1),\n",
+        "        max(time_left_ns // MS, 1) + 200,\n",
         "parts",
     ),
     Mutant(
--- a/tests/test_deadline_told.py
+++ b/tests/test_deadline_told.py
@@ -34,7 +34,7 @@
 
 from dykefold.net.downstream.arrivals import MARKS_MOST, Arrivals
 from dykefold.net.downstream.connection import WAITING_MOST
-from dykefold.net.service import pool as pool_module
+from dykefold.net.service.attempts import Attempt
 from dykefold.net.upstream import connection_pool as upstream
 
 SLACK_S = 0.15
@@ -92,9 +92,9 @@
 
 HELD_UP = {
     "before the connection is chosen": (upstream.ConnectionPool, "start", True),
-    "before the time is computed": (pool_module.Attempt, "compose", True),
-    "between the time and the write": (pool_module.Attempt, "compose", False),
-    "between wanting and starting": (pool_module.Attempt, "wanted", False),
+    "before the time is computed": (Attempt, "compose", True),
+    "between the time and the write": (Attempt, "compose", False),
+    "between wanting and starting": (Attempt, "wanted", False),
 }
 
 
