--- a/dykefold/net/service/attempts.py
+++ b/dykefold/net/service/attempts.py
@@ -162,7 +162,7 @@
         )
         if request.streaming_answer:
             pool, self.answer_began_ns = request.pool, request.pool.now()
-            pool.deadlines.stop(request)  # its final answer has begun in time
+            pool.home.deadlines.stop(request)  # its final answer has begun in time
             took_ns = self.answer_began_ns - max(
                 self.sent_ns, self.upload.whole_ns if self.upload is not None else 0
             )
--- a/dykefold/net/service/endpoint_registry.py
+++ b/dykefold/net/service/endpoint_registry.py
@@ -117,7 +117,7 @@
         starts = ((entry.name, entry.endpoint) for entry in update.entries)
         source, called_ns = "", 0
         if pool.discovery is not None:
-            source, called_ns = pool.discovery.listed_by, pool.clock.at(pool.discovery.called)
+            source, called_ns = pool.discovery.listed_by, pool.home.clock.at(pool.discovery.called)
         self.start_times.place(pool.now(), membership.kind, source, starts, called_ns)
         pool.post(membership)
         upstreams = pool.upstreams
@@ -191,7 +191,8 @@
                 report = pool.reports.read(response.load or response.body.strip())
             pool.post(ProbeResult(server, status, pool.now() - started_ns, report))
 
-        payload = b"GET %s HTTP/1.1\r\nHost: probe\r\n\r\n" % pool.probe_path
+        path = b"/-/load" if pool.reports.columns else b"/-/healthy"
+        payload = b"GET %s HTTP/1.1\r\nHost: probe\r\n\r\n" % path
         pool.upstreams.start(server, Exchange(payload, done, BODY_MOST), PROBE_TIMEOUT_S)
 
     # What the balancer knows of endpoints
--- a/dykefold/net/service/pending_requests.py
+++ b/dykefold/net/service/pending_requests.py
@@ -119,8 +119,8 @@
     def _start_guard(self, request: PendingRequest) -> None:
         pool = self.pool
         now_s = pool.monotonic()
-        left_ns = max(request.call.deadline_ns - GUARD_MARGIN_NS - pool.clock.at(now_s), 0)
-        pool.deadlines.start(request, left_ns / SECOND, now_s)
+        left_ns = max(request.call.deadline_ns - GUARD_MARGIN_NS - pool.home.clock.at(now_s), 0)
+        pool.home.deadlines.start(request, left_ns / SECOND, now_s)
 
     def start_deadline(self, request: PendingRequest) -> None:
         """Give a request whose streamed body is complete the time that its client stated."""
@@ -147,8 +147,8 @@
         attempts = list(pool.attempt_runner.of(request))
         answers_waiting = [attempt.read_first() for attempt in attempts]
         if any(answers_waiting):
-            pool.deadlines.stop(request)
-            pool.deadlines.start(request, READ_WITHIN, pool.monotonic())
+            pool.home.deadlines.stop(request)
+            pool.home.deadlines.start(request, READ_WITHIN, pool.monotonic())
             return
         for attempt in attempts:
             attempt.give_up(Status.TIMEOUT)
@@ -220,7 +220,7 @@
         request.awaiting_answer = False
         self.release_descriptors(request)
         self.by_id.pop(request.id, None)
-        pool.deadlines.stop(request)
+        pool.home.deadlines.stop(request)
         pool.home.settled(request.sink, request.call, served)
         if pool.on_retired is not None:
             pool.loop.call_soon(pool.close_if_finished)
--- a/dykefold/net/service/pool.py
+++ b/dykefold/net/service/pool.py
@@ -34,18 +34,18 @@
 from ...balancer.events import Event, ListKind, PeerMessage, SettingsChanged, Status, Timer
 from ...balancer.latency import LEARNING_ANSWERS
 from ...balancer.settings import Settings
-from ...control.maintenance import MaintenanceOrder
+from ...control.maintenance import Maintenance, MaintenanceOrder
 from ...settings import Transport
-from ..clock import MS, SECOND
-from ..discovery.client import DiscoveryClient, EndpointUpdate, NameTable
+from ..clock import MS, SECOND, StartTimes
+from ..discovery.client import DiscoveryClient, EndpointRecord, EndpointUpdate, NameTable
 from ..downstream.request_parser import ParsedRequest
 from ..peers import Address
 from ..upstream.connection_pool import LATE_S, ConnectionPool
-from .attempts import AttemptRunner
+from .attempts import Attempt, AttemptRunner
 from .endpoint_registry import EndpointRegistry
 from .http_encoding import encode_request, retry_after
 from .load_reports import LoadReportParser
-from .pending_requests import PendingRequests
+from .pending_requests import PendingRequest, PendingRequests
 from .protocols import DescriptorReservations, PoolHost, ResponseSink
 
 __all__ = ["DescriptorReservations", "Pool", "PoolHost", "ResponseSink", "retry_after"]
@@ -72,8 +72,6 @@
         label: Identifies the pool in the process, and in the next one after a hot restart.
 
     Attributes:
-        held: Pending requests, by id.
-        attempts: Attempts in flight by request id and number, also those of requests that are over.
         version: Of the latest endpoint list, as discovery counts.
         attempted: Called with each attempt's endpoint, status, duration and latency objective (nanoseconds).
         hinted: Called with an endpoint and whether it answers, to tell other sidecars.
@@ -96,14 +94,13 @@
         label: str = "",
     ) -> None:
         """Begin with the known endpoints, and watch the endpoint list. The class describes the arguments."""
+        # At most 30 attributes: instances with more do not share their keys, and look-ups cost more.
         self.home = home
         self.label = label
         self.loop = home.loop
         self.monotonic = home.system.monotonic
-        self.clock = home.clock
         self.now = home.clock.now
         self.budget: DescriptorReservations = budget if budget is not None else home.budget
-        self.deadlines = home.deadlines
         self.closed = False
         self.on_retired: Callable[[Pool], None] | None = None  # set while the pool retires
         self.attempted: Callable[[int, Status, int, int], None] | None = None
@@ -118,15 +115,11 @@
         self.upstreams = self._connection_pool(transport, elsewhere)
         self.discovery = self._discovery_client(discovery, known.version) if discovery is not None else None
         self.requests = PendingRequests(self)
-        self.held = self.requests.by_id
         self.attempt_runner = AttemptRunner(self)
-        self.attempts = self.attempt_runner.in_flight
         # On the path of each request: bound here, so that they cost no forwarding call.
         self.take = self.requests.accept
         self.end_attempt = self.attempt_runner.end
         self.endpoints = EndpointRegistry(self, names)
-        self.maintenance = self.endpoints.maintenance
-        self.starts = self.endpoints.start_times
         self.carry_out = self._actions()
         self.endpoints.apply_list(known, ListKind.CACHED)
         if not settings.must_ask:
@@ -135,7 +128,6 @@
     def _use_settings(self, settings: Settings, retired: frozenset[int]) -> None:
         self.settings, self.retired = settings, retired
         self.reports = LoadReportParser(settings.report_columns)
-        self.probe_path = b"/-/load" if settings.report_columns else b"/-/healthy"
 
     def _connect_timeout_s(self) -> float:
         return self.settings.connect_timeout_ns / SECOND or DEFAULT_CONNECT_TIMEOUT_S
@@ -239,6 +231,16 @@
 
     # Requests
 
+    @property
+    def held(self) -> dict[int, PendingRequest]:
+        """Pending requests, by id."""
+        return self.requests.by_id
+
+    @property
+    def attempts(self) -> dict[tuple[int, int], Attempt]:
+        """Attempts in flight by request id and number, also those of requests that are over."""
+        return self.attempt_runner.in_flight
+
     def drop(self, call: ParsedRequest) -> bool:
         """End a request whose client has disconnected; return whether it was pending."""
         return self.requests.drop(call)
@@ -298,6 +300,16 @@
 
     # Endpoints: names that other packages call
 
+    @property
+    def maintenance(self) -> Maintenance[EndpointRecord]:
+        """Operators' maintenance orders on top of what discovery says."""
+        return self.endpoints.maintenance
+
+    @property
+    def starts(self) -> StartTimes:
+        """When endpoints started, as far as that is known."""
+        return self.endpoints.start_times
+
     def on_news(self, news: EndpointUpdate | None) -> None:
         """Apply an endpoint list or a change of it; None if discovery failed."""
         self.endpoints.on_update(news)
@@ -351,7 +363,7 @@
 
     def close_if_finished(self) -> None:
         """Close a retiring pool that has no request and no attempt left."""
-        if self.on_retired is None or self.held or self.attempts:
+        if self.on_retired is None or self.requests.by_id or self.attempt_runner.in_flight:
             return
         on_retired, self.on_retired = self.on_retired, None
         self.close()
