--- a/dykefold/net/service/attempts.py
+++ b/dykefold/net/service/attempts.py
@@ -15,7 +15,8 @@
 from ..clock import MS, SECOND
 from ..downstream.request_parser import BODY_MOST, ParsedRequest
 from ..streaming import Upload
-from ..upstream.connection_pool import Exchange, HttpProfile, Response
+from ..upstream.classify import HttpProfile, Response
+from ..upstream.exchange import Exchange
 from .http_encoding import header_lines
 from .pending_requests import ATTEMPT_MARGIN_NS, PendingRequest
 
--- a/dykefold/net/service/endpoint_registry.py
+++ b/dykefold/net/service/endpoint_registry.py
@@ -15,8 +15,7 @@
 from ...balancer.actions import Probe
 from ...balancer.events import ListKind, Membership, ProbeResult, State, Status
 from ...control.maintenance import Maintenance, MaintenanceOrder
-from ..clock import StartTimes
-from ..discovery.client import (
+from ..discovery.codec import (
     EndpointRecord,
     EndpointUpdate,
     NameTable,
@@ -24,7 +23,9 @@
     parse_endpoint_update,
 )
 from ..downstream.request_parser import BODY_MOST
-from ..upstream.connection_pool import Exchange, Response
+from ..start_times import StartTimes
+from ..upstream.classify import Response
+from ..upstream.exchange import Exchange
 
 if TYPE_CHECKING:
     from .pool import Pool
--- a/dykefold/net/service/pending_requests.py
+++ b/dykefold/net/service/pending_requests.py
@@ -13,7 +13,8 @@
 from ..clock import MS, SECOND
 from ..downstream.request_parser import ParsedRequest
 from ..timer_wheel import Timed
-from ..upstream.connection_pool import READ_WITHIN, Exchange, Response
+from ..upstream.classify import Response
+from ..upstream.exchange import READ_WITHIN, Exchange
 from .http_encoding import header_lines, retry_after
 from .protocols import ResponseSink
 
--- a/dykefold/net/service/pool.py
+++ b/dykefold/net/service/pool.py
@@ -36,11 +36,14 @@
 from ...balancer.settings import Settings
 from ...control.maintenance import Maintenance, MaintenanceOrder
 from ...settings import Transport
-from ..clock import MS, SECOND, StartTimes
-from ..discovery.client import DiscoveryClient, EndpointRecord, EndpointUpdate, NameTable
+from ..clock import MS, SECOND
+from ..discovery.client import DiscoveryClient
+from ..discovery.codec import EndpointRecord, EndpointUpdate, NameTable
 from ..downstream.request_parser import ParsedRequest
 from ..peers import Address
-from ..upstream.connection_pool import LATE_S, ConnectionPool
+from ..start_times import StartTimes
+from ..upstream.connection_pool import ConnectionPool
+from ..upstream.connector import LATE_S
 from .attempts import Attempt, AttemptRunner
 from .endpoint_registry import EndpointRegistry
 from .http_encoding import encode_request, retry_after
--- a/dykefold/net/service/protocols.py
+++ b/dykefold/net/service/protocols.py
@@ -9,7 +9,7 @@
 from ...admission.rules import Client
 from ...system import System
 from ..clock import Clock
-from ..downstream.connection import FlowControlled
+from ..downstream.protocols import FlowControlled
 from ..downstream.request_parser import ParsedRequest
 from ..loop_lag import LoopLagMonitor
 from ..memory_budget import MemoryBudget
--- a/dykefold/net/sidecar.py
+++ b/dykefold/net/sidecar.py
@@ -29,7 +29,9 @@
 from .memory_budget import MemoryBudget
 from .peers import Address, PeerChannel
 from .read_scheduler import ReadScheduler
-from .service.pool import Pool, ResponseSink, retry_after
+from .service.http_encoding import retry_after
+from .service.pool import Pool
+from .service.protocols import ResponseSink
 from .shutdown import GracefulShutdown
 from .timer_wheel import TimerWheel
 
