--- a/tests/fleet/test_edge.py
+++ b/tests/fleet/test_edge.py
@@ -22,6 +22,7 @@
     return CliRunner().invoke(app, ["fleet", "view", *arguments])
 
 
+@pytest.mark.processes
 def test_people_see_members_come_and_go_with_the_cause() -> None:
     async def play() -> None:
         async with rigged(FleetScenario(FleetTable(members=3, servers=2, view=True))) as rig:
@@ -59,6 +60,7 @@
     run(play())
 
 
+@pytest.mark.processes
 def test_a_fleet_renumbered_by_sighup_keeps_whom_it_knew() -> None:
     async def play() -> None:
         async with rigged(FleetScenario(FleetTable(members=3, servers=2, view=True))) as rig:
--- a/tests/test_net_ends.py
+++ b/tests/test_net_ends.py
@@ -224,6 +224,7 @@
         run(play())
 
 
+@pytest.mark.processes
 def test_a_paused_process_sends_no_repeat_that_overlaps():
     """The real process, stopped for 60 ms again and again while one node after the other is in trouble."""
     outcome = paused_run(seconds=6.0)
--- a/tests/test_process_kill.py
+++ b/tests/test_process_kill.py
@@ -11,6 +11,8 @@
 from net_helpers import HOST, MS, Fake, config, entry, message, news, read_message, run, silent, until
 from process_helpers import Process
 
+pytestmark = pytest.mark.processes
+
 KILL_AFTER_S = 0.7  # beyond the longest deadline
 HELD_UP_S = 0.15  # STANDING.md, beyond this bench
 HELD_UP_AT_S = 0.58  # after SIGTERM: just before the end, as deadlines of 0.1 s have it
