--- a/dykefold/lab/fleet/upgrades.py
+++ b/dykefold/lab/fleet/upgrades.py
@@ -30,6 +30,9 @@
 DEATH_S = 0.1  # in which a killed process's clients hear of it
 
 
+SHUTDOWN_LINE = "began graceful shutdown|draining"  # of this version, and of earlier ones
+
+
 @dataclass(slots=True)
 class World:
     """One sidecar with its desk, its servers, and what is known of them."""
@@ -245,7 +248,7 @@
     old, new = it.member.living[-1], await it.member.start()
     await it.says_yes(new)
     old.terminate()
-    await old.says("draining")
+    await old.says(SHUTDOWN_LINE)
     it.kill(old)
 
 
@@ -253,7 +256,7 @@
     old, new = it.member.living[-1], await it.member.start()
     await it.says_yes(new)
     old.terminate()
-    await old.says("draining")
+    await old.says(SHUTDOWN_LINE)
     await it.stop(old, KILL_S)
     it.kill(old)
 
--- a/tests/test_crossings_processes.py
+++ b/tests/test_crossings_processes.py
@@ -199,7 +199,7 @@
         assert [(await one).code for one in held] == [200] * 8
         assert await sidecar.process.wait() == 0
         log = await sidecar.log
-        assert b"Traceback" not in log and log.count(b"draining") == 1
+        assert b"Traceback" not in log and log.count(b"began graceful shutdown") == 1
 
 
 @pytest.mark.parametrize(("members", "killed", "most"), [(20, 0.5, 1.5), (30, 0.5, 1.5), (200, 0.1, 2.3)])
