--- a/benchmarks/coldstart.py
+++ b/benchmarks/coldstart.py
@@ -8,7 +8,7 @@
 
 import sys
 
-from dykefold.fleet.pace import SECOND
+from dykefold.fleet.rate_limits import SECOND
 from dykefold.sim.callers import Callers
 
 SEEDS = 5
--- a/benchmarks/view.py
+++ b/benchmarks/view.py
@@ -13,14 +13,14 @@
 from itertools import pairwise
 from pathlib import Path
 
-from dykefold.fleet.pace import SECOND, Pace
-from dykefold.fleet.words import LIVE, State
+from dykefold.fleet.member_state import LIVE, State
+from dykefold.fleet.rate_limits import SECOND, RateLimits
 from dykefold.sim.views import Views
 
 QUIET_S = {10: 120, 200: 30, 2000: 8, 10000: 3}  # in which nothing happens, by size
 DEATHS = 5
 OBSERVERS = 40  # whose words are noted
-BEAT_NS = Pace().period_ns  # of the heartbeats; silence for as long as a suspicion stands is a death
+BEAT_NS = RateLimits().period_ns  # of the heartbeats; silence for as long as a suspicion stands is a death
 
 
 def percentile(values: list[float], part: float) -> float:
@@ -82,7 +82,7 @@
 
 def heartbeats(size: int, loss: float, chance: random.Random) -> dict[str, object]:
     """Each tells all others that it lives, once in a period: what an observer sees of one that dies."""
-    pace = Pace()
+    pace = RateLimits()
     stands_ns = pace.suspicion_ns(size)
     times = []
     for _ in range(400):
--- a/dykefold/__main__.py
+++ b/dykefold/__main__.py
@@ -24,9 +24,9 @@
 from .sidecar_config import Config, ConfigError, read_config, read_service_file, system_limit
 
 if TYPE_CHECKING:
-    from .failover.edge import Failover
-    from .fleet.edge import Fleet
-    from .fleet.lists import Lists
+    from .failover.controller import FailoverController
+    from .fleet.agent import FleetAgent
+    from .fleet.endpoint_list_sync import EndpointListSync
     from .routing.plan import Plan
     from .routing.services import Services
     from .service_config import Service
@@ -61,9 +61,9 @@
         self.config = config
         self.path = path
         self.service = service
-        self.fleet: Fleet | None = None
-        self.lists: Lists | None = None
-        self.failover: Failover | None = None
+        self.fleet: FleetAgent | None = None
+        self.lists: EndpointListSync | None = None
+        self.failover: FailoverController | None = None
 
     def __call__(self) -> None:
         """Read and apply the file; log why where it can't be applied."""
@@ -71,24 +71,24 @@
         try:
             config = read_config(self.path, self.service, self.config)
             # First what may be rejected, so that nothing else is half applied.
-            engine.retune(config.settings, config.transport)
+            engine.change_settings(config.settings, config.transport)
         except (ConfigError, ValueError) as error:
             log.warning("the configuration stays as it was: %s", error)
             return
         self.config = config
         engine.memory_limit = config.memory
-        engine.limit(config.sockets, config.caps)
+        engine.change_limits(config.sockets, config.caps)
         if engine.peers is not None:
-            engine.peers.turn(config.settings.index, config.peers, config.peers_all)
+            engine.peers.change_addresses(config.settings.index, config.peers, config.peers_all)
         if self.fleet is not None:
             self.fleet.renumber(config.peers, config.settings.index)
         if self.failover is not None:
             pool = engine.pool
-            self.failover.retune(list(pool.names.zones), pool.settings.zone, config.fleet.failover)
+            self.failover.change_settings(list(pool.names.zones), pool.settings.zone, config.fleet.failover)
         if self.lists is not None and config.settings.must_ask:
-            self.lists.retune(config.settings.must_ask_in_ns)
+            self.lists.change_settings(config.settings.must_ask_in_ns)
         if engine.pool.discovery is not None:
-            engine.pool.discovery.turn(config.discovery)
+            engine.pool.discovery.change_address(config.discovery)
 
 
 async def run(config: Config, path: str | None, service: str | None) -> None:
@@ -135,47 +135,47 @@
         lists.close()
 
 
-def _spread_calls(engine: SidecarServer, config: Config) -> Lists | None:
+def _spread_calls(engine: SidecarServer, config: Config) -> EndpointListSync | None:
     """Spread the polls of discovery over the fleet, where the operator's file asks for it."""
     settings, discovery = config.settings, engine.pool.discovery
     if not (config.fleet.calls and settings.must_ask and discovery is not None):
         return None
-    from .fleet.lists import Lists  # off by default, and then it costs no memory
+    from .fleet.endpoint_list_sync import EndpointListSync  # off by default, and then it costs no memory
 
     within_ns, rate = settings.must_ask_in_ns, config.fleet.calls_per_s
-    return Lists(discovery, within_ns, rate, settings.index, settings.fleet_size, config.seed)
+    return EndpointListSync(discovery, within_ns, rate, settings.index, settings.fleet_size, config.seed)
 
 
 def _keep_view(
     loop: asyncio.AbstractEventLoop, engine: SidecarServer, config: Config, peers: PeerChannel
-) -> Fleet | None:
+) -> FleetAgent | None:
     """Take part in the fleet's membership, where the operator's file and the settings allow it."""
     settings = config.settings
     known = len(config.peers) > 1 and 0 <= settings.index < len(config.peers)
     if not (config.fleet.view and settings.can_tell and known):
         return None
-    from .fleet.edge import Fleet  # off by default, and then it costs no memory
+    from .fleet.agent import FleetAgent  # off by default, and then it costs no memory
 
     me, zone = settings.index, settings.zone
-    fleet = Fleet(loop, engine, peers, config.peers, me, zone, settings.price_peer, config.seed)
+    fleet = FleetAgent(loop, engine, peers, config.peers, me, zone, settings.price_peer, config.seed)
     fleet.serve(engine.pool)
     return fleet
 
 
 def _fail_over(
-    loop: asyncio.AbstractEventLoop, engine: SidecarServer, config: Config, fleet: Fleet
-) -> Failover:
+    loop: asyncio.AbstractEventLoop, engine: SidecarServer, config: Config, fleet: FleetAgent
+) -> FailoverController:
     """Take part in the failover between zones."""
-    from .failover.edge import Failover
+    from .failover.controller import FailoverController
 
     zones, home = config.settings.zones, config.settings.zone
     for name in {*config.fleet.failover.regions, *config.fleet.failover.out} - set(zones):
         log.warning("failover: no zone %s; the settings have %s", name, ", ".join(zones))
-    return Failover(loop, fleet.view, engine.pool, zones, home, config.fleet.failover)
+    return FailoverController(loop, fleet.view, engine.pool, zones, home, config.fleet.failover)
 
 
 def _show_view(
-    loop: asyncio.AbstractEventLoop, fleet: Fleet, address: Address, failover: Failover | None
+    loop: asyncio.AbstractEventLoop, fleet: FleetAgent, address: Address, failover: FailoverController | None
 ) -> AdminServer:
     """Serve the fleet's membership at an address.
 
@@ -183,11 +183,11 @@
         OSError: the address can't be listened on.
     """
     from .control.admin_requests import parse_membership_request
-    from .fleet.edge import Teller
+    from .fleet.agent import MembershipAdmin
 
     sock = socket.create_server(address, backlog=ADMIN_DESCRIPTORS, reuse_port=True)
     plan = failover.shown if failover is not None else None
-    server = AdminServer(loop, sock, Teller(fleet, plan), read=parse_membership_request)
+    server = AdminServer(loop, sock, MembershipAdmin(fleet, plan), read=parse_membership_request)
     log.info("fleet membership is served at %s:%d", *server.address)
     return server
 
@@ -208,7 +208,11 @@
 
 
 async def _until_stopped(
-    engine: SidecarServer, name: str, address: Address, presence: ProcessLifecycle, fleet: Fleet | None = None
+    engine: SidecarServer,
+    name: str,
+    address: Address,
+    presence: ProcessLifecycle,
+    fleet: FleetAgent | None = None,
 ) -> None:
     # What exists now lives as long as the process: garbage collections need not scan it again, nor run as
     # often as for a program that makes cycles.
--- a/dykefold/admission/budget.py
+++ b/dykefold/admission/budget.py
@@ -23,16 +23,16 @@
 class Allowance:
     """How many descriptors one purpose may hold, and holds."""
 
-    __slots__ = ("held", "most")
+    __slots__ = ("in_use", "limit")
 
     def __init__(self, most: int) -> None:
-        self.most = most
-        self.held = 0
+        self.limit = most
+        self.in_use = 0
 
     @property
     def full(self) -> bool:
         """Whether one must be closed before another is opened."""
-        return self.held >= self.most
+        return self.in_use >= self.limit
 
 
 class Budget:
@@ -62,18 +62,18 @@
         # or silent clients keep every request from its server.
         self.clients = max(rest // CLIENTS_PART, min(kept, rest - self.claims - SPARE_CLAIMS))
         self.usable = max((whole or limit) // REQUESTS_PART, 1)
-        self.upstreams.most = rest - self.clients
+        self.upstreams.limit = rest - self.clients
 
     def needed(self, clients: int) -> int:
         """Descriptors that can't be given away with so many connections of clients."""
         return RESERVED + self.set_aside + clients + self.claims + SPARE_CLAIMS
 
-    def claim(self) -> bool:
+    def reserve(self) -> bool:
         """Set a descriptor aside for a connection to a server; False if all are."""
-        if self.claims >= self.upstreams.most:
+        if self.claims >= self.upstreams.limit:
             return False
         self.claims += 1
         return True
 
-    def unclaim(self) -> None:
+    def release(self) -> None:
         self.claims -= 1
--- a/dykefold/admission/clients.py
+++ b/dykefold/admission/clients.py
@@ -28,11 +28,11 @@
 
     client: Client
     paused: bool  # it is not being read
-    deaf: bool  # nothing more is read of it
+    discarding_input: bool  # nothing more is read of it
     messages: int  # whole ones so far
 
     @property
-    def owes(self) -> bool:
+    def message_unfinished(self) -> bool:
         """Whether a message has begun and not ended."""
         ...
 
@@ -50,7 +50,7 @@
         """It was let in; its transport is still to be made."""
         ...
 
-    def calls(self) -> list[Any]:
+    def pending_requests(self) -> list[Any]:
         """The requests of it that are not over."""
         ...
 
@@ -58,19 +58,19 @@
         """Close at once."""
         ...
 
-    def give_way(self) -> None:
+    def evict(self) -> None:
         """Close at once for the sake of others: with a refusal where a message has begun."""
         ...
 
-    def refuse_rest(self, text: str) -> None:
+    def reject_unfinished(self, text: str) -> None:
         """Turn away what it has begun to ask, behind the answers to what it has asked."""
         ...
 
-    def asks(self) -> bool:
+    def has_unread_input(self) -> bool:
         """Whether something of the client is there that was not read yet."""
         ...
 
-    def leave(self) -> None:
+    def close_when_idle(self) -> None:
         """Close in such a way that nothing on its way is lost; not at all if it has just asked again."""
         ...
 
@@ -110,17 +110,17 @@
         now = self.monotonic()
         client = guest.client
         if guest.busy:
-            if client.state is State.KEPT and not guest.owes:
+            if client.state is State.KEPT and not guest.message_unfinished:
                 self.admission.ask_again(client, guest.messages, now)
                 return
             state = State.BUSY
-        elif guest.deaf:
+        elif guest.discarding_input:
             state = State.LEAVING
-        elif guest.owes:
+        elif guest.message_unfinished:
             state = State.READING
         else:
             state = State.ONCE if guest.messages else State.SILENT
-        self.admission.place(client, state, guest.owes, guest.messages, now)
+        self.admission.place(client, state, guest.message_unfinished, guest.messages, now)
         if state is State.ONCE and self.admission.asked > self.admission.working:
             self._let_go(self.admission.surplus(now, self._asks))
 
@@ -174,7 +174,7 @@
         for client in self.admission.unused(now):
             guest = self.all.get(client)
             if guest is not None:
-                guest.leave()
+                guest.close_when_idle()
         self._let_go(self.admission.surplus(now, self._asks))
 
     def note(self, reason: Reason, host: str) -> None:
@@ -189,7 +189,7 @@
     def _asks(self, client: Client) -> bool:
         """Guards a request that crosses the close of its connection: reset unread, it would be sent again."""
         guest = self.all.get(client)
-        return guest is not None and guest.asks()
+        return guest is not None and guest.has_unread_input()
 
     def _let_go(self, clients: list[Client]) -> None:
         for client in clients:
@@ -198,4 +198,4 @@
     def _close(self, client: Client) -> None:
         guest = self.all.get(client)
         if guest is not None:
-            guest.give_way()
+            guest.evict()
--- a/dykefold/admission/listener.py
+++ b/dykefold/admission/listener.py
@@ -178,7 +178,7 @@
                 self._take_spare()
             if self.spare is None:
                 return
-            self.system.close_spare(self.spare)
+            self.system.close_reserve(self.spare)
             self.spare = None
             try:
                 sock, _ = self.sock.accept()
@@ -217,7 +217,7 @@
     def _take_spare(self) -> None:
         if self.spare is None:
             with contextlib.suppress(OSError):  # somebody else was faster: it is tried again
-                self.spare = self.system.open_spare()
+                self.spare = self.system.open_reserve()
 
     def pause(self) -> None:
         if self.resume is None and not self.closed:
@@ -282,5 +282,5 @@
             self.loop.remove_reader(self.sock.fileno())
         self.sock.close()
         if self.spare is not None:
-            self.system.close_spare(self.spare)
+            self.system.close_reserve(self.spare)
             self.spare = None
--- a/dykefold/control/admin_operations.py
+++ b/dykefold/control/admin_operations.py
@@ -16,7 +16,7 @@
 class OrderStore(Protocol):
     """Where maintenance orders are kept for a newer process."""
 
-    def keep(self) -> bool:
+    def write_records(self) -> bool:
         """Write down which endpoints are out; False if that failed, and the order must not be confirmed."""
         ...
 
@@ -42,7 +42,7 @@
     def carry_out(self, request: AdminRequest) -> AdminResponse:
         """Do what a request asks for; the response says whether it was done."""
         if request.action is Action.HEALTH:
-            if self.engine.takes_clients:
+            if self.engine.accepts_clients:
                 return OK
             return AdminResponse(HTTPStatus.SERVICE_UNAVAILABLE, "this process takes no clients")
         return self._set_maintenance(request.server, request.action is Action.OUT)
@@ -54,7 +54,7 @@
         if out and any(pool.maintenance.is_full(name) for pool in pools):
             text = f"{MAX_OUT_OF_SERVICE} servers are out, and no more can be"
             return AdminResponse(HTTPStatus.INSUFFICIENT_STORAGE, text)
-        changed = [pool for pool in pools if pool.maintain(name, out)]
+        changed = [pool for pool in pools if pool.apply_order(name, out)]
         if changed and out:
             log.info("operator took endpoint %s out for maintenance", name)
         elif changed:
@@ -67,12 +67,12 @@
             return AdminResponse(HTTPStatus.INTERNAL_SERVER_ERROR, text)
         # What is answered with an error must not be used: until the order has been written it stays out.
         for pool in changed:
-            pool.maintain(name, True)
+            pool.apply_order(name, True)
         text = "still out: nothing can be written down; call again"
         return AdminResponse(HTTPStatus.INTERNAL_SERVER_ERROR, text)
 
     def _is_kept(self, out: bool) -> bool:
         """Whether a newer process will know of an order, as far as it has to."""
         if self.order_store is not None:
-            return self.order_store.keep()
+            return self.order_store.write_records()
         return not (out and self.directory_unusable)
--- a/dykefold/control/endpoint_list_sharing.py
+++ b/dykefold/control/endpoint_list_sharing.py
@@ -29,7 +29,7 @@
         """
         versions = {pool.label: pool.version for pool in self.engine.pools}
         if needed and versions != self.written:
-            lists = {pool.label: pool.list_word() for pool in self.engine.pools}
+            lists = {pool.label: pool.list_record() for pool in self.engine.pools}
             if self.directory.write(RecordKind.ENDPOINT_LISTS.of_process(self.name), {"pools": lists}):
                 self.written = versions
         return self.written
@@ -49,6 +49,6 @@
         lists = nested_table(record, "pools")
         for pool in newer:
             try:
-                pool.adopt_list(nested_table(lists, pool.label))
+                pool.adopt_list_record(nested_table(lists, pool.label))
             except ValueError as error:
                 log.warning("process ignores endpoint list: process %s, %s", process, error)
--- a/dykefold/control/hot_restart.py
+++ b/dykefold/control/hot_restart.py
@@ -70,25 +70,25 @@
 
     # The start
 
-    async def make_room(self) -> None:
+    async def wait_for_capacity(self) -> None:
         """Wait until older processes leave this one its part of the limits, or are seen to be gone."""
-        self.keep()
+        self.write_records()
         while not self._may_start() and not self.engine.draining:
-            self.keep()  # what it is about to take, before it does
+            self.write_records()  # what it is about to take, before it does
             await asyncio.sleep(LOOK_S / 4)
         self.snapshots.restore(self.others.values())
 
     def _may_start(self) -> bool:
         return self._look().may_serve and self.snapshots.is_ready(self.others.values())
 
-    def takes(self, sock: socket.socket) -> None:
+    def take_clients(self, sock: socket.socket) -> None:
         """Take clients on a listening socket: new ones come to it from now on."""
-        self.machine.serves()
+        self.machine.on_serving()
         self.steering.join(sock, self.others.values())
         if self.others:
             log.info("process takes over clients: from %s", ", ".join(self.others))
         self.steering.update(True, self.others.values())
-        self.keep()
+        self.write_records()
         self._tick()
 
     # While it runs
@@ -96,11 +96,11 @@
     def _tick(self) -> None:
         # A process that is alone looks at one time of one folder, ten times a second.
         if self.others or self.directory.changed() or not self.machine.heartbeat_written:
-            claim = self.machine.claim
+            claim = self.machine.claimed_descriptors
             self._look()
-            claim_changed = claim != self.machine.claim
+            claim_changed = claim != self.machine.claimed_descriptors
             if self.others or claim_changed or not self.machine.heartbeat_written or not self.records_stand:
-                self.keep()
+                self.write_records()
         self.timer = self.loop.call_later(LOOK_S, self._tick)
 
     def _look(self) -> RestartView:
@@ -124,7 +124,7 @@
     def _look_at_processes(self, now_ns: int, heartbeats: Mapping[str, ProcessHeartbeat]) -> RestartView:
         """Tell the decisions who lives and what each process shows."""
         alive = {
-            beat.name: self.directory.held(name)
+            beat.name: self.directory.is_alive(name)
             for name, beat in heartbeats.items()
             if name != self.heartbeat_name
         }
@@ -132,32 +132,32 @@
             now_ns,
             [beat for beat in heartbeats.values() if alive.get(beat.name) is not False],
             self.engine.sockets,
-            self.engine.needed(),
+            self.engine.needed_descriptors(),
             [name for name, held in alive.items() if held],
         )
-        seen = set(self.machine.sees) - {self.machine.name}
+        seen = set(self.machine.acknowledged) - {self.machine.name}
         self.others = {beat.name: beat for beat in heartbeats.values() if beat.name in seen}
         return view
 
     def _apply(self, view: RestartView) -> None:
         """Follow what a look has shown: limits, new connections, and the snapshot for a newer process."""
-        if view.parts != self.process_count:
-            log.info("sidecar has %d processes", view.parts)
-            self.process_count = view.parts
-        self.engine.share(view.parts, view.max_descriptors)
-        self.engine.handing = view.newer_takes
+        if view.process_count != self.process_count:
+            log.info("sidecar has %d processes", view.process_count)
+            self.process_count = view.process_count
+        self.engine.share_capacity(view.process_count, view.max_descriptors)
+        self.engine.handing_over = view.newer_takes
         self.steering.update(view.leads, self.others.values())
         if view.arrived or self.snapshots.retry_needed:
             self.snapshots.write(self.others.values())
 
     def _clean_up(self, heartbeats: Mapping[str, ProcessHeartbeat]) -> None:
         """Remove what older processes left, once their orders stand in the record of this one."""
-        gone = gone_processes(heartbeats.values(), self.machine.sees, self.machine.born_ns)
+        gone = gone_processes(heartbeats.values(), self.machine.acknowledged, self.machine.born_ns)
         if gone and self.maintenance.write():
             for process in gone:
                 remove_records(self.directory, process)
 
-    def keep(self) -> bool:
+    def write_records(self) -> bool:
         """Write the heartbeat of this process, and record which endpoints are out.
 
         The heartbeat is written ten times a second while others live, so it is not synced; the record of
@@ -166,7 +166,7 @@
         Returns:
             False if either can't be written, or the record may not outlast the machine.
         """
-        self.directory.hold(self.heartbeat_name)
+        self.directory.lock(self.heartbeat_name)
         heartbeat = self.machine.heartbeat(self.now_ns(), self.steering.listener_index)
         record = heartbeat_record(heartbeat, self.maintenance.orders())
         versions = self.lists.write(needed=bool(self.others))
@@ -176,17 +176,17 @@
 
     # The end
 
-    def end(self) -> None:
+    def begin_shutdown(self) -> None:
         """Begin the graceful shutdown."""
         self._look()
-        self.machine.ends()
-        self.keep()
+        self.machine.on_end()
+        self.write_records()
 
     def close(self) -> None:
         """End with the process. Its records stay for the next one, unless a newer one has them already."""
         if self.timer is not None:
             self.timer.cancel()
-        if self.engine.handing and self.maintenance.stand_with_others(self.others):
+        if self.engine.handing_over and self.maintenance.stand_with_others(self.others):
             remove_records(self.directory, self.machine.name)
 
 
--- a/dykefold/control/hot_restart_state.py
+++ b/dykefold/control/hot_restart_state.py
@@ -125,7 +125,7 @@
         may_serve: whether this one may begin to take clients.
     """
 
-    parts: int
+    process_count: int
     max_descriptors: int
     newer_takes: bool
     leads: bool
@@ -151,16 +151,22 @@
         self.name = name
         self.born_ns = born_ns
         self.state = HotRestartState.STARTING
-        self.sees: tuple[str, ...] = (name,)
-        self.most = 0  # descriptors that it may use
-        self.claim = 0  # ... and that its heartbeat shows
+        self.acknowledged: tuple[str, ...] = (name,)
+        self.max_descriptors = 0  # descriptors that it may use
+        self.claimed_descriptors = 0  # ... and that its heartbeat shows
         self.heartbeat_written = True
         self.write_failed_ns: int | None = None  # when its heartbeat last could not be written
 
     def heartbeat(self, now_ns: int, listener_index: int | None = None) -> ProcessHeartbeat:
         """Return what to show now; `listener_index` as in `ProcessHeartbeat`."""
         return ProcessHeartbeat(
-            self.name, self.born_ns, now_ns, self.state, self.sees, self.claim, listener_index
+            self.name,
+            self.born_ns,
+            now_ns,
+            self.state,
+            self.acknowledged,
+            self.claimed_descriptors,
+            listener_index,
         )
 
     def look(
@@ -193,7 +199,7 @@
             if beat.name != self.name and (beat.name in living or is_responsive(beat, now_ns))
         ]
         newer = [beat for beat in others if beat.age_order > own_order]
-        before, self.sees = self.sees, (self.name, *(beat.name for beat in others))
+        before, self.acknowledged = self.acknowledged, (self.name, *(beat.name for beat in others))
         newer_takes = self._follow(newer, now_ns)
         free = max(whole - sum(beat.max_descriptors for beat in others), 0)
         if newer:
@@ -202,12 +208,12 @@
             self._grow(now_ns, whole, free)
         made_way = all(self.name in beat.acknowledged for beat in older)
         return RestartView(
-            parts=len(self.sees),
-            max_descriptors=self.most,
+            process_count=len(self.acknowledged),
+            max_descriptors=self.max_descriptors,
             newer_takes=newer_takes,
             leads=self.state in LEADING,
-            arrived=any(name not in before for name in self.sees),
-            may_serve=(made_way and self.most >= free) or now_ns - self.born_ns >= ROOM_WAIT_NS,
+            arrived=any(name not in before for name in self.acknowledged),
+            may_serve=(made_way and self.max_descriptors >= free) or now_ns - self.born_ns >= ROOM_WAIT_NS,
         )
 
     def _follow(self, newer: Iterable[ProcessHeartbeat], now_ns: int) -> bool:
@@ -224,17 +230,19 @@
 
     def _shrink(self, whole: int, held: int, newer_takes: bool) -> None:
         """Make way for a newer process."""
-        self.most = min(self.most, max(held, whole // 2), int(MAX_OLDER_FRACTION * whole))
+        self.max_descriptors = min(
+            self.max_descriptors, max(held, whole // 2), int(MAX_OLDER_FRACTION * whole)
+        )
         if newer_takes:
-            self.most = min(self.most, held)
-        self.claim = self.most
+            self.max_descriptors = min(self.max_descriptors, held)
+        self.claimed_descriptors = self.max_descriptors
 
     def _grow(self, now_ns: int, whole: int, free: int) -> None:
         """Take what was claimed and is still free, and claim all that is free."""
         unseen = self.write_failed_ns is not None and now_ns - self.write_failed_ns < UNSEEN_NS
-        claimed = min(self.claim, whole // 2) if unseen else self.claim
-        self.most = min(max(self.most, claimed), free)
-        self.claim = free
+        claimed = min(self.claimed_descriptors, whole // 2) if unseen else self.claimed_descriptors
+        self.max_descriptors = min(max(self.max_descriptors, claimed), free)
+        self.claimed_descriptors = free
 
     def wrote_heartbeat(self, now_ns: int, written: bool) -> None:
         """Take whether its heartbeat could be written just now."""
@@ -242,14 +250,14 @@
         if not written:
             self.write_failed_ns = now_ns
 
-    def serves(self) -> None:
+    def on_serving(self) -> None:
         """Take clients from now on."""
         self._go(HotRestartEvent.MAY_SERVE)
 
-    def ends(self) -> None:
+    def on_end(self) -> None:
         """Begin the graceful shutdown. One that has not served yet never will, and claims nothing."""
         if self.state is HotRestartState.STARTING:
-            self.most = self.claim = 0
+            self.max_descriptors = self.claimed_descriptors = 0
         self._go(HotRestartEvent.TO_END)
 
     def _go(self, event: HotRestartEvent) -> None:
--- a/dykefold/control/maintenance.py
+++ b/dykefold/control/maintenance.py
@@ -73,7 +73,7 @@
         """Whether an order may name this endpoint."""
         return name in self.listed or self.is_out(name)
 
-    def fold(self, entries: Iterable[E], complete: bool) -> list[E]:
+    def apply_update(self, entries: Iterable[E], complete: bool) -> list[E]:
         """Take an update of the endpoint list.
 
         Args:
@@ -111,7 +111,7 @@
         """Whether this endpoint can't be taken out, since too many are."""
         return not self.is_out(name) and len(self.out_of_service()) >= MAX_OUT_OF_SERVICE
 
-    def say(self, name: str, out: bool, ordered_ns: int) -> list[E]:
+    def apply_order(self, name: str, out: bool, ordered_ns: int) -> list[E]:
         """Take an order on a known endpoint.
 
         Args:
--- a/dykefold/control/process_lifecycle.py
+++ b/dykefold/control/process_lifecycle.py
@@ -71,7 +71,7 @@
         # The fleet laboratory and tests read the address from this line.
         log.info("the door is at %s:%d", *self.admin_server.address)
         if self.hot_restart is not None:
-            await self.hot_restart.make_room()
+            await self.hot_restart.wait_for_capacity()
         return not self.engine.draining
 
     def operations(self) -> AdminOperations:
@@ -90,13 +90,13 @@
         sock = socket.create_server(address, backlog=LISTEN_BACKLOG, reuse_port=self.shared)
         listener = self.engine.listen(sock)
         if self.hot_restart is not None:
-            self.hot_restart.takes(sock)
+            self.hot_restart.take_clients(sock)
         return listener.address
 
     def drain(self) -> None:
         """Begin the graceful shutdown."""
         if self.hot_restart is not None:
-            self.hot_restart.end()
+            self.hot_restart.begin_shutdown()
         self.engine.drain()
 
     def close(self) -> None:
--- a/dykefold/control/state_directory.py
+++ b/dykefold/control/state_directory.py
@@ -72,14 +72,14 @@
         """Remove a record and its lock; that it is gone already is no error."""
         ...
 
-    def hold(self, name: str) -> bool:
+    def lock(self, name: str) -> bool:
         """Lock a name to show that this process is alive, until it ends; False if that can't be shown.
 
         It may be called again at any time: a lock whose file was removed is taken anew.
         """
         ...
 
-    def held(self, name: str) -> bool | None:
+    def is_alive(self, name: str) -> bool | None:
         """Whether the process that locked a name is alive; None if nothing tells."""
         ...
 
@@ -110,7 +110,7 @@
         self.path = Path(folder) / FOLDER_NAME
         self.files = files
         self.monotonic_ns = monotonic_ns
-        self.lock = -1
+        self.lock_descriptor = -1
         self.warned: set[str] = set()  # names of records that have been logged
         self.folder_state: tuple[int, ...] = ()  # as last seen ...
         self.folder_state_ns = 0  # ... and since when
@@ -263,7 +263,7 @@
 
     # Locks
 
-    def hold(self, name: str) -> bool:
+    def lock(self, name: str) -> bool:
         """Lock a name: see `StateDirectory.hold`."""
         path = self._lock_path(name)
         if self._is_current(path):
@@ -282,7 +282,7 @@
                 with contextlib.suppress(OSError):
                     self.files.close(lock)
             return False
-        self.lock = lock
+        self.lock_descriptor = lock
         # Another process may have removed the file before it was locked.
         return self._is_current(path)
 
@@ -295,21 +295,21 @@
 
     def _is_current(self, path: Path) -> bool:
         """Whether the file that this process has locked is the one that others open."""
-        if self.lock < 0:
+        if self.lock_descriptor < 0:
             return False
         try:
-            locked, found = self.files.fstat(self.lock), self.files.stat(path)
+            locked, found = self.files.fstat(self.lock_descriptor), self.files.stat(path)
         except OSError:
             return False
         return (locked.st_dev, locked.st_ino) == (found.st_dev, found.st_ino)
 
     def _release(self) -> None:
-        if self.lock >= 0:
-            lock, self.lock = self.lock, -1
+        if self.lock_descriptor >= 0:
+            lock, self.lock_descriptor = self.lock_descriptor, -1
             with contextlib.suppress(OSError):
                 self.files.close(lock)
 
-    def held(self, name: str) -> bool | None:
+    def is_alive(self, name: str) -> bool | None:
         """Whether a process is alive: see `StateDirectory.held`."""
         try:
             lock = self.files.open(self._lock_path(name), os.O_RDONLY | os.O_NONBLOCK)
@@ -351,7 +351,7 @@
                 found.append(file)
             name = file.removesuffix(LOCK_SUFFIX)
             without_record = name != file and f"{name}{RECORD_SUFFIX}" not in files
-            if without_record and self.held(name) is False:
+            if without_record and self.is_alive(name) is False:
                 found.append(file)
         return found
 
@@ -361,7 +361,7 @@
         Its lock tells; where there is none, its number.
         """
         _, _, process = record_name.partition("-")
-        held = self.held(RecordKind.HEARTBEAT.of_process(process))
+        held = self.is_alive(RecordKind.HEARTBEAT.of_process(process))
         if held is not None:
             return held
         return process_number != os.getpid() and self.files.runs(process_number)
--- a/dykefold/failover/edge.py
+++ b/dykefold/failover/controller.py
@@ -11,14 +11,14 @@
 from ..balancer.events import Status
 from ..fleet.datagrams import Record
 from ..fleet.knowledge import Topic
-from ..fleet.pace import SECOND
-from ..fleet.view import View
-from ..fleet.words import zone_of
+from ..fleet.member_state import zone_of
+from ..fleet.membership import Membership
+from ..fleet.rate_limits import SECOND
 from ..system import SYSTEM, System
-from .evidence import ZONES_MOST, Came, Evidence, Sight
-from .judgement import HARDLY, SAID_BY, Pair, Verdict, judge
+from .health_samples import ZONES_MOST, Came, Evidence, Sight
 from .options import Options
-from .plan import BACK_STEPS, Course, Where, Zones, order_of
+from .traffic_plan import BACK_STEPS, Course, Where, Zones, order_of
+from .zone_health import HARDLY, SAID_BY, Pair, Verdict, judge
 
 log = logging.getLogger("dykefold.failover")
 
@@ -30,13 +30,13 @@
 class Pool(Protocol):
     """The pool whose sidecar may move."""
 
-    attempted: Callable[[int, Status, int, int], None] | None
+    on_attempt_end: Callable[[int, Status, int, int], None] | None
 
-    def placed(self) -> dict[int, int]:
+    def ready_by_zone(self) -> dict[int, int]:
         """Ready servers by zone."""
         ...
 
-    def standing(self) -> dict[int, tuple[int, int]]:
+    def tried_and_ejected_by_zone(self) -> dict[int, tuple[int, int]]:
         """By zone, how many servers have been tried, and how many of these the module has given up on."""
         ...
 
@@ -48,18 +48,18 @@
         """Whether a server has answered anything since an attempt began that has taken so long."""
         ...
 
-    def home_at(self, zone: int) -> None:
+    def set_home_zone(self, zone: int) -> None:
         """Take this zone for the own one from now on."""
         ...
 
 
-class Failover:
+class FailoverController:
     """A process's part in the failover."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        view: View,
+        view: Membership,
         pool: Pool,
         zones: list[str],
         home: int,
@@ -83,7 +83,7 @@
         self.said_ns = now_ns - SAY_NS
         self.told: tuple[Where, float, frozenset[int]] | None = None
         self.closed = False
-        pool.attempted = self._note
+        pool.on_attempt_end = self._note
         self._look()
 
     # Evidence
@@ -153,8 +153,8 @@
         self.timer = self.loop.call_later(STEP_S, self._look)
         now_ns = self.system.monotonic_ns()
         view = self.view
-        own = self.evidence.sights(now_ns, self.pool.standing())
-        placed = self.pool.placed()
+        own = self.evidence.sights(now_ns, self.pool.tried_and_ejected_by_zone())
+        placed = self.pool.ready_by_zone()
         wrong = not placed.get(self.home) or any(sight.lost >= HARDLY for sight in own.values())
         told = view.knowledge.subjects(Topic.SIGHT, Topic.AWAY)
         quiet = not (wrong or told or self.options.out) and self.course.where is Where.HOME
@@ -183,7 +183,7 @@
         if at != self.at:
             log.info("works in zone %s now, not in %s", self._name(at), self._name(self.at))
             self.at = at
-            self.pool.home_at(at)
+            self.pool.set_home_zone(at)
 
     def _regions(self) -> dict[int, str]:
         regions = self.options.regions
@@ -207,7 +207,7 @@
             self._name(self.home), course.where, course.part, f" ({to})" if to else "", course.cause,
         )  # fmt: skip
 
-    def retune(self, zones: list[str], home: int, options: Options) -> None:
+    def change_settings(self, zones: list[str], home: int, options: Options) -> None:
         """Take what the files say now. The pool has taken new settings, and with these their own zone."""
         self.options, self.zones = options, zones[:ZONES_MOST]
         if home != self.home:
@@ -215,7 +215,7 @@
             self.course = Course(home, self.system.monotonic_ns())
             self.evidence = Evidence()
         elif self.at != home:
-            self.pool.home_at(self.at)
+            self.pool.set_home_zone(self.at)
 
     def shown(self) -> dict[str, Any]:
         """The plan for people: the own zone's, what others say of theirs, and who sees what."""
--- a/dykefold/failover/evidence.py
+++ b/dykefold/failover/health_samples.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from ..fleet.pace import SECOND
+from ..fleet.rate_limits import SECOND
 
 HALF_NS = SECOND  # in which an attempt comes to count half
 ZONES_MOST = 31  # zones that are told apart
--- a/dykefold/failover/plan.py
+++ b/dykefold/failover/traffic_plan.py
@@ -23,9 +23,9 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from ..fleet.pace import SECOND
-from ..fleet.words import mix
-from .judgement import Pair, Verdict
+from ..fleet.member_state import mix
+from ..fleet.rate_limits import SECOND
+from .zone_health import Pair, Verdict
 
 CONFIRM_NS = SECOND // 2  # evidence of a moment moves nobody
 BACK_NS = 2 * SECOND
--- a/dykefold/failover/judgement.py
+++ b/dykefold/failover/zone_health.py
@@ -19,7 +19,7 @@
 from collections.abc import Mapping, Sequence
 from enum import StrEnum
 
-from .evidence import Sight
+from .health_samples import Sight
 
 WEIGHT_LEAST = 2.0  # attempts of late, without which a sight says nothing
 SAID_BY = 3  # sidecars of a zone that must see it, or all where there are fewer
--- a/dykefold/fleet/edge.py
+++ b/dykefold/fleet/agent.py
@@ -16,13 +16,13 @@
 from ..net.discovery.codec import NameTable
 from ..net.peers import Address, PeerChannel
 from ..system import SYSTEM, System
-from . import priors
-from .coverage import Ranking
+from . import peer_observations
 from .datagrams import is_ours
-from .lists import Lists
-from .pace import RESTART_NS, SECOND, Bucket, Pace
-from .view import Change, View
-from .words import State, incarnation_of, state_of, zone_of
+from .endpoint_list_sync import EndpointListSync
+from .member_state import State, incarnation_of, state_of, zone_of
+from .membership import Membership, MembershipChange
+from .rate_limits import RESTART_NS, SECOND, RateLimits, TokenBucket
+from .subsetting import Ranking
 
 log = logging.getLogger("dykefold.fleet")
 
@@ -39,19 +39,19 @@
     names: NameTable
     version: int
     discovery: DiscoveryClient | None
-    hinted: Callable[[int, bool], None]
+    on_health_hint: Callable[[int, bool], None]
 
     def post(self, event: Event) -> None: ...
 
-    def named(self) -> dict[str, int]:
+    def endpoint_numbers(self) -> dict[str, int]:
         """The numbers of the module's servers, by name."""
         ...
 
-    def classes(self) -> dict[str, int]:
+    def class_numbers(self) -> dict[str, int]:
         """The numbers of the module's classes, by name."""
         ...
 
-    def usual(self) -> dict[str, float]:
+    def typical_latencies(self) -> dict[str, float]:
         """By class, its usual latency, nanoseconds, where that is well known."""
         ...
 
@@ -60,10 +60,10 @@
     """The process that the view is of."""
 
     draining: bool  # it ends
-    handing: bool  # a newer process takes clients in its place
+    handing_over: bool  # a newer process takes clients in its place
 
 
-class Fleet:
+class FleetAgent:
     """A process's part in the fleet's view, from its first datagram to its end."""
 
     def __init__(
@@ -89,15 +89,17 @@
         chance = self.chance = random.Random(seed)
         now_ns = system.monotonic_ns()
         wall_ms = system.time_ns() // 1_000_000
-        self.view = View(roster, me, zone, wall_ms, Pace.by_price(price), chance, now_ns)
+        self.view = Membership(roster, me, zone, wall_ms, RateLimits.by_price(price), chance, now_ns)
         self.ranking = Ranking(me)
-        self.to_module = peers.heard
-        peers.heard = self.hear
-        self.latest: deque[Change] = deque(maxlen=NOTED)
-        self.lines = Bucket(LINES_PER_S, LINES_PER_S, now_ns)
+        self.to_module = peers.on_datagram
+        peers.on_datagram = self.hear
+        self.latest: deque[MembershipChange] = deque(maxlen=NOTED)
+        self.lines = TokenBucket(LINES_PER_S, LINES_PER_S, now_ns)
         self.unsaid = 0
         self.pool: Pool | None = None  # whose module hears of the fleet
-        self.lists: Lists | None = None  # when the list service is called, where that goes by the view
+        self.lists: EndpointListSync | None = (
+            None  # when the list service is called, where that goes by the view
+        )
         self.usual_ns = now_ns  # when the usual latencies are said next
         self.known = (0, 0)  # of its servers, so that new ones are seen
         self.telling: asyncio.TimerHandle | None = None
@@ -109,9 +111,9 @@
     def serve(self, pool: Pool) -> None:
         """Tell a pool's module what the view says from now on, and the fleet what the module finds."""
         self.pool = pool
-        pool.hinted = self._found
+        pool.on_health_hint = self._found
 
-    def spread(self, lists: Lists) -> None:
+    def spread(self, lists: EndpointListSync) -> None:
         """Have calls of the list service go by what the view says from now on."""
         self.lists = lists
         lists.join(self.view)
@@ -120,7 +122,7 @@
         assert self.pool is not None
         for name, number in self.pool.names.servers.items():
             if number == server:
-                priors.say_found(self.view, self.system.monotonic_ns(), name, answers)
+                peer_observations.say_found(self.view, self.system.monotonic_ns(), name, answers)
 
     def hear(self, sender: int, data: bytes) -> None:
         """A datagram came from a member: the view's, or the module's own."""
@@ -136,7 +138,7 @@
         if self.closed:
             return
         now_ns = self.system.monotonic_ns()
-        if self.node.handing:
+        if self.node.handing_over:
             # Two processes at one address would each hear half of what is said to the member.
             log.info("a newer process keeps the view from here on")
             self.closed = True
@@ -149,7 +151,7 @@
             names = self.pool.names
             if now_ns >= self.usual_ns:
                 self.usual_ns = now_ns + USUAL_EVERY_NS
-                priors.say_usual(self.view, now_ns, self.pool.usual())
+                peer_observations.say_usual(self.view, now_ns, self.pool.typical_latencies())
             known = (names.next_server, self.pool.version)
             if known != self.known:
                 self.known = known
@@ -183,7 +185,7 @@
     def _carry_out(self) -> None:
         view = self.view
         for peer, data in view.out:
-            self.peers.tell(data, peer)
+            self.peers.send(data, peer)
         view.out.clear()
         if view.changes:
             for change in view.changes:
@@ -201,7 +203,7 @@
         self.listing = None
         if self.pool is not None and self.pool.discovery is not None and not self.closed:
             now_ns = self.system.monotonic_ns()
-            priors.say_list(self.view, now_ns, self.pool.version)
+            peer_observations.say_list(self.view, now_ns, self.pool.version)
 
     def _tell_soon(self) -> None:
         if self.telling is None and self.pool is not None and not self.closed:
@@ -213,8 +215,8 @@
         if self.pool is not None and self.view.steady(now_ns):
             if self.lists is not None:
                 self.lists.count()
-            named, classes = self.pool.named(), self.pool.classes()
-            self.pool.post(priors.event(self.view, now_ns, named, classes, self.ranking))
+            named, classes = self.pool.endpoint_numbers(), self.pool.class_numbers()
+            self.pool.post(peer_observations.event(self.view, now_ns, named, classes, self.ranking))
             if self.view.went and self.recount is None:
                 self.recount = self.loop.call_later(RESTART_NS / SECOND, self._count_again)
         else:
@@ -225,7 +227,7 @@
         self.recount = None
         self._tell_soon()
 
-    def _note(self, change: Change) -> None:
+    def _note(self, change: MembershipChange) -> None:
         self.latest.append(change)
         if not self.lines.take(change.at_ns):
             self.unsaid += 1
@@ -245,7 +247,7 @@
         """The version of the own list of servers, and the newest that anybody tells."""
         if self.pool is None or self.pool.discovery is None:
             return {"own": None, "newest": None}
-        newest = priors.newest_list(self.view, now_ns)
+        newest = peer_observations.newest_list(self.view, now_ns)
         return {"own": self.pool.version, "newest": newest}
 
     def in_full(self) -> dict[str, Any]:
@@ -284,10 +286,10 @@
         }
 
 
-class Teller:
+class MembershipAdmin:
     """Answers those who ask for the view."""
 
-    def __init__(self, fleet: Fleet, plan: Callable[[], dict[str, Any]] | None = None) -> None:
+    def __init__(self, fleet: FleetAgent, plan: Callable[[], dict[str, Any]] | None = None) -> None:
         self.fleet, self.plan = fleet, plan
 
     def carry_out(self, call: AdminRequest) -> AdminResponse:
@@ -306,7 +308,7 @@
         )
 
 
-def described(change: Change) -> str:
+def described(change: MembershipChange) -> str:
     """A change of state in words."""
     return (
         f"member {change.member} is {change.after.name.lower()}, was {change.before.name.lower()}: "
--- a/dykefold/fleet/datagrams.py
+++ b/dykefold/fleet/datagrams.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from .words import WORD_BYTES, is_word
+from .member_state import WORD_BYTES, is_word
 
 MOST = 256  # bytes of a datagram between sidecars (PROTOCOL)
 MARK = 0xD7  # the kind byte: first of each datagram of the view
--- a/dykefold/fleet/lists.py
+++ b/dykefold/fleet/endpoint_list_sync.py
@@ -8,15 +8,15 @@
 
 from ..net.discovery.client import DiscoveryClient
 from ..system import SYSTEM, System
-from . import priors
-from .asking import Asking
-from .pace import SECOND
-from .view import View
+from . import peer_observations
+from .membership import Membership
+from .poll_schedule import CoordinatedPollSchedule
+from .rate_limits import SECOND
 
 log = logging.getLogger("dykefold.fleet")
 
 
-class Lists:
+class EndpointListSync:
     """The schedule of one discovery, from the process's start on."""
 
     def __init__(
@@ -35,10 +35,10 @@
             place: the own number among `fleet` sidecars, until a view knows better.
         """
         self.discovery, self.system = discovery, system
-        self.asking = Asking(
+        self.asking = CoordinatedPollSchedule(
             must_ask_ns, calls_per_s, place, fleet, random.Random(seed), system.monotonic_ns()
         )
-        self.view: View | None = None
+        self.view: Membership | None = None
         self.later: asyncio.TimerHandle | None = None  # a call for what others told
         self.calling = False  # a call is open
         self.opens = True  # the next one begins a watch
@@ -46,7 +46,7 @@
 
     @property
     def version(self) -> int:
-        return (self.discovery.version or 0) % priors.LIST_SPAN
+        return (self.discovery.version or 0) % peer_observations.LIST_SPAN
 
     # What discovery asks and tells
 
@@ -87,7 +87,7 @@
 
     # What the view tells
 
-    def join(self, view: View) -> None:
+    def join(self, view: Membership) -> None:
         """Go by this view from now on."""
         self.view = view
 
@@ -97,7 +97,7 @@
             callers = self.view.callers(self.system.monotonic_ns())
             self.asking.take_fleet(callers.index(self.view.me), len(callers))
 
-    def retune(self, must_ask_ns: int) -> None:
+    def change_settings(self, must_ask_ns: int) -> None:
         """Take another time within which the rules want a call."""
         self.asking.must_ask_ns = must_ask_ns
 
@@ -106,7 +106,7 @@
         view, now_ns = self.view, self.system.monotonic_ns()
         if view is None or self.discovery.closed:
             return
-        spans, answered_ns = priors.calls_told(view, now_ns)
+        spans, answered_ns = peer_observations.calls_told(view, now_ns)
         self.asking.take_spread(spans)
         if self.later is not None:
             return  # it is about to call
@@ -131,7 +131,7 @@
         if newest is not None:
             self.asking.refute(newest)
         self.opens = True
-        self.discovery.ask_now()
+        self.discovery.poll_now()
 
     def _drop_later(self) -> None:
         if self.later is not None:
@@ -139,13 +139,13 @@
             self.later = None
 
     def _newest(self, now_ns: int) -> int | None:
-        return priors.newest_list(self.view, now_ns) if self.view is not None else None
+        return peer_observations.newest_list(self.view, now_ns) if self.view is not None else None
 
     def _say(self) -> None:
         if self.view is not None:
             now_ns = self.system.monotonic_ns()
             spread_ns = self.asking.spread_ns(now_ns)
-            priors.say_calls(self.view, now_ns, spread_ns, self.asking.failed_ns is None)
+            peer_observations.say_calls(self.view, now_ns, spread_ns, self.asking.failed_ns is None)
 
     def close(self) -> None:
         self._drop_later()
--- a/dykefold/fleet/detector.py
+++ b/dykefold/fleet/failure_detector.py
@@ -9,7 +9,7 @@
 import random
 from dataclasses import dataclass, field
 
-from .words import ASKED, State, Table
+from .member_state import ASKED, State, Table
 
 HEALTH_MOST = 8
 PROBES_MOST = 16  # questions that are open at once
--- a/dykefold/fleet/news.py
+++ b/dykefold/fleet/gossip_queue.py
@@ -9,7 +9,7 @@
 K = TypeVar("K", bound=Hashable)
 
 
-class News(Generic[K]):
+class GossipQueue(Generic[K]):
     """Keys of what has changed, with how often each was told; a table of its own bounds them."""
 
     def __init__(self) -> None:
--- a/dykefold/fleet/knowledge.py
+++ b/dykefold/fleet/knowledge.py
@@ -14,8 +14,8 @@
 from enum import IntEnum
 
 from .datagrams import Record
-from .news import News
-from .pace import SECOND
+from .gossip_queue import GossipQueue
+from .rate_limits import SECOND
 
 RECORDS_MOST = 8192  # some MB
 SEQUENCE_MOST = (1 << 32) - 1
@@ -77,7 +77,7 @@
         self.records: dict[Key, tuple[Record, int]] = {}  # with the time at which the origin said it
         self.of: dict[tuple[int, int], set[int]] = {}  # subjects by topic and origin
         self.on: dict[int, dict[int, set[int]]] = {topic: {} for topic in Topic}  # origins, by subject
-        self.news: News[Key] = News()
+        self.news: GossipQueue[Key] = GossipQueue()
         self.sequence = 0
 
     def __len__(self) -> int:
--- a/dykefold/fleet/view.py
+++ b/dykefold/fleet/membership.py
@@ -12,10 +12,22 @@
 
 from . import datagrams
 from .datagrams import ENTRIES_MOST, MOST, SLICES_MOST, Datagram, Kind, Record
-from .detector import NONCES, PROBES_MOST, RELAYS_MOST, Health, Probe, Relay, Suspicions, Turns
+from .failure_detector import NONCES, PROBES_MOST, RELAYS_MOST, Health, Probe, Relay, Suspicions, Turns
+from .gossip_queue import GossipQueue
 from .knowledge import Knowledge, Topic
-from .news import News
-from .pace import (
+from .member_state import (
+    INCARNATION_MOST,
+    LIVE,
+    State,
+    Table,
+    conclude,
+    denial,
+    incarnation_of,
+    state_of,
+    trusts,
+    word,
+)
+from .rate_limits import (
     ALONE,
     ALONE_LONG,
     ASK_AGAIN,
@@ -38,20 +50,8 @@
     SENT_PER_S,
     SYNC,
     SYNC_NOT_LIVE,
-    Bucket,
-    Pace,
-)
-from .words import (
-    INCARNATION_MOST,
-    LIVE,
-    State,
-    Table,
-    conclude,
-    denial,
-    incarnation_of,
-    state_of,
-    trusts,
-    word,
+    RateLimits,
+    TokenBucket,
 )
 
 ANSWERS_MOST = 4  # datagrams in answer to one comparison
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
+class MembershipChange:
     """A member came to be in another state, or of another incarnation.
 
     Attributes:
@@ -81,7 +81,7 @@
     cause: str
 
 
-class View:
+class Membership:
     """One member's. Whoever drives it sends what is in `out`, and calls `tick` when it says so."""
 
     def __init__(
@@ -90,7 +90,7 @@
         me: int,
         zone: int | None,
         incarnation: int,
-        pace: Pace,
+        pace: RateLimits,
         chance: random.Random,
         now_ns: int,
     ) -> None:
@@ -107,12 +107,12 @@
         self.state = State.ALIVE
         self.incarnation = min(max(incarnation, 1), INCARNATION_MOST)
         self.out: list[tuple[int, bytes]] = []
-        self.changes: list[Change] = []
+        self.changes: list[MembershipChange] = []
         self.learned = False  # a record came that was new here; whoever drives it takes that back
         self.counts: Counter[str] = Counter()
         self.health = Health()
-        self.sending = Bucket(SENT_PER_S, 2 * SENT_PER_S, now_ns)
-        self.hearing = Bucket(HEARD_PER_S, HEARD_PER_S, now_ns)
+        self.sending = TokenBucket(SENT_PER_S, 2 * SENT_PER_S, now_ns)
+        self.hearing = TokenBucket(HEARD_PER_S, HEARD_PER_S, now_ns)
         self.nonce = chance.randrange(NONCES)
         self.probe_ns = now_ns + chance.randrange(pace.period_ns)
         self.began_ns = self.heard_ns = self.due_ns = now_ns
@@ -125,7 +125,7 @@
         self.roster = datagrams.roster_of(roster)
         self.table = Table(len(roster))
         self.table.merge(me, self.own)
-        self.news: News[int] = News()
+        self.news: GossipQueue[int] = GossipQueue()
         self.news.add(me)
         self.turns = Turns(me, self.chance)
         self.probes: dict[int, Probe] = {}
@@ -136,7 +136,7 @@
         self.older: dict[int, int] = {}  # when processes without a view were
         self.went: dict[int, int] = {}  # when members that lived were known to have gone, until they are back
         self.owed: dict[int, None] = {}  # members that don't know what is said of them
-        self.buckets: dict[int, Bucket] = {}
+        self.buckets: dict[int, TokenBucket] = {}
         self.wanted: set[int] = set()  # members asked what they know
         self.given = 0  # ... and answers with something in them
         self.joined_ns = now_ns
@@ -454,7 +454,7 @@
         # Guards against a flood: what is over the budget is dropped unread, a loud member's before others'.
         bucket = self.buckets.get(sender)
         if bucket is None:
-            bucket = self.buckets[sender] = Bucket(HEARD_OF_ONE_PER_S, 2 * HEARD_OF_ONE_PER_S, now_ns)
+            bucket = self.buckets[sender] = TokenBucket(HEARD_OF_ONE_PER_S, 2 * HEARD_OF_ONE_PER_S, now_ns)
         if not bucket.take(now_ns) or not self.hearing.take(now_ns):
             self.counts["over budget"] += 1
             return
@@ -578,7 +578,7 @@
             self.went[number] = now_ns
         self.suspicions.heed(number, after, now_ns, self._stands_ns(own=False))
         if len(self.changes) < NOTED_MOST:
-            self.changes.append(Change(now_ns, number, before, after, incarnation_of(said), cause))
+            self.changes.append(MembershipChange(now_ns, number, before, after, incarnation_of(said), cause))
 
     def _stands_ns(self, own: bool) -> int:
         """How long a suspicion stands here: of thousands with a timer each, some missed the denial."""
--- a/dykefold/fleet/priors.py
+++ b/dykefold/fleet/peer_observations.py
@@ -10,10 +10,10 @@
 from collections.abc import Mapping
 
 from ..balancer.events import MembershipChanged
-from .coverage import Ranking, part
 from .knowledge import Topic
-from .view import View
-from .words import zone_of
+from .member_state import zone_of
+from .membership import Membership
+from .subsetting import Ranking, subset_of
 
 SAID_BY = 3  # others that must have found the same: two may share a fault, such as a cut of their own ...
 SAID_LEAST = 2  # ... of a fleet so small that three would be most of it
@@ -32,7 +32,7 @@
     return min(SAID_BY, max(SAID_LEAST, live // 2))
 
 
-def say_found(view: View, now_ns: int, name: str, answers: bool) -> bool:
+def say_found(view: Membership, now_ns: int, name: str, answers: bool) -> bool:
     """The module gave up on a server, or had an answer of it after that; whether the fleet is told.
 
     What enough others say is not said once more, unless it takes back what this member has said: a lost zone
@@ -53,14 +53,14 @@
     return True
 
 
-def say_list(view: View, now_ns: int, version: int) -> None:
+def say_list(view: Membership, now_ns: int, version: int) -> None:
     """Tell the version of the own list, if nobody is known to have a newer one."""
     newest = newest_list(view, now_ns)
     if newest is None or version % LIST_SPAN > newest:
         view.say(now_ns, Topic.LIST, NO_SUBJECT, version % LIST_SPAN)
 
 
-def newest_list(view: View, now_ns: int) -> int | None:
+def newest_list(view: Membership, now_ns: int) -> int | None:
     """The newest version that is told; None where none is.
 
     Where the list service moves its versions begin anew, and for as long as a record lasts this may be one of
@@ -70,12 +70,12 @@
     return max(told, default=None)
 
 
-def say_calls(view: View, now_ns: int, spread_ns: int, answers: bool) -> None:
+def say_calls(view: Membership, now_ns: int, spread_ns: int, answers: bool) -> None:
     """Tell over which time calls of the list service had better go, and whether it answers this member."""
     view.say(now_ns, Topic.CALLS, NO_SUBJECT, spread_ns // MS << 1 | answers)
 
 
-def calls_told(view: View, now_ns: int) -> tuple[list[int], int | None]:
+def calls_told(view: Membership, now_ns: int) -> tuple[list[int], int | None]:
     """The spans that other live members tell, nanoseconds, and when one of them was answered last."""
     spans, answered_ns = [], None
     live = set(view.live(now_ns))
@@ -88,7 +88,7 @@
 
 
 def event(
-    view: View, now_ns: int, servers: Mapping[str, int], classes: Mapping[str, int], ranking: Ranking
+    view: Membership, now_ns: int, servers: Mapping[str, int], classes: Mapping[str, int], ranking: Ranking
 ) -> MembershipChanged:
     """What the module is to know now.
 
@@ -119,17 +119,17 @@
                 failing.add(by_subject[subject])
     ranks = {by_subject[subject]: rank for subject, rank in placed.items()}
     return MembershipChanged(
-        len(expected), ranks, part(zones), failing, answering, _usual(view, now_ns, classes)
+        len(expected), ranks, subset_of(zones), failing, answering, _usual(view, now_ns, classes)
     )
 
 
-def say_usual(view: View, now_ns: int, usual: Mapping[str, float]) -> None:
+def say_usual(view: Membership, now_ns: int, usual: Mapping[str, float]) -> None:
     """Have the usual latencies of classes ready, nanoseconds by name, for members that start anew."""
     for name, took_ns in usual.items():
         view.say(now_ns, Topic.USUAL, subject_of(name), int(took_ns) // 1000)
 
 
-def _usual(view: View, now_ns: int, classes: Mapping[str, int]) -> dict[int, float]:
+def _usual(view: Membership, now_ns: int, classes: Mapping[str, int]) -> dict[int, float]:
     """By class, the middle one of what others tell; where one alone does, nothing, as it may be wrong."""
     usual = {}
     for name, number in classes.items():
@@ -140,7 +140,7 @@
     return usual
 
 
-def _said(view: View, now_ns: int, subject: int) -> dict[int, bool]:
+def _said(view: Membership, now_ns: int, subject: int) -> dict[int, bool]:
     """By origin, whether its latest word on a server is an answer of it, or that it was given up on."""
     latest: dict[int, tuple[tuple[int, int], bool]] = {}
     for topic in (Topic.FAILS, Topic.ANSWERS):
--- a/dykefold/fleet/asking.py
+++ b/dykefold/fleet/poll_schedule.py
@@ -13,8 +13,8 @@
 
 import random
 
-from .pace import SECOND
-from .words import mix
+from .member_state import mix
+from .rate_limits import SECOND
 
 SPREAD_MOST = 0.4  # of the time within which the rules want a call: one that fails leaves time for another
 MOVED_MOST_NS = 2 * SECOND  # ... after a new configuration: what the new one has to tell counts 4 s after it
@@ -28,7 +28,7 @@
 SILENT_NS = 2 * SECOND  # a call that others have news before for so long is taken for silent: rules say 6 s
 
 
-class Asking:
+class CoordinatedPollSchedule:
     """The times of one sidecar's calls."""
 
     def __init__(
--- a/dykefold/fleet/pace.py
+++ b/dykefold/fleet/rate_limits.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class RateLimits:
     """The times of one fleet.
 
     Attributes:
@@ -51,9 +51,9 @@
     period_ns: int = PERIOD_NS
 
     @staticmethod
-    def by_price(price: float) -> Pace:
+    def by_price(price: float) -> RateLimits:
         """Slower where the settings price datagrams high."""
-        return Pace(int(PERIOD_NS * min(max(price / PRICE_USUAL, 1.0), STRETCH_MOST)))
+        return RateLimits(int(PERIOD_NS * min(max(price / PRICE_USUAL, 1.0), STRETCH_MOST)))
 
     def ns(self, periods: float) -> int:
         return int(self.period_ns * periods)
@@ -74,7 +74,7 @@
         return self.ns(found) + self.suspicion_ns(members, own=False)
 
 
-class Bucket:
+class TokenBucket:
     """So many of something a second, and so many at once."""
 
     __slots__ = ("at_ns", "burst", "left", "rate")
--- a/dykefold/fleet/coverage.py
+++ b/dykefold/fleet/subsetting.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Iterable, Sequence
 
-from .words import mix
+from .member_state import mix
 
 KNOWN_BY = 5  # members of other zones, about, that sample a server (as `FAR_KNOWN` of the module)
 PAIRS_MOST = 60_000  # of member and server that are ranked at once, some 50 ms; beyond it nobody is ranked
@@ -16,7 +16,7 @@
 Placed = tuple[int, int | None]  # a number, and the zone where it is known
 
 
-def part(live: Sequence[Placed]) -> float:
+def subset_of(live: Sequence[Placed]) -> float:
     """Of the members of a zone, the part that is to sample a server of another one; 1 at the most."""
     zones = len({zone for _, zone in live}) or 1
     afar = len(live) * (zones - 1) / zones  # of a server, on average
--- a/dykefold/lab/fleet/run.py
+++ b/dykefold/lab/fleet/run.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from ...fleet.pace import Pace
+from ...fleet.rate_limits import RateLimits
 from ..chance import generator
 from ..emulator.server import Connection, Server, Truth
 from ..scenario import FaultTable as ServerFaultTable
@@ -538,7 +538,7 @@
             load.cancel()
         await asyncio.gather(*faults)
         if views is not None and self.watch is not None:
-            await self.watch.settles(Pace().settled_ns(len(self.members)) / 1e9)
+            await self.watch.settles(RateLimits().settled_ns(len(self.members)) / 1e9)
             views.cancel()
         for desk in self.desks:
             await desk.rest()
--- a/dykefold/net/discovery/client.py
+++ b/dykefold/net/discovery/client.py
@@ -166,7 +166,7 @@
         self.loop = loop
         self.system = system
         self.names = names
-        self.heard = heard
+        self.on_update = heard
         self.pushed = pushed
         self.watching = False
         self.watch_round = 0  # what was scheduled in an earlier round of watching is not done
@@ -195,7 +195,7 @@
         """The address of discovery as text."""
         return self.source.host
 
-    def turn(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Call discovery at another address from now on, for a whole list first.
 
         The index there may have begun anew, so it is not compared with the old one. What the old source
@@ -217,7 +217,7 @@
             self.schedule.moved()
         self.watch(True)
 
-    def retune(self, pushed: bool) -> None:
+    def change_settings(self, pushed: bool) -> None:
         """Follow changed settings: who calls again after a failure, and how long calls wait.
 
         Args:
@@ -227,7 +227,7 @@
             return
         self.pushed = pushed
         if pushed:  # the open call waits as for a service, or the balancer was to retry and no longer does
-            self.ask_now()
+            self.poll_now()
 
     def _close_previous(self) -> None:
         previous, self.previous = self.previous, None
@@ -249,7 +249,7 @@
         if on:
             self._schedule_call(self.schedule.opens_s() if self.schedule is not None else 0.0)
 
-    def ask_now(self) -> None:
+    def poll_now(self) -> None:
         """Make a call at once, beside an open one or in place of a scheduled one."""
         if self.closed:
             return
@@ -361,12 +361,12 @@
         self.watch(False)
         if self.pushed:  # only this client calls an agent again; the balancer just waits for its updates
             self.loop.call_later(RETRY_PUSHED_S, self.watch, True)
-        self.heard(None)
+        self.on_update(None)
 
     def _on_fetch_end(self, _: ListCall, update: EndpointUpdate | None, reason: str) -> None:
         self._record_outcome(update, reason)
         if update is None:
-            self.heard(None)
+            self.on_update(None)
         else:
             self._accept(self.source, update)
 
@@ -389,7 +389,7 @@
         self.listed_by = source.host
         if source is self.source:
             self._close_previous()
-        self.heard(update)
+        self.on_update(update)
 
     def close(self) -> None:
         """Make no more calls, and close the connections of those that are open."""
--- a/dykefold/net/downstream/connection.py
+++ b/dykefold/net/downstream/connection.py
@@ -55,12 +55,14 @@
         transport.set_write_buffer_limits(high=0)  # type: ignore[attr-defined]
         if self.closing:
             self.close()
-        elif not self.engine.taking:  # accepted just before the shutdown: what it has sent is still answered
-            self.leave()
+        elif (
+            not self.engine.accepting_requests
+        ):  # accepted just before the shutdown: what it has sent is still answered
+            self.close_when_idle()
 
     def eof_received(self) -> bool:
         """Close, unless the client may still wait for answers; return whether the transport stays open."""
-        between = not self.owes and self.unfed is None
+        between = not self.message_unfinished and self.unfed is None
         if self.engine.half_close and self.busy and between:
             self.half_closed = True
             return True
@@ -99,12 +101,14 @@
                         refusal = self.engine.admit(self, item)
                     if refusal is None:
                         self.current = item
-                        self.engine.take(self, item)
+                        self.engine.accept(self, item)
                     else:
                         self._refuse(item, *refusal)
                 elif isinstance(item, RequestError):
                     text = f"{item}\n".encode()
-                    self._respond(item.code, b"", text, item.keep_alive and not self.deaf, item.head)
+                    self._respond(
+                        item.code, b"", text, item.keep_alive and not self.discarding_input, item.head
+                    )
                 else:
                     code, text = (503, b"draining\n") if self.engine.draining else (200, b"ready\n")
                     self._respond(code, b"", text, item.keep_alive)
@@ -117,31 +121,31 @@
         self._release(call.size)
         if call.upload is not None:
             self._stop_upload(call.upload, call)
-        self._respond(code, headers, text, call.keep_alive, call.manner is HttpProfile.HEAD)
+        self._respond(code, headers, text, call.keep_alive, call.profile is HttpProfile.HEAD)
 
     # Lifecycle
 
-    def leave(self) -> None:
+    def close_when_idle(self) -> None:
         """Close while nothing of this client is open, unless something of it waits to be read."""
-        if self.transport is not None and not self.asks():
+        if self.transport is not None and not self.has_unread_input():
             self._shut_down()
             self.engine.clients.place(self)
 
-    def give_way(self) -> None:
+    def evict(self) -> None:
         """Close for the sake of other clients; a message that has begun is rejected first."""
-        if self.transport is None or not self.owes:
+        if self.transport is None or not self.message_unfinished:
             self.close()
             return
-        self.refuse_rest("its place was needed")
+        self.reject_unfinished("its place was needed")
         self.close(flush=True)
 
-    def refuse_rest(self, text: str) -> None:
+    def reject_unfinished(self, text: str) -> None:
         """Reject the message that has begun, behind the answers to those before it.
 
         Args:
             text: The reason, for the client.
         """
-        if self.owes:
+        if self.message_unfinished:
             self._reject(503, text)
             self._dispatch_waiting()
             self.engine.clients.place(self)
@@ -155,8 +159,8 @@
         if self.transport is None or self.transport.is_closing():
             return
         self.waiting.clear()
-        self.linger_s = LINGER if self.deaf else LINGER_ANSWERED
-        self.deaf = True
+        self.linger_s = LINGER if self.discarding_input else LINGER_ANSWERED
+        self.discarding_input = True
         try:
             self.transport.write_eof()  # once what was written has gone
         except OSError:  # it was reset meanwhile
@@ -188,7 +192,7 @@
 
     # The client's end
 
-    def asks(self) -> bool:
+    def has_unread_input(self) -> bool:
         """Whether bytes of the client, or its end, are there that were not read yet."""
         if self.closed or (self.transport is None and self.sock is None):
             return False
--- a/dykefold/net/downstream/connection_state.py
+++ b/dykefold/net/downstream/connection_state.py
@@ -14,7 +14,7 @@
 | accepted, no transport yet | `sock` set, `transport` None | open; closing (`close`) |
 | open | `transport` set | half-closed; lingering; closing |
 | half-closed by the client, awaiting answers | `half_closed` | lingering; closing |
-| lingering: own side ended, input discarded | `linger_s` > 0, `deaf` | closing |
+| lingering: own side ended, input discarded | `linger_s` > 0, `discarding_input` | closing |
 | closing: aborted, or refusal being flushed | `closing` | closed |
 | closed | `closed` | |
 
@@ -25,7 +25,7 @@
 | between messages | none of those below | in a message |
 | in a message | `message_begun` (`in_body` behind its headers) | between messages; in an upload; discarded |
 | in an upload: a body passed on as it comes | `upload` | between messages; discarded |
-| discarded: the start of a next message is unknown | `deaf` | |
+| discarded: the start of a next message is unknown | `discarding_input` | |
 
 Reading may be paused in each of these (`paused`); bytes that were read but not parsed are in `unfed`, and
 `scheduled` says that the read scheduler has the connection.
@@ -80,7 +80,7 @@
         waiting: What was read and waits for its turn, in order.
         messages: Whole messages so far.
         paused: Nothing is read until some of what waits is answered.
-        deaf: Input is discarded, since where a next message begins is unknown.
+        discarding_input: Input is discarded, since where a next message begins is unknown.
         unread: The client leaves answers unread.
         closed: The connection is lost.
     """
@@ -96,7 +96,7 @@
         "closed",
         "closing",
         "current",
-        "deaf",
+        "discarding_input",
         "dispatching",
         "duplicate_header",
         "end",
@@ -144,7 +144,7 @@
         self.waiting: deque[ParsedRequest | ReadinessCheck | RequestError] = deque()
         self.current: ParsedRequest | None = None
         self.dispatching = False
-        self.deaf = False
+        self.discarding_input = False
         self.closed = False
         self.paused = False
         self.unread = False
@@ -180,21 +180,21 @@
         self.in_body = False
 
     @property
-    def owes(self) -> bool:
+    def message_unfinished(self) -> bool:
         """Whether a message has begun and not ended."""
         return self.message_begun or self.upload is not None
 
     @property
     def idle(self) -> bool:
         """Whether it can be closed without harm: nothing is pending, and input is not discarded."""
-        return not self.busy and not self.deaf
+        return not self.busy and not self.discarding_input
 
     @property
     def busy(self) -> bool:
         """Whether a request is served or waits, or the client leaves bytes of an answer unread."""
         return self.current is not None or bool(self.waiting) or self.unread
 
-    def calls(self) -> list[ParsedRequest]:
+    def pending_requests(self) -> list[ParsedRequest]:
         """Return its pending requests, in order."""
         waiting = [item for item in self.waiting if isinstance(item, ParsedRequest)]
         return waiting if self.current is None else [self.current, *waiting]
@@ -214,7 +214,7 @@
         """Note the accepted socket; its transport is still to be made."""
         raise NotImplementedError
 
-    def asks(self) -> bool:
+    def has_unread_input(self) -> bool:
         """Whether bytes of the client, or its end, are there that were not read yet."""
         raise NotImplementedError
 
@@ -222,15 +222,15 @@
         """Close the connection; see `ClientConnection.close`."""
         raise NotImplementedError
 
-    def leave(self) -> None:
+    def close_when_idle(self) -> None:
         """Close while nothing of this client is open, unless something of it waits to be read."""
         raise NotImplementedError
 
-    def give_way(self) -> None:
+    def evict(self) -> None:
         """Close for the sake of other clients."""
         raise NotImplementedError
 
-    def refuse_rest(self, text: str) -> None:
+    def reject_unfinished(self, text: str) -> None:
         """Reject the message that has begun, behind the answers to those before it."""
         raise NotImplementedError
 
--- a/dykefold/net/downstream/protocols.py
+++ b/dykefold/net/downstream/protocols.py
@@ -49,12 +49,12 @@
     loop: asyncio.AbstractEventLoop
     clients: Clients
     memory: MemoryBudget
-    backlog: ReadScheduler
+    read_scheduler: ReadScheduler
     lag: LoopLagMonitor
-    grammar: MessageReader
+    parser: MessageReader
     draining: bool
-    handing: bool  # clients have a newer process to go to, and do so behind their next answer
-    taking: bool
+    handing_over: bool  # clients have a newer process to go to, and do so behind their next answer
+    accepting_requests: bool
     half_close: bool  # a client that has ended its side may still wait for answers
 
     @property
@@ -80,8 +80,8 @@
         """
         ...
 
-    def take(self, front: ClientConnection, call: ParsedRequest) -> None:
-        """Accept an admitted request: `ClientConnection.answer`, or `begin_answer`, is called for it once."""
+    def accept(self, front: ClientConnection, call: ParsedRequest) -> None:
+        """Accept an admitted request: `ClientConnection.respond` or `begin_response` is called once."""
         ...
 
     def disconnected(self, front: ClientConnection, call: ParsedRequest | None) -> None:
@@ -93,6 +93,6 @@
         """
         ...
 
-    def fault(self, text: str) -> None:
+    def log_exception(self, text: str) -> None:
         """Log the exception that is being handled, at a limited rate."""
         ...
--- a/dykefold/net/downstream/request_parser.py
+++ b/dykefold/net/downstream/request_parser.py
@@ -84,10 +84,10 @@
     size: int = 0  # bytes reserved of the memory budget
     ticket: int = 0  # the pool's number of it
     pool: Any = None  # the service pool that serves it; kept when settings change
-    manner: HttpProfile = HttpProfile.PLATFORM
+    profile: HttpProfile = HttpProfile.PLATFORM
     told: bytes = b""  # header lines for its answer, whatever that is
     body_most: int = BODY_MOST  # bytes of a body that may come as a stream
-    answer_most: int = 0  # likewise of an answer
+    max_response_bytes: int = 0  # likewise of an answer
     old: bool = False  # its client speaks HTTP/1.0
     upload: Upload | None = None  # the body, where it is passed on as it comes
 
@@ -135,12 +135,12 @@
     def lingers(self, now_ns: int, until_ns: int) -> RequestParser:
         """Let requests for these settings be parsed until `until_ns`; drop expired older parsers."""
         self.until_ns = until_ns
-        grammar = self
-        while grammar.before is not None:
-            if grammar.before.until_ns <= now_ns:
-                grammar.before = None
+        parser = self
+        while parser.before is not None:
+            if parser.before.until_ns <= now_ns:
+                parser.before = None
                 break
-            grammar = grammar.before
+            parser = parser.before
         return self
 
     def read(self, message: Message) -> ParsedRequest:
@@ -224,6 +224,6 @@
             message.keep_alive,
             pool=self.pool,
             body_most=STREAM_MOST,
-            answer_most=STREAM_MOST,
+            max_response_bytes=STREAM_MOST,
             old=message.old,
         )
--- a/dykefold/net/downstream/request_reader.py
+++ b/dykefold/net/downstream/request_reader.py
@@ -29,7 +29,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Parse the first slice at once; longer input waits for the read scheduler."""
-        if self.deaf or self.closed:
+        if self.discarding_input or self.closed:
             return
         if len(data) <= SLICE_BYTES:
             began_s = self.engine.monotonic()
@@ -38,7 +38,7 @@
             return
         # The first slice may show that the rest is of no use, so that it need not be kept.
         self._parse(data[:SLICE_BYTES])
-        if self.deaf or self.closed:
+        if self.discarding_input or self.closed:
             return
         rest = memoryview(data)[SLICE_BYTES:]
         if not self.engine.memory.reserve(len(rest)):
@@ -58,7 +58,7 @@
             data, self.unfed = cut(self.unfed)
             self.engine.memory.release(len(data))
             self._parse(data)
-        if self.deaf:
+        if self.discarding_input:
             self._drop_unfed()
         self.scheduled = self.unfed is not None and not self._is_full()
         if not self.scheduled:
@@ -81,7 +81,7 @@
         except httptools.HttpParserUpgrade:
             self._reject(400, "upgrades are not known here")
         except httptools.HttpParserCallbackError:
-            self.engine.fault("a request could not be read")
+            self.engine.log_exception("a request could not be read")
             self._reject(400, "unreadable request")
         except httptools.HttpParserError:
             self._reject(400, "malformed request")
@@ -96,12 +96,12 @@
 
     def expire(self) -> None:
         """Reject the message that has not come to an end in time, behind the answers to those before it."""
-        if self.owes:
+        if self.message_unfinished:
             self._reject(408, "the request took too long to come")
             self._dispatch_waiting()
             self.engine.clients.place(self)
         elif self.idle:
-            self.leave()
+            self.close_when_idle()
 
     # Flow control
 
@@ -119,12 +119,12 @@
         if not self.paused:
             return
         self._count_unread()
-        if self._is_full() and not self.deaf:
+        if self._is_full() and not self.discarding_input:
             return
         if self.unfed is not None:
             if not self.scheduled:
                 self.scheduled = True
-                self.engine.backlog.add(self)
+                self.engine.read_scheduler.add(self)
         elif self.transport is not None and not self.transport.is_closing():
             self.paused = False
             self.transport.resume_reading()
@@ -184,12 +184,12 @@
             expects = b"expect" in headers and headers[b"expect"].lower() == b"100-continue" and self.idle
             if b"content-length" in headers and _exceeds_max_body(headers[b"content-length"]):
                 self._begin_upload(int(headers[b"content-length"]))
-            if expects and not self.deaf:
+            if expects and not self.discarding_input:
                 self._write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, data: bytes) -> None:
         """Keep a piece of a body, or pass it on if the body is an upload."""
-        if self.deaf:
+        if self.discarding_input:
             return
         self.body_bytes += len(data)
         if self.upload is not None:
@@ -203,7 +203,7 @@
 
     def on_message_complete(self) -> None:
         """Queue the message as a request, a readiness check or an error."""
-        if self.deaf:
+        if self.discarding_input:
             return
         if self.parser.should_upgrade():
             self._reject(400, "upgrades are not known here")
@@ -243,7 +243,7 @@
         """
         if self.duplicate_header:
             raise RequestError(400, "a header came twice")
-        return self.engine.grammar.read(
+        return self.engine.parser.read(
             Message(
                 self.arrived_ns or self.engine.now(),
                 self.parser.get_method(),
@@ -252,7 +252,7 @@
                 self.header_lines,
                 body,
                 self.parser.should_keep_alive(),
-                self.engine.grammar.streams and self.parser.get_http_version() == "1.0",
+                self.engine.parser.streams and self.parser.get_http_version() == "1.0",
             )
         )
 
@@ -271,11 +271,11 @@
 
     def _reject(self, code: int, text: str, head: bool = False) -> None:
         """Queue an error as the last answer, and discard input: where a next message begins is unknown."""
-        if self.upload is not None and not self.deaf:
+        if self.upload is not None and not self.discarding_input:
             # Its request is accepted or waits, and gets this for its one answer.
             self._fail_upload(self.upload, code, text)
-        if not self.deaf:
-            self.deaf = True
+        if not self.discarding_input:
+            self.discarding_input = True
             self.message_begun = False
             self._end_unfinished()
             self._release(self.message_reserved_bytes)
@@ -289,7 +289,7 @@
 
     def _begin_upload(self, length: int | None) -> None:
         """Queue a request whose body is too large to be kept: its bytes follow as they arrive."""
-        if not self.engine.grammar.streams:
+        if not self.engine.parser.streams:
             self._reject(413, "the body is too large")
             return
         try:
@@ -321,7 +321,7 @@
 
     def _fail_upload(self, upload: Upload, code: int, text: str) -> None:
         """Discard the rest of a body; its request, which is accepted or waits, is answered with this."""
-        self.deaf = True
+        self.discarding_input = True
         self.upload = None
         upload.spoil(code, text)
 
--- a/dykefold/net/downstream/response_writer.py
+++ b/dykefold/net/downstream/response_writer.py
@@ -20,7 +20,7 @@
 
     __slots__ = ()
 
-    def answer(self, call: ParsedRequest, code: int, headers: bytes, body: bytes) -> None:
+    def respond(self, call: ParsedRequest, code: int, headers: bytes, body: bytes) -> None:
         """Write the final answer to the request that is being served.
 
         Args:
@@ -37,11 +37,11 @@
             headers += call.told
         if call.upload is not None:
             self._stop_upload(call.upload, call)
-        self._respond(code, headers, body, call.keep_alive, call.manner is HttpProfile.HEAD)
+        self._respond(code, headers, body, call.keep_alive, call.profile is HttpProfile.HEAD)
         self._dispatch_waiting()
         self.engine.clients.place(self)
 
-    def begin_answer(
+    def begin_response(
         self, call: ParsedRequest, code: int, headers: bytes, length: int | None, paced: FlowControlled
     ) -> bool:
         """Begin the final answer to the request that is being served; its body follows in pieces.
@@ -72,12 +72,12 @@
         self._write(_response_head(code, headers + call.told + framing, self.keep_alive))
         return True
 
-    def answer_piece(self, call: ParsedRequest, data: bytes) -> None:
+    def send_response_piece(self, call: ParsedRequest, data: bytes) -> None:
         """Write the next bytes of the answer that has begun."""
         if self.current is call and data:
             self._write(data if self.final_chunk is None else b"%x\r\n%s\r\n" % (len(data), data))
 
-    def end_answer(self, call: ParsedRequest, whole: bool) -> None:
+    def end_response(self, call: ParsedRequest, whole: bool) -> None:
         """End the answer that has begun.
 
         Args:
@@ -103,7 +103,7 @@
         """Discard the rest of a body whose request is answered: where the next message begins is unknown."""
         if not upload.ended:
             call.keep_alive = False
-            self.deaf = True
+            self.discarding_input = True
             self.upload = None
 
     def _keeps_open(self) -> bool:
@@ -115,7 +115,7 @@
             return True
         if self.half_closed:
             return False
-        return (self.engine.taking and not self.engine.handing) or self.asks()
+        return (self.engine.accepting_requests and not self.engine.handing_over) or self.has_unread_input()
 
     def _respond(self, code: int, headers: bytes, body: bytes, keep_alive: bool, head: bool = False) -> None:
         """Write a whole answer; `head` leaves out its body, as HEAD requests need it."""
@@ -155,8 +155,8 @@
             self.response_source.block(False)
         self._dispatch_waiting()
         self.engine.clients.place(self)
-        if self.idle and (self.half_closed or not self.engine.taking):
-            self.leave()
+        if self.idle and (self.half_closed or not self.engine.accepting_requests):
+            self.close_when_idle()
 
     def _watch_stall(self) -> None:
         """Check in `MAX_STALL_S` whether the client has read anything meanwhile."""
--- a/dykefold/net/memory_budget.py
+++ b/dykefold/net/memory_budget.py
@@ -20,7 +20,7 @@
 
     def __init__(self, limit: int) -> None:
         """Begin with nothing reserved; `limit` as for `resize`."""
-        self.held = 0
+        self.reserved_bytes = 0
         self.resize(limit)
 
     def resize(self, limit: int) -> None:
@@ -29,17 +29,17 @@
         Args:
             limit: bytes that the whole process may take.
         """
-        self.most = int(
+        self.capacity_bytes = int(
             min(max((limit - self.PROGRAM_BYTES) * self.FRACTION, self.MIN_BYTES), self.MAX_BYTES)
         )
 
     def reserve(self, size: int) -> bool:
         """Reserve this many bytes; return False, and reserve none, where they exceed the budget."""
-        if self.held + size > self.most:
+        if self.reserved_bytes + size > self.capacity_bytes:
             return False
-        self.held += size
+        self.reserved_bytes += size
         return True
 
     def release(self, size: int) -> None:
         """Release bytes that were reserved."""
-        self.held -= size
+        self.reserved_bytes -= size
--- a/dykefold/net/peers.py
+++ b/dykefold/net/peers.py
@@ -34,11 +34,11 @@
             everyone: as the attribute.
             heard: as the attribute.
         """
-        self.heard = heard
-        self.turn(index, peers, everyone)
+        self.on_datagram = heard
+        self.change_addresses(index, peers, everyone)
         self.transport: asyncio.DatagramTransport | None = None
 
-    def turn(self, index: int, peers: list[Address], everyone: Address | None) -> None:
+    def change_addresses(self, index: int, peers: list[Address], everyone: Address | None) -> None:
         """Follow changed addresses.
 
         Args:
@@ -58,12 +58,12 @@
         """Pass on a datagram of a known peer; drop any other."""
         number = self.numbers.get((addr[0], addr[1]))
         if number is not None and len(data) <= MAX_DATAGRAM_BYTES:
-            self.heard(number, data)
+            self.on_datagram(number, data)
 
     def error_received(self, exc: Exception) -> None:
         """Ignore it: any datagram may be lost, and the balancer has no use for a peer that is down."""
 
-    def tell(self, data: bytes, peer: int | None) -> None:
+    def send(self, data: bytes, peer: int | None) -> None:
         """Send a datagram; it may be lost.
 
         Args:
--- a/dykefold/net/service/attempts.py
+++ b/dykefold/net/service/attempts.py
@@ -55,8 +55,8 @@
             sent_ns: When the balancer sent it, nanoseconds on the clock.
         """
         super().__init__(b"", request.ended, BODY_MOST)
-        self.manner = request.call.manner
-        self.stream_most = request.call.answer_most
+        self.profile = request.call.profile
+        self.max_streamed_bytes = request.call.max_response_bytes
         self.upload = request.call.upload
         self.held = request
         self.number = number
@@ -76,8 +76,8 @@
         """
         if not self._streaming() or not self._has_progressed():
             super().expire()
-        elif self.deadlines is not None:
-            self.deadlines.start(self, STALL_S, self.held.pool.monotonic())
+        elif self.timer_wheel is not None:
+            self.timer_wheel.start(self, STALL_S, self.held.pool.monotonic())
 
     def _streaming(self) -> bool:
         return self.answer_began_ns > 0 or (self.upload is not None and not self.upload.ended)
@@ -108,7 +108,7 @@
         The platform's endpoints begin with a request when its last byte has arrived (PROTOCOL, sidecars to
         servers), and a slow socket can delay that byte.
         """
-        if self.connection is None or self.manner is not HttpProfile.PLATFORM:
+        if self.connection is None or self.profile is not HttpProfile.PLATFORM:
             return False
         return now + self.announced_ns > self.held.call.deadline_ns + MAX_OVERSTATED_NS
 
@@ -126,9 +126,9 @@
 
     def restart_timer(self, after_s: float) -> None:
         """Replace the time limit of an attempt in flight, in seconds from now."""
-        if self.deadlines is not None and not self.ended:
-            self.deadlines.stop(self)
-            self.deadlines.start(self, after_s, self.held.pool.monotonic())
+        if self.timer_wheel is not None and not self.ended:
+            self.timer_wheel.stop(self)
+            self.timer_wheel.start(self, after_s, self.held.pool.monotonic())
 
     def upload_begins(self) -> None:
         """Notify the balancer that the body is being streamed: the request can't be retried any more."""
@@ -141,7 +141,7 @@
         """Notify the balancer that the streamed body is complete: the endpoint is the one to act."""
         self.held.pool.post(BodySent(self.held.id, self.number, self.server))
 
-    def begin_answer(
+    def begin_response(
         self, code: int, headers: list[tuple[bytes, bytes]], length: int | None, load: bytes
     ) -> bool:
         """Begin to stream the answer to the client.
@@ -158,12 +158,12 @@
         request = self.held
         if not request.awaiting_answer or request.streaming_answer:
             return False
-        request.streaming_answer = request.sink.begin_answer(
+        request.streaming_answer = request.sink.begin_response(
             request.call, code, header_lines(headers), length, self
         )
         if request.streaming_answer:
             pool, self.answer_began_ns = request.pool, request.pool.now()
-            pool.home.deadlines.stop(request)  # its final answer has begun in time
+            pool.host.timer_wheel.stop(request)  # its final answer has begun in time
             took_ns = self.answer_began_ns - max(
                 self.sent_ns, self.upload.whole_ns if self.upload is not None else 0
             )
@@ -171,9 +171,9 @@
             pool.post(StreamStarted(request.id, self.number, self.server, max(took_ns, 0), Status.OK, report))
         return request.streaming_answer
 
-    def answer_piece(self, data: bytes) -> None:
+    def send_response_piece(self, data: bytes) -> None:
         """Pass on the next bytes of a streamed answer."""
-        self.held.sink.answer_piece(self.held.call, data)
+        self.held.sink.send_response_piece(self.held.call, data)
 
     def block(self, on: bool) -> None:
         """Pause or resume reading from the endpoint, as the client can take bytes."""
@@ -284,9 +284,9 @@
             pool.requests.end_streamed(request, status)
         # While a body was streamed its client set the pace, so the endpoint's time counts from its end.
         took_ns = pool.now() - max(attempt.sent_ns, upload.whole_ns if upload is not None else 0)
-        if pool.attempted is not None:
+        if pool.on_attempt_end is not None:
             objective_ns = pool.settings.classes[request.call.cls].objective_ns
-            pool.attempted(attempt.server, status, took_ns, objective_ns)
+            pool.on_attempt_end(attempt.server, status, took_ns, objective_ns)
         request_over = not request.awaiting_answer
         pool.post(Outcome(request.id, attempt.number, attempt.server, status, took_ns, request_over, report))
         if pool.on_retired is not None:
@@ -302,7 +302,7 @@
             report = pool.reports.read(response.load)
         if status is Status.OK and request.awaiting_answer and not request.streaming_answer:
             pool.requests.forward(request, response)
-        elif status is Status.ERROR and request.call.manner is not HttpProfile.PLATFORM:
+        elif status is Status.ERROR and request.call.profile is not HttpProfile.PLATFORM:
             request.error_response = response
         return report
 
@@ -323,7 +323,7 @@
     The platform's endpoints begin with a request when its last byte has arrived (PROTOCOL, sidecars to
     servers); others may act on a part.
     """
-    if request.call.manner is not HttpProfile.PLATFORM:
+    if request.call.profile is not HttpProfile.PLATFORM:
         return Status.RESET if status is Status.CONNECT_FAILED else status
     if not upload.sent and status in (Status.RESET, Status.TIMEOUT, Status.CANCELLED):
         return Status.CONNECT_FAILED
--- a/dykefold/net/service/endpoint_registry.py
+++ b/dykefold/net/service/endpoint_registry.py
@@ -78,7 +78,7 @@
         """
         self.pool.version = update.version
         complete = update.complete or kind is ListKind.CACHED
-        entries = self.maintenance.fold(update.entries, complete)
+        entries = self.maintenance.apply_update(update.entries, complete)
         self._apply(EndpointUpdate(update.version, update.complete, entries), kind)
 
     def record(self) -> dict[str, Any]:
@@ -118,23 +118,23 @@
         starts = ((entry.name, entry.endpoint) for entry in update.entries)
         source, called_ns = "", 0
         if pool.discovery is not None:
-            source, called_ns = pool.discovery.listed_by, pool.home.clock.at(pool.discovery.called)
+            source, called_ns = pool.discovery.listed_by, pool.host.clock.at(pool.discovery.called)
         self.start_times.place(pool.now(), membership.kind, source, starts, called_ns)
         pool.post(membership)
         upstreams = pool.upstreams
         if update.complete:
             listed = {entry.endpoint.server for entry in update.entries}
-            for server in [server for server in upstreams.targets if server not in listed]:
+            for server in [server for server in upstreams.endpoints if server not in listed]:
                 self._remove(server)
         for entry in update.entries:
             self._apply_entry(entry)
         # After changes too: where endpoints are replaced all day no complete list may ever come.
-        self.names.keep(set(pool.balancer.servers) | set(upstreams.targets))
-        pool.home.lag.took(began_s, f"an endpoint list update of {len(update.entries)} endpoints")
+        self.names.keep(set(pool.balancer.servers) | set(upstreams.endpoints))
+        pool.host.lag.took(began_s, f"an endpoint list update of {len(update.entries)} endpoints")
 
     def _apply_entry(self, entry: EndpointRecord) -> None:
         endpoint, upstreams = entry.endpoint, self.pool.upstreams
-        target = upstreams.targets.get(endpoint.server)
+        target = upstreams.endpoints.get(endpoint.server)
         if target is not None and (target.takes_new != (endpoint.state is State.READY)):
             state = endpoint.state.name.lower()
             log.info("endpoint %s (%d) changed state to %s", entry.name, endpoint.server, state)
@@ -150,7 +150,7 @@
 
     def _remove(self, server: int) -> None:
         upstreams = self.pool.upstreams
-        target = upstreams.targets[server]
+        target = upstreams.endpoints[server]
         log.info("endpoint %d removed: not in the endpoint list", server)
         upstreams.update(server, target.address, target.since_ms, State.GONE)
         upstreams.forget(server)
@@ -164,7 +164,7 @@
             Whether that changed anything.
         """
         before = self.maintenance.is_out(name)
-        entries = self.maintenance.say(name, out, self.pool.now())
+        entries = self.maintenance.apply_order(name, out, self.pool.now())
         if entries:
             self._apply(EndpointUpdate(self.pool.version, False, entries), ListKind.LOCAL)
         return before is not out
@@ -181,12 +181,12 @@
         """Send a health check to an endpoint; its result is posted to the balancer."""
         pool, server = self.pool, action.server
         started_ns = pool.now()
-        if not pool.budget.claim():
+        if not pool.budget.reserve():
             pool.loop.call_soon(pool.post, ProbeResult(server, Status.NOT_ATTEMPTED, 0, ()))
             return
 
         def done(_: Exchange, status: Status, response: Response | None) -> None:
-            pool.budget.unclaim()
+            pool.budget.release()
             report: tuple[float, ...] = ()
             if response is not None and pool.reports.columns:
                 report = pool.reports.read(response.load or response.body.strip())
--- a/dykefold/net/service/pending_requests.py
+++ b/dykefold/net/service/pending_requests.py
@@ -120,8 +120,8 @@
     def _start_guard(self, request: PendingRequest) -> None:
         pool = self.pool
         now_s = pool.monotonic()
-        left_ns = max(request.call.deadline_ns - GUARD_MARGIN_NS - pool.home.clock.at(now_s), 0)
-        pool.home.deadlines.start(request, left_ns / SECOND, now_s)
+        left_ns = max(request.call.deadline_ns - GUARD_MARGIN_NS - pool.host.clock.at(now_s), 0)
+        pool.host.timer_wheel.start(request, left_ns / SECOND, now_s)
 
     def start_deadline(self, request: PendingRequest) -> None:
         """Give a request whose streamed body is complete the time that its client stated."""
@@ -148,8 +148,8 @@
         attempts = list(pool.attempt_runner.of(request))
         answers_waiting = [attempt.read_first() for attempt in attempts]
         if any(answers_waiting):
-            pool.home.deadlines.stop(request)
-            pool.home.deadlines.start(request, READ_WITHIN, pool.monotonic())
+            pool.host.timer_wheel.stop(request)
+            pool.host.timer_wheel.start(request, READ_WITHIN, pool.monotonic())
             return
         for attempt in attempts:
             attempt.give_up(Status.TIMEOUT)
@@ -192,7 +192,7 @@
         if request.streaming_answer:
             complete = status is Status.OK
             self._settle(request, served=complete)
-            request.sink.end_answer(request.call, complete)
+            request.sink.end_response(request.call, complete)
         elif upload is not None and upload.problem is not None:
             self._answer(request, upload.problem[0], b"", upload.problem[1])
         elif status in (Status.FULL, Status.CONNECT_FAILED, Status.NOT_ATTEMPTED):
@@ -213,7 +213,7 @@
     def _answer(self, request: PendingRequest, code: int, headers: bytes, body: bytes) -> None:
         """Give the one final answer."""
         self._settle(request, served=code < FIRST_ERROR_CODE)
-        request.sink.answer(request.call, code, headers, body)
+        request.sink.respond(request.call, code, headers, body)
 
     def _settle(self, request: PendingRequest, served: bool = False) -> None:
         """Take a request off the pending ones, before its final answer is written."""
@@ -221,8 +221,8 @@
         request.awaiting_answer = False
         self.release_descriptors(request)
         self.by_id.pop(request.id, None)
-        pool.home.deadlines.stop(request)
-        pool.home.settled(request.sink, request.call, served)
+        pool.host.timer_wheel.stop(request)
+        pool.host.on_request_end(request.sink, request.call, served)
         if pool.on_retired is not None:
             pool.loop.call_soon(pool.close_if_finished)
 
@@ -231,7 +231,7 @@
     def reserve_descriptor(self, request: PendingRequest) -> bool:
         """Reserve a descriptor for one more attempt where it needs one; False if none is left."""
         if request.reservations < request.out:
-            if not self.pool.budget.claim():
+            if not self.pool.budget.reserve():
                 return False
             request.reservations += 1
         return True
@@ -241,7 +241,7 @@
         needed = request.out or request.awaiting_answer
         while request.reservations > needed:
             request.reservations -= 1
-            self.pool.budget.unclaim()
+            self.pool.budget.release()
 
     # Disconnected clients
 
--- a/dykefold/net/service/pool.py
+++ b/dykefold/net/service/pool.py
@@ -76,8 +76,8 @@
 
     Attributes:
         version: Of the latest endpoint list, as discovery counts.
-        attempted: Called with each attempt's endpoint, status, duration and latency objective (nanoseconds).
-        hinted: Called with an endpoint and whether it answers, to tell other sidecars.
+        on_attempt_end: Called with each attempt's endpoint, status, duration and latency objective (ns).
+        on_health_hint: Called with an endpoint and whether it answers, to tell other sidecars.
         retired: Numbers of classes that no new request is of.
     """
 
@@ -98,7 +98,7 @@
     ) -> None:
         """Begin with the known endpoints, and watch the endpoint list. The class describes the arguments."""
         # At most 30 attributes: instances with more do not share their keys, and look-ups cost more.
-        self.home = home
+        self.host = home
         self.label = label
         self.loop = home.loop
         self.monotonic = home.system.monotonic
@@ -106,8 +106,8 @@
         self.budget: DescriptorReservations = budget if budget is not None else home.budget
         self.closed = False
         self.on_retired: Callable[[Pool], None] | None = None  # set while the pool retires
-        self.attempted: Callable[[int, Status, int, int], None] | None = None
-        self.hinted: Callable[[int, bool], None] = lambda _server, _answers: None
+        self.on_attempt_end: Callable[[int, Status, int, int], None] | None = None
+        self.on_health_hint: Callable[[int, bool], None] = lambda _server, _answers: None
         self.events: deque[Event] = deque()
         self.handling = False
         self.max_open = transport.max_open
@@ -120,7 +120,7 @@
         self.requests = PendingRequests(self)
         self.attempt_runner = AttemptRunner(self)
         # On the path of each request: bound here, so that they cost no forwarding call.
-        self.take = self.requests.accept
+        self.accept = self.requests.accept
         self.end_attempt = self.attempt_runner.end
         self.endpoints = EndpointRegistry(self, names)
         self.carry_out = self._actions()
@@ -136,15 +136,15 @@
         return self.settings.connect_timeout_ns / SECOND or DEFAULT_CONNECT_TIMEOUT_S
 
     def _connection_pool(self, transport: Transport, elsewhere: Callable[[], bool] | None) -> ConnectionPool:
-        home = self.home
+        home = self.host
         return ConnectionPool(
             home.loop,
             home.budget.upstreams,
             home.memory,
             self._connect_timeout_s(),
             transport.conn_idle_ns / SECOND,
-            home.backlog,
-            home.deadlines,
+            home.read_scheduler,
+            home.timer_wheel,
             elsewhere,
             home.system,
         )
@@ -155,9 +155,9 @@
             address,
             self.names,
             version,
-            self.on_news,
+            self.on_update,
             pushed=not self.settings.must_ask,
-            system=self.home.system,
+            system=self.host.system,
         )
 
     # Events to the balancer, its actions
@@ -176,13 +176,13 @@
                     actions = self.balancer.handle(self.now(), event)
                 except Exception:
                     # A fault on one event must not stop the other requests; the deadline answers this one's.
-                    self.home.fault("balancer failed on an event")
+                    self.host.log_exception("balancer failed on an event")
                     actions = self.balancer.actions
                 for action in actions:
                     try:
                         carry_out[type(action)](action)
                     except Exception:
-                        self.home.fault("action of the balancer failed")
+                        self.host.log_exception("action of the balancer failed")
         finally:
             self.handling = False
 
@@ -197,7 +197,7 @@
             Probe: self.endpoints.probe,
             CloseIdle: lambda action: self.upstreams.close_idle(action.server),
             SendToPeer: self._send_to_peer,
-            ReportEndpointHealth: lambda action: self.hinted(action.server, action.answers),
+            ReportEndpointHealth: lambda action: self.on_health_hint(action.server, action.answers),
             Watch: lambda action: self._watch(action.on),
             Fetch: lambda _: self.discovery.fetch() if self.discovery is not None else None,
             Log: lambda action: log.info(action.text),
@@ -225,8 +225,8 @@
             self.discovery.watch(on)
 
     def _send_to_peer(self, action: SendToPeer) -> None:
-        if self.home.peers is not None:
-            self.home.peers.tell(action.data, action.peer)
+        if self.host.peers is not None:
+            self.host.peers.send(action.data, action.peer)
 
     def on_peer(self, sender: int, data: bytes) -> None:
         """Give the balancer a message of another sidecar."""
@@ -235,7 +235,7 @@
     # Requests
 
     @property
-    def held(self) -> dict[int, PendingRequest]:
+    def pending(self) -> dict[int, PendingRequest]:
         """Pending requests, by id."""
         return self.requests.by_id
 
@@ -244,11 +244,11 @@
         """Attempts in flight by request id and number, also those of requests that are over."""
         return self.attempt_runner.in_flight
 
-    def drop(self, call: ParsedRequest) -> bool:
+    def drop_disconnected(self, call: ParsedRequest) -> bool:
         """End a request whose client has disconnected; return whether it was pending."""
         return self.requests.drop(call)
 
-    def answer_all(self) -> None:
+    def answer_all_pending(self) -> None:
         """Give every pending request its final answer now."""
         self.requests.answer_all()
 
@@ -259,7 +259,7 @@
 
     # Settings
 
-    def retune(self, settings: Settings, transport: Transport, retired: frozenset[int]) -> None:
+    def change_settings(self, settings: Settings, transport: Transport, retired: frozenset[int]) -> None:
         """Change the settings; pending requests go on as accepted.
 
         Args:
@@ -268,35 +268,35 @@
             retired: Numbers of classes that no new request is of.
         """
         self._use_settings(settings, retired)
-        self.retune_sockets(transport)
+        self.change_transport(transport)
         self.post(SettingsChanged(settings, retired))
         if self.discovery is not None:
-            self.discovery.retune(pushed=not settings.must_ask)
+            self.discovery.change_settings(pushed=not settings.must_ask)
 
-    def retune_sockets(self, transport: Transport) -> None:
+    def change_transport(self, transport: Transport) -> None:
         """Change the limits and times of sockets."""
         self.max_open = transport.max_open
-        self.upstreams.retune(self._connect_timeout_s(), transport.conn_idle_ns / SECOND)
+        self.upstreams.change_settings(self._connect_timeout_s(), transport.conn_idle_ns / SECOND)
 
-    def numbered(self, settings: Settings) -> Settings:
+    def renumber_zones(self, settings: Settings) -> Settings:
         """Return settings that may list zones in another order, with the own zone by its number here."""
         if not settings.zones:
             return settings
         numbers = [self.names.zone(name) for name in settings.zones]
         return replace(settings, zone=numbers[settings.zone])
 
-    def home_at(self, zone: int) -> None:
+    def set_home_zone(self, zone: int) -> None:
         """Have the balancer treat this zone as its own, until another is named or the settings change."""
         self.post(SettingsChanged(replace(self.settings, zone=zone), self.retired))
 
-    def classes(self) -> dict[str, int]:
+    def class_numbers(self) -> dict[str, int]:
         """Return the numbers of the balancer's classes, by name."""
         balancer = self.balancer
         return {
             stats.spec.name: n for n, stats in enumerate(balancer.classes) if stats in balancer.live_classes
         }
 
-    def usual(self) -> dict[str, float]:
+    def typical_latencies(self) -> dict[str, float]:
         """Return typical latencies in nanoseconds by class, where enough answers have been seen."""
         known = (stats for stats in self.balancer.live_classes if stats.seen >= LEARNING_ANSWERS)
         return {stats.spec.name: stats.usual for stats in known}
@@ -313,19 +313,19 @@
         """When endpoints started, as far as that is known."""
         return self.endpoints.start_times
 
-    def on_news(self, news: EndpointUpdate | None) -> None:
+    def on_update(self, news: EndpointUpdate | None) -> None:
         """Apply an endpoint list or a change of it; None if discovery failed."""
         self.endpoints.on_update(news)
 
-    def list_word(self) -> dict[str, Any]:
+    def list_record(self) -> dict[str, Any]:
         """Return the endpoint list as discovery reported it, for the state directory."""
         return self.endpoints.record()
 
-    def adopt_list(self, word: Mapping[str, Any]) -> None:
+    def adopt_list_record(self, word: Mapping[str, Any]) -> None:
         """Apply another process's endpoint list if it is newer. Raises ListError if it can't be read."""
         self.endpoints.adopt(word)
 
-    def maintain(self, name: str, out: bool) -> bool:
+    def apply_order(self, name: str, out: bool) -> bool:
         """Take a known endpoint out of service, or put it back; return whether that changed anything."""
         return self.endpoints.maintain(name, out)
 
@@ -333,15 +333,15 @@
         """Apply maintenance orders that another process of this sidecar was given."""
         self.endpoints.merge_maintenance(said)
 
-    def named(self) -> dict[str, int]:
+    def endpoint_numbers(self) -> dict[str, int]:
         """Return the numbers of the balancer's endpoints, by name."""
         return self.endpoints.numbers_by_name()
 
-    def placed(self) -> dict[int, int]:
+    def ready_by_zone(self) -> dict[int, int]:
         """Count the ready endpoints by zone."""
         return self.endpoints.ready_by_zone()
 
-    def standing(self) -> dict[int, tuple[int, int]]:
+    def tried_and_ejected_by_zone(self) -> dict[int, tuple[int, int]]:
         """Count by zone the ready endpoints that had attempts, and those of them that are ejected."""
         return self.endpoints.tried_and_ejected_by_zone()
 
--- a/dykefold/net/service/protocols.py
+++ b/dykefold/net/service/protocols.py
@@ -27,11 +27,11 @@
         """Return whether the client has closed, even if the event loop has not reported it yet."""
         ...
 
-    def answer(self, call: ParsedRequest, code: int, headers: bytes, body: bytes) -> None:
+    def respond(self, call: ParsedRequest, code: int, headers: bytes, body: bytes) -> None:
         """Give the complete final answer; a second one for the same request has no effect."""
         ...
 
-    def begin_answer(
+    def begin_response(
         self, call: ParsedRequest, code: int, headers: bytes, length: int | None, paced: FlowControlled
     ) -> bool:
         """Begin a streamed final answer.
@@ -48,11 +48,11 @@
         """
         ...
 
-    def answer_piece(self, call: ParsedRequest, data: bytes) -> None:
+    def send_response_piece(self, call: ParsedRequest, data: bytes) -> None:
         """Pass on the next bytes of a streamed answer's body."""
         ...
 
-    def end_answer(self, call: ParsedRequest, whole: bool) -> None:
+    def end_response(self, call: ParsedRequest, whole: bool) -> None:
         """End a streamed answer; the client is shown that it broke off unless it is complete."""
         ...
 
@@ -65,16 +65,16 @@
     clock: Clock
     budget: Budget
     memory: MemoryBudget
-    backlog: ReadScheduler
-    deadlines: TimerWheel
+    read_scheduler: ReadScheduler
+    timer_wheel: TimerWheel
     lag: LoopLagMonitor
     peers: PeerChannel | None
 
-    def fault(self, text: str) -> None:
+    def log_exception(self, text: str) -> None:
         """Log the exception that is being handled, at a limited rate."""
         ...
 
-    def settled(self, asker: ResponseSink, call: ParsedRequest, served: bool) -> None:
+    def on_request_end(self, asker: ResponseSink, call: ParsedRequest, served: bool) -> None:
         """Note that a request is no longer pending; its final answer, if any, follows this call."""
         ...
 
@@ -84,10 +84,10 @@
 
     upstreams: Allowance
 
-    def claim(self) -> bool:
+    def reserve(self) -> bool:
         """Reserve one descriptor; False if none is left."""
         ...
 
-    def unclaim(self) -> None:
+    def release(self) -> None:
         """Release one reserved descriptor."""
         ...
--- a/dykefold/net/shutdown.py
+++ b/dykefold/net/shutdown.py
@@ -79,7 +79,7 @@
         if server.draining:
             return
         server.draining = True
-        pending = sum(len(pool.held) for pool in server.pools)
+        pending = sum(len(pool.pending) for pool in server.pools)
         log.info("sidecar began graceful shutdown: pending_requests=%d", pending)
         self.loop.call_later(ACCEPT_AFTER_TERM_S, self.stop_accepting)
         longest_ns = max(
@@ -100,11 +100,11 @@
         self.close_listener()
         self.end_if_done()
         # With a newer process to go to, clients leave by themselves, each behind its next response.
-        if not self.server.handing:
+        if not self.server.handing_over:
             self.loop.call_later(QUIET_AFTER_TERM_S, self._await_quiet, self._accepted_requests())
 
     def _await_quiet(self, before: int) -> None:
-        if not self.server.taking:
+        if not self.server.accepting_requests:
             return
         accepted = self._accepted_requests()
         if accepted == before:
@@ -119,28 +119,28 @@
     def stop_requests(self) -> None:
         """Accept no more requests, and close the connections that have none."""
         server = self.server
-        if not server.taking:
+        if not server.accepting_requests:
             return
-        server.taking = False
+        server.accepting_requests = False
         self.close_listener()
         for connection in list(server.clients.all.values()):
             # One that has begun a request is answered; so is one whose request is there and was not read.
-            if connection.idle and not connection.owes:
-                connection.leave()
+            if connection.idle and not connection.message_unfinished:
+                connection.close_when_idle()
         self.end_if_done()
 
     def answer_all(self) -> None:
         """Answer every pending request now; from here on each new one is rejected."""
-        self.server.ended = True
+        self.server.all_answered = True
         for pool in self.server.pools:
-            pool.answer_all()
+            pool.answer_all_pending()
         self._reject_unfinished()
 
     def _reject_unfinished(self) -> None:
         """Reject messages that have come in part: their clients may wait for a response to what they sent."""
         for connection in list(self.server.clients.all.values()):
-            if not connection.asks():  # what has come of it is read first
-                connection.refuse_rest("this sidecar ends")
+            if not connection.has_unread_input():  # what has come of it is read first
+                connection.reject_unfinished("this sidecar ends")
         self.loop.call_later(REJECT_INTERVAL_S, self._reject_unfinished)
 
     def close_listener(self) -> None:
--- a/dykefold/net/sidecar.py
+++ b/dykefold/net/sidecar.py
@@ -54,11 +54,11 @@
         parts: how many processes of the sidecar live; this one takes one part of the memory.
         most: descriptors that this process may hold.
         lag: how late the loop runs.
-        backlog: connections whose input waits to be parsed.
-        deadlines: the time limits of requests and attempts.
+        read_scheduler: connections whose input waits to be parsed.
+        timer_wheel: the time limits of requests and attempts.
         draining: the graceful shutdown has begun.
-        handing: clients have a newer process to go to.
-        taking: requests are still accepted.
+        handing_over: clients have a newer process to go to.
+        accepting_requests: requests are still accepted.
         ended: every pending request has been answered, and each new one is rejected.
         stopped: done when the process may end.
         shutdown: the steps of the graceful shutdown.
@@ -88,27 +88,27 @@
         self.monotonic = system.monotonic
         self.clock = Clock(system)
         self.now = self.clock.now
-        self.grammar: MessageReader
+        self.parser: MessageReader
         self.pools: dict[Pool, None] = {}
         self.half_close = False
         self.sockets, self.memory_limit = sockets, memory
-        self.parts = 1
-        self.most = sockets
+        self.process_count = 1
+        self.max_descriptors = sockets
         self.budget = Budget(sockets, set_aside)
         self.memory = MemoryBudget(memory)
         self.clients = Clients(Admission(self._share(), caps or Caps()), system)
         self.lag = LoopLagMonitor(loop, system)
-        self.backlog = ReadScheduler(loop, self.lag, system)
-        self.deadlines = TimerWheel(loop, system)
+        self.read_scheduler = ReadScheduler(loop, self.lag, system)
+        self.timer_wheel = TimerWheel(loop, system)
         self.peers: PeerChannel | None = None
         self.ids: set[bytes] = (
             set()
         )  # of requests that are pending or have just been answered, by their clients
         self.old_ids: deque[tuple[float, bytes]] = deque()
         self.draining = False
-        self.handing = False
-        self.taking = True
-        self.ended = False
+        self.handing_over = False
+        self.accepting_requests = True
+        self.all_answered = False
         self.stopped = loop.create_future()
         self.listener: Listener | None = None
         self.shutdown = GracefulShutdown(loop, self)
@@ -137,9 +137,9 @@
         self.pool = Pool(self, settings, transport, seed, discovery, names, known)
         self.pools[self.pool] = None
         self.generation = ClassGeneration(settings)
-        self.grammar = RequestParser(settings, self.pool)
+        self.parser = RequestParser(settings, self.pool)
 
-    def retune(self, settings: Settings, transport: Transport) -> None:
+    def change_settings(self, settings: Settings, transport: Transport) -> None:
         """Have the one pool go by other settings, from the next request that is read on.
 
         Args:
@@ -150,30 +150,32 @@
             ValueError: the settings can't be applied; nothing has changed then.
         """
         pool, now_ns = self.pool, self.now()
-        settings = pool.numbered(settings)
-        waiting = [call.cls for connection in self.clients.all.values() for call in connection.calls()]
-        accepted = [held.call.cls for held in pool.held.values()]
+        settings = pool.renumber_zones(settings)
+        waiting = [
+            call.cls for connection in self.clients.all.values() for call in connection.pending_requests()
+        ]
+        accepted = [held.call.cls for held in pool.pending.values()]
         attempts = [attempt.held.call.cls for attempt in pool.attempts.values()]
         generation = self.generation.next(settings, {*waiting, *accepted, *attempts}, now_ns)
         if generation == self.generation:
-            pool.retune_sockets(transport)
+            pool.change_transport(transport)
             return
         log.info("request classes changed to %s", ", ".join(generation.numbers()))
         self.generation = generation
-        pool.retune(generation.settings, transport, frozenset(generation.retired))
-        assert isinstance(self.grammar, RequestParser)
-        before = self.grammar.lingers(now_ns, now_ns + LINGER_NS)
-        self.grammar = RequestParser(generation.settings, pool, generation.retired, before)
+        pool.change_settings(generation.settings, transport, frozenset(generation.retired))
+        assert isinstance(self.parser, RequestParser)
+        before = self.parser.lingers(now_ns, now_ns + LINGER_NS)
+        self.parser = RequestParser(generation.settings, pool, generation.retired, before)
 
     def forget(self, pool: Pool) -> None:
         """Forget a pool that has retired: nothing of it is left."""
         self.pools.pop(pool, None)
 
-    def make_room(self) -> bool:
+    def close_unneeded_upstream(self) -> bool:
         """Close a connection to a server that no pool needs; return whether there was one."""
-        return any(pool.upstreams.let_one_go() for pool in self.pools)
+        return any(pool.upstreams.close_unneeded() for pool in self.pools)
 
-    def fault(self, text: str) -> None:
+    def log_exception(self, text: str) -> None:
         """Log the exception that is being handled, at most one in `FAULT_LOG_INTERVAL_S`."""
         if self.monotonic() - self.fault_logged_at >= FAULT_LOG_INTERVAL_S:
             self.fault_logged_at = self.monotonic()
@@ -195,7 +197,7 @@
             before = self.monotonic() - RECENT_ID_S
             while old and (old[0][0] < before or len(old) > MAX_RECENT_IDS):
                 self.ids.discard(old.popleft()[1])
-        if self.ended:
+        if self.all_answered:
             # Clients may send ahead on a connection that is never idle. Every pending request has had its
             # response by now, and one accepted from here on would be pending when the process stops.
             return 503, _retry_after_header(call.pool), b"this sidecar ends\n"
@@ -204,18 +206,18 @@
         pool: Pool = call.pool
         if not self.clients.open_request(connection.client):
             return 429, _retry_after_header(pool), b"too many open requests from this address\n"
-        if len(pool.held) >= pool.max_open or pool.closed or not pool.budget.claim():
+        if len(pool.pending) >= pool.max_open or pool.closed or not pool.budget.reserve():
             self.clients.close_request(connection.client, served=False)
             self.clients.note(Reason.REQUESTS, connection.client.host)
             return 503, _retry_after_header(pool), b"too many open requests\n"
         self.ids.add(call.ident)
         return None
 
-    def take(self, connection: ClientConnection, call: ParsedRequest) -> None:
+    def accept(self, connection: ClientConnection, call: ParsedRequest) -> None:
         """Accept an admitted request: from here on it awaits one final response."""
-        call.pool.take(connection, call)
+        call.pool.accept(connection, call)
 
-    def settled(self, asker: ResponseSink, call: ParsedRequest, served: bool) -> None:
+    def on_request_end(self, asker: ResponseSink, call: ParsedRequest, served: bool) -> None:
         """Release what a finished request had reserved of the process."""
         self.clients.close_request(asker.client, served)
         self.old_ids.append((self.monotonic(), call.ident))
@@ -229,11 +231,11 @@
         self.clients.remove(connection.client)
         if self.listener is not None:
             self.listener.released()
-        if (call is None or not call.pool.drop(call)) and self.draining:
+        if (call is None or not call.pool.drop_disconnected(call)) and self.draining:
             self.shutdown.end_if_done()
 
     @property
-    def takes_clients(self) -> bool:
+    def accepts_clients(self) -> bool:
         """Whether new clients are admitted."""
         return self.listener is not None and not self.draining
 
@@ -249,37 +251,37 @@
         )
         return self.listener
 
-    def limit(self, sockets: int, caps: Caps) -> None:
+    def change_limits(self, sockets: int, caps: Caps) -> None:
         """Apply other limits while running: what is open beyond them is closed, except what a request needs.
 
         Args:
             sockets: descriptors that all processes of the sidecar may hold together.
             caps: limits on clients by address.
         """
-        if self.most >= self.sockets:  # this process has them all, and keeps them all
-            self.most = sockets
+        if self.max_descriptors >= self.sockets:  # this process has them all, and keeps them all
+            self.max_descriptors = sockets
         self.sockets = sockets
-        kept = self.clients.admission.count if self.parts > 1 else 0
-        self.budget.resize(min(self.most, sockets), sockets, kept)
-        self.memory.resize(self.memory_limit // self.parts)
+        kept = self.clients.admission.count if self.process_count > 1 else 0
+        self.budget.resize(min(self.max_descriptors, sockets), sockets, kept)
+        self.memory.resize(self.memory_limit // self.process_count)
         self.clients.resize(self._share(), caps)
         for pool in self.pools:
             pool.upstreams.shrink()
 
-    def needed(self) -> int:
+    def needed_descriptors(self) -> int:
         """Return how many descriptors this process can't give away just now."""
         return self.budget.needed(self.clients.admission.count)
 
-    def share(self, parts: int, most: int) -> None:
+    def share_capacity(self, parts: int, most: int) -> None:
         """Leave capacity to other processes of this sidecar.
 
         Args:
             parts: how many processes live; this one takes one part in so many of the memory of messages.
             most: descriptors that this process may hold.
         """
-        if (parts, most) != (self.parts, self.most):
-            self.parts, self.most = parts, most
-            self.limit(self.sockets, self.clients.admission.caps)
+        if (parts, most) != (self.process_count, self.max_descriptors):
+            self.process_count, self.max_descriptors = parts, most
+            self.change_limits(self.sockets, self.clients.admission.caps)
 
     # Housekeeping and shutdown
 
--- a/dykefold/net/upstream/classify.py
+++ b/dykefold/net/upstream/classify.py
@@ -39,19 +39,19 @@
     HEAD = 2  # likewise, and no body follows (RFC 9110, 9.3.2)
 
 
-def classify(answer: Response, manner: HttpProfile = HttpProfile.PLATFORM) -> Status:
+def classify(answer: Response, profile: HttpProfile = HttpProfile.PLATFORM) -> Status:
     """Say what a response proves.
 
     Only the header proves that a request never ran; the status code alone does not.
 
     Args:
         answer: the whole response.
-        manner: how responses of its endpoint are understood.
+        profile: how responses of its endpoint are understood.
 
     Returns:
         `OK`, `FULL` where the request is known not to have run, or `ERROR` where it may have.
     """
-    if answer.code == HTTP_OK or (manner and answer.code < HTTP_SERVER_ERROR):
+    if answer.code == HTTP_OK or (profile and answer.code < HTTP_SERVER_ERROR):
         return Status.OK
     if answer.code in CODES_NOT_RUN and answer.not_run:
         return Status.FULL
--- a/dykefold/net/upstream/connection.py
+++ b/dykefold/net/upstream/connection.py
@@ -194,7 +194,7 @@
     def _schedule(self) -> None:
         if not self.scheduled:
             self.scheduled = True
-            self.pool.backlog.add(self)
+            self.pool.read_scheduler.add(self)
 
     def feed_slice(self) -> bool:
         """Parse the next slice; return whether more remain."""
@@ -350,10 +350,10 @@
         if self.surplus:
             self.pool.quarantine.seen(0.0, now)
         if self.keep_alive and written and not self.surplus:
-            self.pool.keep(self, now)
+            self.pool.keep_idle(self, now)
         else:
             self.close()
-        exchange.end(classify(response, exchange.manner), response)
+        exchange.end(classify(response, exchange.profile), response)
 
     def _release(self) -> None:
         """Give back what a response used while it came."""
--- a/dykefold/net/upstream/connection_pool.py
+++ b/dykefold/net/upstream/connection_pool.py
@@ -53,8 +53,8 @@
     Attributes:
         loop: where its connections run.
         monotonic: the clock, seconds.
-        deadlines: the time limits of its exchanges.
-        backlog: parses long responses in slices.
+        timer_wheel: the time limits of its exchanges.
+        read_scheduler: parses long responses in slices.
         lag: is notified of what held up the loop, if that is measured.
         allowance: counts its connections against their maximum.
         memory: bounds the bytes of responses that are kept.
@@ -76,8 +76,8 @@
         memory: MemoryBudget,
         connect_timeout: float,
         idle_most: float,
-        backlog: ReadScheduler | None = None,
-        deadlines: TimerWheel | None = None,
+        read_scheduler: ReadScheduler | None = None,
+        timer_wheel: TimerWheel | None = None,
         elsewhere: Callable[[], bool] | None = None,
         system: System = SYSTEM,
     ) -> None:
@@ -89,8 +89,8 @@
             memory: bounds the bytes of responses that are kept.
             connect_timeout: seconds.
             idle_most: seconds after which endpoints may close an idle connection.
-            backlog: parses long responses in slices; by default one of its own.
-            deadlines: runs the time limits of exchanges; by default one of its own.
+            read_scheduler: parses long responses in slices; by default one of its own.
+            timer_wheel: runs the time limits of exchanges; by default one of its own.
             elsewhere: closes a connection that another pool does not need, and returns whether there was one.
             system: the sockets and the clock.
         """
@@ -98,9 +98,9 @@
         self.system = system
         self.monotonic = system.monotonic
         self.free_elsewhere = elsewhere
-        self.deadlines = deadlines or TimerWheel(loop, system)
-        self.backlog = backlog or ReadScheduler(loop, system=system)
-        self.lag = self.backlog.lag
+        self.timer_wheel = timer_wheel or TimerWheel(loop, system)
+        self.read_scheduler = read_scheduler or ReadScheduler(loop, system=system)
+        self.lag = self.read_scheduler.lag
         self.allowance = allowance
         self.memory = memory
         self.connect_timeout = connect_timeout
@@ -109,12 +109,12 @@
         self.quarantine = Quarantine()
         self.ages = IdleAgeStats(self.max_idle_s)
         self.kinds: dict[int, IdleAgeStats] = {}
-        self.targets: dict[int, Upstream] = {}
+        self.endpoints: dict[int, Upstream] = {}
         self.connections: dict[UpstreamConnection, None] = {}
         self.idle: OrderedDict[UpstreamConnection, None] = OrderedDict()
         self.unneeded: dict[UpstreamConnection, Exchange] = {}
 
-    def retune(self, connect_timeout: float, idle_most: float) -> None:
+    def change_settings(self, connect_timeout: float, idle_most: float) -> None:
         """Take other times; what was learned of idle connections stays, under the new maximum.
 
         Args:
@@ -125,7 +125,7 @@
         if idle_most * IDLE_FRACTION == self.max_idle_s:
             return
         self.max_idle_s = idle_most * IDLE_FRACTION
-        ages = [self.ages, *self.kinds.values(), *(target.ages for target in self.targets.values())]
+        ages = [self.ages, *self.kinds.values(), *(target.ages for target in self.endpoints.values())]
         limits: list[ScarcityLimit | IdleAgeStats] = [self.scarcity, *ages]
         for limited in limits:
             limited.max_s = self.max_idle_s
@@ -143,11 +143,13 @@
             state: only a ready one takes new exchanges.
             kind: number of the kind of endpoints that it is of: these close idle connections alike.
         """
-        target = self.targets.get(server)
+        target = self.endpoints.get(server)
         if target is None:
             # Kinds are numbered by discovery's names, of which there is a bounded number.
             alike = self.kinds.setdefault(kind, IdleAgeStats(self.max_idle_s, self.ages))
-            target = self.targets[server] = Upstream(address, since_ms, IdleAgeStats(self.max_idle_s, alike))
+            target = self.endpoints[server] = Upstream(
+                address, since_ms, IdleAgeStats(self.max_idle_s, alike)
+            )
         elif target.since_ms != since_ms or target.address != address:
             self.close_idle(server)
             if target.address != address:  # what comes up there is no more this endpoint
@@ -163,7 +165,7 @@
 
     def forget(self, server: int) -> None:
         """Drop an endpoint that is gone; exchanges in flight keep their connections."""
-        target = self.targets.pop(server, None)
+        target = self.endpoints.pop(server, None)
         if target is not None:
             target.takes_new = False
 
@@ -175,13 +177,13 @@
             exchange: that was not started before.
             timeout: seconds from now to its time limit.
         """
-        target = self.targets.get(server)
+        target = self.endpoints.get(server)
         if target is None or not target.takes_new:
             self.loop.call_soon(exchange.end, Status.CONNECT_FAILED)
             return
         now = self.monotonic()
-        exchange.deadlines = self.deadlines
-        self.deadlines.start(exchange, timeout, now)
+        exchange.timer_wheel = self.timer_wheel
+        self.timer_wheel.start(exchange, timeout, now)
         while target.idle and (connection := self._take_idle(target, now)) is not None:
             if now - connection.idle_since > target.ages.limit_s:
                 connection.close()  # and so have all others of this endpoint been idle for too long
@@ -206,11 +208,11 @@
         tune(sock)
         connection = UpstreamConnection(self, target, sock)
         self.connections[connection] = None
-        self.allowance.held += 1
+        self.allowance.in_use += 1
         target.opening[exchange] = connection
         exchange.opening = self.loop.create_task(establish(self, target, exchange, connection))
 
-    def keep(self, connection: UpstreamConnection, now: float) -> None:
+    def keep_idle(self, connection: UpstreamConnection, now: float) -> None:
         """Give a connection that has become free to an exchange that waits, or keep it idle.
 
         Args:
@@ -253,7 +255,7 @@
             server: number of the endpoint.
             exchange: that was started there.
         """
-        target = self.targets.get(server)
+        target = self.endpoints.get(server)
         if exchange.connection is None and not exchange.ended:
             if target is not None and exchange in target.opening:
                 self._stop_waiting(target, exchange)
@@ -268,13 +270,13 @@
     def on_closed(self, connection: UpstreamConnection) -> None:
         """Neither count nor use a connection that closes."""
         self.connections.pop(connection, None)
-        self.allowance.held -= 1
+        self.allowance.in_use -= 1
         connection.upstream.idle.pop(connection, None)
         self.idle.pop(connection, None)
 
     def close_idle(self, server: int) -> None:
         """Close the idle connections to an endpoint."""
-        target = self.targets.get(server)
+        target = self.endpoints.get(server)
         if target is not None:
             for connection in list(target.idle):
                 connection.close()
@@ -298,9 +300,9 @@
         return connection
 
     def _free_capacity(self) -> bool:
-        return self.let_one_go() or (self.free_elsewhere is not None and self.free_elsewhere())
+        return self.close_unneeded() or (self.free_elsewhere is not None and self.free_elsewhere())
 
-    def let_one_go(self) -> bool:
+    def close_unneeded(self) -> bool:
         """Close a connection that nobody needs: the one idle for longest, or one still being made.
 
         Returns:
@@ -318,7 +320,7 @@
 
     def shrink(self) -> None:
         """Close what is not in use until a smaller allowance is kept."""
-        while self.allowance.held > self.allowance.most and self._free_capacity():
+        while self.allowance.in_use > self.allowance.limit and self._free_capacity():
             pass
 
     def sweep(self) -> None:
@@ -335,7 +337,7 @@
 
     def close(self) -> None:
         """Close all connections, and end the exchanges that wait for one."""
-        for target in self.targets.values():
+        for target in self.endpoints.values():
             target.fail_waiting()
         for connection in list(self.connections):
             connection.close()
--- a/dykefold/net/upstream/connector.py
+++ b/dykefold/net/upstream/connector.py
@@ -60,7 +60,7 @@
     if exchange.connection is None and not (exchange.ended or exchange.wanted()):
         exchange.end(Status.NOT_ATTEMPTED)
     if exchange.ended or exchange.connection is not None:  # it is over, or took one that came free
-        pool.keep(connection, pool.monotonic())
+        pool.keep_idle(connection, pool.monotonic())
     elif connection.closed or not connection.send(exchange, pool.monotonic()):
         connection.close()
         exchange.end(failure)
--- a/dykefold/net/upstream/exchange.py
+++ b/dykefold/net/upstream/exchange.py
@@ -50,47 +50,47 @@
         payload: the request as it is written, or its head if `upload` brings the body.
         done: called at the end with the exchange, its status and the response, if there is a whole one;
             None once the exchange has ended.
-        answer_most: bytes of a response's body that is kept until it is whole.
-        stream_most: bytes of a response's body that may be passed on as it comes; 0: none may.
+        max_response_bytes: bytes of a response's body that is kept until it is whole.
+        max_streamed_bytes: bytes of a response's body that may be passed on as it comes; 0: none may.
         upload: the body that follows the payload as its client sends it.
-        manner: how the response is understood.
+        profile: how the response is understood.
         connection: the connection that carries it, once its first byte has gone out.
         opening: the task that makes a connection for it, as long as that may be cancelled.
-        deadlines: where its time limit runs.
+        timer_wheel: where its time limit runs.
         read_within: seconds for which a response that waits in its socket at the time limit is awaited.
     """
 
     __slots__ = (
-        "answer_most",
         "connection",
-        "deadlines",
         "done",
-        "manner",
+        "max_response_bytes",
+        "max_streamed_bytes",
         "opening",
         "payload",
-        "stream_most",
+        "profile",
+        "timer_wheel",
         "upload",
     )
     read_within = READ_WITHIN
 
-    def __init__(self, payload: bytes, done: Done, answer_most: int) -> None:
+    def __init__(self, payload: bytes, done: Done, max_response_bytes: int) -> None:
         """Prepare a request; `ConnectionPool.start` sends it.
 
         Args:
             payload: the request as it is written.
             done: called once, at the end.
-            answer_most: bytes of a response's body that is kept until it is whole.
+            max_response_bytes: bytes of a response's body that is kept until it is whole.
         """
         self.tick = 0
         self.payload = payload
         self.done: Done | None = done
-        self.answer_most = answer_most
-        self.stream_most = 0
+        self.max_response_bytes = max_response_bytes
+        self.max_streamed_bytes = 0
         self.upload: Upload | None = None
-        self.manner = HttpProfile.PLATFORM
+        self.profile = HttpProfile.PLATFORM
         self.connection: UpstreamConnection | None = None
         self.opening: asyncio.Task[None] | None = None
-        self.deadlines: TimerWheel | None = None
+        self.timer_wheel: TimerWheel | None = None
 
     @property
     def ended(self) -> bool:
@@ -108,8 +108,8 @@
         done, self.done = self.done, None
         if done is None:
             return
-        if self.tick and self.deadlines is not None:
-            self.deadlines.stop(self)
+        if self.tick and self.timer_wheel is not None:
+            self.timer_wheel.stop(self)
         if self.upload is not None:
             self.upload.detach()
         done(self, status, answer)
@@ -132,12 +132,12 @@
         if (
             connection is None
             or connection.size
-            or self.deadlines is None
+            or self.timer_wheel is None
             or not connection.readiness.poll(0)
         ):
             return False
-        self.deadlines.stop(self)
-        self.deadlines.start(self, self.read_within, connection.monotonic())
+        self.timer_wheel.stop(self)
+        self.timer_wheel.start(self, self.read_within, connection.monotonic())
         return True
 
     def wanted(self) -> bool:
@@ -151,7 +151,7 @@
     def upload_begins(self) -> None:
         """Learn that its body has begun to flow: it can't be sent a second time."""
 
-    def begin_answer(
+    def begin_response(
         self, code: int, headers: list[tuple[bytes, bytes]], length: int | None, load: bytes
     ) -> bool:
         """Learn that a response begins that is too long to be kept until it is whole.
@@ -167,7 +167,7 @@
         """
         return False
 
-    def answer_piece(self, data: bytes) -> None:
+    def send_response_piece(self, data: bytes) -> None:
         """Take the next bytes of such a response."""
 
     def cancel_connect(self) -> None:
--- a/dykefold/net/upstream/response_reader.py
+++ b/dykefold/net/upstream/response_reader.py
@@ -98,7 +98,7 @@
     def _max_size(self) -> int:
         """Return the bytes that a response which is kept may take, framing included."""
         assert self.exchange is not None
-        return MAX_HEADERS_BYTES + (self.exchange.answer_most if self.in_body else 0)
+        return MAX_HEADERS_BYTES + (self.exchange.max_response_bytes if self.in_body else 0)
 
     def on_message_begin(self) -> None:
         """See that a message begins: behind a whole response it is one that nobody asked for."""
@@ -136,9 +136,9 @@
             return
         self.in_body = True
         assert self.exchange is not None
-        if self.exchange.manner:
+        if self.exchange.profile:
             code = self.parser.get_status_code()
-            if self.exchange.manner is HttpProfile.HEAD:
+            if self.exchange.profile is HttpProfile.HEAD:
                 # The parser waits for a body that does not come: the connection is of no further use.
                 headers = [*self.headers, (b"Content-Length", self.length)] if self.length else self.headers
                 self.response = Response(code, headers, b"", self.not_run, self.load)
@@ -152,7 +152,7 @@
             # The body reaches up to the end of the connection (RFC 9112, 6.3), if its endpoint means to end
             # it. Where it does not say so it has left the length out, and its death would look like the end.
             self.unusable = not (self.closes_after or self.parser.get_http_version() == "1.0")
-        elif int(self.length) > self.exchange.answer_most:
+        elif int(self.length) > self.exchange.max_response_bytes:
             self.unusable = not self._stream(int(self.length))
 
     def _stream(self, length: int | None) -> bool:
@@ -160,9 +160,9 @@
         exchange, code = self.exchange, self.parser.get_status_code()
         assert exchange is not None
         # A failure is for the balancer to judge, and a request that never ran may go elsewhere.
-        if code >= HTTP_SERVER_ERROR or (length or 0) > exchange.stream_most:
+        if code >= HTTP_SERVER_ERROR or (length or 0) > exchange.max_streamed_bytes:
             return False
-        if not exchange.begin_answer(code, self.headers, length, self.load):
+        if not exchange.begin_response(code, self.headers, length, self.load):
             return False
         if self.stalled is not None:
             self.stalled.cancel()
@@ -173,9 +173,9 @@
     def _forward(self, data: bytes | bytearray) -> None:
         assert self.exchange is not None
         self.streamed += len(data)
-        self.unusable = self.streamed > self.exchange.stream_most
+        self.unusable = self.streamed > self.exchange.max_streamed_bytes
         if not self.unusable:
-            self.exchange.answer_piece(bytes(data))
+            self.exchange.send_response_piece(bytes(data))
 
     def on_body(self, data: bytes) -> None:
         """Keep the next piece of the body, or pass it on."""
@@ -184,7 +184,7 @@
         if self.streamed >= 0:
             self._forward(data)
             return
-        if self.exchange.stream_most and self.body_size + len(data) > self.exchange.answer_most:
+        if self.exchange.max_streamed_bytes and self.body_size + len(data) > self.exchange.max_response_bytes:
             if self._stream(None):
                 self._forward(self.body)
                 self._forward(data)
--- a/dykefold/routing/requests.py
+++ b/dykefold/routing/requests.py
@@ -62,7 +62,7 @@
         self.mapping = mapping
         self.make_id = make_id
         self.key_header = mapping.key_header.encode()
-        self.grammar = RequestParser(pool.settings, pool)
+        self.parser = RequestParser(pool.settings, pool)
         self.tenant_header = mapping.tenant_header.encode()
         self.tenants = {tenant.name.encode(): n for n, tenant in enumerate(pool.settings.tenants)}
         self.classes = {spec.name: (number, spec) for number, spec in enumerate(pool.settings.classes)}
@@ -70,7 +70,7 @@
     def read(self, message: Message) -> ParsedRequest:
         """A request of this route; RequestError where it is answered here."""
         if self.mapping.platform:
-            call = self.grammar.read(message)
+            call = self.parser.read(message)
             call.ident = self.space + call.ident
             return call
         headers, method = message.headers, message.method
@@ -104,10 +104,10 @@
             is_retry=headers.get(b"x-retry") == b"1",
             keep_alive=message.keep_alive,
             pool=self.pool,
-            manner=HttpProfile.HEAD if method == b"HEAD" else HttpProfile.USUAL,
+            profile=HttpProfile.HEAD if method == b"HEAD" else HttpProfile.USUAL,
             told=told,
             body_most=self.mapping.body_most_bytes,
-            answer_most=self.mapping.answer_most_bytes,
+            max_response_bytes=self.mapping.answer_most_bytes,
             old=message.old,
         )
 
--- a/dykefold/routing/services.py
+++ b/dykefold/routing/services.py
@@ -33,17 +33,17 @@
         self.shares = shares
         self.upstreams = budget.upstreams
 
-    def claim(self) -> bool:
-        if not self.shares.claim(self):
+    def reserve(self) -> bool:
+        if not self.shares.reserve(self):
             return False
-        if self.budget.claim():
+        if self.budget.reserve():
             return True
         self.shares.give_back(self)
         return False
 
-    def unclaim(self) -> None:
+    def release(self) -> None:
         self.shares.give_back(self)
-        self.budget.unclaim()
+        self.budget.release()
 
 
 class Service:
@@ -67,7 +67,7 @@
         """
         self.engine = engine
         self.seed = seed
-        self.shares = Shares(engine.budget.upstreams.most)
+        self.shares = Shares(engine.budget.upstreams.limit)
         self.by_name: dict[str, Service] = {}
         self.table = Table(0, (), ())
         engine.half_close = True
@@ -82,9 +82,9 @@
             TableError, ValueError: it can't be carried out; nothing has changed then.
         """
         table = plan.table(self.table.number + 1)
-        whole = Budget(sockets).upstreams.most
+        whole = Budget(sockets).upstreams.limit
         Shares(whole).resize(whole, {name: pool.part for name, pool in plan.pools.items()})
-        self.engine.limit(sockets, caps)
+        self.engine.change_limits(sockets, caps)
         kept, retired = {}, []
         for name, service in self.by_name.items():
             new = plan.pools.get(name)
@@ -105,9 +105,9 @@
             for rule in plan.rules
         }
         self.table = table
-        self.engine.grammar = Routed(table, targets)
+        self.engine.parser = Routed(table, targets)
         for service in retired:
-            log.info("pool %s retires with %d requests held", service.plan.name, len(service.pool.held))
+            log.info("pool %s retires with %d requests held", service.plan.name, len(service.pool.pending))
             service.pool.retire(self.engine.forget)
         log.info("table %d: %d routes to %d pools", table.number, len(plan.rules), len(self.by_name))
 
@@ -123,7 +123,7 @@
             names,
             _listed(plan, names, 1),
             budget,
-            self.engine.make_room,
+            self.engine.close_unneeded_upstream,
             plan.name,
         )
         self.engine.pools[pool] = None
@@ -134,10 +134,10 @@
         before, service.plan = service.plan, plan
         service.pool.max_open = plan.part.most
         if plan.discovery is not None and service.pool.discovery is not None:
-            service.pool.discovery.turn(plan.discovery)
+            service.pool.discovery.change_address(plan.discovery)
         elif plan.servers != before.servers:
             service.version += 1
-            service.pool.on_news(_listed(plan, service.pool.names, service.version))
+            service.pool.on_update(_listed(plan, service.pool.names, service.version))
         return service
 
 
--- a/dykefold/routing/shares.py
+++ b/dykefold/routing/shares.py
@@ -60,7 +60,7 @@
             max(0, count - self.parts.get(pool, NOTHING).least) for pool, count in self.claimed.items()
         )
 
-    def claim(self, pool: object) -> bool:
+    def reserve(self, pool: object) -> bool:
         """Claim one more for a pool; False if its limits or the whole leave none."""
         part = self.parts.get(pool, NOTHING)
         count = self.claimed.get(pool, 0)
--- a/dykefold/sim/callers.py
+++ b/dykefold/sim/callers.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ..fleet.asking import Asking
-from ..fleet.pace import SECOND
+from ..fleet.poll_schedule import CoordinatedPollSchedule
+from ..fleet.rate_limits import SECOND
 from .kernel import MS
 
 MUST_ASK_NS = 10 * SECOND
@@ -57,10 +57,10 @@
         self.fails = [0] * size
         self.seen = Seen()
         self.ready_ns = [self.chance.randrange(READY_NS) for _ in range(size)]
-        self.askings: list[Asking] | None = None
+        self.askings: list[CoordinatedPollSchedule] | None = None
         if spread:
             self.askings = [
-                Asking(MUST_ASK_NS, 125.0, n, size, random.Random(seed * size + n), at)
+                CoordinatedPollSchedule(MUST_ASK_NS, 125.0, n, size, random.Random(seed * size + n), at)
                 for n, at in enumerate(self.ready_ns)
             ]
         for number, at in enumerate(self.ready_ns):
--- a/dykefold/sim/apps.py
+++ b/dykefold/sim/clients.py
@@ -10,7 +10,7 @@
 from .kernel import MS, stream
 from .loop import SimLoop
 from .messages import Messages
-from .net import network_of
+from .network import network_of
 from .rules import ANSWER_SLACK_NS
 from .schedule import Arrival
 
--- a/dykefold/sim/loop.py
+++ b/dykefold/sim/loop.py
@@ -20,7 +20,7 @@
 from .kernel import MS, Kernel, stream
 
 if TYPE_CHECKING:
-    from .net import Network, SimSocket
+    from .network import Network, SimSocket
 
 TURN_NS = 4_000  # of a turn itself
 CALLBACK_NS = 9_000  # ... and of each callback, on average: a request is some ten of them
--- a/dykefold/sim/membership.py
+++ b/dykefold/sim/membership.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from ..fleet.words import LIVE, State, conclude, denial, state_of, trusts, word
+from ..fleet.member_state import LIVE, State, conclude, denial, state_of, trusts, word
 
 Words = tuple[int, ...]  # of one member, by the number of whom they are about
 INCARNATION_MOST = 5  # a model that goes on doubting and denying would have no end
--- a/dykefold/sim/process.py
+++ b/dykefold/sim/process.py
@@ -8,10 +8,10 @@
 
 from ..admission.addresses import Caps
 from ..control.hot_restart import HotRestart
-from ..failover.edge import Failover
+from ..failover.controller import FailoverController
 from ..failover.options import Options as FailoverOptions
-from ..fleet.edge import Fleet
-from ..fleet.lists import Lists
+from ..fleet.agent import FleetAgent
+from ..fleet.endpoint_list_sync import EndpointListSync
 from ..fleet.options import CALLS_PER_S
 from ..net.discovery.codec import NameTable, parse_endpoint_update
 from ..net.memory_budget import MB
@@ -22,7 +22,7 @@
 from ..system import System, Watch
 from .kernel import MS, SECOND, stream
 from .loop import SimLoop
-from .net import SimSocket, network_of
+from .network import SimSocket, network_of
 from .schedule import WORLDS
 from .state_directory import SimBoard
 
@@ -80,10 +80,10 @@
     def unread(self, sock: Any) -> int:
         return sock.held_bytes
 
-    def open_spare(self) -> int:
+    def open_reserve(self) -> int:
         return self.loop.network.socket(self.loop).number
 
-    def close_spare(self, number: int) -> None:
+    def close_reserve(self, number: int) -> None:
         self.loop.network.by_number(self.loop, number).close()
 
 
@@ -110,8 +110,8 @@
         self.engine: SidecarServer | None = None
         self.services: Services | None = None
         self.upgrade: HotRestart | None = None
-        self.fleet: Fleet | None = None
-        self.failover: Failover | None = None
+        self.fleet: FleetAgent | None = None
+        self.failover: FailoverController | None = None
         if not place:
             run.network.add_host(self.name, self.address)
         run.network.open.setdefault(self.process, {})
@@ -152,16 +152,16 @@
 
     async def _take_over(self, engine: SidecarServer, upgrade: HotRestart) -> None:
         """As `control.presence` does it."""
-        await upgrade.make_room()
+        await upgrade.wait_for_capacity()
         if not engine.draining and self.alive:
             sock = self.run.network.listen(self.loop, PORT)
             engine.listen(sock)  # type: ignore[arg-type]
-            upgrade.takes(sock)  # type: ignore[arg-type]
+            upgrade.take_clients(sock)  # type: ignore[arg-type]
             self.run.kernel.note(f"{self.process} takes clients")
 
     def _drain(self, engine: SidecarServer) -> None:
         if self.upgrade is not None:
-            self.upgrade.end()
+            self.upgrade.begin_shutdown()
         engine.drain()
 
     def _serve_one(self, engine: SidecarServer) -> None:
@@ -180,12 +180,12 @@
             made.connection_made(self.loop.network.datagrams[peers[self.number]])  # type: ignore[arg-type]
             engine.peers = made
             if WORLDS[self.run.scenario.world].view:
-                self.fleet = Fleet(
+                self.fleet = FleetAgent(
                     self.loop, engine, made, peers, self.number, settings.zone, 0.0, self.seed, self.system
                 )
                 self.fleet.serve(engine.pool)
         if WORLDS[self.run.scenario.world].failover and self.fleet is not None:
-            self.failover = Failover(
+            self.failover = FailoverController(
                 self.loop,
                 self.fleet.view,
                 engine.pool,
@@ -196,7 +196,7 @@
             )
         if WORLDS[self.run.scenario.world].calls and engine.pool.discovery is not None:
             within_ns, size = settings.must_ask_in_ns, settings.fleet_size
-            lists = Lists(
+            lists = EndpointListSync(
                 engine.pool.discovery, within_ns, CALLS_PER_S, self.number, size, self.seed, self.system
             )
             if self.fleet is not None:
@@ -215,7 +215,7 @@
         if self.run.plan is not None:
             self.apply()
         elif self.engine is not None and self.engine.pool.discovery is not None:
-            self.engine.pool.discovery.turn(self.run.registry.address)
+            self.engine.pool.discovery.change_address(self.run.registry.address)
 
     def apply(self) -> None:
         """Turn to the world's present plan."""
@@ -247,7 +247,7 @@
         if self.life != life or not self.alive or self.engine is None:
             return
         for pool in self.engine.pools:
-            for held in pool.held.values():
+            for held in pool.pending.values():
                 ident = held.call.ident.decode()
                 self.run.rules.lost(self.run.kernel.now_ns, ident, "held when a planned end was over")
         self.kill()
@@ -263,21 +263,21 @@
 def bounds_broken(engine: SidecarServer, network_open: dict[int, SimSocket]) -> list[str]:
     """Which of the bounds that a node states do not hold."""
     found = []
-    if not 0 <= engine.memory.held <= engine.memory.most:
-        found.append(f"message memory {engine.memory.held} of {engine.memory.most}")
+    if not 0 <= engine.memory.reserved_bytes <= engine.memory.capacity_bytes:
+        found.append(f"message memory {engine.memory.reserved_bytes} of {engine.memory.capacity_bytes}")
     budget = engine.budget
-    if not 0 <= budget.claims <= budget.upstreams.most:
-        found.append(f"claims {budget.claims} of {budget.upstreams.most}")
+    if not 0 <= budget.claims <= budget.upstreams.limit:
+        found.append(f"claims {budget.claims} of {budget.upstreams.limit}")
     held = sum(len(pool.upstreams.connections) for pool in engine.pools)
-    if budget.upstreams.held != held:
-        found.append(f"connections to servers counted as {budget.upstreams.held}, there are {held}")
+    if budget.upstreams.in_use != held:
+        found.append(f"connections to servers counted as {budget.upstreams.in_use}, there are {held}")
     if len(network_open) > SOCKETS:  # of the sidecar
         found.append(f"{len(network_open)} descriptors of {SOCKETS}")
     for pool in engine.pools:
         deaf = sum(connection.blocked for connection in pool.upstreams.idle)
         if deaf:
             found.append(f"{deaf} connections to servers wait for use and are not read")
-        out = sum(held.out for held in pool.held.values())
+        out = sum(held.out for held in pool.pending.values())
         if out > len(pool.attempts):
             found.append(f"{out} attempts out of requests, {len(pool.attempts)} known")
     return found
@@ -287,13 +287,13 @@
     """What a node still has that has nobody to ask and nobody to wait for."""
     found = {
         "clients": len(engine.clients.all),
-        "message memory": engine.memory.held,
+        "message memory": engine.memory.reserved_bytes,
         "claims": engine.budget.claims,
-        "time limits": sum(len(bucket or ()) for bucket in engine.deadlines.buckets.values()),
-        "input that waits": len(engine.backlog.queue),
+        "time limits": sum(len(bucket or ()) for bucket in engine.timer_wheel.buckets.values()),
+        "input that waits": len(engine.read_scheduler.queue),
     }
     for number, pool in enumerate(engine.pools):
-        found[f"requests of pool {number}"] = len(pool.held)
+        found[f"requests of pool {number}"] = len(pool.pending)
         found[f"attempts of pool {number}"] = len(pool.attempts)
         found[f"requests of module {number}"] = len(pool.balancer.pending)
         found[f"in flight of module {number}"] = pool.balancer.in_flight
--- a/dykefold/sim/registry.py
+++ b/dykefold/sim/registry.py
@@ -12,7 +12,7 @@
 from .messages import Messages
 
 if TYPE_CHECKING:
-    from .net import SimSocket
+    from .network import SimSocket
     from .world import Running
 
 PORT = 8500
--- a/dykefold/sim/state_directory.py
+++ b/dykefold/sim/state_directory.py
@@ -51,14 +51,14 @@
         self.folder.holders.pop(name, None)
         self.folder.changes += 1
 
-    def hold(self, name: str) -> bool:
+    def lock(self, name: str) -> bool:
         if self.folder.full:
             return False
         self.folder.holders[name] = self.loop
         self.folder.changes += 1
         return True
 
-    def held(self, name: str) -> bool | None:
+    def is_alive(self, name: str) -> bool | None:
         holder = self.folder.holders.get(name)
         return None if holder is None else holder.alive
 
--- a/dykefold/sim/transport.py
+++ b/dykefold/sim/transport.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from .loop import SimLoop
-    from .net import SimSocket
+    from .network import SimSocket
 
 READ_MOST = 256 * 1024  # as uvloop's
 
--- a/dykefold/sim/upgrades.py
+++ b/dykefold/sim/upgrades.py
@@ -126,9 +126,13 @@
                 yield f"{name} looks", self._look(at, number)
             if one.life is Life.RUNS and not one.told:
                 handover = self._handover(at, number)
-                handover.ends()
+                handover.on_end()
                 ending = replace(
-                    one, state=handover.state, most=handover.most, claim=handover.claim, told=True
+                    one,
+                    state=handover.state,
+                    most=handover.max_descriptors,
+                    claim=handover.claimed_descriptors,
+                    told=True,
                 )
                 yield f"{name} is to end", self._event(at, number, self._show(ending))
             if one.life is Life.RUNS and one.told:
@@ -145,8 +149,8 @@
     def _handover(self, at: Sidecar, number: int) -> HotRestartMachine:
         one = at.ones[number]
         handover = self.kind(self._name(number), NOW_NS - one.age * UNIT_NS + number)
-        handover.state, handover.sees = one.state, one.sees
-        handover.most, handover.claim = one.most, one.claim
+        handover.state, handover.acknowledged = one.state, one.sees
+        handover.max_descriptors, handover.claimed_descriptors = one.most, one.claim
         return handover
 
     def _event(self, at: Sidecar, number: int, one: One) -> Sidecar:
@@ -181,17 +185,17 @@
         view = handover.look(NOW_NS, signs, WHOLE, self.held, living)
         starting = handover.state is HotRestartState.STARTING
         if starting and view.may_serve:
-            handover.serves()
-        changed = handover.claim != one.claim
+            handover.on_serving()
+        changed = handover.claimed_descriptors != one.claim
         one = replace(
             one,
             state=handover.state,
-            sees=handover.sees,
-            most=handover.most,
-            claim=handover.claim,
+            sees=handover.acknowledged,
+            most=handover.max_descriptors,
+            claim=handover.claimed_descriptors,
             looked=True,
         )
-        if starting or changed or view.parts > 1:
+        if starting or changed or view.process_count > 1:
             one = self._show(one)
         return replace(at, ones=(*at.ones[:number], one, *at.ones[number + 1 :]))
 
--- a/dykefold/sim/view_rules.py
+++ b/dykefold/sim/view_rules.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Mapping
 
-from ..fleet.pace import Pace
-from ..fleet.view import View
-from ..fleet.words import LIVE, State
+from ..fleet.member_state import LIVE, State
+from ..fleet.membership import Membership
+from ..fleet.rate_limits import RateLimits
 from .kernel import SECOND
 from .rules import Rules
 
@@ -18,8 +18,8 @@
 
     def __init__(self, size: int, rules: Rules) -> None:
         self.rules = rules
-        self.bound_ns = Pace().settled_ns(size)
-        self.since: dict[int, tuple[View | None, int]] = dict.fromkeys(range(size), (None, 0))
+        self.bound_ns = RateLimits().settled_ns(size)
+        self.since: dict[int, tuple[Membership | None, int]] = dict.fromkeys(range(size), (None, 0))
         self.disturbed_ns = 0  # when a process last came or went, or the network last changed
         self.looks = 0
 
@@ -27,7 +27,7 @@
         """A fault began or ended from which views need their time."""
         self.disturbed_ns = now_ns
 
-    def look(self, now_ns: int, views: Mapping[int, View]) -> None:
+    def look(self, now_ns: int, views: Mapping[int, Membership]) -> None:
         """Judge by the views of those whose processes run."""
         self.looks += 1
         for number, (view, _) in self.since.items():
--- a/dykefold/sim/views.py
+++ b/dykefold/sim/views.py
@@ -9,9 +9,9 @@
 import random
 from collections.abc import Callable
 
-from ..fleet.pace import SECOND, Pace
-from ..fleet.view import Change, View
-from ..fleet.words import LIVE, State
+from ..fleet.member_state import LIVE, State
+from ..fleet.membership import Membership, MembershipChange
+from ..fleet.rate_limits import SECOND, RateLimits
 
 MS = 1_000_000
 START_MS = 1_700_000_000_000  # of the clock on the wall, when a world begins
@@ -26,7 +26,7 @@
         seed: int,
         loss: float = 0.0,
         delay_ns: tuple[int, int] = (MS, 40 * MS),
-        pace: Pace | None = None,
+        pace: RateLimits | None = None,
         zones: int = 3,
     ) -> None:
         """Make the world; nobody runs yet.
@@ -37,29 +37,29 @@
             zones: in which the members stand in turn.
         """
         self.size, self.loss, self.delay_ns, self.zones = size, loss, delay_ns, zones
-        self.pace = pace or Pace()
+        self.pace = pace or RateLimits()
         self.chance = random.Random(seed)
         self.now_ns = SECOND  # of a clock that runs alike for all
         self.roster = [(f"10.3.{number >> 8}.{number & 255}", 7946) for number in range(size)]
-        self.living: dict[int, View] = {}
+        self.living: dict[int, Membership] = {}
         self.stopped_until: dict[int, int] = {}
         self.clock_off_ms: dict[int, int] = {}
         self.cut: Callable[[int, int], bool] = lambda _from, _to: False
         self.doubled = 0.0  # part of the datagrams that come twice
         self.spoilt = 0.0  # ... and that come with a bit turned
-        self.queue: list[tuple[int, int, int, View, int, bytes]] = []
+        self.queue: list[tuple[int, int, int, Membership, int, bytes]] = []
         self.order = 0
         self.sent = self.sent_bytes = 0
-        self.changes: list[tuple[int, Change]] = []  # by whom, what
+        self.changes: list[tuple[int, MembershipChange]] = []  # by whom, what
         self.watch: set[int] | None = None  # whose changes are kept; None for all
 
     # What happens to members
 
-    def start(self, number: int) -> View:
+    def start(self, number: int) -> Membership:
         """Start a member, again if it has run before."""
         wall_ms = START_MS + self.now_ns // MS + self.clock_off_ms.get(number, 0)
         chance = random.Random(self.chance.getrandbits(64))
-        view = View(self.roster, number, number % self.zones, wall_ms, self.pace, chance, self.now_ns)
+        view = Membership(self.roster, number, number % self.zones, wall_ms, self.pace, chance, self.now_ns)
         self.living[number] = view
         self._wake(view, number, self.now_ns)
         return view
@@ -124,10 +124,10 @@
         self.order += 1
         return self.order
 
-    def _wake(self, view: View, number: int, due_ns: int) -> None:
+    def _wake(self, view: Membership, number: int, due_ns: int) -> None:
         heapq.heappush(self.queue, (due_ns, self._next(), number, view, -1, b""))
 
-    def _flush(self, view: View, number: int) -> None:
+    def _flush(self, view: Membership, number: int) -> None:
         if view.changes:
             if self.watch is None or number in self.watch:
                 self.changes += [(number, change) for change in view.changes]
--- a/dykefold/sim/wire.py
+++ b/dykefold/sim/wire.py
@@ -8,7 +8,7 @@
 
 from ..net.downstream.request_parser import BODY_MOST
 from .kernel import MS, Kernel
-from .net import SimSocket
+from .network import SimSocket
 from .rules import Rules, Try
 
 
--- a/dykefold/sim/world.py
+++ b/dykefold/sim/world.py
@@ -12,9 +12,9 @@
 from ..control.admin_requests import Action, AdminRequest
 from ..routing.config import read_plan
 from ..routing.plan import Plan
-from .apps import App
+from .clients import App
 from .kernel import EPOCH_NS, MS, SECOND, Kernel, stream
-from .net import Address, Network
+from .network import Address, Network
 from .nodes import Node
 from .process import PORT, SOCKETS, Sidecar, bounds_broken, left_over
 from .registry import Registry
@@ -446,7 +446,7 @@
         """As the platform does: when the new process takes clients, the older ones are told to end."""
         if not made.alive or made.ending:
             return
-        if made.engine is not None and made.engine.takes_clients:
+        if made.engine is not None and made.engine.accepts_clients:
             for side in older:
                 if side.alive:
                     side.terminate()
@@ -620,7 +620,7 @@
         served = [
             side.engine for side in living if side.engine is not None and side.engine.listener is not None
         ]
-        most = sum(engine.most for engine in served)
+        most = sum(engine.max_descriptors for engine in served)
         if most > SOCKETS:
             self.rules.breach(now, "bounds", f"{living[0].name}: {most} descriptors of {SOCKETS} claimed")
         staying = [side for side in living if not side.ending]
--- a/dykefold/system.py
+++ b/dykefold/system.py
@@ -87,7 +87,7 @@
             return 0
         return int.from_bytes(found, sys.byteorder)
 
-    def open_spare(self) -> int:
+    def open_reserve(self) -> int:
         """Open a reserve descriptor, kept only to be closed when another is needed.
 
         Raises:
@@ -95,7 +95,7 @@
         """
         return os.open(os.devnull, os.O_RDONLY | os.O_CLOEXEC)
 
-    def close_spare(self, number: int) -> None:
+    def close_reserve(self, number: int) -> None:
         """Close such a descriptor."""
         os.close(number)
 
--- a/tests/admission/test_accept_errors.py
+++ b/tests/admission/test_accept_errors.py
@@ -111,7 +111,7 @@
     fake = await Fake(answer_ok).start()
     async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
         faults = faulty(sidecar)
-        sidecar.engine.limit(1024, Caps(connections=most))
+        sidecar.engine.change_limits(1024, Caps(connections=most))
         (first,) = connected(sidecar.port, b"")
         await until(lambda: sidecar.engine.clients.all)
         await play(sidecar, faults)
@@ -190,7 +190,7 @@
     """More of them than may linger, each with its request sent: none meets a reset."""
 
     async def play(sidecar, faults):
-        sidecar.engine.limit(1024, Caps())
+        sidecar.engine.change_limits(1024, Caps())
         for guest in sidecar.engine.clients.all.values():
             sidecar.engine.clients.admission.leave(guest.client)  # nobody can make room
         faults.on("accept", errno.EMFILE, times=1)
@@ -225,7 +225,7 @@
             gc.collect()  # asyncio leaves a transport that could not be made to the collector
             assert (await ask(sidecar.port, message("order", "cd"))).code == 200
             await until(lambda: not engine.clients.all)
-            assert not engine.clients.admission.addresses.active and not engine.pool.held
+            assert not engine.clients.admission.addresses.active and not engine.pool.pending
             assert not engine.clients.admission.count and not escaped
             assert "Traceback" not in caplog.text
 
@@ -247,5 +247,5 @@
             sock.close()
         assert (await ask(sidecar.port, message("order", "cd"))).code == 200
         await until(lambda: not engine.clients.all)
-        assert not engine.clients.admission.count and not engine.pool.held and not escaped
+        assert not engine.clients.admission.count and not engine.pool.pending and not escaped
     assert [got.headers["x-request-id"] for got in fake.got] == ["cd"]
--- a/tests/admission/test_listener.py
+++ b/tests/admission/test_listener.py
@@ -146,7 +146,7 @@
     async def play():
         fake = await Fake(answer_ok).start()
         async with start(tmp_path, fake) as sidecar:
-            sidecar.engine.limit(1024, Caps(connections=1))
+            sidecar.engine.change_limits(1024, Caps(connections=1))
             _, first = await connect(sidecar.port, "127.9.0.1")
             await until(lambda: sidecar.engine.clients.all)
             reader, writer = await connect(sidecar.port, "127.9.0.1")
@@ -168,7 +168,7 @@
         go, act = gated()
         fake = await Fake(act).start()
         async with start(tmp_path, fake) as sidecar:
-            sidecar.engine.limit(1024, Caps(open_requests=2))
+            sidecar.engine.change_limits(1024, Caps(open_requests=2))
             pairs = [await connect(sidecar.port) for _ in range(3)]
             for number in range(2):
                 pairs[number][1].write(message("order", f"o{number}"))
@@ -192,7 +192,7 @@
     async def play():
         fake = await Fake(answer_ok).start()
         async with start(tmp_path, fake) as sidecar:
-            sidecar.engine.limit(1024, Caps(unfinished_bytes=40_000))
+            sidecar.engine.change_limits(1024, Caps(unfinished_bytes=40_000))
             whole = message("order", "a", "3000m", b"x" * 30_000)
             half = await connect(sidecar.port)
             half[1].write(whole[:-1])
@@ -205,7 +205,7 @@
             assert (await ask(sidecar.port, message("order", "c", "3000m", b"x" * 30_000))).code == 200
             half[1].close()
             await until(lambda: not sidecar.engine.clients.all)
-            assert not sidecar.engine.memory.held
+            assert not sidecar.engine.memory.reserved_bytes
 
     async def _address(sidecar):
         await until(lambda: sidecar.engine.clients.all)
@@ -223,8 +223,8 @@
         fake = await Fake(act).start()
         async with start(tmp_path, fake, limits={"sockets": 1}) as sidecar:
             budget = sidecar.engine.budget
-            assert (budget.clients, budget.upstreams.most) == (4, 4)
-            budget.upstreams.most = 2
+            assert (budget.clients, budget.upstreams.limit) == (4, 4)
+            budget.upstreams.limit = 2
             pairs = [await connect(sidecar.port) for _ in range(4)]
             for number, (_, writer) in enumerate(pairs):
                 writer.write(message("order", f"o{number}"))
@@ -234,7 +234,7 @@
             assert [answer.code for answer in answers] == [503, 503]
             assert all(float(answer.headers["retry-after"]) > 0 for answer in answers)
             await until(lambda: len(fake.got) == 2)
-            assert budget.claims == budget.upstreams.held == 2
+            assert budget.claims == budget.upstreams.in_use == 2
             go.set()
             codes = sorted([(await task).code for task in tasks])
             assert codes == [200, 200, 503, 503]
--- a/tests/control/hot_restart_rig.py
+++ b/tests/control/hot_restart_rig.py
@@ -53,17 +53,17 @@
         listed = [
             EndpointRecord(name, end, ("127.0.0.1", 1), 0) for name, end in zip(SERVERS, entries, strict=True)
         ]
-        self.maintenance.fold(listed, True)
+        self.maintenance.apply_update(listed, True)
 
-    def list_word(self):
+    def list_record(self):
         return {}
 
-    def adopt_list(self, word):
+    def adopt_list_record(self, word):
         pass
 
-    def maintain(self, name, out):
+    def apply_order(self, name, out):
         before = self.maintenance.is_out(name)
-        self.maintenance.say(name, out, self.now())
+        self.maintenance.apply_order(name, out, self.now())
         return before is not out
 
     def merge_maintenance(self, said):
@@ -76,14 +76,14 @@
         self.pool = Pool(self.clock)
         self.pools = {self.pool: None}
         self.sockets = 384
-        self.handing = self.draining = False
+        self.handing_over = self.draining = False
         self.listener = None
 
-    def needed(self):
+    def needed_descriptors(self):
         return 10
 
-    def share(self, parts, most):
-        self.most = most
+    def share_capacity(self, parts, most):
+        self.max_descriptors = most
 
 
 class Member:
@@ -107,10 +107,10 @@
         return AdminOperations(self.engine, self.upgrade).carry_out(AdminRequest(Action(action), server))
 
     def serve(self):
-        """Take clients from now on, as `takes` does but for the socket."""
-        self.upgrade.machine.serves()
+        """Take clients from now on, as `take_clients` does but for the socket."""
+        self.upgrade.machine.on_serving()
         self.engine.listener = SimpleNamespace()
-        self.upgrade.keep()
+        self.upgrade.write_records()
 
     def tick(self):
         self.machine.passes()
@@ -120,7 +120,7 @@
         """The whole start, while older processes look on."""
 
         async def wait():
-            room = asyncio.ensure_future(self.upgrade.make_room())
+            room = asyncio.ensure_future(self.upgrade.wait_for_capacity())
             while not room.done():
                 await asyncio.sleep(LOOK_S / 4)  # as often as it looks itself
                 self.machine.passes(LOOK_NS // 4)
@@ -135,11 +135,11 @@
         """The process is gone, with its lock."""
         self.machine.passes()
         if not killed:
-            self.upgrade.end()
+            self.upgrade.begin_shutdown()
             self.upgrade.close()
-        if self.files.lock >= 0:
-            os.close(self.files.lock)
-            self.files.lock = -1
+        if self.files.lock_descriptor >= 0:
+            os.close(self.files.lock_descriptor)
+            self.files.lock_descriptor = -1
 
 
 class Flaky:
--- a/tests/control/test_admin_server.py
+++ b/tests/control/test_admin_server.py
@@ -86,8 +86,8 @@
             used, other = fakes if fakes[0].got else reversed(fakes)
             name, rest = ("s0", "s1") if used is fakes[0] else ("s1", "s0")
             assert await sidecar.out(name) == 200 and await sidecar.out(name) == 200
-            pool.on_news(None)
-            pool.on_news(
+            pool.on_update(None)
+            pool.on_update(
                 parse_endpoint_update(listed(*fakes, version=2), pool.names)
             )  # it serves, says the list
             for number in range(20):
@@ -134,7 +134,7 @@
             upstreams = sidecar.engine.pool.upstreams
             first = asyncio.create_task(ask(sidecar.port, message("lookup", "a1")))
             await until(lambda: fakes[0].got)
-            (target,) = upstreams.targets.values()
+            (target,) = upstreams.endpoints.values()
             late = asyncio.create_task(ask(sidecar.port, message("lookup", "a2", "700m")))
             await until(lambda: len(fakes[0].got) == 2)
             assert await sidecar.out("s0") == 200
@@ -226,7 +226,7 @@
     async def play():
         fakes = await two(answer_ok)
         async with Operated(tmp_path / "c", config(listed(*fakes))) as sidecar:
-            sidecar.engine.pool.maintain = None
+            sidecar.engine.pool.apply_order = None
             assert await sidecar.out("s0") == 500
             assert await sidecar.call("GET /healthcheck") == 200
 
--- a/tests/control/test_class_generations.py
+++ b/tests/control/test_class_generations.py
@@ -177,10 +177,10 @@
             assert (await ask(sidecar.port, message("lookup", "a3"))).code == 200
             assert (await ask(sidecar.port, message("order", "a4"))).code == 200
             assert (await ask(sidecar.port, post("hold", "a5"))).code == 400  # without its key, then as now
-            engine.grammar.before.until_ns = 0
+            engine.parser.before.until_ns = 0
             assert (await ask(sidecar.port, message("lookup", "a6"))).code == 405
             assert (await ask(sidecar.port, message("order", "a7"))).code == 404
-            assert engine.grammar.before is None
+            assert engine.parser.before is None
 
     run(play())
 
@@ -277,7 +277,7 @@
             engine = sidecar.engine
 
             def state():
-                return engine.generation, engine.grammar, engine.pool.discovery.address, engine.sockets
+                return engine.generation, engine.parser, engine.pool.discovery.address, engine.sockets
 
             before = state()
             changed = with_classes(data, stock="pure")
@@ -286,7 +286,7 @@
             sidecar.reload()
             assert before == (
                 engine.generation,
-                engine.grammar,
+                engine.parser,
                 engine.pool.discovery.address,
                 engine.sockets,
             )
--- a/tests/control/test_hot_restart.py
+++ b/tests/control/test_hot_restart.py
@@ -242,13 +242,13 @@
                 assert (await read_message(reader)).code == 200
                 held.append((reader, writer))
             alive = engine.clients.admission.count
-            most = max(engine.needed(), 100)
+            most = max(engine.needed_descriptors(), 100)
             assert engine.budget.clients < 2 * alive
-            engine.share(2, most)
+            engine.share_capacity(2, most)
             assert engine.clients.admission.count == alive
-            assert engine.budget.clients + engine.budget.upstreams.most <= most
+            assert engine.budget.clients + engine.budget.upstreams.limit <= most
             assert (await ask(sidecar.port, message("lookup", "b"))).code in (200, 503)
-            engine.share(1, 200)
+            engine.share_capacity(1, 200)
             assert (await ask(sidecar.port, message("lookup", "c"))).code == 200
             for _, writer in held:
                 writer.close()
--- a/tests/control/test_hot_restart_orders.py
+++ b/tests/control/test_hot_restart_orders.py
@@ -35,9 +35,9 @@
     """It makes no room for a newer one."""
 
     def look(self, now_ns, signs, whole, held, living=()):
-        most = self.most
+        most = self.max_descriptors
         view = super().look(now_ns, signs, whole, held, living)
-        self.most = max(self.most, most)
+        self.max_descriptors = max(self.max_descriptors, most)
         return view
 
 
--- a/tests/control/test_hot_restart_records.py
+++ b/tests/control/test_hot_restart_records.py
@@ -28,7 +28,7 @@
     old.engine.pool.balancer.throughput.answers_per_s = 7.5
     old.board.failing = ("state-",)
     new = Member(tmp_path, machine)
-    new.upgrade.keep()
+    new.upgrade.write_records()
     for _ in range(3):
         old.tick()
     assert old.board.read(f"state-{old.upgrade.machine.name}") is None
@@ -55,7 +55,7 @@
     new = Member(tmp_path, machine)
     new.start(old)
     old.tick()
-    assert old.engine.handing
+    assert old.engine.handing_over
     assert old.call("maint").code == 200
     old.ends()  # before the newer process has looked
     new.ends(killed=True)
@@ -101,7 +101,7 @@
         path.unlink()
     for _ in range(12):
         one.tick()
-    assert one.files.held(f"sign-{one.upgrade.machine.name}") is True
+    assert one.files.is_alive(f"sign-{one.upgrade.machine.name}") is True
     for path in (tmp_path / "dykefold").iterdir():
         path.unlink()
     (tmp_path / "dykefold").rmdir()
--- a/tests/control/test_hot_restart_state.py
+++ b/tests/control/test_hot_restart_state.py
@@ -49,17 +49,22 @@
     def read(self, now, signs):
         if not self.alive:
             return
-        self.claimed, self.starting = self.handover.claim, self.handover.state is HotRestartState.STARTING
+        self.claimed, self.starting = (
+            self.handover.claimed_descriptors,
+            self.handover.state is HotRestartState.STARTING,
+        )
         self.view = self.handover.look(now, signs, WHOLE, self.held)
         if self.starting and self.view.may_serve:
-            self.handover.serves()
-            self.parts = self.view.parts
+            self.handover.on_serving()
+            self.parts = self.view.process_count
         if self.parts is not None:
-            self.parts = self.view.parts
+            self.parts = self.view.process_count
 
     def show(self, now):
         # One that is alone has nobody to show itself to.
-        if self.alive and (self.starting or self.view.parts > 1 or self.handover.claim != self.claimed):
+        if self.alive and (
+            self.starting or self.view.process_count > 1 or self.handover.claimed_descriptors != self.claimed
+        ):
             self.shown = self.handover.heartbeat(now)
 
 
@@ -99,7 +104,7 @@
     old.held = 200
     now = play(lives, now, 2)
     assert old.view.max_descriptors == 80  # what it gave away it does not take back
-    old.handover.ends()
+    old.handover.on_end()
     now = play(lives, now, 3)
     assert old.handover.state is HotRestartState.ENDING
     old.alive = False
@@ -197,7 +202,7 @@
     @rule(which=st.integers(0, 9))
     def ends(self, which):
         if self.lives:
-            self.lives[which % len(self.lives)].handover.ends()
+            self.lives[which % len(self.lives)].handover.on_end()
 
     @rule(which=st.integers(0, 9), held=st.integers(0, WHOLE))
     def holds(self, which, held):
@@ -314,15 +319,15 @@
 
 def test_locks_tell_who_lives_and_one_that_can_not_be_had_leaves_nothing(tmp_path, monkeypatch):
     board = FileStateDirectory(str(tmp_path))
-    assert board.held("sign-a") is None
-    assert board.hold("sign-a") and board.held("sign-a") is True
-    os.close(board.lock)  # as when its process ends
-    assert board.held("sign-a") is False
+    assert board.is_alive("sign-a") is None
+    assert board.lock("sign-a") and board.is_alive("sign-a") is True
+    os.close(board.lock_descriptor)  # as when its process ends
+    assert board.is_alive("sign-a") is False
 
     def refused(*_):
         raise OSError(errno.ENOLCK, "no locks")
 
     monkeypatch.setattr(fcntl, "flock", refused)
     before = len(os.listdir("/proc/self/fd"))
-    assert not any(board.hold("sign-b") for _ in range(20))
-    assert board.held("sign-b") is None and len(os.listdir("/proc/self/fd")) == before
+    assert not any(board.lock("sign-b") for _ in range(20))
+    assert board.is_alive("sign-b") is None and len(os.listdir("/proc/self/fd")) == before
--- a/tests/control/test_maintenance.py
+++ b/tests/control/test_maintenance.py
@@ -34,31 +34,31 @@
 
 def test_a_ban_outlives_every_list_and_two_calls_out_need_one_back():
     keeper = make()
-    keeper.fold([listed("s0"), listed("s1")], True)
-    assert told(keeper.say("s0", True, 100)) == [("s0", State.DRAINING, 0)]
-    assert keeper.say("s0", True, 150) == []
+    keeper.apply_update([listed("s0"), listed("s1")], True)
+    assert told(keeper.apply_order("s0", True, 100)) == [("s0", State.DRAINING, 0)]
+    assert keeper.apply_order("s0", True, 150) == []
     for entries, complete in (([listed("s0"), listed("s1")], True), ([listed("s0", started=170)], False)):
         assert ("s0", State.DRAINING) in [
-            (name, state) for name, state, _ in told(keeper.fold(entries, complete))
+            (name, state) for name, state, _ in told(keeper.apply_update(entries, complete))
         ]
-    keeper.fold([listed("s0", State.GONE)], False)
+    keeper.apply_update([listed("s0", State.GONE)], False)
     assert keeper.knows("s0")  # it can be put back though it is gone
-    assert told(keeper.fold([listed("s0")], False)) == [("s0", State.DRAINING, 0)]
-    assert told(keeper.say("s0", False, 200)) == [("s0", State.READY, 200)]
-    assert keeper.say("s0", False, 210) == []
+    assert told(keeper.apply_update([listed("s0")], False)) == [("s0", State.DRAINING, 0)]
+    assert told(keeper.apply_order("s0", False, 200)) == [("s0", State.READY, 200)]
+    assert keeper.apply_order("s0", False, 210) == []
 
 
 def test_one_that_is_put_back_is_cold_from_then_until_it_starts_again():
     keeper = make()
-    keeper.fold([listed("s0", started=50)], True)
-    keeper.say("s0", True, 100)
-    assert told(keeper.say("s0", False, 200)) == [("s0", State.READY, 200)]
-    assert told(keeper.fold([listed("s0", started=150)], True)) == [("s0", State.READY, 200)]
-    assert told(keeper.fold([listed("s0", started=250)], True)) == [("s0", State.READY, 250)]
+    keeper.apply_update([listed("s0", started=50)], True)
+    keeper.apply_order("s0", True, 100)
+    assert told(keeper.apply_order("s0", False, 200)) == [("s0", State.READY, 200)]
+    assert told(keeper.apply_update([listed("s0", started=150)], True)) == [("s0", State.READY, 200)]
+    assert told(keeper.apply_update([listed("s0", started=250)], True)) == [("s0", State.READY, 250)]
     # What discovery says now counts, not what it said when the server was taken out.
-    keeper.say("s0", True, 300)
-    keeper.fold([listed("s0", State.DRAINING)], False)
-    assert told(keeper.say("s0", False, 400)) == [("s0", State.DRAINING, 400)]
+    keeper.apply_order("s0", True, 300)
+    keeper.apply_update([listed("s0", State.DRAINING)], False)
+    assert told(keeper.apply_order("s0", False, 400)) == [("s0", State.DRAINING, 400)]
 
 
 def test_what_nobody_knows_is_not_known_and_the_sets_are_bounded(monkeypatch):
@@ -66,24 +66,24 @@
     monkeypatch.setattr(module, "MAX_REMEMBERED_RETURNS", 1)
     keeper = make()
     assert not keeper.knows("s0")
-    keeper.fold([listed(name) for name in NAMES], True)
+    keeper.apply_update([listed(name) for name in NAMES], True)
     for name in NAMES[:2]:
-        keeper.say(name, True, 1)
+        keeper.apply_order(name, True, 1)
     assert keeper.is_full("s2") and not keeper.is_full("s0")
     for name in NAMES[:2]:
-        keeper.say(name, False, 2)
+        keeper.apply_order(name, False, 2)
     assert list(keeper.orders) == ["s1"]
 
 
 def test_of_two_processes_the_later_call_holds_in_both():
     one, two = make(), make()
     for keeper in (one, two):
-        keeper.fold([listed("s0"), listed("s1")], True)
-    one.say("s0", True, 100)
+        keeper.apply_update([listed("s0"), listed("s1")], True)
+    one.apply_order("s0", True, 100)
     two.merge(one.orders)
     assert two.is_out("s0")
-    two.say("s0", False, 200)
-    one.say("s1", True, 210)
+    two.apply_order("s0", False, 200)
+    one.apply_order("s1", True, 210)
     assert told(one.merge(two.orders)) == [("s0", State.READY, 200)]
     two.merge(one.orders)
     assert one.orders == two.orders and one.merge(two.orders) == []
@@ -106,21 +106,21 @@
     def whole_list(self, names, state):
         self.list = dict.fromkeys(names, state)
         self.seen = {}
-        self.hear(self.keeper.fold([listed(name, state) for name in names], True))
+        self.hear(self.keeper.apply_update([listed(name, state) for name in names], True))
 
     @rule(name=st.sampled_from(NAMES), state=st.sampled_from(list(State)))
     def change(self, name, state):
         self.list.pop(name, None)
         if state is not State.GONE:
             self.list[name] = state
-        self.hear(self.keeper.fold([listed(name, state)], False))
+        self.hear(self.keeper.apply_update([listed(name, state)], False))
 
     @rule(name=st.sampled_from(NAMES), out=st.booleans())
     def call(self, name, out):
         self.now += 1
         if self.keeper.knows(name):
             (self.banned.add if out else self.banned.discard)(name)
-            self.hear(self.keeper.say(name, out, self.now))
+            self.hear(self.keeper.apply_order(name, out, self.now))
 
     @invariant()
     def the_module_is_told_what_the_rules_say(self):
--- a/tests/control/test_state_directory.py
+++ b/tests/control/test_state_directory.py
@@ -127,7 +127,7 @@
 for name in ("open", "write", "fsync", "close", "rename", "flock", "listdir", "mkdir"):
     setattr(Killing, name, killing(name))
 board = FileStateDirectory(sys.argv[1], Killing())
-board.hold("sign-1-a")
+board.lock("sign-1-a")
 for number in range(2):
     if board.write("maintenance-1-a", {"number": number}, durable=True): print(number, flush=True)
 """
@@ -154,7 +154,7 @@
 
 def test_only_what_processes_that_are_gone_left_is_swept(tmp_path):
     one = FileStateDirectory(str(tmp_path))
-    assert one.hold("sign-1-a")
+    assert one.lock("sign-1-a")
     folder = tmp_path / "dykefold"
     lives, by_number = f".sign-1-a.{os.getpid()}", f".sign-2-b.{os.getppid()}"
     gone, foreign = f".state-3-c.{os.getpid()}", ".profile"
--- a/tests/failover/test_failover.py
+++ b/tests/failover/test_failover.py
@@ -8,9 +8,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dykefold.failover.evidence import HALF_NS, Came, Evidence, Sight
-from dykefold.failover.judgement import Verdict, judge
-from dykefold.failover.plan import (
+from dykefold.failover.health_samples import HALF_NS, Came, Evidence, Sight
+from dykefold.failover.traffic_plan import (
     BACK_NS,
     CONFIRM_NS,
     DISSENT_NS,
@@ -22,7 +21,8 @@
     order_of,
     places,
 )
-from dykefold.fleet.pace import SECOND
+from dykefold.failover.zone_health import Verdict, judge
+from dykefold.fleet.rate_limits import SECOND
 
 GOOD, GONE = Sight(20.0), Sight(20.0, lost=0.95)
 ZONES = Zones({0: 4, 1: 4, 2: 4}, {})
