--- a/tests/failover/test_failover_edge.py
+++ b/tests/failover/test_failover_edge.py
@@ -8,9 +8,9 @@
 from net_helpers import run
 
 from dykefold.balancer.events import Status
-from dykefold.failover.edge import Failover
+from dykefold.failover.controller import FailoverController
 from dykefold.failover.options import Options
-from dykefold.fleet.pace import SECOND
+from dykefold.fleet.rate_limits import SECOND
 from dykefold.service_config import ServiceError, read_service
 from dykefold.sim.views import Views
 
@@ -19,14 +19,14 @@
     """A pool of two servers in each of three zones; those of zone 0 may be given up on."""
 
     def __init__(self) -> None:
-        self.attempted = None
+        self.on_attempt_end = None
         self.lost = False
         self.homes: list[int] = []
 
-    def placed(self) -> dict[int, int]:
+    def ready_by_zone(self) -> dict[int, int]:
         return {0: 2, 1: 2, 2: 2}
 
-    def standing(self) -> dict[int, tuple[int, int]]:
+    def tried_and_ejected_by_zone(self) -> dict[int, tuple[int, int]]:
         return {0: (2, 2 if self.lost else 0), 1: (2, 0), 2: (2, 0)}
 
     def zone_of(self, server: int) -> int | None:
@@ -35,7 +35,7 @@
     def answered_since(self, server: int, took_ns: int) -> bool:
         return server == 0
 
-    def home_at(self, zone: int) -> None:
+    def set_home_zone(self, zone: int) -> None:
         self.homes.append(zone)
 
 
@@ -51,7 +51,7 @@
     async def play() -> None:
         world = Views(1, 1)
         pool, clock = FakePool(), Clock()
-        made = Failover(
+        made = FailoverController(
             asyncio.get_running_loop(),
             world.start(0),
             pool,
@@ -61,9 +61,9 @@
             clock,  # type: ignore[arg-type]
         )
         made.at = 1
-        made.retune(list("abc"), 0, Options(True))
+        made.change_settings(list("abc"), 0, Options(True))
         assert pool.homes == [1]  # the settings had named the old one again
-        made.retune(list("abc"), 2, Options(True))
+        made.change_settings(list("abc"), 2, Options(True))
         assert (made.home, made.at, made.course.origin) == (2, 2, 2)
         assert pool.homes == [1]
         made.close()
@@ -74,7 +74,7 @@
 def test_attempts_are_told_by_what_came_of_them() -> None:
     async def play() -> None:
         pool, clock = FakePool(), Clock()
-        made = Failover(
+        made = FailoverController(
             asyncio.get_running_loop(),
             Views(1, 1).start(0),
             pool,
@@ -89,7 +89,7 @@
             (0, Status.CANCELLED, 1), (0, Status.NOT_ATTEMPTED, 1), (99, Status.OK, 1),
             (1, Status.TIMEOUT, SECOND), (1, Status.RESET, 1),
         ):  # fmt: skip
-            pool.attempted(server, status, took_ns, aim_ns)  # type: ignore[misc]
+            pool.on_attempt_end(server, status, took_ns, aim_ns)  # type: ignore[misc]
         assert made.evidence.counts == {0: [1.0, 2.0, 1.0]}  # what is lost is counted by servers
         made.close()
 
--- a/tests/fleet/test_asking.py
+++ b/tests/fleet/test_asking.py
@@ -9,18 +9,27 @@
 from hypothesis import strategies as st
 from net_helpers import run
 
-from dykefold.fleet import priors
-from dykefold.fleet.asking import FAILED_MOST_NS, GO_ON_NS, MOVED_MOST_NS, SILENT_NS, SPREAD_MOST, Asking
-from dykefold.fleet.lists import Lists
-from dykefold.fleet.pace import SECOND
+from dykefold.fleet import peer_observations
+from dykefold.fleet.endpoint_list_sync import EndpointListSync
+from dykefold.fleet.poll_schedule import (
+    FAILED_MOST_NS,
+    GO_ON_NS,
+    MOVED_MOST_NS,
+    SILENT_NS,
+    SPREAD_MOST,
+    CoordinatedPollSchedule,
+)
+from dykefold.fleet.rate_limits import SECOND
 from dykefold.sim.views import Views
 
 MUST_NS = 10 * SECOND
 MOST_NS = int(MUST_NS * SPREAD_MOST)
 
 
-def fleet_of(size: int) -> list[Asking]:
-    return [Asking(MUST_NS, 125.0, place, size, random.Random(place), 0) for place in range(size)]
+def fleet_of(size: int) -> list[CoordinatedPollSchedule]:
+    return [
+        CoordinatedPollSchedule(MUST_NS, 125.0, place, size, random.Random(place), 0) for place in range(size)
+    ]
 
 
 def worst(times_ns: list[int], within_ns: int = SECOND // 4) -> int:
@@ -74,7 +83,7 @@
 
 @given(st.lists(st.tuples(st.sampled_from(("fails", "answered", "moves", "told")), st.integers(0, 5))))
 def test_no_wait_is_ever_longer_than_the_rules_leave(steps: list[tuple[str, int]]) -> None:
-    one = Asking(MUST_NS, 1.0, 3, 1000, random.Random(1), 0)
+    one = CoordinatedPollSchedule(MUST_NS, 1.0, 3, 1000, random.Random(1), 0)
     now = 0
     for what, seconds in steps:
         now += seconds * SECOND
@@ -139,7 +148,7 @@
     def __init__(self) -> None:
         self.version, self.closed, self.asked, self.schedule = 7, False, 0, None
 
-    def ask_now(self) -> None:
+    def poll_now(self) -> None:
         self.asked += 1
         self.schedule.called()  # type: ignore[attr-defined]
 
@@ -159,9 +168,9 @@
         assert world.run(20 * SECOND, world.right)
         clock, discovery, view = Clock(), FakeDiscovery(), world.living[0]
         clock.now_ns = world.now_ns
-        lists = Lists(discovery, MUST_NS, 125.0, 0, 3, 1, clock)  # type: ignore[arg-type]
+        lists = EndpointListSync(discovery, MUST_NS, 125.0, 0, 3, 1, clock)  # type: ignore[arg-type]
         lists.join(view)
-        priors.say_list(world.living[1], world.now_ns, 9)
+        peer_observations.say_list(world.living[1], world.now_ns, 9)
         world.run(SECOND)
         clock.now_ns = world.now_ns
         lists.opens_s()
--- a/tests/fleet/test_priors.py
+++ b/tests/fleet/test_priors.py
@@ -10,11 +10,11 @@
 
 from dykefold.balancer.actions import ReportEndpointHealth
 from dykefold.balancer.events import MembershipChanged, Outcome, Status
-from dykefold.fleet import priors
-from dykefold.fleet.coverage import KNOWN_BY, PAIRS_MOST, Ranking, part
+from dykefold.fleet import peer_observations
 from dykefold.fleet.knowledge import Topic
-from dykefold.fleet.priors import NO_SUBJECT, enough, newest_list, say_found, say_list
-from dykefold.fleet.view import View
+from dykefold.fleet.membership import Membership
+from dykefold.fleet.peer_observations import NO_SUBJECT, enough, newest_list, say_found, say_list
+from dykefold.fleet.subsetting import KNOWN_BY, PAIRS_MOST, Ranking, subset_of
 from dykefold.sim.views import Views
 
 ZONES = 3
@@ -28,14 +28,14 @@
     return world
 
 
-def event(view: View, now_ns: int, servers: dict[str, int]) -> MembershipChanged:
-    return priors.event(view, now_ns, servers, {}, Ranking(view.me))
+def event(view: Membership, now_ns: int, servers: dict[str, int]) -> MembershipChanged:
+    return peer_observations.event(view, now_ns, servers, {}, Ranking(view.me))
 
 
 def afar(members: list[int], servers: int = 60) -> set[tuple[int, int]]:
     """Members with the servers of other zones that they sample."""
     live = [(member, member % ZONES) for member in members]
-    least = part(live)
+    least = subset_of(live)
     return {
         (member, server)
         for member, zone in live
@@ -209,7 +209,9 @@
     world.run(7 * SECOND)  # nobody is new any more
     for member in range(8):
         say_found(world.living[member], world.now_ns, f"s-{member}", answers=False)
-        priors.say_usual(world.living[member], world.now_ns, {"lookup": (3 + member % 2 * 5) * SECOND / 1000})
+        peer_observations.say_usual(
+            world.living[member], world.now_ns, {"lookup": (3 + member % 2 * 5) * SECOND / 1000}
+        )
     say_list(world.living[2], world.now_ns, 44)
     world.run(4 * SECOND)
     world.kill(8)
@@ -219,7 +221,7 @@
     assert fresh.given == 3
     assert newest_list(fresh, world.now_ns) == 44
     assert len(fresh.knowledge.subjects(Topic.FAILS)) > 5
-    told = priors.event(fresh, world.now_ns, {}, {"lookup": 0, "order": 1}, Ranking(8))
+    told = peer_observations.event(fresh, world.now_ns, {}, {"lookup": 0, "order": 1}, Ranking(8))
     assert set(told.usual) == {0}
     assert told.usual[0] in (3e6, 8e6)
     old = world.living[0]
--- a/tests/fleet/test_stepped_clock.py
+++ b/tests/fleet/test_stepped_clock.py
@@ -3,8 +3,8 @@
 import pytest
 
 from dykefold.fleet.knowledge import Topic
-from dykefold.fleet.pace import SECOND
-from dykefold.fleet.words import State
+from dykefold.fleet.member_state import State
+from dykefold.fleet.rate_limits import SECOND
 from dykefold.sim.views import Views
 
 HOUR_MS = 3_600_000
--- a/tests/fleet/test_view.py
+++ b/tests/fleet/test_view.py
@@ -8,11 +8,11 @@
 
 from dykefold.fleet import datagrams
 from dykefold.fleet.datagrams import Datagram, Kind, Record
-from dykefold.fleet.detector import Probe
+from dykefold.fleet.failure_detector import Probe
 from dykefold.fleet.knowledge import BOUNDS, Topic
-from dykefold.fleet.pace import HEARD_OF_ONE_PER_S, JOIN_MOST, LEAVING_NS, SECOND, Pace
-from dykefold.fleet.view import View
-from dykefold.fleet.words import State, conclude, incarnation_of, word
+from dykefold.fleet.member_state import State, conclude, incarnation_of, word
+from dykefold.fleet.membership import Membership
+from dykefold.fleet.rate_limits import HEARD_OF_ONE_PER_S, JOIN_MOST, LEAVING_NS, SECOND, RateLimits
 from dykefold.sim.views import MS, Views
 
 
@@ -239,12 +239,16 @@
 
 
 def test_a_dearer_datagram_slows_the_view() -> None:
-    assert Pace.by_price(0.01).period_ns < Pace.by_price(0.06).period_ns == Pace.by_price(0.06).period_ns
-    assert Pace.by_price(9.0).period_ns == 4 * Pace.by_price(0.0).period_ns
+    assert (
+        RateLimits.by_price(0.01).period_ns
+        < RateLimits.by_price(0.06).period_ns
+        == RateLimits.by_price(0.06).period_ns
+    )
+    assert RateLimits.by_price(9.0).period_ns == 4 * RateLimits.by_price(0.0).period_ns
 
 
 def test_the_time_to_settle_grows_with_the_logarithm_of_the_fleet() -> None:
-    pace = Pace()
+    pace = RateLimits()
     steps = [pace.settled_ns(10 * 4**step) - pace.settled_ns(10 * 4 ** (step - 1)) for step in (1, 2, 3, 4)]
     assert max(steps) < 1.1 * min(steps)
 
@@ -265,14 +269,14 @@
 
 
 def test_a_view_of_one_is_alone_and_steady() -> None:
-    view = View([("10.3.0.1", 1)], 0, 0, 5, Pace(), random.Random(1), SECOND)
+    view = Membership([("10.3.0.1", 1)], 0, 0, 5, RateLimits(), random.Random(1), SECOND)
     view.tick(SECOND)
     assert view.steady(SECOND)
     assert view.live(SECOND) == [0]
     assert not view.out
 
 
-def asked_in_vain(world: Views) -> tuple[View, Probe]:
+def asked_in_vain(world: Views) -> tuple[Membership, Probe]:
     """A member whose question to member 1 had no answer, while somebody else was heard."""
     view, now = world.living[0], world.now_ns
     probe = Probe(1, now, now, now + SECOND, helpers=[2], nacks=1)
--- a/tests/fleet/test_view_processes.py
+++ b/tests/fleet/test_view_processes.py
@@ -5,7 +5,7 @@
 import pytest
 from process_helpers import played_in_time
 
-from dykefold.fleet.pace import Pace
+from dykefold.fleet.rate_limits import RateLimits
 from dykefold.lab.fleet.run import Seen
 from dykefold.lab.fleet.scenario import FaultTable, FleetScenario, FleetTable
 from dykefold.lab.fleet.views import Look, plotted
@@ -55,7 +55,7 @@
     faults, span_s = CASES[case]
     seen = played(list(faults), span_s)
     assert seen.settled_s is not None, seen.looks[-1]
-    assert seen.settled_s <= Pace().settled_ns(MEMBERS) / 1e9
+    assert seen.settled_s <= RateLimits().settled_ns(MEMBERS) / 1e9
     if case in ("one way", "flood", "stopped for 3 s", "loss, doubles, spoilt", "a clock 10 s back"):
         # Nobody was ever gone for anybody: a stop of 3 s is shorter than a suspicion.
         least = min(len(live) for look in seen.looks for live in look.live.values() if look.at_s > 1)
--- a/tests/fleet/test_words.py
+++ b/tests/fleet/test_words.py
@@ -10,10 +10,10 @@
 
 from dykefold.fleet import datagrams
 from dykefold.fleet.datagrams import ENTRIES_MOST, MOST, SLICES_MOST, Datagram, Kind, Record, roster_of
+from dykefold.fleet.gossip_queue import GossipQueue
 from dykefold.fleet.knowledge import BOUNDS, Knowledge, Topic
-from dykefold.fleet.news import News
-from dykefold.fleet.pace import SECOND, Bucket
-from dykefold.fleet.words import CONCLUDES, INCARNATION_MOST, State, Table, conclude, state_of, word
+from dykefold.fleet.member_state import CONCLUDES, INCARNATION_MOST, State, Table, conclude, state_of, word
+from dykefold.fleet.rate_limits import SECOND, TokenBucket
 
 words = st.builds(
     word, st.integers(0, INCARNATION_MOST), st.sampled_from(State), st.none() | st.integers(0, 40)
@@ -161,7 +161,7 @@
 
 
 def test_news_are_told_the_least_told_first_and_so_often() -> None:
-    news: News[str] = News()
+    news: GossipQueue[str] = GossipQueue()
     news.add("a")
     news.add("b")
     assert news.take(1, lambda _: 2) == ["b"]
@@ -171,7 +171,7 @@
 
 
 def test_a_bucket_gives_its_rate_and_its_burst() -> None:
-    bucket = Bucket(10.0, 2.0, 0)
+    bucket = TokenBucket(10.0, 2.0, 0)
     assert [bucket.take(0) for _ in range(3)] == [True, True, False]
     assert not bucket.take(SECOND // 20)
     assert bucket.take(SECOND // 10)
--- a/tests/golden/forms.py
+++ b/tests/golden/forms.py
@@ -76,7 +76,7 @@
             "s-1": MaintenanceOrder(1_790_000_000_000_000_000, True),
             "s-2": MaintenanceOrder(1_790_000_000_000_000_001, False),
         }
-        files.hold(f"sign-{sign.name}")
+        files.lock(f"sign-{sign.name}")
         files.write(f"sign-{sign.name}", {**heartbeat_record(sign, said), "lists": {"": 4}})
         names = NameTable(["a", "b"], ["std"])
         entries = parse_endpoint_update(endpoint_list(), names).entries
--- a/tests/routing/test_requests.py
+++ b/tests/routing/test_requests.py
@@ -105,7 +105,7 @@
 def test_methods_have_the_effect_that_the_standard_gives_them(method, effect):
     call, _ = read(method, "/catalogue/bolts")
     assert CATALOGUE.settings.classes[call.cls].effect is effect
-    assert (call.manner is HttpProfile.HEAD) == (method == "HEAD")
+    assert (call.profile is HttpProfile.HEAD) == (method == "HEAD")
 
 
 def test_idempotent_methods_may_be_repeated_only_where_the_route_says_so():
@@ -154,7 +154,7 @@
 
 def test_the_platform_s_dialect_is_a_route_s_to_choose():
     call, _ = read("POST", "/order/part", "dialect.example", x_request_id="7")
-    assert call.cls == 1 and call.ident == b"parts/7" and call.manner is HttpProfile.PLATFORM
+    assert call.cls == 1 and call.ident == b"parts/7" and call.profile is HttpProfile.PLATFORM
     with pytest.raises(RequestError) as caught:
         read("GET", "/order/part", "dialect.example", x_request_id="7")
     assert caught.value.code == 405
--- a/tests/routing/test_services.py
+++ b/tests/routing/test_services.py
@@ -254,18 +254,18 @@
     async def play():
         fake = await Fake(answer_ok).start()
         async with Node(pool_text("a", fake.port)) as node:
-            grammar, pools = node.engine.grammar, dict(node.services.by_name)
+            grammar, pools = node.engine.parser, dict(node.services.by_name)
             with pytest.raises(ValueError, match="minima"):
                 node.apply(pool_text("a", fake.port, open_least=9000) + pool_text("b", fake.port))
-            assert node.engine.grammar is grammar and node.services.by_name == pools
+            assert node.engine.parser is grammar and node.services.by_name == pools
             assert (await ask(node.port, get("/a"))).code == 200
             text = pool_text("a", fake.port, open_least=100)
             node.apply(text)
             with pytest.raises(ValueError, match="minima"):
                 node.apply(text, sockets=128)  # judged by the limit that comes with it
-            assert node.engine.budget.upstreams.most == node.services.shares.whole > 100
+            assert node.engine.budget.upstreams.limit == node.services.shares.whole > 100
             node.apply(pool_text("a", fake.port), sockets=128)
-            assert node.engine.budget.upstreams.most == node.services.shares.whole < 100
+            assert node.engine.budget.upstreams.limit == node.services.shares.whole < 100
 
     run(play())
 
@@ -326,7 +326,7 @@
             await until(lambda: len(os.listdir("/proc/self/fd")) <= files + 2)
             await until(lambda: gc.collect() is not None and all(ref() is None for ref in gone))
             assert sys.getallocatedblocks() < blocks + 5_000  # five to a pool would show
-            assert node.engine.budget.claims == 0 and not node.engine.budget.upstreams.held > 1
+            assert node.engine.budget.claims == 0 and not node.engine.budget.upstreams.in_use > 1
             assert len(node.services.shares.claimed) <= 1
 
     run(play())
@@ -337,13 +337,13 @@
         mute, fake = await Fake(silent).start(), await Fake(answer_ok).start()
         text = pool_text("a", mute.port, deadline_ms=20_000) + pool_text("b", fake.port, open_least=10)
         async with Node(text, sockets=160) as node:
-            most = node.engine.budget.upstreams.most
+            most = node.engine.budget.upstreams.limit
             writers = []
             for number in range(most + 20):
                 _, writer = await asyncio.open_connection(HOST, node.port)
                 writer.write(get(f"/a/{number}"))
                 writers.append(writer)
-                if len(node.pool("a").held) >= most - 10:
+                if len(node.pool("a").pending) >= most - 10:
                     break
                 await asyncio.sleep(0)
             await until(lambda: node.services.shares.common > 0)
--- a/tests/routing/test_shares.py
+++ b/tests/routing/test_shares.py
@@ -40,7 +40,7 @@
         part = self.shares.parts.get(pool, Part(0, 0))
         rest = self.shares.whole - sum(other.least for other in self.shares.parts.values())
         may = self.held[pool] < part.least or (self.held[pool] < part.most and self._beyond() < rest)
-        assert self.shares.claim(pool) == may
+        assert self.shares.reserve(pool) == may
         self.held[pool] += may
 
     @rule(pool=POOLS)
@@ -64,7 +64,7 @@
 def test_a_pool_that_takes_all_leaves_the_others_their_minimum():
     shares = Shares(10)
     shares.resize(10, {"a": Part(2, 10), "b": Part(3, 10)})
-    assert sum(shares.claim("a") for _ in range(20)) == 7
-    assert sum(shares.claim("b") for _ in range(20)) == 3
+    assert sum(shares.reserve("a") for _ in range(20)) == 7
+    assert sum(shares.reserve("b") for _ in range(20)) == 3
     shares.give_back("a")
-    assert shares.claim("b") and not shares.claim("a")
+    assert shares.reserve("b") and not shares.reserve("a")
--- a/tests/routing/test_streams.py
+++ b/tests/routing/test_streams.py
@@ -65,8 +65,8 @@
     text += "idempotent = true\n" + "".join(f"{key} = {value}\n" for key, value in more.items())
     async with Node(text) as node:
         yield node, servers
-        await until(lambda: not node.pool("a").held and not node.pool("a").attempts)
-    assert node.engine.memory.held == 0 and node.engine.budget.claims == 0
+        await until(lambda: not node.pool("a").pending and not node.pool("a").attempts)
+    assert node.engine.memory.reserved_bytes == 0 and node.engine.budget.claims == 0
 
 
 async def opened(node):
@@ -114,7 +114,7 @@
             await reader.readuntil(b"\r\n\r\n")
             connections = node.pool("a").upstreams.connections
             await until(lambda: any(connection.blocked for connection in connections))
-            assert node.engine.memory.held < 64 * KB
+            assert node.engine.memory.reserved_bytes < 64 * KB
             assert await reader.readexactly(len(BIG)) == BIG
             writer.close()
             assert len(server.heads) == 1
@@ -250,11 +250,11 @@
 class HeldUp(Exchange):
     """Its client takes no more as the last piece comes."""
 
-    def begin_answer(self, code, headers, length, load):
+    def begin_response(self, code, headers, length, load):
         self.got = 0
         return True
 
-    def answer_piece(self, data):
+    def send_response_piece(self, data):
         self.got += len(data)
         if self.got == len(BIG):
             self.connection.block(True)
@@ -271,7 +271,7 @@
         for _ in range(2):
             end = loop.create_future()
             exchange = HeldUp(get("/a/x"), lambda _, status, answer, end=end: end.set_result(status), 64 * KB)
-            exchange.manner, exchange.stream_most = HttpProfile.USUAL, 2 * len(BIG)
+            exchange.profile, exchange.max_streamed_bytes = HttpProfile.USUAL, 2 * len(BIG)
             pool.start(1, exchange, 5.0)
             assert await end is Status.OK
         assert len(pool.connections) == 1
--- a/tests/sim/mutants.py
+++ b/tests/sim/mutants.py
@@ -38,8 +38,8 @@
     Mutant(
         "a request is answered twice",
         "net/downstream/response_writer.py",
-        "        self._respond(code, headers, body, call.keep_alive, call.manner is HttpProfile.HEAD)\n",
-        "        self._respond(code, headers, body, call.keep_alive, call.manner is HttpProfile.HEAD)\n" * 2,
+        "        self._respond(code, headers, body, call.keep_alive, call.profile is HttpProfile.HEAD)\n",
+        "        self._respond(code, headers, body, call.keep_alive, call.profile is HttpProfile.HEAD)\n" * 2,
         "parts",
     ),
     Mutant(
@@ -80,14 +80,14 @@
     Mutant(
         "a connection is closed and still counted",
         "net/upstream/connection_pool.py",
-        "        self.allowance.held -= 1\n",
+        "        self.allowance.in_use -= 1\n",
         "",
         "parts",
     ),
     Mutant(
         "a descriptor is not given back",
         "net/service/pending_requests.py",
-        "            self.pool.budget.unclaim()\n",
+        "            self.pool.budget.release()\n",
         "",
         "parts",
     ),
@@ -121,7 +121,7 @@
     Mutant(
         "a planned end goes on taking what is sent ahead",
         "net/shutdown.py",
-        "        self.server.ended = True\n",
+        "        self.server.all_answered = True\n",
         "",
         "ahead",
         first_seed=3,
@@ -137,7 +137,7 @@
     Mutant(
         "whoever lives is not asked for its lock",
         "control/hot_restart.py",
-        "beat.name: self.directory.held(name)",
+        "beat.name: self.directory.is_alive(name)",
         "beat.name: None",
         "upgrade",
     ),
@@ -196,7 +196,7 @@
     ),
     Mutant(
         "one that holds another plan than its zone goes on with it",
-        "failover/plan.py",
+        "failover/traffic_plan.py",
         "        if heard and to:\n            self._follow(now_ns, held)\n",
         "",
         "zones",
--- a/tests/sim/test_membership.py
+++ b/tests/sim/test_membership.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from dykefold.fleet.words import State
+from dykefold.fleet.member_state import State
 from dykefold.sim import membership
 from dykefold.sim.explore import explore
 
--- a/tests/sim/test_reality.py
+++ b/tests/sim/test_reality.py
@@ -14,7 +14,7 @@
 from dykefold.net.memory_budget import MB
 from dykefold.net.sidecar import SidecarServer
 from dykefold.settings import Transport
-from dykefold.sim import apps, nodes
+from dykefold.sim import clients, nodes
 from dykefold.sim.kernel import MS, SECOND
 from dykefold.sim.schedule import Fault, Kind, draw
 from dykefold.sim.world import CLASSES, Running, settings_of, without
@@ -114,7 +114,7 @@
 
 @pytest.mark.parametrize("wrong", [None, Kind.SILENT])
 def test_outcomes_are_the_same(wrong, monkeypatch):
-    monkeypatch.setattr(apps, "RETRIED", 0.0)  # the real clients do not come back
+    monkeypatch.setattr(clients, "RETRIED", 0.0)  # the real clients do not come back
     scenario = draw("storm", 11, SPAN_NS)
     arrivals = tuple(a for a in scenario.arrivals if not a.leaves_ms and not a.behind)
     arrivals = arrivals[::4]  # what is at the limit of its servers goes one way or the other by chance
--- a/tests/sim/test_simulation.py
+++ b/tests/sim/test_simulation.py
@@ -14,7 +14,7 @@
 from dykefold.sim import nodes
 from dykefold.sim.kernel import MS, SECOND
 from dykefold.sim.minimise import minimise
-from dykefold.sim.net import Network
+from dykefold.sim.network import Network
 from dykefold.sim.run import play, play_seed, play_steps
 from dykefold.sim.schedule import WORLDS, Arrival, Fault, Kind, draw
 from dykefold.sim.world import without
--- a/tests/sim/test_syscalls.py
+++ b/tests/sim/test_syscalls.py
@@ -6,7 +6,7 @@
 from test_network import ADDRESS, Pair
 
 from dykefold.sim.kernel import SECOND
-from dykefold.sim.net import Network
+from dykefold.sim.network import Network
 from dykefold.sim.schedule import OF_CALLS
 from dykefold.sim.syscalls import ERRORS, TAKES_ONE, SystemCall
 
--- a/tests/test_client_closes.py
+++ b/tests/test_client_closes.py
@@ -65,7 +65,7 @@
 
 
 def begun(sidecar):
-    return [connection for connection in sidecar.engine.clients.all.values() if connection.owes]
+    return [connection for connection in sidecar.engine.clients.all.values() if connection.message_unfinished]
 
 
 # Room for a newcomer
@@ -137,7 +137,7 @@
         assert await codes(reader) == ([503], True)
         writer.close()
         await until(lambda: not sidecar.engine.clients.all)
-        assert not sidecar.engine.memory.held
+        assert not sidecar.engine.memory.reserved_bytes
 
 
 # The planned end
@@ -159,7 +159,7 @@
         engine.shutdown.stop_requests()
         if not cut:
             go.set()
-            await until(lambda: len(fake.got) == many and not engine.pool.held)
+            await until(lambda: len(fake.got) == many and not engine.pool.pending)
         engine.shutdown.answer_all()
         found, ended = await codes(reader)
         assert ended and len(found) == many + bool(after)
@@ -237,7 +237,7 @@
         wanted = {name: (found, True, True) for name, (_, found) in STOPS.items()}
         assert dict(zip(STOPS, played, strict=True)) == wanted
         await until(lambda: not sidecar.engine.clients.all)
-        assert not sidecar.engine.memory.held
+        assert not sidecar.engine.memory.reserved_bytes
 
 
 # Without a look into the socket
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -99,7 +99,7 @@
 
 
 def gone(sidecar):
-    return not sidecar.engine.clients.all and not sidecar.engine.pool.held
+    return not sidecar.engine.clients.all and not sidecar.engine.pool.pending
 
 
 def end(sock, how):
@@ -261,7 +261,7 @@
         await loop.sock_connect(client, (HOST, sidecar.port))
         asked = [message("order", f"id{n}", "4000m") for n in range(1 + 2 * WAITING_MOST * paused)]
         await loop.sock_sendall(client, b"".join(asked))
-        opening = pool.upstreams.targets[1].opening
+        opening = pool.upstreams.endpoints[1].opening
         await until(lambda: opening and all(made.sock.getsockname()[1] for made in opening.values()))
         end(client, how)
         for filler in fill:
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -48,7 +48,7 @@
 
 def left(sidecar):
     """Whether the sidecar has no client any more, and owes no answer."""
-    return not sidecar.engine.clients.all and not sidecar.engine.pool.held
+    return not sidecar.engine.clients.all and not sidecar.engine.pool.pending
 
 
 async def turn_away(message, reader, writer):
@@ -114,7 +114,7 @@
             filler.close()
         sock.setblocking(False)
         loop = asyncio.get_running_loop()
-        idle = pool.upstreams.targets[1].idle
+        idle = pool.upstreams.endpoints[1].idle
         got = []
         while not idle:  # kept for others
             taken, _ = await loop.sock_accept(sock)
@@ -167,7 +167,7 @@
         monkeypatch.setattr(pool.balancer.retries, "plan", plan_and_stand_still)
         assert (await ask(sidecar.port, message("order", "ab", "400m"))).code == 503
         assert planned[0]
-        assert not pool.held
+        assert not pool.pending
     assert len(fake.got) == 1
 
 
@@ -234,7 +234,7 @@
         sock.sendall(message("lookup", "ab", "3000m", b"", "Connection: close"))
         await until(lambda: fake.got)
         fronts = sidecar.engine.clients.all
-        await until(lambda: all(front.deaf for front in list(fronts.values())))
+        await until(lambda: all(front.discarding_input for front in list(fronts.values())))
         sock.sendall(b"GET /lookup/more")  # in the moment of the close, or after it
         got = await asyncio.to_thread(read_all, sock)
         assert got.endswith(body)
@@ -273,9 +273,9 @@
         data = message("order", "cd")
         # Into the kernel now, not in a later turn.
         assert os.write(writer.get_extra_info("socket").fileno(), data) == len(data)
-        front.leave()  # in the same turn: nothing was read yet
+        front.close_when_idle()  # in the same turn: nothing was read yet
         assert (await read_message(reader)).code == 200
-        front.leave()
+        front.close_when_idle()
         assert await reader.read() == b""
         writer.close()
     assert len(fake.got) == 2
@@ -316,7 +316,7 @@
         whole = message("order", "ab", "3000m", b"body")
         writer.write(whole[:40])
         fronts = engine.clients.all
-        await until(lambda: any(front.owes for front in fronts.values()))
+        await until(lambda: any(front.message_unfinished for front in fronts.values()))
         engine.drain()
         engine.shutdown.stop_requests()
         writer.write(whole[40:])
@@ -389,7 +389,7 @@
     async def lose(message, reader, writer):
         # The repeat has one server to go to, at which connections do not come up.
         changes = entry("s1", first.address, "DRAINING"), entry("s2", late)
-        pool.on_news(parse_endpoint_update(news(2, *changes), pool.names))
+        pool.on_update(parse_endpoint_update(news(2, *changes), pool.names))
         reset(writer)
 
     first = await Fake(lose).start()
@@ -411,7 +411,7 @@
         for filler in fill:
             filler.close()
         sock.setblocking(False)
-        idle = pool.upstreams.targets[2].idle
+        idle = pool.upstreams.endpoints[2].idle
         taken = []
         while not idle and not asked.done():
             with contextlib.suppress(asyncio.TimeoutError):
@@ -489,7 +489,7 @@
         still_s = loop_late_s - (pool.now() - attempt.sent_ns) / 1e9
         stand_still(loop, still_s, lambda: server.send(reply(200, b"served")))
         assert (await asked).code == 200
-        assert not pool.held and not pool.attempts
+        assert not pool.pending and not pool.attempts
 
 
 @on_loop
@@ -568,7 +568,7 @@
     async with asked_of_a_raw_server(tmp_path, message("order", "ab", "400m")) as (pool, asked, server):
         stand_still(asyncio.get_running_loop(), 0.6, lambda: server.send(whole[:-3]))
         assert (await asked).code == 502
-        assert not pool.held and not pool.attempts
+        assert not pool.pending and not pool.attempts
 
 
 @on_loop
@@ -582,7 +582,7 @@
         asked = asyncio.create_task(ask(sidecar.port, message("order", "ab", "4000m", b"body")))
         await until(lambda: pool.attempts)
         (attempt,) = pool.attempts.values()
-        opening = pool.upstreams.targets[1].opening
+        opening = pool.upstreams.endpoints[1].opening
         # Its connect has found the listener full: its socket has a port from then on.
         await until(lambda: all(made.sock.getsockname()[1] for made in opening.values()))
         for filler in fill:
@@ -627,7 +627,7 @@
         pool, loop = sidecar.engine.pool, asyncio.get_running_loop()
         asked = asyncio.create_task(ask(sidecar.port, message("order", "ab", "4000m")))
         await until(lambda: pool.attempts)
-        pool.on_news(parse_endpoint_update(news(2, entry("s1", new.address), snapshot=False), pool.names))
+        pool.on_update(parse_endpoint_update(news(2, entry("s1", new.address), snapshot=False), pool.names))
         for filler in fill:
             filler.close()
         sock.setblocking(False)
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -153,7 +153,7 @@
     heard = []
     both = watcher(fake, heard)
     await until(lambda: fake.got)
-    both.ask_now()
+    both.poll_now()
     await until(lambda: len(fake.got) >= 2)
     go.set()
     await until(lambda: heard)
@@ -238,7 +238,7 @@
     heard = []
     moved = watcher(old, heard)
     await until(lambda: writers)
-    moved.turn((HOST, new.port))
+    moved.change_address((HOST, new.port))
     await until(lambda: new.got)
     writers[0].write(listing(41, DRAINED))
     await until(lambda: heard)
@@ -287,7 +287,7 @@
     moved = watcher(fakes[0], heard)
     await until(lambda: fakes[0].got)
     for fake in (*fakes[1:], *fakes):
-        moved.turn((HOST, fake.port))
+        moved.change_address((HOST, fake.port))
     await until(lambda: fakes[2].connections - fakes[2].ended == 1)
     await until(lambda: fakes[0].connections == fakes[0].ended)
     assert moved.previous is not None and moved.address == (HOST, fakes[2].port)
--- a/tests/test_deadline_told.py
+++ b/tests/test_deadline_told.py
@@ -168,7 +168,7 @@
     """Whether a connect is on its way: its socket has a port then."""
     return any(
         made.sock.getsockname()[1]
-        for target in pool.upstreams.targets.values()
+        for target in pool.upstreams.endpoints.values()
         for made in target.opening.values()
     )
 
@@ -184,7 +184,7 @@
         pool, loop = sidecar.engine.pool, asyncio.get_running_loop()
         sent = framing(message("order", "ab", "3000m"), body)
         asked = asyncio.create_task(ask(told, sidecar.port, "ab", sent))
-        await until(lambda: begun(pool) and all(held.call.upload.ended for held in pool.held.values()))
+        await until(lambda: begun(pool) and all(held.call.upload.ended for held in pool.pending.values()))
         for filler in fill:
             filler.close()
         sock.setblocking(False)
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -223,10 +223,10 @@
             engine = sidecar.engine
             assert (await ask(sidecar.port, message("lookup", "ab"))).code == 200
             for index in range(2, 50):
-                engine.pool.on_news(
+                engine.pool.on_update(
                     parse_endpoint_update(news(index, entry(f"s{index}", fake.address)), engine.pool.names)
                 )
-            assert len(engine.pool.upstreams.targets) == 1 and len(engine.pool.names.servers) <= 2
+            assert len(engine.pool.upstreams.endpoints) == 1 and len(engine.pool.names.servers) <= 2
             assert (await ask(sidecar.port, message("lookup", "cd"))).code == 200
 
     run(play())
--- a/tests/test_net_ends.py
+++ b/tests/test_net_ends.py
@@ -164,11 +164,11 @@
         peer.setblocking(False)
         with contextlib.suppress(BlockingIOError, ConnectionResetError):
             assert not peer.recv(1)
-        assert not pool.targets[1].opening
+        assert not pool.endpoints[1].opening
         pool.close()
         peer.close()
         server.close()
-        assert not pool.connections and not pool.allowance.held
+        assert not pool.connections and not pool.allowance.in_use
 
     run(play())
 
@@ -179,7 +179,7 @@
 
         async def play():
             pool = make(("127.0.0.1", server.numbers[0]))
-            target = pool.targets[1]
+            target = pool.endpoints[1]
             warm = asyncio.get_running_loop().create_future()
             pool.start(1, Exchange(PAYLOAD, lambda _, s, a: warm.set_result(s), 99), WAIT)
             assert await warm is Status.OK
@@ -191,7 +191,7 @@
                 await asyncio.sleep(0)
             assert exchange in target.opening and exchange.connection is None
             exchange.give_up(Status.CANCELLED)
-            pool.keep(free, time.monotonic())
+            pool.keep_idle(free, time.monotonic())
             assert ends == [Status.CONNECT_FAILED] and free.exchange is None
             await asyncio.sleep(HELD)
             pool.close()
--- a/tests/test_net_front.py
+++ b/tests/test_net_front.py
@@ -82,7 +82,8 @@
             assert [got.headers["x-request-id"] for got in fake.got] == ["before"]
             await until(lambda: not sidecar.engine.clients.all)
             assert (
-                sidecar.engine.memory.held == 0 and sidecar.engine.budget.upstreams.held == fake.connections
+                sidecar.engine.memory.reserved_bytes == 0
+                and sidecar.engine.budget.upstreams.in_use == fake.connections
             )
 
     run(play())
@@ -186,7 +187,7 @@
             assert (await ask(sidecar.port, message("order", "a", "900m", b"x" * 3001))).code == 503
             assert (await ask(sidecar.port, message("order", "b", "900m", b"x" * 1000))).code == 200
             await until(lambda: not sidecar.engine.clients.all)
-            assert sidecar.engine.memory.held == 0
+            assert sidecar.engine.memory.reserved_bytes == 0
 
     run(play())
 
@@ -271,11 +272,11 @@
         stranger, _ = await open_peer(1, [])
         me, me_at = await open_peer(0, [(HOST, 9), known_at])
         known.peers = stranger.peers = [me_at]
-        stranger.tell(b"strange", 0)
+        stranger.send(b"strange", 0)
         known.transport.sendto(b"x" * 257, me_at)
-        known.tell(b"y" * 257, 0)
-        known.tell(b"nobody", 5)
-        known.tell(b"z" * 256, 0)
+        known.send(b"y" * 257, 0)
+        known.send(b"nobody", 5)
+        known.send(b"z" * 256, 0)
         await until(lambda: heard)
         assert heard == [(1, b"z" * 256)]
         for peer in (known, stranger, me):
@@ -288,8 +289,11 @@
     for sockets in (256, 384, 1024):
         budget = Budget(sockets)
         assert budget.clients > budget.usable == sockets // 3  # what clients hold at most for requests
-        assert budget.upstreams.most > sockets / 3
-    assert MemoryBudget(32 * MB).most <= 4 * MB and MemoryBudget(192 * MB).most == MemoryBudget.MAX_BYTES
+        assert budget.upstreams.limit > sockets / 3
+    assert (
+        MemoryBudget(32 * MB).capacity_bytes <= 4 * MB
+        and MemoryBudget(192 * MB).capacity_bytes == MemoryBudget.MAX_BYTES
+    )
 
 
 def test_silent_clients_are_closed_first_and_leave_descriptors_for_attempts(tmp_path):
@@ -340,7 +344,7 @@
             assert (await read_message(held_reader)).code == 408
             held_writer.close()
             await until(lambda: not sidecar.engine.clients.all)
-            assert not sidecar.engine.memory.held and len(fake.got) == 1
+            assert not sidecar.engine.memory.reserved_bytes and len(fake.got) == 1
 
     run(play())
 
@@ -378,7 +382,7 @@
             assert (await read_message(reader)).code == 413
             assert await reader.read() == b""
             writer.close()
-            assert not fake.got and not sidecar.engine.memory.held
+            assert not fake.got and not sidecar.engine.memory.reserved_bytes
 
     run(play())
 
@@ -400,7 +404,7 @@
             go.set()
             assert (await first).body == b"served 1"
             assert (await ask(sidecar.port, message("order", "same", "3000m", b"3"))).code == 409
-            assert len(fake.got) == 1 and not sidecar.engine.memory.held
+            assert len(fake.got) == 1 and not sidecar.engine.memory.reserved_bytes
 
     run(play())
 
@@ -417,6 +421,6 @@
                 await read_message(reader)
             writer.close()
             assert len(sidecar.engine.ids) <= 102 and len(sidecar.engine.old_ids) <= 102
-            assert not sidecar.engine.pool.held and not sidecar.engine.pool.attempts
+            assert not sidecar.engine.pool.pending and not sidecar.engine.pool.attempts
 
     run(play())
--- a/tests/test_net_hostile.py
+++ b/tests/test_net_hostile.py
@@ -80,8 +80,8 @@
     connection, wire, meter = ClientConnection(engine, client), Wire(), Meter()
     engine.clients.add(connection)
     connection.connection_made(wire)
-    turn = engine.backlog._turn
-    engine.backlog._turn = lambda: meter.run(MAX_SLICES_PER_TURN * SLICE_BYTES, turn)
+    turn = engine.read_scheduler._turn
+    engine.read_scheduler._turn = lambda: meter.run(MAX_SLICES_PER_TURN * SLICE_BYTES, turn)
     for piece in pieces:
         async with asyncio.timeout(WAIT):
             while not wire.reading and not wire.closing:
@@ -91,8 +91,8 @@
         while connection.unfed is not None or connection.current is not None:
             await asyncio.sleep(0)
     connection.connection_lost(None)
-    engine.backlog._turn = turn
-    assert not engine.memory.held
+    engine.read_scheduler._turn = turn
+    assert not engine.memory.reserved_bytes
     return wire, meter
 
 
--- a/tests/test_net_long_day.py
+++ b/tests/test_net_long_day.py
@@ -19,22 +19,22 @@
                     entry(f"s{number - 1}", fake.address, "DELETED"),
                     snapshot=False,
                 )
-                engine.pool.on_news(parse_endpoint_update(change, engine.pool.names))
+                engine.pool.on_update(parse_endpoint_update(change, engine.pool.names))
                 if number % 20 == 0:
                     data = message("lookup", f"id{number}", "900m", b"", f"X-Key: key{number}")
                     assert (await ask(sidecar.port, data)).code == 200
                 assert len(engine.pool.names.servers) <= 2
             await until(lambda: not engine.clients.all)
-            assert len(module.servers) <= 2 and len(engine.pool.upstreams.targets) == 1
+            assert len(module.servers) <= 2 and len(engine.pool.upstreams.endpoints) == 1
             assert len(engine.pool.upstreams.connections) <= 2
             assert len(module.endpoints.groups) <= 4 and len(engine.pool.names.zones) <= 256
             assert not (
-                module.pending or module.load_reports.waiting or engine.pool.held or engine.pool.attempts
+                module.pending or module.load_reports.waiting or engine.pool.pending or engine.pool.attempts
             )
             assert (
                 len(module.timers.heap) <= DAYS_WORTH / 20
             )  # each goes with its deadline, whatever came of it
-            assert module.in_flight == 0 and engine.memory.held == 0
+            assert module.in_flight == 0 and engine.memory.reserved_bytes == 0
 
     run(play())
 
@@ -51,7 +51,7 @@
             old.failure_score = 5.0
             module.outliers.eject(old)
             change = news(2, entry("s1", fake.address, "DELETED"), entry("s2", fake.address), snapshot=False)
-            engine.pool.on_news(parse_endpoint_update(change, engine.pool.names))
+            engine.pool.on_update(parse_endpoint_update(change, engine.pool.names))
             (new,) = [server for server in module.servers.values() if server.listed]
             assert new is not old and not new.ejected and not new.samples and not module.endpoints.ejected
             assert (await ask(sidecar.port, message("lookup", "b"))).code == 200
@@ -67,8 +67,8 @@
             engine = sidecar.engine
             for index, status in ((2, "DELETED"), (3, "SERVING")):
                 change = news(index, entry("s1", fake.address, status), snapshot=False)
-                engine.pool.on_news(parse_endpoint_update(change, engine.pool.names))
+                engine.pool.on_update(parse_endpoint_update(change, engine.pool.names))
             assert (await ask(sidecar.port, message("order", "a"))).code == 200
-            assert list(engine.pool.upstreams.targets) == list(engine.pool.balancer.servers)
+            assert list(engine.pool.upstreams.endpoints) == list(engine.pool.balancer.servers)
 
     run(play())
--- a/tests/test_net_pool.py
+++ b/tests/test_net_pool.py
@@ -30,15 +30,15 @@
         self.budget = Budget(256)
         self.memory = MemoryBudget(64 * MB)
         self.lag = LoopLagMonitor(self.loop)
-        self.backlog = ReadScheduler(self.loop, self.lag)
-        self.deadlines = TimerWheel(self.loop)
+        self.read_scheduler = ReadScheduler(self.loop, self.lag)
+        self.timer_wheel = TimerWheel(self.loop)
         self.peers = None
         self.over = []
 
-    def fault(self, text):
+    def log_exception(self, text):
         raise AssertionError(text)
 
-    def settled(self, asker, call, served):
+    def on_request_end(self, asker, call, served):
         self.over.append((call.ident, served))
 
 
@@ -52,7 +52,7 @@
     def gone(self):
         return False
 
-    def answer(self, call, code, headers, body):
+    def respond(self, call, code, headers, body):
         self.answers.append((call.ident, code, body))
 
 
@@ -78,8 +78,8 @@
         pools = [make(home, entry("s1", fake.address)), make(home, entry("s1", mute.address))]
         before = home.budget.claims
         for pool, ident, within in ((pools[0], b"aa", 3000), (pools[1], b"bb", 200)):
-            assert home.budget.claim()
-            pool.take(asker, call(home, ident, within))
+            assert home.budget.reserve()
+            pool.accept(asker, call(home, ident, within))
         async with asyncio.timeout(10):
             while len(asker.answers) < 2:
                 await asyncio.sleep(0.005)
@@ -88,7 +88,7 @@
         assert sorted(home.over) == [(b"aa", True), (b"bb", False)]
         assert len(fake.got) == len(mute.got) == 1 and home.budget.claims == before
         for pool in pools:
-            assert not pool.held and not pool.attempts
+            assert not pool.pending and not pool.attempts
             pool.close()
         home.lag.close()
 
--- a/tests/test_net_requests.py
+++ b/tests/test_net_requests.py
@@ -228,7 +228,7 @@
             for number in range(3):
                 assert (await ask(sidecar.port, message("lookup", f"id{number}"))).code == 200
             assert (await lost).code == 503
-            assert not sidecar.engine.pool.held
+            assert not sidecar.engine.pool.pending
 
     run(play())
 
@@ -262,7 +262,7 @@
             engine = sidecar.engine
             engine.pool.message = broken
             assert (await ask(sidecar.port, message("order", "ab", "300m"))).code == 503
-            assert not engine.pool.held and not engine.pool.attempts
+            assert not engine.pool.pending and not engine.pool.attempts
             del engine.pool.message
             assert (await ask(sidecar.port, message("order", "cd"))).code == 200
 
@@ -280,7 +280,9 @@
             await until(lambda: fake.ended == 1, "its attempt is called off")
             engine = sidecar.engine
             await until(
-                lambda: not engine.pool.held and not engine.pool.attempts and not engine.pool.balancer.pending
+                lambda: (
+                    not engine.pool.pending and not engine.pool.attempts and not engine.pool.balancer.pending
+                )
             )
             assert not engine.clients.all
             (server,) = engine.pool.balancer.servers.values()
@@ -337,7 +339,7 @@
         async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
             heard = []
             engine = sidecar.engine
-            (server,) = engine.pool.upstreams.targets
+            (server,) = engine.pool.upstreams.endpoints
             engine.pool.balancer.handle = lambda now, event: heard.append(event) or []
             engine.pool.carry_out[Probe](Probe(server))
             await until(lambda: heard)
@@ -380,7 +382,7 @@
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
             writer.write(message("lookup", "a") + message("lookup", "b"))
             await until(lambda: fake.got)
-            sidecar.engine.draining, sidecar.engine.taking = True, False
+            sidecar.engine.draining, sidecar.engine.accepting_requests = True, False
             sidecar.engine.shutdown.answer_all()
             got = [await read_message(reader), await read_message(reader)]
             assert [one.code for one in got] == [504, 503]
--- a/tests/test_net_sweep.py
+++ b/tests/test_net_sweep.py
@@ -22,10 +22,10 @@
         monkeypatch.setattr(IdleAgeStats, "limit", lambda ages, now: looked.append(ages) or limit(ages, now))
         pool.sweep()
         assert len(looked) == 3
-        assert all(pool.targets[server].idle for server in (1, 7, 9))
+        assert all(pool.endpoints[server].idle for server in (1, 7, 9))
         clock[0] += 60.0
         pool.sweep()
-        assert not any(target.idle for target in pool.targets.values())
+        assert not any(target.idle for target in pool.endpoints.values())
         pool.close()
 
     clock = [1000.0]
--- a/tests/test_net_upstream.py
+++ b/tests/test_net_upstream.py
@@ -103,7 +103,7 @@
         assert len(pool.connections) == 1
         go.set()
         await until(lambda: not pool.connections)
-        assert not pool.targets[1].idle and not pool.allowance.held
+        assert not pool.endpoints[1].idle and not pool.allowance.in_use
 
     run(play())
 
@@ -128,15 +128,17 @@
         ends = [start(pool)[1] for _ in range(3)]
         for end in ends:
             assert (await end)[0] is Status.OK
-        await until(lambda: len(pool.targets[1].idle) == 3)  # one may have taken another's, its own comes yet
-        latest = next(reversed(pool.targets[1].idle))
+        await until(
+            lambda: len(pool.endpoints[1].idle) == 3
+        )  # one may have taken another's, its own comes yet
+        latest = next(reversed(pool.endpoints[1].idle))
         await until(lambda: time.monotonic() - latest.idle_since > 0.01)  # so long that it has rested
         _, end = start(pool)
         assert latest.exchange is not None
         await end
-        next(iter(pool.targets[1].idle)).idle_since -= 60.0 * upstream.IDLE_FRACTION
+        next(iter(pool.endpoints[1].idle)).idle_since -= 60.0 * upstream.IDLE_FRACTION
         pool.sweep()
-        assert len(pool.targets[1].idle) == 2 and latest in pool.targets[1].idle
+        assert len(pool.endpoints[1].idle) == 2 and latest in pool.endpoints[1].idle
         pool.close()
 
     run(play())
@@ -147,7 +149,7 @@
         server, fill = full_listener()
         pool = make(server.getsockname(), connect_timeout=0.1)
         assert await start(pool)[1] == (Status.CONNECT_FAILED, None)
-        assert not pool.connections and not pool.targets[1].opening and not pool.allowance.held
+        assert not pool.connections and not pool.endpoints[1].opening and not pool.allowance.in_use
         for sock in (server, *fill):
             sock.close()
 
@@ -168,7 +170,7 @@
         else:
             pool.update(1, server.getsockname(), 0, State.DRAINING if how == "drain" else State.GONE)
         assert await end == (Status.CONNECT_FAILED, None)
-        await until(lambda: not pool.connections and not pool.targets[1].opening)
+        await until(lambda: not pool.connections and not pool.endpoints[1].opening)
         for sock in fill:
             sock.close()
         server.setblocking(False)
@@ -196,7 +198,7 @@
         pool = make(address)
         assert (await start(pool)[1])[0] is Status.OK
         pool.update(1, address, 5, State.READY)  # restarted
-        assert not pool.targets[1].idle
+        assert not pool.endpoints[1].idle
         go.clear()
         _, end = start(pool)
         await until(lambda: len(fake.got) == 2)
@@ -284,10 +286,10 @@
         ends = [start(pool)[1] for _ in range(8)]
         for end in ends:
             assert (await end)[0] is Status.OK
-        await until(lambda: len(pool.targets[1].idle) == 8)
+        await until(lambda: len(pool.endpoints[1].idle) == 8)
         waits = [start(pool, 2)[1] for _ in range(8)]
         await until(lambda: len(other.got) == 8)
-        assert not pool.targets[1].idle and pool.allowance.held == 8
+        assert not pool.endpoints[1].idle and pool.allowance.in_use == 8
         assert await start(pool, 2)[1] == (Status.NOT_ATTEMPTED, None)
         assert not any(end.done() for end in waits)
         pool.close()
@@ -341,7 +343,7 @@
         await closed.wait()
         status, answer = await start(pool)[1]
         assert status is Status.OK and answer.body == b"second"
-        assert not pool.memory.held and len(pool.connections) == 1
+        assert not pool.memory.reserved_bytes and len(pool.connections) == 1
         pool.close()
 
     run(play())
@@ -373,11 +375,11 @@
 
         fake = await Fake(act).start()
         pool = make((HOST, fake.port))
-        pool.memory.most = 4000
+        pool.memory.capacity_bytes = 4000
         assert await start(pool)[1] == (Status.RESET, None)
-        pool.memory.most = 6000
+        pool.memory.capacity_bytes = 6000
         assert (await start(pool)[1])[0] is Status.OK
-        assert pool.memory.held == 0
+        assert pool.memory.reserved_bytes == 0
         pool.close()
 
     run(play())
@@ -401,8 +403,8 @@
         assert (await first)[0] is Status.OK and (await second)[0] is Status.OK
         assert {got.connection for got in fake.got} == {1}
         pool.loop.go.set()
-        await until(lambda: len(pool.targets[1].idle) == 2)  # the other one is kept
-        assert not pool.targets[1].opening
+        await until(lambda: len(pool.endpoints[1].idle) == 2)  # the other one is kept
+        assert not pool.endpoints[1].opening
         pool.loop = real
         pool.close()
 
@@ -471,10 +473,10 @@
         assert outcomes[:20] == [Status.OK] * 20
         assert outcomes.count(Status.RESET) == 2, outcomes  # enough to tell it from chance
         assert outcomes[-3:] == [Status.OK] * 3
-        assert pool.targets[1].ages.limit_s == 0.4
+        assert pool.endpoints[1].ages.limit_s == 0.4
         clock[0] += 0.5
         pool.sweep()  # closes what would not be used any more
-        assert not pool.targets[1].idle
+        assert not pool.endpoints[1].idle
         pool.close()
 
     clock = [1000.0]
@@ -500,15 +502,15 @@
         pool.monotonic = lambda: clock[0]
         ends = [start(pool)[1] for _ in range(3)]
         assert [(await end)[0] for end in ends] == [Status.OK] * 3
-        kept = list(pool.targets[1].idle)
+        kept = list(pool.endpoints[1].idle)
         assert len(kept) == 3
         pool.update(2, (HOST, fake.port), 0, State.READY)
         clock[0] += 20.0
         pool.sweep()
-        assert len(pool.targets[1].idle) == 3  # nobody lacks them
+        assert len(pool.endpoints[1].idle) == 3  # nobody lacks them
         assert (await start(pool, server=2)[1])[0] is Status.FULL
         pool.sweep()
-        assert not pool.targets[1].idle
+        assert not pool.endpoints[1].idle
         pool.close()
 
     clock = [1000.0]
@@ -554,7 +556,7 @@
         for _ in range(2):
             assert (await start(pool)[1])[0] is Status.OK
             await until(lambda: not pool.connections)
-        assert pool.targets[1].ages.limit_s <= 0.2
+        assert pool.endpoints[1].ages.limit_s <= 0.2
         pool.close()
 
     run(play())
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -238,8 +238,8 @@
         if where == "here while running":
             wall["step"] = step
         tell.set()
-        await until(lambda: "s2" in pool.named())
-        balancer, named = pool.balancer, pool.named()
+        await until(lambda: "s2" in pool.endpoint_numbers())
+        balancer, named = pool.balancer, pool.endpoint_numbers()
         assert pool.settings.warm_within_ns == 22 * SECOND
         old, new = balancer.servers[named["s1"]], balancer.servers[named["s2"]]
         assert balancer.slow_start.ramp(old) == 1.0
--- a/tests/test_syscalls_upstream.py
+++ b/tests/test_syscalls_upstream.py
@@ -69,8 +69,8 @@
 async def nothing_left(pool, system):
     pool.close()
     await until(lambda: not system.open_ones(), "all descriptors closed")
-    assert not pool.allowance.held and not pool.connections and not pool.unneeded
-    assert not any(target.opening for target in pool.targets.values())
+    assert not pool.allowance.in_use and not pool.connections and not pool.unneeded
+    assert not any(target.opening for target in pool.endpoints.values())
 
 
 @pytest.mark.parametrize("play_on", LOOPS)
@@ -193,7 +193,7 @@
         pool = make((HOST, fake.port), system)
         system.faults.on("setsockopt", errno.ENOBUFS, after=2)
         assert await start(pool)[1] == (Status.NOT_ATTEMPTED, None)
-        assert not system.open_ones() and not pool.allowance.held
+        assert not system.open_ones() and not pool.allowance.in_use
         system.faults.clear()
         gc.collect()  # of what asyncio's loop still knows by the descriptor's number
         assert (await start(pool)[1])[0] is Status.OK
@@ -405,9 +405,9 @@
         pool = make((HOST, fake.port), system)
         for end in [start(pool)[1] for _ in range(1 + spare)]:
             assert (await end)[0] is Status.OK
-        await until(lambda: len(pool.targets[1].idle) == 1 + spare)
+        await until(lambda: len(pool.endpoints[1].idle) == 1 + spare)
         monkeypatch.setattr(upstream, "QUARANTINE_MIN_S", WAIT)  # however late this machine is
-        for connection in pool.targets[1].idle:
+        for connection in pool.endpoints[1].idle:
             connection.idle_since -= WAIT
         exchange, end = start(pool)
         first = exchange.connection
@@ -518,11 +518,11 @@
             await loop.create_datagram_endpoint(lambda end=end: end, sock=sock)
         for _ in range(20):
             for number in [*range(len(peers)), None]:
-                ends[0].tell(b"x", number)
+                ends[0].send(b"x", number)
             await asyncio.sleep(0)
         before = len([what for what in heard if what == (0, b"x")])
-        ends[1].tell(b"back", 0)
-        ends[0].tell(b"last", 1)
+        ends[1].send(b"back", 0)
+        ends[0].send(b"last", 1)
         await until(lambda: (1, b"back") in heard and (0, b"last") in heard)
         assert before <= 20 and not problems and not any(end.transport.is_closing() for end in ends)
         for end in ends:
@@ -551,7 +551,7 @@
     peers = PeerChannel(0, [(HOST, 1), (HOST, 2)], None, lambda *_: None)
     peers.transport = Refusing()
     for _ in range(3):
-        peers.tell(b"x", 1)
+        peers.send(b"x", 1)
     assert peers.transport.sent == 3
 
 
@@ -576,7 +576,7 @@
             if told is None and not pushed:
                 discovery.watch(True)  # as the module does after a failure
 
-        discovery.heard = hear
+        discovery.on_update = hear
         system.faults.on(call, errno.ENOBUFS, times=3)
         discovery.watch(True)
         await until(lambda: any(told is not None and told.version == 7 for told in heard))
