--- a/dykefold/sim/clients.py
+++ b/dykefold/sim/clients.py
@@ -99,6 +99,8 @@
         # An answer that breaks off has failed, and shows only by the connection's end: what was sent ahead
         # behind it has not been begun, and is the client's to send again (RFC 9112, 9.3.2).
         broken = bool(self.messages.held)
+        if broken and waiting:
+            self.app.cut_short(waiting.pop(0))
         for asked in waiting:
             read = peer is not None and peer.read_bytes >= asked.end_bytes
             self.app.unanswered(asked, read and not self.ending and not broken)
@@ -262,12 +264,16 @@
             wait_s = min(float(headers.get("retry-after", 0.02)), 1.0)
             self.loop.call_later(wait_s, self._ask, asked.arrival, asked.ident + "r", True)
 
+    def cut_short(self, asked: Asked) -> None:
+        """A connection has ended in the middle of the answer to this request."""
+        self.run.rules.cut_short(self.run.kernel.now_ns, asked.ident, self._same_life(asked))
+
     def unanswered(self, asked: Asked, read: bool) -> None:
         """A connection has ended with this request open."""
         if read and self._same_life(asked):
             self.run.rules.lost(self.run.kernel.now_ns, asked.ident, "its connection ended")
         elif not read:
-            self.run.rules.not_taken(self.run.kernel.now_ns, asked.ident)
+            self.run.rules.not_taken(self.run.kernel.now_ns, asked.ident, self._same_life(asked))
             if not asked.ident.endswith("r"):
                 self._ask(asked.arrival, asked.ident + "r", True)
 
--- a/dykefold/sim/wire.py
+++ b/dykefold/sim/wire.py
@@ -93,6 +93,8 @@
             self.kernel.note(f"{sock.loop.name} sends {ident} to {line.server}")
         line.left = int(headers.get("content-length", 0))
         line.streamed = line.left > BODY_MOST
+        if line.current is not None:
+            line.current.streamed = line.streamed
         if not line.left:
             self._whole(line)
         return rest
@@ -145,6 +147,7 @@
     def broken(self, sock: SimSocket) -> None:
         line = self.lines.get(sock)
         if line is not None and line.current is not None:
+            line.current.server_ended |= line.current.out
             line.current.out = False
 
 
--- a/tests/sim/test_judge.py
+++ b/tests/sim/test_judge.py
@@ -86,6 +86,58 @@
     assert broken(rules) == ["one answer", "in time", "own answer", "one answer"]
 
 
+@pytest.mark.parametrize(
+    ("process_lives", "server_ended", "rule"),
+    [(True, True, None), (False, False, None), (False, True, None), (True, False, "one answer")],
+)
+def test_answers_in_part_need_a_server_or_a_process_that_ended(process_lives, server_ended, rule):
+    rules = make()
+    rules.asked(0, "a", LOOKUP)
+    attempt(rules, 1).server_ended = True  # of an earlier attempt, which excuses nothing
+    attempt(rules, 2).server_ended = server_ended
+    rules.cut_short(10 * MS, "a", process_lives)
+    assert broken(rules) == ([rule] if rule else [])
+
+
+@pytest.mark.parametrize(
+    ("process_lives", "streamed", "whole", "rule"),
+    [
+        (False, True, False, None),
+        (True, True, False, "one answer"),
+        (False, False, False, "one answer"),
+        (False, True, True, "one answer"),
+    ],
+)
+def test_of_a_request_not_read_whole_only_a_stream_may_have_gone_when_its_process_died(
+    process_lives, streamed, whole, rule
+):
+    rules = make()
+    rules.asked(0, "a", ORDER)
+    attempt(rules, 1, whole=whole, out=True).streamed = streamed
+    rules.not_taken(10 * MS, "a", process_lives)
+    assert broken(rules) == ([rule] if rule else [])
+
+
+def test_an_answer_after_one_in_part_is_a_second_one():
+    rules = make()
+    rules.asked(0, "a", LOOKUP)
+    attempt(rules, 1).server_ended = True
+    rules.ran(MS, "a", "n0")
+    rules.cut_short(10 * MS, "a", True)
+    rules.answered(11 * MS, "a", 200, "a n0", SECOND)
+    assert broken(rules) == ["one answer"]
+
+
+def test_an_answer_in_part_of_a_request_never_sent_on_needs_the_death_of_the_process():
+    rules = make()
+    rules.asked(0, "a", LOOKUP)
+    rules.asked(0, "b", LOOKUP)
+    rules.cut_short(10 * MS, "a", False)
+    assert not rules.breaches
+    rules.cut_short(10 * MS, "b", True)
+    assert broken(rules) == ["one answer"]
+
+
 @pytest.mark.parametrize(("at_ms", "rule"), [(99, None), (101, "clients that left")])
 def test_attempts_after_a_client_has_left(at_ms, rule):
     """From its close on it counts; a second close, of a connection that has gone, changes nothing."""
