--- a/dykefold/sim/clients.py
+++ b/dykefold/sim/clients.py
@@ -91,7 +91,7 @@
         waiting, self.open = list(self.open), deque()
         if self.left:
             return
-        if self.transport.sock.cut_off:  # the network's doing: for the sidecar its clients have gone
+        if self.transport.sock.failed_by_peer:  # the network's doing: for the sidecar its clients have gone
             for asked in waiting:
                 self.app.run.rules.left(self.app.run.kernel.now_ns, asked.ident)
             return
--- a/dykefold/sim/loop.py
+++ b/dykefold/sim/loop.py
@@ -14,52 +14,81 @@
 import random
 from asyncio import events
 from collections import deque
-from collections.abc import Callable
-from typing import TYPE_CHECKING, Any
+from collections.abc import Callable, Coroutine
+from contextvars import Context
+from typing import Any, TypeVar, cast
 
 from .kernel import MS, Kernel, stream
-
-if TYPE_CHECKING:
-    from .network import Network, SimSocket
+from .network import Network
+from .sockets import Address, SimSocket
+from .transport import SimTransport
 
 TURN_NS = 4_000  # of a turn itself
 CALLBACK_NS = 9_000  # ... and of each callback, on average: a request is some ten of them
 LONG_TURN = 0.01  # of the turns take longer, as with a collection or a core that was taken, ...
 LONG_EDGE = 0.2  # ... and of those in which a connection is ended or made, ...
 LONG_TURN_MS = (2.0, 15.0)  # ... so that what was due in the meantime meets in the next one
+PHASES = 3  # of a turn: timers, callbacks, I/O
+
+Result = TypeVar("Result")
+AnyProtocol = TypeVar("AnyProtocol", bound=asyncio.Protocol)
 
 
-# What nobody here calls of an event loop is left out, and a type checker would ask for all of it.
-_Loop: Any = asyncio.AbstractEventLoop
+class SimLoop:
+    """The loop of the process `name`; `network` makes and connects its sockets.
 
+    It has those methods of `asyncio.AbstractEventLoop` that the program calls, and no others.
 
-class SimLoop(_Loop):
-    """The loop of the process `name`; `network` makes and connects its sockets."""
+    Attributes:
+        host: the machine, where several processes share one.
+        waiting_io: what is ready for the process, to be called in its next turn.
+        pauses_ns: for which it was told to stand still, in all.
+        stalled_ns: that long turns have taken, in all.
+        free_at_ns: until when the turn before takes.
+        turn_at_ns: when the next turn is planned; negative for none.
+        local_ns: of the present turn that has passed.
+        ms: the loop's own time, in milliseconds.
+        at_edge: something has begun in this turn that a later one completes.
+        failures: exceptions that nobody caught.
+    """
 
     def __init__(self, kernel: Kernel, name: str, network: Network, host: str = "") -> None:
+        """Make the loop of a process that starts now.
+
+        Args:
+            kernel: the clock and the events of the world.
+            name: of the process.
+            network: of the world.
+            host: the machine; empty for one that is named like the process.
+        """
         self.kernel = kernel
         self.name = name
-        self.host = host or name  # the machine, where several processes share one
+        self.host = host or name
         self.network = network
         self.random: random.Random = stream(kernel.seed, "loop", name)
         self.ready: deque[asyncio.Handle] = deque()
         self.timers: list[tuple[int, float, int, asyncio.TimerHandle]] = []
-        self.waiting_io: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
-        self.readers: dict[int, tuple[SimSocket, Callable[[], None]]] = {}
-        self.signals: dict[int, tuple[Callable[..., None], tuple[Any, ...]]] = {}
+        self.waiting_io: list[tuple[Callable[..., object], tuple[object, ...]]] = []
+        self.readers: dict[int, tuple[SimSocket, Callable[[], object]]] = {}
+        self.signals: dict[int, tuple[Callable[..., object], tuple[object, ...]]] = {}
         self.alive = True
         self.paused_until_ns = 0
-        self.pauses_ns = 0  # that it was told to stand still, in all
-        self.free_at_ns = 0  # the turn before takes until then
-        self.turn_at_ns = -1  # the turn that is planned; negative: none
+        self.pauses_ns = 0
+        self.free_at_ns = 0
+        self.turn_at_ns = -1
         self.turn_number = 0
-        self.local_ns = 0  # of the present turn that has passed
+        self.local_ns = 0
         self.ms = kernel.now_ns // MS
         self.count = 0
-        self.stalled_ns = 0  # that long turns have taken, in all
+        self.stalled_ns = 0
         self.in_turn = False
-        self.at_edge = False  # something has begun in this turn that a later one completes
-        self.failures: list[str] = []  # exceptions that nobody caught
+        self.at_edge = False
+        self.failures: list[str] = []
+
+    @property
+    def for_asyncio(self) -> asyncio.AbstractEventLoop:
+        """The loop, as the type that the program and asyncio ask for."""
+        return cast("asyncio.AbstractEventLoop", self)
 
     # Turns
 
@@ -83,10 +112,10 @@
         self.turn_at_ns, self.in_turn = -1, True
         self.local_ns = TURN_NS
         self.ms = self.kernel.now_ns // MS
-        events._set_running_loop(self)
+        events._set_running_loop(self.for_asyncio)
         try:
             phases = [self._run_timers, self._run_ready, self._run_io]
-            start = self.random.randrange(3)  # a loop is a circle: what an event meets first is chance
+            start = self.random.randrange(PHASES)  # a loop is a circle: what an event meets first is chance
             for phase in phases[start:] + phases[:start]:
                 phase()
         finally:
@@ -138,21 +167,21 @@
                 except Exception as error:
                     self.call_exception_handler({"message": "in I/O", "exception": error})
 
-    def wake(self, act: Callable[..., None], *arguments: Any) -> None:
+    def wake(self, act: Callable[..., object], *arguments: object) -> None:
         """Something is ready for this process: told in its next poll, in any order with what else is."""
         if self.alive:
             self.waiting_io.append((act, arguments))
             self._plan(self.kernel.now_ns)
 
-    def pause(self, span_ns: int) -> None:
-        """Stop the process for a time, as SIGSTOP and SIGCONT do."""
+    def pause(self, duration_ns: int) -> None:
+        """Stop the process for so many nanoseconds, as SIGSTOP and SIGCONT do."""
         before = max(self.paused_until_ns, self.kernel.now_ns)
-        self.paused_until_ns = max(before, self.kernel.now_ns + span_ns)
+        self.paused_until_ns = max(before, self.kernel.now_ns + duration_ns)
         self.pauses_ns += self.paused_until_ns - before
 
     @property
     def paused_ns(self) -> int:
-        """How long it has stood still until now, in all."""
+        """Nanoseconds for which it has stood still until now, in all."""
         left_ns = max(self.paused_until_ns - self.kernel.now_ns, 0)
         return self.pauses_ns - left_ns + self.stalled_ns
 
@@ -172,20 +201,31 @@
 
     # What asyncio asks of a loop
 
-    def call_soon(self, callback, *args, context=None):  # type: ignore[override, no-untyped-def]
-        handle = asyncio.Handle(callback, args, self, context)
+    def call_soon(
+        self, callback: Callable[..., object], *args: object, context: Context | None = None
+    ) -> asyncio.Handle:
+        """Have something called in the next turn, first in, first out."""
+        handle = asyncio.Handle(callback, args, self.for_asyncio, context)
         self.ready.append(handle)
         self._plan(self.kernel.now_ns)
         return handle
 
-    def call_later(self, delay, callback, *args, context=None):  # type: ignore[override, no-untyped-def]
+    def call_later(
+        self, delay: float, callback: Callable[..., object], *args: object, context: Context | None = None
+    ) -> asyncio.TimerHandle:
+        """Have something called after so many seconds, in whole milliseconds."""
         return self._start_timer(self.ms + max(round(delay * 1000), 0), callback, args, context)
 
-    def call_at(self, when, callback, *args, context=None):  # type: ignore[override, no-untyped-def]
+    def call_at(
+        self, when: float, callback: Callable[..., object], *args: object, context: Context | None = None
+    ) -> asyncio.TimerHandle:
+        """Have something called at a time of the loop, in seconds."""
         return self._start_timer(max(round(when * 1000), self.ms), callback, args, context)
 
-    def _start_timer(self, due_ms, callback, args, context):  # type: ignore[no-untyped-def]
-        handle = asyncio.TimerHandle(due_ms / 1000, callback, args, self, context)
+    def _start_timer(
+        self, due_ms: int, callback: Callable[..., object], args: tuple[object, ...], context: Context | None
+    ) -> asyncio.TimerHandle:
+        handle = asyncio.TimerHandle(due_ms / 1000, callback, args, self.for_asyncio, context)
         self.count += 1
         heapq.heappush(self.timers, (due_ms, self.random.random(), self.count, handle))
         self._plan(due_ms * MS)
@@ -195,76 +235,93 @@
         """It is dropped when its time comes: the longest timer of the program is of seconds."""
 
     def time(self) -> float:
+        """Return the loop's time in seconds."""
         return self.ms / 1000
 
-    def create_future(self) -> asyncio.Future:
-        return asyncio.Future(loop=self)
+    def create_future(self) -> asyncio.Future[Any]:
+        """Return a future of this loop."""
+        return asyncio.Future(loop=self.for_asyncio)
 
-    def create_task(self, coro, *, name=None, context=None):  # type: ignore[override, no-untyped-def]
-        return asyncio.Task(coro, loop=self, name=name, context=context)
+    def create_task(
+        self,
+        coro: Coroutine[Any, Any, Result],
+        *,
+        name: str | None = None,
+        context: Context | None = None,
+    ) -> asyncio.Task[Result]:
+        """Run a coroutine as a task of this loop."""
+        return asyncio.Task(coro, loop=self.for_asyncio, name=name, context=context)
 
     def get_debug(self) -> bool:
+        """Return False: there is no debug mode."""
         return False
 
     def is_running(self) -> bool:
+        """Return whether a turn is under way."""
         return self.in_turn
 
     def is_closed(self) -> bool:
+        """Return whether the process has ended."""
         return not self.alive
 
     def call_exception_handler(self, context: dict[str, Any]) -> None:
+        """Record an exception that nobody caught, as a failure of the process."""
         if not self.alive:
             return  # what a killed process had begun is collected some time
         error = context.get("exception")
         self.failures.append(f"{context.get('message')}: {type(error).__name__}: {error}")
         self.kernel.note(f"{self.name} unhandled {self.failures[-1]}")
 
-    def add_signal_handler(self, sig, callback, *args):  # type: ignore[override, no-untyped-def]
+    def add_signal_handler(self, sig: int, callback: Callable[..., object], *args: object) -> None:
+        """Have something called in a turn after the process gets a signal."""
         self.signals[sig] = (callback, args)
 
     # Sockets
 
-    async def sock_connect(self, sock, address):  # type: ignore[override, no-untyped-def]
-        done: asyncio.Future = self.create_future()
+    async def sock_connect(self, sock: SimSocket, address: Address) -> None:
+        """Connect a socket; OSError if it fails."""
+        done: asyncio.Future[None] = self.create_future()
         sock.connect(address, lambda error: self.wake(self._connected, done, error))
         await done
 
-    def _connected(self, done: asyncio.Future, error: OSError | None) -> None:
+    def _connected(self, done: asyncio.Future[None], error: OSError | None) -> None:
         self.at_edge = True
         _settle(done, error)
 
-    async def create_connection(self, factory, *, sock):  # type: ignore[override, no-untyped-def]
+    async def create_connection(
+        self, factory: Callable[[], AnyProtocol], *, sock: SimSocket
+    ) -> tuple[SimTransport, AnyProtocol]:
+        """Return a transport and a protocol for a connected socket."""
         return await self._make_transport(factory, sock)
 
-    async def connect_accepted_socket(self, factory, sock):  # type: ignore[override, no-untyped-def]
+    async def connect_accepted_socket(
+        self, factory: Callable[[], AnyProtocol], sock: SimSocket
+    ) -> tuple[SimTransport, AnyProtocol]:
+        """Return a transport and a protocol for an accepted socket."""
         return await self._make_transport(factory, sock)
 
-    async def _make_transport(self, factory, sock):  # type: ignore[no-untyped-def]
-        from .transport import SimTransport
-
+    async def _make_transport(
+        self, factory: Callable[[], AnyProtocol], sock: SimSocket
+    ) -> tuple[SimTransport, AnyProtocol]:
         protocol = factory()
         transport = SimTransport(self, sock, protocol)
-        made: asyncio.Future = self.create_future()
+        made: asyncio.Future[None] = self.create_future()
         self.call_soon(protocol.connection_made, transport)
         self.call_soon(transport.begin)
         self.call_soon(_settle, made, None)
         await made
         return transport, protocol
 
-    async def create_datagram_endpoint(self, factory, *, local_addr):  # type: ignore[override, no-untyped-def]
-        protocol = factory()
-        transport = self.network.bind_datagrams(self, local_addr, protocol)
-        protocol.connection_made(transport)
-        return transport, protocol
-
-    def add_reader(self, fd, callback, *args):  # type: ignore[override, no-untyped-def]
+    def add_reader(self, fd: int, callback: Callable[..., object], *args: object) -> None:
+        """Have something called whenever a socket of this process is readable."""
         sock = self.network.by_number(self, fd)
         self.readers[fd] = (sock, lambda: callback(*args))
         sock.on_readable = lambda: self.wake(self._read, fd)
         if sock.readable():
             self.wake(self._read, fd)
 
-    def remove_reader(self, fd) -> bool:  # type: ignore[override, no-untyped-def]
+    def remove_reader(self, fd: int) -> bool:
+        """Stop watching a socket; returns whether it was watched."""
         found = self.readers.pop(fd, None)
         if found is not None:
             found[0].on_readable = None
@@ -277,11 +334,11 @@
         sock, callback = found
         if sock.readable():
             callback()
-            if fd in self.readers and sock.readable():  # as a poll tells again what is still so
+            if fd in self.readers and sock.readable():  # as a poll reports again what is still so
                 self.wake(self._read, fd)
 
 
-def _settle(future: asyncio.Future, error: OSError | None) -> None:
+def _settle(future: asyncio.Future[None], error: OSError | None) -> None:
     if future.done():
         return
     if error is None:
--- a/dykefold/sim/process.py
+++ b/dykefold/sim/process.py
@@ -22,8 +22,9 @@
 from ..system import System, Watch
 from .kernel import MS, SECOND, stream
 from .loop import SimLoop
-from .network import SimSocket, network_of
+from .network import network_of
 from .schedule import WORLDS
+from .sockets import SimSocket
 from .state_directory import SimBoard
 
 if TYPE_CHECKING:
@@ -45,7 +46,7 @@
     def poll(self, _timeout: float) -> list[tuple[int, int]]:
         sock = self.sock
         events = select.POLLIN if sock.readable() else 0
-        if sock.got_end:
+        if sock.eof_received:
             events |= select.POLLRDHUP
         if sock.error:
             events |= select.POLLERR | select.POLLHUP
@@ -78,7 +79,7 @@
         return EndWatch(sock)
 
     def unread(self, sock: Any) -> int:
-        return sock.held_bytes
+        return sock.unread_bytes
 
     def open_reserve(self) -> int:
         return self.loop.network.socket(self.loop).number
@@ -134,7 +135,7 @@
         self.loop.wake(self._boot)
 
     def _boot(self) -> None:
-        engine = self.engine = SidecarServer(self.loop, SOCKETS, MEMORY, Caps(), self.system)
+        engine = self.engine = SidecarServer(self.loop.for_asyncio, SOCKETS, MEMORY, Caps(), self.system)
         if self.run.plan is not None:
             self.services = Services(engine, lambda: self.seed)
             self.apply()
@@ -145,7 +146,7 @@
         engine.stopped.add_done_callback(self._stopped)
         if self.run.scenario.world == "upgrade":
             board = SimBoard(self.run.folders[self.number], self.loop)
-            self.upgrade = HotRestart(self.loop, engine, board, self.system)
+            self.upgrade = HotRestart(self.loop.for_asyncio, engine, board, self.system)
             self.loop.create_task(self._take_over(engine, self.upgrade))
         else:
             engine.listen(self.run.network.listen(self.loop, PORT))  # type: ignore[arg-type]
@@ -181,12 +182,20 @@
             engine.peers = made
             if WORLDS[self.run.scenario.world].view:
                 self.fleet = FleetAgent(
-                    self.loop, engine, made, peers, self.number, settings.zone, 0.0, self.seed, self.system
+                    self.loop.for_asyncio,
+                    engine,
+                    made,
+                    peers,
+                    self.number,
+                    settings.zone,
+                    0.0,
+                    self.seed,
+                    self.system,
                 )
                 self.fleet.serve(engine.pool)
         if WORLDS[self.run.scenario.world].failover and self.fleet is not None:
             self.failover = FailoverController(
-                self.loop,
+                self.loop.for_asyncio,
                 self.fleet.view,
                 engine.pool,
                 settings.zones,
--- a/dykefold/sim/registry.py
+++ b/dykefold/sim/registry.py
@@ -12,7 +12,7 @@
 from .messages import Messages
 
 if TYPE_CHECKING:
-    from .network import SimSocket
+    from .sockets import SimSocket
     from .world import Running
 
 PORT = 8500
--- a/dykefold/sim/transport.py
+++ b/dykefold/sim/transport.py
@@ -8,32 +8,69 @@
 
 import asyncio
 import socket
-from typing import TYPE_CHECKING, Any
+from collections.abc import Callable
+from typing import Protocol
 
-if TYPE_CHECKING:
-    from .loop import SimLoop
-    from .network import SimSocket
+from .sockets import SimSocket
 
-READ_MOST = 256 * 1024  # as uvloop's
+MAX_READ_BYTES = 256 * 1024  # as uvloop's
+HIGH_WATER_BYTES = 64 * 1024  # above which a protocol is told to pause, unless it sets another limit
+
+
+class TransportLoop(Protocol):
+    """What a transport needs of its event loop (`loop.SimLoop`).
+
+    Attributes:
+        at_edge: something has begun in this turn that a later one completes.
+    """
+
+    at_edge: bool
+
+    def wake(self, act: Callable[..., None], *arguments: object) -> None:
+        """Have something called in a later turn, in any order with what else is ready."""
+        ...
+
+    def call_soon(self, callback: Callable[..., object], *args: object) -> asyncio.Handle:
+        """Have something called in the next turn, in order."""
+        ...
+
+
+class WriteAfterEofError(RuntimeError):
+    """Bytes were written behind the end of the own side."""
+
+    def __init__(self) -> None:
+        """Make the error with its one text."""
+        super().__init__("write after write_eof")
 
 
 class SimTransport(asyncio.Transport):
-    def __init__(self, loop: SimLoop, sock: SimSocket, protocol: Any) -> None:
+    """The transport of a connected socket.
+
+    Attributes:
+        buffer: bytes that the kernel has not taken yet.
+        writing_paused: the protocol was told to pause.
+        queued: a read is due in a later turn.
+        eof_pending: the own side ends once the buffer is empty.
+        ended: the end is on its way to the protocol.
+    """
+
+    def __init__(self, loop: TransportLoop, sock: SimSocket, protocol: asyncio.Protocol) -> None:
+        """Make the transport; it reads from `begin` on."""
         super().__init__()
         self.loop = loop
         self.sock = sock
         self.protocol = protocol
         self.buffer = bytearray()
-        self.high = 64 * 1024
-        self.held_up = False  # the protocol was told to pause
+        self.high_water_bytes = HIGH_WATER_BYTES
+        self.writing_paused = False
         self.reading = False
         self.queued = False
         self.closing = False
-        self.eof_due = False
-        self.over = False  # the end is on its way to the protocol
+        self.eof_pending = False
+        self.ended = False
 
     def begin(self) -> None:
-        """Look at the socket from now on."""
+        """Watch the socket from now on."""
         self.sock.on_readable = self._notice
         self.sock.on_writable = lambda: self.loop.wake(self._flush)
         if not self.closing:
@@ -54,7 +91,7 @@
         if not self.reading or self.closing:
             return
         try:
-            data = sock.recv(READ_MOST)
+            data = sock.recv(MAX_READ_BYTES)
         except BlockingIOError:
             return
         except OSError as error:
@@ -70,85 +107,104 @@
             self.close()
 
     def pause_reading(self) -> None:
+        """Read no more for now."""
         self.reading = False
 
     def resume_reading(self) -> None:
+        """Read again."""
         if not self.closing and not self.reading:
             self.reading = True
             if self.sock.readable():
                 self._notice()
 
     def is_reading(self) -> bool:
+        """Return whether the transport reads."""
         return self.reading
 
     # Writing
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
-        if self.over or self.closing:
+        """Write bytes, now or as soon as the kernel takes them.
+
+        Raises:
+            WriteAfterEofError: the own side was ended.
+        """
+        if self.ended or self.closing:
             return
-        if self.eof_due:
-            raise RuntimeError("write after write_eof")
+        if self.eof_pending:
+            raise WriteAfterEofError
         waited = bool(self.buffer)
         self.buffer += data
         if not waited:
             self._push()
 
     def _flush(self) -> None:
-        if not self.over or self.buffer:
+        if not self.ended or self.buffer:
             self._push()
 
     def _push(self) -> None:
         try:
-            while self.buffer:
-                sent = self.sock.send(bytes(self.buffer))
-                del self.buffer[:sent]
-                if self.sock.starved:
-                    break
-        except BlockingIOError:
-            pass
+            self._send_buffer()
         except OSError as error:
             self.buffer.clear()
             self._end(error)
             return
         if self.buffer:
-            if len(self.buffer) > self.high and not self.held_up:
-                self.held_up = True
+            if len(self.buffer) > self.high_water_bytes and not self.writing_paused:
+                self.writing_paused = True
                 self.protocol.pause_writing()
             return
-        if self.held_up and not self.over:
-            self.held_up = False
+        if self.writing_paused and not self.ended:
+            self.writing_paused = False
             self.protocol.resume_writing()
-        if self.eof_due and not self.sock.shut:
-            self._shut()
-        if self.closing and not self.over:
+        if self.eof_pending and not self.sock.write_closed:
+            self._shut_down_writing()
+        if self.closing and not self.ended:
             self._end(None)
 
-    def _shut(self) -> None:
+    def _send_buffer(self) -> None:
+        """Hand the kernel what it takes; OSError where the connection has failed."""
+        try:
+            while self.buffer:
+                sent = self.sock.send(bytes(self.buffer))
+                del self.buffer[:sent]
+                if self.sock.write_blocked:
+                    return
+        except BlockingIOError:
+            return
+
+    def _shut_down_writing(self) -> None:
         try:
             self.sock.shutdown(socket.SHUT_WR)
         except OSError:
             return
 
     def write_eof(self) -> None:
-        self.eof_due = True
-        if not self.buffer and not self.over:
-            self._shut()
+        """End the own side behind the bytes that wait."""
+        self.eof_pending = True
+        if not self.buffer and not self.ended:
+            self._shut_down_writing()
 
     def can_write_eof(self) -> bool:
+        """Return True: the own side can be ended alone."""
         return True
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        self.high = 64 * 1024 if high is None else high
+        """Set the bytes above which the protocol is told to pause; the lower limit is always 0."""
+        self.high_water_bytes = HIGH_WATER_BYTES if high is None else high
 
     def get_write_buffer_size(self) -> int:
+        """Return the bytes that the kernel has not taken yet."""
         return len(self.buffer)
 
     # Ends
 
     def is_closing(self) -> bool:
+        """Return whether the transport closes or is closed."""
         return self.closing
 
     def close(self) -> None:
+        """Close behind the bytes that wait."""
         if self.closing:
             return
         self.closing, self.reading = True, False
@@ -156,19 +212,21 @@
             self._end(None)
 
     def abort(self) -> None:
+        """Close without waiting for anything."""
         self._end(None)
 
     def _end(self, error: Exception | None) -> None:
         self.closing, self.reading = True, False
-        if not self.over:
-            self.over = self.loop.at_edge = True
-            self.loop.call_soon(self._tell, error)
+        if not self.ended:
+            self.ended = self.loop.at_edge = True
+            self.loop.call_soon(self._report_end, error)
 
-    def _tell(self, error: Exception | None) -> None:
+    def _report_end(self, error: Exception | None) -> None:
         try:
             self.protocol.connection_lost(error)
         finally:
             self.loop.call_soon(self.sock.close)
 
-    def get_extra_info(self, name: str, default: Any = None) -> Any:
+    def get_extra_info(self, name: str, default: object = None) -> object:
+        """Return the socket or the other side's address; the default for any other name."""
         return {"socket": self.sock, "peername": self.sock.remote}.get(name, default)
--- a/dykefold/sim/wire.py
+++ b/dykefold/sim/wire.py
@@ -8,8 +8,8 @@
 
 from ..net.downstream.request_parser import BODY_MOST
 from .kernel import MS, Kernel
-from .network import SimSocket
 from .rules import Rules, Try
+from .sockets import SimSocket
 
 
 @dataclass(slots=True)
--- a/dykefold/sim/world.py
+++ b/dykefold/sim/world.py
@@ -14,12 +14,13 @@
 from ..routing.plan import Plan
 from .clients import App
 from .kernel import EPOCH_NS, MS, SECOND, Kernel, stream
-from .network import Address, Network
+from .network import Network
 from .nodes import Node
 from .process import PORT, SOCKETS, Sidecar, bounds_broken, left_over
 from .registry import Registry
 from .rules import Breach, Rules
 from .schedule import CLOCK_STEPS_NS, OF_CALLS, WORLDS, Arrival, Fault, Kind, Scenario
+from .sockets import Address
 from .state_directory import Folder
 from .syscalls import SystemCall
 from .view_rules import ViewRules
@@ -80,7 +81,7 @@
         )
         self.places: dict[str, Node] = {}  # the node at each address
         self.wire = Wire(self.kernel, self.rules, self._place_of)
-        self.network.tap = self.wire
+        self.network.observer = self.wire
         self.last_told: dict[str, tuple[tuple[int, int], dict[str, dict[str, Any]]]] = {}
         self.replaced = 0
         self.true_ms: dict[tuple[str, int], int] = {}  # a start as it is told -> when it truly was
@@ -376,12 +377,12 @@
     def _fault_lag(self, fault: Fault) -> None:
         ways = [frozenset((side.name, node.name)) for side in self.sidecars for node in self.nodes]
         for way in ways:
-            self.network.lag_ns[way] = self.network.lag_ns.get(way, 0) + 30 * MS
+            self.network.extra_latency_ns[way] = self.network.extra_latency_ns.get(way, 0) + 30 * MS
         self._later(fault, self._unlag, ways)
 
     def _unlag(self, ways: list[frozenset[str]]) -> None:
         for way in ways:
-            self.network.lag_ns[way] -= 30 * MS
+            self.network.extra_latency_ns[way] -= 30 * MS
 
     def _fault_discovery(self, fault: Fault) -> None:
         registry = self.registry
--- a/tests/sim/test_network.py
+++ b/tests/sim/test_network.py
@@ -9,7 +9,8 @@
 
 from dykefold.sim.kernel import MS, SECOND, Kernel, stream
 from dykefold.sim.loop import SimLoop
-from dykefold.sim.network import BACKLOG, WINDOW_BYTES, Network
+from dykefold.sim.network import BACKLOG, Network
+from dykefold.sim.sockets import WINDOW_BYTES
 from dykefold.sim.transport import SimTransport
 
 ADDRESS = ("10.0.0.2", 80)
--- a/tests/sim/test_simulation.py
+++ b/tests/sim/test_simulation.py
@@ -206,7 +206,7 @@
             if sock.loop.name.startswith("n") and cut < len(data):
                 longest.append(len(data))
                 whole(network, sock, data[:cut])
-                sock.clear_ns += 2 * MS  # what follows comes in a read of its own
+                sock.earliest_arrival_ns += 2 * MS  # what follows comes in a read of its own
                 whole(network, sock, data[cut:])
             else:
                 whole(network, sock, data)
--- a/tests/sim/test_syscalls.py
+++ b/tests/sim/test_syscalls.py
@@ -64,7 +64,7 @@
     pair.cease()
     pair.run(5)
     if error.value.errno in TAKES_ONE:
-        assert sock.error == errno.ECONNRESET and not pair.listener.queue
+        assert sock.error == errno.ECONNRESET and not pair.listener.backlog
     else:
         assert pair.listener.accept()[0].peer is sock
 
@@ -102,7 +102,7 @@
     with pytest.raises(OSError):
         one.recv(10)
     pair.run(5)
-    assert other.arrived_bytes == 4 and other.error == errno.ECONNRESET and other.cut_off
+    assert other.arrived_bytes == 4 and other.error == errno.ECONNRESET and other.failed_by_peer
 
 
 def test_a_world_without_stretches_draws_nothing():
