--- a/dykefold/sim/clients.py
+++ b/dykefold/sim/clients.py
@@ -62,22 +62,22 @@
         try:
             answers = self.messages.feed(data)
         except ValueError:
-            self.app.run.rules.stray(self.app.run.kernel.now_ns, self.app.name, data)
+            self.app.run.rules.unasked_bytes(self.app.run.kernel.now_ns, self.app.name, data)
             return
         for message in answers:
-            code = int(message.first.split()[1])
+            code = int(message.first_line.split()[1])
             if code == 100:
                 continue
             if not self.open and not self.sent:
                 self.ending = True  # it was turned away before it could ask
                 break
             if not self.open:
-                self.app.run.rules.stray(self.app.run.kernel.now_ns, self.app.name, data)
+                self.app.run.rules.unasked_bytes(self.app.run.kernel.now_ns, self.app.name, data)
                 return
             asked = self.open.popleft()
             if self.open:  # what was sent ahead has its time from here: answers come in order
                 self.open[0].wait_from(self.app.run.kernel.now_ns)
-                self.app.run.rules.time_runs(self.app.run.kernel.now_ns, self.open[0].ident)
+                self.app.run.rules.deadline_started(self.app.run.kernel.now_ns, self.open[0].ident)
             self.ending |= message.headers.get("connection") == "close"
             self.app.answered(
                 self, asked, code, message.body.partition(b"\n")[0].decode("latin-1"), message.headers
@@ -93,12 +93,12 @@
             return
         if self.transport.sock.failed_by_peer:  # the network's doing: for the sidecar its clients have gone
             for asked in waiting:
-                self.app.run.rules.left(self.app.run.kernel.now_ns, asked.ident)
+                self.app.run.rules.client_left(self.app.run.kernel.now_ns, asked.ident)
             return
         peer = self.transport.sock.peer
         # An answer that breaks off has failed, and shows only by the connection's end: what was sent ahead
         # behind it has not been begun, and is the client's to send again (RFC 9112, 9.3.2).
-        broken = bool(self.messages.held)
+        broken = bool(self.messages.buffer)
         if broken and waiting:
             self.app.cut_short(waiting.pop(0))
         for asked in waiting:
@@ -158,7 +158,7 @@
 
     def _send(self, connection: AppConnection, arrival: Arrival, ident: str, due_ns: int) -> None:
         kernel = self.run.kernel
-        self.run.rules.asked(kernel.now_ns, ident, arrival.cls)
+        self.run.rules.request_sent(kernel.now_ns, ident, arrival.cls)
         left_ms = max((due_ns - kernel.now_ns) // MS, 1)
         data = self.run.request(arrival, ident, left_ms)
         sock = connection.transport.sock
@@ -166,8 +166,10 @@
         process = sock.peer.loop
         paused_ns = process.paused_ns
         head = end - len(data) + data.index(b"\r\n\r\n") + 4
-        self.run.rules.waits(ident, left_ms * MS, 2 if connection.open else 1)
-        self.run.wire.mark_read(sock.peer, head, lambda: self.run.rules.time_runs(kernel.now_ns, ident))
+        self.run.rules.deadline_set(ident, left_ms * MS, 2 if connection.open else 1)
+        self.run.observer.mark_read(
+            sock.peer, head, lambda: self.run.rules.deadline_started(kernel.now_ns, ident)
+        )
         if connection.open:  # answers come in order, so it can't be answered before those ahead of it
             due_ns = max(due_ns, connection.open[-1].due_ns)
             paused_ns = connection.open[-1].paused_ns
@@ -221,9 +223,9 @@
 
         def closed() -> None:
             for ident in idents:
-                self.run.rules.left(self.run.kernel.now_ns, ident)
+                self.run.rules.client_left(self.run.kernel.now_ns, ident)
 
-        self.run.wire.mark_end(connection.transport.sock, closed)
+        self.run.observer.mark_end(connection.transport.sock, closed)
 
     def _give_up(self, connection: AppConnection, asked: Asked) -> None:
         if asked not in connection.open or connection.left:
@@ -236,7 +238,7 @@
             return
         peer = connection.transport.sock.peer
         if peer is not None and peer.read_bytes >= asked.end_bytes and self._same_life(asked):
-            self.run.rules.lost(self.run.kernel.now_ns, asked.ident, "no answer in its time")
+            self.run.rules.request_lost(self.run.kernel.now_ns, asked.ident, "no answer in its time")
         self._mark_left(connection)
         connection.left = True
         connection.transport.abort()
@@ -266,14 +268,14 @@
 
     def cut_short(self, asked: Asked) -> None:
         """A connection has ended in the middle of the answer to this request."""
-        self.run.rules.cut_short(self.run.kernel.now_ns, asked.ident, self._same_life(asked))
+        self.run.rules.answer_cut_short(self.run.kernel.now_ns, asked.ident, self._same_life(asked))
 
     def unanswered(self, asked: Asked, read: bool) -> None:
         """A connection has ended with this request open."""
         if read and self._same_life(asked):
-            self.run.rules.lost(self.run.kernel.now_ns, asked.ident, "its connection ended")
+            self.run.rules.request_lost(self.run.kernel.now_ns, asked.ident, "its connection ended")
         elif not read:
-            self.run.rules.not_taken(self.run.kernel.now_ns, asked.ident, self._same_life(asked))
+            self.run.rules.request_not_read(self.run.kernel.now_ns, asked.ident, self._same_life(asked))
             if not asked.ident.endswith("r"):
                 self._ask(asked.arrival, asked.ident + "r", True)
 
--- a/dykefold/sim/messages.py
+++ b/dykefold/sim/messages.py
@@ -9,7 +9,7 @@
 class Message:
     """A whole message: its first line, its headers by lower-case name, its body."""
 
-    first: str
+    first_line: str
     headers: dict[str, str]
     body: bytes
 
@@ -18,24 +18,29 @@
     """The messages in a stream of bytes that comes in pieces."""
 
     def __init__(self) -> None:
-        self.held = b""
+        """Begin with no bytes."""
+        self.buffer = b""
 
     def feed(self, data: bytes) -> list[Message]:
-        """Take more bytes. Returns the messages that are whole with them; ValueError on what is none."""
-        self.held += data
+        """Take more bytes; returns the messages that are complete with them.
+
+        Raises:
+            ValueError: the bytes are no message.
+        """
+        self.buffer += data
         found = []
         while (message := self._next()) is not None:
             found.append(message)
         return found
 
     def _next(self) -> Message | None:
-        end = self.held.find(b"\r\n\r\n")
+        end = self.buffer.find(b"\r\n\r\n")
         if end < 0:
             return None
-        first, *lines = self.held[:end].decode("latin-1").split("\r\n")
+        first_line, *lines = self.buffer[:end].decode("latin-1").split("\r\n")
         headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)}
-        whole = end + 4 + int(headers.get("content-length", 0))
-        if len(self.held) < whole:
+        end_of_body = end + 4 + int(headers.get("content-length", 0))
+        if len(self.buffer) < end_of_body:
             return None
-        body, self.held = self.held[end + 4 : whole], self.held[whole:]
-        return Message(first, headers, body)
+        body, self.buffer = self.buffer[end + 4 : end_of_body], self.buffer[end_of_body:]
+        return Message(first_line, headers, body)
--- a/dykefold/sim/nodes.py
+++ b/dykefold/sim/nodes.py
@@ -8,7 +8,7 @@
 from .kernel import MS, SECOND, stream
 from .loop import SimLoop
 from .messages import Message, Messages
-from .rules import Cold
+from .rules import WarmUp
 from .schedule import WORLDS, Kind
 
 if TYPE_CHECKING:
@@ -68,7 +68,7 @@
         self.wrong: dict[Kind, int] = {}
         self.random = stream(run.kernel.seed, "node", name)
         self.since_ms = 0
-        self.cold: Cold | None = None
+        self.cold: WarmUp | None = None
         self.alive = False
         self.handshakes = 0  # connections that were ever made to it
         run.network.add_host(name, address)
@@ -84,8 +84,8 @@
         if cold:
             self.since_ms = self.run.stamp_ms(self)
             full = CORES * 1000.0 / WORK_MS[1]
-            self.cold = Cold(kernel.now_ns, full, self.world.cold_share, self.world.warm_ns, self.since_ms)
-            self.run.rules.started(self.name, self.cold)
+            self.cold = WarmUp(kernel.now_ns, full, self.world.cold_share, self.world.warm_ns, self.since_ms)
+            self.run.rules.server_started(self.name, self.cold)
         self.listener = self.run.network.listen(self.loop, PORT)
         self.loop.wake(self.loop.add_reader, self.listener.fileno(), self._accept)
         self.loop.wake(self._sweep)
@@ -110,7 +110,7 @@
         limit_ns = 150 * MS if self.is_wrong(Kind.IDLE) else IDLE_NS
         for connection in list(self.connections):
             idle_ns = self.run.kernel.now_ns - connection.used_ns
-            if not connection.work and not connection.messages.held and idle_ns > limit_ns:
+            if not connection.work and not connection.messages.buffer and idle_ns > limit_ns:
                 connection.transport.close()
         self.loop.call_later(0.05, self._sweep)
 
@@ -118,18 +118,18 @@
 
     def arrived(self, connection: NodeConnection, message: Message) -> None:
         """A request's last byte has come."""
-        if message.first.startswith("GET /-/"):
+        if message.first_line.startswith("GET /-/"):
             self._write(connection, 200, b"ready", "", False)
             return
         kernel = self.run.kernel
         ident = message.headers.get("x-request-id", "")
-        cls = self.run.class_of(message.first)
+        cls = self.run.class_of(message.first_line)
         if self.pool and self.pool != self.run.pool_of(cls):
-            self.run.rules.breach(kernel.now_ns, "own pool", f"{ident} came to {self.name} of {self.pool}")
-        self.run.rules.reached(kernel.now_ns, connection.sidecar, self.name)
+            self.run.rules.report(kernel.now_ns, "own pool", f"{ident} came to {self.name} of {self.pool}")
+        self.run.rules.request_reached(kernel.now_ns, connection.sidecar, self.name)
         if self.is_wrong(Kind.SILENT):
             if self.random.random() < 0.5:
-                self.run.rules.ran(kernel.now_ns, ident, self.name)
+                self.run.rules.work_started(kernel.now_ns, ident, self.name)
             return
         if self.is_wrong(Kind.FULL) or self.held >= QUEUE_MOST:
             self._write(connection, 503, b"full", "X-Not-Run: 1\r\n", True)
@@ -146,14 +146,14 @@
         self.free_ns[core] = begins_ns + took_ns
         kernel.at(begins_ns, self._begin, self.loop, ident)
         body = f"{ident} {self.name}".encode()
-        if message.first.split()[1].endswith("?large"):
+        if message.first_line.split()[1].endswith("?large"):
             body += b"\n" + LARGE
         kernel.at(begins_ns + took_ns, self.loop.wake, self._finish, connection, body)
 
     def _begin(self, loop: SimLoop, ident: str) -> None:
         if loop.alive:
             self.run.kernel.note(f"{self.name} runs {ident}")
-            self.run.rules.ran(self.run.kernel.now_ns, ident, self.name)
+            self.run.rules.work_started(self.run.kernel.now_ns, ident, self.name)
 
     def _finish(self, connection: NodeConnection, body: bytes) -> None:
         self.held -= 1
@@ -186,5 +186,5 @@
         head = f"HTTP/1.1 {code} X\r\n{lines}{load}Content-Length: {len(body)}\r\n\r\n"
         data = head.encode() + body
         end_bytes = transport.sock.sent_bytes + len(transport.buffer) + len(data)
-        self.run.wire.answer(transport.sock, end_bytes, proof)
+        self.run.observer.mark_answer(transport.sock, end_bytes, proof)
         transport.write(data * copies)
--- a/dykefold/sim/process.py
+++ b/dykefold/sim/process.py
@@ -124,7 +124,7 @@
         self.began_ns = self.run.kernel.now_ns
         self.alive, self.ending = True, False
         if not beside:
-            self.run.rules.restarted(self.name)
+            self.run.rules.sidecar_restarted(self.name)
         self.loop = SimLoop(self.run.kernel, self.process, self.run.network, self.name)
         # Lives differ in their chance, and machines in how long they have been up.
         key = (self.number, self.life, self.place) if self.place else (self.number, self.life)
@@ -171,7 +171,9 @@
         known = parse_endpoint_update(self.run.known(self.name), names)
         for entry in known.entries:
             state = entry.endpoint.state.name == "READY"
-            self.run.rules.told_state(self.run.kernel.now_ns, self.name, entry.name, state, entry.since_ms)
+            self.run.rules.endpoint_notified(
+                self.run.kernel.now_ns, self.name, entry.name, state, entry.since_ms
+            )
         transport = Transport(["std"], 15 * SECOND, 10_000)
         engine.serve_one(settings, transport, self.seed, self.run.registry.address, names, known)
         peers = [(side.address, PEER_PORT) for side in self.run.sidecars]
@@ -258,7 +260,7 @@
         for pool in self.engine.pools:
             for held in pool.pending.values():
                 ident = held.call.ident.decode()
-                self.run.rules.lost(self.run.kernel.now_ns, ident, "held when a planned end was over")
+                self.run.rules.request_lost(self.run.kernel.now_ns, ident, "held when a planned end was over")
         self.kill()
 
     def kill(self) -> None:
--- a/dykefold/sim/registry.py
+++ b/dykefold/sim/registry.py
@@ -32,7 +32,7 @@
 
     def data_received(self, data: bytes) -> None:
         for message in self.messages.feed(data):
-            self.registry.asked(self, message.first.split()[1])
+            self.registry.asked(self, message.first_line.split()[1])
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.open = False
@@ -161,7 +161,7 @@
         end_bytes = transport.sock.sent_bytes + len(transport.buffer) + len(data)
         peer: SimSocket = transport.sock.peer
         version = self.version
-        self.run.wire.mark(
+        self.run.observer.mark_arrival(
             peer, end_bytes, lambda: self.run.told(connection.sidecar, self, version, whole, entries)
         )
         transport.write(data)
--- a/dykefold/sim/run.py
+++ b/dykefold/sim/run.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from .kernel import SECOND
-from .rules import Breach
+from .rules import Violation
 from .schedule import Scenario, draw
 from .world import Running
 
@@ -32,7 +32,7 @@
     seed: int
     steps: int
     digest: str
-    breaches: tuple[Breach, ...]
+    breaches: tuple[Violation, ...]
     counts: dict[str, int]
     trace: tuple[str, ...] = ()
 
--- a/dykefold/sim/view_rules.py
+++ b/dykefold/sim/view_rules.py
@@ -39,9 +39,9 @@
         for number, (own, _) in self.since.items():
             states = [view.table.state(number) for by, view in views.items() if by != number]
             if own is not None and states and all(state not in LIVE for state in states):
-                self.rules.breach(now_ns, "views", f"sidecar {number} lives and is gone for all others")
+                self.rules.report(now_ns, "views", f"sidecar {number} lives and is gone for all others")
             if own is None and any(state in LIVE for state in states):
-                self.rules.breach(now_ns, "views", f"sidecar {number} is dead and live for others")
+                self.rules.report(now_ns, "views", f"sidecar {number} is dead and live for others")
 
     def settled_by(self, now_ns: int) -> int:
         """When all views must be equal, if nothing more happens."""
@@ -54,7 +54,7 @@
             live = [other for other in self.since if view.table.state(other) in LIVE]
             if live != list(views):
                 text = f"sidecar {number} counts {live} as live, there are {list(views)}"
-                self.rules.breach(now_ns, "views", text)
+                self.rules.report(now_ns, "views", text)
             gone = [other for other in self.since if view.table.state(other) is State.UNKNOWN]
             if gone:
-                self.rules.breach(now_ns, "views", f"sidecar {number} knows nothing of {gone}")
+                self.rules.report(now_ns, "views", f"sidecar {number} knows nothing of {gone}")
--- a/dykefold/sim/world.py
+++ b/dykefold/sim/world.py
@@ -16,15 +16,15 @@
 from .kernel import EPOCH_NS, MS, SECOND, Kernel, stream
 from .network import Network
 from .nodes import Node
+from .observer import WireObserver
 from .process import PORT, SOCKETS, Sidecar, bounds_broken, left_over
 from .registry import Registry
-from .rules import Breach, Rules
+from .rules import Rules, Violation
 from .schedule import CLOCK_STEPS_NS, OF_CALLS, WORLDS, Arrival, Fault, Kind, Scenario
 from .sockets import Address
 from .state_directory import Folder
 from .syscalls import SystemCall
 from .view_rules import ViewRules
-from .wire import Wire
 
 QUIET_NS = 9 * SECOND  # after the last request: every fault ends, every deadline and idle connection passes
 FAILED_TIMES = 4  # as long after a call that failed, a sidecar may go by the list that it has
@@ -80,8 +80,8 @@
             settings.classes, settings.drain_grace_ns, settings.overload_factor, settings.overload_for_ns
         )
         self.places: dict[str, Node] = {}  # the node at each address
-        self.wire = Wire(self.kernel, self.rules, self._place_of)
-        self.network.observer = self.wire
+        self.observer = WireObserver(self.kernel, self.rules, self._place_of)
+        self.network.observer = self.observer
         self.last_told: dict[str, tuple[tuple[int, int], dict[str, dict[str, Any]]]] = {}
         self.replaced = 0
         self.true_ms: dict[tuple[str, int], int] = {}  # a start as it is told -> when it truly was
@@ -217,7 +217,7 @@
         since = max(self.asked_ns.get(side.name, 0), side.began_ns, self.turned_ns)
         late_ns = now - since - self.settings.must_ask_in_ns
         if side.alive and not (side.ending or watches or registry.down) and late_ns > ASK_SLACK_NS:
-            self.rules.breach(now, "lists", f"{side.name} has not asked for {(now - since) / SECOND:.1f} s")
+            self.rules.report(now, "lists", f"{side.name} has not asked for {(now - since) / SECOND:.1f} s")
 
     def told(
         self, sidecar: str, registry: Registry, version: int, whole: bool, entries: list[dict[str, Any]]
@@ -233,17 +233,17 @@
             for entry in entries:
                 if entry["status"] == "SERVING":
                     since_ms = entry["since_ms"]
-                    self.rules.told_state(self.kernel.now_ns, sidecar, entry["name"], True, since_ms)
+                    self.rules.endpoint_notified(self.kernel.now_ns, sidecar, entry["name"], True, since_ms)
             return
         names = {entry["name"] for entry in entries}
         now = self.kernel.now_ns
         if whole:
             for gone in [name for name in known if name not in names]:
-                self.rules.told_state(now, sidecar, gone, False, 0)
+                self.rules.endpoint_notified(now, sidecar, gone, False, 0)
             known = {}
         for entry in entries:
             serving = entry["status"] == "SERVING"
-            self.rules.told_state(now, sidecar, entry["name"], serving, entry["since_ms"])
+            self.rules.endpoint_notified(now, sidecar, entry["name"], serving, entry["since_ms"])
             if entry["status"] == "DELETED":
                 known.pop(entry["name"], None)
             else:
@@ -294,7 +294,7 @@
         addresses = {address[0] for pool in self.plan.pools.values() for address in pool.servers}
         for node in self.nodes:
             named = node.address in addresses
-            self.rules.told_state(self.kernel.now_ns, sidecar, node.name, named, 0)
+            self.rules.endpoint_notified(self.kernel.now_ns, sidecar, node.name, named, 0)
 
     # Faults
 
@@ -452,7 +452,7 @@
                 if side.alive:
                     side.terminate()
         elif self.kernel.now_ns > since_ns + YES_NS + made.loop.paused_ns:
-            self.rules.breach(self.kernel.now_ns, "upgrades", f"{made.process} said no yes within 6 s")
+            self.rules.report(self.kernel.now_ns, "upgrades", f"{made.process} said no yes within 6 s")
         else:
             self.kernel.after(50 * MS, self._await_yes, made, older, since_ns)
 
@@ -476,7 +476,7 @@
         )
         if reply.code == 200:
             self.kernel.note(f"{side.process} {'takes out' if out else 'puts back'} {node.name}")
-            self.rules.banned(self.kernel.now_ns, side.name, node.name, out)
+            self.rules.maintenance_changed(self.kernel.now_ns, side.name, node.name, out)
 
     def _set_clocks(self) -> None:
         """Half of the machines have a wrong clock from the start."""
@@ -603,11 +603,11 @@
         """Look at the bounds that a process states, and at what it failed to catch."""
         now = self.kernel.now_ns
         for failure in side.loop.failures:
-            self.rules.breach(now, "no unhandled error", f"{side.name}: {failure}")
+            self.rules.report(now, "no unhandled error", f"{side.name}: {failure}")
         side.loop.failures.clear()
         if side.engine is not None and side.alive:
             for text in bounds_broken(side.engine, self.network.open[side.process]):
-                self.rules.breach(now, "bounds", f"{side.name}: {text}")
+                self.rules.report(now, "bounds", f"{side.name}: {text}")
 
     def _check_together(self, number: int) -> None:
         """What the processes of a sidecar hold together, and that somebody takes clients."""
@@ -617,16 +617,16 @@
         now = self.kernel.now_ns
         held = sum(len(self.network.open[side.process]) for side in living)
         if held > SOCKETS:
-            self.rules.breach(now, "bounds", f"{living[0].name}: {held} descriptors of {SOCKETS} in all")
+            self.rules.report(now, "bounds", f"{living[0].name}: {held} descriptors of {SOCKETS} in all")
         served = [
             side.engine for side in living if side.engine is not None and side.engine.listener is not None
         ]
         most = sum(engine.max_descriptors for engine in served)
         if most > SOCKETS:
-            self.rules.breach(now, "bounds", f"{living[0].name}: {most} descriptors of {SOCKETS} claimed")
+            self.rules.report(now, "bounds", f"{living[0].name}: {most} descriptors of {SOCKETS} claimed")
         staying = [side for side in living if not side.ending]
         if staying and not served and all(now - side.began_ns > YES_NS for side in staying):
-            self.rules.breach(now, "upgrades", f"nobody takes the clients of {living[0].name}")
+            self.rules.report(now, "upgrades", f"nobody takes the clients of {living[0].name}")
 
     def _check_plans(self) -> None:
         """At rest all sidecars of a zone hold one plan."""
@@ -638,14 +638,14 @@
         for zone, levels in held.items():
             if len(levels) > 1:
                 text = f"sidecars of zone {zone} hold levels {sorted(levels)}"
-                self.rules.breach(self.kernel.now_ns, "plans", text)
+                self.rules.report(self.kernel.now_ns, "plans", text)
 
-    def play(self, steps_most: int | None = None) -> list[Breach]:
+    def play(self, steps_most: int | None = None) -> list[Violation]:
         """Run to the end, the quiet after it included; what was broken."""
         until_ns = self.scenario.span_ns
         self.kernel.run(until_ns, steps_most)
         if steps_most is not None and self.kernel.steps >= steps_most:
-            return self.rules.breaches
+            return self.rules.violations
         self.kernel.run(until_ns + QUIET_NS - 3 * SECOND)
         if self.views is not None:
             until_ns = self.views.settled_by(self.kernel.now_ns)
@@ -659,9 +659,9 @@
             self.check_process(side)
             if side.alive and not side.ending and side.engine is not None:
                 for text in left_over(side.engine):
-                    self.rules.breach(self.kernel.now_ns, "nothing left", f"{side.name}: {text}")
+                    self.rules.report(self.kernel.now_ns, "nothing left", f"{side.name}: {text}")
         self.rules.counts["errors"] = self.network.failing.count
-        return self.rules.breaches
+        return self.rules.violations
 
 
 def without(scenario: Scenario, faults: tuple[Fault, ...], arrivals: tuple[Arrival, ...]) -> Scenario:
--- a/tests/sim/test_judge.py
+++ b/tests/sim/test_judge.py
@@ -3,7 +3,7 @@
 import pytest
 
 from dykefold.balancer.settings import Effect, RequestClass, Scope
-from dykefold.sim.rules import Cold, Rules
+from dykefold.sim.rules import AttemptStart, Rules, WarmUp
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -19,33 +19,35 @@
     return Rules(classes, 500 * MS, 3.0, 2 * SECOND)
 
 
-def attempt(rules, at_ms, ident="a", server="n0", group=0, whole=True, out=False, proof=False):
-    made = rules.began(at_ms * MS, "sidecar0", ident, server, group)
-    made.whole, made.out, made.proof = whole, out, proof
+def attempt(
+    rules, at_ms, ident="a", server="n0", group=0, written=True, in_flight=False, proved_not_run=False
+):
+    made = rules.attempt_started(AttemptStart(at_ms * MS, "sidecar0", ident, server, group))
+    made.written, made.in_flight, made.proved_not_run = written, in_flight, proved_not_run
     return made
 
 
 def broken(rules):
-    return [breach.rule for breach in rules.breaches]
+    return [violation.rule for violation in rules.violations]
 
 
 @pytest.mark.parametrize(
     ("cls", "first", "second", "rule"),
     [
         (LOOKUP, {}, {}, None),
-        (LOOKUP, {"out": True}, {}, "one attempt"),
+        (LOOKUP, {"in_flight": True}, {}, "one attempt"),
         (ORDER, {}, {}, "no effect twice"),
-        (ORDER, {"whole": False}, {}, None),
-        (ORDER, {"proof": True}, {}, None),
+        (ORDER, {"written": False}, {}, None),
+        (ORDER, {"proved_not_run": True}, {}, None),
         (HOLD, {}, {}, None),
         (HOLD, {}, {"group": 1}, "no effect twice"),
         (HOLD, {}, {"at_ms": 600}, "no effect twice"),
-        (HOLD, {"proof": True}, {"group": 1, "at_ms": 600}, None),
+        (HOLD, {"proved_not_run": True}, {"group": 1, "at_ms": 600}, None),
     ],
 )
 def test_repeats(cls, first, second, rule):
     rules = make()
-    rules.asked(0, "a", cls)
+    rules.request_sent(0, "a", cls)
     attempt(rules, 1, **first)
     attempt(rules, **({"at_ms": 100, "server": "n1"} | second))
     assert broken(rules) == ([rule] if rule else [])
@@ -53,10 +55,10 @@
 
 def test_an_order_that_ran_twice_whoever_sent_it():
     rules = make()
-    rules.asked(0, "a", ORDER)
-    rules.ran(MS, "a", "n0")
-    assert not rules.breaches
-    rules.ran(2 * MS, "a", "n1")
+    rules.request_sent(0, "a", ORDER)
+    rules.work_started(MS, "a", "n0")
+    assert not rules.violations
+    rules.work_started(2 * MS, "a", "n1")
     assert broken(rules) == ["no effect twice"]
 
 
@@ -65,7 +67,7 @@
 )
 def test_refusals_of_what_may_have_run(cls, rule):
     rules = make()
-    rules.asked(0, "a", cls)
+    rules.request_sent(0, "a", cls)
     attempt(rules, 1)
     rules.answered(10 * MS, "a", 503, "refused", SECOND)
     assert broken(rules) == ([rule] if rule else [])
@@ -74,15 +76,15 @@
 def test_answers():
     rules = make()
     for ident in "abcd":
-        rules.asked(0, ident, LOOKUP)
-        rules.ran(MS, ident, "n0")
+        rules.request_sent(0, ident, LOOKUP)
+        rules.work_started(MS, ident, "n0")
     rules.answered(10 * MS, "a", 200, "a n0", SECOND)
     rules.answered(SECOND + 49 * MS, "b", 504, "", SECOND)
-    assert not rules.breaches
+    assert not rules.violations
     rules.answered(11 * MS, "a", 200, "a n0", SECOND)
     rules.answered(SECOND + 51 * MS, "c", 504, "", SECOND)
     rules.answered(12 * MS, "d", 200, "a n0", SECOND)
-    rules.lost(13 * MS, "e", "its connection ended")
+    rules.request_lost(13 * MS, "e", "its connection ended")
     assert broken(rules) == ["one answer", "in time", "own answer", "one answer"]
 
 
@@ -92,15 +94,15 @@
 )
 def test_answers_in_part_need_a_server_or_a_process_that_ended(process_lives, server_ended, rule):
     rules = make()
-    rules.asked(0, "a", LOOKUP)
+    rules.request_sent(0, "a", LOOKUP)
     attempt(rules, 1).server_ended = True  # of an earlier attempt, which excuses nothing
     attempt(rules, 2).server_ended = server_ended
-    rules.cut_short(10 * MS, "a", process_lives)
+    rules.answer_cut_short(10 * MS, "a", process_lives)
     assert broken(rules) == ([rule] if rule else [])
 
 
 @pytest.mark.parametrize(
-    ("process_lives", "streamed", "whole", "rule"),
+    ("process_lives", "streamed", "written", "rule"),
     [
         (False, True, False, None),
         (True, True, False, "one answer"),
@@ -109,32 +111,32 @@
     ],
 )
 def test_of_a_request_not_read_whole_only_a_stream_may_have_gone_when_its_process_died(
-    process_lives, streamed, whole, rule
+    process_lives, streamed, written, rule
 ):
     rules = make()
-    rules.asked(0, "a", ORDER)
-    attempt(rules, 1, whole=whole, out=True).streamed = streamed
-    rules.not_taken(10 * MS, "a", process_lives)
+    rules.request_sent(0, "a", ORDER)
+    attempt(rules, 1, written=written, in_flight=True).streamed = streamed
+    rules.request_not_read(10 * MS, "a", process_lives)
     assert broken(rules) == ([rule] if rule else [])
 
 
 def test_an_answer_after_one_in_part_is_a_second_one():
     rules = make()
-    rules.asked(0, "a", LOOKUP)
+    rules.request_sent(0, "a", LOOKUP)
     attempt(rules, 1).server_ended = True
-    rules.ran(MS, "a", "n0")
-    rules.cut_short(10 * MS, "a", True)
+    rules.work_started(MS, "a", "n0")
+    rules.answer_cut_short(10 * MS, "a", True)
     rules.answered(11 * MS, "a", 200, "a n0", SECOND)
     assert broken(rules) == ["one answer"]
 
 
 def test_an_answer_in_part_of_a_request_never_sent_on_needs_the_death_of_the_process():
     rules = make()
-    rules.asked(0, "a", LOOKUP)
-    rules.asked(0, "b", LOOKUP)
-    rules.cut_short(10 * MS, "a", False)
-    assert not rules.breaches
-    rules.cut_short(10 * MS, "b", True)
+    rules.request_sent(0, "a", LOOKUP)
+    rules.request_sent(0, "b", LOOKUP)
+    rules.answer_cut_short(10 * MS, "a", False)
+    assert not rules.violations
+    rules.answer_cut_short(10 * MS, "b", True)
     assert broken(rules) == ["one answer"]
 
 
@@ -142,9 +144,9 @@
 def test_attempts_after_a_client_has_left(at_ms, rule):
     """From its close on it counts; a second close, of a connection that has gone, changes nothing."""
     rules = make()
-    rules.asked(0, "a", LOOKUP)
-    rules.left(10 * MS, "a")
-    rules.left(90 * MS, "a")
+    rules.request_sent(0, "a", LOOKUP)
+    rules.client_left(10 * MS, "a")
+    rules.client_left(90 * MS, "a")
     attempt(rules, 10 + at_ms)
     assert broken(rules) == ([rule] if rule else [])
 
@@ -161,22 +163,22 @@
 )
 def test_the_time_that_a_server_is_told(events, told_ms, rule):
     rules = make()
-    rules.asked(0, "a", LOOKUP)
-    rules.waits("a", SECOND, events)
-    rules.time_runs(0, "a")
-    rules.began(400 * MS, "sidecar0", "a", "n0", 0, told_ms * MS)
+    rules.request_sent(0, "a", LOOKUP)
+    rules.deadline_set("a", SECOND, events)
+    rules.deadline_started(0, "a")
+    rules.attempt_started(AttemptStart(400 * MS, "sidecar0", "a", "n0", 0, told_ms * MS))
     assert broken(rules) == ([rule] if rule else [])
 
 
 def test_drains():
     rules = make()
-    rules.asked(0, "a", LOOKUP)
-    rules.told_state(0, "sidecar0", "n0", False, 0)
+    rules.request_sent(0, "a", LOOKUP)
+    rules.endpoint_notified(0, "sidecar0", "n0", False, 0)
     attempt(rules, 549)
-    assert not rules.breaches
+    assert not rules.violations
     attempt(rules, 551)
     assert broken(rules) == ["drains"]
-    rules.told_state(600 * MS, "sidecar0", "n0", True, 5)
+    rules.endpoint_notified(600 * MS, "sidecar0", "n0", True, 5)
     attempt(rules, 700)
     assert broken(rules) == ["drains"]
 
@@ -188,12 +190,12 @@
     Whoever was told knows this very start, which a wall clock named in whole milliseconds.
     """
     rules = make()
-    rules.started("n0", Cold(0, 40.0, 0.25, 4 * SECOND, 1_700_000_000_003))
+    rules.server_started("n0", WarmUp(0, 40.0, 0.25, 4 * SECOND, 1_700_000_000_003))
     if told_ms is not None:
-        rules.told_state(0, "sidecar0", "n0", True, told_ms)
+        rules.endpoint_notified(0, "sidecar0", "n0", True, told_ms)
     for number in range(63):
-        rules.reached(number * MS, "sidecar0", "n0")
-    assert not rules.breaches
+        rules.request_reached(number * MS, "sidecar0", "n0")
+    assert not rules.violations
     for number in range(63, 70):
-        rules.reached(number * MS, "sidecar0", "n0")
-    assert len(rules.breaches) == found
+        rules.request_reached(number * MS, "sidecar0", "n0")
+    assert len(rules.violations) == found
--- a/tests/sim/test_reality.py
+++ b/tests/sim/test_reality.py
@@ -104,7 +104,7 @@
     answered = running.rules.answered
 
     def note(at_ns, ident, code, body, due_ns):
-        counts[running.rules.stories[ident].cls, end_of(code)] += 1
+        counts[running.rules.traces[ident].class_number, end_of(code)] += 1
         answered(at_ns, ident, code, body, due_ns)
 
     running.rules.answered = note
