--- a/dykefold/sim/callers.py
+++ b/dykefold/sim/callers.py
@@ -1,4 +1,4 @@
-"""Thousands of sidecars in front of one list service, on a virtual clock: the decision on calls alone."""
+"""Thousands of sidecars in front of one discovery, on a virtual clock: the poll schedules alone."""
 
 from __future__ import annotations
 
@@ -12,15 +12,19 @@
 from ..fleet.rate_limits import SECOND
 from .kernel import MS
 
-MUST_ASK_NS = 10 * SECOND
-FIRST_NS = SECOND // 2  # the module spreads its first call over this, a twentieth of the time to ask
+MUST_POLL_NS = 10 * SECOND
+FIRST_POLL_NS = SECOND // 2  # the balancer spreads its first call over this, a twentieth of the time to poll
+MIN_BACKOFF, MAX_BACKOFF = 0.05, 0.4  # of the time to poll, after one call that failed and after many
+MIN_JITTER = 0.1  # of a backoff, at least
+CALLS_PER_S = 125.0  # that a fleet may make of discovery
+TOLD_SPREADS = 5  # of the longest, that sidecars tell each other
 READY_NS = 300 * MS  # over which processes that start together come to call
-TOLD_NS = 300 * MS  # until a word of one sidecar has come to the others
+GOSSIP_NS = 300 * MS  # until what one sidecar tells has come to the others
 
 
 @dataclass(slots=True)
 class Seen:
-    """What came of it.
+    """What was seen of the calls.
 
     Attributes:
         calls: by second.
@@ -44,34 +48,36 @@
             size: sidecars.
             service_per_s: calls that the service works through.
             waiting_most: calls that wait there; one more is turned away.
-            spread: whether they spread their calls, or each goes by itself as the module has it.
+            spread: whether they spread their calls, or each goes by itself as the balancer has it.
             seed: of all that is drawn.
-            told: whether they tell each other the spans that they found.
+            told: whether they tell each other the durations over which they spread.
         """
         self.size, self.told = size, told
         self.work_ns, self.waiting_most = int(SECOND / service_per_s), waiting_most
-        self.chance = random.Random(seed)
+        self.random = random.Random(seed)
         self.queue: list[tuple[int, int, Callable[[], None]]] = []
-        self.order = 0
+        self.last_order = 0
         self.now_ns = 0
         self.free_ns = 0  # when the service has worked through all that waits
         self.down = False
-        self.fails = [0] * size
+        self.failures = [0] * size
         self.seen = Seen()
-        self.ready_ns = [self.chance.randrange(READY_NS) for _ in range(size)]
-        self.askings: list[CoordinatedPollSchedule] | None = None
+        self.ready_ns = [self.random.randrange(READY_NS) for _ in range(size)]
+        self.schedules: list[CoordinatedPollSchedule] | None = None
         if spread:
-            self.askings = [
-                CoordinatedPollSchedule(MUST_ASK_NS, 125.0, n, size, random.Random(seed * size + n), at)
+            self.schedules = [
+                CoordinatedPollSchedule(
+                    MUST_POLL_NS, CALLS_PER_S, n, size, random.Random(seed * size + n), at
+                )
                 for n, at in enumerate(self.ready_ns)
             ]
         for number, at in enumerate(self.ready_ns):
-            first_ns = at + self.chance.randrange(FIRST_NS)
-            self._at(first_ns, lambda number=number: self._opens(number))  # type: ignore[misc]
+            first_ns = at + self.random.randrange(FIRST_POLL_NS)
+            self._at(first_ns, lambda number=number: self._open(number))  # type: ignore[misc]
 
     def _at(self, at_ns: int, act: Callable[[], None]) -> None:
-        self.order += 1
-        heapq.heappush(self.queue, (max(at_ns, self.now_ns), self.order, act))
+        self.last_order += 1
+        heapq.heappush(self.queue, (max(at_ns, self.now_ns), self.last_order, act))
 
     def run(self, until_ns: int) -> Seen:
         """Let time pass until it is this late; returns what was seen so far."""
@@ -81,18 +87,18 @@
         self.now_ns = until_ns
         return self.seen
 
-    def _opens(self, number: int) -> None:
-        due_ns = self.askings[number].opens_ns(self.now_ns, 1) if self.askings else self.now_ns
+    def _open(self, number: int) -> None:
+        due_ns = self.schedules[number].opens_ns(self.now_ns, 1) if self.schedules else self.now_ns
         self._at(due_ns, lambda: self._call(number))
 
     def _call(self, number: int) -> None:
         self.seen.calls[self.now_ns // SECOND] += 1
-        if self.askings:
-            self.askings[number].called(self.now_ns, number not in self.seen.listed_ns)
+        if self.schedules:
+            self.schedules[number].called(self.now_ns, number not in self.seen.listed_ns)
         waiting = (self.free_ns - self.now_ns) / self.work_ns
         if self.down or waiting > self.waiting_most:
             self.seen.turned_away += 1
-            self._fails(number)
+            self._fail(number)
             return
         self.free_ns = max(self.free_ns, self.now_ns) + self.work_ns
         self._at(self.free_ns, lambda: self._answered(number))
@@ -100,23 +106,27 @@
     def _answered(self, number: int) -> None:
         first = number not in self.seen.listed_ns
         self.seen.listed_ns.setdefault(number, self.now_ns)
-        self.fails[number] = 0
-        if self.askings and self.askings[number].was_answered(self.now_ns) and self.told:
-            self._at(self.now_ns + TOLD_NS, self._tell)
+        self.failures[number] = 0
+        if self.schedules and self.schedules[number].was_answered(self.now_ns) and self.told:
+            self._at(self.now_ns + GOSSIP_NS, self._tell)
         if first:  # its next call waits at the service
-            wait_ns = self.askings[number].goes_on_ns(self.now_ns, 2) if self.askings else self.now_ns
+            wait_ns = self.schedules[number].goes_on_ns(self.now_ns, 2) if self.schedules else self.now_ns
             self._at(wait_ns, lambda: self._call(number))
 
-    def _fails(self, number: int) -> None:
-        span_ns = int(MUST_ASK_NS * min(0.4, 0.05 * 2.0 ** self.fails[number]))
-        self.fails[number] += 1
-        if self.askings and self.askings[number].failed(self.now_ns) and self.told:
-            self._at(self.now_ns + TOLD_NS, self._tell)
-        self._at(self.now_ns + int(span_ns * self.chance.uniform(0.1, 1.0)) + 1, lambda: self._opens(number))
+    def _fail(self, number: int) -> None:
+        backoff_ns = int(MUST_POLL_NS * min(MAX_BACKOFF, MIN_BACKOFF * 2.0 ** self.failures[number]))
+        self.failures[number] += 1
+        if self.schedules and self.schedules[number].failed(self.now_ns) and self.told:
+            self._at(self.now_ns + GOSSIP_NS, self._tell)
+        self._at(
+            self.now_ns + int(backoff_ns * self.random.uniform(MIN_JITTER, 1.0)) + 1,
+            lambda: self._open(number),
+        )
 
     def _tell(self) -> None:
-        """All hear what spans the others go by."""
-        assert self.askings is not None
-        spans = sorted((one.spread_ns(self.now_ns) for one in self.askings), reverse=True)[:5]
-        for one in self.askings:
-            one.take_spread(spans)
+        """Let all know over which durations the others spread their calls."""
+        assert self.schedules is not None
+        spreads_ns = (schedule.spread_ns(self.now_ns) for schedule in self.schedules)
+        longest_ns = sorted(spreads_ns, reverse=True)[:TOLD_SPREADS]
+        for schedule in self.schedules:
+            schedule.take_spread(longest_ns)
--- a/dykefold/sim/membership.py
+++ b/dykefold/sim/membership.py
@@ -1,8 +1,8 @@
-"""Words between a few members, in every order: a small model on the view's own table and rules. No I/O.
+"""Gossip between a few members, in every order: a small model on the membership's own rules. No I/O.
 
-Time is left out: whoever could doubt a member may do so at any moment, and any two may exchange words at any
-moment. From every state that can be reached, faults over, a fair exchange must bring all to one view, the
-true one.
+Time is left out: whoever could doubt a member may do so at any moment, and any two may exchange states at any
+moment. From every state that can be reached, faults over, a fair exchange must bring all to one membership,
+the true one.
 """
 
 from __future__ import annotations
@@ -12,52 +12,58 @@
 
 from ..fleet.member_state import LIVE, State, conclude, denial, state_of, trusts, word
 
-Words = tuple[int, ...]  # of one member, by the number of whom they are about
-INCARNATION_MOST = 5  # a model that goes on doubting and denying would have no end
-ROUNDS = 24
+States = tuple[int, ...]  # as one member has them encoded, by the number of whom they are of
+MAX_INCARNATION = 5  # a model that goes on doubting and denying would have no end
+MAX_ROUNDS = 24
 
 
 class Fleet(NamedTuple):
-    """All members. `cut` has the pairs between which nothing passes that way."""
+    """All members, each with its states.
 
-    words: tuple[Words | None, ...]  # None: it does not run
+    Attributes:
+        states: by member; None for one that does not run.
+        cut: pairs between which nothing passes that way.
+        faults: that may still come.
+    """
+
+    states: tuple[States | None, ...]
     cut: frozenset[tuple[int, int]]
-    faults: int  # that may still come
+    faults: int
 
 
 def first(members: int, faults: int) -> Fleet:
-    """All run and know one another."""
-    told = tuple(word(1, State.ALIVE) for _ in range(members))
-    return Fleet((told,) * members, frozenset(), faults)
+    """Return a fleet in which all run and know one another."""
+    sent = tuple(word(1, State.ALIVE) for _ in range(members))
+    return Fleet((sent,) * members, frozenset(), faults)
 
 
 def tell(fleet: Fleet, one: int, other: int) -> Fleet:
-    """All words of one reach another."""
-    told, known = fleet.words[one], fleet.words[other]
-    assert told is not None
+    """Return the fleet after one member has sent all its states to another."""
+    sent, known = fleet.states[one], fleet.states[other]
+    assert sent is not None
     assert known is not None
-    words = list(known)
-    words[one] = max(words[one], told[one])
-    trusted = trusts(state_of(words[one]))
-    for number, said in enumerate(told):
+    states = list(known)
+    states[one] = max(states[one], sent[one])
+    trusted = trusts(state_of(states[one]))
+    for number, encoded in enumerate(sent):
         if number == other:
-            denied = denial(words[other], said)
-            words[other] = max(words[other], denied if denied is not None else 0)
+            denied = denial(states[other], encoded)
+            states[other] = max(states[other], denied if denied is not None else 0)
         elif trusted:
-            words[number] = max(words[number], said)
-    return _with(fleet, other, tuple(words))
+            states[number] = max(states[number], encoded)
+    return _with(fleet, other, tuple(states))
 
 
-def _with(fleet: Fleet, number: int, words: Words | None) -> Fleet:
-    return fleet._replace(words=(*fleet.words[:number], words, *fleet.words[number + 1 :]))
+def _with(fleet: Fleet, number: int, states: States | None) -> Fleet:
+    return fleet._replace(states=(*fleet.states[:number], states, *fleet.states[number + 1 :]))
 
 
 def _running(fleet: Fleet) -> list[int]:
-    return [number for number, words in enumerate(fleet.words) if words is not None]
+    return [number for number, states in enumerate(fleet.states) if states is not None]
 
 
 def moves(fleet: Fleet) -> Iterator[tuple[str, Fleet]]:
-    """What may happen next."""
+    """Yield what may happen next."""
     running = _running(fleet)
     for one in running:
         for other in running:
@@ -69,70 +75,70 @@
     left = fleet._replace(faults=fleet.faults - 1)
     for one in running:
         yield f"{one} dies", _with(left, one, None)
-        others = [other for other in range(len(fleet.words)) if other != one]
+        others = [other for other in range(len(fleet.states)) if other != one]
         yield f"{one} is not heard", left._replace(cut=fleet.cut | {(one, other) for other in others})
         yield f"{one} hears nobody", left._replace(cut=fleet.cut | {(other, one) for other in others})
-    for one, words in enumerate(fleet.words):
-        if words is None:
-            # Its clock is set back: the word that it begins with is one that the others have heard before.
-            fresh = tuple(word(1, State.ALIVE) if one == other else 0 for other in range(len(fleet.words)))
+    for one, states in enumerate(fleet.states):
+        if states is None:
+            # Its clock is set back: the state that it begins with is one that the others have heard before.
+            fresh = tuple(word(1, State.ALIVE) if one == other else 0 for other in range(len(fleet.states)))
             yield f"{one} starts", _with(left, one, fresh)
     if fleet.cut:
         yield "the ways are whole", left._replace(cut=frozenset())
 
 
 def _doubts(fleet: Fleet, one: int) -> Iterator[tuple[str, Fleet]]:
-    words = fleet.words[one]
-    assert words is not None
-    for other, said in enumerate(words):
-        if other == one or said >> 8 >= INCARNATION_MOST:
+    states = fleet.states[one]
+    assert states is not None
+    for other, encoded in enumerate(states):
+        if other == one or encoded >> 8 >= MAX_INCARNATION:
             continue
-        state = state_of(said)
-        unheard = fleet.words[other] is None or (other, one) in fleet.cut
+        state = state_of(encoded)
+        unheard = fleet.states[other] is None or (other, one) in fleet.cut
         if state in (State.ALIVE, State.UNKNOWN) and unheard:
-            doubted = (*words[:other], conclude(said, State.SUSPECT), *words[other + 1 :])
+            doubted = (*states[:other], conclude(encoded, State.SUSPECT), *states[other + 1 :])
             yield f"{one} doubts {other}", _with(fleet, one, doubted)
         elif state is State.SUSPECT:
-            buried = (*words[:other], conclude(said, State.GONE), *words[other + 1 :])
+            buried = (*states[:other], conclude(encoded, State.GONE), *states[other + 1 :])
             yield f"{one} counts {other} as gone", _with(fleet, one, buried)
 
 
 def settled(fleet: Fleet) -> Fleet:
-    """The faults are over, and all that run exchange words and doubt those that don't, round after round."""
+    """Return the fleet after rounds without faults: all exchange states and doubt who does not run."""
     fleet = fleet._replace(cut=frozenset(), faults=0)
     running = _running(fleet)
-    for _ in range(ROUNDS):
+    for _ in range(MAX_ROUNDS):
         before = fleet
         for one in running:
             for other in running:
                 if one != other:
                     fleet = tell(fleet, one, other)
         for one in running:
-            words = fleet.words[one]
-            assert words is not None
-            for other, said in enumerate(words):
-                if fleet.words[other] is None and state_of(said) in (*LIVE, State.UNKNOWN):
-                    after = State.GONE if state_of(said) is State.SUSPECT else State.SUSPECT
-                    words = (*words[:other], conclude(said, after), *words[other + 1 :])
-            fleet = _with(fleet, one, words)
+            states = fleet.states[one]
+            assert states is not None
+            for other, encoded in enumerate(states):
+                if fleet.states[other] is None and state_of(encoded) in (*LIVE, State.UNKNOWN):
+                    after = State.GONE if state_of(encoded) is State.SUSPECT else State.SUSPECT
+                    states = (*states[:other], conclude(encoded, after), *states[other + 1 :])
+            fleet = _with(fleet, one, states)
         if fleet == before:
             break
     return fleet
 
 
 def wrong(fleet: Fleet) -> str | None:
-    """What does not hold of a state, or of what it settles to."""
+    """Return what does not hold of a state, or of what it settles to; None if all does."""
     for number in _running(fleet):
-        words = fleet.words[number]
-        assert words is not None
-        if state_of(words[number]) is not State.ALIVE:
+        states = fleet.states[number]
+        assert states is not None
+        if state_of(states[number]) is not State.ALIVE:
             return f"{number} runs and does not say so"
     end = settled(fleet)
-    views = {words for words in end.words if words is not None}
-    if len(views) > 1:
-        return f"views stay apart: {sorted(views)}"
-    for view in views:
-        for number, said in enumerate(view):
-            if (end.words[number] is not None) != (state_of(said) in LIVE):
-                return f"{number} is {state_of(said).name} for all"
+    memberships = {states for states in end.states if states is not None}
+    if len(memberships) > 1:
+        return f"views stay apart: {sorted(memberships)}"
+    for membership in memberships:
+        for number, encoded in enumerate(membership):
+            if (end.states[number] is not None) != (state_of(encoded) in LIVE):
+                return f"{number} is {state_of(encoded).name} for all"
     return None
--- a/dykefold/sim/upgrades.py
+++ b/dykefold/sim/upgrades.py
@@ -1,13 +1,13 @@
-"""The hand-over with all its orders: some processes of a sidecar, looks, deaths, stops, ends. To be explored.
+"""A model of the hot restart, to be explored: all orders of looks, starts, deaths, stops and ends.
 
-Time passes in units of `UNIT_NS`, in each of which every process that runs looks once, in any order. Between
-any two looks a process may die, stand still, go on, be told to end, or the next one may start. What the
-decision file is told comes from the model; what it decides is its own code.
+Time passes in units of `UNIT_NS`, in each of which every process that runs looks at the state directory once,
+in any order. Between any two looks a process may die, stand still, go on, be told to end, or the next one may
+start. What the state machine is told comes from the model; what it decides is its own code.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterator
+from collections.abc import Callable, Iterator
 from dataclasses import dataclass, replace
 from enum import IntEnum
 
@@ -22,52 +22,103 @@
 )
 
 UNIT_NS = 750_000_000
-STALE = -(-STALE_NS // UNIT_NS)  # units until a sign is stale
-ROOM_WAIT = -(-ROOM_WAIT_NS // UNIT_NS)
-CALM = STALE + 4  # units after the last event in which all settles: signs go stale, claims show and are taken
+STALE = -(-STALE_NS // UNIT_NS)  # units until a heartbeat is stale
+CAPACITY_WAIT = -(-ROOM_WAIT_NS // UNIT_NS)  # units for which a process waits for capacity
+SETTLE = STALE + 4  # units after the last event in which heartbeats go stale, and claims are seen and taken
 NOW_NS = 100 * UNIT_NS
-WHOLE = 100  # descriptors
+ALL_DESCRIPTORS = 100
 
 
-class Life(IntEnum):
-    UNBORN = 0
-    RUNS = 1
+class Status(IntEnum):
+    """Whether a process runs."""
+
+    NOT_STARTED = 0
+    RUNNING = 1
     STOPPED = 2
     GONE = 3
 
 
 @dataclass(frozen=True, slots=True)
-class Shown:
-    """A sign, with its age in units, `STALE` at most."""
+class Heartbeat:
+    """The heartbeat of a process, with its age in units, `STALE` at most."""
 
     state: HotRestartState
-    sees: tuple[str, ...]
-    most: int
+    acknowledged: tuple[str, ...]
+    claimed: int
     age: int
 
 
 @dataclass(frozen=True, slots=True)
-class One:
-    """A process. `age` in units, `ROOM_WAIT` at most; the rest as in `HotRestartMachine`."""
+class Process:
+    """A process; the attributes that are not described are those of `HotRestartMachine`.
+
+    Attributes:
+        age: in units, `CAPACITY_WAIT` at most.
+        looked: in the present unit.
+        told_to_end: it got SIGTERM.
+        heartbeat: the last one that it has written.
+    """
 
-    life: Life = Life.UNBORN
+    status: Status = Status.NOT_STARTED
     state: HotRestartState = HotRestartState.STARTING
-    sees: tuple[str, ...] = ()
-    most: int = 0
-    claim: int = 0
+    acknowledged: tuple[str, ...] = ()
+    max_descriptors: int = 0
+    claimed: int = 0
     age: int = 0
     looked: bool = False
-    told: bool = False  # that it is to end
-    shown: Shown | None = None
+    told_to_end: bool = False
+    heartbeat: Heartbeat | None = None
+
+    def with_heartbeat(self) -> Process:
+        """Return the process when it has written a heartbeat."""
+        return replace(self, heartbeat=Heartbeat(self.state, self.acknowledged, self.claimed, 0))
+
+    def a_unit_later(self) -> Process:
+        """Return the process a unit later."""
+        heartbeat = self.heartbeat
+        if heartbeat is not None:
+            heartbeat = replace(heartbeat, age=min(heartbeat.age + 1, STALE))
+        return replace(self, age=min(self.age + 1, CAPACITY_WAIT), looked=False, heartbeat=heartbeat)
+
+    @property
+    def is_living(self) -> bool:
+        """Whether it runs, or stands still."""
+        return self.status in (Status.RUNNING, Status.STOPPED)
+
+    @property
+    def is_running(self) -> bool:
+        """Whether it runs."""
+        return self.status is Status.RUNNING
 
 
 @dataclass(frozen=True, slots=True)
 class Sidecar:
-    """All of them, by age; `calm` units have passed since the last event."""
+    """All processes, by age.
 
-    ones: tuple[One, ...]
+    Attributes:
+        faults: that have come so far.
+        quiet: units that have passed since the last event, `SETTLE` at most.
+    """
+
+    processes: tuple[Process, ...]
     faults: int
-    calm: int = 0
+    quiet: int = 0
+
+    def with_process(self, number: int, process: Process) -> Sidecar:
+        """Return the sidecar with another state of a process."""
+        processes = (*self.processes[:number], process, *self.processes[number + 1 :])
+        return replace(self, processes=processes)
+
+    def after_event(self, number: int, process: Process) -> Sidecar:
+        """Return the sidecar after an event that has changed a process."""
+        return replace(self.with_process(number, process), quiet=0)
+
+    def after_fault(self, number: int, process: Process) -> Sidecar:
+        """Return the sidecar after a fault that has changed a process."""
+        return replace(self.after_event(number, process), faults=self.faults + 1)
+
+
+Move = tuple[str, Sidecar]
 
 
 class Model:
@@ -100,130 +151,193 @@
         self.kind = kind
 
     def first(self) -> Sidecar:
-        """One process that has served for long, and has had nobody to show itself to."""
-        name = self._name(0)
-        shown = Shown(HotRestartState.TAKING, (name,), WHOLE, STALE)
-        one = One(Life.RUNS, HotRestartState.TAKING, (name,), WHOLE, WHOLE, ROOM_WAIT, shown=shown)
-        return Sidecar((one, *[One()] * (self.processes - 1)), 0, CALM)
-
-    @staticmethod
-    def _name(number: int) -> str:
-        return f"p{number}"
-
-    def moves(self, at: Sidecar) -> Iterator[tuple[str, Sidecar]]:
-        """Everything that may happen next."""
-        running = [number for number, one in enumerate(at.ones) if one.life is Life.RUNS]
-        if all(at.ones[number].looked for number in running):
-            yield "a unit passes", self._pass(at)
-        for number, one in enumerate(at.ones):
-            name = self._name(number)
-            if one.life is Life.UNBORN:
-                shown = Shown(HotRestartState.STARTING, (name,), 0, 0)
-                born = One(Life.RUNS, HotRestartState.STARTING, (name,), shown=shown)
-                yield f"{name} starts", self._event(at, number, born)
+        """Return one process that has served for long, and has had nobody to write a heartbeat for."""
+        name = _name(0)
+        serving = Process(
+            Status.RUNNING,
+            HotRestartState.TAKING,
+            (name,),
+            ALL_DESCRIPTORS,
+            ALL_DESCRIPTORS,
+            CAPACITY_WAIT,
+            heartbeat=Heartbeat(HotRestartState.TAKING, (name,), ALL_DESCRIPTORS, STALE),
+        )
+        return Sidecar((serving, *[Process()] * (self.processes - 1)), 0, SETTLE)
+
+    # What may happen
+
+    def moves(self, sidecar: Sidecar) -> Iterator[Move]:
+        """Yield everything that may happen next."""
+        if all(process.looked for process in sidecar.processes if process.is_running):
+            yield "a unit passes", _a_unit_later(sidecar)
+        for number, process in enumerate(sidecar.processes):
+            if process.status is Status.NOT_STARTED:
+                yield f"{_name(number)} starts", _start(sidecar, number)
                 return  # the next one starts only after it
-            if one.life is Life.RUNS and not one.looked:
-                yield f"{name} looks", self._look(at, number)
-            if one.life is Life.RUNS and not one.told:
-                handover = self._handover(at, number)
-                handover.on_end()
-                ending = replace(
-                    one,
-                    state=handover.state,
-                    most=handover.max_descriptors,
-                    claim=handover.claimed_descriptors,
-                    told=True,
-                )
-                yield f"{name} is to end", self._event(at, number, self._show(ending))
-            if one.life is Life.RUNS and one.told:
-                yield f"{name} exits", self._event(at, number, replace(one, life=Life.GONE))
-            if one.life in (Life.RUNS, Life.STOPPED) and at.faults < self.faults:
-                gone = self._event(at, number, replace(one, life=Life.GONE))
-                yield f"{name} dies", replace(gone, faults=at.faults + 1)
-            if one.life is Life.RUNS and self.stops and at.faults < self.faults:
-                stopped = self._event(at, number, replace(one, life=Life.STOPPED))
-                yield f"{name} stops", replace(stopped, faults=at.faults + 1)
-            if one.life is Life.STOPPED:
-                yield f"{name} goes on", self._event(at, number, replace(one, life=Life.RUNS, looked=False))
-
-    def _handover(self, at: Sidecar, number: int) -> HotRestartMachine:
-        one = at.ones[number]
-        handover = self.kind(self._name(number), NOW_NS - one.age * UNIT_NS + number)
-        handover.state, handover.acknowledged = one.state, one.sees
-        handover.max_descriptors, handover.claimed_descriptors = one.most, one.claim
-        return handover
-
-    def _event(self, at: Sidecar, number: int, one: One) -> Sidecar:
-        return replace(at, ones=(*at.ones[:number], one, *at.ones[number + 1 :]), calm=0)
-
-    @staticmethod
-    def _show(one: One) -> One:
-        return replace(one, shown=Shown(one.state, one.sees, one.claim, 0))
-
-    def _pass(self, at: Sidecar) -> Sidecar:
-        ones = []
-        for one in at.ones:
-            if one.shown is not None:
-                one = replace(one, shown=replace(one.shown, age=min(one.shown.age + 1, STALE)))
-            ones.append(replace(one, age=min(one.age + 1, ROOM_WAIT), looked=False))
-        return replace(at, ones=tuple(ones), calm=min(at.calm + 1, CALM))
-
-    def _look(self, at: Sidecar, number: int) -> Sidecar:
-        """A look, as the edge does it: `control/hot_restart.py`."""
-        one = at.ones[number]
-        signs, living = [], []
-        for other, seen in enumerate(at.ones):
-            if seen.shown is None or (self.locks and seen.life is Life.GONE):
-                continue
-            name, shown = self._name(other), seen.shown
-            beat_ns = NOW_NS - shown.age * UNIT_NS
-            born_ns = NOW_NS - seen.age * UNIT_NS + other  # the order is that of the numbers
-            signs.append(ProcessHeartbeat(name, born_ns, beat_ns, shown.state, shown.sees, shown.most))
-            if self.locks:
-                living.append(name)
-        handover = self._handover(at, number)
-        view = handover.look(NOW_NS, signs, WHOLE, self.held, living)
-        starting = handover.state is HotRestartState.STARTING
+            yield from self._moves_of(sidecar, number, process)
+
+    def _moves_of(self, sidecar: Sidecar, number: int, process: Process) -> Iterator[Move]:
+        """Yield what a process that has started may do, or what may happen to it."""
+        name = _name(number)
+        if process.is_running and not process.looked:
+            yield f"{name} looks", self._look(sidecar, number)
+        if process.is_running and not process.told_to_end:
+            yield f"{name} is to end", self._tell_to_end(sidecar, number)
+        if process.is_running and process.told_to_end:
+            yield f"{name} exits", sidecar.after_event(number, replace(process, status=Status.GONE))
+        if process.is_living and sidecar.faults < self.faults:
+            yield f"{name} dies", sidecar.after_fault(number, replace(process, status=Status.GONE))
+        if process.is_running and self.stops and sidecar.faults < self.faults:
+            yield f"{name} stops", sidecar.after_fault(number, replace(process, status=Status.STOPPED))
+        if process.status is Status.STOPPED:
+            awake = replace(process, status=Status.RUNNING, looked=False)
+            yield f"{name} goes on", sidecar.after_event(number, awake)
+
+    def _machine(self, number: int, process: Process) -> HotRestartMachine:
+        """Return the state machine of a process, in the state of the model."""
+        machine = self.kind(_name(number), NOW_NS - process.age * UNIT_NS + number)
+        machine.state, machine.acknowledged = process.state, process.acknowledged
+        machine.max_descriptors, machine.claimed_descriptors = process.max_descriptors, process.claimed
+        return machine
+
+    def _tell_to_end(self, sidecar: Sidecar, number: int) -> Sidecar:
+        machine = self._machine(number, sidecar.processes[number])
+        machine.on_end()
+        ending = replace(
+            sidecar.processes[number],
+            state=machine.state,
+            max_descriptors=machine.max_descriptors,
+            claimed=machine.claimed_descriptors,
+            told_to_end=True,
+        )
+        return sidecar.after_event(number, ending.with_heartbeat())
+
+    def _look(self, sidecar: Sidecar, number: int) -> Sidecar:
+        """Return the sidecar after a look at the state directory, as `control/hot_restart.py` does it."""
+        process = sidecar.processes[number]
+        heartbeats = list(self._heartbeats(sidecar))
+        living = [heartbeat.name for heartbeat in heartbeats] if self.locks else []
+        machine = self._machine(number, process)
+        view = machine.look(NOW_NS, heartbeats, ALL_DESCRIPTORS, self.held, living)
+        starting = machine.state is HotRestartState.STARTING
         if starting and view.may_serve:
-            handover.on_serving()
-        changed = handover.claimed_descriptors != one.claim
-        one = replace(
-            one,
-            state=handover.state,
-            sees=handover.acknowledged,
-            most=handover.max_descriptors,
-            claim=handover.claimed_descriptors,
+            machine.on_serving()
+        changed = machine.claimed_descriptors != process.claimed
+        process = replace(
+            process,
+            state=machine.state,
+            acknowledged=machine.acknowledged,
+            max_descriptors=machine.max_descriptors,
+            claimed=machine.claimed_descriptors,
             looked=True,
         )
         if starting or changed or view.process_count > 1:
-            one = self._show(one)
-        return replace(at, ones=(*at.ones[:number], one, *at.ones[number + 1 :]))
+            process = process.with_heartbeat()
+        return sidecar.with_process(number, process)
+
+    def _heartbeats(self, sidecar: Sidecar) -> Iterator[ProcessHeartbeat]:
+        """Yield the heartbeats that a process finds; with locks those of the dead are left out."""
+        for number, process in enumerate(sidecar.processes):
+            heartbeat = process.heartbeat
+            if heartbeat is None or (self.locks and process.status is Status.GONE):
+                continue
+            written_ns = NOW_NS - heartbeat.age * UNIT_NS
+            born_ns = NOW_NS - process.age * UNIT_NS + number  # the order is that of the numbers
+            yield ProcessHeartbeat(
+                _name(number),
+                born_ns,
+                written_ns,
+                heartbeat.state,
+                heartbeat.acknowledged,
+                heartbeat.claimed,
+            )
 
     # What must hold
 
-    def wrong(self, at: Sidecar) -> str | None:
-        """What is wrong with a state; None if nothing is."""
-        serving = [one for one in at.ones if one.life in (Life.RUNS, Life.STOPPED)]
-        serving = [one for one in serving if one.state is not HotRestartState.STARTING]
-        if sum(one.most for one in serving) > WHOLE:
-            return f"descriptors: {[one.most for one in serving]} of {WHOLE}"
-        if any(one.told and one.state is not HotRestartState.ENDING for one in at.ones):
-            return "one that was told to end serves"
-        running = [one for one in at.ones if one.life is Life.RUNS]
-        able = [one for one in running if one.state in SERVING]
-        leading = [one for one in able if one.state in LEADING]
-        waiting = [one for one in running if one.state is HotRestartState.STARTING]
-        if waiting and at.calm > ROOM_WAIT + 1:
-            return "one that starts waits for ever"
-        if at.calm >= CALM and able and not leading:
-            return "nobody takes what is new"
-        if at.calm >= CALM and len(leading) > 1:
-            return "two take themselves for the newest"
-        if at.calm >= CALM and leading and leading[0] is not able[-1]:
-            return "an older one leads"
-        living = [one for one in at.ones if one.life in (Life.RUNS, Life.STOPPED)]
-        if at.calm >= CALM and leading and living[-1] is leading[0] and len(living) == len(running):
-            most, others = leading[0].most, sum(one.most for one in serving[:-1])
-            if most != WHOLE - others:
-                return f"the newest has {most} of {WHOLE}, others {others}"
+    def wrong(self, sidecar: Sidecar) -> str | None:
+        """Return what is wrong with a state; None if nothing is."""
+        checks: tuple[Callable[[Sidecar], str | None], ...] = (
+            _check_descriptors,
+            _check_ends,
+            _check_starts,
+            _check_leader,
+            _check_leader_descriptors,
+        )
+        return next((text for check in checks if (text := check(sidecar)) is not None), None)
+
+
+def _name(number: int) -> str:
+    return f"p{number}"
+
+
+def _start(sidecar: Sidecar, number: int) -> Sidecar:
+    name = _name(number)
+    heartbeat = Heartbeat(HotRestartState.STARTING, (name,), 0, 0)
+    process = Process(Status.RUNNING, HotRestartState.STARTING, (name,), heartbeat=heartbeat)
+    return sidecar.after_event(number, process)
+
+
+def _a_unit_later(sidecar: Sidecar) -> Sidecar:
+    processes = tuple(process.a_unit_later() for process in sidecar.processes)
+    return replace(sidecar, processes=processes, quiet=min(sidecar.quiet + 1, SETTLE))
+
+
+def _serving(sidecar: Sidecar) -> list[Process]:
+    """Return those that live and take clients or have taken some."""
+    return [
+        process
+        for process in sidecar.processes
+        if process.is_living and process.state is not HotRestartState.STARTING
+    ]
+
+
+def _able_to_serve(sidecar: Sidecar) -> list[Process]:
+    return [process for process in sidecar.processes if process.is_running and process.state in SERVING]
+
+
+def _check_descriptors(sidecar: Sidecar) -> str | None:
+    counts = [process.max_descriptors for process in _serving(sidecar)]
+    return f"descriptors: {counts} of {ALL_DESCRIPTORS}" if sum(counts) > ALL_DESCRIPTORS else None
+
+
+def _check_ends(sidecar: Sidecar) -> str | None:
+    ending = HotRestartState.ENDING
+    if any(process.told_to_end and process.state is not ending for process in sidecar.processes):
+        return "one that was told to end serves"
+    return None
+
+
+def _check_starts(sidecar: Sidecar) -> str | None:
+    starting = HotRestartState.STARTING
+    waiting = any(process.is_running and process.state is starting for process in sidecar.processes)
+    return "one that starts waits for ever" if waiting and sidecar.quiet > CAPACITY_WAIT + 1 else None
+
+
+def _check_leader(sidecar: Sidecar) -> str | None:
+    """Once all has settled the newest of those that serve leads, and no other."""
+    if sidecar.quiet < SETTLE:
+        return None
+    able = _able_to_serve(sidecar)
+    leading = [process for process in able if process.state in LEADING]
+    if able and not leading:
+        return "nobody takes what is new"
+    if len(leading) > 1:
+        return "two take themselves for the newest"
+    if leading and leading[0] is not able[-1]:
+        return "an older one leads"
+    return None
+
+
+def _check_leader_descriptors(sidecar: Sidecar) -> str | None:
+    """Once all has settled the newest has all descriptors that the others do not hold."""
+    if sidecar.quiet < SETTLE:
+        return None
+    living = [process for process in sidecar.processes if process.is_living]
+    leading = [process for process in _able_to_serve(sidecar) if process.state in LEADING]
+    if not leading or living[-1] is not leading[0] or not all(process.is_running for process in living):
         return None
+    count = leading[0].max_descriptors
+    others = sum(process.max_descriptors for process in _serving(sidecar)[:-1])
+    if count != ALL_DESCRIPTORS - others:
+        return f"the newest has {count} of {ALL_DESCRIPTORS}, others {others}"
+    return None
--- a/dykefold/sim/views.py
+++ b/dykefold/sim/views.py
@@ -1,4 +1,4 @@
-"""Many views on a virtual clock, with a network between them that breaks: the decision code alone.
+"""Many memberships on a virtual clock, with a network between them that breaks: the decision code alone.
 
 For figures at sizes that no machine has processes for, for tests of single decisions, for searches of orders.
 """
@@ -14,7 +14,7 @@
 from ..fleet.rate_limits import SECOND, RateLimits
 
 MS = 1_000_000
-START_MS = 1_700_000_000_000  # of the clock on the wall, when a world begins
+EPOCH_MS = 1_700_000_000_000  # of the clock on the wall, when a world begins
 
 
 class Views:
@@ -34,24 +34,24 @@
         Args:
             size: members of the fleet.
             seed: of all that is drawn.
-            loss: part of the datagrams that get lost.
+            loss: share of the datagrams that get lost.
             delay_ns: least and most time that one takes.
             pace: the bounds on datagrams; None for the usual ones.
             zones: in which the members stand in turn.
         """
         self.size, self.loss, self.delay_ns, self.zones = size, loss, delay_ns, zones
         self.pace = pace or RateLimits()
-        self.chance = random.Random(seed)
+        self.random = random.Random(seed)
         self.now_ns = SECOND  # of a clock that runs alike for all
         self.roster = [(f"10.3.{number >> 8}.{number & 255}", 7946) for number in range(size)]
         self.living: dict[int, Membership] = {}
         self.stopped_until: dict[int, int] = {}
         self.clock_off_ms: dict[int, int] = {}
         self.cut: Callable[[int, int], bool] = lambda _from, _to: False
-        self.doubled = 0.0  # part of the datagrams that come twice
+        self.doubled = 0.0  # share of the datagrams that come twice
         self.spoilt = 0.0  # ... and that come with a bit turned
         self.queue: list[tuple[int, int, int, Membership, int, bytes]] = []
-        self.order = 0
+        self.last_order = 0
         self.sent = self.sent_bytes = 0
         self.changes: list[tuple[int, MembershipChange]] = []  # by whom, what
         self.watch: set[int] | None = None  # whose changes are kept; None for all
@@ -60,26 +60,28 @@
 
     def start(self, number: int) -> Membership:
         """Start a member, again if it has run before."""
-        wall_ms = START_MS + self.now_ns // MS + self.clock_off_ms.get(number, 0)
-        chance = random.Random(self.chance.getrandbits(64))
-        view = Membership(self.roster, number, number % self.zones, wall_ms, self.pace, chance, self.now_ns)
-        self.living[number] = view
-        self._wake(view, number, self.now_ns)
-        return view
+        wall_ms = EPOCH_MS + self.now_ns // MS + self.clock_off_ms.get(number, 0)
+        generator = random.Random(self.random.getrandbits(64))
+        membership = Membership(
+            self.roster, number, number % self.zones, wall_ms, self.pace, generator, self.now_ns
+        )
+        self.living[number] = membership
+        self._wake(membership, number, self.now_ns)
+        return membership
 
     def start_settled(self) -> None:
-        """Start all members, each with a view as if all had been there for long."""
+        """Start all members, each with a membership as if all had been there for long."""
         for number in range(self.size):
             self.start(number)
         first = self.living[0].table
-        for number, view in self.living.items():
-            first.merge(number, view.own)
-        for view in self.living.values():
-            table = view.table
+        for number, membership in self.living.items():
+            first.merge(number, membership.own)
+        for membership in self.living.values():
+            table = membership.table
             table.words, table.sums, table.counts = first.words[:], first.sums[:], list(first.counts)
-            view.news.told.clear()
-            view.settled = True
-            view.heard_ns = self.now_ns
+            membership.news.told.clear()
+            membership.settled = True
+            membership.heard_ns = self.now_ns
         self.sent = self.sent_bytes = 0
 
     def kill(self, number: int) -> None:
@@ -87,7 +89,7 @@
         del self.living[number]
 
     def end(self, number: int) -> None:
-        """Begin a planned end; `kill` is the last of it."""
+        """Begin a graceful shutdown; `kill` is the last of it."""
         self.living[number].leave(self.now_ns, last=False)
         self._flush(self.living[number], number)
 
@@ -102,60 +104,60 @@
         end_ns, look = self.now_ns + for_ns, self.now_ns
         queue = self.queue
         while queue and queue[0][0] <= end_ns:
-            due, _, number, view, sender, data = heapq.heappop(queue)
+            due, _, number, membership, sender, data = heapq.heappop(queue)
             while until is not None and look <= due:
                 self.now_ns = max(look, self.now_ns)
                 if until():
-                    heapq.heappush(queue, (due, self._next(), number, view, sender, data))
+                    heapq.heappush(queue, (due, self._next(), number, membership, sender, data))
                     return True
                 look += look_ns
             self.now_ns = due
-            if self.living.get(number) is not view:
+            if self.living.get(number) is not membership:
                 continue  # it has ended since
             back = self.stopped_until.get(number, 0)
             if back > due:
-                heapq.heappush(queue, (back, self._next(), number, view, sender, data))
+                heapq.heappush(queue, (back, self._next(), number, membership, sender, data))
             elif sender < 0:
-                self._wake(view, number, view.tick(due))
-                self._flush(view, number)
+                self._wake(membership, number, membership.tick(due))
+                self._flush(membership, number)
             else:
-                view.hear(due, sender, data)
-                self._flush(view, number)
+                membership.hear(due, sender, data)
+                self._flush(membership, number)
         self.now_ns = end_ns
         return until is not None and until()
 
     def _next(self) -> int:
-        self.order += 1
-        return self.order
+        self.last_order += 1
+        return self.last_order
 
-    def _wake(self, view: Membership, number: int, due_ns: int) -> None:
-        heapq.heappush(self.queue, (due_ns, self._next(), number, view, -1, b""))
+    def _wake(self, membership: Membership, number: int, due_ns: int) -> None:
+        heapq.heappush(self.queue, (due_ns, self._next(), number, membership, -1, b""))
 
-    def _flush(self, view: Membership, number: int) -> None:
-        if view.changes:
+    def _flush(self, membership: Membership, number: int) -> None:
+        if membership.changes:
             if self.watch is None or number in self.watch:
-                self.changes += [(number, change) for change in view.changes]
-            view.changes.clear()
-        for peer, data in view.out:
+                self.changes += [(number, change) for change in membership.changes]
+            membership.changes.clear()
+        for peer, data in membership.out:
             self.send(number, peer, data)
-        view.out.clear()
+        membership.out.clear()
 
     def send(self, sender: int, peer: int, data: bytes) -> None:
         """Give a datagram to the network."""
-        chance = self.chance
+        generator = self.random
         self.sent += 1
         self.sent_bytes += len(data)
         if self.cut(sender, peer):
             return
-        for _ in range(2 if self.doubled and chance.random() < self.doubled else 1):
+        for _ in range(2 if self.doubled and generator.random() < self.doubled else 1):
             target = self.living.get(peer)
-            if target is None or (self.loss and chance.random() < self.loss):
+            if target is None or (self.loss and generator.random() < self.loss):
                 continue
-            if self.spoilt and chance.random() < self.spoilt:
+            if self.spoilt and generator.random() < self.spoilt:
                 spoilt = bytearray(data)
-                spoilt[chance.randrange(len(data))] ^= 1 << chance.randrange(8)
+                spoilt[generator.randrange(len(data))] ^= 1 << generator.randrange(8)
                 data = bytes(spoilt)
-            due = self.now_ns + chance.randint(*self.delay_ns)
+            due = self.now_ns + generator.randint(*self.delay_ns)
             heapq.heappush(self.queue, (due, self._next(), peer, target, sender, data))
 
     # What is seen
@@ -165,16 +167,18 @@
         return self.living[by].table.state(of)
 
     def right(self) -> bool:
-        """Whether each member that runs counts exactly those as live that do."""
+        """Return whether each member that runs counts exactly those as live that do."""
         true = sorted(self.living)
         wrong = self.size - len(true)
-        for view in self.living.values():
-            table = view.table
+        for membership in self.living.values():
+            table = membership.table
             if table.live() != len(true) or table.counts[State.UNKNOWN] > wrong:
                 return False
-        return all(view.table.state(number) in LIVE for view in self.living.values() for number in true)
+        return all(
+            membership.table.state(number) in LIVE for membership in self.living.values() for number in true
+        )
 
     def equal(self) -> bool:
-        """Whether all members that run hold the same words."""
-        tables = [view.table for view in self.living.values()]
+        """Return whether all members that run hold the same states."""
+        tables = [membership.table for membership in self.living.values()]
         return all(table.sums == tables[0].sums for table in tables)
