--- a/dykefold/sim/callers.py
+++ b/dykefold/sim/callers.py
@@ -40,20 +40,20 @@
     """Sidecars that all start at time 0, with a service that works through calls in turn."""
 
     def __init__(
-        self, size: int, service_per_s: float, waiting_most: int, spread: bool, seed: int, told: bool = False
+        self, size: int, service_per_s: float, max_waiting: int, spread: bool, seed: int, told: bool = False
     ) -> None:
         """Make the world.
 
         Args:
             size: sidecars.
             service_per_s: calls that the service works through.
-            waiting_most: calls that wait there; one more is turned away.
+            max_waiting: calls that wait there; one more is rejected.
             spread: whether they spread their calls, or each goes by itself as the balancer has it.
             seed: of all that is drawn.
             told: whether they tell each other the durations over which they spread.
         """
         self.size, self.told = size, told
-        self.work_ns, self.waiting_most = int(SECOND / service_per_s), waiting_most
+        self.work_ns, self.max_waiting = int(SECOND / service_per_s), max_waiting
         self.random = random.Random(seed)
         self.queue: list[tuple[int, int, Callable[[], None]]] = []
         self.last_order = 0
@@ -96,7 +96,7 @@
         if self.schedules:
             self.schedules[number].called(self.now_ns, number not in self.seen.listed_ns)
         waiting = (self.free_ns - self.now_ns) / self.work_ns
-        if self.down or waiting > self.waiting_most:
+        if self.down or waiting > self.max_waiting:
             self.seen.turned_away += 1
             self._fail(number)
             return
--- a/dykefold/sim/clients.py
+++ b/dykefold/sim/clients.py
@@ -119,7 +119,7 @@
             if code == HTTP_CONTINUE:
                 continue
             if not self.open and not self.sent:
-                self.ending = True  # it was turned away before it could ask
+                self.ending = True  # it was rejected before it could send
                 break
             if not self.open:
                 self.clients.unasked_bytes(data)
--- a/dykefold/sim/explore.py
+++ b/dykefold/sim/explore.py
@@ -1,7 +1,7 @@
 """Every order of events of a small model, breadth first. No I/O.
 
 A model says which moves there are from a state and what is wrong with a state; states are values that can be
-hashed. Where something is wrong, the shortest sequence of moves to it is told.
+hashed. Where something is wrong, the shortest sequence of moves to it is returned.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 from dataclasses import dataclass, field
 from typing import Generic, TypeVar
 
-S = TypeVar("S", bound=Hashable)
-STATES_MOST = 5_000_000  # some GB; a model that has more is not small
+ModelState = TypeVar("ModelState", bound=Hashable)
+MAX_STATES = 5_000_000  # some GB; a model that has more is not small
 
 
 @dataclass(slots=True)
-class Found(Generic[S]):
-    """What a search has shown.
+class Found(Generic[ModelState]):
+    """The result of a search.
 
     Attributes:
         states: different ones that were reached.
@@ -35,31 +35,38 @@
 
 
 def explore(
-    first: S,
-    moves: Callable[[S], Iterable[tuple[str, S]]],
-    wrong: Callable[[S], str | None],
-    states_most: int = STATES_MOST,
-) -> Found[S]:
-    """Look at every state that can be reached, until one is wrong."""
-    found: Found[S] = Found()
-    came: dict[S, tuple[S, str] | None] = {first: None}
+    first: ModelState,
+    moves: Callable[[ModelState], Iterable[tuple[str, ModelState]]],
+    wrong: Callable[[ModelState], str | None],
+    max_states: int = MAX_STATES,
+) -> Found[ModelState]:
+    """Look at every state that can be reached, until one is wrong.
+
+    Args:
+        first: the state that the model begins in.
+        moves: yields what may happen in a state, and the state that it leads to.
+        wrong: returns what is wrong with a state; None if nothing is.
+        max_states: after which the search is broken off.
+    """
+    found: Found[ModelState] = Found()
+    reached_by: dict[ModelState, tuple[ModelState, str] | None] = {first: None}
     waiting = deque([first])
     while waiting:
         state = waiting.popleft()
         found.states += 1
         found.wrong = wrong(state)
         if found.wrong is not None:
-            while (step := came[state]) is not None:
+            while (step := reached_by[state]) is not None:
                 state, label = step
                 found.path.append(label)
             found.path.reverse()
             return found
         for label, following in moves(state):
             found.moves += 1
-            if following not in came:
-                if len(came) >= states_most:
+            if following not in reached_by:
+                if len(reached_by) >= max_states:
                     return found
-                came[following] = (state, label)
+                reached_by[following] = (state, label)
                 waiting.append(following)
     found.whole = True
     return found
--- a/dykefold/sim/loop.py
+++ b/dykefold/sim/loop.py
@@ -115,7 +115,7 @@
         events._set_running_loop(self.for_asyncio)
         try:
             phases = [self._run_timers, self._run_ready, self._run_io]
-            start = self.random.randrange(PHASES)  # a loop is a circle: what an event meets first is chance
+            start = self.random.randrange(PHASES)  # a loop is a circle: what an event meets first is random
             for phase in phases[start:] + phases[:start]:
                 phase()
         finally:
@@ -168,7 +168,7 @@
                     self.call_exception_handler({"message": "in I/O", "exception": error})
 
     def wake(self, act: Callable[..., object], *arguments: object) -> None:
-        """Something is ready for this process: told in its next poll, in any order with what else is."""
+        """Have something called in the next turn, in any order with what else is ready."""
         if self.alive:
             self.waiting_io.append((act, arguments))
             self._plan(self.kernel.now_ns)
--- a/dykefold/sim/registry.py
+++ b/dykefold/sim/registry.py
@@ -22,7 +22,7 @@
 WHOLE_LIST_SHARE = 0.1  # of the answers are the whole list where the changes would do
 ABORT_SHARE = 0.5  # of the calls of a registry that is down are reset; the others get no answer
 ANSWERED_ABOVE = 0.8  # draws of an overbooked registry: above this a call is answered as usual, ...
-REJECTED_BELOW = 0.4  # ... up to here it is turned away, ...
+REJECTED_BELOW = 0.4  # ... up to here it is rejected, ...
 BROKEN_BELOW = 0.6  # ... from there up to here its answer breaks off, and else it can't be read
 
 
@@ -105,7 +105,7 @@
         down: faults that hold, of those in which it does not answer.
         stale: ... in which changes wait.
         overbooked: ... in which most calls fail.
-        calls: that were answered or turned away.
+        calls: that were answered or rejected.
     """
 
     def __init__(self, world: RegistryWorld, number: int, entries: dict[str, Entry]) -> None:
--- a/dykefold/sim/rules.py
+++ b/dykefold/sim/rules.py
@@ -18,7 +18,9 @@
 LEFT_SLACK_NS = 100 * MS  # after a client's close an attempt may still begin; later it is a lost request
 ANNOUNCED_SLACK_NS = 150 * MS  # more than the client has left, that a server may be told (PROTOCOL)
 DRAIN_SLACK_NS = 50 * MS
-WARM_UP_SLACK = 3.0  # requests beyond the budget of a cold server: for chance, since each is a whole one
+WARM_UP_SLACK = (
+    3.0  # requests beyond the budget of a cold server: for random bursts, since each is a whole one
+)
 KEPT_NS = 20 * SECOND  # traces are kept this long: longer than any deadline, window or grace period
 HTTP_OK = 200
 HTTP_REFUSED = frozenset((429, 503))
--- a/dykefold/sim/schedule.py
+++ b/dykefold/sim/schedule.py
@@ -36,7 +36,7 @@
     PAUSE = "pause"  # a sidecar's process stands still
     KILL = "kill"  # a sidecar dies and begins anew with its last list
     TERM = "term"  # a planned end
-    SQUEEZE = "squeeze"  # a sidecar may hold fewer descriptors than it was told
+    SQUEEZE = "squeeze"  # a sidecar may hold fewer descriptors than its settings say
     FLOOD = "flood"  # silent connections of one client
     # Of a whole fleet.
     HERD = "herd"  # seven in ten sidecars are killed at once
@@ -47,7 +47,7 @@
     # Of two processes that are one sidecar.
     UPGRADE = "upgrade"  # a newer process begins; the older one is told to end when that one takes clients
     BAN = "ban"  # a server is taken out at one of the processes, and put back
-    DISK = "disk"  # nothing can be written where the processes leave each other word
+    DISK = "disk"  # nothing can be written to the state directory
     # Wall clocks that step, and back at the end: of a sidecar's machine, a server's, discovery's.
     CLOCK_HERE = "clock_here"
     CLOCK_THERE = "clock_there"
--- a/tests/sim/mutants.py
+++ b/tests/sim/mutants.py
@@ -118,6 +118,15 @@
         "            pass\n        written",
         "services",
     ),
+    Mutant(
+        "a sidecar breaks off an answer that it streams",
+        "net/service/attempts.py",
+        "        self.held.sink.send_response_piece(self.held.call, data)\n",
+        "        self.held.sink.send_response_piece(self.held.call, data)\n"
+        "        if self.connection is not None:\n"
+        "            self.connection.close(discard=True)\n",
+        "services",
+    ),
     Mutant(
         "a planned end goes on taking what is sent ahead",
         "net/shutdown.py",
