--- a/dykefold/admission/__init__.py
+++ b/dykefold/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Connection admission: which connection is let in, kept and let go, and what descriptors are for."""
+"""Connection admission: which clients are admitted, kept and evicted, and who uses descriptors."""
--- /dev/null
+++ b/dykefold/admission/address_keys.py
@@ -0,0 +1,81 @@
+"""What counts as one client address, and which networks are known.
+
+Sources: RFC 4291 section 2.5.4 and RFC 6177 (a site holds at least a /64, so a /64 counts as one address),
+RFC 4291 section 2.5.5.2 (IPv4 addresses inside IPv6).
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from functools import lru_cache
+from ipaddress import IPv4Network, IPv6Address, IPv6Network, ip_address
+
+IPV4 = 4
+IPV6 = 6
+IPV4_BITS = 32
+IPV6_BITS = 128
+MAX_PARSED = 4096  # texts of addresses whose numbers are cached: as many as addresses are remembered
+
+Network = IPv4Network | IPv6Network
+# Identifies one address: the version of the Internet Protocol, and the leading bits as a number.
+# A plain tuple, since one is made for each new connection.
+AddressKey = tuple[int, int]
+
+
+@lru_cache(maxsize=MAX_PARSED)
+def _parse(host: str) -> tuple[int, int]:
+    """Return version and number of an address; IPv4 inside IPv6 counts as IPv4."""
+    address = ip_address(host.partition("%")[0])
+    if isinstance(address, IPv6Address) and address.ipv4_mapped is not None:
+        address = address.ipv4_mapped
+    return address.version, int(address)
+
+
+class AddressPrefixes:
+    """How many leading bits make one address, by version."""
+
+    def __init__(self, ipv4_bits: int, ipv6_bits: int) -> None:
+        """Take the lengths.
+
+        Args:
+            ipv4_bits: from 0 to 32.
+            ipv6_bits: from 0 to 128.
+        """
+        self._shifts = {IPV4: IPV4_BITS - ipv4_bits, IPV6: IPV6_BITS - ipv6_bits}
+
+    def key(self, host: str) -> AddressKey:
+        """Return the key of an address.
+
+        Args:
+            host: an IPv4 or IPv6 address, with or without a zone.
+
+        Raises:
+            ValueError: it is no address.
+        """
+        version, number = _parse(host)
+        return version, number >> self._shifts[version]
+
+
+class NetworkSet:
+    """A set of networks; a look-up costs one step for each length of prefix that occurs."""
+
+    def __init__(self, networks: Iterable[Network]) -> None:
+        """Index the networks.
+
+        Args:
+            networks: of either version, in any order.
+        """
+        self._shifts: dict[int, dict[int, set[int]]] = {IPV4: {}, IPV6: {}}
+        for network in networks:
+            shift = network.max_prefixlen - network.prefixlen
+            numbers = self._shifts[network.version].setdefault(shift, set())
+            numbers.add(int(network.network_address) >> shift)
+
+    def __contains__(self, host: str) -> bool:
+        """Return whether an address is in one of the networks.
+
+        Raises:
+            ValueError: it is no address.
+        """
+        version, number = _parse(host)
+        return any(number >> shift in known for shift, known in self._shifts[version].items())
--- a/dykefold/admission/addresses.py
+++ b/dykefold/admission/addresses.py
@@ -1,44 +1,37 @@
-"""Client addresses: what counts as one, which are known, and what each has used of its caps.
+"""Client addresses: what each uses of its limits, and which are known.
 
-Sources: RFC 4291 section 2.5.4 and RFC 6177 (a site holds at least a /64, so a /64 counts as one address);
-token buckets as in RFC 2697 with one rate.
+Source: token buckets as in RFC 2697, with one rate.
 """
 
 from __future__ import annotations
 
 from collections import OrderedDict
-from collections.abc import Iterable
 from dataclasses import dataclass
 from enum import Enum
-from functools import lru_cache
-from ipaddress import IPv4Network, IPv6Network, ip_address
 
-V4_BITS = 32
-V6_BITS = 128
-PARSED_MOST = 4096  # texts of addresses whose numbers are kept: as many as addresses are remembered
-
-Network = IPv4Network | IPv6Network
-Key = tuple[int, int]  # version and the number of the prefix
+from .address_keys import AddressKey, AddressPrefixes, Network, NetworkSet
 
 
 @dataclass(frozen=True, slots=True)
 class Caps:
-    """What one address may use, and who is known. None stands for no cap.
+    """What one address may use, and which are known. None stands for no limit.
 
     Attributes:
         connections: open at once from one address.
         known_connections: the same for a known address, which may stand for a whole site behind NAT.
-        new_per_s, new_burst: new connections a second, and at once after a rest. Listed networks are
-            exempt: after a restart all their desks come back together.
-        open_requests: of one address, taken and not answered.
+        new_per_s: new connections a second. Known networks are exempt: after a restart all their clients
+            come back together.
+        new_burst: new connections at once after a rest.
+        open_requests: pending requests of one address.
         unfinished_bytes: of messages from one address that have not come to their end.
-        v4_prefix, v6_prefix: bits that make one address.
-        known: networks whose desks are known.
-        reserve: connections of the clients' share that only known desks may take.
-        learn_requests, learn_after_s: served requests, and the time that they must be spread over, before
-            an address counts as known by its conduct; 0 requests: nothing is learned.
-        learned_most: addresses that can be known by conduct; the one longest unseen is forgotten.
-        remembered_most: addresses without a connection whose use of the caps is remembered.
+        v4_prefix: bits that make one IPv4 address.
+        v6_prefix: bits that make one IPv6 address.
+        known: networks whose clients are known.
+        reserve: connections that only known clients may hold.
+        learn_requests: served requests after which an address counts as known; 0: nothing is learned.
+        learn_after_s: seconds that these must be spread over.
+        max_learned: addresses that can be learned; the one without success for the longest is forgotten.
+        max_remembered: addresses without a connection whose use of the limits is remembered.
     """
 
     connections: int | None = None
@@ -53,165 +46,182 @@
     reserve: int = 0
     learn_requests: int = 0
     learn_after_s: float = 60.0
-    learned_most: int = 1024
-    remembered_most: int = 4096
+    max_learned: int = 1024
+    max_remembered: int = 4096
+
+
+class AddressTrust(Enum):
+    """Whether an address is known, and by what."""
 
+    UNKNOWN = "unknown"
+    LEARNED = "learned"  # by its served requests; the first violation ends it
+    CONFIGURED = "configured"  # by the operator
 
-class Standing(Enum):
-    STRANGER = "stranger"
-    LEARNED = "learned"  # by its conduct; the first offence ends it
-    LISTED = "listed"  # by the operator
 
+class AddressRecord:
+    """What one address uses of its limits.
 
-class Address:
-    """One address's use of its caps."""
+    Attributes:
+        key: identifies the address.
+        trust: whether it is known, and by what.
+        connections: open.
+        open_requests: pending.
+        unfinished_bytes: of messages that have not come to their end.
+        tokens: new connections that it may still open at once.
+        tokens_at_s: when these were last counted, in seconds of the monotonic clock.
+        served: requests served since the last violation.
+        served_since_s: when the first of them was.
+    """
 
     __slots__ = (
         "connections",
-        "good",
-        "good_since_s",
         "key",
         "open_requests",
-        "standing",
+        "served",
+        "served_since_s",
         "tokens",
         "tokens_at_s",
+        "trust",
         "unfinished_bytes",
     )
 
-    def __init__(self, key: Key, standing: Standing, tokens: float, now_s: float) -> None:
+    def __init__(self, key: AddressKey, tokens: float, now_s: float) -> None:
+        """Begin with nothing used.
+
+        Args:
+            key: identifies the address.
+            tokens: new connections that it may open at once.
+            now_s: the time, in seconds of the monotonic clock.
+        """
         self.key = key
-        self.standing = standing
+        self.trust = AddressTrust.UNKNOWN
         self.connections = 0
         self.open_requests = 0
         self.unfinished_bytes = 0
         self.tokens = tokens
         self.tokens_at_s = now_s
-        self.good = 0  # requests served since the last offence
-        self.good_since_s = now_s
+        self.served = 0
+        self.served_since_s = now_s
 
     @property
     def known(self) -> bool:
-        return self.standing is not Standing.STRANGER
+        """Whether it is known, by whatever."""
+        return self.trust is not AddressTrust.UNKNOWN
 
 
-@lru_cache(maxsize=PARSED_MOST)
-def _number(host: str) -> tuple[int, int]:
-    """Version and number of an address; IPv4 inside IPv6 (RFC 4291 section 2.5.5.2) counts as IPv4."""
-    address = ip_address(host.partition("%")[0])
-    if address.version == 6 and address.ipv4_mapped is not None:
-        address = address.ipv4_mapped
-    return address.version, int(address)
+class AddressTable:
+    """All addresses that are in use, and bounded memories of those that were, and of those learned.
 
+    Attributes:
+        caps: the limits of each address.
+        active: records of addresses that have a connection.
+        inactive: records of others, the longest unused first.
+        learned: keys of addresses that were learned, the longest without success first.
+    """
 
-class Listed:
-    """Networks of known desks; a look-up costs one step for each length of prefix that occurs."""
+    def __init__(self, caps: Caps) -> None:
+        """Begin with no address.
 
-    def __init__(self, networks: Iterable[Network]) -> None:
-        self._shifts: dict[int, dict[int, set[int]]] = {4: {}, 6: {}}
-        for network in networks:
-            shift = network.max_prefixlen - network.prefixlen
-            numbers = self._shifts[network.version].setdefault(shift, set())
-            numbers.add(int(network.network_address) >> shift)
+        Args:
+            caps: the limits of each address.
+        """
+        self.active: dict[AddressKey, AddressRecord] = {}
+        self.inactive: OrderedDict[AddressKey, AddressRecord] = OrderedDict()
+        self.learned: OrderedDict[AddressKey, None] = OrderedDict()
+        self.apply(caps)
 
-    def __contains__(self, host: str) -> bool:
-        version, number = _number(host)
-        return any(number >> shift in known for shift, known in self._shifts[version].items())
+    def apply(self, caps: Caps) -> None:
+        """Take other limits: which addresses are known changes at once, what is used stays counted."""
+        self.caps = caps
+        self._known_networks = NetworkSet(caps.known)
+        self.key = AddressPrefixes(caps.v4_prefix, caps.v6_prefix).key
+        while len(self.learned) > caps.max_learned or (self.learned and not caps.learn_requests):
+            self._forget_learned(next(iter(self.learned)))
+        while len(self.inactive) > caps.max_remembered:
+            self.inactive.popitem(last=False)
 
+    def find(self, host: str, now_s: float) -> AddressRecord:
+        """Return the record of an address, a new one if there is none.
 
-class Addresses:
-    """All addresses that have a connection, the bounded memory of those that had one, and the learned."""
+        A new record is kept once a connection has been added to it.
 
-    def __init__(self, caps: Caps) -> None:
-        self.active: dict[Key, Address] = {}
-        self.resting: OrderedDict[Key, Address] = OrderedDict()  # the longest without a connection first
-        self.learned: OrderedDict[Key, None] = OrderedDict()  # the longest without good conduct first
-        self.apply(caps)
+        Args:
+            host: an IPv4 or IPv6 address.
+            now_s: the time, in seconds of the monotonic clock.
 
-    def apply(self, caps: Caps) -> None:
-        """Take other caps: who is known changes at once, what is used stays counted."""
-        self.caps = caps
-        self.listed = Listed(caps.known)
-        self._shifts = {4: V4_BITS - caps.v4_prefix, 6: V6_BITS - caps.v6_prefix}
-        while len(self.learned) > caps.learned_most or (self.learned and not caps.learn_requests):
-            self._unlearn(next(iter(self.learned)))
-        while len(self.resting) > caps.remembered_most:
-            self.resting.popitem(last=False)
-
-    def key(self, host: str) -> Key:
-        version, number = _number(host)
-        return version, number >> self._shifts[version]
-
-    def find(self, host: str, now_s: float) -> Address:
-        """The record of an address, made if there is none; it is kept once a connection has entered."""
+        Raises:
+            ValueError: `host` is no address.
+        """
         key = self.key(host)
-        address = self.active.get(key) or self.resting.get(key)
-        listed = bool(self.caps.known) and host in self.listed
+        address = self.active.get(key) or self.inactive.get(key)
         if address is None:
-            address = Address(key, Standing.STRANGER, self.caps.new_burst, now_s)
-        if listed:
-            address.standing = Standing.LISTED
+            address = AddressRecord(key, self.caps.new_burst, now_s)
+        if self.caps.known and host in self._known_networks:
+            address.trust = AddressTrust.CONFIGURED
         else:
-            address.standing = Standing.LEARNED if key in self.learned else Standing.STRANGER
+            address.trust = AddressTrust.LEARNED if key in self.learned else AddressTrust.UNKNOWN
         return address
 
-    def entered(self, address: Address) -> None:
+    def add_connection(self, address: AddressRecord) -> None:
+        """Count a connection that was admitted."""
         address.connections += 1
-        self.resting.pop(address.key, None)
+        self.inactive.pop(address.key, None)
         self.active[address.key] = address
 
-    def released(self, address: Address) -> None:
-        """After a connection or a request has ended: an address with neither is remembered for a while.
+    def deactivate_unused(self, address: AddressRecord) -> None:
+        """Remember an address without connections and requests for a while, after one of them has ended.
 
-        Without that its caps would begin anew with each connection that it opens and closes.
+        Otherwise its limits would begin anew with each connection that it opens and closes.
         """
         if address.connections or address.open_requests:
             return
         self.active.pop(address.key, None)
-        self.resting[address.key] = address
-        self.resting.move_to_end(address.key)
-        if len(self.resting) > self.caps.remembered_most:
-            self.resting.popitem(last=False)
+        self.inactive[address.key] = address
+        self.inactive.move_to_end(address.key)
+        if len(self.inactive) > self.caps.max_remembered:
+            self.inactive.popitem(last=False)
 
-    def take_token(self, address: Address, now_s: float) -> bool:
-        """Whether one more new connection is within the rate, and count it if so."""
+    def take_token(self, address: AddressRecord, now_s: float) -> bool:
+        """Count one more new connection; return False, and count none, beyond the rate."""
         rate = self.caps.new_per_s
-        if rate is None or address.standing is Standing.LISTED:
+        if rate is None or address.trust is AddressTrust.CONFIGURED:
             return True
-        passed = max(now_s - address.tokens_at_s, 0.0)
-        address.tokens = min(address.tokens + passed * rate, self.caps.new_burst)
+        passed_s = max(now_s - address.tokens_at_s, 0.0)
+        address.tokens = min(address.tokens + passed_s * rate, self.caps.new_burst)
         address.tokens_at_s = now_s
         if address.tokens < 1.0:
             return False
         address.tokens -= 1.0
         return True
 
-    def conduct(self, address: Address, good: bool, now_s: float) -> None:
-        """Count a served request, or an offence, which undoes all that was earned."""
-        if not good:
-            address.good = 0
-            address.good_since_s = now_s
-            if address.key in self.learned:
-                self._unlearn(address.key)
-            return
+    def record_success(self, address: AddressRecord, now_s: float) -> None:
+        """Count a served request; enough of them make the address known."""
         if not self.caps.learn_requests:
             return
-        if not address.good:
-            address.good_since_s = now_s
-        address.good += 1
+        if not address.served:
+            address.served_since_s = now_s
+        address.served += 1
         if address.key in self.learned:
             self.learned.move_to_end(address.key)
         elif (
-            address.standing is Standing.STRANGER
-            and address.good >= self.caps.learn_requests
-            and now_s - address.good_since_s >= self.caps.learn_after_s
+            address.trust is AddressTrust.UNKNOWN
+            and address.served >= self.caps.learn_requests
+            and now_s - address.served_since_s >= self.caps.learn_after_s
         ):
             self.learned[address.key] = None
-            address.standing = Standing.LEARNED
-            if len(self.learned) > self.caps.learned_most:
-                self._unlearn(next(iter(self.learned)))
+            address.trust = AddressTrust.LEARNED
+            if len(self.learned) > self.caps.max_learned:
+                self._forget_learned(next(iter(self.learned)))
+
+    def record_violation(self, address: AddressRecord, now_s: float) -> None:
+        """Forget the served requests of an address: it met a limit, or a message of it never ended."""
+        address.served = 0
+        address.served_since_s = now_s
+        if address.key in self.learned:
+            self._forget_learned(address.key)
 
-    def _unlearn(self, key: Key) -> None:
+    def _forget_learned(self, key: AddressKey) -> None:
         del self.learned[key]
         address = self.active.get(key)
-        if address is not None and address.standing is Standing.LEARNED:
-            address.standing = Standing.STRANGER
+        if address is not None and address.trust is AddressTrust.LEARNED:
+            address.trust = AddressTrust.UNKNOWN
--- a/dykefold/admission/budget.py
+++ b/dykefold/admission/budget.py
@@ -1,32 +1,42 @@
-"""What each purpose may hold of the process's descriptors. No I/O: the edges ask before they open.
+"""How many descriptors each purpose may hold. No I/O: whoever opens a descriptor asks before.
 
-A request that is taken has a descriptor for its connection to a server set aside until it is over, also
-between two attempts, so that the limit is never met in its middle: at most `upstreams` requests and
-probes are claimed, and each needs one connection at a time.
+A request that is accepted has a descriptor for its connection to an endpoint reserved until it has its final
+answer, also between two attempts, so that the limit is never met in the middle of a request. There are at
+most `upstreams.limit` reservations, each for one request or probe, and each needs one connection at a time.
 """
 
 from __future__ import annotations
 
-LOOP = 16  # the event loop, standard streams, the listening socket, peers' datagrams
-ACCEPTING = 16  # accepted in one turn of the loop, before the closings that made room take effect
-CALLS = 3  # of discovery: a watch, one beside it when it is silent, and a fetch
-DISCOVERY = 2 * CALLS  # ... each at the old and at the new address across a change of it
+LOOP = 16  # the event loop, standard streams, the listening socket, datagrams of peers
+ACCEPTING = 16  # accepted in one turn of the loop, before the closes that made room take effect
+DISCOVERY_CONNECTIONS = 3  # a watch, one beside it when it is silent, and a fetch
+DISCOVERY = 2 * DISCOVERY_CONNECTIONS  # at the old and at the new address, while it changes
 FILES = 3  # the configuration while it is read again, and what the runtime opens now and then
-SPARE = 1  # kept open only to be closed when the system has none left
-RESERVED = LOOP + ACCEPTING + DISCOVERY + FILES + SPARE
-SPARE_CLAIMS = 8  # requests more that connections which are kept may bring
-LEAST = 8  # for clients and upstreams together, however low the limit
-CLIENTS_PART = 2  # the clients' side gets one in so many of the rest
-REQUESTS_PART = 3  # clients hold one in so many of all descriptors for requests at most
+RESERVE = 1  # kept open only to be closed when the system has none left
+PROCESS = LOOP + ACCEPTING + DISCOVERY + FILES + RESERVE
+SPARE_RESERVATIONS = 8  # for further requests on connections that clients keep
+MIN_SHARED = 8  # for clients and endpoints together, however low the limit
+CLIENTS_DIVISOR = 2  # clients get one in so many of the descriptors that are left
+REQUESTS_DIVISOR = 3  # clients hold at most one in so many of all descriptors for requests
 
 
 class Allowance:
-    """How many descriptors one purpose may hold, and holds."""
+    """How many descriptors one purpose may hold.
+
+    Attributes:
+        limit: that it may hold.
+        in_use: that it holds.
+    """
 
     __slots__ = ("in_use", "limit")
 
-    def __init__(self, most: int) -> None:
-        self.limit = most
+    def __init__(self, limit: int) -> None:
+        """Begin with none held.
+
+        Args:
+            limit: descriptors that may be held.
+        """
+        self.limit = limit
         self.in_use = 0
 
     @property
@@ -36,44 +46,55 @@
 
 
 class Budget:
-    """All descriptors of the process by purpose; what clients hold is counted by the admission rules."""
+    """All descriptors of the process, by purpose; the admission rules count what clients hold.
+
+    Attributes:
+        clients: that clients may hold.
+        with_requests: of these, how many clients can hold that have sent a request.
+        upstreams: connections to endpoints.
+        reservations: descriptors for connections to endpoints that are reserved for requests and probes.
+    """
 
     def __init__(self, limit: int, set_aside: int = 0) -> None:
-        """Begin with nothing held.
+        """Begin with none held.
 
         Args:
             limit: descriptors of the whole process.
             set_aside: of these, for what else the process does.
         """
-        self.set_aside = set_aside
+        self._process = PROCESS + set_aside
         self.upstreams = Allowance(0)
-        self.claims = 0  # requests that are open, and attempts and probes that are out beyond these
+        self.reservations = 0
         self.resize(limit)
 
-    def resize(self, limit: int, whole: int = 0, kept: int = 0) -> None:
-        """Take another limit on the descriptors of the process.
+    def resize(self, limit: int, all_processes: int = 0, kept: int = 0) -> None:
+        """Take another limit.
 
         Args:
-            whole: of all processes of this sidecar, where there are several.
-            kept: connections that clients hold, and that they keep as far as attempts leave room.
+            limit: descriptors of the whole process.
+            all_processes: descriptors of all processes of this sidecar, where there are several; else 0.
+            kept: connections that clients hold, and that they keep as far as attempts have room.
         """
-        rest = max(limit - RESERVED - self.set_aside, LEAST)
-        # Clients need a third for requests. What they may hold beyond that must leave enough to attempts,
-        # or silent clients keep every request from its server.
-        self.clients = max(rest // CLIENTS_PART, min(kept, rest - self.claims - SPARE_CLAIMS))
-        self.usable = max((whole or limit) // REQUESTS_PART, 1)
-        self.upstreams.limit = rest - self.clients
-
-    def needed(self, clients: int) -> int:
-        """Descriptors that can't be given away with so many connections of clients."""
-        return RESERVED + self.set_aside + clients + self.claims + SPARE_CLAIMS
+        shared = max(limit - self._process, MIN_SHARED)
+        # Clients need a third for requests. What they may hold beyond that must leave enough to attempts, or
+        # silent clients would keep every request from its endpoint.
+        self.clients = max(
+            shared // CLIENTS_DIVISOR, min(kept, shared - self.reservations - SPARE_RESERVATIONS)
+        )
+        self.with_requests = max((all_processes or limit) // REQUESTS_DIVISOR, 1)
+        self.upstreams.limit = shared - self.clients
+
+    def required(self, clients: int) -> int:
+        """Return how many descriptors can't be given away while clients hold that many connections."""
+        return self._process + clients + self.reservations + SPARE_RESERVATIONS
 
     def reserve(self) -> bool:
-        """Set a descriptor aside for a connection to a server; False if all are."""
-        if self.claims >= self.upstreams.limit:
+        """Reserve a descriptor for a connection to an endpoint; return False if all are."""
+        if self.reservations >= self.upstreams.limit:
             return False
-        self.claims += 1
+        self.reservations += 1
         return True
 
     def release(self) -> None:
-        self.claims -= 1
+        """Release a descriptor that was reserved."""
+        self.reservations -= 1
--- /dev/null
+++ b/dykefold/admission/controller.py
@@ -0,0 +1,299 @@
+"""The admission rules: which client connection is admitted, kept and closed.
+
+No I/O: times are passed in, and connections to close are returned. The rules:
+
+1. A connection with a request open, or with a response on its way to the client, is never evicted.
+2. Clients never hold more connections than they may: for one admitted beyond, another one is evicted.
+3. Unknown addresses never hold the reserve; known ones take it first, then the place of unknown ones.
+4. Evictions have an order: see `eviction`.
+5. No step costs more when more connections are open.
+
+Idle connections beyond those of use (`working_set`, `request_gaps`) are closed before anything is full.
+"""
+
+from __future__ import annotations
+
+from .addresses import AddressTable, Caps
+from .client import Client
+from .client_state import IDLE_STATES, RENEWED_STATES, ClientState
+from .decision import AdmissionDecision, RejectionReason
+from .eviction import EvictionOrder, HasUnreadInput, never_unread
+from .limits import ConnectionLimits
+from .message_timeouts import MessageTimeouts
+from .request_gaps import RequestGaps
+from .working_set import WorkingSet
+
+MAX_IDLE_S = 2.0  # that a connection is kept with no request open
+MAX_CLOSED_AT_ONCE = 4  # idle connections, at each event: more than arrive, and the cost stays bounded
+
+
+class AdmissionController:
+    """Decides on each connection.
+
+    Attributes:
+        limits: what clients may hold in all.
+        addresses: what each address uses of its limits.
+        eviction: the connections that may be evicted, in their order.
+        message_timeouts: the time that each connection has for a message.
+        working_set: how many connections clients can make use of.
+        request_gaps: how long clients leave a connection idle between requests.
+    """
+
+    def __init__(self, limits: ConnectionLimits, caps: Caps) -> None:
+        """Begin with no connection.
+
+        Args:
+            limits: what clients may hold in all.
+            caps: what each address may use.
+        """
+        self.limits = limits
+        self.addresses = AddressTable(caps)
+        self.eviction = EvictionOrder()
+        self._groups = self.eviction.groups  # looked up for each request
+        self.message_timeouts = MessageTimeouts()
+        self.working_set = WorkingSet(limits.with_requests)
+        self.request_gaps = RequestGaps()
+
+    @property
+    def caps(self) -> Caps:
+        """What each address may use."""
+        return self.addresses.caps
+
+    @property
+    def count(self) -> int:
+        """How many connections are open."""
+        return self._groups[False].count + self._groups[True].count
+
+    def resize(
+        self,
+        limits: ConnectionLimits,
+        caps: Caps,
+        now_s: float,
+        has_unread_input: HasUnreadInput = never_unread,
+    ) -> list[Client]:
+        """Take other limits.
+
+        Args:
+            limits: what clients may hold in all.
+            caps: what each address may use.
+            now_s: the time, in seconds of the monotonic clock.
+            has_unread_input: whether input of a client was not read yet.
+
+        Returns:
+            The connections that must be closed: those beyond the limits, as far as they may be evicted.
+        """
+        self.limits = limits
+        self.working_set.resize(limits.with_requests)
+        self.addresses.apply(caps)
+        evicted = []
+        while self.count > limits.connections and (client := self.evict(now_s, has_unread_input)):
+            evicted.append(client)
+        return evicted
+
+    # Connections
+
+    def connect(
+        self, host: str, now_s: float, has_unread_input: HasUnreadInput = never_unread
+    ) -> AdmissionDecision:
+        """Decide on a new connection.
+
+        Args:
+            host: the client's address.
+            now_s: the time, in seconds of the monotonic clock.
+            has_unread_input: whether input of a client was not read yet.
+
+        Raises:
+            ValueError: `host` is no IPv4 or IPv6 address.
+        """
+        address = self.addresses.find(host, now_s)
+        caps, known = self.addresses.caps, address.known
+        max_of_address = caps.known_connections if known else caps.connections
+        if max_of_address is not None and address.connections >= max_of_address:
+            self.addresses.record_violation(address, now_s)
+            return AdmissionDecision(None, RejectionReason.CONNECTIONS_OF_ADDRESS, None)
+        if not self.addresses.take_token(address, now_s):
+            self.addresses.record_violation(address, now_s)
+            self.addresses.deactivate_unused(address)  # or its use of the limit would be forgotten
+            return AdmissionDecision(None, RejectionReason.NEW_CONNECTIONS_OF_ADDRESS, None)
+        evicted = None
+        if self._is_full(known):
+            evicted = self.eviction.choose(known, self.limits.connections, now_s, has_unread_input)
+            is_over = self.count > self.limits.connections  # the limit was lowered: one is not enough
+            if evicted is not None:
+                self.remove(evicted)
+            if evicted is None or is_over:
+                self.addresses.deactivate_unused(address)
+                return AdmissionDecision(None, RejectionReason.ALL_CONNECTIONS, evicted)
+        client = Client(address, host)
+        self.addresses.add_connection(address)
+        self._groups[client.known].count += 1
+        self._enter(client, ClientState.NEW, now_s)
+        self.message_timeouts.within_head_time[client] = now_s
+        return AdmissionDecision(client, None, evicted)
+
+    def _is_full(self, known: bool) -> bool:
+        """Return whether room must be made, for an address that is known or not."""
+        max_connections = self.limits.connections
+        if self.count >= max_connections:
+            return True
+        # However large the reserve, one unknown address may connect when nobody else is there.
+        reserve = min(self.addresses.caps.reserve, max_connections - 1)
+        return not known and self._groups[False].count >= max_connections - reserve
+
+    def remove(self, client: Client) -> None:
+        """Remove a connection that has closed or must be closed; do nothing if it was removed before."""
+        if client.state is None:
+            return
+        self._exit(client)
+        client.state = None
+        self.message_timeouts.stop(client)
+        if client.messages:
+            self.working_set.with_requests -= 1
+        self._groups[client.known].count -= 1
+        client.address.connections -= 1
+        self.addresses.deactivate_unused(client.address)
+
+    def update(
+        self, client: Client, state: ClientState, message_begun: bool, messages: int, now_s: float
+    ) -> None:
+        """Take the state of a connection.
+
+        Args:
+            client: the connection.
+            state: its state; `IDLE_ONCE` stands for `IDLE_REUSED` too.
+            message_begun: whether a message has begun and not ended.
+            messages: whole messages that were received on it.
+            now_s: the time, in seconds of the monotonic clock.
+        """
+        if client.state is None:
+            return
+        is_new_message = messages > client.messages
+        if is_new_message:
+            if not client.messages:
+                self.working_set.with_requests += 1
+            elif client.state in IDLE_STATES:
+                self.request_gaps.record(now_s - client.idle_since_s)
+            client.messages = messages
+        if is_new_message or (not message_begun and (messages or state is ClientState.CLOSING)):
+            self.message_timeouts.stop(client)
+        if message_begun:
+            self.message_timeouts.start(client, now_s)
+        if state is ClientState.IDLE_ONCE and client.messages > 1:
+            state = ClientState.IDLE_REUSED
+        if state is client.state and state not in RENEWED_STATES:
+            return
+        self._exit(client)
+        self._enter(client, state, now_s)
+
+    def begin_next_request(self, client: Client, messages: int, now_s: float) -> None:
+        """Do what `update` does in the usual case: a whole request on an `IDLE_REUSED` connection.
+
+        Args:
+            client: the connection.
+            messages: whole messages that were received on it.
+            now_s: the time, in seconds of the monotonic clock.
+        """
+        if messages > client.messages:
+            self.request_gaps.record(now_s - client.idle_since_s)
+            client.messages = messages
+        self._groups[client.known].queues[ClientState.IDLE_REUSED].discard(client)
+        client.state = ClientState.BUSY
+        self.working_set.add_busy(now_s)
+
+    def _enter(self, client: Client, state: ClientState, now_s: float) -> None:
+        client.state = state
+        if state is ClientState.BUSY:
+            self.working_set.add_busy(now_s)
+            return
+        client.idle_since_s = now_s
+        self._groups[client.known].queues[state].add(client, now_s)
+
+    def _exit(self, client: Client) -> None:
+        if client.state is ClientState.BUSY:
+            self.working_set.busy -= 1
+        elif client.state is not None:
+            self._groups[client.known].queues[client.state].discard(client)
+
+    # Connections to close
+
+    def evict(self, now_s: float, has_unread_input: HasUnreadInput = never_unread) -> Client | None:
+        """Remove the first connection in the order of eviction, of a known address or not.
+
+        Args:
+            now_s: the time, in seconds of the monotonic clock.
+            has_unread_input: whether input of a client was not read yet.
+
+        Returns:
+            The connection, which must be closed; None if none may be evicted.
+        """
+        client = self.eviction.choose(True, self.limits.connections, now_s, has_unread_input)
+        if client is not None:
+            self.remove(client)
+        return client
+
+    def remove_unneeded(self, now_s: float, has_unread_input: HasUnreadInput = never_unread) -> list[Client]:
+        """Remove idle connections that seem to be abandoned, while more are held than are of use.
+
+        Args:
+            now_s: the time, in seconds of the monotonic clock.
+            has_unread_input: whether input of a client was not read yet.
+
+        Returns:
+            The connections, which must be closed.
+        """
+        removed: list[Client] = []
+        for _ in range(MAX_CLOSED_AT_ONCE):
+            if self.working_set.with_requests <= self.working_set.limit:
+                break
+            if (client := self.eviction.find_idle(now_s, self.request_gaps.timeout_s())) is None:
+                break
+            if has_unread_input(client):
+                self.eviction.move_to_end(client, now_s)
+                continue
+            self.remove(client)
+            removed.append(client)
+        return removed
+
+    def idle_too_long(self, now_s: float) -> list[Client]:
+        """Return the connections that have been idle for `MAX_IDLE_S`."""
+        return list(self.eviction.all_idle_since(now_s - MAX_IDLE_S))
+
+    # Requests and messages
+
+    def open_request(self, client: Client, now_s: float) -> RejectionReason | None:
+        """Count a request as open; return the limit for which it is rejected, if any."""
+        address = client.address
+        max_open = self.addresses.caps.open_requests
+        if max_open is not None and address.open_requests >= max_open:
+            self.addresses.record_violation(address, now_s)
+            return RejectionReason.OPEN_REQUESTS_OF_ADDRESS
+        address.open_requests += 1
+        return None
+
+    def close_request(self, client: Client, served: bool, now_s: float) -> None:
+        """Count a request as no longer open.
+
+        Args:
+            client: who sent it.
+            served: whether it was answered by an endpoint.
+            now_s: the time, in seconds of the monotonic clock.
+        """
+        address = client.address
+        address.open_requests -= 1
+        if served:
+            self.addresses.record_success(address, now_s)
+        self.addresses.deactivate_unused(address)
+
+    def reserve_unfinished(self, client: Client, size: int, now_s: float) -> bool:
+        """Count bytes of an unfinished message; return False, and count none, beyond the address's limit."""
+        address = client.address
+        max_bytes = self.addresses.caps.unfinished_bytes
+        if max_bytes is not None and address.unfinished_bytes + size > max_bytes:
+            self.addresses.record_violation(address, now_s)
+            return False
+        address.unfinished_bytes += size
+        return True
+
+    def release_unfinished(self, client: Client, size: int) -> None:
+        """Count bytes of a message no longer as unfinished."""
+        client.address.unfinished_bytes -= size
--- a/dykefold/admission/listener.py
+++ b/dykefold/admission/listener.py
@@ -1,286 +1,271 @@
-"""The listening socket: accepts what the rules let in, refuses the rest, and outlives a lack of descriptors.
+"""The listening socket: accepts connections, rejects those not admitted, and survives a lack of descriptors.
 
-asyncio's own servers either spin or drop the listener's reader for a second when `accept` meets EMFILE,
-and build a transport before anybody can say no. Here the address is known with the accepted socket, so a
-refusal costs three system calls.
+asyncio's own servers either spin or drop the listener's reader for a second when `accept` fails with EMFILE,
+and build a transport before a connection can be rejected. Here the address is known with the accepted socket,
+so a rejection costs three system calls.
 """
 
 from __future__ import annotations
 
 import asyncio
-import contextlib
-import errno
 import logging
 import socket
 from collections.abc import Callable
 from enum import Enum, auto
+from typing import cast
 
 from ..system import SYSTEM, System
+from .accept_errors import EXHAUSTED, TRANSIENT
 from .budget import ACCEPTING
-from .clients import Clients, Guest
-from .refusals import Refused
-from .rules import Client, Reason
+from .client import Client
+from .clients import ClientConnections
+from .connection import ManagedConnection
+from .decision import RejectionReason
+from .rejections import Rejections
+from .reserve_descriptor import ReserveDescriptor
 
 log = logging.getLogger("dykefold.admission")
 
-STARVED = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
-# Of the connection that was to be accepted, or of the call: the next one is asked for at once (accept(2)).
-PASSING = frozenset(
-    (
-        errno.ECONNABORTED,
-        errno.EINTR,
-        errno.EPROTO,
-        errno.ENETDOWN,
-        errno.ENOPROTOOPT,
-        errno.EHOSTDOWN,
-        errno.ENONET,
-        errno.EHOSTUNREACH,
-        errno.EOPNOTSUPP,
-        errno.ENETUNREACH,
-    )
-)
-PAUSE_S = 0.05  # without accepting when the system has no descriptor; a released one ends it sooner
-NOTES_APART_S = 10.0
-REST_MOST = 64  # turns in which a listener that is to close accepts what waits: twice what the kernel holds
-RETRY_AFTER_S = 1
-SEND_BYTES = 128 * 1024  # of the kernel's buffer to a client: a slow one is seen to read every few of them
-REFUSED_MOST = 8  # refused clients whose end is waited for; they take places of those accepted in a turn
-
-
-def _refusal(code: int, reason: str, text: str) -> bytes:
-    body = f"refused: {text}\n"
-    head = f"HTTP/1.1 {code} {reason}\r\nRetry-After: {RETRY_AFTER_S}\r\nConnection: close\r\n"
-    return f"{head}Content-Length: {len(body)}\r\n\r\n{body}".encode()
-
-
-REFUSALS = {
-    Reason.CONNECTIONS: _refusal(429, "Too Many Requests", "too many connections from this address"),
-    Reason.NEW_CONNECTIONS: _refusal(429, "Too Many Requests", "too many new connections from this address"),
-    Reason.FULL: _refusal(503, "Service Unavailable", "too many connections"),
-}
-
-
-class Turn(Enum):
-    """What a turn of accepting ended with."""
+PAUSE_S = 0.05  # without accepting when it fails; a descriptor that is released ends it sooner
+LOG_INTERVAL_S = 10.0  # between two lines on failures
+MAX_BACKLOG_TURNS = 64  # in which a listener that is to close accepts what waits: twice what the kernel holds
+SEND_BUFFER_BYTES = 128 * 1024  # of the kernel, for each client: a slow one is seen to read every few of them
+
+
+class AcceptResult(Enum):
+    """How a turn of accepting ended."""
 
     MORE = auto()  # others may wait
-    EMPTY = auto()
+    EMPTY = auto()  # nobody waits
     FAILED = auto()  # it is tried again after a pause
 
 
 class Listener:
-    """Accepts on one non-blocking listening socket; `make` builds a connection's protocol for a client."""
+    """Accepts on one non-blocking listening socket.
+
+    Attributes:
+        closed: the socket is closed.
+        reserve: the descriptor to close when accepting needs one.
+        rejections: rejected connections whose end is awaited.
+    """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         sock: socket.socket,
-        clients: Clients,
-        make: Callable[[Client], Guest],
+        clients: ClientConnections,
+        make_connection: Callable[[Client], ManagedConnection],
         system: System = SYSTEM,
     ) -> None:
-        self.loop = loop
-        self.system = system
-        self.sock = sock
-        self.clients = clients
-        self.make = make
-        self.spare: int | None = None
-        self.resume: asyncio.TimerHandle | None = None
-        self.starting: set[asyncio.Task[None]] = set()
-        self.noted_at_s = -NOTES_APART_S
+        """Begin to accept.
+
+        Args:
+            loop: runs everything.
+            sock: the listening socket.
+            clients: decides on each connection.
+            make_connection: makes the protocol of an admitted client's connection.
+            system: the clock and the reserve descriptor.
+        """
+        self._loop = loop
+        self._system = system
+        self._sock = sock
+        self._clients = clients
+        self._make_connection = make_connection
+        self._pause_timer: asyncio.TimerHandle | None = None
+        self._starting: set[asyncio.Task[None]] = set()
+        self._failure_logged_at_s = -LOG_INTERVAL_S
+        self._on_closed: Callable[[], None] | None = None
+        self._close_by_s = 0.0
         self.closed = False
-        self.refused: dict[Refused, None] = {}  # the oldest first
-        self.ended: Callable[[], None] | None = None  # told once it is closed, if it is to end
-        self.end_by_s = 0.0
-        self._take_spare()
+        self.reserve = ReserveDescriptor(system)
+        self.rejections = Rejections(loop, self._on_rejection_closed)
+        self.reserve.open()
         sock.setblocking(False)
-        # Accepted sockets have the listener's.
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BYTES)
-        loop.add_reader(sock.fileno(), self._ready)
+        # Accepted sockets inherit it.
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
+        loop.add_reader(sock.fileno(), self._on_readable)
 
     @property
     def address(self) -> tuple[str, int]:
-        return self.sock.getsockname()[:2]
+        """The address and port that it listens at."""
+        host, port = self._sock.getsockname()[:2]
+        return host, port
+
+    @property
+    def closing(self) -> bool:
+        """Whether it has been told to shut down."""
+        return self._on_closed is not None
+
+    # Accepting
 
-    def _ready(self) -> None:
+    def _on_readable(self) -> None:
         self._accept()
 
-    def _accept(self) -> Turn:
-        """Accept a number of connections."""
+    def _accept(self) -> AcceptResult:
+        """Accept a bounded number of connections."""
         error = None
-        for _ in range(ACCEPTING - len(self.refused)):
+        for _ in range(ACCEPTING - len(self.rejections)):
             try:
-                sock, peer = self.sock.accept()
+                sock, peer = self._sock.accept()
             except BlockingIOError:
-                return Turn.EMPTY
+                return AcceptResult.EMPTY
             except OSError as failure:
                 error = failure
-                if failure.errno not in PASSING:
+                if failure.errno not in TRANSIENT:
                     break
             else:
                 error = None
-                self._let_in(sock, peer[0])
+                self._admit(sock, peer[0])
         if error is None:
-            return Turn.MORE
-        self._failed(error)
-        return Turn.FAILED
+            return AcceptResult.MORE
+        self._on_accept_failed(error)
+        return AcceptResult.FAILED
 
-    def _let_in(self, sock: socket.socket, host: str) -> None:
+    def _admit(self, sock: socket.socket, host: str) -> None:
         try:
             sock.setblocking(False)
-        except OSError:  # it has gone
+        except OSError:  # the client has gone
             sock.close()
             return
-        client, reason = self.clients.admit(host)
+        client, reason, _ = self._clients.admit(host)
         if client is None:
-            self._refuse(sock, Reason.FULL if reason is None else reason)
+            self.rejections.add(sock, RejectionReason.ALL_CONNECTIONS if reason is None else reason)
             return
-        guest = self.make(client)
-        guest.accepted(sock)
-        self.clients.add(guest)
-        task = self.loop.create_task(self._start(sock, guest))
-        self.starting.add(task)
-        task.add_done_callback(self.starting.discard)
-
-    async def _start(self, sock: socket.socket, guest: Guest) -> None:
+        connection = self._make_connection(client)
+        connection.accepted(sock)
+        self._clients.add(connection)
+        task = self._loop.create_task(self._start(sock, connection))
+        self._starting.add(task)
+        task.add_done_callback(self._starting.discard)
+
+    async def _start(self, sock: socket.socket, connection: ManagedConnection) -> None:
+        """Make the transport of an admitted connection."""
+        protocol = cast(asyncio.Protocol, connection)
         try:
-            await self.loop.connect_accepted_socket(lambda: guest, sock)  # type: ignore[type-var, arg-type, return-value]
-        except OSError:  # it was reset, or the system lacks something: whoever is still there hears it
-            self._refuse(sock, Reason.FULL)
-            self.clients.remove(guest.client)
+            await self._loop.connect_accepted_socket(lambda: protocol, sock)
+        except OSError:  # the client reset it, or the system lacks something: a client that is there is told
+            self.rejections.add(sock, RejectionReason.ALL_CONNECTIONS)
+            self._clients.remove(connection.client)
         except asyncio.CancelledError:
             sock.close()
-            self.clients.remove(guest.client)
+            self._clients.remove(connection.client)
 
-    # Without descriptors
+    # Failures
 
-    def _failed(self, error: OSError) -> None:
-        """Guards the loop against spinning on a listener that stays readable while nothing can be accepted.
+    def _on_accept_failed(self, error: OSError) -> None:
+        """Make room where descriptors lack, and pause: the loop would spin, as the socket stays readable.
 
-        Somebody who may leave makes room for the next turn. If nobody may, the spare descriptor turns
-        away who waits, so that they hear it rather than hang in the backlog. Other errors are of the
-        network or a packet filter (accept(2)): they need a rest as well, and nobody's place.
+        A connection that may be evicted makes room for the next turn. If there is none, the reserve
+        descriptor serves to reject clients, so that they are told rather than wait in the backlog. Other
+        errors are of the network or a packet filter (accept(2)): they need a pause as well, and no eviction.
         """
-        if self.system.monotonic() - self.noted_at_s >= NOTES_APART_S:
-            self.noted_at_s = self.system.monotonic()
-            if error.errno in STARVED:
-                log.warning("limit met: descriptors of the process or system (%s)", error.strerror)
+        if self._system.monotonic() - self._failure_logged_at_s >= LOG_INTERVAL_S:
+            self._failure_logged_at_s = self._system.monotonic()
+            if error.errno in EXHAUSTED:
+                log.warning("listener ran out of descriptors or memory: error=%s", error.strerror)
             else:
-                log.warning("accept failed: %s", error.strerror)
-        if error.errno in STARVED and not self.clients.release():
-            self._turn_away()
+                log.warning("listener failed to accept: error=%s", error.strerror)
+        if error.errno in EXHAUSTED and not self._clients.evict():
+            self._reject_waiting()
         self.pause()
 
-    def _turn_away(self) -> None:
+    def _reject_waiting(self) -> None:
+        """Reject clients that wait in the backlog, by the reserve descriptor."""
         for _ in range(ACCEPTING):
-            if self.spare is None:  # a client that was refused has it, and somebody else waits
-                self._forget_refused()
-                self._take_spare()
-            if self.spare is None:
+            if not self.reserve.held:  # a rejected connection has it, and somebody else waits
+                self.rejections.close_all()
+                self.reserve.open()
+            if not self.reserve.held:
                 return
-            self.system.close_reserve(self.spare)
-            self.spare = None
+            self.reserve.close()
             try:
-                sock, _ = self.sock.accept()
+                sock, _ = self._sock.accept()
             except OSError:
-                self._take_spare()
+                self.reserve.open()
                 return
-            self._refuse(sock, Reason.FULL)
-            self._take_spare()
-            if not self._waits():
+            self.rejections.add(sock, RejectionReason.ALL_CONNECTIONS)
+            self.reserve.open()
+            if not self._is_client_waiting():
                 return
 
-    def _waits(self) -> bool:
-        """Whether somebody waits to be accepted."""
+    def _is_client_waiting(self) -> bool:
         try:
-            return bool(self.system.watch(self.sock).poll(0))
+            return bool(self._system.watch(self._sock).poll(0))
         except OSError:
             return True
 
-    def _refuse(self, sock: socket.socket, reason: Reason) -> None:
-        if len(self.refused) >= REFUSED_MOST:
-            next(iter(self.refused)).close()
-        refused = Refused(self.loop, sock, REFUSALS[reason], self._forget)
-        if not refused.closed:
-            self.refused[refused] = None
-
-    def _forget(self, refused: Refused) -> None:
-        self.refused.pop(refused, None)
+    def _on_rejection_closed(self) -> None:
         if not self.closed:
-            self._take_spare()
-
-    def _forget_refused(self) -> None:
-        """Take back the descriptors of those who were refused."""
-        for refused in list(self.refused):
-            refused.close()
-
-    def _take_spare(self) -> None:
-        if self.spare is None:
-            with contextlib.suppress(OSError):  # somebody else was faster: it is tried again
-                self.spare = self.system.open_reserve()
+            self.reserve.open()
 
     def pause(self) -> None:
-        if self.resume is None and not self.closed:
-            self.loop.remove_reader(self.sock.fileno())
-            self.resume = self.loop.call_later(PAUSE_S, self.released)
-
-    def released(self) -> None:
-        """A descriptor has come free, or the pause is over: accept again."""
-        if self.resume is None:
+        """Accept nothing for `PAUSE_S`, or until a descriptor is released."""
+        if self._pause_timer is None and not self.closed:
+            self._loop.remove_reader(self._sock.fileno())
+            self._pause_timer = self._loop.call_later(PAUSE_S, self.on_descriptor_released)
+
+    def on_descriptor_released(self) -> None:
+        """End a pause: a descriptor has been released, or the time is over."""
+        if self._pause_timer is None:
             return
-        self._go_on()
-        if self.ended is not None:
-            self._end()
+        self._resume()
+        if self._on_closed is not None:
+            self._try_shut_down()
 
-    def _go_on(self) -> None:
-        if self.resume is None:
+    def _resume(self) -> None:
+        if self._pause_timer is None:
             return
-        self.resume.cancel()
-        self.resume = None
-        self._take_spare()
-        self.loop.add_reader(self.sock.fileno(), self._ready)
-
-    def take_rest(self) -> bool:
-        """Accept what waits: closing the socket would reset it. False if accepting fails for now."""
-        self._go_on()  # a rest after a lack of descriptors would be its end
-        for _ in range(REST_MOST):
-            turn = Turn.EMPTY if self.closed else self._accept()
-            if turn is not Turn.MORE:
-                return turn is Turn.EMPTY
+        self._pause_timer.cancel()
+        self._pause_timer = None
+        self.reserve.open()
+        self._loop.add_reader(self._sock.fileno(), self._on_readable)
+
+    # Shutdown
+
+    def accept_backlog(self) -> bool:
+        """Accept all clients that wait, since a close of the socket would reset them.
+
+        Returns:
+            False if accepting fails for now.
+        """
+        self._resume()  # or it would be closed during a pause
+        for _ in range(MAX_BACKLOG_TURNS):
+            result = AcceptResult.EMPTY if self.closed else self._accept()
+            if result is not AcceptResult.MORE:
+                return result is AcceptResult.EMPTY
         return True
 
-    def end(self, within_s: float, ended: Callable[[], None]) -> None:
-        """Accept what waits, and close.
+    def shut_down(self, timeout_s: float, on_closed: Callable[[], None]) -> None:
+        """Accept all clients that wait, and close.
 
         Args:
-            within_s: for which accepting is tried again while it fails; who then still waits is refused.
-            ended: called once it is closed: in this call if nothing fails.
+            timeout_s: seconds in which accepting is tried again while it fails; then, who waits is rejected.
+            on_closed: called once it is closed: during this call if nothing fails.
         """
-        self.ended = ended
-        self.end_by_s = self.system.monotonic() + within_s
-        self._end()
+        self._on_closed = on_closed
+        self._close_by_s = self._system.monotonic() + timeout_s
+        self._try_shut_down()
 
-    def _end(self) -> None:
+    def _try_shut_down(self) -> None:
         if self.closed:
             return
-        if not self.take_rest():
-            if self.system.monotonic() < self.end_by_s:
-                return  # the pause ends here again
-            self._turn_away()
+        if not self.accept_backlog():
+            if self._system.monotonic() < self._close_by_s:
+                return  # the end of the pause calls this again
+            self._reject_waiting()
         self.close()
-        if self.ended is not None:
-            self.ended()
+        if self._on_closed is not None:
+            self._on_closed()
 
     def close(self) -> None:
+        """Close the socket and the reserve descriptor; once they are closed, do nothing."""
         if self.closed:
             return
         self.closed = True
-        if self.resume is not None:
-            self.resume.cancel()
-            self.resume = None
+        if self._pause_timer is not None:
+            self._pause_timer.cancel()
+            self._pause_timer = None
         else:
-            self.loop.remove_reader(self.sock.fileno())
-        self.sock.close()
-        if self.spare is not None:
-            self.system.close_reserve(self.spare)
-            self.spare = None
+            self._loop.remove_reader(self._sock.fileno())
+        self._sock.close()
+        self.reserve.close()
--- /dev/null
+++ b/dykefold/admission/rejection_log.py
@@ -0,0 +1,45 @@
+"""Logs rejections, one line for each limit in `LOG_INTERVAL_S` however many there are."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+
+from .decision import RejectionReason
+
+log = logging.getLogger("dykefold.admission")
+
+LOG_INTERVAL_S = 10.0  # between two lines on the same limit
+
+
+class RejectionLog:
+    """Counts the rejections that were not logged yet."""
+
+    def __init__(self, monotonic: Callable[[], float]) -> None:
+        """Begin with no rejection.
+
+        Args:
+            monotonic: the monotonic clock, in seconds.
+        """
+        self._monotonic = monotonic
+        self._not_logged = dict.fromkeys(RejectionReason, 0)
+        self._logged_at_s = dict.fromkeys(RejectionReason, -LOG_INTERVAL_S)
+
+    def add(self, reason: RejectionReason, host: str) -> None:
+        """Count a rejection, and log those not logged yet if the last line is old enough.
+
+        Args:
+            reason: the limit.
+            host: the client's address.
+        """
+        self._not_logged[reason] += 1
+        now_s = self._monotonic()
+        if now_s - self._logged_at_s[reason] >= LOG_INTERVAL_S:
+            self._logged_at_s[reason] = now_s
+            log.warning(
+                "sidecar rejected clients: limit=%s rejections=%d last_address=%s",
+                reason.value,
+                self._not_logged[reason],
+                host,
+            )
+            self._not_logged[reason] = 0
--- /dev/null
+++ b/dykefold/admission/rejections.py
@@ -0,0 +1,71 @@
+"""Rejects accepted sockets: what clients are sent, and how many such connections stay open."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import Callable
+
+from .decision import RejectionReason
+from .rejected_connection import RejectedConnection
+
+RETRY_AFTER_S = 1
+MAX_LINGERING = 8  # rejected connections whose end is awaited; each takes the place of one accepted in a turn
+
+
+def _response(status: str, text: str) -> bytes:
+    body = f"refused: {text}\n"
+    head = f"HTTP/1.1 {status}\r\nRetry-After: {RETRY_AFTER_S}\r\nConnection: close\r\n"
+    return f"{head}Content-Length: {len(body)}\r\n\r\n{body}".encode()
+
+
+RESPONSES = {
+    RejectionReason.CONNECTIONS_OF_ADDRESS: _response(
+        "429 Too Many Requests", "too many connections from this address"
+    ),
+    RejectionReason.NEW_CONNECTIONS_OF_ADDRESS: _response(
+        "429 Too Many Requests", "too many new connections from this address"
+    ),
+    RejectionReason.ALL_CONNECTIONS: _response("503 Service Unavailable", "too many connections"),
+}
+
+
+class Rejections:
+    """The rejected connections that are still open, the oldest first; at most `MAX_LINGERING`."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, on_closed: Callable[[], None]) -> None:
+        """Begin with none.
+
+        Args:
+            loop: runs the connections.
+            on_closed: called when the descriptor of one is free.
+        """
+        self._loop = loop
+        self._on_closed = on_closed
+        self._open: dict[RejectedConnection, None] = {}
+
+    def __len__(self) -> int:
+        """Return how many there are."""
+        return len(self._open)
+
+    def add(self, sock: socket.socket, reason: RejectionReason) -> None:
+        """Reject an accepted socket; the oldest rejected connection is closed where there are too many.
+
+        Args:
+            sock: the socket, which is closed in the end.
+            reason: a limit on connections.
+        """
+        if len(self._open) >= MAX_LINGERING:
+            next(iter(self._open)).close()
+        rejected = RejectedConnection(self._loop, sock, RESPONSES[reason], self._forget)
+        if not rejected.closed:
+            self._open[rejected] = None
+
+    def close_all(self) -> None:
+        """Close all, for the sake of their descriptors."""
+        for rejected in list(self._open):
+            rejected.close()
+
+    def _forget(self, rejected: RejectedConnection) -> None:
+        self._open.pop(rejected, None)
+        self._on_closed()
--- /dev/null
+++ b/dykefold/admission/request_gaps.py
@@ -0,0 +1,36 @@
+"""How long clients leave a connection idle between two requests.
+
+Estimated as TCP estimates its retransmission timeout (RFC 6298 section 2): a smoothed mean, and four mean
+deviations.
+"""
+
+from __future__ import annotations
+
+MEAN_GAIN = 1 / 8  # RFC 6298
+DEVIATION_GAIN = 1 / 4  # RFC 6298
+DEVIATIONS = 4.0  # RFC 6298
+INITIAL_GAP_S = 0.1
+MIN_TIMEOUT_S = 0.02
+
+
+class RequestGaps:
+    """The estimate.
+
+    Attributes:
+        mean_s: the smoothed mean of the gaps, in seconds.
+        deviation_s: their smoothed mean deviation, in seconds.
+    """
+
+    def __init__(self) -> None:
+        """Begin with a guess."""
+        self.mean_s = INITIAL_GAP_S
+        self.deviation_s = INITIAL_GAP_S / 2
+
+    def record(self, gap_s: float) -> None:
+        """Learn from one gap, in seconds."""
+        self.deviation_s += DEVIATION_GAIN * (abs(gap_s - self.mean_s) - self.deviation_s)
+        self.mean_s += MEAN_GAIN * (gap_s - self.mean_s)
+
+    def timeout_s(self) -> float:
+        """Return the idle time after which a next request is unlikely, in seconds."""
+        return max(self.mean_s + DEVIATIONS * self.deviation_s, MIN_TIMEOUT_S)
--- a/dykefold/net/discovery/client.py
+++ b/dykefold/net/discovery/client.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import cast
 
-from ...admission.budget import CALLS, Allowance
+from ...admission.budget import DISCOVERY_CONNECTIONS, Allowance
 from ...balancer.events import State, Status
 from ...system import SYSTEM, System
 from ..memory_budget import MB, MemoryBudget
@@ -89,7 +89,7 @@
         self.version = version
         self.accepted = 0
         # An allowance of its own: the cap on connections to servers must never keep the list from being read.
-        allowance, memory = Allowance(CALLS), MemoryBudget(MAX_CALLS_BYTES)
+        allowance, memory = Allowance(DISCOVERY_CONNECTIONS), MemoryBudget(MAX_CALLS_BYTES)
         self.calls = ConnectionPool(loop, allowance, memory, CONNECT_TIMEOUT_S, IDLE_TIMEOUT_S, system=system)
         self.calls.update(DISCOVERY, address, 0, State.READY)
 
--- a/dykefold/net/discovery/watch_schedule.py
+++ b/dykefold/net/discovery/watch_schedule.py
@@ -13,7 +13,7 @@
 
 from typing import Protocol
 
-from ...admission.budget import CALLS
+from ...admission.budget import DISCOVERY_CONNECTIONS
 
 WATCH_POLLED_MS = 20_000  # one service for all: a call of each process may take it 8 s
 WATCH_PUSHED_MS = 2_500  # the agent is on the same machine, and calls of it cost nothing
@@ -21,7 +21,9 @@
 OVERDUE_POLLED_S = 0.8  # beyond a watch's wait, until another call is made beside it
 OVERDUE_PUSHED_S = 0.5
 RETRY_PUSHED_S = 0.25  # until the agent is called again that did not answer at once, or failed
-MAX_OPEN_CALLS = CALLS - 1  # calls of one watch that are in flight at once; the oldest is cancelled
+MAX_OPEN_CALLS = (
+    DISCOVERY_CONNECTIONS - 1
+)  # calls of one watch that are in flight at once; the oldest is cancelled
 ANSWER_TIMEOUT_S = 3.5  # beyond a watch's own wait: discovery works through calls in turn
 LIST_READ_GRACE_S = 0.1  # more for an answer that has come and was not read yet: lists are long
 CONNECT_TIMEOUT_S = 2.0
--- a/dykefold/net/downstream/connection.py
+++ b/dykefold/net/downstream/connection.py
@@ -129,7 +129,7 @@
         """Close while nothing of this client is open, unless something of it waits to be read."""
         if self.transport is not None and not self.has_unread_input():
             self._shut_down()
-            self.engine.clients.place(self)
+            self.engine.clients.update(self)
 
     def evict(self) -> None:
         """Close for the sake of other clients; a message that has begun is rejected first."""
@@ -148,7 +148,7 @@
         if self.message_unfinished:
             self._reject(503, text)
             self._dispatch_waiting()
-            self.engine.clients.place(self)
+            self.engine.clients.update(self)
 
     def _shut_down(self) -> None:
         """End the connection behind the last answer: the own side first, the rest once the client saw it.
--- a/dykefold/net/downstream/connection_state.py
+++ b/dykefold/net/downstream/connection_state.py
@@ -50,7 +50,7 @@
 
 import httptools
 
-from ...admission.rules import Client
+from ...admission.client import Client
 from ...system import Watch
 from ..streaming import Upload
 from .arrivals import Arrivals
@@ -201,7 +201,7 @@
 
     def _end_unfinished(self) -> None:
         """Count the message no longer as unfinished by its client."""
-        self.engine.clients.free(self.client, self.message_reserved_bytes)
+        self.engine.clients.release_unfinished(self.client, self.message_reserved_bytes)
 
     def _release(self, size: int) -> None:
         """Return bytes to the memory budget."""
--- a/dykefold/net/downstream/protocols.py
+++ b/dykefold/net/downstream/protocols.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Protocol
 
-from ...admission.clients import Clients
+from ...admission.clients import ClientConnections
 from ...system import System
 from ..loop_lag import LoopLagMonitor
 from ..memory_budget import MemoryBudget
@@ -47,7 +47,7 @@
     """Accepts requests and answers them; the sidecar, as a client's connection sees it."""
 
     loop: asyncio.AbstractEventLoop
-    clients: Clients
+    clients: ClientConnections
     memory: MemoryBudget
     read_scheduler: ReadScheduler
     lag: LoopLagMonitor
--- a/dykefold/net/downstream/request_reader.py
+++ b/dykefold/net/downstream/request_reader.py
@@ -44,7 +44,7 @@
         if not self.engine.memory.reserve(len(rest)):
             self._reject(503, "too much is held")
             self._dispatch_waiting()
-            self.engine.clients.place(self)
+            self.engine.clients.update(self)
             return
         self.unfed = rest
         self._pause()
@@ -90,16 +90,16 @@
             self._reject(431, "headers are too long")
         self.arrivals.read += len(data)
         if self.in_body:
-            self.engine.clients.progress(self.client, len(data))
+            self.engine.clients.record_body(self.client, len(data))
         self._dispatch_waiting()
-        self.engine.clients.place(self)
+        self.engine.clients.update(self)
 
     def expire(self) -> None:
         """Reject the message that has not come to an end in time, behind the answers to those before it."""
         if self.message_unfinished:
             self._reject(408, "the request took too long to come")
             self._dispatch_waiting()
-            self.engine.clients.place(self)
+            self.engine.clients.update(self)
         elif self.idle:
             self.close_when_idle()
 
@@ -261,7 +261,7 @@
         if not self.engine.memory.reserve(size):
             self._reject(503, "too much is held")
             return False
-        if not self.engine.clients.hold(self.client, size):
+        if not self.engine.clients.reserve_unfinished(self.client, size):
             self.engine.memory.release(size)
             self._reject(429, "too much is unfinished from this address")
             return False
--- a/dykefold/net/downstream/response_writer.py
+++ b/dykefold/net/downstream/response_writer.py
@@ -39,7 +39,7 @@
             self._stop_upload(call.upload, call)
         self._respond(code, headers, body, call.keep_alive, call.profile is HttpProfile.HEAD)
         self._dispatch_waiting()
-        self.engine.clients.place(self)
+        self.engine.clients.update(self)
 
     def begin_response(
         self, call: ParsedRequest, code: int, headers: bytes, length: int | None, paced: FlowControlled
@@ -97,7 +97,7 @@
         if not self.keep_alive:
             self._shut_down()
         self._dispatch_waiting()
-        self.engine.clients.place(self)
+        self.engine.clients.update(self)
 
     def _stop_upload(self, upload: Upload, call: ParsedRequest) -> None:
         """Discard the rest of a body whose request is answered: where the next message begins is unknown."""
@@ -154,7 +154,7 @@
         if self.response_source is not None:
             self.response_source.block(False)
         self._dispatch_waiting()
-        self.engine.clients.place(self)
+        self.engine.clients.update(self)
         if self.idle and (self.half_closed or not self.engine.accepting_requests):
             self.close_when_idle()
 
--- a/dykefold/net/service/protocols.py
+++ b/dykefold/net/service/protocols.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from ...admission.budget import Allowance, Budget
-from ...admission.rules import Client
+from ...admission.client import Client
 from ...system import System
 from ..clock import Clock
 from ..downstream.protocols import FlowControlled
--- a/dykefold/net/shutdown.py
+++ b/dykefold/net/shutdown.py
@@ -146,9 +146,9 @@
     def close_listener(self) -> None:
         """Close the listener once the clients that wait already have been accepted."""
         server = self.server
-        if server.listener is not None and server.listener.ended is None:
+        if server.listener is not None and not server.listener.closing:
             left_s = min(self.answer_at, server.monotonic() + MAX_DEADLINE_S) - server.monotonic()
-            server.listener.end(max(left_s, MIN_LISTENER_CLOSE_S), self._on_listener_closed)
+            server.listener.shut_down(max(left_s, MIN_LISTENER_CLOSE_S), self._on_listener_closed)
 
     def _on_listener_closed(self) -> None:
         self.server.listener = None
--- a/dykefold/net/sidecar.py
+++ b/dykefold/net/sidecar.py
@@ -13,9 +13,11 @@
 
 from ..admission.addresses import Caps
 from ..admission.budget import Budget
-from ..admission.clients import Clients
+from ..admission.clients import ClientConnections
+from ..admission.controller import AdmissionController
+from ..admission.decision import RejectionReason
+from ..admission.limits import ConnectionLimits
 from ..admission.listener import Listener
-from ..admission.rules import Admission, Reason, Share
 from ..balancer.settings import Settings
 from ..control.class_generations import LINGER_NS, ClassGeneration
 from ..settings import Transport
@@ -96,7 +98,9 @@
         self.max_descriptors = sockets
         self.budget = Budget(sockets, set_aside)
         self.memory = MemoryBudget(memory)
-        self.clients = Clients(Admission(self._share(), caps or Caps()), system)
+        self.clients = ClientConnections(
+            AdmissionController(self._connection_limits(), caps or Caps()), system
+        )
         self.lag = LoopLagMonitor(loop, system)
         self.read_scheduler = ReadScheduler(loop, self.lag, system)
         self.timer_wheel = TimerWheel(loop, system)
@@ -208,7 +212,7 @@
             return 429, _retry_after_header(pool), b"too many open requests from this address\n"
         if len(pool.pending) >= pool.max_open or pool.closed or not pool.budget.reserve():
             self.clients.close_request(connection.client, served=False)
-            self.clients.note(Reason.REQUESTS, connection.client.host)
+            self.clients.rejections.add(RejectionReason.ALL_OPEN_REQUESTS, connection.client.host)
             return 503, _retry_after_header(pool), b"too many open requests\n"
         self.ids.add(call.ident)
         return None
@@ -230,7 +234,7 @@
         """Release what a client had that has gone, and drop its pending request."""
         self.clients.remove(connection.client)
         if self.listener is not None:
-            self.listener.released()
+            self.listener.on_descriptor_released()
         if (call is None or not call.pool.drop_disconnected(call)) and self.draining:
             self.shutdown.end_if_done()
 
@@ -241,8 +245,8 @@
 
     # Limits
 
-    def _share(self) -> Share:
-        return Share(self.budget.clients, self.budget.usable)
+    def _connection_limits(self) -> ConnectionLimits:
+        return ConnectionLimits(self.budget.clients, self.budget.with_requests)
 
     def listen(self, sock: socket.socket) -> Listener:
         """Begin to accept clients' connections on a listening socket."""
@@ -264,13 +268,13 @@
         kept = self.clients.admission.count if self.process_count > 1 else 0
         self.budget.resize(min(self.max_descriptors, sockets), sockets, kept)
         self.memory.resize(self.memory_limit // self.process_count)
-        self.clients.resize(self._share(), caps)
+        self.clients.resize(self._connection_limits(), caps)
         for pool in self.pools:
             pool.upstreams.shrink()
 
     def needed_descriptors(self) -> int:
         """Return how many descriptors this process can't give away just now."""
-        return self.budget.needed(self.clients.admission.count)
+        return self.budget.required(self.clients.admission.count)
 
     def share_capacity(self, parts: int, most: int) -> None:
         """Leave capacity to other processes of this sidecar.
--- a/dykefold/service_config.py
+++ b/dykefold/service_config.py
@@ -61,8 +61,8 @@
             reserve=self.reserve,
             learn_requests=self.learn_requests,
             learn_after_s=self.learn_after_s,
-            learned_most=self.learned_most,
-            remembered_most=self.remembered_most,
+            max_learned=self.learned_most,
+            max_remembered=self.remembered_most,
         )
 
 
--- a/dykefold/sim/process.py
+++ b/dykefold/sim/process.py
@@ -266,8 +266,8 @@
     if not 0 <= engine.memory.reserved_bytes <= engine.memory.capacity_bytes:
         found.append(f"message memory {engine.memory.reserved_bytes} of {engine.memory.capacity_bytes}")
     budget = engine.budget
-    if not 0 <= budget.claims <= budget.upstreams.limit:
-        found.append(f"claims {budget.claims} of {budget.upstreams.limit}")
+    if not 0 <= budget.reservations <= budget.upstreams.limit:
+        found.append(f"claims {budget.reservations} of {budget.upstreams.limit}")
     held = sum(len(pool.upstreams.connections) for pool in engine.pools)
     if budget.upstreams.in_use != held:
         found.append(f"connections to servers counted as {budget.upstreams.in_use}, there are {held}")
@@ -288,7 +288,7 @@
     found = {
         "clients": len(engine.clients.all),
         "message memory": engine.memory.reserved_bytes,
-        "claims": engine.budget.claims,
+        "claims": engine.budget.reservations,
         "time limits": sum(len(bucket or ()) for bucket in engine.timer_wheel.buckets.values()),
         "input that waits": len(engine.read_scheduler.queue),
     }
--- a/tests/admission/test_accept_errors.py
+++ b/tests/admission/test_accept_errors.py
@@ -24,7 +24,7 @@
     until,
 )
 
-from dykefold.admission import refusals
+from dykefold.admission import rejected_connection
 from dykefold.admission.addresses import Caps
 from dykefold.net.upstream.abort import NO_LINGER
 
@@ -87,7 +87,7 @@
 
 
 @on_loop
-async def test_a_listener_that_can_not_accept_till_its_end_closes_all_the_same(tmp_path):
+async def test_a_listener_that_can_not_accept_until_its_timeout_closes(tmp_path):
     async with one_server(tmp_path, answer_ok) as (sidecar, _fake):
         engine = sidecar.engine
         faulty(sidecar).on("accept", errno.EMFILE)
@@ -106,23 +106,23 @@
 # Refusals
 
 
-async def refused(tmp_path, play, most=1):
+async def with_one_connection_allowed(tmp_path, play):
     """`play(sidecar, faults)` while one client of an address holds the one connection that it may have."""
     fake = await Fake(answer_ok).start()
     async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
         faults = faulty(sidecar)
-        sidecar.engine.change_limits(1024, Caps(connections=most))
+        sidecar.engine.change_limits(1024, Caps(connections=1))
         (first,) = connected(sidecar.port, b"")
         await until(lambda: sidecar.engine.clients.all)
         await play(sidecar, faults)
-        await until(lambda: not sidecar.engine.listener.refused)
+        await until(lambda: not sidecar.engine.listener.rejections)
         first.close()
         await until(lambda: not sidecar.engine.clients.all)
         assert not sidecar.engine.clients.admission.addresses.active
 
 
 @pytest.mark.parametrize("part", [1, 7, 100])
-def test_a_refusal_that_is_sent_in_parts_arrives_whole(tmp_path, part):
+def test_a_rejection_that_is_sent_in_parts_arrives_whole(tmp_path, part):
     """A short send cut it, and nothing told the client that more was meant."""
 
     async def play(sidecar, faults):
@@ -132,14 +132,16 @@
         (sock,) = connected(sidecar.port, message("order", "ab"))
         (answer,) = await whole(sock)
         head, _, body = answer.partition(b"\r\n\r\n")
-        assert head.startswith(b"HTTP/1.1 429 ") and b"Content-Length: %d" % len(body) in head and body
+        assert head.startswith(b"HTTP/1.1 429 ")
+        assert b"Content-Length: %d" % len(body) in head
+        assert body
 
-    run_plain(refused(tmp_path, play))
+    run_plain(with_one_connection_allowed(tmp_path, play))
 
 
-def test_bytes_that_cross_a_refusal_do_not_destroy_it(tmp_path, monkeypatch):
+def test_bytes_that_cross_a_rejection_do_not_reset_it(tmp_path, monkeypatch):
     """Nobody read on behind it: what came after it met a reset, and the answer went with it."""
-    monkeypatch.setattr(refusals, "LINGER_S", WAIT)
+    monkeypatch.setattr(rejected_connection, "LINGER_S", WAIT)
 
     async def play(sidecar, _faults):
         (sock,) = connected(sidecar.port, b"")
@@ -150,57 +152,57 @@
         (rest,) = await whole(sock)
         assert b"429 Too Many" in rest
 
-    run_plain(refused(tmp_path, play))
+    run_plain(with_one_connection_allowed(tmp_path, play))
 
 
 @pytest.mark.parametrize("error", GONE)
 @pytest.mark.parametrize("call", ["send", "shutdown", "recv"])
-def test_a_refused_client_that_was_reset_meanwhile_costs_nothing(tmp_path, call, error):
+def test_a_rejected_client_that_was_reset_meanwhile_leaves_nothing_behind(tmp_path, call, error):
     async def play(sidecar, faults):
         files = len(sidecar.engine.clients.all)
         faults.on(call, getattr(errno, error))
         (sock,) = connected(sidecar.port, message("order", "ab"))
         await until(lambda: faults.made[call, error])
-        await until(lambda: not sidecar.engine.listener.refused)
+        await until(lambda: not sidecar.engine.listener.rejections)
         assert len(sidecar.engine.clients.all) == files
         faults.clear()
         sock.close()
 
-    run_plain(refused(tmp_path, play))
+    run_plain(with_one_connection_allowed(tmp_path, play))
 
 
-def test_refused_clients_that_stay_hold_a_bounded_number_of_descriptors_for_a_bounded_time(tmp_path):
+def test_rejected_clients_that_stay_hold_few_descriptors_for_a_bounded_time(tmp_path):
     async def play(sidecar, _faults):
         socks = connected(sidecar.port, *[b""] * 40)
-        most = 0
+        max_open = 0
         for sock in socks:
             assert await asyncio.to_thread(sock.recv, 65536)
-            most = max(most, len(sidecar.engine.listener.refused))
-        assert 0 < most <= 8
+            max_open = max(max_open, len(sidecar.engine.listener.rejections))
+        assert 0 < max_open <= 8
         began = time.monotonic()
-        await until(lambda: not sidecar.engine.listener.refused)
+        await until(lambda: not sidecar.engine.listener.rejections)
         assert time.monotonic() - began < 1.0
         for sock in socks:
             sock.close()
 
-    run_plain(refused(tmp_path, play))
+    run_plain(with_one_connection_allowed(tmp_path, play))
 
 
-def test_everybody_whom_the_spare_descriptor_turns_away_hears_it_whole(tmp_path):
+def test_each_client_rejected_by_the_reserve_descriptor_receives_the_whole_response(tmp_path):
     """More of them than may linger, each with its request sent: none meets a reset."""
 
     async def play(sidecar, faults):
         sidecar.engine.change_limits(1024, Caps())
-        for guest in sidecar.engine.clients.all.values():
-            sidecar.engine.clients.admission.leave(guest.client)  # nobody can make room
+        for connection in sidecar.engine.clients.all.values():
+            sidecar.engine.clients.admission.remove(connection.client)  # none may be evicted
         faults.on("accept", errno.EMFILE, times=1)
         socks = connected(sidecar.port, *(message("order", f"id{n}") for n in range(16)))
         answers = await whole(*socks)
         assert {answer[:13] for answer in answers} == {b"HTTP/1.1 503 "}
         assert all(answer.endswith(b"refused: too many connections\n") for answer in answers)
-        assert sidecar.engine.listener.spare is not None
+        assert sidecar.engine.listener.reserve.held
 
-    run_plain(refused(tmp_path, play))
+    run_plain(with_one_connection_allowed(tmp_path, play))
 
 
 # Sockets that were reset between two calls
@@ -225,8 +227,10 @@
             gc.collect()  # asyncio leaves a transport that could not be made to the collector
             assert (await ask(sidecar.port, message("order", "cd"))).code == 200
             await until(lambda: not engine.clients.all)
-            assert not engine.clients.admission.addresses.active and not engine.pool.pending
-            assert not engine.clients.admission.count and not escaped
+            assert not engine.clients.admission.addresses.active
+            assert not engine.pool.pending
+            assert not engine.clients.admission.count
+            assert not escaped
             assert "Traceback" not in caplog.text
 
     run_plain(play())
@@ -236,7 +240,7 @@
     "sent", [b"", message("order", "ab"), message("order", "ab")[:-9]], ids=["-", "all", "half"]
 )
 @on_loop
-async def test_clients_that_are_reset_before_they_are_accepted_cost_nothing(tmp_path, sent):
+async def test_clients_that_are_reset_before_they_are_accepted_leave_nothing_behind(tmp_path, sent):
     """As the system does it: nothing is scripted here."""
     loop, escaped = asyncio.get_running_loop(), []
     loop.set_exception_handler(lambda _, context: escaped.append(context))
@@ -247,5 +251,7 @@
             sock.close()
         assert (await ask(sidecar.port, message("order", "cd"))).code == 200
         await until(lambda: not engine.clients.all)
-        assert not engine.clients.admission.count and not engine.pool.pending and not escaped
+        assert not engine.clients.admission.count
+        assert not engine.pool.pending
+        assert not escaped
     assert [got.headers["x-request-id"] for got in fake.got] == ["cd"]
--- a/tests/admission/test_flood.py
+++ b/tests/admission/test_flood.py
@@ -1,5 +1,5 @@
 """The real program with its descriptors limited by the system, one address that opens thousands of idle
-connections, and the desks that must not notice."""
+connections, and known clients that must not notice."""
 
 import asyncio
 import contextlib
@@ -35,7 +35,7 @@
 
 
 async def be_served(port, address, ident):
-    """As a desk does: connect, ask, and ask again on that connection when it is told to come back."""
+    """Connect, send a request, and send it again on that connection when Retry-After says so."""
     reader, writer = await asyncio.open_connection(HOST, port, local_addr=(address, 0))
     for turn in range(20):
         writer.write(message("lookup", f"{ident}-{turn}"))
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize("caps", ["", PER_ADDRESS], ids=["reserve-alone", "with-caps"])
-def test_desks_and_open_requests_survive_five_thousand_idle_connections(tmp_path, monkeypatch, caps):
+def test_known_clients_and_open_requests_survive_five_thousand_idle_connections(tmp_path, monkeypatch, caps):
     service = tmp_path / "service.toml"
     service.write_text(CAPS + caps)
     monkeypatch.setenv("DYKEFOLD_SERVICE", str(service))
@@ -85,11 +85,12 @@
                 flood += await asyncio.gather(*(open_from(FLOOD, sidecar.port) for _ in range(250)))
                 if start % 1000:
                     continue
-                for desk in range(20):  # each connects anew, in the middle of the flood, and is served
-                    await be_served(sidecar.port, f"127.100.1.{desk + 1}", f"desk{start}-{desk}")
+                for number in range(20):  # each connects anew, in the middle of the flood, and is served
+                    await be_served(sidecar.port, f"127.100.1.{number + 1}", f"known{start}-{number}")
             assert len(flood) == CONNECTIONS
             files = files_of(sidecar.process.pid)
-            assert len(files) <= SOCKETS and "/dev/null" in files  # the spare one is there
+            assert len(files) <= SOCKETS
+            assert "/dev/null" in files
             # Its own files still open: it rereads the configuration under the flood.
             data["discovery"] = f"{HOST}:{fake.port}"
             sidecar.path.write_text(json.dumps(data))
@@ -108,7 +109,8 @@
             lines = (await sidecar.log).decode().splitlines()
             assert not any("Traceback" in line for line in lines)
             # No line for each bad connection: five limits, one line in ten seconds on each.
-            assert sum("limit met" in line for line in lines) <= 10, lines
+            limits = ("sidecar rejected clients", "listener ran out of descriptors")
+            assert sum(any(text in line for text in limits) for line in lines) <= 10, lines
 
     run(play())
 
@@ -125,7 +127,7 @@
         ("admission = 3\n", ["expected a table"]),
     ],
 )
-def test_a_bad_file_is_told_whole_with_place_and_expectation(tmp_path, capsys, text, problems):
+def test_each_problem_of_a_bad_file_is_reported_with_place_and_expectation(tmp_path, capsys, text, problems):
     from dykefold.__main__ import check
 
     path = tmp_path / "service.toml"
@@ -144,4 +146,5 @@
     from dykefold.service_config import read_service
 
     read = read_service(str(Path(__file__).parents[2] / "deploy" / "service.toml"))
-    assert read.caps == Caps() and read.plan is None
+    assert read.caps == Caps()
+    assert read.plan is None
--- a/tests/admission/test_listener.py
+++ b/tests/admission/test_listener.py
@@ -1,4 +1,4 @@
-"""The accept edge: refusals, and calm when the process or the system has no descriptor left."""
+"""The listener: rejections, and a process or a system that has no descriptor left."""
 
 import asyncio
 import errno
@@ -28,6 +28,7 @@
 from dykefold import sidecar_config as configuration
 from dykefold.admission import listener
 from dykefold.admission.addresses import Caps
+from dykefold.admission.client_state import ClientState
 from dykefold.net.upstream import connection_pool as upstream
 
 
@@ -59,12 +60,18 @@
     return kind(tmp_path / "c", config(news(1, entry("s1", fake.address)), **more))
 
 
+def open_files(descriptors):
+    """Open files until the system has no descriptor left."""
+    while True:
+        descriptors.append(os.open(os.devnull, os.O_RDONLY))
+
+
 async def connect(port, host="127.0.0.1"):
     return await asyncio.open_connection(HOST, port, local_addr=(host, 0))
 
 
 @pytest.mark.parametrize("error", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPERM])
-def test_without_descriptors_it_pauses_and_comes_back(tmp_path, error):
+def test_a_listener_without_descriptors_pauses_and_resumes(tmp_path, error):
     async def play():
         fake = await Fake(answer_ok).start()
         async with start(tmp_path, fake, Starved) as sidecar:
@@ -83,7 +90,7 @@
     run(play())
 
 
-def test_a_release_ends_the_pause_at_once(tmp_path, monkeypatch):
+def test_a_released_descriptor_ends_the_pause_at_once(tmp_path, monkeypatch):
     monkeypatch.setattr(listener, "PAUSE_S", 3600.0)
 
     async def play():
@@ -94,7 +101,7 @@
             assert (await read_message(idle)).code == 200
             sidecar.sock.times = 1
             reader, writer = await connect(sidecar.port)
-            assert await idle.read() == b""  # let go for the newcomer; its end lets the listener go on
+            assert await idle.read() == b""  # evicted for the new client; its end lets the listener resume
             writer.write(message("order", "second"))
             assert (await read_message(reader)).code == 200
             writer.close()
@@ -103,7 +110,7 @@
     run(play())
 
 
-def test_who_can_not_be_taken_hears_it_by_the_spare_descriptor(tmp_path):
+def test_a_client_without_a_descriptor_is_rejected_by_the_reserve_descriptor(tmp_path):
     async def play():
         go, act = gated()
         fake = await Fake(act).start()
@@ -111,18 +118,15 @@
             reader, writer = await connect(sidecar.port)
             writer.write(message("order", "taken"))
             await until(lambda: fake.got)
-            # Nobody may leave now. Files fill the rest, as a leak elsewhere would.
+            # No connection may be evicted now. Files take the other descriptors, as a leak elsewhere would.
             fillers = []
             before = set(os.listdir("/proc/self/fd"))
             limit = max(map(int, before)) + 2
             soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
             client = socket.socket()
             resource.setrlimit(resource.RLIMIT_NOFILE, (limit, hard))
-            try:
-                while True:
-                    fillers.append(os.open(os.devnull, os.O_RDONLY))
-            except OSError as error:
-                assert error.errno == errno.EMFILE
+            with pytest.raises(OSError, match=os.strerror(errno.EMFILE)):
+                open_files(fillers)
             try:
                 client.settimeout(5.0)
                 await asyncio.get_running_loop().run_in_executor(None, client.connect, (HOST, sidecar.port))
@@ -132,17 +136,20 @@
                     os.close(filler)
                 resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
                 client.close()
-            assert answer.startswith(b"HTTP/1.1 503 ") and b"Retry-After: 1\r\n" in answer
+            assert answer.startswith(b"HTTP/1.1 503 ")
+            assert b"Retry-After: 1\r\n" in answer
             go.set()
-            assert (await read_message(reader)).code == 200  # what was taken is answered all the same
-            await until(lambda: sidecar.engine.listener.spare is not None)
+            assert (
+                await read_message(reader)
+            ).code == 200  # a request that was accepted is answered all the same
+            await until(lambda: sidecar.engine.listener.reserve.held)
             assert (await ask(sidecar.port, message("order", "after"))).code == 200
             writer.close()
 
     run(play())
 
 
-def test_a_refused_connection_is_told_why_even_if_it_asked_already(tmp_path):
+def test_a_rejected_connection_receives_the_reason_even_if_it_sent_a_request(tmp_path):
     async def play():
         fake = await Fake(answer_ok).start()
         async with start(tmp_path, fake) as sidecar:
@@ -152,7 +159,8 @@
             reader, writer = await connect(sidecar.port, "127.9.0.1")
             writer.write(message("order", "no"))
             answer = await read_message(reader)
-            assert answer.code == 429 and answer.headers["retry-after"] == "1"
+            assert answer.code == 429
+            assert answer.headers["retry-after"] == "1"
             other, other_writer = await connect(sidecar.port, "127.9.0.2")
             other_writer.write(message("order", "yes"))
             assert (await read_message(other)).code == 200
@@ -163,7 +171,7 @@
     run(play())
 
 
-def test_caps_on_open_requests_refuse_at_once_and_let_the_client_come_back(tmp_path):
+def test_a_request_beyond_the_limit_of_its_address_is_rejected_at_once_and_may_be_sent_again(tmp_path):
     async def play():
         go, act = gated()
         fake = await Fake(act).start()
@@ -175,7 +183,8 @@
             await until(lambda: len(fake.got) == 2)
             pairs[2][1].write(message("order", "over"))
             answer = await read_message(pairs[2][0])
-            assert answer.code == 429 and float(answer.headers["retry-after"]) > 0
+            assert answer.code == 429
+            assert float(answer.headers["retry-after"]) > 0
             go.set()
             assert [(await read_message(reader)).code for reader, _ in pairs[:2]] == [200, 200]
             pairs[2][1].write(message("order", "again"))
@@ -188,7 +197,7 @@
     run(play())
 
 
-def test_half_messages_of_one_address_are_capped_together(tmp_path):
+def test_unfinished_messages_of_one_address_are_limited_together(tmp_path):
     async def play():
         fake = await Fake(answer_ok).start()
         async with start(tmp_path, fake) as sidecar:
@@ -215,7 +224,7 @@
     run(play())
 
 
-def test_what_a_request_needs_is_set_aside_when_it_is_taken(tmp_path):
+def test_a_descriptor_is_reserved_when_a_request_is_accepted(tmp_path):
     """The limit is met between requests, never in the middle of one."""
 
     async def play():
@@ -234,11 +243,11 @@
             assert [answer.code for answer in answers] == [503, 503]
             assert all(float(answer.headers["retry-after"]) > 0 for answer in answers)
             await until(lambda: len(fake.got) == 2)
-            assert budget.claims == budget.upstreams.in_use == 2
+            assert budget.reservations == budget.upstreams.in_use == 2
             go.set()
             codes = sorted([(await task).code for task in tasks])
             assert codes == [200, 200, 503, 503]
-            await until(lambda: budget.claims == 0)
+            await until(lambda: budget.reservations == 0)
             for _, writer in pairs:
                 writer.close()
 
@@ -246,8 +255,10 @@
 
 
 @pytest.mark.parametrize(("failures", "code"), [(1, 200), (5, 200), (math.inf, 503)])
-def test_no_descriptor_for_an_attempt_costs_a_wait_and_no_answer(tmp_path, monkeypatch, failures, code):
-    """EMFILE between a request and its attempt: it waits, and is refused where that lasts; it never ran."""
+def test_an_attempt_without_a_descriptor_waits_and_is_rejected_where_that_lasts(
+    tmp_path, monkeypatch, failures, code
+):
+    """EMFILE between a request and its attempt: the request waits, or is rejected without having run."""
 
     async def play():
         fake = await Fake(answer_ok).start()
@@ -266,9 +277,10 @@
             writer.write(message("order", "one", "3000m", b"x"))
             answer = await read_message(reader)
             monkeypatch.setattr(upstream.socket, "socket", real)
-            assert answer.code == code and len(fake.got) == (code == 200)
+            assert answer.code == code
+            assert len(fake.got) == (code == 200)
             assert code == 200 or float(answer.headers["retry-after"]) > 0
-            assert not sidecar.engine.budget.claims
+            assert not sidecar.engine.budget.reservations
             writer.close()
 
     run(play())
@@ -305,7 +317,7 @@
             data["limits"]["sockets"] = 52
             (tmp_path / "c").write_text(json.dumps(data))
             sidecar.reload()
-            assert len(sidecar.engine.clients.admission.sides[False].queues[1]) == 0
+            assert len(sidecar.engine.clients.admission.eviction.groups[False].queues[ClientState.NEW]) == 0
             for reader, _ in idle:
                 assert await reader.read() == b""
             go.set()
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -19,7 +19,7 @@
     "tests/sim/test_reality.py::test_outcomes": 7,
     "tests/test_net_hostile.py::test_a_body_of_one_byte": 6,
     "tests/control/test_hot_restart_orders.py::test_no_order": 5,
-    "tests/admission/test_admission_rules.py::TestMachine": 5,
+    "tests/admission/test_controller.py::TestAdmission": 5,
     "tests/test_process_kill.py::": 5,
     "tests/sim/test_simulation.py::": 4,
     "tests/sim/test_membership.py::": 4,
--- a/tests/routing/test_config.py
+++ b/tests/routing/test_config.py
@@ -42,7 +42,8 @@
 
 def test_a_good_file_is_a_plan():
     plan, problems = plan_of(GOOD)
-    assert not problems and plan is not None
+    assert not problems
+    assert plan is not None
     assert plan.pools["catalogue"].servers == (("127.0.0.1", 9001), ("127.0.0.1", 9002))
     assert [spec.effect for spec in plan.pools["catalogue"].settings.classes] == [
         Effect.SAFE,
@@ -121,4 +122,5 @@
 )
 def test_a_file_of_another_shape_is_an_error_and_no_crash(text):
     plan, problems = plan_of(text)
-    assert plan is None and problems
+    assert plan is None
+    assert problems
--- a/tests/routing/test_requests.py
+++ b/tests/routing/test_requests.py
@@ -115,10 +115,13 @@
 
 def test_a_missing_id_is_made_told_and_passed_on():
     call, _ = read("GET", "/catalogue")
-    assert call.ident == b"catalogue/made" and call.told == b"X-Request-Id: made\r\n"
+    assert call.ident == b"catalogue/made"
+    assert call.told == b"X-Request-Id: made\r\n"
     assert call.headers == [call.told]
     call, _ = read("GET", "/catalogue", x_request_id="mine")
-    assert call.ident == b"catalogue/mine" and not call.told and not call.headers
+    assert call.ident == b"catalogue/mine"
+    assert not call.told
+    assert not call.headers
     with pytest.raises(RequestError, match="X-Request-Id is missing"):
         read("GET", "/x", "a.stock.example")
     with pytest.raises(RequestError, match="longer"):
@@ -154,7 +157,9 @@
 
 def test_the_platform_s_dialect_is_a_route_s_to_choose():
     call, _ = read("POST", "/order/part", "dialect.example", x_request_id="7")
-    assert call.cls == 1 and call.ident == b"parts/7" and call.profile is HttpProfile.PLATFORM
+    assert call.cls == 1
+    assert call.ident == b"parts/7"
+    assert call.profile is HttpProfile.PLATFORM
     with pytest.raises(RequestError) as caught:
         read("GET", "/order/part", "dialect.example", x_request_id="7")
     assert caught.value.code == 405
--- a/tests/routing/test_services.py
+++ b/tests/routing/test_services.py
@@ -141,7 +141,8 @@
                 lambda: all(loads[name].answered > before[name] + 300 for name in ("catalogue", "stock"))
             )
             for name in ("catalogue", "stock"):
-                assert set(loads[name].codes) == {200} and not loads[name].lost
+                assert set(loads[name].codes) == {200}
+                assert not loads[name].lost
             for load in loads.values():
                 await load.end()
             for name, fake in fakes.items():
@@ -159,12 +160,16 @@
             held = asyncio.create_task(ask(node.port, post("/a/1")))
             await until(lambda: old.got)
             node.apply(pool_text("a", new.port, attempts_most=2))  # other settings: another pool
-            assert node.pool("a") is not pool and pool in node.engine.pools
-            assert (await ask(node.port, post("/a/2"))).code == 200 and len(new.got) == 1
+            assert node.pool("a") is not pool
+            assert pool in node.engine.pools
+            assert (await ask(node.port, post("/a/2"))).code == 200
+            assert len(new.got) == 1
             go.set()
-            assert (await held).code == 200 and len(old.got) == 1
+            assert (await held).code == 200
+            assert len(old.got) == 1
             await until(lambda: pool not in node.engine.pools)
-            assert pool.closed and not pool.upstreams.connections
+            assert pool.closed
+            assert not pool.upstreams.connections
 
     run(play())
 
@@ -181,10 +186,12 @@
             )
             assert node.pool("a") is pool
             assert (await ask(node.port, get("/a"))).code == 404
-            assert (await ask(node.port, get("/b"))).code == 200 and fake.connections == 1
+            assert (await ask(node.port, get("/b"))).code == 200
+            assert fake.connections == 1
             node.apply(pool_text("a", other.port))  # another list: the same pool
             assert node.pool("a") is pool
-            assert (await ask(node.port, get("/a"))).code == 200 and len(other.got) == 1
+            assert (await ask(node.port, get("/a"))).code == 200
+            assert len(other.got) == 1
 
     run(play())
 
@@ -230,7 +237,8 @@
             node.apply(pool_text("b", rest.port))
             assert (await ask(node.port, get("/a"))).code == 404
             node.apply(pool_text("a", new.port) + pool_text("b", rest.port))
-            assert (await ask(node.port, get("/a"))).code == 200 and len(old.got) == 1
+            assert (await ask(node.port, get("/a"))).code == 200
+            assert len(old.got) == 1
             go.set()
             assert (await held).code == 200
 
@@ -257,7 +265,8 @@
             grammar, pools = node.engine.parser, dict(node.services.by_name)
             with pytest.raises(ValueError, match="minima"):
                 node.apply(pool_text("a", fake.port, open_least=9000) + pool_text("b", fake.port))
-            assert node.engine.parser is grammar and node.services.by_name == pools
+            assert node.engine.parser is grammar
+            assert node.services.by_name == pools
             assert (await ask(node.port, get("/a"))).code == 200
             text = pool_text("a", fake.port, open_least=100)
             node.apply(text)
@@ -290,7 +299,8 @@
             codes = set().union(*(load.codes for load in loads))
             late_s = node.engine.lag.worst_s
             void = 503 in codes and late_s >= MIN_LOGGED_S
-            assert codes <= ({200, 503} if void else {200}) and not any(load.lost for load in loads)
+            assert codes <= ({200, 503} if void else {200})
+            assert not any(load.lost for load in loads)
             ids = [got.headers["x-request-id"] for fake in fakes for got in fake.got]
             served = sum(load.codes[200] for load in loads)
             assert len(ids) == len(set(ids)) == served
@@ -326,7 +336,8 @@
             await until(lambda: len(os.listdir("/proc/self/fd")) <= files + 2)
             await until(lambda: gc.collect() is not None and all(ref() is None for ref in gone))
             assert sys.getallocatedblocks() < blocks + 5_000  # five to a pool would show
-            assert node.engine.budget.claims == 0 and not node.engine.budget.upstreams.in_use > 1
+            assert node.engine.budget.reservations == 0
+            assert not node.engine.budget.upstreams.in_use > 1
             assert len(node.services.shares.claimed) <= 1
 
     run(play())
--- a/tests/routing/test_shares.py
+++ b/tests/routing/test_shares.py
@@ -67,4 +67,5 @@
     assert sum(shares.reserve("a") for _ in range(20)) == 7
     assert sum(shares.reserve("b") for _ in range(20)) == 3
     shares.give_back("a")
-    assert shares.reserve("b") and not shares.reserve("a")
+    assert shares.reserve("b")
+    assert not shares.reserve("a")
--- a/tests/routing/test_streams.py
+++ b/tests/routing/test_streams.py
@@ -66,7 +66,8 @@
     async with Node(text) as node:
         yield node, servers
         await until(lambda: not node.pool("a").pending and not node.pool("a").attempts)
-    assert node.engine.memory.reserved_bytes == 0 and node.engine.budget.claims == 0
+    assert node.engine.memory.reserved_bytes == 0
+    assert node.engine.budget.reservations == 0
 
 
 async def opened(node):
@@ -100,8 +101,10 @@
         async with served(act) as (node, _), httpx.AsyncClient() as client:
             for _ in range(2):
                 got = await client.get(f"http://{HOST}:{node.port}/a/x")
-                assert got.status_code == 200 and got.content == BIG
-            assert len(node.engine.clients.all) == 1 and len(node.pool("a").upstreams.connections) == 1
+                assert got.status_code == 200
+                assert got.content == BIG
+            assert len(node.engine.clients.all) == 1
+            assert len(node.pool("a").upstreams.connections) == 1
 
     run(play())
 
@@ -289,7 +292,8 @@
             reader, writer = await opened(node)
             writer.write(head(length, "Transfer-Encoding: chunked") + b"0\r\n\r\n" + get("/a/hidden"))
             assert (await read_message(reader)).code == 400
-            assert await reader.read() == b"" and not server.heads
+            assert await reader.read() == b""
+            assert not server.heads
             writer.close()
 
     run(play())
--- a/tests/routing/test_usual_clients.py
+++ b/tests/routing/test_usual_clients.py
@@ -57,25 +57,28 @@
             assert (await client.get(f"{base}/x")).json()["target"] == "/a/x"
             for method in ("POST", "PUT", "PATCH", "DELETE"):
                 got = await client.request(method, f"{base}/x", content=b"hull")
-                assert got.status_code == 200 and got.json() == {
+                assert got.status_code == 200
+                assert got.json() == {
                     "method": method,
                     "target": "/a/x",
                     "body": "hull",
                 }
             got = await client.head(f"{base}/x")
-            assert got.status_code == 200 and got.content == b"" and got.headers["content-length"] == "1234"
+            assert got.status_code == 200
+            assert got.content == b""
+            assert got.headers["content-length"] == "1234"
             got = await client.get(f"{base}/nothing")
-            assert (
-                got.status_code == 204
-                and got.headers["x-kept"] == "yes"
-                and "content-length" not in got.headers
-            )
+            assert got.status_code == 204
+            assert got.headers["x-kept"] == "yes"
+            assert "content-length" not in got.headers
             assert (await client.get(f"{base}/unchanged")).status_code == 304
             assert (await client.get(f"{base}/moved")).headers["location"] == "/a/here"
             got = await client.get(f"{base}/missing")
-            assert got.status_code == 404 and got.text == "no such part"
+            assert got.status_code == 404
+            assert got.text == "no such part"
             got = await client.post(f"{base}/broken", content=b"x")
-            assert got.status_code == 500 and got.text == "out of order"
+            assert got.status_code == 500
+            assert got.text == "out of order"
             assert (await client.get(f"{base}/pieces")).text == "abcde"
             assert (await client.options(f"{base}/x")).status_code == 200
             assert len(node.engine.clients.all) == 1  # one connection for all of them
@@ -93,12 +96,15 @@
 
         async with served() as (_, _, base), aiohttp.ClientSession() as session:
             async with session.post(f"{base}/x", data=pieces()) as got:
-                assert got.status == 200 and (await got.json())["body"] == "hull"
+                assert got.status == 200
+                assert (await got.json())["body"] == "hull"
                 assert got.headers["X-Request-Id"] == got.headers["ETag"]  # made here, told, and passed on
             async with session.put(f"{base}/x", data=b"hull", expect100=True) as got:
-                assert got.status == 200 and (await got.json())["method"] == "PUT"
+                assert got.status == 200
+                assert (await got.json())["method"] == "PUT"
             async with session.head(f"{base}/x") as got:
-                assert got.status == 200 and await got.read() == b""
+                assert got.status == 200
+                assert await got.read() == b""
 
     run(play())
 
@@ -177,7 +183,8 @@
             for target, code in (("/none", b"404"), ("/a//x", b"400"), ("/a/x", b"200")):
                 writer.write(get(target, method="HEAD"))
                 head = await reader.readuntil(b"\r\n\r\n")
-                assert head.split()[1] == code and head.lower().count(b"content-length") == 1
+                assert head.split()[1] == code
+                assert head.lower().count(b"content-length") == 1
             writer.write_eof()
             assert await reader.read() == b""
             writer.close()
@@ -190,7 +197,8 @@
         async with served() as (fake, node, _):
             reader, writer = await asyncio.open_connection(HOST, node.port)
             writer.write(get("/a/x", "Host: other.example"))
-            assert (await read_message(reader)).code == 400 and not fake.got
+            assert (await read_message(reader)).code == 400
+            assert not fake.got
             writer.close()
 
     run(play())
--- a/tests/test_client_closes.py
+++ b/tests/test_client_closes.py
@@ -23,8 +23,8 @@
     until,
 )
 
-from dykefold.admission import rules
 from dykefold.admission.addresses import Caps
+from dykefold.admission.decision import RejectionReason
 from dykefold.net.read_scheduler import SLICE_BYTES
 from dykefold.system import System
 
@@ -35,7 +35,7 @@
     """Leave clients so many places in all."""
     engine = sidecar.engine
     engine.budget.clients = most
-    engine.clients.resize(engine._share(), Caps(**caps))
+    engine.clients.resize(engine._connection_limits(), Caps(**caps))
 
 
 def now(writer, data):
@@ -78,7 +78,9 @@
         few_places(sidecar)
         opened = [await rested(sidecar.port, f"id{n}") for n in range(PLACES)]
         now(opened[0][1], message("order", "again"))  # the longest idle one comes back ...
-        client, reason = sidecar.engine.clients.admit(HOST)  # ... as a newcomer is judged, in the same turn
+        client, reason, _ = sidecar.engine.clients.admit(
+            HOST
+        )  # ... as a newcomer is judged, in the same turn
         assert client is not None and reason is None
         sidecar.engine.clients.remove(client)
         assert (await read_message(opened[0][0])).code == 200
@@ -98,9 +100,9 @@
         for number, (_, writer) in enumerate(opened):
             now(writer, message("order", f"again{number}"))
         if limit == "places":
-            assert clients.admit(HOST) == (None, rules.Reason.FULL)
+            assert clients.admit(HOST) == (None, RejectionReason.ALL_CONNECTIONS, None)
         elif limit == "descriptors":
-            assert not clients.release()
+            assert not clients.evict()
         else:
             few_places(sidecar, 2)
         assert [(await read_message(reader)).code for reader, _ in opened] == [200] * PLACES
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -34,7 +34,7 @@
 )
 from test_net_upstream import full_listener, make
 
-from dykefold.admission import rules
+from dykefold.admission import controller, request_gaps
 from dykefold.balancer.events import Status
 from dykefold.balancer.timers import OVERDUE
 from dykefold.net.discovery.codec import parse_endpoint_update
@@ -284,18 +284,19 @@
 @on_loop
 async def test_a_request_that_is_there_when_its_connection_is_one_too_many_is_served(tmp_path, monkeypatch):
     """Of idle connections beyond those of use the longest idle goes: its client comes back just then."""
-    monkeypatch.setattr(rules, "IDLE_MOST_S", 3 * WAIT)
+    monkeypatch.setattr(controller, "MAX_IDLE_S", 3 * WAIT)
     async with one_server(tmp_path, answer_ok) as (sidecar, fake):
         admission = sidecar.engine.clients.admission
-        admission.gap_s = 3 * WAIT  # nobody is one too many yet
+        working_set = admission.working_set
+        admission.request_gaps.mean_s = 3 * WAIT  # nobody is one too many yet
         opened = []
-        while admission.asked <= admission.working + rules.SURPLUS_AT_ONCE:
+        while working_set.with_requests <= working_set.limit + controller.MAX_CLOSED_AT_ONCE:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
             writer.write(message("order", f"id{len(opened)}"))
             assert (await read_message(reader)).code == 200
             opened.append((reader, writer))
-        monkeypatch.setattr(rules, "GAP_LEAST_S", 0.0)
-        admission.gap_s = admission.gap_deviation_s = 0.0
+        monkeypatch.setattr(request_gaps, "MIN_TIMEOUT_S", 0.0)
+        admission.request_gaps.mean_s = admission.request_gaps.deviation_s = 0.0
         data = message("order", "again")
         reader, writer = opened[0]
         # Into the kernel now, not in a later turn; then in the same turn, before it is read:
@@ -334,7 +335,7 @@
         engine = sidecar.engine
         asked, resting = (socket.create_connection((HOST, sidecar.port)) for _ in range(2))
         asked.sendall(message("order", "ab"))
-        engine.listener.take_rest()
+        engine.listener.accept_backlog()
         assert len(engine.clients.all) == 2
         engine.drain()
         engine.shutdown.stop_requests()
--- a/tests/test_net_front.py
+++ b/tests/test_net_front.py
@@ -22,7 +22,7 @@
     until,
 )
 
-from dykefold.admission import rules
+from dykefold.admission import controller, message_timeouts
 from dykefold.admission.budget import Budget
 from dykefold.net import sidecar as engine
 from dykefold.net.downstream import request_parser, response_writer
@@ -288,7 +288,7 @@
 def test_the_client_quota_and_the_memory_follow_the_configuration():
     for sockets in (256, 384, 1024):
         budget = Budget(sockets)
-        assert budget.clients > budget.usable == sockets // 3  # what clients hold at most for requests
+        assert budget.clients > budget.with_requests == sockets // 3  # what clients hold at most for requests
         assert budget.upstreams.limit > sockets / 3
     assert (
         MemoryBudget(32 * MB).capacity_bytes <= 4 * MB
@@ -321,8 +321,8 @@
 
 
 def test_clients_that_never_end_a_message_are_answered_and_closed(tmp_path, monkeypatch):
-    monkeypatch.setattr(rules, "HEAD_MOST_S", 0.3)
-    monkeypatch.setattr(rules, "IDLE_MOST_S", 60.0)
+    monkeypatch.setattr(message_timeouts, "MAX_HEAD_S", 0.3)
+    monkeypatch.setattr(controller, "MAX_IDLE_S", 60.0)
 
     async def play():
         async def act(message, reader, writer):
@@ -350,7 +350,7 @@
 
 
 def test_clients_that_stay_idle_after_one_request_are_closed(tmp_path, monkeypatch):
-    monkeypatch.setattr(rules, "IDLE_MOST_S", 0.2)
+    monkeypatch.setattr(controller, "MAX_IDLE_S", 0.2)
 
     async def play():
         fake = await Fake(answer_ok).start()
@@ -362,7 +362,8 @@
             writer.close()
             await until(lambda: not sidecar.engine.clients.all)
             assert (
-                not sidecar.engine.clients.admission.count and not sidecar.engine.clients.admission.unfinished
+                not sidecar.engine.clients.admission.count
+                and not sidecar.engine.clients.admission.message_timeouts.within_head_time
             )
 
     run(play())
--- a/tests/test_net_hostile.py
+++ b/tests/test_net_hostile.py
@@ -76,7 +76,7 @@
 async def feed(sidecar, pieces):
     """Give pieces to a client's connection as a transport would; its wire and the meter."""
     engine = sidecar.engine
-    client, _ = engine.clients.admit("127.9.9.9")
+    client, _, _ = engine.clients.admit("127.9.9.9")
     connection, wire, meter = ClientConnection(engine, client), Wire(), Meter()
     engine.clients.add(connection)
     connection.connection_made(wire)
--- a/tests/test_net_pool.py
+++ b/tests/test_net_pool.py
@@ -7,7 +7,8 @@
 
 from dykefold.admission.addresses import Caps
 from dykefold.admission.budget import Budget
-from dykefold.admission.rules import Admission, Share
+from dykefold.admission.controller import AdmissionController
+from dykefold.admission.limits import ConnectionLimits
 from dykefold.net.clock import Clock
 from dykefold.net.discovery.codec import NameTable, parse_endpoint_update
 from dykefold.net.downstream.request_parser import ParsedRequest
@@ -45,7 +46,9 @@
 @dataclass
 class Asker:
     client: object = field(
-        default_factory=lambda: Admission(Share(8, 8), Caps()).connect("127.0.0.1", 0.0)[0]
+        default_factory=lambda: AdmissionController(ConnectionLimits(8, 8), Caps()).connect("127.0.0.1", 0.0)[
+            0
+        ]
     )
     answers: list = field(default_factory=list)
 
@@ -76,7 +79,7 @@
         home, asker = Home(), Asker()
         fake, mute = await Fake(answer_ok).start(), await Fake(silent).start()
         pools = [make(home, entry("s1", fake.address)), make(home, entry("s1", mute.address))]
-        before = home.budget.claims
+        before = home.budget.reservations
         for pool, ident, within in ((pools[0], b"aa", 3000), (pools[1], b"bb", 200)):
             assert home.budget.reserve()
             pool.accept(asker, call(home, ident, within))
@@ -86,7 +89,7 @@
         assert sorted(asker.answers)[0] == (b"aa", 200, b"served ")
         assert [(ident, code) for ident, code, _ in sorted(asker.answers)][1] == (b"bb", 503)
         assert sorted(home.over) == [(b"aa", True), (b"bb", False)]
-        assert len(fake.got) == len(mute.got) == 1 and home.budget.claims == before
+        assert len(fake.got) == len(mute.got) == 1 and home.budget.reservations == before
         for pool in pools:
             assert not pool.pending and not pool.attempts
             pool.close()
