--- a/dykefold/cli/services.py
+++ b/dykefold/cli/services.py
@@ -68,21 +68,21 @@
             {
                 "name": pool.name,
                 "servers": len(pool.servers),
-                "open_least": pool.part.least,
-                "open_most": pool.part.most,
+                "open_least": pool.limits.min,
+                "open_most": pool.limits.max,
                 "classes": [spec.name for spec in pool.settings.classes],
             }
             for pool in plan.pools.values()
         ],
         "routes": [
             {
-                "name": rule.name,
-                "pool": rule.pool,
-                "host": rule.host,
-                "path": rule.path,
-                "prefix": rule.prefix,
+                "name": route.name,
+                "pool": route.pool,
+                "host": route.host,
+                "path": route.path,
+                "prefix": route.prefix,
             }
-            for rule in plan.rules
+            for route in plan.routes
         ],
     }
 
--- a/dykefold/routing/__init__.py
+++ b/dykefold/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Which service a request belongs to."""
+"""Several services in one process: which pool a request belongs to, and what each pool may use."""
--- a/dykefold/routing/config.py
+++ b/dykefold/routing/config.py
@@ -1,142 +1,63 @@
-"""Pools and routes in the operator's file: `[node]`, `[pools.NAME]`, `[[routes]]`, typed, checked whole."""
+"""Reads and checks the tables of the operator's file on services: all that is wrong with them at once."""
 
 from __future__ import annotations
 
-from typing import Annotated, Any, Literal
-
 import msgspec
-from msgspec import Meta
 
-from ..balancer.settings import Effect, RequestClass, Scope, Settings, Tenant
 from ..net.discovery.codec import split_address
 from ..net.memory_budget import MB
-from .plan import MS, Mapping, Plan, PoolPlan, usual_classes
-from .shares import Part
-from .table import Rule
-
-Positive = Annotated[int, Meta(ge=1)]
-Milliseconds = Annotated[int, Meta(ge=1, le=3_600_000)]
-Bytes = Annotated[int, Meta(ge=64 * 1024, le=1 << 40)]  # less is held whole and repeated where it may be
-Name = Annotated[str, Meta(pattern="^[A-Za-z0-9._-]{1,64}$")]
-
-POOLS_MOST = 1000  # each takes some hundred KB and a turn in every sweep
-
-
-class NodeTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[node]`: what the process has."""
-
-    name: Name = "node"
-    listen: str = "127.0.0.1:8080"
-    descriptors: Annotated[int, Meta(ge=64, le=1_000_000)] = 1024
-    memory_mb: Annotated[int, Meta(ge=32, le=1_000_000)] = 192
-
-
-class ClassTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[pools.NAME.classes.CLASS]`."""
-
-    effect: Literal["safe", "keyed", "unsafe"]
-    aim_ms: Milliseconds
-    deadline_ms: Milliseconds
-    worth: Annotated[float, Meta(ge=0)] = 1.0
-    late_worth: Annotated[float, Meta(ge=0)] = 0.0
-    scope: Literal["all", "zone", "cell"] = "cell"
-    window_ms: Annotated[int, Meta(ge=0)] = 0
-
-
-class TenantTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[pools.NAME.tenants.TENANT]`."""
-
-    requests_per_s: Annotated[float, Meta(gt=0)]
-
-
-class PoolTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[pools.NAME]`."""
-
-    servers: list[str] = []
-    discovery: str | None = None
-    classes: dict[str, ClassTable] = {}
-    tenants: dict[str, TenantTable] = {}
-    over_share_worth: Annotated[float, Meta(ge=0, le=1)] = 0.2
-    aim_ms: Milliseconds = 1000
-    deadline_ms: Milliseconds = 10_000
-    attempts_most: Annotated[int, Meta(ge=1, le=10)] = 3
-    connect_timeout_ms: Milliseconds = 250
-    idle_ms: Milliseconds = 15_000
-    retry_after_most_ms: Annotated[int, Meta(ge=0, le=3_600_000)] = 2000
-    open_least: Annotated[int, Meta(ge=0)] = 0
-    open_most: Positive = 10_000
-
-
-class HeaderTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    name: Annotated[str, Meta(pattern="^[A-Za-z0-9-]{1,64}$")]
-    value: str
+from .config_tables import ClassConfig, NodeConfig, PoolConfig, RouteConfig, TenantConfig
+from .plan import Plan
+from .plan_builder import make_pool_plan, make_route, make_route_options
 
+MAX_POOLS = 1000  # each takes some hundred KB and a turn in every sweep
 
-class RouteTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True, rename={"cls": "class"}):
-    """`[[routes]]`."""
+# Tables within the table of a pool, each by a name of the operator's.
+NESTED_TABLES: dict[str, type[msgspec.Struct]] = {"classes": ClassConfig, "tenants": TenantConfig}
 
-    name: Name
-    pool: str
-    host: str | None = None
-    path: str | None = None
-    prefix: str | None = None
-    methods: list[str] = []
-    cls: str | None = None
-    header: HeaderTable | None = None
-    dialect: Literal["http", "platform"] = "http"
-    classes: dict[str, str] = {}
-    idempotent: bool = False
-    make_ids: bool = True
-    deadline_ms: Annotated[int, Meta(ge=0, le=3_600_000)] = 0
-    key_header: str = "idempotency-key"
-    tenant_header: str = ""
-    body_most_bytes: Bytes = 64 * MB
-    answer_most_bytes: Bytes = 64 * MB
 
+def read_plan(data: dict[str, object]) -> tuple[Plan | None, list[str]]:
+    """Return the plan of a file's tables, and all that is wrong with them.
 
-EFFECTS = {"safe": Effect.SAFE, "keyed": Effect.KEYED, "unsafe": Effect.UNSAFE}
-SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
+    Args:
+        data: the tables, as they were read.
 
-
-def read_plan(data: dict[str, Any]) -> tuple[Plan | None, list[str]]:
-    """The plan of a file's tables, and all that is wrong with them; None if anything is."""
-    problems = struct_problems("node", data.get("node", {}), NodeTable)
+    Returns:
+        The plan, or None if anything is wrong; and the problems, a line each.
+    """
+    problems = struct_problems("node", data.get("node", {}), NodeConfig)
     pools, routes = data.get("pools", {}), data.get("routes", [])
     if not isinstance(pools, dict):
         return None, [*problems, f"pools = {pools!r}: expected tables [pools.NAME]"]
     if not isinstance(routes, list):
         return None, [*problems, f"routes = {routes!r}: expected tables [[routes]]"]
-    if len(pools) > POOLS_MOST:
-        return None, [*problems, f"pools: {len(pools)} of them; expected {POOLS_MOST} at most"]
+    if len(pools) > MAX_POOLS:
+        return None, [*problems, f"pools: {len(pools)} of them; expected {MAX_POOLS} at most"]
     for name, values in pools.items():
         problems += _pool_problems(f"pools.{name}", values)
     for number, values in enumerate(routes):
-        problems += struct_problems(f"routes[{number}]", values, RouteTable)
+        problems += struct_problems(f"routes[{number}]", values, RouteConfig)
     if not pools:
         problems.append("pools: missing; expected at least one table [pools.NAME]")
     if problems:
         return None, problems
-    node = msgspec.convert(data.get("node", {}), NodeTable)
-    try:
-        listen = split_address(node.listen, least_port=0)
-    except ValueError as error:
-        return None, [f"node.listen = {node.listen!r}: expected ADDRESS:PORT ({error})"]
-    tables = [msgspec.convert(values, RouteTable) for values in routes]
-    plan = Plan(
-        name=node.name,
-        listen=listen,
-        sockets=node.descriptors,
-        memory_bytes=node.memory_mb * MB,
-        pools={name: _pool(name, msgspec.convert(values, PoolTable)) for name, values in pools.items()},
-        rules=tuple(_rule(table) for table in tables),
-        mappings={table.name: _mapping(table) for table in tables},
+    return _make_plan(
+        msgspec.convert(data.get("node", {}), NodeConfig),
+        msgspec.convert(pools, dict[str, PoolConfig]),
+        msgspec.convert(routes, list[RouteConfig]),
     )
-    problems = plan.problems()
-    return (None, problems) if problems else (plan, [])
 
 
-def struct_problems(place: str, values: Any, kind: type[msgspec.Struct]) -> list[str]:
-    """Check key by key, since a conversion of the whole tells the first problem only."""
+def struct_problems(place: str, values: object, kind: type[msgspec.Struct]) -> list[str]:
+    """Return what is wrong with a table, a line each.
+
+    It is checked key by key, since a conversion of the whole reports the first problem only.
+
+    Args:
+        place: the table's name.
+        values: the table.
+        kind: the type that it should have.
+    """
     if not isinstance(values, dict):
         return [f"{place} = {values!r}: expected a table"]
     fields = {field.encode_name: field for field in msgspec.structs.fields(kind)}
@@ -155,104 +76,64 @@
     return problems
 
 
-def _pool_problems(place: str, values: Any) -> list[str]:
-    if not isinstance(values, dict):
-        return [f"{place} = {values!r}: expected a table"]
-    nested: dict[str, type[msgspec.Struct]] = {"classes": ClassTable, "tenants": TenantTable}
-    problems = struct_problems(place, {k: v for k, v in values.items() if k not in nested}, PoolTable)
-    for key, kind in nested.items():
-        tables = values.get(key, {})
-        if isinstance(tables, dict):
-            for name, table in tables.items():
-                problems += struct_problems(f"{place}.{key}.{name}", table, kind)
-        else:
-            problems.append(f"{place}.{key} = {tables!r}: expected tables [{place}.{key}.NAME]")
-    if problems:
-        return problems
-    table = msgspec.convert(values, PoolTable)
-    if bool(table.servers) == (table.discovery is not None):
-        problems.append(f"{place}: expected servers or discovery, and one of them only")
-    for key, text in [("servers", text) for text in table.servers] + [("discovery", table.discovery)]:
-        if text is not None:
-            try:
-                split_address(text)
-            except ValueError as error:
-                problems.append(f"{place}.{key}: {text!r}: expected ADDRESS:PORT ({error})")
-    if len(set(table.servers)) < len(table.servers):
-        problems.append(f"{place}.servers: an address comes twice")
-    if table.open_least > table.open_most:
-        problems.append(
-            f"{place}.open_least = {table.open_least}: expected open_most = {table.open_most} at most"
-        )
-    return problems
+def _make_plan(
+    node: NodeConfig, pools: dict[str, PoolConfig], routes: list[RouteConfig]
+) -> tuple[Plan | None, list[str]]:
+    """Return the plan of tables that are right each by itself, and what does not fit together."""
+    try:
+        listen = split_address(node.listen, least_port=0)
+    except ValueError as error:
+        return None, [f"node.listen = {node.listen!r}: expected ADDRESS:PORT ({error})"]
+    plan = Plan(
+        name=node.name,
+        listen=listen,
+        sockets=node.descriptors,
+        memory_bytes=node.memory_mb * MB,
+        pools={name: make_pool_plan(name, pool) for name, pool in pools.items()},
+        routes=tuple(make_route(route) for route in routes),
+        options={route.name: make_route_options(route) for route in routes},
+    )
+    problems = plan.problems()
+    return (None, problems) if problems else (plan, [])
 
 
-def _pool(name: str, table: PoolTable) -> PoolPlan:
-    classes = [
-        RequestClass(
-            name=key,
-            objective_ns=spec.aim_ms * MS,
-            deadline_ns=spec.deadline_ms * MS,
-            worth=spec.worth,
-            late_worth=spec.late_worth,
-            effect=EFFECTS[spec.effect],
-            scope=SCOPES[spec.scope],
-            window_ns=spec.window_ms * MS,
-        )
-        for key, spec in table.classes.items()
-    ]
-    settings = Settings(
-        classes=classes or usual_classes(table.aim_ms * MS, table.deadline_ms * MS),
-        zones=["here"],
-        tenants=_tenants(table),
-        over_share_worth=table.over_share_worth,
-        max_attempts=table.attempts_most,
-        can_cancel=True,
-        retry_after=table.retry_after_most_ms > 0,
-        max_retry_after_ns=table.retry_after_most_ms * MS,
-        connect_timeout_ns=table.connect_timeout_ms * MS,
-    )
-    return PoolPlan(
-        name=name,
-        settings=settings,
-        servers=tuple(split_address(text) for text in table.servers),
-        discovery=split_address(table.discovery) if table.discovery is not None else None,
-        part=Part(table.open_least, table.open_most),
-        idle_ns=table.idle_ms * MS,
-    )
+def _pool_problems(place: str, values: object) -> list[str]:
+    if not isinstance(values, dict):
+        return [f"{place} = {values!r}: expected a table"]
+    flat = {key: value for key, value in values.items() if key not in NESTED_TABLES}
+    problems = struct_problems(place, flat, PoolConfig)
+    for key, kind in NESTED_TABLES.items():
+        problems += _nested_problems(f"{place}.{key}", values.get(key, {}), kind)
+    return problems or _address_problems(place, msgspec.convert(values, PoolConfig))
 
 
-def _tenants(table: PoolTable) -> list[Tenant]:
-    whole = sum(tenant.requests_per_s for tenant in table.tenants.values())
+def _nested_problems(place: str, tables: object, kind: type[msgspec.Struct]) -> list[str]:
+    if not isinstance(tables, dict):
+        return [f"{place} = {tables!r}: expected tables [{place}.NAME]"]
     return [
-        Tenant(name, tenant.requests_per_s / whole, tenant.requests_per_s)
-        for name, tenant in table.tenants.items()
+        problem
+        for name, table in tables.items()
+        for problem in struct_problems(f"{place}.{name}", table, kind)
     ]
 
 
-def _rule(table: RouteTable) -> Rule:
-    header = (table.header.name.lower(), table.header.value) if table.header is not None else None
-    return Rule(
-        name=table.name,
-        pool=table.pool,
-        host=table.host,
-        path=table.path,
-        prefix=table.prefix,
-        methods=tuple(table.methods),
-        cls=table.cls,
-        header=header,
-    )
-
-
-def _mapping(table: RouteTable) -> Mapping:
-    return Mapping(
-        platform=table.dialect == "platform",
-        classes=table.classes,
-        idempotent=table.idempotent,
-        make_ids=table.make_ids,
-        deadline_ns=table.deadline_ms * MS,
-        key_header=table.key_header.lower(),
-        tenant_header=table.tenant_header.lower(),
-        body_most_bytes=table.body_most_bytes,
-        answer_most_bytes=table.answer_most_bytes,
-    )
+def _address_problems(place: str, pool: PoolConfig) -> list[str]:
+    """Return what is wrong with the addresses and limits of a pool whose keys are right each by itself."""
+    problems = []
+    if bool(pool.servers) == (pool.discovery is not None):
+        problems.append(f"{place}: expected servers or discovery, and one of them only")
+    addresses = [("servers", text) for text in pool.servers]
+    if pool.discovery is not None:
+        addresses.append(("discovery", pool.discovery))
+    for key, text in addresses:
+        try:
+            split_address(text)
+        except ValueError as error:
+            problems.append(f"{place}.{key}: {text!r}: expected ADDRESS:PORT ({error})")
+    if len(set(pool.servers)) < len(pool.servers):
+        problems.append(f"{place}.servers: an address comes twice")
+    if pool.open_least > pool.open_most:
+        problems.append(
+            f"{place}.open_least = {pool.open_least}: expected open_most = {pool.open_most} at most"
+        )
+    return problems
--- a/dykefold/routing/plan.py
+++ b/dykefold/routing/plan.py
@@ -5,8 +5,9 @@
 from dataclasses import dataclass, field
 
 from ..balancer.settings import Effect, RequestClass, Scope, Settings
-from .shares import Part
-from .table import Rule, Table, TableError
+from .reservations import ReservationLimits
+from .route import Route, RouteTableError
+from .table import RouteTable
 
 MS = 1_000_000
 MB = 1024 * 1024
@@ -24,22 +25,22 @@
 
     Attributes:
         name: in routes, logs and the keys of the file.
-        settings: what its module goes by.
-        servers: addresses of its servers where the file lists them, else empty.
+        settings: what its balancer goes by.
+        servers: addresses of its endpoints where the file lists them, else empty.
         discovery: address of its discovery, or None.
-        part: descriptors and open requests that it may claim.
-        idle_ns: after which its servers may close an idle connection.
+        limits: descriptors and open requests that it may reserve.
+        idle_ns: after which its endpoints may close an idle connection, in nanoseconds.
     """
 
     name: str
     settings: Settings
     servers: tuple[tuple[str, int], ...]
     discovery: tuple[str, int] | None
-    part: Part
+    limits: ReservationLimits
     idle_ns: int
 
     def same_service(self, other: PoolPlan) -> bool:
-        """Whether a pool made by the other plan can go on with this one, with all that it knows."""
+        """Return whether a pool made by the other plan can go on with this one, with all that it knows."""
         return (
             self.settings == other.settings
             and self.idle_ns == other.idle_ns
@@ -48,20 +49,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Mapping:
-    """How the requests of a route map onto classes of its pool.
+class RouteOptions:
+    """How the requests of a route are read, and of which classes of its pool they are.
 
     Attributes:
-        platform: by the platform's dialect, in which the first segment of the path is the class and the
-            headers are as PROTOCOL says; the rest has no meaning then.
+        platform: they are read as on the platform: the first segment of the path is the class, and the
+            headers are those of its protocol. The rest has no meaning then.
         classes: class by method; a method that is not named goes by RFC 9110.
-        idempotent: PUT and DELETE may be repeated.
-        make_ids: a missing X-Request-Id is made here and told in the answer.
-        deadline_ns: where a request states none; 0 for the deadline of its class.
-        key_header: lower-case name of the header that carries the key of a keyed request.
+        idempotent: PUT and DELETE may be retried.
+        make_ids: a missing X-Request-Id is made here and sent to the client with the response.
+        deadline_ns: where a request states none, in nanoseconds; 0 for the deadline of its class.
+        key_header: lower-case name of the header that carries an idempotency key.
         tenant_header: likewise of the header that names a tenant of the pool; empty for none.
-        body_most_bytes: of a request's body; beyond 64 KiB it goes on as a stream and is never repeated.
-        answer_most_bytes: of an answer's; beyond 64 KiB it goes on as it comes.
+        max_body_bytes: of a request's body; beyond 64 KiB it goes on as a stream and is never sent again.
+        max_response_bytes: of a response's; beyond 64 KiB it goes on as it comes.
     """
 
     platform: bool = False
@@ -71,11 +72,11 @@
     deadline_ns: int = 0
     key_header: str = "idempotency-key"
     tenant_header: str = ""
-    body_most_bytes: int = 64 * MB
-    answer_most_bytes: int = 64 * MB
+    max_body_bytes: int = 64 * MB
+    max_response_bytes: int = 64 * MB
 
     def class_of(self, method: str) -> str:
-        """The name of the class that a method's requests are of."""
+        """Return the name of the class that a method's requests are of."""
         named = self.classes.get(method)
         if named is not None:
             return named
@@ -89,13 +90,13 @@
     """All that the file says of services.
 
     Attributes:
-        name: of the node, in logs.
+        name: of the process, in logs.
         listen: address of the one listener.
         sockets: descriptors that the process may hold.
         memory_bytes: that it may take.
         pools: by name.
-        rules: of the route table.
-        mappings: by the rule's name.
+        routes: of the route table.
+        options: by the route's name.
     """
 
     name: str
@@ -103,40 +104,47 @@
     sockets: int
     memory_bytes: int
     pools: dict[str, PoolPlan]
-    rules: tuple[Rule, ...]
-    mappings: dict[str, Mapping]
+    routes: tuple[Route, ...]
+    options: dict[str, RouteOptions]
 
-    def table(self, number: int) -> Table:
-        """The route table. Raises TableError with all that is wrong with it."""
-        return Table(number, self.rules, self.pools)
+    def table(self, number: int) -> RouteTable:
+        """Return the route table.
+
+        Args:
+            number: of the table.
+
+        Raises:
+            RouteTableError: with all that is wrong with it.
+        """
+        return RouteTable(number, self.routes, self.pools)
 
     def problems(self) -> list[str]:
-        """What is wrong across tables of the file, a line each; none if the plan can be carried out."""
+        """Return what is wrong across tables of the file, a line each; none if the plan can be applied."""
         found: list[str] = []
         try:
             self.table(0)
-        except TableError as error:
+        except RouteTableError as error:
             found += [f"routes.{problem}" for problem in error.problems]
-        for rule in self.rules:
-            pool = self.pools.get(rule.pool)
+        for route in self.routes:
+            pool = self.pools.get(route.pool)
             if pool is not None:
-                found += _class_problems(rule.name, self.mappings[rule.name], pool)
+                found += _class_problems(route.name, self.options[route.name], pool)
         return found
 
 
-def _class_problems(route: str, mapping: Mapping, pool: PoolPlan) -> list[str]:
+def _class_problems(route: str, options: RouteOptions, pool: PoolPlan) -> list[str]:
     known = [spec.name for spec in pool.settings.classes]
-    if mapping.platform:
+    if options.platform:
         return []
-    if mapping.tenant_header and not pool.settings.tenants:
+    if options.tenant_header and not pool.settings.tenants:
         expected = f"expected [pools.{pool.name}.tenants.NAME]"
         return [f"routes.{route}.tenant_header: {pool.name} has no tenants; {expected}"]
     found = [
         f"routes.{route}.classes.{method} = {name!r}: expected a class of {pool.name}: {', '.join(known)}"
-        for method, name in mapping.classes.items()
+        for method, name in options.classes.items()
         if name not in known
     ]
-    if not {READ, IDEMPOTENT, WRITE} <= set(known) and not mapping.classes:
+    if not {READ, IDEMPOTENT, WRITE} <= set(known) and not options.classes:
         found.append(
             f"routes.{route}.classes: missing; {pool.name} has classes of its own ({', '.join(known)}),"
             " expected which methods are of which"
@@ -144,10 +152,15 @@
     return found
 
 
-def usual_classes(aim_ns: int, deadline_ns: int) -> list[RequestClass]:
-    """The classes of a pool that names none: what is safe, idempotent and neither by RFC 9110."""
+def default_classes(objective_ns: int, deadline_ns: int) -> list[RequestClass]:
+    """Return the classes of a pool that names none: what is safe, idempotent and neither by RFC 9110.
+
+    Args:
+        objective_ns: the latency objective of each, in nanoseconds.
+        deadline_ns: the deadline of each, in nanoseconds.
+    """
     return [
-        RequestClass(READ, aim_ns, deadline_ns, 1.0, 0.0, Effect.SAFE),
-        RequestClass(IDEMPOTENT, aim_ns, deadline_ns, 1.0, 0.0, Effect.KEYED, Scope.ALL, deadline_ns),
-        RequestClass(WRITE, aim_ns, deadline_ns, 1.0, 0.0, Effect.UNSAFE),
+        RequestClass(READ, objective_ns, deadline_ns, 1.0, 0.0, Effect.SAFE),
+        RequestClass(IDEMPOTENT, objective_ns, deadline_ns, 1.0, 0.0, Effect.KEYED, Scope.ALL, deadline_ns),
+        RequestClass(WRITE, objective_ns, deadline_ns, 1.0, 0.0, Effect.UNSAFE),
     ]
--- /dev/null
+++ b/dykefold/routing/plan_builder.py
@@ -0,0 +1,99 @@
+"""Makes the parts of a plan from tables of the operator's file that have been checked."""
+
+from __future__ import annotations
+
+from ..balancer.settings import Effect, RequestClass, Scope, Settings, Tenant
+from ..net.discovery.codec import split_address
+from .config_tables import ClassConfig, PoolConfig, RouteConfig
+from .plan import MS, PoolPlan, RouteOptions, default_classes
+from .reservations import ReservationLimits
+from .route import HeaderCondition, Route
+
+EFFECTS = {"safe": Effect.SAFE, "keyed": Effect.KEYED, "unsafe": Effect.UNSAFE}
+SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
+ZONE = "here"  # the one zone of a pool: the file knows no others
+
+
+def make_pool_plan(name: str, pool: PoolConfig) -> PoolPlan:
+    """Return the plan of a pool.
+
+    Args:
+        name: of the pool.
+        pool: its table.
+
+    Raises:
+        ValueError: an address is none.
+    """
+    classes = [_make_class(key, spec) for key, spec in pool.classes.items()]
+    settings = Settings(
+        classes=classes or default_classes(pool.aim_ms * MS, pool.deadline_ms * MS),
+        zones=[ZONE],
+        tenants=_make_tenants(pool),
+        over_share_worth=pool.over_share_worth,
+        max_attempts=pool.attempts_most,
+        can_cancel=True,
+        retry_after=pool.retry_after_most_ms > 0,
+        max_retry_after_ns=pool.retry_after_most_ms * MS,
+        connect_timeout_ns=pool.connect_timeout_ms * MS,
+    )
+    return PoolPlan(
+        name=name,
+        settings=settings,
+        servers=tuple(split_address(text) for text in pool.servers),
+        discovery=split_address(pool.discovery) if pool.discovery is not None else None,
+        limits=ReservationLimits(pool.open_least, pool.open_most),
+        idle_ns=pool.idle_ms * MS,
+    )
+
+
+def make_route(route: RouteConfig) -> Route:
+    """Return the line of the route table."""
+    header = None
+    if route.header is not None:
+        header = HeaderCondition(route.header.name.lower(), route.header.value)
+    return Route(
+        name=route.name,
+        pool=route.pool,
+        host=route.host,
+        path=route.path,
+        prefix=route.prefix,
+        methods=tuple(route.methods),
+        cls=route.cls,
+        header=header,
+    )
+
+
+def make_route_options(route: RouteConfig) -> RouteOptions:
+    """Return how the requests of a route are read."""
+    return RouteOptions(
+        platform=route.dialect == "platform",
+        classes=route.classes,
+        idempotent=route.idempotent,
+        make_ids=route.make_ids,
+        deadline_ns=route.deadline_ms * MS,
+        key_header=route.key_header.lower(),
+        tenant_header=route.tenant_header.lower(),
+        max_body_bytes=route.body_most_bytes,
+        max_response_bytes=route.answer_most_bytes,
+    )
+
+
+def _make_class(name: str, spec: ClassConfig) -> RequestClass:
+    return RequestClass(
+        name=name,
+        objective_ns=spec.aim_ms * MS,
+        deadline_ns=spec.deadline_ms * MS,
+        worth=spec.worth,
+        late_worth=spec.late_worth,
+        effect=EFFECTS[spec.effect],
+        scope=SCOPES[spec.scope],
+        window_ns=spec.window_ms * MS,
+    )
+
+
+def _make_tenants(pool: PoolConfig) -> list[Tenant]:
+    total_per_s = sum(tenant.requests_per_s for tenant in pool.tenants.values())
+    return [
+        Tenant(name, tenant.requests_per_s / total_per_s, tenant.requests_per_s)
+        for name, tenant in pool.tenants.items()
+    ]
--- /dev/null
+++ b/dykefold/routing/request_target.py
@@ -0,0 +1,150 @@
+"""The host and the path of a request, in the one form that routes compare. No I/O.
+
+A route must see what the endpoint will see. Where two readers of a target could differ (empty or dot
+segments, a slash or a dot that is percent-encoded, a host that is named twice in two ways) the request is
+rejected rather than guessed at: a client that slips past a route here would reach another service there.
+
+Sources: RFC 3986 sections 3.2.2, 3.3 and 6.2.2 (hosts, paths, what is equivalent), RFC 9112 section 3.2
+(forms of the target), RFC 9110 section 7.2 (Host), RFC 1034 section 3.1 (labels, the trailing dot).
+"""
+
+from __future__ import annotations
+
+import re
+from enum import Enum
+from urllib.parse import unquote_to_bytes
+
+MAX_HOST_LENGTH = 255  # octets of a name (RFC 1034, 3.1)
+MAX_SEGMENTS = 64  # of a path: each is one step of a look-up
+
+_LABELS = re.compile(r"(?!-)[a-z0-9_-]{1,63}(?<!-)(?:\.(?!-)[a-z0-9_-]{1,63}(?<!-))*")
+_LITERAL = re.compile(r"\[[0-9a-f:.]{2,45}\]")
+_PORT = re.compile(r"[0-9]{0,5}")
+# pchar of RFC 3986, 3.3, and the slash; percent signs are looked at one by one.
+_PATH = re.compile(r"/[A-Za-z0-9._~!$&'()*+,;=:@%/-]*")
+_BAD_PERCENT = re.compile(r"%(?![0-9A-Fa-f]{2})")
+
+
+class TargetProblem(Enum):
+    """Why a host or path is rejected, in words for the client."""
+
+    NO_HOST = "the host is no name or address"
+    CHARACTERS = "the path has characters that it may not have"
+    TOO_MANY_SEGMENTS = f"the path has more than {MAX_SEGMENTS} segments"
+    EMPTY_SEGMENT = "the path has an empty segment"
+    DOT_SEGMENT = "the path has a dot segment"
+    NOT_UTF8 = "the path is no UTF-8"
+    HIDDEN_SEPARATOR = "the path hides a separator or a control character"
+    HOST_COUNT = "exactly one Host is needed"
+    NO_PATH = "the target is no path"
+    OTHER_HOST = "the target names another host than Host"
+    FRAGMENT = "the target has a fragment"
+
+
+class RequestTargetError(ValueError):
+    """A host or path is rejected.
+
+    Attributes:
+        problem: why.
+    """
+
+    def __init__(self, problem: TargetProblem) -> None:
+        """Take the problem, whose words are the error's text."""
+        super().__init__(problem.value)
+        self.problem = problem
+
+
+def canonical_host(value: str) -> str:
+    """Return a Host value as routes compare it: lower case, with no port and no trailing dot.
+
+    Args:
+        value: as it was received, a name or an address, with or without a port.
+
+    Raises:
+        RequestTargetError: it is empty, too long or no host.
+    """
+    text = value.strip().lower()
+    if text.startswith("["):
+        literal, bracket, rest = text.partition("]")
+        name = literal + bracket
+        is_host = _LITERAL.fullmatch(name) is not None
+    else:
+        name, colon, port = text.partition(":")
+        rest = colon + port
+        name = name.removesuffix(".")
+        is_host = len(name) <= MAX_HOST_LENGTH and _LABELS.fullmatch(name) is not None
+    if not is_host or (rest and (rest[0] != ":" or _PORT.fullmatch(rest[1:]) is None)):
+        raise RequestTargetError(TargetProblem.NO_HOST)
+    return name
+
+
+def path_segments(path: str) -> tuple[str, ...]:
+    """Return a path's segments, percent-decoded, as routes and endpoints compare them.
+
+    `/` has none; a trailing slash is an empty last segment, since endpoints tell the two apart.
+
+    Args:
+        path: an origin-form target without its query.
+
+    Raises:
+        RequestTargetError: it could be read in two ways.
+    """
+    if _PATH.fullmatch(path) is None or _BAD_PERCENT.search(path):
+        raise RequestTargetError(TargetProblem.CHARACTERS)
+    encoded = path[1:].split("/")
+    if encoded == [""]:
+        return ()
+    if len(encoded) > MAX_SEGMENTS:
+        raise RequestTargetError(TargetProblem.TOO_MANY_SEGMENTS)
+    if "" in encoded[:-1]:
+        raise RequestTargetError(TargetProblem.EMPTY_SEGMENT)
+    return tuple(_decoded(segment) if "%" in segment else _checked(segment) for segment in encoded)
+
+
+def _checked(segment: str) -> str:
+    if segment in (".", ".."):
+        raise RequestTargetError(TargetProblem.DOT_SEGMENT)
+    return segment
+
+
+def _decoded(segment: str) -> str:
+    try:
+        text = unquote_to_bytes(segment).decode()
+    except UnicodeDecodeError:
+        raise RequestTargetError(TargetProblem.NOT_UTF8) from None
+    if any(char in "/\\%" or char < " " or char == "\x7f" for char in text):
+        raise RequestTargetError(TargetProblem.HIDDEN_SEPARATOR)
+    return _checked(text)
+
+
+def split_target(target: str, hosts: list[str]) -> tuple[str, tuple[str, ...]]:
+    """Return host and path segments of a request.
+
+    Args:
+        target: the request target, in origin form or absolute form.
+        hosts: the values of all Host lines, in order.
+
+    Raises:
+        RequestTargetError: no host or more than one, a target in another form, or one that names another host
+            than the Host line does.
+    """
+    if len(hosts) != 1:
+        raise RequestTargetError(TargetProblem.HOST_COUNT)
+    host = canonical_host(hosts[0])
+    if not target.startswith("/"):
+        target = _origin_form(target, host)
+    if "#" in target:
+        raise RequestTargetError(TargetProblem.FRAGMENT)
+    return host, path_segments(target.partition("?")[0])
+
+
+def _origin_form(target: str, host: str) -> str:
+    """Return the path of a target in absolute form, which must name this host."""
+    scheme, found, rest = target.partition("://")
+    if not found or scheme.lower() != "http":
+        raise RequestTargetError(TargetProblem.NO_PATH)
+    authority, slash, path = rest.partition("/")
+    authority, question, _ = authority.partition("?")
+    if canonical_host(authority) != host:
+        raise RequestTargetError(TargetProblem.OTHER_HOST)
+    return "/" if question else slash + path or "/"
--- a/dykefold/routing/requests.py
+++ b/dykefold/routing/requests.py
@@ -1,16 +1,15 @@
 """Which pool a client's message is for, and what it is there. No I/O.
 
-The route is found by what the server will see (`names.split_target` refuses what two readers could take
-for two things), and the request keeps the pool that it was read for, whatever becomes of the table.
+The route is found by what the endpoint will see (`split_target` rejects what two readers could take for two
+things), and the request keeps the pool that it was read for, whatever becomes of the table.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from collections.abc import Mapping as Map
-from typing import Any
+from collections.abc import Callable, Iterator, Mapping
+from typing import Protocol
 
-from ..balancer.settings import Effect, RequestClass
+from ..balancer.settings import Effect, RequestClass, Settings
 from ..net.downstream.request_parser import (
     Message,
     ParsedRequest,
@@ -19,78 +18,100 @@
     parse_deadline,
 )
 from ..net.upstream.classify import HttpProfile
-from .names import TargetError, split_target
-from .plan import IDEMPOTENT_METHODS, Mapping
-from .table import Table
+from .plan import IDEMPOTENT_METHODS, RouteOptions
+from .request_target import RequestTargetError, split_target
+from .table import RouteTable
 
 IDEMPOTENT = frozenset(method.encode() for method in IDEMPOTENT_METHODS)
-IDENT_MOST = 128  # bytes of an X-Request-Id: ids are kept for some seconds after their requests
+MAX_ID_BYTES = 128  # of an X-Request-Id: ids are kept for some seconds after their requests
 
 
-class Lines(Map):
-    """A message's headers as the route table asks for them, decoded only where a rule does."""
+class ConfiguredPool(Protocol):
+    """A pool, as far as its requests are read by it."""
+
+    settings: Settings
+
+
+class HeaderView(Mapping[str, str]):
+    """A message's headers as the route table asks for them, decoded only where a route does."""
 
     def __init__(self, headers: dict[bytes, bytes]) -> None:
-        self.headers = headers
+        """Take the headers by lower-case name."""
+        self._headers = headers
 
     def __getitem__(self, name: str) -> str:
-        return self.headers[name.encode()].decode("latin-1")
+        """Return the value of a header.
+
+        Raises:
+            KeyError: there is none of this name.
+        """
+        return self._headers[name.encode()].decode("latin-1")
 
     def __contains__(self, name: object) -> bool:
-        return isinstance(name, str) and name.encode() in self.headers
+        """Return whether there is a header of this name."""
+        return isinstance(name, str) and name.encode() in self._headers
 
-    def __iter__(self):
-        return (name.decode("latin-1") for name in self.headers)
+    def __iter__(self) -> Iterator[str]:
+        """Iterate over the names."""
+        return (name.decode("latin-1") for name in self._headers)
 
     def __len__(self) -> int:
-        return len(self.headers)
+        """Return how many headers there are."""
+        return len(self._headers)
 
 
-class Target:
-    """A pool as the requests of one route meet it."""
+class RouteRequestReader:
+    """Reads the requests of one route."""
 
-    def __init__(self, name: str, pool: Any, mapping: Mapping, make_id: Callable[[], str]) -> None:
+    def __init__(
+        self, pool_name: str, pool: ConfiguredPool, options: RouteOptions, make_id: Callable[[], str]
+    ) -> None:
         """Prepare a route's requests.
 
         Args:
-            name: of the pool; ids are told apart by it.
-            pool: what takes them; only `settings` is looked at here.
-            make_id: a new X-Request-Id.
+            pool_name: ids of requests are told apart by it.
+            pool: what serves them.
+            options: how they are read.
+            make_id: returns a new X-Request-Id.
         """
-        self.pool = pool
-        self.space = name.encode() + b"/"
-        self.mapping = mapping
-        self.make_id = make_id
-        self.key_header = mapping.key_header.encode()
-        self.parser = RequestParser(pool.settings, pool)
-        self.tenant_header = mapping.tenant_header.encode()
-        self.tenants = {tenant.name.encode(): n for n, tenant in enumerate(pool.settings.tenants)}
-        self.classes = {spec.name: (number, spec) for number, spec in enumerate(pool.settings.classes)}
+        self._pool = pool
+        self._id_prefix = pool_name.encode() + b"/"
+        self._options = options
+        self._make_id = make_id
+        self._key_header = options.key_header.encode()
+        self._platform_parser = RequestParser(pool.settings, pool)
+        self._tenant_header = options.tenant_header.encode()
+        self._tenants = {tenant.name.encode(): n for n, tenant in enumerate(pool.settings.tenants)}
+        self._classes = {spec.name: (number, spec) for number, spec in enumerate(pool.settings.classes)}
 
     def read(self, message: Message) -> ParsedRequest:
-        """A request of this route; RequestError where it is answered here."""
-        if self.mapping.platform:
-            call = self.parser.read(message)
-            call.ident = self.space + call.ident
+        """Return the request of a message.
+
+        Raises:
+            RequestError: the message is answered here and reaches no pool.
+        """
+        if self._options.platform:
+            call = self._platform_parser.read(message)
+            call.ident = self._id_prefix + call.ident
             return call
         headers, method = message.headers, message.method
         number, spec = self._class_of(method)
         self._check_key(spec, method, headers)
         ident, told = headers.get(b"x-request-id", b""), b""
-        if len(ident) > IDENT_MOST:
-            raise RequestError(400, f"X-Request-Id is longer than {IDENT_MOST} bytes")
+        if len(ident) > MAX_ID_BYTES:
+            raise RequestError(400, f"X-Request-Id is longer than {MAX_ID_BYTES} bytes")
         if not ident:
-            if not self.mapping.make_ids:
+            if not self._options.make_ids:
                 raise RequestError(400, "X-Request-Id is missing")
-            ident = self.make_id().encode()
+            ident = self._make_id().encode()
             told = b"X-Request-Id: %s\r\n" % ident
             message.lines.append(told)
-        wait = self.mapping.deadline_ns or spec.deadline_ns
+        wait_ns = self._options.deadline_ns or spec.deadline_ns
         if (value := headers.get(b"x-deadline")) is not None:
-            wait = parse_deadline(value)
-        wait = min(wait, spec.deadline_ns)
+            wait_ns = parse_deadline(value)
+        wait_ns = min(wait_ns, spec.deadline_ns)
         return ParsedRequest(
-            ident=self.space + ident,
+            ident=self._id_prefix + ident,
             method=method,
             target=message.target,
             headers=message.lines,
@@ -98,61 +119,76 @@
             cls=number,
             tenant=self._tenant_of(headers),
             key=0,
-            deadline_ns=message.now + wait,
-            wait_ns=wait,
+            deadline_ns=message.now + wait_ns,
+            wait_ns=wait_ns,
             cost_ns=0,
             is_retry=headers.get(b"x-retry") == b"1",
             keep_alive=message.keep_alive,
-            pool=self.pool,
+            pool=self._pool,
             profile=HttpProfile.HEAD if method == b"HEAD" else HttpProfile.USUAL,
             told=told,
-            body_most=self.mapping.body_most_bytes,
-            max_response_bytes=self.mapping.answer_most_bytes,
+            body_most=self._options.max_body_bytes,
+            max_response_bytes=self._options.max_response_bytes,
             old=message.old,
         )
 
     def _class_of(self, method: bytes) -> tuple[int, RequestClass]:
-        found = self.classes.get(self.mapping.class_of(method.decode("latin-1")))
+        """Return number and settings of a method's class."""
+        found = self._classes.get(self._options.class_of(method.decode("latin-1")))
         if found is None:
             raise RequestError(405, "this route takes no such method")
         return found
 
     def _tenant_of(self, headers: dict[bytes, bytes]) -> int:
-        if not self.tenant_header:
+        if not self._tenant_header:
             return 0
-        tenant = self.tenants.get(headers.get(self.tenant_header, b""))
+        tenant = self._tenants.get(headers.get(self._tenant_header, b""))
         if tenant is None:
-            raise RequestError(400, f"{self.mapping.tenant_header} names no tenant")
+            raise RequestError(400, f"{self._options.tenant_header} names no tenant")
         return tenant
 
     def _check_key(self, spec: RequestClass, method: bytes, headers: dict[bytes, bytes]) -> None:
-        """Guards the rule on effects: without a key no server could drop a repeat of a keyed request."""
-        if spec.effect is not Effect.KEYED or (self.mapping.idempotent and method in IDEMPOTENT):
+        """Check that a request has the key of its class: without it no endpoint could drop a retry."""
+        if spec.effect is not Effect.KEYED or (self._options.idempotent and method in IDEMPOTENT):
             return
-        if not headers.get(self.key_header):
-            raise RequestError(400, f"{self.mapping.key_header} is missing")
+        if not headers.get(self._key_header):
+            raise RequestError(400, f"{self._options.key_header} is missing")
 
 
-class Routed:
-    """Reads messages by one route table: an immutable value that is replaced whole."""
+class RoutingRequestReader:
+    """Reads messages by one route table: an immutable value that is replaced whole.
+
+    Attributes:
+        streams: larger bodies may be taken, each up to its route's limit.
+        table: the route table.
+    """
 
     streams = True
 
-    def __init__(self, table: Table, targets: dict[str, Target]) -> None:
-        """Take a table and the target of each of its rules, by the rule's name."""
+    def __init__(self, table: RouteTable, readers: dict[str, RouteRequestReader]) -> None:
+        """Take a table and the reader of each of its routes.
+
+        Args:
+            table: the route table.
+            readers: by the route's name.
+        """
         self.table = table
-        self.targets = targets
+        self._readers = readers
 
     def read(self, message: Message) -> ParsedRequest:
-        """Find the route of a message and read it there; RequestError where it is answered here."""
+        """Find the route of a message and read it there.
+
+        Raises:
+            RequestError: the message is answered here and reaches no pool.
+        """
         headers = message.headers
         hosts = [headers[b"host"].decode("latin-1")] if b"host" in headers else []
         try:
-            host, parts = split_target(message.target.decode("latin-1"), hosts)
-        except TargetError as error:
+            host, segments = split_target(message.target.decode("latin-1"), hosts)
+        except RequestTargetError as error:
             raise RequestError(400, str(error)) from None
-        first = parts[0] if parts else None
-        rule = self.table.find(host, parts, message.method.decode("latin-1"), first, Lines(headers))
-        if rule is None:
+        cls = segments[0] if segments else None
+        route = self.table.find(host, segments, message.method.decode("latin-1"), cls, HeaderView(headers))
+        if route is None:
             raise RequestError(404, "no route")
-        return self.targets[rule.name].read(message)
+        return self._readers[route.name].read(message)
--- /dev/null
+++ b/dykefold/routing/route_index.py
@@ -0,0 +1,128 @@
+"""The index of one host's routes: a trie of paths, and a dictionary of conditions at each path."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator, Mapping
+from dataclasses import dataclass, field
+
+from .request_target import path_segments
+from .route import Route
+
+MAX_HEADER_NAMES = 8  # that routes of one host and path may ask for: each is a look-up
+
+# A route's conditions, as they are looked up: method, class, header name and header value.
+_Conditions = tuple[str | None, str | None, str | None, str | None]
+
+
+@dataclass(slots=True)
+class RouteGroup:
+    """The routes of one host and path.
+
+    Attributes:
+        routes: by their conditions.
+        header_names: that some route asks for.
+        first_with_header: the first route that asks for a header, by method and class.
+    """
+
+    routes: dict[_Conditions, Route] = field(default_factory=dict)
+    header_names: list[str] = field(default_factory=list)
+    first_with_header: dict[tuple[str | None, str | None], Route] = field(default_factory=dict)
+
+    def add(self, route: Route) -> list[str]:
+        """Add a route; return what is wrong with it, a line each, such as a tie with another one."""
+        name, value = route.header if route.header is not None else (None, None)
+        problems = []
+        for method in route.methods or (None,):
+            conditions = (method, route.cls, name, value)
+            other = self.routes.get(conditions)
+            if other is None and route.header is not None:
+                # A request may have another header of equal rank as well.
+                first = self.first_with_header.setdefault((method, route.cls), route)
+                other = first if first.header is not None and first.header.name != name else None
+            if other is not None:
+                problems.append(f"{route.name}: ties with {other.name}; expected one to be more specific")
+                break
+            self.routes[conditions] = route
+        if name is not None and name not in self.header_names:
+            self.header_names.append(name)
+            if len(self.header_names) > MAX_HEADER_NAMES:
+                expected = f"more than {MAX_HEADER_NAMES} names of headers for one host and path"
+                problems.append(f"{route.name}.header: {expected}")
+        return problems
+
+    def find(self, method: str, cls: str | None, headers: Mapping[str, str]) -> Route | None:
+        """Return the most specific route that a request meets, or None.
+
+        Args:
+            method: the request's, in its own case.
+            cls: the request's class, if it has one.
+            headers: by lower-case name.
+        """
+        present = [(name, headers[name]) for name in self.header_names if name in headers]
+        for wanted_method in (method, None):
+            for wanted_cls in (cls, None) if cls is not None else (None,):
+                for name, value in present:
+                    route = self.routes.get((wanted_method, wanted_cls, name, value))
+                    if route is not None:
+                        return route
+                route = self.routes.get((wanted_method, wanted_cls, None, None))
+                if route is not None:
+                    return route
+        return None
+
+
+@dataclass(slots=True)
+class _PrefixNode:
+    """One segment in the trie of prefixes."""
+
+    group: RouteGroup | None = None
+    children: dict[str, _PrefixNode] = field(default_factory=dict)
+
+
+class HostRoutes:
+    """The routes of one host, by path."""
+
+    __slots__ = ("_exact", "_root")
+
+    def __init__(self) -> None:
+        """Begin with no route."""
+        self._exact: dict[tuple[str, ...], RouteGroup] = {}
+        self._root = _PrefixNode()
+
+    def group_of(self, route: Route) -> RouteGroup:
+        """Return the group of a route's path, a new one if there is none.
+
+        Raises:
+            RequestTargetError: the path or prefix could be read in two ways.
+        """
+        if route.path is not None:
+            return self._exact.setdefault(path_segments(route.path), RouteGroup())
+        node = self._root
+        for segment in _prefix_segments(route):
+            node = node.children.setdefault(segment, _PrefixNode())
+        if node.group is None:
+            node.group = RouteGroup()
+        return node.group
+
+    def candidates(self, segments: tuple[str, ...]) -> Iterator[RouteGroup]:
+        """Iterate over the groups whose path or prefix a request meets, the most specific first."""
+        group = self._exact.get(segments)
+        if group is not None:
+            yield group
+        node = self._root
+        found = [node.group]
+        for segment in segments:
+            child = node.children.get(segment)
+            if child is None:
+                break
+            node = child
+            found.append(node.group)
+        for group in reversed(found):
+            if group is not None:
+                yield group
+
+
+def _prefix_segments(route: Route) -> tuple[str, ...]:
+    """Return a prefix's segments: `/parts` and `/parts/` mean the same, all of `/parts`."""
+    segments = path_segments(route.prefix) if route.prefix is not None else ()
+    return segments[:-1] if segments and not segments[-1] else segments
--- a/dykefold/routing/services.py
+++ b/dykefold/routing/services.py
@@ -1,13 +1,15 @@
-"""Carries a plan out on a node: makes pools, keeps those that stay, lets those retire that leave.
+"""Carries a plan out: makes pools, keeps those that stay, and retires those that leave.
 
-A plan is taken whole or not at all. Requests keep the pool that they were read for, so that a pool which
-left the table still gives each of its requests the one final answer, with the repeats that its module allows.
+A plan is applied whole or not at all. Requests keep the pool that they were read for, so that a pool that has
+left the table still gives each of its requests the one final answer, with the retries that its balancer
+allows.
 """
 
 from __future__ import annotations
 
 import logging
 from collections.abc import Callable
+from dataclasses import dataclass
 from uuid import uuid4
 
 from ..admission.addresses import Caps
@@ -18,131 +20,174 @@
 from ..net.sidecar import SidecarServer
 from ..settings import Transport
 from .plan import Plan, PoolPlan
-from .requests import Routed, Target
-from .shares import Shares
-from .table import Table
+from .requests import RouteRequestReader, RoutingRequestReader
+from .reservations import PoolReservations
+from .table import RouteTable
 
 log = logging.getLogger("dykefold.routing")
 
 
 class PoolBudget:
-    """What one pool may set aside, of the process's descriptors."""
+    """What one pool may reserve of the process's descriptors.
 
-    def __init__(self, budget: Budget, shares: Shares) -> None:
-        self.budget = budget
-        self.shares = shares
+    Attributes:
+        upstreams: the connections to endpoints of all pools.
+    """
+
+    def __init__(self, budget: Budget, reservations: PoolReservations) -> None:
+        """Begin with nothing reserved.
+
+        Args:
+            budget: of the process.
+            reservations: of all pools.
+        """
+        self._budget = budget
+        self._reservations = reservations
         self.upstreams = budget.upstreams
 
     def reserve(self) -> bool:
-        if not self.shares.reserve(self):
+        """Reserve a descriptor; return False if the pool or the process has none left."""
+        if not self._reservations.reserve(self):
             return False
-        if self.budget.reserve():
+        if self._budget.reserve():
             return True
-        self.shares.give_back(self)
+        self._reservations.release(self)
         return False
 
     def release(self) -> None:
-        self.shares.give_back(self)
-        self.budget.release()
+        """Release a descriptor that was reserved."""
+        self._reservations.release(self)
+        self._budget.release()
 
 
+@dataclass(slots=True, eq=False)
 class Service:
-    """A pool under its name, with what it was made by."""
+    """A pool under its name.
 
-    def __init__(self, plan: PoolPlan, pool: Pool, budget: PoolBudget) -> None:
-        self.plan = plan
-        self.pool = pool
-        self.budget = budget
-        self.version = 1  # of a list that the file gives
+    Attributes:
+        plan: what the pool was made by, or goes by now.
+        pool: serves the requests.
+        budget: what the pool may reserve.
+        list_version: of the endpoint list that the file gives.
+    """
+
+    plan: PoolPlan
+    pool: Pool
+    budget: PoolBudget
+    list_version: int = 1
 
 
 class Services:
-    """The pools of a node by name, and the table that leads to them."""
+    """The pools of a process by name, and the table that leads to them.
+
+    Attributes:
+        reservations: of all pools.
+        by_name: the services that the plan names.
+        table: the route table.
+    """
 
     def __init__(self, engine: SidecarServer, seed: Callable[[], int]) -> None:
-        """Take a node that has no pool yet.
+        """Begin with no pool.
 
         Args:
-            seed: a new seed for each pool's module.
+            engine: accepts the requests; it has no pool yet.
+            seed: returns a new seed for the random draws of a pool's balancer.
         """
-        self.engine = engine
-        self.seed = seed
-        self.shares = Shares(engine.budget.upstreams.limit)
+        self._engine = engine
+        self._seed = seed
+        self.reservations = PoolReservations(engine.budget.upstreams.limit)
         self.by_name: dict[str, Service] = {}
-        self.table = Table(0, (), ())
+        self.table = RouteTable(0, (), ())
         engine.half_close = True
 
     def apply(self, plan: Plan, sockets: int, caps: Caps) -> None:
-        """Turn to another plan, and to other limits with it.
+        """Apply another plan, and other limits with it.
 
         Args:
+            plan: pools and routes.
             sockets: descriptors that the process may hold from now on.
+            caps: limits on clients by address.
 
         Raises:
-            TableError, ValueError: it can't be carried out; nothing has changed then.
+            RouteTableError: the routes make no table; nothing has changed then.
+            GuaranteesError: the pools' minima exceed what the process has; nothing has changed then.
         """
         table = plan.table(self.table.number + 1)
-        whole = Budget(sockets).upstreams.limit
-        Shares(whole).resize(whole, {name: pool.part for name, pool in plan.pools.items()})
-        self.engine.change_limits(sockets, caps)
+        total = Budget(sockets).upstreams.limit
+        PoolReservations(total).resize(total, {name: pool.limits for name, pool in plan.pools.items()})
+        self._engine.change_limits(sockets, caps)
+        retired = self._replace_services(plan)
+        self.reservations.resize(
+            total, {service.budget: service.plan.limits for service in self.by_name.values()}
+        )
+        self.table = table
+        self._engine.parser = self._request_reader(plan, table)
+        for service in retired:
+            log.info("pool %s retires: pending_requests=%d", service.plan.name, len(service.pool.pending))
+            service.pool.retire(self._engine.forget)
+        log.info(
+            "sidecar replaced the route table: number=%d routes=%d pools=%d",
+            table.number,
+            len(plan.routes),
+            len(self.by_name),
+        )
+
+    def _replace_services(self, plan: Plan) -> list[Service]:
+        """Make the services that a plan names, and keep those that can go on; return the others."""
         kept, retired = {}, []
         for name, service in self.by_name.items():
-            new = plan.pools.get(name)
-            if new is not None and service.plan.same_service(new):
+            pool_plan = plan.pools.get(name)
+            if pool_plan is not None and service.plan.same_service(pool_plan):
                 kept[name] = service
             else:
                 retired.append(service)
         self.by_name = {
-            name: self._keep(kept[name], pool) if name in kept else self._make(pool)
-            for name, pool in plan.pools.items()
+            name: self._update(kept[name], pool_plan) if name in kept else self._make(pool_plan)
+            for name, pool_plan in plan.pools.items()
         }
-        self.shares.resize(
-            whole,
-            {service.budget: service.plan.part for service in self.by_name.values()},
-        )
-        targets = {
-            rule.name: Target(rule.pool, self.by_name[rule.pool].pool, plan.mappings[rule.name], _make_id)
-            for rule in plan.rules
+        return retired
+
+    def _request_reader(self, plan: Plan, table: RouteTable) -> RoutingRequestReader:
+        readers = {
+            route.name: RouteRequestReader(
+                route.pool, self.by_name[route.pool].pool, plan.options[route.name], _make_id
+            )
+            for route in plan.routes
         }
-        self.table = table
-        self.engine.parser = Routed(table, targets)
-        for service in retired:
-            log.info("pool %s retires with %d requests held", service.plan.name, len(service.pool.pending))
-            service.pool.retire(self.engine.forget)
-        log.info("table %d: %d routes to %d pools", table.number, len(plan.rules), len(self.by_name))
+        return RoutingRequestReader(table, readers)
 
     def _make(self, plan: PoolPlan) -> Service:
         names = NameTable(plan.settings.zones, [])
-        budget = PoolBudget(self.engine.budget, self.shares)
+        budget = PoolBudget(self._engine.budget, self.reservations)
         pool = Pool(
-            self.engine,
+            self._engine,
             plan.settings,
-            Transport([], plan.idle_ns, plan.part.most),
-            self.seed(),
+            Transport([], plan.idle_ns, plan.limits.max),
+            self._seed(),
             plan.discovery,
             names,
-            _listed(plan, names, 1),
+            _endpoint_list(plan, names, 1),
             budget,
-            self.engine.close_unneeded_upstream,
+            self._engine.close_unneeded_upstream,
             plan.name,
         )
-        self.engine.pools[pool] = None
+        self._engine.pools[pool] = None
         return Service(plan, pool, budget)
 
-    def _keep(self, service: Service, plan: PoolPlan) -> Service:
+    def _update(self, service: Service, plan: PoolPlan) -> Service:
         """Let a pool go on with what it knows, under another list, address or limit."""
         before, service.plan = service.plan, plan
-        service.pool.max_open = plan.part.most
+        service.pool.max_open = plan.limits.max
         if plan.discovery is not None and service.pool.discovery is not None:
             service.pool.discovery.change_address(plan.discovery)
         elif plan.servers != before.servers:
-            service.version += 1
-            service.pool.on_update(_listed(plan, service.pool.names, service.version))
+            service.list_version += 1
+            service.pool.on_update(_endpoint_list(plan, service.pool.names, service.list_version))
         return service
 
 
-def _listed(plan: PoolPlan, names: NameTable, version: int) -> EndpointUpdate:
-    """The list that a file gives: a server is known by its address, and is in the one zone there is."""
+def _endpoint_list(plan: PoolPlan, names: NameTable, version: int) -> EndpointUpdate:
+    """Return the list that a file gives: each endpoint is named by its address, in the one zone there is."""
     entries = []
     for address in plan.servers:
         name = f"{address[0]}:{address[1]}"
--- /dev/null
+++ b/tests/routing/services_rig.py
@@ -0,0 +1,59 @@
+"""A process with several services in the test's own loop, and requests to it."""
+
+import asyncio
+import json
+import socket
+import tomllib
+
+from net_helpers import HOST
+
+from dykefold.admission.addresses import Caps
+from dykefold.net.sidecar import SidecarServer
+from dykefold.routing.config import read_plan
+from dykefold.routing.services import Services
+
+MB = 1024 * 1024
+
+
+def pool_text(name, *ports, **more):
+    lines = [f"[pools.{name}]", f"servers = {json.dumps([f'{HOST}:{port}' for port in ports])}"]
+    lines += [f"{key} = {json.dumps(value)}" for key, value in more.items()]
+    lines += ["[[routes]]", f'name = "{name}"', f'pool = "{name}"', f'prefix = "/{name}"']
+    return "\n".join(lines) + "\n"
+
+
+def plan_of(text):
+    plan, problems = read_plan(tomllib.loads(text))
+    assert plan is not None, problems
+    return plan
+
+
+class Node:
+    """A node with services in the test's own loop."""
+
+    def __init__(self, text, sockets=512):
+        self.engine = SidecarServer(asyncio.get_running_loop(), sockets, 192 * MB)
+        self.services = Services(self.engine, lambda: 7)
+        self.apply(text, sockets)
+
+    def apply(self, text, sockets=512):
+        self.services.apply(plan_of(text), sockets, Caps())
+
+    def pool(self, name):
+        return self.services.by_name[name].pool
+
+    async def __aenter__(self):
+        _, self.port = self.engine.listen(socket.create_server((HOST, 0))).address
+        return self
+
+    async def __aexit__(self, *_):
+        self.engine.listener.close()
+        self.engine.close()
+
+
+def get(path, *lines, method="GET", host="parts.example"):
+    return "\r\n".join([f"{method} {path} HTTP/1.1", f"Host: {host}", *lines]).encode() + b"\r\n\r\n"
+
+
+def post(path, body=b"order"):
+    return get(path, f"Content-Length: {len(body)}", method="POST") + body
--- a/tests/routing/test_config.py
+++ b/tests/routing/test_config.py
@@ -54,7 +54,7 @@
     assert plan.table(1).find("a", ("orders", "7"), "POST").pool == "orders"
 
 
-def test_all_that_is_wrong_with_the_tables_is_told_at_once():
+def test_all_problems_of_the_tables_are_reported_at_once():
     plan, problems = plan_of(
         """
         [node]
@@ -112,7 +112,8 @@
 def test_what_does_not_fit_together_is_told(old, new, problem):
     plan, problems = plan_of(GOOD.replace(old, new))
     if problem:
-        assert plan is None and any(problem in line for line in problems), problems
+        assert plan is None
+        assert any(problem in line for line in problems), problems
     else:
         assert plan is not None  # the file's own reader tells unknown tables
 
--- a/tests/routing/test_requests.py
+++ b/tests/routing/test_requests.py
@@ -5,16 +5,17 @@
 from dykefold.balancer.settings import Effect, RequestClass, Scope, Settings, Tenant
 from dykefold.net.downstream.request_parser import Message, RequestError
 from dykefold.net.upstream.classify import HttpProfile
-from dykefold.routing.plan import Mapping, usual_classes
-from dykefold.routing.requests import Routed, Target
-from dykefold.routing.table import Rule, Table
+from dykefold.routing.plan import RouteOptions, default_classes
+from dykefold.routing.requests import RouteRequestReader, RoutingRequestReader
+from dykefold.routing.route import HeaderCondition, Route
+from dykefold.routing.table import RouteTable
 
 SECOND = 1_000_000_000
 
 
 class Pool:
     def __init__(self, classes=None):
-        self.settings = Settings(classes=classes or usual_classes(SECOND, 10 * SECOND), zones=["here"])
+        self.settings = Settings(classes=classes or default_classes(SECOND, 10 * SECOND), zones=["here"])
 
 
 CATALOGUE, STOCK, PARTS = Pool(), Pool(), None
@@ -24,36 +25,39 @@
     keyed = RequestClass("hold", SECOND, 2 * SECOND, 1.0, 0.0, Effect.KEYED, Scope.ALL, SECOND)
     order = RequestClass("order", SECOND, 4 * SECOND, 1.0, 0.0, Effect.UNSAFE)
     parts = Pool([keyed, order])
-    rules = [
-        Rule("cat", "catalogue", host="shop.example", prefix="/catalogue"),
-        Rule("cat-post", "stock", host="shop.example", prefix="/catalogue", methods=("POST",)),
-        Rule("stock", "stock", host="*.stock.example"),
-        Rule("parts", "parts", host="parts.example"),
-        Rule("dialect", "parts", host="dialect.example"),
-        Rule("beta", "stock", host="shop.example", prefix="/catalogue", header=("x-beta", "1")),
+    routes = [
+        Route("cat", "catalogue", host="shop.example", prefix="/catalogue"),
+        Route("cat-post", "stock", host="shop.example", prefix="/catalogue", methods=("POST",)),
+        Route("stock", "stock", host="*.stock.example"),
+        Route("parts", "parts", host="parts.example"),
+        Route("dialect", "parts", host="dialect.example"),
+        Route(
+            "beta", "stock", host="shop.example", prefix="/catalogue", header=HeaderCondition("x-beta", "1")
+        ),
     ]
-    mappings = {
-        "cat": Mapping(idempotent=True),
-        "cat-post": Mapping(),
-        "stock": Mapping(deadline_ns=3 * SECOND, make_ids=False),
-        "parts": Mapping(classes={"PUT": "hold", "POST": "order"}, key_header="x-hold"),
-        "dialect": Mapping(platform=True),
-        "beta": Mapping(),
+    options = {
+        "cat": RouteOptions(idempotent=True),
+        "cat-post": RouteOptions(),
+        "stock": RouteOptions(deadline_ns=3 * SECOND, make_ids=False),
+        "parts": RouteOptions(classes={"PUT": "hold", "POST": "order"}, key_header="x-hold"),
+        "dialect": RouteOptions(platform=True),
+        "beta": RouteOptions(),
     }
     pools = {"catalogue": CATALOGUE, "stock": STOCK, "parts": parts}
-    table = Table(1, rules, pools)
-    targets = {
-        rule.name: Target(rule.pool, pools[rule.pool], mappings[rule.name], lambda: "made") for rule in rules
+    table = RouteTable(1, routes, pools)
+    readers = {
+        route.name: RouteRequestReader(route.pool, pools[route.pool], options[route.name], lambda: "made")
+        for route in routes
     }
-    return Routed(table, targets), pools
+    return RoutingRequestReader(table, readers), pools
 
 
 def read(method, target, host="shop.example", body=b"", **headers):
-    routed, pools = make()
+    reader, pools = make()
     known = {name.replace("_", "-").encode(): value.encode() for name, value in headers.items()}
     if host is not None:
         known[b"host"] = host.encode()
-    call = routed.read(Message(100, method.encode(), target.encode(), known, [], body, True))
+    call = reader.read(Message(100, method.encode(), target.encode(), known, [], body, True))
     return call, next(name for name, pool in pools.items() if pool is call.pool)
 
 
@@ -85,7 +89,7 @@
         ("/catalogue", "nobody.example", 404),
     ],
 )
-def test_what_two_readers_could_take_for_two_things_reaches_no_pool(target, host, code):
+def test_an_ambiguous_target_reaches_no_pool(target, host, code):
     with pytest.raises(RequestError) as caught:
         read("GET", target, host)
     assert caught.value.code == code
@@ -102,18 +106,18 @@
         ("PATCH", Effect.UNSAFE),
     ],
 )
-def test_methods_have_the_effect_that_the_standard_gives_them(method, effect):
+def test_methods_have_the_effect_of_rfc_9110(method, effect):
     call, _ = read(method, "/catalogue/bolts")
     assert CATALOGUE.settings.classes[call.cls].effect is effect
     assert (call.profile is HttpProfile.HEAD) == (method == "HEAD")
 
 
-def test_idempotent_methods_may_be_repeated_only_where_the_route_says_so():
+def test_idempotent_methods_may_be_retried_only_where_the_route_allows_it():
     call, _ = read("PUT", "/x", "a.stock.example", x_request_id="1")
     assert STOCK.settings.classes[call.cls].effect is Effect.UNSAFE
 
 
-def test_a_missing_id_is_made_told_and_passed_on():
+def test_a_missing_id_is_made_returned_and_forwarded():
     call, _ = read("GET", "/catalogue")
     assert call.ident == b"catalogue/made"
     assert call.told == b"X-Request-Id: made\r\n"
@@ -135,7 +139,7 @@
     assert read("GET", "/", "a.stock.example", x_request_id="1")[0].deadline_ns == 100 + 3 * SECOND
 
 
-def test_a_keyed_class_wants_its_key():
+def test_a_keyed_class_needs_its_key():
     with pytest.raises(RequestError, match="x-hold is missing"):
         read("PUT", "/hold", "parts.example")
     call, _ = read("PUT", "/hold", "parts.example", x_hold="k")
@@ -148,14 +152,14 @@
 def test_a_route_may_say_which_header_names_the_tenant():
     pool = Pool()
     pool.settings.tenants = [Tenant("north", 0.5, 10.0), Tenant("south", 0.5, 10.0)]
-    target = Target("a", pool, Mapping(tenant_header="x-yard"), lambda: "made")
-    assert target.read(Message(0, b"GET", b"/", {b"x-yard": b"south"}, [], b"", True)).tenant == 1
+    reader = RouteRequestReader("a", pool, RouteOptions(tenant_header="x-yard"), lambda: "made")
+    assert reader.read(Message(0, b"GET", b"/", {b"x-yard": b"south"}, [], b"", True)).tenant == 1
     for headers in ({}, {b"x-yard": b"west"}):
         with pytest.raises(RequestError, match="names no tenant"):
-            target.read(Message(0, b"GET", b"/", headers, [], b"", True))
+            reader.read(Message(0, b"GET", b"/", headers, [], b"", True))
 
 
-def test_the_platform_s_dialect_is_a_route_s_to_choose():
+def test_a_route_may_choose_the_platform_s_dialect():
     call, _ = read("POST", "/order/part", "dialect.example", x_request_id="7")
     assert call.cls == 1
     assert call.ident == b"parts/7"
--- /dev/null
+++ b/tests/routing/test_reservations.py
@@ -0,0 +1,76 @@
+"""Reservations of pools against a plain count."""
+
+import pytest
+from hypothesis import settings as hypothesis_settings
+from hypothesis import strategies as st
+from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
+
+from dykefold.routing.reservations import NO_RESERVATIONS, PoolReservations, ReservationLimits
+
+POOLS = st.sampled_from("abc")
+
+
+class ReservationsMachine(RuleBasedStateMachine):
+    def __init__(self):
+        super().__init__()
+        self.reservations = PoolReservations(0)
+        self.held = dict.fromkeys("abc", 0)
+
+    @rule(
+        total=st.integers(0, 12),
+        limits=st.dictionaries(POOLS, st.tuples(st.integers(0, 4), st.integers(0, 8)), max_size=3),
+    )
+    def resize(self, total, limits):
+        new = {pool: ReservationLimits(least, max(least, most)) for pool, (least, most) in limits.items()}
+        if sum(pool_limits.min for pool_limits in new.values()) > total:
+            before = dict(self.reservations.limits)
+            with pytest.raises(ValueError, match="minima"):
+                self.reservations.resize(total, new)
+            assert self.reservations.limits == before
+        else:
+            self.reservations.resize(total, new)
+
+    def _beyond(self):
+        return sum(
+            max(0, self.held[pool] - self.reservations.limits.get(pool, NO_RESERVATIONS).min)
+            for pool in self.held
+        )
+
+    @rule(pool=POOLS)
+    def reserve(self, pool):
+        pool_limits = self.reservations.limits.get(pool, NO_RESERVATIONS)
+        rest = self.reservations.total - sum(other.min for other in self.reservations.limits.values())
+        may = self.held[pool] < pool_limits.min or (
+            self.held[pool] < pool_limits.max and self._beyond() < rest
+        )
+        assert self.reservations.reserve(pool) == may
+        self.held[pool] += may
+
+    @rule(pool=POOLS)
+    def release(self, pool):
+        if self.held[pool]:
+            self.reservations.release(pool)
+            self.held[pool] -= 1
+
+    @invariant()
+    def counts_agree(self):
+        assert self.reservations.shared == self._beyond()
+        assert {p: n for p, n in self.reservations.held.items() if n} == {
+            p: n for p, n in self.held.items() if n
+        }
+
+
+ReservationsMachine.TestCase.settings = hypothesis_settings(
+    max_examples=150, stateful_step_count=40, deadline=None
+)
+TestReservations = ReservationsMachine.TestCase
+
+
+def test_a_pool_that_reserves_all_leaves_the_others_their_minimum():
+    reservations = PoolReservations(10)
+    reservations.resize(10, {"a": ReservationLimits(2, 10), "b": ReservationLimits(3, 10)})
+    assert sum(reservations.reserve("a") for _ in range(20)) == 7
+    assert sum(reservations.reserve("b") for _ in range(20)) == 3
+    reservations.release("a")
+    assert reservations.reserve("b")
+    assert not reservations.reserve("a")
--- a/tests/routing/test_services.py
+++ b/tests/routing/test_services.py
@@ -2,83 +2,31 @@
 
 import asyncio
 import gc
-import json
 import logging
 import os
-import socket
 import sys
-import tomllib
 import weakref
 
 import pytest
 from net_helpers import HOST, Fake, answer_ok, ask, gated, read_message, reply, reset, run, silent, until
 from process_helpers import in_time
+from services_rig import Node, get, pool_text, post
 
-from dykefold.admission.addresses import Caps
 from dykefold.balancer.settings import Effect
 from dykefold.net.loop_lag import MIN_LOGGED_S
-from dykefold.net.sidecar import SidecarServer
-from dykefold.routing.config import read_plan
-from dykefold.routing.services import Services
-
-MB = 1024 * 1024
-
-
-def pool_text(name, *ports, **more):
-    lines = [f"[pools.{name}]", f"servers = {json.dumps([f'{HOST}:{port}' for port in ports])}"]
-    lines += [f"{key} = {json.dumps(value)}" for key, value in more.items()]
-    lines += ["[[routes]]", f'name = "{name}"', f'pool = "{name}"', f'prefix = "/{name}"']
-    return "\n".join(lines) + "\n"
-
-
-def plan_of(text):
-    plan, problems = read_plan(tomllib.loads(text))
-    assert plan is not None, problems
-    return plan
-
-
-class Node:
-    """A node with services in the test's own loop."""
-
-    def __init__(self, text, sockets=512):
-        self.engine = SidecarServer(asyncio.get_running_loop(), sockets, 192 * MB)
-        self.services = Services(self.engine, lambda: 7)
-        self.apply(text, sockets)
-
-    def apply(self, text, sockets=512):
-        self.services.apply(plan_of(text), sockets, Caps())
-
-    def pool(self, name):
-        return self.services.by_name[name].pool
-
-    async def __aenter__(self):
-        _, self.port = self.engine.listen(socket.create_server((HOST, 0))).address
-        return self
-
-    async def __aexit__(self, *_):
-        self.engine.listener.close()
-        self.engine.close()
-
-
-def get(path, *lines, method="GET", host="parts.example"):
-    return "\r\n".join([f"{method} {path} HTTP/1.1", f"Host: {host}", *lines]).encode() + b"\r\n\r\n"
-
-
-def post(path, body=b"order"):
-    return get(path, f"Content-Length: {len(body)}", method="POST") + body
 
 
 class Load:
-    """Desks that ask one path again and again; what they were answered."""
+    """Clients that request one path again and again, and what they were answered."""
 
-    def __init__(self, port, path, desks=8, pause_s=0.002):
+    def __init__(self, port, path, clients=8, pause_s=0.002):
         self.codes = {}
         self.latencies_s = []
         self.lost = 0
         self.going = True
-        self.tasks = [asyncio.create_task(self._desk(port, path, pause_s)) for _ in range(desks)]
+        self.tasks = [asyncio.create_task(self._request(port, path, pause_s)) for _ in range(clients)]
 
-    async def _desk(self, port, path, pause_s):
+    async def _request(self, port, path, pause_s):
         reader, writer = await asyncio.open_connection(HOST, port)
         loop = asyncio.get_running_loop()
         while self.going:
@@ -120,7 +68,7 @@
 
 
 @pytest.mark.parametrize("failure", [refuse, silent, garbage, broken], ids=lambda act: act.__name__)
-def test_a_pool_that_fails_whole_is_not_felt_in_the_others(failure):
+def test_a_failing_pool_does_not_affect_the_others(failure):
     async def play():
         acts = {"catalogue": answer_ok, "stock": answer_ok, "orders": answer_ok}
 
@@ -151,7 +99,7 @@
     run(play())
 
 
-def test_a_request_keeps_the_pool_it_was_taken_by_while_the_table_changes():
+def test_a_request_keeps_its_pool_while_the_table_changes():
     async def play():
         go, act = gated()
         old, new = await Fake(act).start(), await Fake(answer_ok).start()
@@ -174,7 +122,7 @@
     run(play())
 
 
-def test_a_pool_that_stays_keeps_its_module_and_connections():
+def test_a_pool_that_stays_keeps_its_balancer_and_connections():
     async def play():
         fake, other = await Fake(answer_ok).start(), await Fake(answer_ok).start()
         async with Node(pool_text("a", fake.port)) as node:
@@ -196,7 +144,7 @@
     run(play())
 
 
-def test_a_reload_that_swaps_effects_repeats_no_order_in_flight():
+def test_a_reload_that_swaps_effects_retries_no_unsafe_request_in_flight():
     """A class that is unsafe in the old pool and safe in the new: its attempt is reset after the reload."""
 
     async def play():
@@ -272,9 +220,9 @@
             node.apply(text)
             with pytest.raises(ValueError, match="minima"):
                 node.apply(text, sockets=128)  # judged by the limit that comes with it
-            assert node.engine.budget.upstreams.limit == node.services.shares.whole > 100
+            assert node.engine.budget.upstreams.limit == node.services.reservations.total > 100
             node.apply(pool_text("a", fake.port), sockets=128)
-            assert node.engine.budget.upstreams.limit == node.services.shares.whole < 100
+            assert node.engine.budget.upstreams.limit == node.services.reservations.total < 100
 
     run(play())
 
@@ -310,7 +258,7 @@
     in_time(lambda: run(play()))
 
 
-def test_a_thousand_pools_that_came_and_went_leave_nothing(caplog):
+def test_a_thousand_pools_added_and_removed_leave_nothing_behind(caplog):
     caplog.set_level(logging.WARNING, "dykefold")  # lines that the test keeps would count
 
     async def play():
@@ -338,12 +286,12 @@
             assert sys.getallocatedblocks() < blocks + 5_000  # five to a pool would show
             assert node.engine.budget.reservations == 0
             assert not node.engine.budget.upstreams.in_use > 1
-            assert len(node.services.shares.claimed) <= 1
+            assert len(node.services.reservations.held) <= 1
 
     run(play())
 
 
-def test_a_pool_that_takes_all_descriptors_leaves_the_others_their_own():
+def test_a_pool_that_uses_all_descriptors_leaves_the_others_their_minimum():
     async def play():
         mute, fake = await Fake(silent).start(), await Fake(answer_ok).start()
         text = pool_text("a", mute.port, deadline_ms=20_000) + pool_text("b", fake.port, open_least=10)
@@ -357,7 +305,7 @@
                 if len(node.pool("a").pending) >= most - 10:
                     break
                 await asyncio.sleep(0)
-            await until(lambda: node.services.shares.common > 0)
+            await until(lambda: node.services.reservations.shared > 0)
             for _ in range(30):
                 assert (await ask(node.port, get("/b"))).code == 200
             for writer in writers:
@@ -366,7 +314,7 @@
     run(play())
 
 
-def test_a_whole_answer_comes_to_one_who_has_ended_his_side():
+def test_a_client_that_shut_down_its_side_receives_the_whole_response():
     async def play():
         go, act = gated()
         fake = await Fake(act).start()
--- a/tests/routing/test_streams.py
+++ b/tests/routing/test_streams.py
@@ -9,8 +9,8 @@
 import httpx
 import pytest
 from net_helpers import HOST, read_message, reply, reset, run, until
+from services_rig import Node, get, pool_text
 from stream_helpers import BIG, KB, Server, digest
-from test_services import Node, get, pool_text
 
 from dykefold.admission.budget import Allowance
 from dykefold.balancer.events import State, Status
@@ -109,7 +109,7 @@
     run(play())
 
 
-def test_an_answer_comes_no_faster_than_its_client_reads():
+def test_a_response_is_sent_no_faster_than_its_client_reads():
     async def play():
         async with served(big) as (node, (server,)):
             reader, writer = await asyncio.open_connection(HOST, node.port, limit=4 * KB)
@@ -145,7 +145,7 @@
     run(play())
 
 
-def test_a_body_of_which_nothing_has_gone_finds_another_server():
+def test_a_body_of_which_nothing_was_sent_is_retried_at_another_endpoint():
     async def play():
         async with served(digest) as (node, (server,)):
             dead = await Server(digest).start()
@@ -161,7 +161,7 @@
     run(play())
 
 
-def test_an_answer_that_breaks_off_shows_as_broken_and_is_not_begun_again():
+def test_a_response_that_breaks_off_ends_the_connection_and_is_not_begun_again():
     async def play():
         async with served(breaks, breaks) as (node, servers):
             reader, writer = await opened(node)
@@ -189,7 +189,7 @@
 
 
 @pytest.mark.parametrize("framing", ["announced", "chunks", "chunks after it has begun"])
-def test_bodies_over_the_routes_limit_are_refused_with_one_answer(framing):
+def test_bodies_over_the_routes_limit_are_rejected_with_one_response(framing):
     async def play():
         async with served(digest, body_most_bytes=128 * KB) as (node, (server,)):
             reader, writer = await opened(node)
@@ -222,7 +222,7 @@
     run(play())
 
 
-def test_a_body_that_stops_is_answered_in_seconds_and_its_server_is_not_blamed():
+def test_a_body_that_stops_is_answered_in_seconds_and_its_endpoint_is_not_blamed():
     async def play():
         async with served(digest, deadline_ms=60_000) as (node, _):
             balancer, pressed = node.pool("a").balancer, []
@@ -284,7 +284,7 @@
 
 
 @pytest.mark.parametrize("length", [10, 1_000_000])
-def test_a_length_beside_chunks_is_refused_however_long_it_says(length):
+def test_a_length_beside_chunks_is_rejected_whatever_it_says(length):
     """Guards against a request that is hidden in the body of another (RFC 9112, 6.1)."""
 
     async def play():
@@ -299,7 +299,7 @@
     run(play())
 
 
-def test_nothing_of_a_client_that_left_is_kept_by_cycles():
+def test_no_reference_cycle_keeps_a_client_that_left():
     """Guards the memory of a long day: the collector comes seldom."""
 
     async def play():
--- a/tests/routing/test_table.py
+++ b/tests/routing/test_table.py
@@ -4,48 +4,53 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dykefold.routing.names import TargetError, canonical_host, segments, split_target
-from dykefold.routing.table import HEADER_NAMES_MOST, Rule, Table, TableError
+from dykefold.routing.request_target import RequestTargetError, canonical_host, path_segments, split_target
+from dykefold.routing.route import HeaderCondition, Route, RouteTableError
+from dykefold.routing.route_index import MAX_HEADER_NAMES
+from dykefold.routing.table import RouteTable
 
 HOSTS = ["a.net", "b.a.net", "net"]
 PATHS = ["/", "/p", "/p/", "/p/q"]
 METHODS = ["GET", "POST"]
-HEADERS = [None, ("x-yard", "1"), ("x-yard", "2")]
+HEADERS = [None, HeaderCondition("x-yard", "1"), HeaderCondition("x-yard", "2")]
 
 
-def naive(rules, host, path, method, cls, headers):
-    """Every rule that a request meets, by the words of the order."""
+def host_rank(route, host):
+    """How specific the host of a route is; None if it is not this one."""
+    wanted = route.host
+    if wanted is None:
+        return (0, 0)
+    if wanted.startswith("*."):
+        return (1, wanted.count(".")) if host.endswith(wanted[1:]) else None
+    return (2, 0) if host == wanted else None
+
+
+def path_rank(route, parts):
+    """How specific the path of a route is; None if a request's is another one."""
+    if route.path is not None:
+        return (1, 0) if parts == path_segments(route.path) else None
+    prefix = [part for part in (route.prefix or "/").split("/") if part]
+    return (0, len(prefix)) if list(parts[: len(prefix)]) == prefix else None
+
+
+def meets_conditions(route, method, cls, headers):
+    if route.methods and method not in route.methods:
+        return False
+    if route.cls is not None and route.cls != cls:
+        return False
+    return route.header is None or headers.get(route.header.name) == route.header.value
+
+
+def naive(routes, host, path, method, cls, headers):
+    """Every route that a request meets, by the words of the order."""
     found = []
-    parts = segments(path)
-    for rule in rules:
-        wanted = rule.host
-        if wanted is not None and wanted.startswith("*."):
-            if not host.endswith(wanted[1:]):
-                continue
-            host_rank = (1, wanted.count("."))
-        elif wanted is not None:
-            if host != wanted:
-                continue
-            host_rank = (2, 0)
-        else:
-            host_rank = (0, 0)
-        if rule.path is not None:
-            if parts != segments(rule.path):
-                continue
-            path_rank = (1, 0)
-        else:
-            prefix = [part for part in (rule.prefix or "/").split("/") if part]
-            if list(parts[: len(prefix)]) != prefix:
-                continue
-            path_rank = (0, len(prefix))
-        if rule.methods and method not in rule.methods:
-            continue
-        if rule.cls is not None and rule.cls != cls:
+    parts = path_segments(path)
+    for route in routes:
+        ranks = (host_rank(route, host), path_rank(route, parts))
+        if None in ranks or not meets_conditions(route, method, cls, headers):
             continue
-        if rule.header is not None and headers.get(rule.header[0]) != rule.header[1]:
-            continue
-        conditions = (bool(rule.methods), rule.cls is not None, rule.header is not None)
-        found.append(((host_rank, path_rank, conditions), rule))
+        conditions = (bool(route.methods), route.cls is not None, route.header is not None)
+        found.append(((*ranks, conditions), route))
     found.sort(key=lambda pair: pair[0])
     return found
 
@@ -69,24 +74,31 @@
 
 @settings(max_examples=300, derandomize=True, deadline=None)
 @given(st.lists(matches, max_size=25), st.lists(requests, min_size=1, max_size=20))
-def test_it_finds_what_a_naive_scan_finds(found, asked):
-    rules = []
+def test_the_table_finds_what_a_naive_scan_finds(found, asked):
+    routes = []
     for number, match in enumerate(found):
         more = {match["where"][0]: match["where"][1]} if match["where"] else {}
-        rule = Rule(f"r{number}", "p", match["host"], **more, methods=match["methods"])
-        rule = Rule(
-            rule.name, "p", rule.host, rule.path, rule.prefix, rule.methods, match["cls"], match["header"]
+        route = Route(f"r{number}", "p", match["host"], **more, methods=match["methods"])
+        route = Route(
+            route.name,
+            "p",
+            route.host,
+            route.path,
+            route.prefix,
+            route.methods,
+            match["cls"],
+            match["header"],
         )
         try:
-            Table(1, [*rules, rule], ["p"])
-        except TableError:
+            RouteTable(1, [*routes, route], ["p"])
+        except RouteTableError:
             continue  # it ties
-        rules.append(rule)
-    table = Table(1, rules, ["p"])
+        routes.append(route)
+    table = RouteTable(1, routes, ["p"])
     for host, path, method, cls, headers in asked:
-        candidates = naive(rules, host, path, method, cls, headers)
+        candidates = naive(routes, host, path, method, cls, headers)
         expected = candidates[-1][1] if candidates else None
-        assert table.find(host, segments(path), method, cls, headers) == expected
+        assert table.find(host, path_segments(path), method, cls, headers) == expected
         if len(candidates) > 1:
             assert candidates[-1][0] != candidates[-2][0], "a tie was let in"
 
@@ -99,35 +111,38 @@
         ({"prefix": "/p"}, {"prefix": "/p/"}),
         ({"host": "A.net."}, {"host": "a.net"}),
         ({"methods": ("GET", "POST")}, {"methods": ("POST",)}),
-        ({"header": ("a", "1")}, {"header": ("b", "1")}),
+        ({"header": HeaderCondition("a", "1")}, {"header": HeaderCondition("b", "1")}),
         ({"path": "/%70"}, {"path": "/p"}),
     ],
 )
-def test_rules_that_could_tie_are_an_error_that_names_both(one, other):
-    with pytest.raises(TableError, match="second: ties with first"):
-        Table(1, [Rule("first", "p", **one), Rule("second", "p", **other)], ["p"])
-
-
-def test_all_that_is_wrong_is_told_at_once():
-    rules = [
-        Rule("a", "nowhere"),
-        Rule("b", "", host="b.net"),
-        Rule("c", "p", host="no host"),
-        Rule("d", "p", path="/x//y"),
-        Rule("d", "p", path="/x", prefix="/x"),
+def test_routes_that_could_tie_are_an_error_that_names_both(one, other):
+    with pytest.raises(RouteTableError, match="second: ties with first"):
+        RouteTable(1, [Route("first", "p", **one), Route("second", "p", **other)], ["p"])
+
+
+def test_all_problems_of_the_routes_are_reported_at_once():
+    routes = [
+        Route("a", "nowhere"),
+        Route("b", "", host="b.net"),
+        Route("c", "p", host="no host"),
+        Route("d", "p", path="/x//y"),
+        Route("d", "p", path="/x", prefix="/x"),
     ]
-    with pytest.raises(TableError) as caught:
-        Table(1, rules, ["p", "q"])
+    with pytest.raises(RouteTableError) as caught:
+        RouteTable(1, routes, ["p", "q"])
     text = "\n".join(caught.value.problems)
     for words in ("a.pool = 'nowhere': no such pool; expected one of p, q", "b.pool: missing", "c.host",
                   "d.path", "d: another route", "d: path and prefix"):  # fmt: skip
         assert words in text
 
 
-def test_the_headers_of_one_node_are_bounded():
-    rules = [Rule(f"r{n}", "p", header=(f"h{n}", "1"), cls=f"c{n}") for n in range(HEADER_NAMES_MOST + 1)]
-    with pytest.raises(TableError, match="more than"):
-        Table(1, rules, ["p"])
+def test_the_header_names_of_one_host_and_path_are_bounded():
+    routes = [
+        Route(f"r{n}", "p", header=HeaderCondition(f"h{n}", "1"), cls=f"c{n}")
+        for n in range(MAX_HEADER_NAMES + 1)
+    ]
+    with pytest.raises(RouteTableError, match="more than"):
+        RouteTable(1, routes, ["p"])
 
 
 @pytest.mark.parametrize(
@@ -149,8 +164,8 @@
 
 
 @pytest.mark.parametrize("value", NO_HOSTS)
-def test_what_is_no_host_is_refused(value):
-    with pytest.raises(TargetError):
+def test_an_invalid_host_is_rejected(value):
+    with pytest.raises(RequestTargetError):
         canonical_host(value)
 
 
@@ -160,14 +175,14 @@
 
 
 @pytest.mark.parametrize("path", [*AMBIGUOUS.split(), "", "/p q", "/\xe9", "/%ff", "/a" * 65])
-def test_a_path_that_two_readers_could_read_differently_is_refused(path):
-    with pytest.raises(TargetError):
-        segments(path)
+def test_an_ambiguous_path_is_rejected(path):
+    with pytest.raises(RequestTargetError):
+        path_segments(path)
 
 
-def test_equivalent_paths_are_one():
-    assert segments("/%70arts/x%20y") == segments("/parts/x%20y") == ("parts", "x y")
-    assert segments("/p/") == ("p", "") != segments("/p")
+def test_equivalent_paths_have_the_same_segments():
+    assert path_segments("/%70arts/x%20y") == path_segments("/parts/x%20y") == ("parts", "x y")
+    assert path_segments("/p/") == ("p", "") != path_segments("/p")
 
 
 @pytest.mark.parametrize(
@@ -182,11 +197,11 @@
         ("a.net:80", ["a.net"]),
     ],
 )
-def test_a_request_with_no_one_host_and_path_is_refused(target, hosts):
-    with pytest.raises(TargetError):
+def test_a_request_without_exactly_one_host_and_path_is_rejected(target, hosts):
+    with pytest.raises(RequestTargetError):
         split_target(target, hosts)
 
 
-def test_the_absolute_form_is_read_as_the_server_reads_it():
+def test_the_absolute_form_is_read_as_an_endpoint_reads_it():
     assert split_target("http://A.net/p?q=//", ["a.net:80"]) == ("a.net", ("p",))
     assert split_target("http://a.net?q", ["a.net"]) == ("a.net", ())
--- a/tests/routing/test_usual_clients.py
+++ b/tests/routing/test_usual_clients.py
@@ -11,7 +11,7 @@
 import requests
 import urllib3
 from net_helpers import HOST, Fake, read_message, reply, run, until
-from test_services import Node, get, pool_text
+from services_rig import Node, get, pool_text
 
 pytestmark = pytest.mark.processes
 
@@ -88,7 +88,7 @@
     run(play())
 
 
-def test_aiohttp_sends_chunked_bodies_and_expects_to_be_asked_for_them():
+def test_aiohttp_sends_chunked_bodies_and_waits_for_100_continue():
     async def play():
         async def pieces():
             yield b"hu"
@@ -176,7 +176,7 @@
     run(play())
 
 
-def test_an_answer_to_head_has_no_body_whoever_gives_it():
+def test_a_response_to_head_has_no_body_whoever_sends_it():
     async def play():
         async with served() as (_, node, _):
             reader, writer = await asyncio.open_connection(HOST, node.port)
