--- a/dykefold/admission/listener.py
+++ b/dykefold/admission/listener.py
@@ -143,7 +143,9 @@
         protocol = cast(asyncio.Protocol, connection)
         try:
             await self._loop.connect_accepted_socket(lambda: protocol, sock)
-        except OSError:  # the client reset it, or the system lacks something: a client that is there is told
+        except (
+            OSError
+        ):  # the client reset it, or the system lacks something: a client that is still there is rejected
             self.rejections.add(sock, RejectionReason.ALL_CONNECTIONS)
             self._clients.remove(connection.client)
         except asyncio.CancelledError:
@@ -172,7 +174,7 @@
     def _reject_waiting(self) -> None:
         """Reject clients that wait in the backlog, by the reserve descriptor."""
         for _ in range(ACCEPTING):
-            if not self.reserve.held:  # a rejected connection has it, and somebody else waits
+            if not self.reserve.held:  # a rejected connection has it, and another client waits
                 self.rejections.close_all()
                 self.reserve.open()
             if not self.reserve.held:
--- a/dykefold/admission/working_set.py
+++ b/dykefold/admission/working_set.py
@@ -1,8 +1,8 @@
 """How many connections clients can make use of, by how many requests were open at once of late.
 
-What clients may hold for requests is counted on their side as well, and there a connection that sent one
-request and is kept for good takes a place from the next request. Such connections are closed before anything
-is full.
+The machine of the clients can open only so many connections for requests as well. A connection that sent one
+request and stays idle for good takes one of these from the next request, so such connections are closed
+before anything is full.
 """
 
 from __future__ import annotations
--- a/dykefold/routing/config.py
+++ b/dykefold/routing/config.py
@@ -132,8 +132,6 @@
             problems.append(f"{place}.{key}: {text!r}: expected ADDRESS:PORT ({error})")
     if len(set(pool.servers)) < len(pool.servers):
         problems.append(f"{place}.servers: an address comes twice")
-    if pool.open_least > pool.open_most:
-        problems.append(
-            f"{place}.open_least = {pool.open_least}: expected open_most = {pool.open_most} at most"
-        )
+    if pool.min_open > pool.max_open:
+        problems.append(f"{place}.open_least = {pool.min_open}: expected open_most = {pool.max_open} at most")
     return problems
--- a/dykefold/routing/plan_builder.py
+++ b/dykefold/routing/plan_builder.py
@@ -26,14 +26,14 @@
     """
     classes = [_make_class(key, spec) for key, spec in pool.classes.items()]
     settings = Settings(
-        classes=classes or default_classes(pool.aim_ms * MS, pool.deadline_ms * MS),
+        classes=classes or default_classes(pool.objective_ms * MS, pool.deadline_ms * MS),
         zones=[ZONE],
         tenants=_make_tenants(pool),
         over_share_worth=pool.over_share_worth,
-        max_attempts=pool.attempts_most,
+        max_attempts=pool.max_attempts,
         can_cancel=True,
-        retry_after=pool.retry_after_most_ms > 0,
-        max_retry_after_ns=pool.retry_after_most_ms * MS,
+        retry_after=pool.max_retry_after_ms > 0,
+        max_retry_after_ns=pool.max_retry_after_ms * MS,
         connect_timeout_ns=pool.connect_timeout_ms * MS,
     )
     return PoolPlan(
@@ -41,7 +41,7 @@
         settings=settings,
         servers=tuple(split_address(text) for text in pool.servers),
         discovery=split_address(pool.discovery) if pool.discovery is not None else None,
-        limits=ReservationLimits(pool.open_least, pool.open_most),
+        limits=ReservationLimits(pool.min_open, pool.max_open),
         idle_ns=pool.idle_ms * MS,
     )
 
@@ -73,15 +73,15 @@
         deadline_ns=route.deadline_ms * MS,
         key_header=route.key_header.lower(),
         tenant_header=route.tenant_header.lower(),
-        max_body_bytes=route.body_most_bytes,
-        max_response_bytes=route.answer_most_bytes,
+        max_body_bytes=route.max_body_bytes,
+        max_response_bytes=route.max_response_bytes,
     )
 
 
 def _make_class(name: str, spec: ClassConfig) -> RequestClass:
     return RequestClass(
         name=name,
-        objective_ns=spec.aim_ms * MS,
+        objective_ns=spec.objective_ms * MS,
         deadline_ns=spec.deadline_ms * MS,
         worth=spec.worth,
         late_worth=spec.late_worth,
