--- a/dykefold/lab/fleet/run.py
+++ b/dykefold/lab/fleet/run.py
@@ -17,6 +17,7 @@
 from ..emulator.server import Connection, Server, Truth
 from ..scenario import FaultTable as ServerFaultTable
 from ..scenario import LoadTable, Scenario, ServerTable
+from .collector import collector_paused
 from .desk import Asked, Desk, End, all_asked
 from .judge import (
     COLD_S,
@@ -679,7 +680,7 @@
 async def rigged(scenario: FleetScenario) -> AsyncIterator[Rig]:
     """A rig for a scenario; all of it is gone behind."""
     block, kept = free_block()
-    with kept, tempfile.TemporaryDirectory() as folder:
+    with kept, tempfile.TemporaryDirectory() as folder, collector_paused():
         rig = Rig(scenario, Path(folder), block)
         try:
             yield rig
