--- a/dykefold/lab/fleet/process.py
+++ b/dykefold/lab/fleet/process.py
@@ -12,13 +12,14 @@
 from dataclasses import dataclass
 from pathlib import Path
 
+from .compiled_tree import compiled_tree
+
 LISTENS = re.compile(r"listens at ([\d.]+):(\d+)")
 # Of earlier versions too: a rig may play one beside the other.
 DOOR = re.compile(r"(?:the door is at|admin API listens on) ([\d.]+):(\d+)")
 LINES_KEPT = 400  # of its log, the last ones
 START_S = 30.0  # until it listens: 200 of them start on few cores
 DESCRIPTORS_APART = 64  # that a process may have beyond what it was told: interpreter, loop, files it reads
-NICER = 5  # than the rig itself
 # The program with another clock on the wall, which it looks up when it is imported.
 SHIFTED = (
     "import runpy, time; now = time.time_ns; time.time_ns = lambda: now() + {shift_ns}; "
@@ -95,18 +96,18 @@
         nothing else of the rig runs. So this is done while nobody is measured, and the start is a line.
         """
         environment = {name: value for name, value in os.environ.items() if not name.startswith("GW_")}
-        # If the rig dies, the shell reads an end and goes. Those that load are nicer than who judges them.
+        # If the rig dies, the shell reads an end and goes.
         program = (
             f"-c '{SHIFTED.format(shift_ns=int(self.clock_s * 1e9))}'" if self.clock_s else "-m dykefold"
         )
         limit = f"ulimit -n {self.descriptors} && " if self.descriptors is not None else ""
-        line = f'read go && {limit}exec nice -n {NICER} "$0" {program} </dev/null'
+        line = f'read go && {limit}exec "$0" {program} </dev/null'
         self._child = await asyncio.create_subprocess_exec(
             "/bin/sh",
             "-c",
             line,
             sys.executable,
-            cwd=self.tree,
+            cwd=compiled_tree(self.tree),
             env={**environment, **self.environment},
             stdin=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.PIPE,
--- a/tests/process_helpers.py
+++ b/tests/process_helpers.py
@@ -11,6 +11,7 @@
 import pytest
 from net_helpers import run
 
+from dykefold.lab.fleet.compiled_tree import compiled_tree
 from dykefold.lab.fleet.run import Seen, play
 from dykefold.lab.fleet.scenario import FleetScenario
 
@@ -74,7 +75,7 @@
             sys.executable,
             "-m",
             "dykefold",
-            cwd=ROOT,
+            cwd=compiled_tree(ROOT),
             env={**os.environ, "GW_CONFIG": str(self.path), **self.environment},
             stderr=asyncio.subprocess.PIPE,
             preexec_fn=self._limit,
