--- a/tests/admission/test_flood.py
+++ b/tests/admission/test_flood.py
@@ -12,7 +12,7 @@
 from net_helpers import HOST, Fake, answer_ok, config, entry, message, news, read_message, run, until
 from test_process import Process
 
-pytestmark = pytest.mark.processes
+pytestmark = [pytest.mark.processes, pytest.mark.fleet]
 
 FLOOD = "127.200.0.1"
 CONNECTIONS = 5000
--- a/tests/control/test_hot_restart_faults.py
+++ b/tests/control/test_hot_restart_faults.py
@@ -261,6 +261,7 @@
     run(play())
 
 
+@pytest.mark.fleet
 @pytest.mark.parametrize("used", [False, True], ids=["fresh", "used"])
 def test_a_request_that_came_while_the_process_stood_still_is_answered(tmp_path, used):
     """Guards what has not been read yet against the end of its connection's idleness."""
--- a/tests/failover/test_failover_processes.py
+++ b/tests/failover/test_failover_processes.py
@@ -15,7 +15,7 @@
 from dykefold.lab.fleet.scenario import FaultTable, FleetScenario, FleetTable, ListTable
 from dykefold.lab.fleet.views import ask
 
-pytestmark = pytest.mark.processes
+pytestmark = [pytest.mark.processes, pytest.mark.fleet]
 
 MEMBERS = 12  # four in each zone
 
--- a/tests/fleet/test_coldstart_processes.py
+++ b/tests/fleet/test_coldstart_processes.py
@@ -8,7 +8,7 @@
 from dykefold.lab.fleet.run import Seen
 from dykefold.lab.fleet.scenario import FaultTable, FleetScenario, FleetTable, ListTable
 
-pytestmark = pytest.mark.processes
+pytestmark = [pytest.mark.processes, pytest.mark.fleet]
 
 MEMBERS = 12
 SERVICE = 14.0  # calls a second, and 3 in wait: all at once are four times too many
--- a/tests/fleet/test_edge.py
+++ b/tests/fleet/test_edge.py
@@ -23,6 +23,7 @@
 
 
 @pytest.mark.processes
+@pytest.mark.fleet
 def test_people_see_members_come_and_go_with_the_cause() -> None:
     async def play() -> None:
         async with rigged(FleetScenario(FleetTable(members=3, servers=2, view=True))) as rig:
@@ -61,6 +62,7 @@
 
 
 @pytest.mark.processes
+@pytest.mark.fleet
 def test_a_fleet_renumbered_by_sighup_keeps_whom_it_knew() -> None:
     async def play() -> None:
         async with rigged(FleetScenario(FleetTable(members=3, servers=2, view=True))) as rig:
--- a/tests/fleet/test_slow_start_processes.py
+++ b/tests/fleet/test_slow_start_processes.py
@@ -12,7 +12,7 @@
 
 from benchmarks.slow_start import MEMBERS, PLAYS, scenario
 
-pytestmark = pytest.mark.processes
+pytestmark = [pytest.mark.processes, pytest.mark.fleet]
 
 MOST = "all of it"
 CASES = [(MOST, members) for members in MEMBERS]
--- a/tests/fleet/test_view_processes.py
+++ b/tests/fleet/test_view_processes.py
@@ -10,7 +10,7 @@
 from dykefold.lab.fleet.scenario import FaultTable, FleetScenario, FleetTable
 from dykefold.lab.fleet.views import Look, plotted
 
-pytestmark = pytest.mark.processes
+pytestmark = [pytest.mark.processes, pytest.mark.fleet]
 
 MEMBERS = 7  # not the same number in each zone
 
--- a/tests/lab/test_fleet_rig.py
+++ b/tests/lab/test_fleet_rig.py
@@ -17,7 +17,7 @@
 from dykefold.lab.fleet.scenario import FaultTable, FleetScenario, FleetTable, read_fleet
 from dykefold.service_config import ServiceError
 
-pytestmark = pytest.mark.processes
+pytestmark = [pytest.mark.processes, pytest.mark.fleet]
 
 
 class Echo(asyncio.Protocol):
--- a/tests/test_crossings_processes.py
+++ b/tests/test_crossings_processes.py
@@ -29,7 +29,7 @@
 
 from dykefold.lab.fleet.scenario import FaultTable, FleetScenario, FleetTable, ListTable
 
-pytestmark = pytest.mark.processes
+pytestmark = [pytest.mark.processes, pytest.mark.fleet]
 
 READY = b"GET /-/ready HTTP/1.1\r\nHost: n0\r\n\r\n"
 READY_MOST_S, READY_ALL_S = 10.0, 30.0  # nine in ten restarted processes; each
