--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -24,7 +24,7 @@
     "tests/sim/test_simulation.py::": 4,
     "tests/sim/test_membership.py::": 4,
     "tests/sim/test_view_world.py::": 4,
-    "tests/fleet/test_edge.py::": 4,
+    "tests/fleet/test_agent.py::": 4,
 }
 
 
--- a/tests/failover/test_failover_edge.py
+++ b/tests/failover/test_controller.py
@@ -1,10 +1,11 @@
-"""The failover's edge: new settings in the middle of a move, and what the operator's file may say."""
+"""The controller of the failover: changed settings during a move, samples, the operator's file."""
 
 from __future__ import annotations
 
 import asyncio
 
 import pytest
+from fleet_helpers import Clock
 from net_helpers import run
 
 from dykefold.balancer.events import Status
@@ -41,15 +42,7 @@
         self.homes.append(zone)
 
 
-class Clock:
-    def __init__(self) -> None:
-        self.now_ns = SECOND
-
-    def monotonic_ns(self) -> int:
-        return self.now_ns
-
-
-def test_new_settings_in_the_middle_of_a_move_leave_it_where_it_works() -> None:
+def test_changed_settings_keep_a_sidecar_in_its_working_zone() -> None:
     async def play() -> None:
         world = Views(1, 1)
         pool, clock = FakePool(), Clock()
@@ -71,7 +64,7 @@
     run(play())
 
 
-def test_attempts_are_told_by_what_came_of_them() -> None:
+def test_attempts_are_sampled_by_their_results() -> None:
     async def play() -> None:
         pool, clock = FakePool(), Clock()
         made = FailoverController(
@@ -81,13 +74,13 @@
             FailoverSettings(list("abc"), 0, FailoverOptions(True)),
             clock,  # type: ignore[arg-type]
         )
-        aim_ns = SECOND
+        objective_ns = SECOND
         for server, status, took_ns in (
             (0, Status.OK, 1), (0, Status.OK, 2 * SECOND), (0, Status.FULL, 1), (0, Status.TIMEOUT, SECOND),
             (0, Status.CANCELLED, 1), (0, Status.NOT_ATTEMPTED, 1), (99, Status.OK, 1),
             (1, Status.TIMEOUT, SECOND), (1, Status.RESET, 1),
         ):  # fmt: skip
-            pool.on_attempt_end(server, status, took_ns, aim_ns)  # type: ignore[misc]
+            pool.on_attempt_end(server, status, took_ns, objective_ns)  # type: ignore[misc]
         assert made.sampler.counts == {
             0: {AttemptResult.IN_TIME: 1.0, AttemptResult.LATE: 2.0, AttemptResult.REJECTED: 1.0}
         }  # what is lost is counted by servers
@@ -96,7 +89,7 @@
     run(play())
 
 
-def test_the_file_is_checked_with_the_rest(tmp_path) -> None:
+def test_all_problems_of_the_failover_table_are_reported(tmp_path) -> None:
     path = tmp_path / "service.toml"
     path.write_text('[failover]\non = true\nout = "a"\n')
     with pytest.raises(ServiceError) as error:
--- a/tests/failover/test_failover_processes.py
+++ b/tests/failover/test_failover_processes.py
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("case", CASES)
-def test_sidecars_move_where_they_must_and_nowhere_else(case: str) -> None:
+def test_sidecars_move_only_where_they_must(case: str) -> None:
     faults, span_s, (least, most) = CASES[case]
     seen = played_in_time(scenario(list(faults), span_s))
     assert least <= seen.moves <= most
@@ -65,7 +65,7 @@
         assert sum(seen.crossed[1:-1]) < 0.02 * len(seen.crossed[1:-1])
 
 
-def test_an_evacuation_by_hand_is_seen_in_the_plan_and_taken_back() -> None:
+def test_an_evacuation_is_shown_in_the_plan_and_taken_back() -> None:
     async def told(rig: Rig, member: int, want: set[str]) -> dict:
         address = rig.watch.addresses[member]  # type: ignore[union-attr]
         async with asyncio.timeout(20):
--- a/tests/fleet/test_edge.py
+++ b/tests/fleet/test_agent.py
@@ -1,4 +1,4 @@
-"""The view in a process: what people see of it, what an operator's file may ask, when it is off."""
+"""The membership in a process: the admin API, renumbering, the operator's file."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.processes
-def test_people_see_members_come_and_go_with_the_cause() -> None:
+def test_the_admin_api_shows_members_and_the_causes_of_changes() -> None:
     async def play() -> None:
         async with rigged(FleetScenario(FleetTable(members=3, servers=2, view=True))) as rig:
             processes = [await rig.start(number) for number in range(3)]
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.processes
-def test_a_fleet_renumbered_by_sighup_keeps_whom_it_knew() -> None:
+def test_members_renumbered_by_sighup_stay_known() -> None:
     async def play() -> None:
         async with rigged(FleetScenario(FleetTable(members=3, servers=2, view=True))) as rig:
             processes = [await rig.start(number) for number in range(3)]
@@ -98,12 +98,12 @@
     run(play())
 
 
-def test_a_wrong_address_and_silence_are_told_apart() -> None:
+def test_the_command_line_tells_a_wrong_address_from_no_answer() -> None:
     assert view("--at", "nowhere").exit_code == 2
     assert view("--at", "127.0.0.1:1").exit_code == 1
 
 
-def test_the_operators_file_is_checked_whole(tmp_path) -> None:
+def test_all_problems_of_the_fleet_table_are_reported(tmp_path) -> None:
     path = tmp_path / "service.toml"
     path.write_text('[fleet]\nview = 3\nlisten = "here"\nport = 1\n[pools.a]\n')
     with pytest.raises(ServiceError) as error:
--- a/tests/fleet/test_coldstart_processes.py
+++ b/tests/fleet/test_coldstart_processes.py
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize("case", CASES)
-def test_calls_are_spread_and_all_have_the_list_soon(case: str) -> None:
+def test_polls_are_spread_and_all_members_have_the_list_soon(case: str) -> None:
     faults, span_s, more = CASES[case]
     seen = played(faults, span_s, **more)
     assert len(seen.listed_s) == MEMBERS
@@ -69,7 +69,7 @@
     assert served > (0.9 if case == "in the middle of an upgrade" else 0.7)  # nobody is away then
 
 
-def test_each_by_itself_is_turned_away() -> None:
+def test_polls_that_are_not_spread_are_rejected() -> None:
     """What the cases above are measured against: red if the rig had room for all at once."""
     seen = played([], 5.0, view=False, calls=False)
     assert seen.turned_away > 0.1 * sum(seen.calls)
--- a/tests/fleet/test_view_processes.py
+++ b/tests/fleet/test_membership_processes.py
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("case", CASES)
-def test_the_view_settles_again_after_each_hard_case(case: str) -> None:
+def test_the_membership_settles_after_each_fault(case: str) -> None:
     faults, span_s = CASES[case]
     seen = played(list(faults), span_s)
     assert seen.settled_s is not None, seen.looks[-1]
@@ -64,7 +64,7 @@
         assert any(len(live) < MEMBERS for look in seen.looks for live in look.live.values())
 
 
-def test_views_that_are_wrong_are_seen_and_plotted() -> None:
+def test_wrong_memberships_are_recognised_and_plotted() -> None:
     both = frozenset({0, 1})
     looks = [
         Look(0.0, both, {0: both, 1: frozenset({1})}),
--- a/tests/fleet/test_view.py
+++ b/tests/fleet/test_membership_protocol.py
@@ -1,10 +1,11 @@
-"""Decisions of the view, many members on a virtual clock. See docs/design/view.md for the hard cases."""
+"""The membership protocol, many members on a virtual clock. See docs/design/view.md for the hard cases."""
 
 from __future__ import annotations
 
 import random
 
 import pytest
+from fleet_helpers import settled_fleet
 
 from dykefold.fleet import datagrams
 from dykefold.fleet.datagrams import Datagram, Kind, Record
@@ -23,37 +24,29 @@
 from dykefold.sim.views import MS, Views
 
 
-def fleet(size: int, seed: int = 1, loss: float = 0.0) -> Views:
-    world = Views(size, seed, loss)
-    for number in range(size):
-        world.start(number)
-    assert world.run(20 * SECOND, world.right)
-    return world
-
-
-def bound(world: Views) -> int:
+def settling_ns(world: Views) -> int:
     return world.pace.settled_ns(world.size)
 
 
-def said_gone(world: Views) -> set[int]:
+def concluded_gone(world: Views) -> set[int]:
     return {change.member for _, change in world.changes if change.after is State.GONE}
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.3])
-def test_all_start_at_once_and_most_die_at_once(loss: float) -> None:
-    world = fleet(30, 2, loss)
+def test_members_that_start_or_die_together_are_found(loss: float) -> None:
+    world = settled_fleet(30, 2, loss)
     for number in range(21):
         world.kill(number)
-    assert world.run(bound(world), world.right)
-    assert said_gone(world) <= set(range(21))
+    assert world.run(settling_ns(world), world.right)
+    assert concluded_gone(world) <= set(range(21))
     for number in range(21):
         world.start(number)
-    assert world.run(bound(world), world.right)
+    assert world.run(settling_ns(world), world.right)
 
 
 @pytest.mark.parametrize("parts", [2, 3])
-def test_parts_that_lost_each_other_meet_again_without_a_reset(parts: int) -> None:
-    world = fleet(24, 3)
+def test_partitions_merge_without_a_reset(parts: int) -> None:
+    world = settled_fleet(24, 3)
     world.cut = lambda sender, peer: sender % parts != peer % parts
     world.run(3 * SECOND)
     for number in (0, 1):  # a restart on both sides, which nobody beyond the cut hears of
@@ -64,19 +57,19 @@
         24 // parts
     ] * 2
     world.cut = lambda sender, peer: False
-    assert world.run(bound(world), lambda: world.right() and world.equal())
+    assert world.run(settling_ns(world), lambda: world.right() and world.equal())
 
 
-def test_a_way_that_is_cut_one_way_kills_nobody() -> None:
-    world = fleet(12, 4)
+def test_a_one_way_cut_makes_nobody_gone() -> None:
+    world = settled_fleet(12, 4)
     world.changes.clear()
     world.cut = lambda sender, peer: sender < 3 and 3 <= peer < 9
     world.run(20 * SECOND)
-    assert not said_gone(world)
+    assert not concluded_gone(world)
 
 
-def test_halves_between_which_nothing_passes_one_way_keep_their_own_and_meet_again() -> None:
-    world = fleet(12, 4)
+def test_halves_with_a_one_way_cut_keep_their_own_members_and_merge_again() -> None:
+    world = settled_fleet(12, 4)
     world.changes.clear()
     world.cut = lambda sender, peer: sender < 6 <= peer
     world.run(20 * SECOND)
@@ -84,50 +77,50 @@
     assert not [member for by, member in gone if (by < 6) == (member < 6)]
     assert all(world.state(0, by) is State.GONE for by in range(6, 12))
     world.cut = lambda sender, peer: False
-    assert world.run(bound(world), world.right)
+    assert world.run(settling_ns(world), world.right)
 
 
-def test_a_member_that_speaks_and_hears_nobody_does_not_count_the_others_as_gone() -> None:
-    world = fleet(12, 5)
+def test_a_member_that_receives_nothing_concludes_nothing_about_others() -> None:
+    world = settled_fleet(12, 5)
     world.changes.clear()
     world.cut = lambda sender, peer: peer == 3
     world.run(30 * SECOND)
-    assert said_gone(world) <= {3}
+    assert concluded_gone(world) <= {3}
     deaf = world.living[3]
     assert deaf.membership.isolated
     assert deaf.membership.live_members(world.now_ns) == [3]  # it can tell nothing of them
     world.cut = lambda sender, peer: False
-    assert world.run(bound(world), world.right)
+    assert world.run(settling_ns(world), world.right)
 
 
-def test_a_member_that_stops_for_3_s_ten_times_is_never_gone_and_counts_nobody_as_gone() -> None:
-    world = fleet(12, 6)
+def test_a_process_that_stops_for_3_s_is_never_gone_and_suspects_nobody() -> None:
+    world = settled_fleet(12, 6)
     world.changes.clear()
     for _ in range(10):
         world.stop(5, 3 * SECOND)
         world.run(5 * SECOND)
-    assert not said_gone(world)
+    assert not concluded_gone(world)
     assert not any(
         by == 5 and change.after is State.SUSPECT and change.cause.startswith("neither")
         for by, change in world.changes
     )
-    assert world.run(bound(world), world.right)
+    assert world.run(settling_ns(world), world.right)
 
 
-def test_a_restart_outdoes_the_word_of_an_earlier_start_with_the_clock_set_back() -> None:
-    world = fleet(8, 7)
+def test_a_restart_with_the_clock_set_back_overrides_the_former_incarnation() -> None:
+    world = settled_fleet(8, 7)
     before = world.living[2].membership.incarnation
     for off_ms in (-10_000, -3_600_000):
         world.kill(2)
         world.clock_off_ms[2] = off_ms
         world.start(2)
-        assert world.run(bound(world), lambda: world.right() and world.equal())
+        assert world.run(settling_ns(world), lambda: world.right() and world.equal())
         assert world.living[2].membership.incarnation > before
         before = world.living[2].membership.incarnation
 
 
-def test_planned_ends_are_told_and_not_discovered() -> None:
-    world = fleet(10, 8)
+def test_a_graceful_shutdown_is_announced_and_causes_no_suspicion() -> None:
+    world = settled_fleet(10, 8)
     world.changes.clear()
     world.end(4)
     assert world.run(2 * SECOND, lambda: all(world.state(4, by) is State.LEAVING for by in world.living))
@@ -141,8 +134,8 @@
     assert not any(change.after is State.SUSPECT for _, change in world.changes)
 
 
-def test_an_end_that_is_not_completed_has_its_time() -> None:
-    world = fleet(6, 9)
+def test_a_graceful_shutdown_that_does_not_end_is_concluded_in_time() -> None:
+    world = settled_fleet(6, 9)
     world.end(1)
     world.run(SECOND)
     world.kill(1)
@@ -150,29 +143,29 @@
     assert all(world.state(1, by) is State.LEFT for by in world.living)
 
 
-def test_an_older_process_of_a_member_that_leaves_does_not_outbid_the_newer_one() -> None:
-    world = fleet(6, 10)
+def test_an_older_process_that_leaves_does_not_override_the_newer_one() -> None:
+    world = settled_fleet(6, 10)
     old = world.living[2]
     old.leave(world.now_ns, last=False)
     newer = encode_state(old.membership.incarnation + 5, State.ALIVE)
-    gram = Datagram(
+    datagram = Datagram(
         Kind.GOSSIP, old.membership.fleet, world.living[0].membership.own_state, entries=[(2, newer)]
     )
-    old.receive(world.now_ns, 0, datagrams.encode(gram))
+    old.receive(world.now_ns, 0, datagrams.encode(datagram))
     assert old.membership.own_state < newer
 
 
-def test_a_flood_from_a_known_address_is_dropped_unread_and_moves_nobody() -> None:
-    world = fleet(8, 11)
+def test_a_flood_is_dropped_undecoded_and_changes_no_state() -> None:
+    world = settled_fleet(8, 11)
     world.changes.clear()
     victim = world.living[0]
-    gram = datagrams.encode(
+    datagram = datagrams.encode(
         Datagram(Kind.PING, victim.membership.fleet, world.living[7].membership.own_state)
     )
     before = victim.membership.counts["heard"]
     for _ in range(200):
         for _ in range(50):
-            victim.receive(world.now_ns, 7, gram)
+            victim.receive(world.now_ns, 7, datagram)
         world.run(50 * MS)
     heard = victim.membership.counts["heard"] - before
     assert (
@@ -182,33 +175,33 @@
     assert world.right()
 
 
-def test_noise_duplicates_and_spoilt_datagrams_change_nothing() -> None:
-    world = fleet(8, 12)
+def test_noise_duplicates_and_damaged_datagrams_change_nothing() -> None:
+    world = settled_fleet(8, 12)
     world.changes.clear()
     world.doubled, world.spoilt = 0.5, 0.2
     chance = random.Random(1)
     for _ in range(300):
         world.living[0].receive(world.now_ns, 1, chance.randbytes(chance.randrange(257)))
         world.run(50 * MS)
-    assert not said_gone(world)
+    assert not concluded_gone(world)
     assert world.living[0].membership.counts["not read"] > 200
     assert not any(change.after not in (State.ALIVE, State.SUSPECT) for _, change in world.changes)
 
 
-def test_a_member_that_counts_as_gone_is_told_and_its_words_on_others_are_not_taken() -> None:
-    world = fleet(4, 13)
+def test_a_member_held_gone_is_notified_and_not_trusted_about_others() -> None:
+    world = settled_fleet(4, 13)
     view, other = world.living[0], world.living[1]
     view.membership.update(world.now_ns, 1, encode_state(other.membership.incarnation, State.GONE), "test")
     claim = (2, encode_state(world.living[2].membership.incarnation, State.GONE))
-    gram = Datagram(Kind.GOSSIP, view.membership.fleet, other.membership.own_state, entries=[claim])
-    view.receive(world.now_ns, 1, datagrams.encode(gram))
+    datagram = Datagram(Kind.GOSSIP, view.membership.fleet, other.membership.own_state, entries=[claim])
+    view.receive(world.now_ns, 1, datagrams.encode(datagram))
     assert view.membership.table.state(2) is State.ALIVE
-    assert world.run(bound(world), world.right)  # it has denied it
+    assert world.run(settling_ns(world), world.right)  # it has denied it
     assert incarnation_of(other.membership.own_state) == incarnation_of(view.membership.table.states[1])
 
 
-def test_members_of_a_renumbered_fleet_answer_and_take_no_numbers() -> None:
-    world = fleet(6, 14)
+def test_members_with_another_address_list_answer_and_take_no_numbers() -> None:
+    world = settled_fleet(6, 14)
     view = world.living[0]
     roster = [view.membership.addresses[0], *reversed(view.membership.addresses[1:])]
     view.renumber(world.now_ns, roster, 0)
@@ -232,7 +225,7 @@
     assert [datagrams.decode(data).kind for _, data in view.take_datagrams()] == [Kind.ACK]  # type: ignore[union-attr]
 
 
-def test_a_process_without_a_view_counts_as_live_while_it_is_heard() -> None:
+def test_a_process_without_membership_is_live_while_it_is_heard() -> None:
     world = Views(3, 15)
     world.start(0)
     world.start(1)
@@ -244,8 +237,8 @@
     assert world.living[1].membership.live_members(world.now_ns) == [0, 1]
 
 
-def test_records_reach_most_and_age() -> None:
-    world = fleet(20, 16)
+def test_records_reach_most_members_and_expire() -> None:
+    world = settled_fleet(20, 16)
     view = world.living[3]
     view.membership.publish(world.now_ns, Topic.ENDPOINT_FAILED, 77, 0)
     world.run(2 * SECOND)
@@ -263,7 +256,7 @@
     )
 
 
-def test_what_enough_origins_say_of_a_subject_is_kept_and_not_told_on() -> None:
+def test_records_of_more_origins_than_the_limit_are_kept_and_not_gossiped() -> None:
     world = Views(2, 17)
     knowledge = world.start(0).membership.records
     for origin in range(1, 12):
@@ -272,7 +265,7 @@
     assert len(knowledge.gossip) == LIMITS[Topic.ENDPOINT_FAILED].max_origins == 5
 
 
-def test_a_dearer_datagram_slows_the_view() -> None:
+def test_a_higher_datagram_price_slows_the_protocol() -> None:
     assert (
         RateLimits.by_price(0.01).period_ns
         < RateLimits.by_price(0.06).period_ns
@@ -281,13 +274,13 @@
     assert RateLimits.by_price(9.0).period_ns == 4 * RateLimits.by_price(0.0).period_ns
 
 
-def test_the_time_to_settle_grows_with_the_logarithm_of_the_fleet() -> None:
+def test_the_settling_time_grows_with_the_logarithm_of_the_fleet() -> None:
     pace = RateLimits()
     steps = [pace.settled_ns(10 * 4**step) - pace.settled_ns(10 * 4 ** (step - 1)) for step in (1, 2, 3, 4)]
     assert max(steps) < 1.1 * min(steps)
 
 
-def test_newcomers_that_have_met_only_each_other_count_on_all_they_have_not_met() -> None:
+def test_newcomers_count_on_members_they_have_not_met_yet() -> None:
     """Guards against two that have just begun, under loss, whose equal words show nothing of the others."""
     world = Views(7, 23)
     for number in range(7):
@@ -304,7 +297,7 @@
     assert [view.membership.live_members(world.now_ns) for view in both] == [[0, 1]] * 2
 
 
-def test_a_view_of_one_is_alone_and_steady() -> None:
+def test_a_fleet_of_one_is_settled() -> None:
     view = MembershipProtocol(LocalMember([("10.3.0.1", 1)], 0, 0), 5, RateLimits(), random.Random(1), SECOND)
     view.tick(SECOND)
     assert view.membership.is_settled(SECOND)
@@ -312,8 +305,8 @@
     assert not view.take_datagrams()
 
 
-def asked_in_vain(world: Views) -> tuple[MembershipProtocol, Probe]:
-    """A member whose question to member 1 had no answer, while somebody else was heard."""
+def failed_probe(world: Views) -> tuple[MembershipProtocol, Probe]:
+    """A member whose probe of member 1 had no answer, while another member was heard."""
     view, now = world.living[0], world.now_ns
     probe = Probe(1, now, now, now + SECOND, helpers=[2], nacks=1)
     view.membership.heard_ns.pop(1, None)
@@ -321,23 +314,23 @@
     return view, probe
 
 
-def test_a_member_suspects_only_where_the_fault_is_not_more_likely_its_own() -> None:
-    view, probe = asked_in_vain(fleet(6, 18))
+def test_a_failed_probe_suspects_only_if_the_fault_is_not_more_likely_local() -> None:
+    view, probe = failed_probe(settled_fleet(6, 18))
     view.prober.on_probe_failed(probe.timeout_ns, probe)
     assert view.membership.table.state(1) is State.SUSPECT
-    view, probe = asked_in_vain(fleet(6, 18))
+    view, probe = failed_probe(settled_fleet(6, 18))
     view.membership.last_heard_ns = probe.started_ns - 1  # nobody was heard
     view.prober.on_probe_failed(probe.timeout_ns, probe)
     assert view.membership.table.state(1) is State.ALIVE
     assert view.membership.health.score == 1
-    view, probe = asked_in_vain(fleet(6, 18))
+    view, probe = failed_probe(settled_fleet(6, 18))
     view.membership.heard_ns[1] = probe.started_ns + 1  # it spoke, if of other things
     view.prober.on_probe_failed(probe.timeout_ns, probe)
     assert view.membership.table.state(1) is State.ALIVE
 
 
-def test_a_process_that_stood_still_forgets_what_it_asked_and_gives_suspicions_more_time() -> None:
-    view, probe = asked_in_vain(fleet(6, 18))
+def test_a_delayed_process_drops_its_probes_and_extends_suspicions() -> None:
+    view, probe = failed_probe(settled_fleet(6, 18))
     view.prober.probes = {7: probe}
     view.membership.update(
         probe.started_ns,
@@ -352,7 +345,7 @@
     assert view.membership.health.score > 1
 
 
-def test_a_suspect_is_asked_once_more_before_it_counts_as_gone() -> None:
+def test_a_suspect_is_probed_once_more_before_it_is_gone() -> None:
     """Guards against a denial that does not come through here; of 2,000 at 0.3 of loss three were gone so."""
     world = Views(100, 21)
     world.start_settled()
--- a/tests/fleet/test_priors.py
+++ b/tests/fleet/test_peer_observations.py
@@ -1,12 +1,9 @@
-"""What the module makes of the view, and the view of what modules find."""
+"""What the balancer gets of the membership, and the membership of balancers."""
 
 from __future__ import annotations
 
-from collections import Counter
-
+from fleet_helpers import settled_fleet
 from helpers import SECOND, make, request, send_one
-from hypothesis import given
-from hypothesis import strategies as st
 
 from dykefold.balancer.actions import ReportEndpointHealth
 from dykefold.balancer.events import MembershipChanged, Outcome, Status
@@ -21,97 +18,43 @@
 from dykefold.fleet.protocol import MembershipProtocol
 from dykefold.fleet.record_store import Topic
 from dykefold.fleet.subsetting import (
-    MAX_RANKED_PAIRS,
-    MEMBERS_PER_ENDPOINT,
     EndpointRanking,
-    PlacedMember,
-    subset_fraction,
 )
-from dykefold.sim.views import Views
-
-ZONES = 3
-
-
-def whole(size: int, seed: int = 1) -> Views:
-    world = Views(size, seed)
-    for number in range(size):
-        world.start(number)
-    assert world.run(20 * SECOND, lambda: world.right() and world.equal())
-    return world
 
 
-def event(view: MembershipProtocol, now_ns: int, servers: dict[str, int]) -> MembershipChanged:
+def event(view: MembershipProtocol, now_ns: int, endpoints: dict[str, int]) -> MembershipChanged:
     return peer_observations.membership_event(
-        view.membership, now_ns, servers, {}, EndpointRanking(view.membership.own_number)
+        view.membership, now_ns, endpoints, {}, EndpointRanking(view.membership.own_number)
     )
 
 
-def afar(members: list[int], servers: int = 60) -> set[tuple[int, int]]:
-    """Members with the servers of other zones that they sample."""
-    live = [PlacedMember(member, member % ZONES) for member in members]
-    least = subset_fraction(live)
-    return {
-        (member, server)
-        for member, zone in live
-        for server, rank in EndpointRanking(member).update(range(servers), zone, live).items()
-        if rank < least and server % ZONES != zone
-    }
-
-
-def test_each_server_is_sampled_by_as_many_members_of_other_zones() -> None:
-    known = Counter(server for _, server in afar(list(range(42))))
-    assert sorted(known) == list(range(60))
-    assert min(known.values()) >= MEMBERS_PER_ENDPOINT
-    assert max(known.values()) <= MEMBERS_PER_ENDPOINT + ZONES
-
-
-def test_a_member_that_goes_moves_what_it_sampled_and_hardly_more() -> None:
-    everyone = list(range(42))
-    before, after = afar(everyone), afar([member for member in everyone if member != 7])
-    its = {pair for pair in before if pair[0] == 7}
-    assert not before - after - its  # all others keep theirs
-    assert len(after - before) <= 2 * len(its) + ZONES
-
-
-@given(st.lists(st.tuples(st.sets(st.integers(0, 9)), st.sets(st.integers(0, 12))), max_size=6))
-def test_places_that_are_kept_are_those_counted_anew(steps: list[tuple[set[int], set[int]]]) -> None:
-    kept = EndpointRanking(3)
-    for servers, members in steps:
-        live = [PlacedMember(member, member % 2) for member in members]
-        assert kept.update(sorted(servers), 1, live) == EndpointRanking(3).update(sorted(servers), 1, live)
-
-
-def test_too_many_to_rank_are_not_ranked() -> None:
-    live = [PlacedMember(member, 0) for member in range(MAX_RANKED_PAIRS)]
-    assert EndpointRanking(0).update([1, 2], 0, live) == {}
-    assert EndpointRanking(0).update([1], 1, [PlacedMember(0, None)]) == {}  # nobody of the own zone is known
-
-
-def test_a_hint_wants_several_others_who_live_and_the_latest_word_of_each_counts() -> None:
-    world = whole(9)
-    view, servers = world.living[0], {"s-1": 11, "s-2": 12}
+def test_a_hint_needs_a_quorum_of_live_peers_and_their_latest_reports() -> None:
+    world = settled_fleet(9, equal=True)
+    view, endpoints = world.living[0], {"s-1": 11, "s-2": 12}
     assert [hint_quorum(live) for live in (9, 4, 2)] == [3, 2, 2]
     for member in (1, 2):
         report_endpoint(world.living[member].membership, world.now_ns, "s-1", answers=False)
     report_endpoint(view.membership, world.now_ns, "s-1", answers=False)  # its own word is no news to it
     world.run(SECOND)
-    told = event(view, world.now_ns, servers)
-    assert told.live == 9 and not told.failing
+    told = event(view, world.now_ns, endpoints)
+    assert told.live == 9
+    assert not told.failing
     assert set(told.ranks) == {11, 12}
     report_endpoint(world.living[3].membership, world.now_ns, "s-1", answers=False)
     world.run(SECOND)
-    assert event(view, world.now_ns, servers).failing == {11}
+    assert event(view, world.now_ns, endpoints).failing == {11}
     for member in (1, 2, 3):
         report_endpoint(world.living[member].membership, world.now_ns, "s-1", answers=True)
     world.run(SECOND)
-    told = event(view, world.now_ns, servers)
-    assert not told.failing and told.answering == {11}
+    told = event(view, world.now_ns, endpoints)
+    assert not told.failing
+    assert told.answering == {11}
     world.run(15 * SECOND)
-    assert not event(view, world.now_ns, servers).answering
+    assert not event(view, world.now_ns, endpoints).answering
 
 
-def test_what_enough_others_say_is_not_said_again_but_taken_back() -> None:
-    world = whole(9, 2)
+def test_a_report_is_not_repeated_after_a_quorum_but_can_be_taken_back() -> None:
+    world = settled_fleet(9, 2, equal=True)
     said = []
     for member in range(7):
         said.append(report_endpoint(world.living[member].membership, world.now_ns, "s-1", answers=False))
@@ -123,8 +66,8 @@
     assert report_endpoint(world.living[0].membership, world.now_ns, "s-1", answers=True)
 
 
-def test_who_hears_nobody_counts_on_all() -> None:
-    world = whole(6)
+def test_an_isolated_member_counts_on_all_others() -> None:
+    world = settled_fleet(6, equal=True)
     world.cut = lambda sender, peer: 0 in (sender, peer)
     world.run(20 * SECOND)
     view = world.living[0]
@@ -132,8 +75,8 @@
     assert event(view, world.now_ns, {"s-1": 11}) == MembershipChanged(6, {})
 
 
-def test_those_who_went_count_until_they_could_have_been_started_again() -> None:
-    world = whole(12)
+def test_departed_members_count_until_they_could_have_been_restarted() -> None:
+    world = settled_fleet(12, equal=True)
     for number in range(8):
         world.kill(number)
     assert world.run(20 * SECOND, world.right)
@@ -152,8 +95,8 @@
     assert event(view, world.now_ns, {}).live == 5
 
 
-def test_the_newest_list_is_told_once_and_by_whoever_has_it() -> None:
-    world = whole(6)
+def test_the_newest_list_version_is_announced_by_whoever_has_it() -> None:
+    world = settled_fleet(6, equal=True)
     for member, version in ((0, 7), (1, 9), (2, 8)):
         announce_list_version(world.living[member].membership, world.now_ns, version)
         world.run(SECOND)
@@ -161,7 +104,7 @@
     assert (Topic.LIST_VERSION, 2, NO_SUBJECT) not in world.living[5].membership.records.records
 
 
-def test_the_module_ejects_at_one_failure_of_its_own_what_several_found_to_fail() -> None:
+def test_the_balancer_ejects_at_its_first_failure_an_endpoint_that_peers_report() -> None:
     hints = {}
     for told in (False, True):
         balancer, now = make(servers=6, fleet_size=4)
@@ -180,7 +123,7 @@
     assert hints == {False: [], True: [ReportEndpointHealth(102, False)]}
 
 
-def test_the_module_tries_at_once_what_answers_others_and_says_so_when_it_answers_here() -> None:
+def test_the_balancer_probes_at_once_an_endpoint_that_answers_peers() -> None:
     balancer, now = make(servers=6, fleet_size=4)
     balancer.handle(now, MembershipChanged(4, {}, failing=frozenset({102})))
     server = balancer.endpoints.all[102]
@@ -195,7 +138,7 @@
     assert ReportEndpointHealth(102, True) in actions
 
 
-def test_a_module_that_hears_of_no_fleet_says_no_hints_and_counts_what_is_set() -> None:
+def test_a_balancer_without_membership_reports_nothing_and_uses_the_settings() -> None:
     balancer, now = make(servers=6, fleet_size=4)
     balancer.context.now_ns, balancer.context.actions = now, []
     balancer.outliers.eject(balancer.endpoints.all[102])
@@ -205,7 +148,7 @@
     assert balancer.context.sidecar_count() == 12
 
 
-def test_a_fresh_module_begins_with_what_others_tell_and_soon_goes_by_its_own() -> None:
+def test_a_new_balancer_starts_with_latencies_of_peers_and_replaces_them_soon() -> None:
     balancer, now = make(servers=6, fleet_size=4)
     work = balancer.context.classes[0]
     balancer.handle(now, MembershipChanged(4, {}, usual={0: SECOND / 4}))
@@ -220,8 +163,8 @@
     assert work.typical_latency_ns < SECOND / 10  # it knows better
 
 
-def test_one_that_starts_anew_asks_three_what_they_know() -> None:
-    world = whole(9)
+def test_a_new_member_requests_records_until_three_have_replied() -> None:
+    world = settled_fleet(9, equal=True)
     world.run(7 * SECOND)  # nobody is new any more
     for member in range(8):
         report_endpoint(world.living[member].membership, world.now_ns, f"s-{member}", answers=False)
@@ -248,14 +191,14 @@
     }  # never told unasked
 
 
-def test_servers_stay_where_they_were_until_those_who_went_could_be_back() -> None:
-    world = whole(12)
-    servers = {f"s-{number}": number for number in range(20)}
+def test_subsets_stay_until_departed_members_could_have_been_restarted() -> None:
+    world = settled_fleet(12, equal=True)
+    endpoints = {f"s-{number}": number for number in range(20)}
     view = world.living[11]
-    before = event(view, world.now_ns, servers).ranks
+    before = event(view, world.now_ns, endpoints).ranks
     for number in range(8):
         world.kill(number)
     assert world.run(20 * SECOND, world.right)
-    assert event(view, world.now_ns, servers).ranks == before
+    assert event(view, world.now_ns, endpoints).ranks == before
     world.run(31 * SECOND)
-    assert event(view, world.now_ns, servers).ranks != before
+    assert event(view, world.now_ns, endpoints).ranks != before
--- a/tests/fleet/test_asking.py
+++ b/tests/fleet/test_poll_schedule.py
@@ -1,10 +1,11 @@
-"""When a sidecar calls the list service: slots, spans that follow the answers, hurry and doubt."""
+"""When a sidecar polls discovery: slots, a spread that follows answers, recovery, and silent watches."""
 
 from __future__ import annotations
 
 import random
 
 import pytest
+from fleet_helpers import Clock, settled_fleet
 from hypothesis import given
 from hypothesis import strategies as st
 from net_helpers import run
@@ -21,7 +22,6 @@
     PollSettings,
 )
 from dykefold.fleet.rate_limits import SECOND
-from dykefold.sim.views import Views
 
 MUST_NS = 10 * SECOND
 MOST_NS = int(MUST_NS * MAX_SPREAD_FRACTION)
@@ -39,7 +39,7 @@
     return max(sum(at <= other < at + within_ns for other in times_ns) for at in times_ns)
 
 
-def test_a_fleet_that_starts_or_hears_of_one_change_calls_evenly_at_the_rate() -> None:
+def test_polls_after_a_start_or_a_change_are_spread_evenly_at_the_rate() -> None:
     members = fleet_of(200)
     first = [one.open_watch_ns(0, 1) for one in members]
     assert max(first) < 1.6 * SECOND
@@ -52,7 +52,7 @@
     assert first.index(max(first)) != again.index(max(again))  # the same one is not always last
 
 
-def test_changes_in_a_row_cost_a_call_in_a_span_and_small_fleets_watch_on() -> None:
+def test_many_changes_cost_one_poll_in_a_spread_and_small_fleets_keep_watching() -> None:
     (one, *_) = fleet_of(200)
     now, calls = 0, []
     for version in range(100):
@@ -66,7 +66,7 @@
     assert few.continue_watch_ns(5, 1) == 5
 
 
-def test_the_span_doubles_where_some_are_answered_and_in_an_outage_only_once() -> None:
+def test_the_spread_doubles_with_failures_but_only_once_in_an_outage() -> None:
     (one, *_) = fleet_of(50)  # whose span is below the bound after a failure when it has doubled twice
     usual = one.spread_ns(0)
     assert 4 * usual < MAX_FAILED_SPREAD_NS
@@ -84,7 +84,7 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from(("fails", "answered", "moves", "told")), st.integers(0, 5))))
-def test_no_wait_is_ever_longer_than_the_rules_leave(steps: list[tuple[str, int]]) -> None:
+def test_no_poll_is_later_than_the_protocol_allows(steps: list[tuple[str, int]]) -> None:
     one = CoordinatedPollSchedule(PollSettings(MUST_NS, 1.0, 3, 1000), random.Random(1), 0)
     now = 0
     for what, seconds in steps:
@@ -105,14 +105,14 @@
 
 
 @pytest.mark.parametrize(("told", "third"), [([], 0), ([9, 9], 0), ([9, 8, 7], 7), ([1, 9, 9, 5], 5)])
-def test_a_span_that_others_tell_counts_where_three_say_so(told: list[int], third: int) -> None:
+def test_the_spread_of_peers_counts_where_three_report_it(told: list[int], third: int) -> None:
     (one, *_) = fleet_of(2)
     usual = one.spread_ns(0)
     one.set_peer_spreads([span * SECOND // 4 for span in told])
     assert one.spread_ns(0) == max(usual, third * SECOND // 4)
 
 
-def test_who_waits_out_an_outage_calls_when_another_is_answered_and_all_come_back_spread() -> None:
+def test_after_an_outage_polls_resume_when_a_peer_is_answered_and_are_spread() -> None:
     members = fleet_of(200)
     assert members[0].recovery_ns(SECOND, 1) is None  # it has nothing to wait for
     for one in members:
@@ -124,7 +124,7 @@
     assert worst(times) <= 0.25 * 125
 
 
-def test_a_newer_list_elsewhere_is_a_reason_to_doubt_an_open_watch_and_only_once() -> None:
+def test_a_newer_list_at_a_peer_reopens_a_silent_watch_only_once() -> None:
     (one, *_) = fleet_of(40)
     assert one.reopen_watch_ns(0, 7, 7) is None
     due = one.reopen_watch_ns(0, 7, 8)
@@ -137,7 +137,7 @@
     assert one.reopen_watch_ns(due, 7, 9) is None  # it waits for the service already
 
 
-def test_a_long_wait_for_an_answer_to_a_first_call_makes_the_span_longer_and_a_watch_does_not() -> None:
+def test_a_queued_first_poll_doubles_the_spread_and_a_watch_does_not() -> None:
     for opens, took_ns, times in ((True, SECOND // 5, 2), (True, SECOND // 50, 1), (False, SECOND, 1)):
         (one, *_) = fleet_of(100)
         usual = one.spread_ns(0)
@@ -155,21 +155,10 @@
         self.schedule.called()  # type: ignore[attr-defined]
 
 
-class Clock:
-    now_ns = SECOND
-
-    def monotonic_ns(self) -> int:
-        return self.now_ns
-
-
-def test_a_silent_call_is_made_anew_once_for_a_list_that_others_have() -> None:
+def test_a_silent_poll_is_replaced_once_for_a_list_that_peers_have() -> None:
     async def play() -> None:
-        world = Views(3, 1)
-        for number in range(3):
-            world.start(number)
-        assert world.run(20 * SECOND, world.right)
-        clock, discovery, view = Clock(), FakeDiscovery(), world.living[0]
-        clock.now_ns = world.now_ns
+        world = settled_fleet(3)
+        clock, discovery, view = Clock(world.now_ns), FakeDiscovery(), world.living[0]
         lists = EndpointListSync(discovery, PollSettings(MUST_NS, 125.0, 0, 3), 1, clock)  # type: ignore[arg-type]
         lists.join(view.membership)
         peer_observations.announce_list_version(world.living[1].membership, world.now_ns, 9)
--- a/tests/fleet/test_stepped_clock.py
+++ b/tests/fleet/test_restart_clock.py
@@ -1,6 +1,7 @@
-"""Incarnations begin with wall time: a member restarted behind its earlier life overtakes it all the same."""
+"""Incarnations start with wall time; a member restarted with an earlier clock overrides its former one."""
 
 import pytest
+from fleet_helpers import settled_fleet
 
 from dykefold.fleet.member_state import State
 from dykefold.fleet.rate_limits import SECOND
@@ -25,12 +26,11 @@
 @pytest.mark.parametrize("off_ms", [-HOUR_MS, -5_000, 5_000, HOUR_MS])
 @pytest.mark.parametrize("planned", [False, True], ids=["killed", "planned"])
 @pytest.mark.parametrize("restarted", [1, SIZE // 2, SIZE - 1])
-def test_restarted_members_overtake_their_earlier_lives(restarted: int, planned: bool, off_ms: int) -> None:
-    """As fast with a clock an hour back as with one an hour on, and what they say from then on counts."""
-    world = Views(SIZE, 5)
-    for number in range(SIZE):
-        world.start(number)
-    assert world.run(20 * SECOND, world.right)
+def test_restarted_members_override_their_former_incarnations(
+    restarted: int, planned: bool, off_ms: int
+) -> None:
+    """As fast with a clock an hour back as with one an hour ahead, and their records count from then on."""
+    world = settled_fleet(SIZE, 5)
     before = {number: view.membership.incarnation for number, view in world.living.items()}
     world.living[0].membership.publish(world.now_ns, Topic.ENDPOINT_FAILED, 77, 1)
     world.run(SECOND)
--- /dev/null
+++ b/tests/fleet/test_token_bucket.py
@@ -0,0 +1,13 @@
+"""Rate limits of the membership protocol."""
+
+from __future__ import annotations
+
+from dykefold.fleet.rate_limits import SECOND, TokenBucket
+
+
+def test_a_bucket_gives_its_rate_and_its_burst() -> None:
+    bucket = TokenBucket(10.0, 2.0, 0)
+    assert [bucket.take(0) for _ in range(3)] == [True, True, False]
+    assert not bucket.take(SECOND // 20)
+    assert bucket.take(SECOND // 10)
+    assert not bucket.take(2 * SECOND, reserve=1.5)
