--- a/tests/fleet/test_member_state.py
+++ b/tests/fleet/test_member_state.py
@@ -2,25 +2,28 @@
 
 from __future__ import annotations
 
+from random import Random
+
 import pytest
-from hypothesis import given
+from hypothesis import example, given
 from hypothesis import strategies as st
 
 from dykefold.fleet.member_state import (
     CONCLUSIONS,
     MAX_INCARNATION,
+    STATE_BITS,
+    ZONE_BITS,
     MemberTable,
     State,
     conclude,
     encode_state,
+    is_encoded_state,
     state_of,
 )
 
 states = st.builds(
     encode_state, st.integers(0, MAX_INCARNATION), st.sampled_from(State), st.none() | st.integers(0, 40)
 )
-
-
 numbers = st.integers(0, 99)
 
 
@@ -35,23 +38,32 @@
                     conclude(encode_state(7, before), after)
 
 
+@example([(50, encode_state(0, State.LEFT, 40))], Random(1))  # the next integer is no state
 @given(st.lists(st.tuples(numbers, states), max_size=30), st.randoms(use_true_random=False))
-def test_tables_merge_to_equal_digests_in_any_order(given: list, chance) -> None:
+def test_tables_merge_to_equal_digests_in_any_order(updates: list, chance) -> None:
     one, other = MemberTable(100), MemberTable(100)
-    for number, said in given:
-        one.merge(number, said)
-    again = [*given, *given[:5]]
+    for number, encoded in updates:
+        one.merge(number, encoded)
+    again = [*updates, *updates[:5]]
     chance.shuffle(again)
-    for number, said in again:
-        other.merge(number, said)
+    for number, encoded in again:
+        other.merge(number, encoded)
     assert one.states == other.states
     assert one.digest(0, 100) == other.digest(0, 100) == digest_by_member(one)
-    assert one.counts == [sum(state_of(said) is state for said in one.states) for state in State]
-    if other.merge(50, one.states[50] + 1):
+    assert one.counts == [sum(state_of(encoded) is state for encoded in one.states) for state in State]
+    newer = next_state(one.states[50])
+    if newer is not None:
+        assert other.merge(50, newer)
         assert one.digest(3, 97) != other.digest(3, 97)
         assert one.digest(51, 100) == other.digest(51, 100)
 
 
+def next_state(encoded: int) -> int | None:
+    """Return the least greater state; None after the greatest one."""
+    unused = (2**STATE_BITS - len(State)) << ZONE_BITS  # values before the next incarnation
+    return next(filter(is_encoded_state, range(encoded + 1, encoded + unused + 2)), None)
+
+
 def digest_by_member(table: MemberTable) -> int:
     total = 0
     for number in range(len(table)):
