--- a/dykefold/failover/controller.py
+++ b/dykefold/failover/controller.py
@@ -60,7 +60,7 @@
     Attributes:
         by_zone: how many there are in each zone.
         order: the staying order of the home zone.
-        connected: others are heard, and the membership is settled.
+        connected: others are live, and the membership is settled.
     """
 
     by_zone: Counter[int]
@@ -78,7 +78,7 @@
     """A process's part in the failover.
 
     Attributes:
-        settings: what the configuration says.
+        settings: of the configuration.
         sampler: counts attempts by zone.
         plan: of the home zone.
         health: of each zone as seen from each.
--- a/dykefold/failover/health_samples.py
+++ b/dykefold/failover/health_samples.py
@@ -27,7 +27,7 @@
 
 
 class AttemptResult(Enum):
-    """What an attempt says of the zone of its endpoint."""
+    """What the end of an attempt shows of the zone of its endpoint."""
 
     IN_TIME = auto()
     LATE = auto()  # answered after the latency objective, or not yet by an endpoint that answers others
--- a/dykefold/failover/settings.py
+++ b/dykefold/failover/settings.py
@@ -1,4 +1,4 @@
-"""What the configuration says of zones, for the failover. No I/O."""
+"""The settings of the failover. No I/O."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FailoverSettings:
-    """What the configuration says of zones.
+    """Zones and options of the configuration.
 
     Attributes:
         zones: their names, by number.
--- a/dykefold/failover/traffic_plan.py
+++ b/dykefold/failover/traffic_plan.py
@@ -1,7 +1,7 @@
 """The traffic plan of a zone: which of its sidecars work in which other zone, and the way back. No I/O.
 
-Every sidecar applies the same function to the same records, so those that hear each other hold one plan but
-for the time that a record takes; a sidecar that hears nobody works at home as if there were no plan. Sidecars
+Every sidecar applies the same function to the same records, so those that reach each other hold one plan but
+for the time that a record takes; an isolated sidecar works at home as if there were no plan. Sidecars
 move, not requests: one that is away takes another zone for its own, and its balancer chooses among that
 zone's endpoints as it did at home. Some canaries stay, whose attempts tell when the way back is open.
 
@@ -11,7 +11,7 @@
 | away | returning | healthy, as the canaries see it, for `RETURN_NS`, doubled by each recent move |
 | returning | home | each step of `STEP_NS` halves what is away; the fourth takes the rest |
 | returning | away | down or unreachable again: at once |
-| any | home | nobody is heard, the membership is not settled, or there is no destination |
+| any | home | no member is heard, the membership is not settled, or there is no destination |
 | any | any | the median of those that report for the zone has held that for `DISSENT_NS` |
 
 A slow, overloaded or degraded zone moves nobody: the balancer shifts load between single endpoints by itself.
@@ -82,7 +82,7 @@
     Attributes:
         health: of each zone as seen from each.
         zones: what else is known of them.
-        connected: others are heard, and the membership is settled.
+        connected: others are live, and the membership is settled.
         members: how many sidecars of the zone are live.
         held_levels: of those that report for the zone, this one's among them if it does.
     """
--- a/dykefold/failover/zone_health.py
+++ b/dykefold/failover/zone_health.py
@@ -23,7 +23,7 @@
 from ..fleet.statistics import lower_median
 from .health_samples import HealthSample
 
-MIN_WEIGHT = 2.0  # recent attempts, without which a sample says nothing
+MIN_WEIGHT = 2.0  # recent attempts, below which a sample is not used
 QUORUM = 3  # sidecars of a zone that must see it, or all where there are fewer
 MOST = 0.7
 HARDLY_ANY = 0.25
@@ -50,7 +50,7 @@
 
 
 def quorum(members: int) -> int:
-    """Return how many sidecars of a zone must say the same.
+    """Return how many sidecars of a zone must report the same.
 
     Args:
         members: how many of its sidecars are live.
--- a/dykefold/failover/zone_reports.py
+++ b/dykefold/failover/zone_reports.py
@@ -1,4 +1,4 @@
-"""What sidecars tell each other of zones, as records of the membership. No I/O."""
+"""What sidecars report of zones, as records of the membership. No I/O."""
 
 from __future__ import annotations
 
@@ -84,7 +84,7 @@
         return found
 
     def abandoned_zones(self, now_ns: int, zones: int, home: int, members: Counter[int]) -> frozenset[int]:
-        """Return other zones that enough of their own sidecars say they have left.
+        """Return other zones that enough of their own sidecars report to have left.
 
         Args:
             now_ns: the present time.
--- a/dykefold/fleet/admin.py
+++ b/dykefold/fleet/admin.py
@@ -84,7 +84,7 @@
 
 
 def _list_versions(agent: FleetAgent, now_ns: int) -> dict[str, int | None]:
-    """The version of the own endpoint list, and the newest that any member tells."""
+    """The version of the own endpoint list, and the newest that any member reports."""
     pool = agent.link.pool if agent.link is not None else None
     if pool is None or pool.discovery is None:
         return {"own": None, "newest": None}
@@ -96,7 +96,7 @@
     membership = agent.membership
     encoded = membership.table.states[number]
     host, port = membership.addresses[number]
-    heard_ns = membership.heard_ns.get(number)
+    received_ns = membership.received_ns.get(number)
     return {
         "member": number,
         "address": f"{host}:{port}",
@@ -104,5 +104,5 @@
         "state": state_of(encoded).name.lower(),
         "live": is_live,
         "incarnation": incarnation_of(encoded),
-        "heard_s": None if heard_ns is None else round((now_ns - heard_ns) / SECOND, 3),
+        "heard_s": None if received_ns is None else round((now_ns - received_ns) / SECOND, 3),
     }
--- a/dykefold/fleet/agent.py
+++ b/dykefold/fleet/agent.py
@@ -98,7 +98,7 @@
             self.protocol.receive(now_ns, sender, data)
             self._flush()
         else:
-            self.membership.on_legacy_heard(now_ns, sender)
+            self.membership.on_legacy_message(now_ns, sender)
             self._pass_to_balancer(sender, data)
 
     def _tick(self) -> None:
--- a/dykefold/fleet/datagrams.py
+++ b/dykefold/fleet/datagrams.py
@@ -64,7 +64,7 @@
 
 
 class MemberEntry(NamedTuple):
-    """The encoded state of one member, as another one tells it."""
+    """The encoded state of one member, as another one knows it."""
 
     number: int
     encoded: int
--- a/dykefold/fleet/endpoint_list_sync.py
+++ b/dykefold/fleet/endpoint_list_sync.py
@@ -33,7 +33,7 @@
         self.discovery, self.system = discovery, system
         self.schedule = CoordinatedPollSchedule(settings, random.Random(seed), system.monotonic_ns())
         self.membership: Membership | None = None
-        self._extra_poll: asyncio.TimerHandle | None = None  # because of what others tell
+        self._extra_poll: asyncio.TimerHandle | None = None  # because of what others report
         self._polling = False
         self._opens_watch = True  # the next poll does
         discovery.schedule = self
@@ -43,7 +43,7 @@
         """The version of the own endpoint list, as records have it; 0 before the first."""
         return (self.discovery.version or 0) % peer_observations.VERSION_MODULUS
 
-    # What the discovery client asks and tells: see `PollSchedule`
+    # Called by the discovery client: see `PollSchedule`
 
     def opens_s(self) -> float:
         """Return in how many seconds a watch may be opened."""
@@ -86,7 +86,7 @@
         if newest is not None:
             self.schedule.refute_version(newest)  # it is one of the former service
 
-    # What the fleet tells
+    # Reports of the fleet
 
     def join(self, membership: Membership) -> None:
         """Follow a membership from now on."""
--- a/dykefold/fleet/failure_detector.py
+++ b/dykefold/fleet/failure_detector.py
@@ -52,7 +52,7 @@
         retry_ns: when it is sent again, if there is no answer.
         timeout_ns: when it has failed.
         helpers: members asked to probe the target as well.
-        nacks: helpers that said that the target has not answered them.
+        nacks: helpers that were not answered by the target.
         retries: how often it was repeated.
     """
 
@@ -73,7 +73,7 @@
         requester: the member that asked for it.
         requester_nonce: the nonce of its request.
         target: the probed member.
-        timeout_ns: when the requester is told that there is no answer so far.
+        timeout_ns: when the requester gets a NACK.
     """
 
     requester: int
--- a/dykefold/fleet/member_state.py
+++ b/dykefold/fleet/member_state.py
@@ -116,7 +116,7 @@
 
 
 def is_trusted(state: State) -> bool:
-    """Tell whether what a member with this status says about others is taken.
+    """Tell whether the claims of a member with this status about others are taken.
 
     A member that receives nothing concludes that all others are gone; it is gone itself for those that it
     still reaches, and must not convince them.
--- a/dykefold/fleet/membership.py
+++ b/dykefold/fleet/membership.py
@@ -95,12 +95,12 @@
         fleet: the checksum of the addresses.
         table: the state of each member.
         gossip: members whose changed state is yet to be gossiped.
-        records: what members tell beside their states.
+        records: what members publish beside their states.
         suspicions: members that may be gone.
         health: how far this member trusts its own observations.
-        heard_ns: when each member was heard last.
-        last_heard_ns: when any member was.
-        wrong_claims: members that hold a lesser state of themselves than others do, and are to be told.
+        received_ns: when a datagram of each member was received last.
+        last_received_ns: when one of any member was.
+        wrong_claims: members that hold a lesser state of themselves than others do, and are to be notified.
         changes: what the driver has not taken yet.
         has_new_records: a record came that was new; the driver takes that back.
         synchronized: digests were once found equal with another member's, with all members known.
@@ -127,7 +127,7 @@
         self.changes: list[MembershipChange] = []
         self.has_new_records = False
         self.counts: Counter[str] = Counter()
-        self.started_ns = self.last_heard_ns = self.next_tick_ns = now_ns
+        self.started_ns = self.last_received_ns = self.next_tick_ns = now_ns
         self.refuted_ns = now_ns - limits.period_ns
         self._reset(local.addresses, local.number, now_ns)
 
@@ -141,8 +141,8 @@
         self.gossip.add(own_number)
         self.records = RecordStore(own_number)
         self.suspicions = Suspicions()
-        self.heard_ns: dict[int, int] = {}
-        self.legacy_heard_ns: dict[int, int] = {}
+        self.received_ns: dict[int, int] = {}
+        self.legacy_received_ns: dict[int, int] = {}
         self.departed_ns: dict[int, int] = {}
         self.wrong_claims: dict[int, None] = {}  # a set in order of insertion
         self.joined_ns = now_ns
@@ -170,8 +170,8 @@
 
     @property
     def isolated(self) -> bool:
-        """Whether nothing was received for so long that this member can tell nothing of the others."""
-        return self.next_tick_ns - self.last_heard_ns > self.limits.ns(ISOLATED_PERIODS)
+        """Whether nothing was received for so long that this member knows nothing of the others."""
+        return self.next_tick_ns - self.last_received_ns > self.limits.ns(ISOLATED_PERIODS)
 
     def is_settled(self, now_ns: int) -> bool:
         """Tell whether this member has had the time to learn who is there."""
@@ -179,10 +179,10 @@
 
     def live_members(self, now_ns: int) -> list[int]:
         """Return the numbers of members that count as carrying traffic, this one among them, in order."""
-        if now_ns - self.last_heard_ns > self.limits.ns(ISOLATED_ALONE_PERIODS):
+        if now_ns - self.last_received_ns > self.limits.ns(ISOLATED_ALONE_PERIODS):
             return [self.own_number]
         states = LIVE if self.is_settled(now_ns) else {*LIVE, State.UNKNOWN}
-        legacy = {number for number, ns in self.legacy_heard_ns.items() if now_ns - ns < LEGACY_LIVE_NS}
+        legacy = {number for number, ns in self.legacy_received_ns.items() if now_ns - ns < LEGACY_LIVE_NS}
         return [
             number
             for number, encoded in enumerate(self.table.states)
@@ -195,7 +195,7 @@
         return sorted(recent.union(self.live_members(now_ns)))
 
     def potential_pollers(self, now_ns: int) -> list[int]:
-        """Return members that may poll discovery: the expected ones, and those not heard of yet."""
+        """Return members that may poll discovery: the expected ones, and those not known yet."""
         unknown = set(self.table.members_in((State.UNKNOWN,)))
         return sorted(unknown.union(self.expected_members(now_ns)))
 
@@ -252,7 +252,7 @@
         self.gossip.add(number)
         if after in LIVE:
             self.departed_ns.pop(number, None)
-        elif before in LIVE or before is State.UNKNOWN:  # a member that has just started is told of the gone
+        elif before in LIVE or before is State.UNKNOWN:  # a member that has just started learns of the gone
             self.departed_ns[number] = now_ns
         self.suspicions.on_state(number, after, now_ns + self.suspicion_ns(own=False))
         if len(self.changes) < MAX_PENDING_CHANGES:
@@ -273,8 +273,8 @@
         if not self.table.counts[State.LEAVING]:
             return
         for number in list(self.table.members_in((State.LEAVING,))):
-            heard_ns = self.heard_ns.get(number, self.started_ns)
-            if number != self.own_number and now_ns - heard_ns > LEAVING_NS:
+            received_ns = self.received_ns.get(number, self.started_ns)
+            if number != self.own_number and now_ns - received_ns > LEAVING_NS:
                 self.conclude(now_ns, number, State.LEFT)
 
     def set_own_status(self, now_ns: int, status: State) -> None:
@@ -294,22 +294,22 @@
         cause = f"{state_of(claim).name.lower()} was told of it"
         self.update(now_ns, self.own_number, self.own_state, cause)
 
-    def on_heard(self, now_ns: int, sender: int, sender_state: int) -> None:
-        """Note that a member was heard, and what it says of itself.
+    def on_received(self, now_ns: int, sender: int, sender_state: int) -> None:
+        """Note a datagram of a member, with the state that it claims for itself.
 
-        Where something greater is known of it, it is to be told, so that it can refute that.
+        Where a greater state of it is known, it is to be notified, so that it can refute that.
         """
-        self.last_heard_ns = self.heard_ns[sender] = now_ns
+        self.last_received_ns = self.received_ns[sender] = now_ns
         known = self.table.states[sender]
         if sender_state > known:
             self.update(now_ns, sender, sender_state, "it says so")
         elif sender_state < known:
             self.wrong_claims[sender] = None
 
-    def on_legacy_heard(self, now_ns: int, sender: int) -> None:
+    def on_legacy_message(self, now_ns: int, sender: int) -> None:
         """Note a balancer's message: its sender lives, whether it takes part in the membership or not."""
         if 0 <= sender < len(self.addresses):
-            self.legacy_heard_ns[sender] = now_ns
+            self.legacy_received_ns[sender] = now_ns
 
     def delay_ns(self, now_ns: int) -> int:
         """Return how much later than asked for the driver calls, where that is too much; else 0."""
@@ -321,7 +321,7 @@
         self.counts[TrafficCounter.DELAYED] += 1
         self.health.degrade(1 + late_ns // self.limits.period_ns)
         self.suspicions.extend(late_ns + self.limits.period_ns)
-        self.last_heard_ns += late_ns
+        self.last_received_ns += late_ns
         self.next_tick_ns = now_ns
 
     def take_changes(self) -> list[MembershipChange]:
--- a/dykefold/fleet/peer_observations.py
+++ b/dykefold/fleet/peer_observations.py
@@ -19,7 +19,7 @@
 
 HINT_QUORUM = 3  # other members that must have found the same: two may share a fault, such as a partition ...
 MIN_HINT_QUORUM = 2  # ... in a fleet so small that three would be most of it
-LATENCY_QUORUM = 3  # other members: then the median is not beyond what two good ones say
+LATENCY_QUORUM = 3  # other members: then the median is not beyond what two good ones report
 VERSION_MODULUS = 1 << 32  # of the versions of endpoint lists in records
 NO_SUBJECT = 0  # of records about the fleet's one discovery service
 NS_PER_MS = 1_000_000
@@ -27,11 +27,11 @@
 
 
 class PollReports(NamedTuple):
-    """What other live members say of their polls of discovery.
+    """What other live members report of their polls of discovery.
 
     Attributes:
         spreads_ns: over which time each would spread the fleet's polls.
-        last_answered_ns: when one of them that is answered last said so; None if none did.
+        last_answered_ns: when one of them last reported an answer; None if none did.
     """
 
     spreads_ns: list[int]
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointHints:
-    """The balancer's numbers of endpoints of which enough other members say the same."""
+    """The balancer's numbers of endpoints of which enough other members report the same."""
 
     failing: set[int]
     answering: set[int]
@@ -75,7 +75,7 @@
     receives nothing may well be cut off from the endpoints too, and reports nothing.
 
     Returns:
-        Whether the fleet is told.
+        Whether a record was published.
     """
     if membership.isolated:
         return False
@@ -100,7 +100,7 @@
 
 
 def newest_list_version(membership: Membership, now_ns: int) -> int | None:
-    """Return the newest version of the endpoint list that any member tells; None where none does.
+    """Return the newest version of the endpoint list that any member reports; None where none does.
 
     Where discovery moves, its versions begin anew, and for the lifetime of a record this may be one of the
     old service's: a reason to poll that the answer does not bear out, which costs one poll.
@@ -116,7 +116,7 @@
 
 
 def poll_reports(membership: Membership, now_ns: int) -> PollReports:
-    """Return what other live members say of their polls of discovery."""
+    """Return what other live members report of their polls of discovery."""
     spreads_ns: list[int] = []
     last_answered_ns: int | None = None
     live = set(membership.live_members(now_ns)) - {membership.own_number}
@@ -160,7 +160,7 @@
     """
     live = membership.live_members(now_ns)
     if live == [membership.own_number]:
-        # Others that can't be heard may well be there and use the same endpoints: count on them all.
+        # Members that can't be reached may well be there and use the same endpoints: count on them all.
         return MembershipChanged(len(membership.addresses), {})
     # Members that may be restarted soon keep their part of the endpoints: else a mass restart would move what
     # each member uses twice within seconds, and open a connection for each move.
@@ -198,7 +198,7 @@
 
 
 def _typical_latencies(membership: Membership, now_ns: int, classes: Mapping[str, int]) -> dict[int, float]:
-    """By class, the median of what others tell, nanoseconds; too few of them may be wrong."""
+    """By class, the median of what others report, nanoseconds; too few of them may be wrong."""
     latencies = {}
     for name, number in classes.items():
         stored = membership.records.on_subject(now_ns, Topic.TYPICAL_LATENCY, name_checksum(name))
--- a/dykefold/fleet/poll_schedule.py
+++ b/dykefold/fleet/poll_schedule.py
@@ -6,7 +6,7 @@
 rate, as in RFC 5681) and shrinks slowly. An outage is no overload: while no member is answered the spread
 grows no further.
 
-The rules of the protocol hold by the own polls alone. What others tell is only ever a reason to poll, or to
+The rules of the protocol hold by the own polls alone. What others report is only ever a reason to poll, or to
 poll less often, and never beyond `MAX_SPREAD_FRACTION`.
 """
 
@@ -29,8 +29,8 @@
 MAX_BACKOFF = 64.0
 BACKOFF_HALF_LIFE_NS = 5 * SECOND  # without a failure
 QUEUED_NS = 100_000_000  # the first answer of a watch takes so long where many wait ahead of it ...
-MAX_QUEUED_NS = 2 * SECOND  # ... or longer where there was nothing to tell yet
-SILENT_NS = 2 * SECOND  # a poll is silent if others have news before it for so long; the rules say 6 s
+MAX_QUEUED_NS = 2 * SECOND  # ... or longer where there was no change yet
+SILENT_NS = 2 * SECOND  # a poll is silent if others have a newer list for so long; the rules allow 6 s
 WRONG_SPREADS = 2  # members whose reports may be wrong without effect
 
 
@@ -77,7 +77,7 @@
         self._slots_from_ns = now_ns  # the start, the latest failure or move
         self._polled_ns: int | None = None
         self._moved = False
-        self._refuted_version = -1  # one that others told, and the service did not have
+        self._refuted_version = -1  # one that others reported, and the service did not have
 
     # What happened
 
@@ -199,12 +199,12 @@
         """Return when to replace an open poll that brings no list although others have a newer one.
 
         A watch that has fallen silent shows in no other way before its wait is over. A version that others
-        tell and that the service does not have is no reason twice.
+        report and that the service does not have is no reason twice.
 
         Args:
             now_ns: the present time.
             version: of the own endpoint list.
-            newest: that others tell.
+            newest: version that others report.
 
         Returns:
             None where there is no reason to.
--- a/dykefold/fleet/probing.py
+++ b/dykefold/fleet/probing.py
@@ -121,13 +121,13 @@
     def on_probe_failed(self, now_ns: int, probe: Probe) -> None:
         """Suspect the target of a probe, unless it is more likely that the fault lies here."""
         membership = self.membership
-        if membership.heard_ns.get(probe.target, -1) >= probe.started_ns:
+        if membership.received_ns.get(probe.target, -1) >= probe.started_ns:
             membership.health.improve()
-            return  # it speaks, if only to others: a path that is cut one way makes nobody suspect
-        if membership.last_heard_ns < probe.started_ns:
+            return  # it sends, if no answers: a path that is cut one way makes nobody suspect
+        if membership.last_received_ns < probe.started_ns:
             membership.health.degrade()
-            return  # nobody at all was heard
-        # Helpers that can't reach the target say so; if all are silent, perhaps nothing comes through. One
+            return  # no datagram of anybody came
+        # Helpers that can't reach the target send a NACK; if all are silent, nothing may come through. One
         # NACK is enough: where many died at once most helpers are silent, and the fault is not here.
         if probe.helpers and not probe.nacks:
             membership.health.degrade()
@@ -144,8 +144,8 @@
         for number in suspicions.take_reprobes(now_ns + self._timeout_ns()):
             self._probe(now_ns, number)
         for number in suspicions.expired(now_ns):
-            heard_ns = membership.heard_ns.get(number, membership.started_ns - 1)
-            if now_ns - heard_ns >= self.limits.period_ns:  # else what it says of itself is on its way
+            received_ns = membership.received_ns.get(number, membership.started_ns - 1)
+            if now_ns - received_ns >= self.limits.period_ns:  # else its refutation is on its way
                 membership.conclude(now_ns, number, State.GONE)
 
     # Datagrams
--- a/dykefold/fleet/protocol.py
+++ b/dykefold/fleet/protocol.py
@@ -22,7 +22,7 @@
 from .record_transfer import RecordTransfer
 from .traffic_counters import TrafficCounter
 
-MAX_LEAVE_NOTICES = 6  # members that are told of this member's end at once
+MAX_LEAVE_NOTICES = 6  # members that are notified of this member's end at once
 MIN_TICKS_PER_GOSSIP_ROUND = 4  # no two ticks are closer than a part of a round
 ANY_FLEET = frozenset((Kind.PING, Kind.ACK, Kind.NACK))  # answered whatever the sender's address list
 
@@ -125,7 +125,7 @@
             return
         self._absorb_delay(now_ns)
         membership.counts[TrafficCounter.RECEIVED] += 1
-        membership.on_heard(now_ns, sender, datagram.sender_state)
+        membership.on_received(now_ns, sender, datagram.sender_state)
         is_same_fleet = datagram.fleet == membership.fleet
         if is_same_fleet:
             self._merge(now_ns, sender, datagram)
@@ -150,7 +150,7 @@
         return datagram
 
     def _merge(self, now_ns: int, sender: int, datagram: Datagram) -> None:
-        """Take what a trusted sender says of others, and refute what any says of this member."""
+        """Take the claims of a trusted sender about others, and refute those of any about this member."""
         membership = self.membership
         trusted = is_trusted(membership.table.state(sender))
         for number, encoded in datagram.entries:
--- a/dykefold/fleet/record_store.py
+++ b/dykefold/fleet/record_store.py
@@ -1,4 +1,4 @@
-"""What members tell each other beside who is there: small records with origin, age and bounds. No I/O.
+"""What members publish beside their states: small records with origin, age and bounds. No I/O.
 
 A record's key is its topic, origin and subject. Two records of a key merge to the one of the greater
 incarnation and sequence of their origin; of one origin and topic the `max_subjects` greatest are kept. Both
@@ -136,7 +136,7 @@
         self.merge(now_ns, record)
 
     def merge(self, now_ns: int, record: Record) -> bool:
-        """Take a record; return whether it says more than what was known."""
+        """Take a record; return whether it is newer than what was known."""
         if record.topic not in TOPICS:
             return False  # of a later version
         published_ns = now_ns - record.age_ns
--- a/dykefold/fleet/record_transfer.py
+++ b/dykefold/fleet/record_transfer.py
@@ -37,7 +37,7 @@
         self.replies = 0
 
     def request_from(self, now_ns: int, sender: int) -> None:
-        """Request the records of a member that was heard, if this one has just started and needs more."""
+        """Request the records of a member that is there, if this one has just started and needs more."""
         if self.replies >= WANTED_REPLIES or len(self.asked) >= MAX_REQUESTS or sender in self.asked:
             return
         membership = self.membership
--- a/dykefold/sim/views.py
+++ b/dykefold/sim/views.py
@@ -80,7 +80,7 @@
             table.counts = list(first.counts)
             member.gossip.clear()
             member.synchronized = True
-            member.last_heard_ns = self.now_ns
+            member.last_received_ns = self.now_ns
         self.sent = self.sent_bytes = 0
 
     def kill(self, number: int) -> None:
--- a/tests/fleet/test_membership_protocol.py
+++ b/tests/fleet/test_membership_protocol.py
@@ -230,7 +230,7 @@
     world.start(0)
     world.start(1)
     for _ in range(30):
-        world.living[0].membership.on_legacy_heard(world.now_ns, 2)
+        world.living[0].membership.on_legacy_message(world.now_ns, 2)
         world.run(SECOND)
     assert world.state(2, 0) is State.GONE
     assert world.living[0].membership.live_members(world.now_ns) == [0, 1, 2]
@@ -309,8 +309,8 @@
     """A member whose probe of member 1 had no answer, while another member was heard."""
     view, now = world.living[0], world.now_ns
     probe = Probe(1, now, now, now + SECOND, helpers=[2], nacks=1)
-    view.membership.heard_ns.pop(1, None)
-    view.membership.last_heard_ns = now + 1
+    view.membership.received_ns.pop(1, None)
+    view.membership.last_received_ns = now + 1
     return view, probe
 
 
@@ -319,12 +319,12 @@
     view.prober.on_probe_failed(probe.timeout_ns, probe)
     assert view.membership.table.state(1) is State.SUSPECT
     view, probe = failed_probe(settled_fleet(6, 18))
-    view.membership.last_heard_ns = probe.started_ns - 1  # nobody was heard
+    view.membership.last_received_ns = probe.started_ns - 1  # nobody was heard
     view.prober.on_probe_failed(probe.timeout_ns, probe)
     assert view.membership.table.state(1) is State.ALIVE
     assert view.membership.health.score == 1
     view, probe = failed_probe(settled_fleet(6, 18))
-    view.membership.heard_ns[1] = probe.started_ns + 1  # it spoke, if of other things
+    view.membership.received_ns[1] = probe.started_ns + 1  # it spoke, if of other things
     view.prober.on_probe_failed(probe.timeout_ns, probe)
     assert view.membership.table.state(1) is State.ALIVE
 
