--- a/dykefold/fleet/datagrams.py
+++ b/dykefold/fleet/datagrams.py
@@ -10,7 +10,7 @@
 import struct
 import zlib
 from collections.abc import Sequence
-from dataclasses import dataclass, replace
+from dataclasses import dataclass
 from enum import IntEnum
 from typing import NamedTuple
 
@@ -60,7 +60,7 @@
     RECORDS_REPLY = 10  # only where there are any
 
 
-KINDS = frozenset(Kind)
+KINDS = {kind.value: kind for kind in Kind}
 
 
 class MemberEntry(NamedTuple):
@@ -216,7 +216,17 @@
     return _decode_digests(data, header) if header.kind is Kind.DIGESTS else _decode_gossip(data, header)
 
 
-def _decode_header(data: bytes) -> Datagram | None:
+class _Header(NamedTuple):
+    """The fields that all kinds have, as in `Datagram`."""
+
+    kind: Kind
+    fleet: int
+    sender_state: int
+    nonce: int
+    subject: int
+
+
+def _decode_header(data: bytes) -> _Header | None:
     if not HEADER_BYTES < len(data) <= MAX_BYTES or not is_membership_datagram(data):
         return None
     _, _, checksum, fleet, kind, nonce, subject = HEADER.unpack_from(data)
@@ -225,20 +235,20 @@
     sender_state = int.from_bytes(data[HEADER.size : HEADER_BYTES], "little")
     if not is_encoded_state(sender_state):
         return None
-    return Datagram(Kind(kind), fleet, sender_state, nonce, subject)
+    return _Header(KINDS[kind], fleet, sender_state, nonce, subject)
 
 
-def _decode_gossip(data: bytes, header: Datagram) -> Datagram | None:
+def _decode_gossip(data: bytes, header: _Header) -> Datagram | None:
     entries = _decode_entries(data)
     if entries is None:
         return None
     records = _decode_records(data, HEADER_BYTES + COUNT_BYTES + len(entries) * ENTRY_BYTES)
     if records is None:
         return None
-    return replace(header, entries=entries, records=records)
+    return Datagram(*header, entries, records=records)
 
 
-def _decode_digests(data: bytes, header: Datagram) -> Datagram | None:
+def _decode_digests(data: bytes, header: _Header) -> Datagram | None:
     start = HEADER_BYTES + RANGE.size
     if start > len(data):
         return None
@@ -250,7 +260,14 @@
         int.from_bytes(data[at : at + DIGEST_BYTES], "little")
         for at in range(start, start + count * DIGEST_BYTES, DIGEST_BYTES)
     ]
-    return replace(header, subject=0, digest_range=DigestRange(first, end, width), digests=digests)
+    return Datagram(
+        header.kind,
+        header.fleet,
+        header.sender_state,
+        header.nonce,
+        digest_range=DigestRange(first, end, width),
+        digests=digests,
+    )
 
 
 def _decode_entries(data: bytes) -> list[MemberEntry] | None:
