--- a/tests/failover/test_failover_processes.py
+++ b/tests/failover/test_failover_processes.py
@@ -66,7 +66,7 @@
 
 
 def test_an_evacuation_is_shown_in_the_plan_and_taken_back() -> None:
-    async def told(rig: Rig, member: int, want: set[str]) -> dict:
+    async def wait_for_zone(rig: Rig, member: int, want: set[str]) -> dict:
         address = rig.watch.addresses[member]  # type: ignore[union-attr]
         async with asyncio.timeout(20):
             while (plan := await ask(address, "/fleet/plan"))["works_in"] not in want:
@@ -84,7 +84,7 @@
         async with rigged(scenario([], 1.0)) as rig:
             assert all([await rig.start(number) is not None for number in range(MEMBERS)])
             write(rig, '"a"')
-            plan = await told(rig, 0, {"b", "c"})
+            plan = await wait_for_zone(rig, 0, {"b", "c"})
             assert plan["state"] == "away"
             assert plan["cause"] == "evacuated by hand"
             at = f"{rig.watch.addresses[0][0]}:{VIEW_PORT}"  # type: ignore[union-attr]
@@ -95,7 +95,7 @@
             assert json.loads(shown.stdout)["zone"] == "a"
             write(rig, "")
             desks = [asyncio.ensure_future(desk.play()) for desk in rig.desks]
-            await told(rig, 0, {"a"})  # nobody came home before attempts told that home is fine
+            await wait_for_zone(rig, 0, {"a"})  # nobody came home before attempts showed that home is healthy
             for desk in desks:
                 desk.cancel()
 
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -33,20 +33,20 @@
             await first.says(r"member 1 is alive, was unknown: .* \(incarnation \d+\)")
             at = f"{rig.watch.addresses[0][0]}:{VIEW_PORT}"  # type: ignore[union-attr]
 
-            async def told() -> dict:
+            async def membership() -> dict:
                 shown = await asyncio.to_thread(view, "--at", at, "--json")
                 assert shown.exit_code == 0
                 return json.loads(shown.stdout)
 
             async with asyncio.timeout(20):
-                while (await told())["live"] < 3:
+                while (await membership())["live"] < 3:
                     await asyncio.sleep(0.1)
             last = processes[2]
             assert last is not None
             last.terminate()
             await last.ended()
             await first.says(r"member 2 is left, was \w+: ")
-            seen = await told()
+            seen = await membership()
             assert [one["state"] for one in seen["members"]] == ["alive", "alive", "left"]
             assert [one["zone"] for one in seen["members"]] == [0, 1, 2]
             assert not seen["alone"]
@@ -67,7 +67,7 @@
             processes = [await rig.start(number) for number in range(3)]
             await rig.members[0].processes[0].says("member 2 is alive")
             await rig.members[2].processes[0].says("member 0 is alive")
-            # The same addresses, the last two the other way round, told to one member after the other.
+            # The same addresses, the last two swapped, applied by one member after the other.
             peers = rig.datagrams.addresses()
             peers = [peers[0], peers[2], peers[1]]
             for number, place in ((0, 0), (1, 2), (2, 1)):
@@ -83,7 +83,7 @@
             brief = [await ask(address, "/fleet/brief") for address in rig.watch.addresses]  # type: ignore[union-attr]
             assert [one["live"] for one in brief] == ["7"] * 3
             assert [one["member"] for one in brief] == [0, 2, 1]
-            # A list without this member is told and changes nothing.
+            # A list without this member is logged and changes nothing.
             path = rig.members[0].folder / "config0.json"
             path.write_text(json.dumps({**json.loads(path.read_text()), "peers": []}))
             rig.members[0].processes[0].signal(signal.SIGHUP)
@@ -108,9 +108,9 @@
     path.write_text('[fleet]\nview = 3\nlisten = "here"\nport = 1\n[pools.a]\n')
     with pytest.raises(ServiceError) as error:
         read_service(str(path))
-    told = " ".join(error.value.problems)
+    problems = " ".join(error.value.problems)
     for expected in ("fleet.view", "fleet.port", "fleet.listen", "no meaning beside pools"):
-        assert expected in told, told
+        assert expected in problems, problems
     path.write_text('[fleet]\nview = true\nlisten = "127.0.0.1:9100"\n')
     assert read_service(str(path)).fleet == FleetOptions(True, ("127.0.0.1", 9100))
     path.write_text("")
--- a/tests/fleet/test_membership_protocol.py
+++ b/tests/fleet/test_membership_protocol.py
@@ -125,7 +125,9 @@
     world.end(4)
     assert world.run(2 * SECOND, lambda: all(world.state(4, by) is State.LEAVING for by in world.living))
     assert not any(
-        4 in view.membership.live_members(world.now_ns) for by, view in world.living.items() if by != 4
+        4 in protocol.membership.live_members(world.now_ns)
+        for by, protocol in world.living.items()
+        if by != 4
     )
     world.living[4].leave(world.now_ns, last=True)
     world._flush(world.living[4], 4)
@@ -190,39 +192,41 @@
 
 def test_a_member_held_gone_is_notified_and_not_trusted_about_others() -> None:
     world = settled_fleet(4, 13)
-    view, other = world.living[0], world.living[1]
-    view.membership.update(world.now_ns, 1, encode_state(other.membership.incarnation, State.GONE), "test")
+    protocol, other = world.living[0], world.living[1]
+    protocol.membership.update(
+        world.now_ns, 1, encode_state(other.membership.incarnation, State.GONE), "test"
+    )
     claim = (2, encode_state(world.living[2].membership.incarnation, State.GONE))
-    datagram = Datagram(Kind.GOSSIP, view.membership.fleet, other.membership.own_state, entries=[claim])
-    view.receive(world.now_ns, 1, datagrams.encode(datagram))
-    assert view.membership.table.state(2) is State.ALIVE
+    datagram = Datagram(Kind.GOSSIP, protocol.membership.fleet, other.membership.own_state, entries=[claim])
+    protocol.receive(world.now_ns, 1, datagrams.encode(datagram))
+    assert protocol.membership.table.state(2) is State.ALIVE
     assert world.run(settling_ns(world), world.right)  # it has denied it
-    assert incarnation_of(other.membership.own_state) == incarnation_of(view.membership.table.states[1])
+    assert incarnation_of(other.membership.own_state) == incarnation_of(protocol.membership.table.states[1])
 
 
 def test_members_with_another_address_list_answer_and_take_no_numbers() -> None:
     world = settled_fleet(6, 14)
-    view = world.living[0]
-    roster = [view.membership.addresses[0], *reversed(view.membership.addresses[1:])]
-    view.renumber(world.now_ns, roster, 0)
-    assert view.membership.table.state(5) is State.ALIVE  # known by its address
+    protocol = world.living[0]
+    roster = [protocol.membership.addresses[0], *reversed(protocol.membership.addresses[1:])]
+    protocol.renumber(world.now_ns, roster, 0)
+    assert protocol.membership.table.state(5) is State.ALIVE  # known by its address
     gone = encode_state(world.living[5].membership.incarnation, State.GONE)
     old = world.living[1]
-    view.receive(
+    protocol.receive(
         world.now_ns,
         5,
         datagrams.encode(
             Datagram(Kind.GOSSIP, old.membership.fleet, old.membership.own_state, entries=[(4, gone)])
         ),
     )
-    assert view.membership.table.state(4) is State.ALIVE
-    view.take_datagrams()
-    view.receive(
+    assert protocol.membership.table.state(4) is State.ALIVE
+    protocol.take_datagrams()
+    protocol.receive(
         world.now_ns,
         5,
         datagrams.encode(Datagram(Kind.PING, old.membership.fleet, old.membership.own_state, nonce=9)),
     )
-    assert [datagrams.decode(data).kind for _, data in view.take_datagrams()] == [Kind.ACK]  # type: ignore[union-attr]
+    assert [datagrams.decode(data).kind for _, data in protocol.take_datagrams()] == [Kind.ACK]  # type: ignore[union-attr]
 
 
 def test_a_process_without_membership_is_live_while_it_is_heard() -> None:
@@ -239,8 +243,8 @@
 
 def test_records_reach_most_members_and_expire() -> None:
     world = settled_fleet(20, 16)
-    view = world.living[3]
-    view.membership.publish(world.now_ns, Topic.ENDPOINT_FAILED, 77, 0)
+    protocol = world.living[3]
+    protocol.membership.publish(world.now_ns, Topic.ENDPOINT_FAILED, 77, 0)
     world.run(2 * SECOND)
     assert (
         sum(
@@ -281,68 +285,70 @@
 
 
 def test_newcomers_count_on_members_they_have_not_met_yet() -> None:
-    """Guards against two that have just begun, under loss, whose equal words show nothing of the others."""
+    """Two that have just started, under loss, have equal digests that show nothing of the others."""
     world = Views(7, 23)
     for number in range(7):
         world.start(number)
     world.cut = lambda sender, peer: (sender < 2) != (peer < 2)
     world.run(2 * SECOND)
     both = [world.living[number] for number in (0, 1)]
-    assert [view.membership.table.counts[State.ALIVE] for view in both] == [2, 2]
+    assert [protocol.membership.table.counts[State.ALIVE] for protocol in both] == [2, 2]
     assert both[0].membership.table.digest(0, 7) == both[1].membership.table.digest(0, 7)
-    assert [view.membership.live_members(world.now_ns) for view in both] == [list(range(7))] * 2
+    assert [protocol.membership.live_members(world.now_ns) for protocol in both] == [list(range(7))] * 2
     world.run(
         both[0].membership.limits.ns(MAX_JOINING_PERIODS)
     )  # in which whoever is there has had the time to come through
-    assert [view.membership.live_members(world.now_ns) for view in both] == [[0, 1]] * 2
+    assert [protocol.membership.live_members(world.now_ns) for protocol in both] == [[0, 1]] * 2
 
 
 def test_a_fleet_of_one_is_settled() -> None:
-    view = MembershipProtocol(LocalMember([("10.3.0.1", 1)], 0, 0), 5, RateLimits(), random.Random(1), SECOND)
-    view.tick(SECOND)
-    assert view.membership.is_settled(SECOND)
-    assert view.membership.live_members(SECOND) == [0]
-    assert not view.take_datagrams()
+    protocol = MembershipProtocol(
+        LocalMember([("10.3.0.1", 1)], 0, 0), 5, RateLimits(), random.Random(1), SECOND
+    )
+    protocol.tick(SECOND)
+    assert protocol.membership.is_settled(SECOND)
+    assert protocol.membership.live_members(SECOND) == [0]
+    assert not protocol.take_datagrams()
 
 
 def failed_probe(world: Views) -> tuple[MembershipProtocol, Probe]:
     """A member whose probe of member 1 had no answer, while another member was heard."""
-    view, now = world.living[0], world.now_ns
+    protocol, now = world.living[0], world.now_ns
     probe = Probe(1, now, now, now + SECOND, helpers=[2], nacks=1)
-    view.membership.received_ns.pop(1, None)
-    view.membership.last_received_ns = now + 1
-    return view, probe
+    protocol.membership.received_ns.pop(1, None)
+    protocol.membership.last_received_ns = now + 1
+    return protocol, probe
 
 
 def test_a_failed_probe_suspects_only_if_the_fault_is_not_more_likely_local() -> None:
-    view, probe = failed_probe(settled_fleet(6, 18))
-    view.prober.on_probe_failed(probe.timeout_ns, probe)
-    assert view.membership.table.state(1) is State.SUSPECT
-    view, probe = failed_probe(settled_fleet(6, 18))
-    view.membership.last_received_ns = probe.started_ns - 1  # nobody was heard
-    view.prober.on_probe_failed(probe.timeout_ns, probe)
-    assert view.membership.table.state(1) is State.ALIVE
-    assert view.membership.health.score == 1
-    view, probe = failed_probe(settled_fleet(6, 18))
-    view.membership.received_ns[1] = probe.started_ns + 1  # it spoke, if of other things
-    view.prober.on_probe_failed(probe.timeout_ns, probe)
-    assert view.membership.table.state(1) is State.ALIVE
+    protocol, probe = failed_probe(settled_fleet(6, 18))
+    protocol.prober.on_probe_failed(probe.timeout_ns, probe)
+    assert protocol.membership.table.state(1) is State.SUSPECT
+    protocol, probe = failed_probe(settled_fleet(6, 18))
+    protocol.membership.last_received_ns = probe.started_ns - 1  # nobody was heard
+    protocol.prober.on_probe_failed(probe.timeout_ns, probe)
+    assert protocol.membership.table.state(1) is State.ALIVE
+    assert protocol.membership.health.score == 1
+    protocol, probe = failed_probe(settled_fleet(6, 18))
+    protocol.membership.received_ns[1] = probe.started_ns + 1  # it spoke, if of other things
+    protocol.prober.on_probe_failed(probe.timeout_ns, probe)
+    assert protocol.membership.table.state(1) is State.ALIVE
 
 
 def test_a_delayed_process_drops_its_probes_and_extends_suspicions() -> None:
-    view, probe = failed_probe(settled_fleet(6, 18))
-    view.prober.probes = {7: probe}
-    view.membership.update(
+    protocol, probe = failed_probe(settled_fleet(6, 18))
+    protocol.prober.probes = {7: probe}
+    protocol.membership.update(
         probe.started_ns,
         2,
-        encode_state(incarnation_of(view.membership.table.states[2]), State.SUSPECT),
+        encode_state(incarnation_of(protocol.membership.table.states[2]), State.SUSPECT),
         "test",
     )
-    due_ns = view.membership.suspicions.expiry_ns[2]
-    view.tick(view.membership.next_tick_ns + 3 * SECOND)
-    assert view.membership.table.state(1) is State.ALIVE
-    assert view.membership.suspicions.expiry_ns[2] > due_ns + 3 * SECOND
-    assert view.membership.health.score > 1
+    due_ns = protocol.membership.suspicions.expiry_ns[2]
+    protocol.tick(protocol.membership.next_tick_ns + 3 * SECOND)
+    assert protocol.membership.table.state(1) is State.ALIVE
+    assert protocol.membership.suspicions.expiry_ns[2] > due_ns + 3 * SECOND
+    assert protocol.membership.health.score > 1
 
 
 def test_a_suspect_is_probed_once_more_before_it_is_gone() -> None:
@@ -350,10 +356,10 @@
     world = Views(100, 21)
     world.start_settled()
     world.run(2 * SECOND)
-    view, number = world.living[3], 7
-    said = conclude(view.membership.table.states[number], State.SUSPECT)
-    view.membership.update(world.now_ns, number, said, "wrongly")
-    view.membership.suspicions.shorten(number, world.now_ns + view.membership.suspicion_ns(own=True))
-    view._merge = lambda now_ns, sender, datagram: None  # type: ignore[method-assign]  # of others
-    world.run(view.membership.suspicion_ns(own=True) + SECOND)
-    assert view.membership.table.state(number) is State.ALIVE
+    protocol, number = world.living[3], 7
+    suspected = conclude(protocol.membership.table.states[number], State.SUSPECT)
+    protocol.membership.update(world.now_ns, number, suspected, "wrongly")
+    protocol.membership.suspicions.shorten(number, world.now_ns + protocol.membership.suspicion_ns(own=True))
+    protocol._merge = lambda now_ns, sender, datagram: None  # type: ignore[method-assign]  # of others
+    world.run(protocol.membership.suspicion_ns(own=True) + SECOND)
+    assert protocol.membership.table.state(number) is State.ALIVE
--- a/tests/fleet/test_peer_observations.py
+++ b/tests/fleet/test_peer_observations.py
@@ -22,44 +22,44 @@
 )
 
 
-def event(view: MembershipProtocol, now_ns: int, endpoints: dict[str, int]) -> MembershipChanged:
+def event(protocol: MembershipProtocol, now_ns: int, endpoints: dict[str, int]) -> MembershipChanged:
     return peer_observations.membership_event(
-        view.membership, now_ns, endpoints, {}, EndpointRanking(view.membership.own_number)
+        protocol.membership, now_ns, endpoints, {}, EndpointRanking(protocol.membership.own_number)
     )
 
 
 def test_a_hint_needs_a_quorum_of_live_peers_and_their_latest_reports() -> None:
     world = settled_fleet(9, equal=True)
-    view, endpoints = world.living[0], {"s-1": 11, "s-2": 12}
+    protocol, endpoints = world.living[0], {"s-1": 11, "s-2": 12}
     assert [hint_quorum(live) for live in (9, 4, 2)] == [3, 2, 2]
     for member in (1, 2):
         report_endpoint(world.living[member].membership, world.now_ns, "s-1", answers=False)
-    report_endpoint(view.membership, world.now_ns, "s-1", answers=False)  # its own word is no news to it
+    report_endpoint(protocol.membership, world.now_ns, "s-1", answers=False)  # its own report does not count
     world.run(SECOND)
-    told = event(view, world.now_ns, endpoints)
-    assert told.live == 9
-    assert not told.failing
-    assert set(told.ranks) == {11, 12}
+    changed = event(protocol, world.now_ns, endpoints)
+    assert changed.live == 9
+    assert not changed.failing
+    assert set(changed.ranks) == {11, 12}
     report_endpoint(world.living[3].membership, world.now_ns, "s-1", answers=False)
     world.run(SECOND)
-    assert event(view, world.now_ns, endpoints).failing == {11}
+    assert event(protocol, world.now_ns, endpoints).failing == {11}
     for member in (1, 2, 3):
         report_endpoint(world.living[member].membership, world.now_ns, "s-1", answers=True)
     world.run(SECOND)
-    told = event(view, world.now_ns, endpoints)
-    assert not told.failing
-    assert told.answering == {11}
+    changed = event(protocol, world.now_ns, endpoints)
+    assert not changed.failing
+    assert changed.answering == {11}
     world.run(15 * SECOND)
-    assert not event(view, world.now_ns, endpoints).answering
+    assert not event(protocol, world.now_ns, endpoints).answering
 
 
 def test_a_report_is_not_repeated_after_a_quorum_but_can_be_taken_back() -> None:
     world = settled_fleet(9, 2, equal=True)
-    said = []
+    published = []
     for member in range(7):
-        said.append(report_endpoint(world.living[member].membership, world.now_ns, "s-1", answers=False))
+        published.append(report_endpoint(world.living[member].membership, world.now_ns, "s-1", answers=False))
         world.run(SECOND)
-    assert said == [True] * 4 + [False] * 3  # so that each of these hears three others
+    assert published == [True] * 4 + [False] * 3  # so that each of these has three other reports
     assert not report_endpoint(
         world.living[0].membership, world.now_ns, "s-1", answers=False
     )  # once is enough
@@ -70,9 +70,9 @@
     world = settled_fleet(6, equal=True)
     world.cut = lambda sender, peer: 0 in (sender, peer)
     world.run(20 * SECOND)
-    view = world.living[0]
-    assert view.membership.live_members(world.now_ns) == [0]
-    assert event(view, world.now_ns, {"s-1": 11}) == MembershipChanged(6, {})
+    protocol = world.living[0]
+    assert protocol.membership.live_members(world.now_ns) == [0]
+    assert event(protocol, world.now_ns, {"s-1": 11}) == MembershipChanged(6, {})
 
 
 def test_departed_members_count_until_they_could_have_been_restarted() -> None:
@@ -80,19 +80,19 @@
     for number in range(8):
         world.kill(number)
     assert world.run(20 * SECOND, world.right)
-    view = world.living[11]
-    assert len(view.membership.live_members(world.now_ns)) == 4
+    protocol = world.living[11]
+    assert len(protocol.membership.live_members(world.now_ns)) == 4
     world.kill(10)
     fresh = world.start(10)
     assert world.run(20 * SECOND, lambda: fresh.membership.synchronized)
     assert len(fresh.membership.live_members(world.now_ns)) == 4
     assert event(fresh, world.now_ns, {}).live == 12  # as for those who knew them
-    assert event(view, world.now_ns, {}).live == 12
+    assert event(protocol, world.now_ns, {}).live == 12
     world.run(31 * SECOND)
-    assert event(view, world.now_ns, {}).live == 4
+    assert event(protocol, world.now_ns, {}).live == 4
     world.start(0)
     assert world.run(20 * SECOND, world.right)
-    assert event(view, world.now_ns, {}).live == 5
+    assert event(protocol, world.now_ns, {}).live == 5
 
 
 def test_the_newest_list_version_is_announced_by_whoever_has_it() -> None:
@@ -106,9 +106,9 @@
 
 def test_the_balancer_ejects_at_its_first_failure_an_endpoint_that_peers_report() -> None:
     hints = {}
-    for told in (False, True):
+    for reported in (False, True):
         balancer, now = make(servers=6, fleet_size=4)
-        balancer.handle(now, MembershipChanged(4, {}, failing=frozenset({102}) if told else frozenset()))
+        balancer.handle(now, MembershipChanged(4, {}, failing=frozenset({102}) if reported else frozenset()))
         assert not balancer.endpoints.all[102].ejected  # never by hints alone
         ident = 1
         while True:
@@ -118,8 +118,8 @@
                 break
             balancer.handle(now, Outcome(ident - 1, 0, send.server, Status.OK, SECOND // 50, True))
         actions = balancer.handle(now, Outcome(ident - 1, 0, 102, Status.RESET, SECOND // 50, False))
-        assert balancer.endpoints.all[102].ejected is told
-        hints[told] = [action for action in actions if isinstance(action, ReportEndpointHealth)]
+        assert balancer.endpoints.all[102].ejected is reported
+        hints[reported] = [action for action in actions if isinstance(action, ReportEndpointHealth)]
     assert hints == {False: [], True: [ReportEndpointHealth(102, False)]}
 
 
@@ -180,25 +180,25 @@
     assert fresh.record_transfer.replies == 3
     assert newest_list_version(fresh.membership, world.now_ns) == 44
     assert len(fresh.membership.records.subjects_of(Topic.ENDPOINT_FAILED)) > 5
-    told = peer_observations.membership_event(
+    changed = peer_observations.membership_event(
         fresh.membership, world.now_ns, {}, {"lookup": 0, "order": 1}, EndpointRanking(8)
     )
-    assert set(told.usual) == {0}
-    assert told.usual[0] in (3e6, 8e6)
+    assert set(changed.usual) == {0}
+    assert changed.usual[0] in (3e6, 8e6)
     old = world.living[0]
     assert {key[1] for key in old.membership.records.records if key[0] == Topic.TYPICAL_LATENCY} == {
         0
-    }  # never told unasked
+    }  # never gossiped
 
 
 def test_subsets_stay_until_departed_members_could_have_been_restarted() -> None:
     world = settled_fleet(12, equal=True)
     endpoints = {f"s-{number}": number for number in range(20)}
-    view = world.living[11]
-    before = event(view, world.now_ns, endpoints).ranks
+    protocol = world.living[11]
+    before = event(protocol, world.now_ns, endpoints).ranks
     for number in range(8):
         world.kill(number)
     assert world.run(20 * SECOND, world.right)
-    assert event(view, world.now_ns, endpoints).ranks == before
+    assert event(protocol, world.now_ns, endpoints).ranks == before
     world.run(31 * SECOND)
-    assert event(view, world.now_ns, endpoints).ranks != before
+    assert event(protocol, world.now_ns, endpoints).ranks != before
--- a/tests/fleet/test_poll_schedule.py
+++ b/tests/fleet/test_poll_schedule.py
@@ -83,7 +83,7 @@
     assert usual <= one.spread_ns(60 * SECOND) < 1.1 * usual  # and comes down again
 
 
-@given(st.lists(st.tuples(st.sampled_from(("fails", "answered", "moves", "told")), st.integers(0, 5))))
+@given(st.lists(st.tuples(st.sampled_from(("fails", "answered", "moves", "reported")), st.integers(0, 5))))
 def test_no_poll_is_later_than_the_protocol_allows(steps: list[tuple[str, int]]) -> None:
     one = CoordinatedPollSchedule(PollSettings(MUST_NS, 1.0, 3, 1000), random.Random(1), 0)
     now = 0
@@ -104,11 +104,11 @@
         assert now <= one.continue_watch_ns(now, 7) <= now + MOST_NS
 
 
-@pytest.mark.parametrize(("told", "third"), [([], 0), ([9, 9], 0), ([9, 8, 7], 7), ([1, 9, 9, 5], 5)])
-def test_the_spread_of_peers_counts_where_three_report_it(told: list[int], third: int) -> None:
+@pytest.mark.parametrize(("reported", "third"), [([], 0), ([9, 9], 0), ([9, 8, 7], 7), ([1, 9, 9, 5], 5)])
+def test_the_spread_of_peers_counts_where_three_report_it(reported: list[int], third: int) -> None:
     (one, *_) = fleet_of(2)
     usual = one.spread_ns(0)
-    one.set_peer_spreads([span * SECOND // 4 for span in told])
+    one.set_peer_spreads([span * SECOND // 4 for span in reported])
     assert one.spread_ns(0) == max(usual, third * SECOND // 4)
 
 
@@ -158,9 +158,9 @@
 def test_a_silent_poll_is_replaced_once_for_a_list_that_peers_have() -> None:
     async def play() -> None:
         world = settled_fleet(3)
-        clock, discovery, view = Clock(world.now_ns), FakeDiscovery(), world.living[0]
+        clock, discovery, protocol = Clock(world.now_ns), FakeDiscovery(), world.living[0]
         lists = EndpointListSync(discovery, PollSettings(MUST_NS, 125.0, 0, 3), 1, clock)  # type: ignore[arg-type]
-        lists.join(view.membership)
+        lists.join(protocol.membership)
         peer_observations.announce_list_version(world.living[1].membership, world.now_ns, 9)
         world.run(SECOND)
         clock.now_ns = world.now_ns
--- a/tests/fleet/test_record_store.py
+++ b/tests/fleet/test_record_store.py
@@ -64,7 +64,9 @@
     assert not store.merge(SECOND, Record(Topic.ENDPOINT_FAILED, 1, 5, 1, 1, 0, lasts))
     assert not store.merge(SECOND, Record(200, 1, 5, 1, 1, 0, 0))
     assert store.merge(SECOND, Record(Topic.ENDPOINT_FAILED, 1, 5, 1, 1, 0, lasts // 2))
-    assert [said for _, said in store.on_subject(SECOND, Topic.ENDPOINT_FAILED, 5)] == [SECOND - lasts // 2]
+    assert [published_ns for _, published_ns in store.on_subject(SECOND, Topic.ENDPOINT_FAILED, 5)] == [
+        SECOND - lasts // 2
+    ]
     assert not list(store.on_subject(SECOND, Topic.ENDPOINT_ANSWERED, 5))
     store.expire(SECOND + lasts // 2)
     assert not store.records
--- a/tests/fleet/test_restart_clock.py
+++ b/tests/fleet/test_restart_clock.py
@@ -31,7 +31,7 @@
 ) -> None:
     """As fast with a clock an hour back as with one an hour ahead, and their records count from then on."""
     world = settled_fleet(SIZE, 5)
-    before = {number: view.membership.incarnation for number, view in world.living.items()}
+    before = {number: protocol.membership.incarnation for number, protocol in world.living.items()}
     world.living[0].membership.publish(world.now_ns, Topic.ENDPOINT_FAILED, 77, 1)
     world.run(SECOND)
     for number in range(restarted):
@@ -42,7 +42,8 @@
         assert all(world.state(number, by) is State.ALIVE for by in world.living)
     world.living[0].membership.publish(world.now_ns, Topic.ENDPOINT_FAILED, 77, 2)
     world.run(5 * SECOND)
-    told = [
-        view.membership.records.records.get((Topic.ENDPOINT_FAILED, 0, 77)) for view in world.living.values()
+    records = [
+        protocol.membership.records.records.get((Topic.ENDPOINT_FAILED, 0, 77))
+        for protocol in world.living.values()
     ]
-    assert sum(record is not None and record[0].value == 2 for record in told) >= SIZE * 3 // 4
+    assert sum(record is not None and record[0].value == 2 for record in records) >= SIZE * 3 // 4
