--- a/dykefold/sim/callers.py
+++ b/dykefold/sim/callers.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ..fleet.poll_schedule import CoordinatedPollSchedule
+from ..fleet.poll_schedule import CoordinatedPollSchedule, PollSettings
 from ..fleet.rate_limits import SECOND
 from .kernel import MS
 
@@ -67,7 +67,7 @@
         if spread:
             self.schedules = [
                 CoordinatedPollSchedule(
-                    MUST_POLL_NS, CALLS_PER_S, n, size, random.Random(seed * size + n), at
+                    PollSettings(MUST_POLL_NS, CALLS_PER_S, n, size), random.Random(seed * size + n), at
                 )
                 for n, at in enumerate(self.ready_ns)
             ]
@@ -88,13 +88,13 @@
         return self.seen
 
     def _open(self, number: int) -> None:
-        due_ns = self.schedules[number].opens_ns(self.now_ns, 1) if self.schedules else self.now_ns
+        due_ns = self.schedules[number].open_watch_ns(self.now_ns, 1) if self.schedules else self.now_ns
         self._at(due_ns, lambda: self._call(number))
 
     def _call(self, number: int) -> None:
         self.seen.calls[self.now_ns // SECOND] += 1
         if self.schedules:
-            self.schedules[number].called(self.now_ns, number not in self.seen.listed_ns)
+            self.schedules[number].on_poll(self.now_ns, number not in self.seen.listed_ns)
         waiting = (self.free_ns - self.now_ns) / self.work_ns
         if self.down or waiting > self.max_waiting:
             self.seen.turned_away += 1
@@ -107,16 +107,18 @@
         first = number not in self.seen.listed_ns
         self.seen.listed_ns.setdefault(number, self.now_ns)
         self.failures[number] = 0
-        if self.schedules and self.schedules[number].was_answered(self.now_ns) and self.told:
+        if self.schedules and self.schedules[number].on_answer(self.now_ns) and self.told:
             self._at(self.now_ns + GOSSIP_NS, self._tell)
         if first:  # its next call waits at the service
-            wait_ns = self.schedules[number].goes_on_ns(self.now_ns, 2) if self.schedules else self.now_ns
+            wait_ns = (
+                self.schedules[number].continue_watch_ns(self.now_ns, 2) if self.schedules else self.now_ns
+            )
             self._at(wait_ns, lambda: self._call(number))
 
     def _fail(self, number: int) -> None:
         backoff_ns = int(MUST_POLL_NS * min(MAX_BACKOFF, MIN_BACKOFF * 2.0 ** self.failures[number]))
         self.failures[number] += 1
-        if self.schedules and self.schedules[number].failed(self.now_ns) and self.told:
+        if self.schedules and self.schedules[number].on_failure(self.now_ns) and self.told:
             self._at(self.now_ns + GOSSIP_NS, self._tell)
         self._at(
             self.now_ns + int(backoff_ns * self.random.uniform(MIN_JITTER, 1.0)) + 1,
@@ -129,4 +131,4 @@
         spreads_ns = (schedule.spread_ns(self.now_ns) for schedule in self.schedules)
         longest_ns = sorted(spreads_ns, reverse=True)[:TOLD_SPREADS]
         for schedule in self.schedules:
-            schedule.take_spread(longest_ns)
+            schedule.set_peer_spreads(longest_ns)
--- a/dykefold/sim/membership.py
+++ b/dykefold/sim/membership.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from ..fleet.member_state import LIVE, State, conclude, denial, state_of, trusts, word
+from ..fleet.member_state import LIVE, State, conclude, encode_state, is_trusted, refutation, state_of
 
 States = tuple[int, ...]  # as one member has them encoded, by the number of whom they are of
 MAX_INCARNATION = 5  # a model that goes on doubting and denying would have no end
@@ -33,7 +33,7 @@
 
 def first(members: int, faults: int) -> Fleet:
     """Return a fleet in which all run and know one another."""
-    sent = tuple(word(1, State.ALIVE) for _ in range(members))
+    sent = tuple(encode_state(1, State.ALIVE) for _ in range(members))
     return Fleet((sent,) * members, frozenset(), faults)
 
 
@@ -44,10 +44,10 @@
     assert known is not None
     states = list(known)
     states[one] = max(states[one], sent[one])
-    trusted = trusts(state_of(states[one]))
+    trusted = is_trusted(state_of(states[one]))
     for number, encoded in enumerate(sent):
         if number == other:
-            denied = denial(states[other], encoded)
+            denied = refutation(states[other], encoded)
             states[other] = max(states[other], denied if denied is not None else 0)
         elif trusted:
             states[number] = max(states[number], encoded)
@@ -81,7 +81,9 @@
     for one, states in enumerate(fleet.states):
         if states is None:
             # Its clock is set back: the state that it begins with is one that the others have heard before.
-            fresh = tuple(word(1, State.ALIVE) if one == other else 0 for other in range(len(fleet.states)))
+            fresh = tuple(
+                encode_state(1, State.ALIVE) if one == other else 0 for other in range(len(fleet.states))
+            )
             yield f"{one} starts", _with(left, one, fresh)
     if fleet.cut:
         yield "the ways are whole", left._replace(cut=frozenset())
--- a/dykefold/sim/process.py
+++ b/dykefold/sim/process.py
@@ -10,10 +10,12 @@
 from ..balancer.settings import Settings
 from ..control.hot_restart import HotRestart
 from ..failover.controller import FailoverController
-from ..failover.options import Options as FailoverOptions
-from ..fleet.agent import FleetAgent
+from ..failover.settings import FailoverSettings
+from ..fleet.agent import FleetAgent, start_protocol
 from ..fleet.endpoint_list_sync import EndpointListSync
-from ..fleet.options import CALLS_PER_S
+from ..fleet.membership import LocalMember
+from ..fleet.options import CALLS_PER_S, FailoverOptions
+from ..fleet.poll_schedule import PollSettings
 from ..net.discovery.codec import NameTable, parse_endpoint_update
 from ..net.memory_budget import MB
 from ..net.peers import PeerChannel
@@ -189,11 +191,9 @@
         if spec.failover and self.fleet is not None:
             self.failover = FailoverController(
                 self.loop.for_asyncio,
-                self.fleet.view,
+                self.fleet.membership,
                 engine.pool,
-                settings.zones,
-                settings.zone,
-                FailoverOptions(on=True),
+                FailoverSettings(settings.zones, settings.zone, FailoverOptions(on=True)),
                 self.system,
             )
         if spec.coordinated_polls:
@@ -206,33 +206,18 @@
         channel.connection_made(cast("asyncio.DatagramTransport", endpoint))
         engine.peers = channel
         if self.world.scenario.spec.membership:
-            self.fleet = FleetAgent(
-                self.loop.for_asyncio,
-                engine,
-                channel,
-                peers,
-                self.number,
-                settings.zone,
-                0.0,
-                self.seed,
-                self.system,
-            )
+            local = LocalMember(peers, self.number, settings.zone)
+            protocol = start_protocol(local, 0.0, self.seed, self.system)
+            self.fleet = FleetAgent(self.loop.for_asyncio, engine, channel, protocol, self.system)
             self.fleet.serve(engine.pool)
 
     def _coordinate_polls(self, engine: SidecarServer, settings: Settings) -> None:
         if engine.pool.discovery is None:
             return
-        lists = EndpointListSync(
-            engine.pool.discovery,
-            settings.must_ask_in_ns,
-            CALLS_PER_S,
-            self.number,
-            settings.fleet_size,
-            self.seed,
-            self.system,
-        )
+        polls = PollSettings(settings.must_ask_in_ns, CALLS_PER_S, self.number, settings.fleet_size)
+        lists = EndpointListSync(engine.pool.discovery, polls, self.seed, self.system)
         if self.fleet is not None:
-            self.fleet.spread(lists)
+            self.fleet.coordinate_polls(lists)
 
     # Signals
 
--- a/dykefold/sim/process_checks.py
+++ b/dykefold/sim/process_checks.py
@@ -99,7 +99,7 @@
         levels_of: dict[int, set[int]] = {}
         for process in processes:
             if process.alive and process.failover is not None and not process.ending:
-                plan = process.failover.course
+                plan = process.failover.plan
                 levels_of.setdefault(plan.origin, set()).add(plan.level)
         for zone, levels in levels_of.items():
             if len(levels) > 1:
--- a/dykefold/sim/scenario_player.py
+++ b/dykefold/sim/scenario_player.py
@@ -71,7 +71,7 @@
             world.checks.check_together(now_ns, world.living(number))
         if world.membership_rules is not None:
             fleets = {sidecar.number: sidecar.fleet for sidecar in world.sidecars}
-            views = {number: fleet.view for number, fleet in fleets.items() if fleet is not None}
+            views = {number: fleet.membership for number, fleet in fleets.items() if fleet is not None}
             world.membership_rules.check(now_ns, views)
         self.kernel.after(CHECK_NS, self._check)
 
--- a/dykefold/sim/views.py
+++ b/dykefold/sim/views.py
@@ -10,7 +10,8 @@
 from collections.abc import Callable
 
 from ..fleet.member_state import LIVE, State
-from ..fleet.membership import Membership, MembershipChange
+from ..fleet.membership import LocalMember, MembershipChange
+from ..fleet.protocol import MembershipProtocol
 from ..fleet.rate_limits import SECOND, RateLimits
 
 MS = 1_000_000
@@ -44,13 +45,13 @@
         self.random = random.Random(seed)
         self.now_ns = SECOND  # of a clock that runs alike for all
         self.roster = [(f"10.3.{number >> 8}.{number & 255}", 7946) for number in range(size)]
-        self.living: dict[int, Membership] = {}
+        self.living: dict[int, MembershipProtocol] = {}
         self.stopped_until: dict[int, int] = {}
         self.clock_off_ms: dict[int, int] = {}
         self.cut: Callable[[int, int], bool] = lambda _from, _to: False
         self.doubled = 0.0  # share of the datagrams that come twice
         self.spoilt = 0.0  # ... and that come with a bit turned
-        self.queue: list[tuple[int, int, int, Membership, int, bytes]] = []
+        self.queue: list[tuple[int, int, int, MembershipProtocol, int, bytes]] = []
         self.last_order = 0
         self.sent = self.sent_bytes = 0
         self.changes: list[tuple[int, MembershipChange]] = []  # by whom, what
@@ -58,30 +59,31 @@
 
     # What happens to members
 
-    def start(self, number: int) -> Membership:
+    def start(self, number: int) -> MembershipProtocol:
         """Start a member, again if it has run before."""
         wall_ms = EPOCH_MS + self.now_ns // MS + self.clock_off_ms.get(number, 0)
         generator = random.Random(self.random.getrandbits(64))
-        membership = Membership(
-            self.roster, number, number % self.zones, wall_ms, self.pace, generator, self.now_ns
-        )
-        self.living[number] = membership
-        self._wake(membership, number, self.now_ns)
-        return membership
+        local = LocalMember(self.roster, number, number % self.zones)
+        protocol = MembershipProtocol(local, wall_ms, self.pace, generator, self.now_ns)
+        self.living[number] = protocol
+        self._wake(protocol, number, self.now_ns)
+        return protocol
 
     def start_settled(self) -> None:
         """Start all members, each with a membership as if all had been there for long."""
         for number in range(self.size):
             self.start(number)
-        first = self.living[0].table
-        for number, membership in self.living.items():
-            first.merge(number, membership.own)
-        for membership in self.living.values():
-            table = membership.table
-            table.words, table.sums, table.counts = first.words[:], first.sums[:], list(first.counts)
-            membership.news.told.clear()
-            membership.settled = True
-            membership.heard_ns = self.now_ns
+        members = {number: protocol.membership for number, protocol in self.living.items()}
+        first = members[0].table
+        for number, member in members.items():
+            first.merge(number, member.own_state)
+        for member in members.values():
+            table = member.table
+            table.states, table.block_digests = first.states[:], first.block_digests[:]
+            table.counts = list(first.counts)
+            member.gossip.clear()
+            member.synchronized = True
+            member.last_received_ns = self.now_ns
         self.sent = self.sent_bytes = 0
 
     def kill(self, number: int) -> None:
@@ -104,25 +106,25 @@
         end_ns, look = self.now_ns + for_ns, self.now_ns
         queue = self.queue
         while queue and queue[0][0] <= end_ns:
-            due, _, number, membership, sender, data = heapq.heappop(queue)
+            due, _, number, protocol, sender, data = heapq.heappop(queue)
             while until is not None and look <= due:
                 self.now_ns = max(look, self.now_ns)
                 if until():
-                    heapq.heappush(queue, (due, self._next(), number, membership, sender, data))
+                    heapq.heappush(queue, (due, self._next(), number, protocol, sender, data))
                     return True
                 look += look_ns
             self.now_ns = due
-            if self.living.get(number) is not membership:
+            if self.living.get(number) is not protocol:
                 continue  # it has ended since
             back = self.stopped_until.get(number, 0)
             if back > due:
-                heapq.heappush(queue, (back, self._next(), number, membership, sender, data))
+                heapq.heappush(queue, (back, self._next(), number, protocol, sender, data))
             elif sender < 0:
-                self._wake(membership, number, membership.tick(due))
-                self._flush(membership, number)
+                self._wake(protocol, number, protocol.tick(due))
+                self._flush(protocol, number)
             else:
-                membership.hear(due, sender, data)
-                self._flush(membership, number)
+                protocol.receive(due, sender, data)
+                self._flush(protocol, number)
         self.now_ns = end_ns
         return until is not None and until()
 
@@ -130,17 +132,15 @@
         self.last_order += 1
         return self.last_order
 
-    def _wake(self, membership: Membership, number: int, due_ns: int) -> None:
-        heapq.heappush(self.queue, (due_ns, self._next(), number, membership, -1, b""))
+    def _wake(self, protocol: MembershipProtocol, number: int, due_ns: int) -> None:
+        heapq.heappush(self.queue, (due_ns, self._next(), number, protocol, -1, b""))
 
-    def _flush(self, membership: Membership, number: int) -> None:
-        if membership.changes:
-            if self.watch is None or number in self.watch:
-                self.changes += [(number, change) for change in membership.changes]
-            membership.changes.clear()
-        for peer, data in membership.out:
+    def _flush(self, protocol: MembershipProtocol, number: int) -> None:
+        changes = protocol.membership.take_changes()
+        if self.watch is None or number in self.watch:
+            self.changes += [(number, change) for change in changes]
+        for peer, data in protocol.take_datagrams():
             self.send(number, peer, data)
-        membership.out.clear()
 
     def send(self, sender: int, peer: int, data: bytes) -> None:
         """Give a datagram to the network."""
@@ -164,21 +164,23 @@
 
     def state(self, of: int, by: int) -> State:
         """Return the state of a member as another one has it."""
-        return self.living[by].table.state(of)
+        return self.living[by].membership.table.state(of)
 
     def right(self) -> bool:
         """Return whether each member that runs counts exactly those as live that do."""
         true = sorted(self.living)
         wrong = self.size - len(true)
-        for membership in self.living.values():
-            table = membership.table
+        for protocol in self.living.values():
+            table = protocol.membership.table
             if table.live() != len(true) or table.counts[State.UNKNOWN] > wrong:
                 return False
         return all(
-            membership.table.state(number) in LIVE for membership in self.living.values() for number in true
+            protocol.membership.table.state(number) in LIVE
+            for protocol in self.living.values()
+            for number in true
         )
 
     def equal(self) -> bool:
         """Return whether all members that run hold the same states."""
-        tables = [membership.table for membership in self.living.values()]
-        return all(table.sums == tables[0].sums for table in tables)
+        tables = [protocol.membership.table for protocol in self.living.values()]
+        return all(table.block_digests == tables[0].block_digests for table in tables)
--- a/tests/failover/test_failover_edge.py
+++ b/tests/failover/test_controller.py
@@ -1,15 +1,18 @@
-"""The failover's edge: new settings in the middle of a move, and what the operator's file may say."""
+"""The controller of the failover: changed settings during a move, samples, the operator's file."""
 
 from __future__ import annotations
 
 import asyncio
 
 import pytest
+from fleet_helpers import Clock
 from net_helpers import run
 
 from dykefold.balancer.events import Status
 from dykefold.failover.controller import FailoverController
-from dykefold.failover.options import Options
+from dykefold.failover.health_samples import AttemptResult
+from dykefold.failover.settings import FailoverSettings
+from dykefold.fleet.options import FailoverOptions
 from dykefold.fleet.rate_limits import SECOND
 from dykefold.service_config import ServiceError, read_service
 from dykefold.sim.views import Views
@@ -39,64 +42,54 @@
         self.homes.append(zone)
 
 
-class Clock:
-    def __init__(self) -> None:
-        self.now_ns = SECOND
-
-    def monotonic_ns(self) -> int:
-        return self.now_ns
-
-
-def test_new_settings_in_the_middle_of_a_move_leave_it_where_it_works() -> None:
+def test_changed_settings_keep_a_sidecar_in_its_working_zone() -> None:
     async def play() -> None:
         world = Views(1, 1)
         pool, clock = FakePool(), Clock()
         made = FailoverController(
             asyncio.get_running_loop(),
-            world.start(0),
+            world.start(0).membership,
             pool,
-            list("abc"),
-            0,
-            Options(True),
+            FailoverSettings(list("abc"), 0, FailoverOptions(True)),
             clock,  # type: ignore[arg-type]
         )
-        made.at = 1
-        made.change_settings(list("abc"), 0, Options(True))
+        made.working_zone = 1
+        made.change_settings(FailoverSettings(list("abc"), 0, FailoverOptions(True)))
         assert pool.homes == [1]  # the settings had named the old one again
-        made.change_settings(list("abc"), 2, Options(True))
-        assert (made.home, made.at, made.course.origin) == (2, 2, 2)
+        made.change_settings(FailoverSettings(list("abc"), 2, FailoverOptions(True)))
+        assert (made.settings.home, made.working_zone, made.plan.origin) == (2, 2, 2)
         assert pool.homes == [1]
         made.close()
 
     run(play())
 
 
-def test_attempts_are_told_by_what_came_of_them() -> None:
+def test_attempts_are_sampled_by_their_results() -> None:
     async def play() -> None:
         pool, clock = FakePool(), Clock()
         made = FailoverController(
             asyncio.get_running_loop(),
-            Views(1, 1).start(0),
+            Views(1, 1).start(0).membership,
             pool,
-            list("abc"),
-            0,
-            Options(True),
+            FailoverSettings(list("abc"), 0, FailoverOptions(True)),
             clock,  # type: ignore[arg-type]
         )
-        aim_ns = SECOND
+        objective_ns = SECOND
         for server, status, took_ns in (
             (0, Status.OK, 1), (0, Status.OK, 2 * SECOND), (0, Status.FULL, 1), (0, Status.TIMEOUT, SECOND),
             (0, Status.CANCELLED, 1), (0, Status.NOT_ATTEMPTED, 1), (99, Status.OK, 1),
             (1, Status.TIMEOUT, SECOND), (1, Status.RESET, 1),
         ):  # fmt: skip
-            pool.on_attempt_end(server, status, took_ns, aim_ns)  # type: ignore[misc]
-        assert made.evidence.counts == {0: [1.0, 2.0, 1.0]}  # what is lost is counted by servers
+            pool.on_attempt_end(server, status, took_ns, objective_ns)  # type: ignore[misc]
+        assert made.sampler.counts == {
+            0: {AttemptResult.IN_TIME: 1.0, AttemptResult.LATE: 2.0, AttemptResult.REJECTED: 1.0}
+        }  # what is lost is counted by servers
         made.close()
 
     run(play())
 
 
-def test_the_file_is_checked_with_the_rest(tmp_path) -> None:
+def test_all_problems_of_the_failover_table_are_reported(tmp_path) -> None:
     path = tmp_path / "service.toml"
     path.write_text('[failover]\non = true\nout = "a"\n')
     with pytest.raises(ServiceError) as error:
@@ -106,4 +99,4 @@
         "failover.on",
     ]
     path.write_text('[fleet]\nview = true\n[failover]\non = true\nout = ["a"]\nregions = {a = "x"}\n')
-    assert read_service(str(path)).fleet.failover == Options(True, {"a": "x"}, frozenset({"a"}))
+    assert read_service(str(path)).fleet.failover == FailoverOptions(True, {"a": "x"}, frozenset({"a"}))
--- a/tests/fleet/test_stepped_clock.py
+++ b/tests/fleet/test_restart_clock.py
@@ -1,10 +1,11 @@
-"""Incarnations begin with wall time: a member restarted behind its earlier life overtakes it all the same."""
+"""Incarnations start with wall time; a member restarted with an earlier clock overrides its former one."""
 
 import pytest
+from fleet_helpers import settled_fleet
 
-from dykefold.fleet.knowledge import Topic
 from dykefold.fleet.member_state import State
 from dykefold.fleet.rate_limits import SECOND
+from dykefold.fleet.record_store import Topic
 from dykefold.sim.views import Views
 
 HOUR_MS = 3_600_000
@@ -25,22 +26,24 @@
 @pytest.mark.parametrize("off_ms", [-HOUR_MS, -5_000, 5_000, HOUR_MS])
 @pytest.mark.parametrize("planned", [False, True], ids=["killed", "planned"])
 @pytest.mark.parametrize("restarted", [1, SIZE // 2, SIZE - 1])
-def test_restarted_members_overtake_their_earlier_lives(restarted: int, planned: bool, off_ms: int) -> None:
-    """As fast with a clock an hour back as with one an hour on, and what they say from then on counts."""
-    world = Views(SIZE, 5)
-    for number in range(SIZE):
-        world.start(number)
-    assert world.run(20 * SECOND, world.right)
-    before = {number: view.incarnation for number, view in world.living.items()}
-    world.living[0].say(world.now_ns, Topic.FAILS, 77, 1)
+def test_restarted_members_override_their_former_incarnations(
+    restarted: int, planned: bool, off_ms: int
+) -> None:
+    """As fast with a clock an hour back as with one an hour ahead, and their records count from then on."""
+    world = settled_fleet(SIZE, 5)
+    before = {number: protocol.membership.incarnation for number, protocol in world.living.items()}
+    world.living[0].membership.publish(world.now_ns, Topic.ENDPOINT_FAILED, 77, 1)
     world.run(SECOND)
     for number in range(restarted):
         restart(world, number, off_ms, planned)
     assert world.run(world.pace.settled_ns(SIZE), lambda: world.right() and world.equal())
     for number in range(restarted):
-        assert world.living[number].incarnation > before[number]
+        assert world.living[number].membership.incarnation > before[number]
         assert all(world.state(number, by) is State.ALIVE for by in world.living)
-    world.living[0].say(world.now_ns, Topic.FAILS, 77, 2)
+    world.living[0].membership.publish(world.now_ns, Topic.ENDPOINT_FAILED, 77, 2)
     world.run(5 * SECOND)
-    told = [view.knowledge.records.get((Topic.FAILS, 0, 77)) for view in world.living.values()]
-    assert sum(record is not None and record[0].value == 2 for record in told) >= SIZE * 3 // 4
+    records = [
+        protocol.membership.records.records.get((Topic.ENDPOINT_FAILED, 0, 77))
+        for protocol in world.living.values()
+    ]
+    assert sum(record is not None and record[0].value == 2 for record in records) >= SIZE * 3 // 4
