--- a/dykefold/balancer/slow_start.py
+++ b/dykefold/balancer/slow_start.py
@@ -10,6 +10,7 @@
 RATE_FACTOR = 1.2  # times the fair fraction of the own answers, times the ramp
 TOKENS_PER_ANSWER = 1.5  # requests allowed for each one answered: many warm by work, sooner than stated
 CEILING = 1.0  # but no more than this part of the overload factor, in place of RATE_FACTOR
+DEMAND_PART = 0.4  # of the overload factor, times the fair fraction of the demand, times the ramp
 BURST_PER_ANSWER = 0.1  # requests more that may come at once for each one answered since the start
 MAX_BURST_BY_ANSWERS = 3.0
 BURST_S = 0.25  # seconds of that rate may come at once
@@ -76,8 +77,11 @@
         fade = max(0.0, 1.0 - since / context.settings.overload_for_ns)
         fair = self._fair_rate(endpoint, fade)
         rate = RATE_FACTOR * ramp * fair
-        limit = max(1.0, rate * BURST_S) + min(endpoint.samples * BURST_PER_ANSWER, MAX_BURST_BY_ANSWERS)
         ceiling = CEILING * context.settings.overload_factor * ramp * fair
+        if self.endpoints.all_warm_up():
+            rate = max(rate, self._rate_by_demand(endpoint, ramp))
+            ceiling = max(ceiling, rate)
+        limit = max(1.0, rate * BURST_S) + min(endpoint.samples * BURST_PER_ANSWER, MAX_BURST_BY_ANSWERS)
         ceiling_limit = max(1.0, ceiling * BURST_S)
         if not endpoint.slow_start_ns:
             # Part of a first token each: from none at all, hundreds of sidecars with little traffic would
@@ -95,10 +99,25 @@
 
     def _fair_rate(self, endpoint: EndpointState, fade: float) -> float:
         """The endpoint's fair fraction of the own answers a second."""
+        return self.throughput.answers_per_s * fade / self._shared_by(endpoint)
+
+    def _rate_by_demand(self, endpoint: EndpointState, ramp: float) -> float:
+        """Requests a second that it may be sent while no endpoint is warm.
+
+        Answers tell nothing of capacity then: a fleet that has just begun has none, and as each endpoint is
+        sent a part of them only, fewer would follow from few. The sum over all sidecars stays within what the
+        overload factor allows as long as the demand is no more than 1 / DEMAND_PART times what the endpoints
+        can do when warm.
+        """
+        fair = self.endpoints.demand / self._shared_by(endpoint)
+        return DEMAND_PART * self.context.settings.overload_factor * ramp * fair
+
+    def _shared_by(self, endpoint: EndpointState) -> int:
+        """Count the endpoints that share the own requests with this one."""
         endpoints = self.endpoints
         # Those who do not sample it leave their part to those who do.
         among = endpoints.ready_count - len(endpoints.rest) if endpoint.sampled else endpoints.ready_count
-        return self.throughput.answers_per_s * fade / max(among, 1)
+        return max(among, 1)
 
     def cost(self, stats: ClassStats) -> float:
         """The work of a class against the mean of the classes, by its typical latency."""
--- a/dykefold/balancer/subsetting.py
+++ b/dykefold/balancer/subsetting.py
@@ -35,6 +35,8 @@
         rest: ready endpoints outside of the subset.
         ejected: ready endpoints that outlier detection has ejected.
         ready_count: endpoints that the list gives as ready.
+        oldest_start_ns: from when the slow start of the longest ready of them counts, ejected ones aside;
+            0: one has not started lately, or there is none.
         crowded: whether there are more sidecars than endpoints.
         sees_little: whether it has, in a crowd, fewer requests in a deadline than there are endpoints.
         subset_size: endpoints to sample of each side, by the demand.
@@ -55,6 +57,7 @@
         self.rest: list[EndpointState] = []
         self.ejected: list[EndpointState] = []
         self.ready_count = 0
+        self.oldest_start_ns = 0
         self.crowded = True
         self.sees_little = True
         self.subset_size = 0
@@ -77,6 +80,8 @@
         self.ready_count = len(ready)
         self.throughput.update_half_life(self.ready_count)
         self.ejected = [endpoint for endpoint in ready if endpoint.ejected]
+        starts = (one.ramp_from_ns if one.started_ns else 0 for one in ready if not one.ejected)
+        self.oldest_start_ns = min(starts, default=0)
         here = self.context.settings.zone
         near = [endpoint for endpoint in ready if endpoint.zone == here and not endpoint.ejected]
         far = [endpoint for endpoint in ready if endpoint.zone != here and not endpoint.ejected]
@@ -141,6 +146,11 @@
         """
         return max(MIN_SUBSET, int(self.demand * SUBSET_INTERVAL * self.context.shortest_ns / SECOND_NS))
 
+    def all_warm_up(self) -> bool:
+        """Tell whether every ready endpoint that is not ejected still warms up."""
+        context, start = self.context, self.oldest_start_ns
+        return bool(start) and context.now_ns - start < context.settings.warm_within_ns
+
     def count_request(self) -> None:
         """Take one request into the demand, and rebuild where that asks for a subset of another size."""
         context = self.context
--- /dev/null
+++ b/tests/test_cold_budget_all_cold.py
@@ -0,0 +1,48 @@
+"""What servers get of sidecars that begin together with all of them: no sidecar has an answer to go by.
+
+The same model as in `test_cold_budget.py`, but no server is warm: the start of each is in the first list.
+"""
+
+import pytest
+from test_cold_budget import Day, Played
+
+SIDECARS = (1, 2, 5, 30, 200)
+SERVERS = 12
+FIRST_S = 1.0  # within this something has to be sent
+EARLY_S = 4.0  # and over this so much of what the servers can do by the settings:
+EARLY_PART = 0.5
+
+
+def played(sidecars: int, used: float = 0.85, seed: int = 1, cold_s: float = 20.0, **more) -> Played:
+    """Play a day on which all servers start with the sidecars."""
+    day = Day(sidecars, SERVERS, cold=SERVERS, used=used, warm_up_s=0.0, cold_s=cold_s, **more)
+    found = Played(day, seed)
+    found.play()
+    return found
+
+
+@pytest.mark.parametrize("used", [0.4, 0.85, 1.0])
+@pytest.mark.parametrize("sidecars", SIDECARS)
+def test_the_sum_stays_within_the_budget(sidecars, used):
+    assert played(sidecars, used).most <= 1.0
+
+
+@pytest.mark.parametrize("sidecars", SIDECARS)
+def test_bursts_with_the_start_stay_within_the_budget(sidecars):
+    assert played(sidecars, burst=0.5).most <= 1.0
+
+
+@pytest.mark.parametrize("sidecars", SIDECARS)
+def test_twice_the_demand_that_warm_servers_could_serve_stays_within_the_budget(sidecars):
+    """For seconds: later the answers count, and real servers don't answer more than they can do."""
+    assert played(sidecars, used=2.0, cold_s=5.0).most <= 1.0
+
+
+@pytest.mark.parametrize("sidecars", SIDECARS)
+def test_requests_are_not_all_shed_until_the_servers_are_warm(sidecars):
+    """Slow start went by the own answers alone, and without a first request there is no first answer."""
+    assert played(sidecars, cold_s=FIRST_S).total > 0
+    early = played(sidecars, cold_s=EARLY_S)
+    day = early.day
+    can_do = 0.14 * day.per_s * SERVERS * EARLY_S  # at the start
+    assert early.total >= EARLY_PART * can_do
