--- a/dykefold/balancer/attempt_results.py
+++ b/dykefold/balancer/attempt_results.py
@@ -117,7 +117,8 @@
         self.limit.on_answer(stats)
         self.congestion.add_latency(endpoint, stats, attempt.sent_ns, took, WANTED_LATENCY)
         self.latency.add_answer(stats, took)
-        self.latency.throughput.count_answer(self.endpoints.ready_count)
+        local = endpoint.zone == self.context.settings.zone
+        self.latency.throughput.count_answer(self.endpoints.ready_count, local=local)
         self.outliers.record_success(endpoint)
         self.latency.add_sample(endpoint, relative)
         if event.report:
--- a/dykefold/balancer/slow_start.py
+++ b/dykefold/balancer/slow_start.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+import math
+
 from .context import SECOND_NS, BalancerContext
 from .endpoints import ClassStats, EndpointState
 from .subsetting import EndpointSet
@@ -9,7 +11,9 @@
 
 RATE_FACTOR = 1.2  # times the fair fraction of the own answers, times the ramp
 TOKENS_PER_ANSWER = 1.5  # requests allowed for each one answered: many warm by work, sooner than stated
-CEILING = 1.0  # but no more than this part of the overload factor, in place of RATE_FACTOR
+BUDGET_PART = 0.9  # but no more than this part of the own share of the budget ...
+MAX_CEILING = 1.6  # ... nor than so many times the overload factor, in place of RATE_FACTOR
+SMALL_ALLOWANCE = 30.0  # requests; the slack for chance is larger below
 DEMAND_PART = 0.4  # of the overload factor, times the fair fraction of the demand, times the ramp
 BURST_PER_ANSWER = 0.1  # requests more that may come at once for each one answered since the start
 MAX_BURST_BY_ANSWERS = 3.0
@@ -17,6 +21,12 @@
 MIN_RAMP = 0.01
 
 
+def slow_start_budget(allowed: float) -> float:
+    """Requests of mean work in an overload interval that push an endpoint over, by what it is allowed."""
+    root = math.sqrt(allowed)
+    return allowed + 3.0 * root + 3.0 if allowed < SMALL_ALLOWANCE else allowed + 2.0 * root + 2.0
+
+
 class SlowStart:
     """Keeps a token bucket in the state of each endpoint that warms up."""
 
@@ -64,9 +74,9 @@
 
         Guards against pushing over an endpoint that starts: with every sidecar doing so, it gets RATE_FACTOR
         times the mean load of the fleet times its ramp, whoever carries how much. Its answers let it have
-        more, up to the overload factor times that: the budget of the fourth rule, as no endpoint's capacity
-        is less than the mean load. Without that bound an answer gave back more than its request had cost, so
-        an endpoint was limited no more from its first answer on.
+        more, up to a ceiling: the budget of the fourth rule, as no endpoint's capacity is less than the mean
+        load. Without that bound an answer gave back more than its request had cost, so an endpoint was
+        limited no more from its first answer on.
         """
         ramp = self.ramp(endpoint)
         if ramp >= 1.0:
@@ -77,7 +87,7 @@
         fade = max(0.0, 1.0 - since / context.settings.overload_for_ns)
         fair = self._fair_rate(endpoint, fade)
         rate = RATE_FACTOR * ramp * fair
-        ceiling = CEILING * context.settings.overload_factor * ramp * fair
+        ceiling = self._ceiling(endpoint, ramp * fair)
         if self.endpoints.all_warm_up():
             rate = max(rate, self._rate_by_demand(endpoint, ramp))
             ceiling = max(ceiling, rate)
@@ -97,9 +107,43 @@
         endpoint.slow_start_ns = now
         return limit, ceiling_limit
 
+    def _ceiling(self, endpoint: EndpointState, capacity: float) -> float:
+        """Requests a second that no answers raise: the own share of the budget of the fourth rule.
+
+        The slack of the budget grows with the root of what is allowed, so that a share of it is the smaller
+        the more all sidecars together are allowed. The sum is largest where all shares are equal.
+
+        Args:
+            endpoint: that is limited.
+            capacity: the own fraction of what it can do by now, in requests a second.
+        """
+        settings = self.context.settings
+        sharing = self._sidecars(local=endpoint.zone == settings.zone)
+        span_s = settings.overload_for_ns / SECOND_NS
+        allowed = settings.overload_factor * capacity
+        budget = slow_start_budget(allowed * span_s * sharing) / sharing
+        return min(MAX_CEILING * allowed, BUDGET_PART * budget / (span_s + BURST_S))
+
     def _fair_rate(self, endpoint: EndpointState, fade: float) -> float:
-        """The endpoint's fair fraction of the own answers a second."""
-        return self.throughput.answers_per_s * fade / self._shared_by(endpoint)
+        """The endpoint's fair fraction of the own answers a second.
+
+        Mostly sidecars use endpoints of their own zone, so those of others leave their part of the mean load
+        unused. One of the own zone is given it as well, as far as the own answers did come from there.
+        """
+        throughput, endpoints = self.throughput, self.endpoints
+        fair = throughput.answers_per_s * fade / self._shared_by(endpoint)
+        if endpoint.zone != self.context.settings.zone or endpoints.sees_little or not endpoint.sampled:
+            return fair
+        local = throughput.local_answers_per_s * fade / max(len(endpoints.near), 1)
+        fleet_per_zone = self._sidecars(local=False) / self._sidecars(local=True)
+        return max(fair, min(local, fleet_per_zone * fair))
+
+    def _sidecars(self, *, local: bool) -> int:
+        """Count the sidecars, or about those of the own zone."""
+        settings = self.context.settings
+        # Of two counts the larger: those whom the fleet view doesn't hear may use the endpoints as well.
+        fleet = max(self.context.sidecar_count(), settings.fleet_size, 1)
+        return math.ceil(fleet / max(len(settings.zones), 1)) if local else fleet
 
     def _rate_by_demand(self, endpoint: EndpointState, ramp: float) -> float:
         """Requests a second that it may be sent while no endpoint is warm.
--- a/dykefold/balancer/throughput.py
+++ b/dykefold/balancer/throughput.py
@@ -12,6 +12,7 @@
 
     Attributes:
         answers_per_s: smoothed over the overload interval of the settings, as of `updated_ns`.
+        local_answers_per_s: of these, the answers of endpoints of the own zone.
         half_life_ns: time in which a latency estimate halves its distance to the mean.
     """
 
@@ -19,15 +20,17 @@
         """Begin without answers."""
         self.context = context
         self.answers_per_s = 0.0
+        self.local_answers_per_s = 0.0
         self.updated_ns = 0
         self.half_life_ns = 1.0
 
-    def count_answer(self, ready_count: int) -> None:
+    def count_answer(self, ready_count: int, *, local: bool) -> None:
         """Take one answer into the rate."""
         now = self.context.now_ns
         tau = self.context.settings.overload_for_ns
         kept = max(0.0, 1.0 - (now - self.updated_ns) / tau)
         self.answers_per_s = self.answers_per_s * kept + SECOND_NS / tau
+        self.local_answers_per_s = self.local_answers_per_s * kept + local * SECOND_NS / tau
         self.updated_ns = now
         self.update_half_life(ready_count)
 
--- a/tests/test_cold_budget_all_cold.py
+++ b/tests/test_cold_budget_all_cold.py
@@ -4,7 +4,7 @@
 """
 
 import pytest
-from test_cold_budget import Day, Played
+from test_cold_budget import START_CAPACITY, WARM_S, Day, Played
 
 SIDECARS = (1, 2, 5, 30, 200)
 SERVERS = 12
@@ -44,5 +44,16 @@
     assert played(sidecars, cold_s=FIRST_S).total > 0
     early = played(sidecars, cold_s=EARLY_S)
     day = early.day
-    can_do = 0.14 * day.per_s * SERVERS * EARLY_S  # at the start
+    can_do = START_CAPACITY * day.per_s * SERVERS * EARLY_S  # at the start
     assert early.total >= EARLY_PART * can_do
+
+
+@pytest.mark.parametrize("sidecars", [1, 2, 5])
+def test_a_quick_cold_server_is_given_what_other_zones_leave(sidecars):
+    """Most requests stay in their zone: the parts of the mean load that others left went unused."""
+    day = Day(sidecars, SERVERS)
+    found = Played(day)
+    assert found.play() <= 1.0
+    middle = START_CAPACITY + (1.0 - START_CAPACITY) * day.cold_s / 2 / WARM_S
+    least = middle * day.per_s / day.used * day.cold_s  # requests that it can do by the settings
+    assert found.total >= 2.0 * least
