--- a/dykefold/balancer/slow_start.py
+++ b/dykefold/balancer/slow_start.py
@@ -15,6 +15,8 @@
 MAX_CEILING = 1.6  # ... nor than so many times the overload factor, in place of RATE_FACTOR
 SMALL_ALLOWANCE = 30.0  # requests; the slack for chance is larger below
 DEMAND_PART = 0.4  # of the overload factor, times the fair fraction of the demand, times the ramp
+CROWD_FACTOR = 1.5  # times both where many sidecars see little: most requests come to others than have tokens
+CROWD_BURST = 2.0  # requests that may come at once there, by the ceiling
 BURST_PER_ANSWER = 0.1  # requests more that may come at once for each one answered since the start
 MAX_BURST_BY_ANSWERS = 3.0
 BURST_S = 0.25  # seconds of that rate may come at once
@@ -82,17 +84,10 @@
         if ramp >= 1.0:
             return None
         context, now = self.context, self.context.now_ns
-        # No answers of late mean no right to send: a rate remembered from better times would not do.
-        since = now - self.throughput.updated_ns
-        fade = max(0.0, 1.0 - since / context.settings.overload_for_ns)
-        fair = self._fair_rate(endpoint, fade)
-        rate = RATE_FACTOR * ramp * fair
-        ceiling = self._ceiling(endpoint, ramp * fair)
-        if self.endpoints.all_warm_up():
-            rate = max(rate, self._rate_by_demand(endpoint, ramp))
-            ceiling = max(ceiling, rate)
+        rate, ceiling = self._rates(endpoint, ramp)
+        ceiling_burst = CROWD_BURST if self._in_crowd() else 1.0
         limit = max(1.0, rate * BURST_S) + min(endpoint.samples * BURST_PER_ANSWER, MAX_BURST_BY_ANSWERS)
-        ceiling_limit = max(1.0, ceiling * BURST_S)
+        ceiling_limit = max(ceiling_burst, ceiling * BURST_S)
         if not endpoint.slow_start_ns:
             # Part of a first token each: from none at all, hundreds of sidecars with little traffic would
             # leave a restarted endpoint idle until all of them had saved up for it.
@@ -107,6 +102,20 @@
         endpoint.slow_start_ns = now
         return limit, ceiling_limit
 
+    def _rates(self, endpoint: EndpointState, ramp: float) -> tuple[float, float]:
+        """Give the requests a second that it may be sent, and those up to which answers let it have more."""
+        # No answers of late mean no right to send: a rate remembered from better times would not do.
+        since = self.context.now_ns - self.throughput.updated_ns
+        fade = max(0.0, 1.0 - since / self.context.settings.overload_for_ns)
+        fair = self._fair_rate(endpoint, fade)
+        rate, ceiling = RATE_FACTOR * ramp * fair, self._ceiling(endpoint, ramp * fair)
+        if self._in_crowd():
+            rate, ceiling = rate * CROWD_FACTOR, ceiling * CROWD_FACTOR
+        if self.endpoints.all_warm_up():
+            rate = max(rate, self._rate_by_demand(endpoint, ramp))
+            ceiling = max(ceiling, rate)
+        return rate, ceiling
+
     def _ceiling(self, endpoint: EndpointState, capacity: float) -> float:
         """Requests a second that no answers raise: the own share of the budget of the fourth rule.
 
@@ -132,12 +141,16 @@
         """
         throughput, endpoints = self.throughput, self.endpoints
         fair = throughput.answers_per_s * fade / self._shared_by(endpoint)
-        if endpoint.zone != self.context.settings.zone or endpoints.sees_little or not endpoint.sampled:
+        if endpoint.zone != self.context.settings.zone or self._in_crowd() or not endpoint.sampled:
             return fair
         local = throughput.local_answers_per_s * fade / max(len(endpoints.near), 1)
         fleet_per_zone = self._sidecars(local=False) / self._sidecars(local=True)
         return max(fair, min(local, fleet_per_zone * fair))
 
+    def _in_crowd(self) -> bool:
+        """Tell whether this is one of many sidecars that see little of the endpoints that are listed."""
+        return self.endpoints.sees_little and self.endpoints.ready_count > 0
+
     def _sidecars(self, *, local: bool) -> int:
         """Count the sidecars, or about those of the own zone."""
         settings = self.context.settings
