--- a/dykefold/balancer/slow_start.py
+++ b/dykefold/balancer/slow_start.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+import math
+
 from .context import SECOND_NS, BalancerContext
 from .endpoints import ClassStats, EndpointState
 from .subsetting import EndpointSet
@@ -9,13 +11,24 @@
 
 RATE_FACTOR = 1.2  # times the fair fraction of the own answers, times the ramp
 TOKENS_PER_ANSWER = 1.5  # requests allowed for each one answered: many warm by work, sooner than stated
-CEILING = 1.0  # but no more than this part of the overload factor, in place of RATE_FACTOR
+BUDGET_PART = 0.9  # but no more than this part of the own share of the budget ...
+MAX_CEILING = 1.6  # ... nor than so many times the overload factor, in place of RATE_FACTOR
+SMALL_ALLOWANCE = 30.0  # requests; the slack for chance is larger below
+DEMAND_PART = 0.4  # of the overload factor, times the fair fraction of the demand, times the ramp
+CROWD_FACTOR = 1.5  # times both where many sidecars see little: most requests come to others than have tokens
+CROWD_BURST = 2.0  # requests that may come at once there, by the ceiling
 BURST_PER_ANSWER = 0.1  # requests more that may come at once for each one answered since the start
 MAX_BURST_BY_ANSWERS = 3.0
 BURST_S = 0.25  # seconds of that rate may come at once
 MIN_RAMP = 0.01
 
 
+def slow_start_budget(allowed: float) -> float:
+    """Requests of mean work in an overload interval that push an endpoint over, by what it is allowed."""
+    root = math.sqrt(allowed)
+    return allowed + 3.0 * root + 3.0 if allowed < SMALL_ALLOWANCE else allowed + 2.0 * root + 2.0
+
+
 class SlowStart:
     """Keeps a token bucket in the state of each endpoint that warms up."""
 
@@ -63,22 +76,18 @@
 
         Guards against pushing over an endpoint that starts: with every sidecar doing so, it gets RATE_FACTOR
         times the mean load of the fleet times its ramp, whoever carries how much. Its answers let it have
-        more, up to the overload factor times that: the budget of the fourth rule, as no endpoint's capacity
-        is less than the mean load. Without that bound an answer gave back more than its request had cost, so
-        an endpoint was limited no more from its first answer on.
+        more, up to a ceiling: the budget of the fourth rule, as no endpoint's capacity is less than the mean
+        load. Without that bound an answer gave back more than its request had cost, so an endpoint was
+        limited no more from its first answer on.
         """
         ramp = self.ramp(endpoint)
         if ramp >= 1.0:
             return None
         context, now = self.context, self.context.now_ns
-        # No answers of late mean no right to send: a rate remembered from better times would not do.
-        since = now - self.throughput.updated_ns
-        fade = max(0.0, 1.0 - since / context.settings.overload_for_ns)
-        fair = self._fair_rate(endpoint, fade)
-        rate = RATE_FACTOR * ramp * fair
+        rate, ceiling = self._rates(endpoint, ramp)
+        ceiling_burst = CROWD_BURST if self._in_crowd() else 1.0
         limit = max(1.0, rate * BURST_S) + min(endpoint.samples * BURST_PER_ANSWER, MAX_BURST_BY_ANSWERS)
-        ceiling = CEILING * context.settings.overload_factor * ramp * fair
-        ceiling_limit = max(1.0, ceiling * BURST_S)
+        ceiling_limit = max(ceiling_burst, ceiling * BURST_S)
         if not endpoint.slow_start_ns:
             # Part of a first token each: from none at all, hundreds of sidecars with little traffic would
             # leave a restarted endpoint idle until all of them had saved up for it.
@@ -93,12 +102,79 @@
         endpoint.slow_start_ns = now
         return limit, ceiling_limit
 
+    def _rates(self, endpoint: EndpointState, ramp: float) -> tuple[float, float]:
+        """Give the requests a second that it may be sent, and those up to which answers let it have more."""
+        # No answers of late mean no right to send: a rate remembered from better times would not do.
+        since = self.context.now_ns - self.throughput.updated_ns
+        fade = max(0.0, 1.0 - since / self.context.settings.overload_for_ns)
+        fair = self._fair_rate(endpoint, fade)
+        rate, ceiling = RATE_FACTOR * ramp * fair, self._ceiling(endpoint, ramp * fair)
+        if self._in_crowd():
+            rate, ceiling = rate * CROWD_FACTOR, ceiling * CROWD_FACTOR
+        if self.endpoints.all_warm_up():
+            rate = max(rate, self._rate_by_demand(endpoint, ramp))
+            ceiling = max(ceiling, rate)
+        return rate, ceiling
+
+    def _ceiling(self, endpoint: EndpointState, capacity: float) -> float:
+        """Requests a second that no answers raise: the own share of the budget of the fourth rule.
+
+        The slack of the budget grows with the root of what is allowed, so that a share of it is the smaller
+        the more all sidecars together are allowed. The sum is largest where all shares are equal.
+
+        Args:
+            endpoint: that is limited.
+            capacity: the own fraction of what it can do by now, in requests a second.
+        """
+        settings = self.context.settings
+        sharing = self._sidecars(local=endpoint.zone == settings.zone)
+        span_s = settings.overload_for_ns / SECOND_NS
+        allowed = settings.overload_factor * capacity
+        budget = slow_start_budget(allowed * span_s * sharing) / sharing
+        return min(MAX_CEILING * allowed, BUDGET_PART * budget / (span_s + BURST_S))
+
     def _fair_rate(self, endpoint: EndpointState, fade: float) -> float:
-        """The endpoint's fair fraction of the own answers a second."""
+        """The endpoint's fair fraction of the own answers a second.
+
+        Mostly sidecars use endpoints of their own zone, so those of others leave their part of the mean load
+        unused. One of the own zone is given it as well, as far as the own answers did come from there.
+        """
+        throughput, endpoints = self.throughput, self.endpoints
+        fair = throughput.answers_per_s * fade / self._shared_by(endpoint)
+        if endpoint.zone != self.context.settings.zone or self._in_crowd() or not endpoint.sampled:
+            return fair
+        local = throughput.local_answers_per_s * fade / max(len(endpoints.near), 1)
+        fleet_per_zone = self._sidecars(local=False) / self._sidecars(local=True)
+        return max(fair, min(local, fleet_per_zone * fair))
+
+    def _in_crowd(self) -> bool:
+        """Tell whether this is one of many sidecars that see little of the endpoints that are listed."""
+        return self.endpoints.sees_little and self.endpoints.ready_count > 0
+
+    def _sidecars(self, *, local: bool) -> int:
+        """Count the sidecars, or about those of the own zone."""
+        settings = self.context.settings
+        # Of two counts the larger: those whom the fleet view doesn't hear may use the endpoints as well.
+        fleet = max(self.context.sidecar_count(), settings.fleet_size, 1)
+        return math.ceil(fleet / max(len(settings.zones), 1)) if local else fleet
+
+    def _rate_by_demand(self, endpoint: EndpointState, ramp: float) -> float:
+        """Requests a second that it may be sent while no endpoint is warm.
+
+        Answers tell nothing of capacity then: a fleet that has just begun has none, and as each endpoint is
+        sent a part of them only, fewer would follow from few. The sum over all sidecars stays within what the
+        overload factor allows as long as the demand is no more than 1 / DEMAND_PART times what the endpoints
+        can do when warm.
+        """
+        fair = self.endpoints.demand / self._shared_by(endpoint)
+        return DEMAND_PART * self.context.settings.overload_factor * ramp * fair
+
+    def _shared_by(self, endpoint: EndpointState) -> int:
+        """Count the endpoints that share the own requests with this one."""
         endpoints = self.endpoints
         # Those who do not sample it leave their part to those who do.
         among = endpoints.ready_count - len(endpoints.rest) if endpoint.sampled else endpoints.ready_count
-        return self.throughput.answers_per_s * fade / max(among, 1)
+        return max(among, 1)
 
     def cost(self, stats: ClassStats) -> float:
         """The work of a class against the mean of the classes, by its typical latency."""
