--- a/dykefold/control/hot_restart.py
+++ b/dykefold/control/hot_restart.py
@@ -15,6 +15,7 @@
 from .listener_steering import ListenerSteering
 from .maintenance_records import MaintenanceRecords
 from .process_records import (
+    ClockReading,
     Record,
     RecordKind,
     heartbeat_record,
@@ -55,19 +56,24 @@
         self.engine = engine
         self.directory = directory
         self.now_ns = system.monotonic_ns
+        self.boot_id = directory.boot_id()
         born_ns = self.now_ns()
         self.machine = HotRestartMachine(f"{born_ns:020d}-{os.getpid()}", born_ns)
         name = self.machine.name
         self.heartbeat_name = RecordKind.HEARTBEAT.of_process(name)
         self.steering = ListenerSteering(engine)
         self.lists = EndpointListSharing(engine, directory, name)
-        self.snapshots = SnapshotTransfer(engine, directory, name, born_ns, self.now_ns)
-        self.maintenance = MaintenanceRecords(engine, directory, name)
+        self.snapshots = SnapshotTransfer(engine, directory, name, born_ns, self.read_clock)
+        self.maintenance = MaintenanceRecords(engine, directory, name, self.read_clock)
         self.process_count = 1
         self.others: dict[str, ProcessHeartbeat] = {}  # of the processes that live, by name
         self.records_stand = True  # what this process has written was there at the last look
         self.timer: asyncio.TimerHandle | None = None
 
+    def read_clock(self) -> ClockReading:
+        """Read the clock of this process, on which its records have their times."""
+        return ClockReading(self.boot_id, self.now_ns(), self.engine.clock.offset)
+
     # The start
 
     async def wait_for_capacity(self) -> None:
@@ -170,7 +176,8 @@
         heartbeat = self.machine.heartbeat(self.now_ns(), self.steering.listener_index)
         record = heartbeat_record(heartbeat, self.maintenance.orders())
         versions = self.lists.write(needed=bool(self.others))
-        written = self.directory.write(self.heartbeat_name, {**record, "lists": versions})
+        clock = self.read_clock().to_record()
+        written = self.directory.write(self.heartbeat_name, {**record, "lists": versions, "clock": clock})
         self.machine.wrote_heartbeat(self.now_ns(), written)
         return self.maintenance.write() and written
 
--- a/dykefold/control/maintenance.py
+++ b/dykefold/control/maintenance.py
@@ -39,7 +39,8 @@
     """The latest order on one endpoint.
 
     Attributes:
-        ordered_ns: when it was given, Unix time.
+        ordered_ns: when it was given, on the clock of this process (`net.clock.Clock`): what another process
+            stored is moved to it before it is merged.
         out: taken out, or else put back.
     """
 
@@ -117,7 +118,7 @@
         Args:
             name: of the endpoint.
             out: take it out, or else put it back.
-            ordered_ns: now, Unix time.
+            ordered_ns: now, on the clock of this process.
 
         Returns:
             The entries that the balancer is to be notified of.
@@ -125,12 +126,13 @@
         before = self.orders.get(name)
         if out is (before is not None and before.out):
             return []  # so it is already
-        # On one clock a later order never has an earlier time; clocks of two processes may differ a little.
+        # On one clock a later order never has an earlier time. An order of another version of the program or
+        # of an earlier boot may have any.
         earliest_ns = before.ordered_ns + 1 if before is not None else 0
         return self._set(name, MaintenanceOrder(max(ordered_ns, earliest_ns), out))
 
     def merge(self, orders: Mapping[str, MaintenanceOrder]) -> list[E]:
-        """Take the orders of another process, by endpoint name.
+        """Take the orders of another process, by endpoint name, their times on the clock of this one.
 
         Returns:
             The entries that the balancer is to be notified of.
--- a/dykefold/control/maintenance_records.py
+++ b/dykefold/control/maintenance_records.py
@@ -2,21 +2,42 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Mapping
+from collections.abc import Callable, Iterable, Mapping
 
 from ..net.sidecar import SidecarServer
 from .maintenance import MaintenanceOrder
-from .process_records import Record, RecordKind, maintenance_record, parse_maintenance_orders
+from .process_records import (
+    ClockReading,
+    Record,
+    RecordKind,
+    maintenance_record,
+    orders_on_clock,
+    parse_maintenance_orders,
+)
 from .state_directory import StateDirectory
 
 
 class MaintenanceRecords:
     """The record of this process, and what those of others say."""
 
-    def __init__(self, engine: SidecarServer, directory: StateDirectory, name: str) -> None:
-        """Prepare; `name` is that of this process."""
+    def __init__(
+        self,
+        engine: SidecarServer,
+        directory: StateDirectory,
+        name: str,
+        read_clock: Callable[[], ClockReading],
+    ) -> None:
+        """Prepare.
+
+        Args:
+            engine: whose maintenance orders are kept.
+            directory: that the processes share.
+            name: of this process.
+            read_clock: reads the clock of this process, on which its orders have their times.
+        """
         self.engine = engine
         self.directory = directory
+        self.read_clock = read_clock
         self.record_name = RecordKind.MAINTENANCE.of_process(name)
         self.recorded: dict[str, MaintenanceOrder] = {}  # the orders that stand in a record that lasts
 
@@ -30,11 +51,13 @@
     def write(self) -> bool:
         """Write all orders to a record that lasts, if it lacks any; False if it may still lack some."""
         orders = self.orders()
-        if orders != self.recorded and self.directory.write(
-            self.record_name, maintenance_record(orders), durable=True
-        ):
-            self.recorded = orders
-        return orders == self.recorded
+        if orders == self.recorded:
+            return True
+        record = {**maintenance_record(orders), "clock": self.read_clock().to_record()}
+        if not self.directory.write(self.record_name, record, durable=True):
+            return False
+        self.recorded = orders
+        return True
 
     def check(self, records: Mapping[str, Record]) -> bool:
         """Notice that the record was removed or damaged, so that it is written again.
@@ -51,17 +74,18 @@
 
     def merge(self, record: Record) -> None:
         """Take the orders that another process wrote."""
-        orders = parse_maintenance_orders(record)
+        orders = orders_on_clock(record, self.read_clock())
         for pool in self.engine.pools:
             pool.merge_maintenance(orders)
 
     def stand_with_others(self, processes: Iterable[str]) -> bool:
         """Whether all orders that this process knows stand in records of these other processes."""
         records = self.directory.read_all(RecordKind.MAINTENANCE.prefix)
+        clock = self.read_clock()
         latest: dict[str, MaintenanceOrder] = {}
         for process in processes:
             record = records.get(RecordKind.MAINTENANCE.of_process(process), {})
-            for name, order in parse_maintenance_orders(record).items():
+            for name, order in orders_on_clock(record, clock).items():
                 if name not in latest or latest[name].ordered_ns < order.ordered_ns:
                     latest[name] = order
         return all(
--- a/dykefold/control/process_records.py
+++ b/dykefold/control/process_records.py
@@ -2,8 +2,8 @@
 
 Kinds, as the prefix of a record's name; the name of the process that wrote it follows:
 
-    sign-          `ProcessHeartbeat`, with maintenance orders and versions of endpoint lists beside it
-    maintenance-   maintenance orders, synced to the disk
+    sign-          `ProcessHeartbeat`; beside it maintenance orders, their clock, versions of endpoint lists
+    maintenance-   maintenance orders, synced to the disk, and the clock that their times are on
     list-          endpoint lists by pool
     state-         balancer snapshots by pool, and the clock (`ClockReading`) that their times are on
 
@@ -15,7 +15,7 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 from enum import Enum
 from typing import Any
 
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClockReading:
-    """The clock that times in a snapshot are on, by the monotonic clock that all processes here share.
+    """The clock that stored times are on, by the monotonic clock that all processes here share.
 
     Attributes:
         boot_id: tells this boot of the machine from any other; empty if nothing does.
@@ -136,6 +136,24 @@
     return orders
 
 
+def orders_on_clock(record: Record, own: ClockReading) -> dict[str, MaintenanceOrder]:
+    """Return the orders that a record of another process holds, their times on the clock of this one.
+
+    Those of another boot of the machine were given before this boot, whatever the wall clock said then.
+
+    Args:
+        record: with the clock of its writer; where there is none (an older version), no time is moved.
+        own: the clock of this process, now.
+    """
+    shift_ns = shift_between_clocks(record, own)
+    orders = {}
+    for name, order in parse_maintenance_orders(record).items():
+        before_boot_ns = min(order.ordered_ns, own.offset_ns)
+        ordered_ns = before_boot_ns if shift_ns is None else order.ordered_ns + shift_ns
+        orders[name] = replace(order, ordered_ns=min(max(ordered_ns, 0), MAX_TIME_NS - 1))
+    return orders
+
+
 def shift_between_clocks(record: object, own: ClockReading) -> int | None:
     """Return what moves times of another process to the clock of this one, in nanoseconds.
 
--- a/dykefold/control/snapshot_transfer.py
+++ b/dykefold/control/snapshot_transfer.py
@@ -23,7 +23,7 @@
         directory: StateDirectory,
         name: str,
         born_ns: int,
-        now_ns: Callable[[], int],
+        read_clock: Callable[[], ClockReading],
     ) -> None:
         """Prepare.
 
@@ -32,19 +32,19 @@
             directory: that the processes share.
             name: of this process.
             born_ns: when this process started, monotonic.
-            now_ns: the monotonic clock.
+            read_clock: reads the clock of this process, which times in its snapshot are on.
         """
         self.engine = engine
         self.directory = directory
         self.name = name
         self.born_ns = born_ns
-        self.now_ns = now_ns
+        self.read_clock = read_clock
         self.retry_needed = False  # a newer process waits for the snapshot, which could not be written
 
     def write(self, others: Iterable[ProcessHeartbeat]) -> None:
         """Write what this process believes; if that fails and a newer one waits, it is to be retried."""
         pools = {pool.label: snapshot(pool.balancer, pool.names) for pool in self.engine.pools}
-        record = {"pools": pools, "clock": self._clock().to_record()}
+        record = {"pools": pools, "clock": self.read_clock().to_record()}
         written = self.directory.write(RecordKind.SNAPSHOT.of_process(self.name), record)
         awaited = any(
             other.state is HotRestartState.STARTING and other.born_ns > self.born_ns for other in others
@@ -56,7 +56,7 @@
         older = self._latest_older(others)
         return (
             older is None
-            or self.now_ns() - self.born_ns >= ROOM_WAIT_NS
+            or self.read_clock().monotonic_ns - self.born_ns >= ROOM_WAIT_NS
             or self.directory.read(RecordKind.SNAPSHOT.of_process(older.name)) is not None
         )
 
@@ -67,7 +67,7 @@
             return
         record = self.directory.read(RecordKind.SNAPSHOT.of_process(older.name))
         known = nested_table(record, "pools")
-        shift_ns = shift_between_clocks(record, self._clock())
+        shift_ns = shift_between_clocks(record, self.read_clock())
         for pool in self.engine.pools:
             if pool.label not in known:
                 continue
@@ -77,6 +77,3 @@
     def _latest_older(self, others: Iterable[ProcessHeartbeat]) -> ProcessHeartbeat | None:
         older = [other for other in others if other.born_ns < self.born_ns]
         return max(older, key=lambda other: other.born_ns, default=None)
-
-    def _clock(self) -> ClockReading:
-        return ClockReading(self.directory.boot_id(), self.now_ns(), self.engine.clock.offset)
--- a/tests/control/test_hot_restart_records.py
+++ b/tests/control/test_hot_restart_records.py
@@ -1,11 +1,14 @@
 """Records that processes leave each other: written until they stand, kept until another has them."""
 
 import json
+from dataclasses import replace
 
 import pytest
+from helpers import MS
 from hot_restart_rig import Flaky, Machine, Member, known
 
 from dykefold.control.balancer_snapshot import restore
+from dykefold.control.file_system import FileSystem
 from dykefold.control.hot_restart_state import LOOK_NS, ROOM_WAIT_NS
 from dykefold.control.process_records import parse_heartbeat, parse_maintenance_orders
 
@@ -137,6 +140,63 @@
     assert server.last_ok == 0 and balancer.congestion.cut_ns == 0  # never is never on every scale
 
 
+@pytest.mark.parametrize("step_ns", [HOUR_NS, -HOUR_NS])
+def test_the_later_of_two_orders_holds_though_the_wall_clock_was_stepped_between(tmp_path, machine, step_ns):
+    old = running(tmp_path, machine)
+    machine.wall_ns += step_ns
+    new = Member(tmp_path, machine)
+    new.start(old)
+    first, second = (old, new) if step_ns < 0 else (new, old)
+    assert first.call("maint").code == first.call("ready").code == 200
+    machine.passes(MS)
+    assert second.call("maint").code == 200  # before it has looked
+    for member in (second, first, second):
+        member.tick()
+    assert first.out == second.out == ["s0"]
+    first.ends(killed=True)
+    second.ends(killed=True)
+    last = Member(tmp_path, machine)
+    last.start()
+    assert last.out == ["s0"]
+
+
+class OfBoot(FileSystem):
+    """Files of a machine in one of its boots."""
+
+    def __init__(self, boot):
+        self.boot = boot
+
+    def boot_id(self):
+        return self.boot
+
+
+@pytest.mark.parametrize("boot", ["a", "b"])
+@pytest.mark.parametrize("step_ns", [HOUR_NS, -HOUR_NS])
+def test_a_start_is_told_from_one_before_the_order_on_the_clock_of_the_process_that_asks(
+    tmp_path, machine, step_ns, boot
+):
+    """An order of another process, given before a step of the wall clock; in the same boot, or before it."""
+    old = running(tmp_path, machine, files=OfBoot("a"))
+    assert old.call("maint").code == old.call("ready").code == 200
+    before_ns = old.engine.clock.now() - MS + step_ns
+    old.ends(killed=True)
+    machine.wall_ns += step_ns
+    if boot == "b":
+        machine.mono_ns = 20 * 10**9
+        machine.wall_ns += 60 * 10**9
+    new = Member(tmp_path, machine, files=OfBoot(boot))
+    new.start()
+    pool = new.engine.pool
+    again_ns = pool.now() + MS
+    # By how much the wall clock of an earlier boot was behind, nothing tells.
+    starts = [(again_ns, True)] if boot == "b" and step_ns > 0 else [(before_ns, False), (again_ns, True)]
+    for started_ns, anew in starts:
+        entry = pool.maintenance.listed["s0"]
+        entry = replace(entry, endpoint=replace(entry.endpoint, started_ns=started_ns))
+        (told,) = pool.maintenance.apply_update([entry], False)
+        assert (told.endpoint.started_ns == started_ns) is anew
+
+
 STRANGE = [
     ("most", float("inf")),
     ("beat_ns", float("nan")),
