--- a/dykefold/control/admin_operations.py
+++ b/dykefold/control/admin_operations.py
@@ -32,13 +32,18 @@
         Args:
             engine: the sidecar.
             order_store: None where nothing is kept.
-            directory_unusable: a state directory is configured and can't be used: nothing stands there, and
-                nothing will.
+            directory_unusable: a state directory is configured and can't be used yet: nothing is kept there
+                until `keep_orders_in`.
         """
         self.engine = engine
         self.order_store = order_store
         self.directory_unusable = directory_unusable
 
+    def keep_orders_in(self, order_store: OrderStore) -> None:
+        """Keep orders from now on: the state directory can be used."""
+        self.order_store = order_store
+        self.directory_unusable = False
+
     def carry_out(self, request: AdminRequest) -> AdminResponse:
         """Do what a request asks for; the response says whether it was done."""
         if request.action is Action.HEALTH:
--- a/dykefold/control/hot_restart.py
+++ b/dykefold/control/hot_restart.py
@@ -9,9 +9,9 @@
 from collections.abc import Mapping
 
 from ..net.sidecar import SidecarServer
-from ..system import SYSTEM, System
+from ..system import System
 from .endpoint_list_sharing import EndpointListSharing
-from .hot_restart_state import LOOK_NS, HotRestartMachine, ProcessHeartbeat, RestartView
+from .hot_restart_state import LOOK_NS, ROOM_WAIT_NS, HotRestartMachine, ProcessHeartbeat, RestartView
 from .listener_steering import ListenerSteering
 from .maintenance_records import MaintenanceRecords
 from .process_records import (
@@ -42,7 +42,8 @@
         loop: asyncio.AbstractEventLoop,
         engine: SidecarServer,
         directory: StateDirectory,
-        system: System = SYSTEM,
+        system: System | None = None,
+        born_ns: int | None = None,
     ) -> None:
         """Prepare; nothing is written yet.
 
@@ -50,14 +51,15 @@
             loop: that runs the looks.
             engine: what serves clients in this process.
             directory: that the processes share.
-            system: clocks.
+            system: clocks; None: those of the engine.
+            born_ns: when this process started, monotonic; None: now.
         """
         self.loop = loop
         self.engine = engine
         self.directory = directory
-        self.now_ns = system.monotonic_ns
+        self.now_ns = (system or engine.clock).monotonic_ns
         self.boot_id = directory.boot_id()
-        born_ns = self.now_ns()
+        born_ns = self.now_ns() if born_ns is None else born_ns
         self.machine = HotRestartMachine(f"{born_ns:020d}-{os.getpid()}", born_ns)
         name = self.machine.name
         self.heartbeat_name = RecordKind.HEARTBEAT.of_process(name)
@@ -68,6 +70,7 @@
         self.process_count = 1
         self.others: dict[str, ProcessHeartbeat] = {}  # of the processes that live, by name
         self.records_stand = True  # what this process has written was there at the last look
+        self.joining_since_ns: int | None = None  # it serves, and has not taken its part of the limits yet
         self.timer: asyncio.TimerHandle | None = None
 
     def read_clock(self) -> ClockReading:
@@ -97,6 +100,38 @@
         self.write_records()
         self._tick()
 
+    # The start where the state directory could not be used for a while
+
+    def join(self) -> None:
+        """Take part from now on, as a process that has served clients for some time.
+
+        Until the others have made way for it, it keeps the limits that it had without them. Which index its
+        listener has in the reuseport group can't be known, so the kernel selects by hash.
+        """
+        self.machine.hold(self.engine.needed_descriptors())
+        self.joining_since_ns = self.now_ns()
+        self._try_to_join()
+
+    def _try_to_join(self) -> None:
+        self.write_records()
+        self._look()
+        if self._may_join():
+            self._finish_joining()
+            self._tick()
+        else:
+            self.timer = self.loop.call_later(LOOK_S, self._try_to_join)
+
+    def _may_join(self) -> bool:
+        since_ns = self.joining_since_ns
+        waited = since_ns is not None and self.now_ns() - since_ns >= ROOM_WAIT_NS
+        return waited or self.machine.max_descriptors >= max(self.machine.claimed_descriptors, 1)
+
+    def _finish_joining(self) -> None:
+        self.joining_since_ns = None
+        self.machine.on_serving()
+        self._look()
+        self.write_records()
+
     # While it runs
 
     def _tick(self) -> None:
@@ -147,6 +182,8 @@
 
     def _apply(self, view: RestartView) -> None:
         """Follow what a look has shown: limits, new connections, and the snapshot for a newer process."""
+        if self.joining_since_ns is not None:
+            return
         if view.process_count != self.process_count:
             log.info("sidecar has %d processes", view.process_count)
             self.process_count = view.process_count
@@ -185,6 +222,8 @@
 
     def begin_shutdown(self) -> None:
         """Begin the graceful shutdown."""
+        if self.joining_since_ns is not None:
+            self._finish_joining()
         self._look()
         self.machine.on_end()
         self.write_records()
--- a/dykefold/control/hot_restart_state.py
+++ b/dykefold/control/hot_restart_state.py
@@ -250,6 +250,10 @@
         if not written:
             self.write_failed_ns = now_ns
 
+    def hold(self, max_descriptors: int) -> None:
+        """Begin with descriptors in use: this process has served before it could show itself."""
+        self.max_descriptors = self.claimed_descriptors = max_descriptors
+
     def on_serving(self) -> None:
         """Take clients from now on."""
         self._go(HotRestartEvent.MAY_SERVE)
--- a/dykefold/control/process_lifecycle.py
+++ b/dykefold/control/process_lifecycle.py
@@ -10,6 +10,8 @@
 from ..net.sidecar import SidecarServer
 from .admin_operations import AdminOperations
 from .admin_server import RESERVED_DESCRIPTORS, AdminServer
+from .directory_retry import DirectoryRetry
+from .file_system import FILE_SYSTEM, FileSystem
 from .hot_restart import HotRestart
 from .state_directory import FileStateDirectory
 
@@ -27,6 +29,7 @@
         engine: SidecarServer,
         address: Address | None,
         folder: str | None,
+        file_system: FileSystem = FILE_SYSTEM,
     ) -> None:
         """Prepare.
 
@@ -35,19 +38,21 @@
             engine: what serves clients.
             address: of the admin API; None for none, and no hot restarts either.
             folder: that the processes of this sidecar share; None for no hot restarts.
+            file_system: the file calls.
         """
         self.loop = loop
         self.engine = engine
         self.address = address
         self.admin_server: AdminServer | None = None
         self.hot_restart: HotRestart | None = None
-        self.directory_unusable = False  # a folder is configured, and can't be used
+        self.admin_operations: AdminOperations | None = None
+        self.born_ns = engine.clock.monotonic_ns()
+        self.directory_retry: DirectoryRetry | None = None  # where a folder is configured
         if address is not None and folder:
-            try:
-                self.hot_restart = HotRestart(loop, engine, FileStateDirectory(folder))
-            except OSError as error:
-                log.warning("process disables hot restarts: folder %s, %s", folder, error.strerror)
-                self.directory_unusable = True
+            self.directory_retry = DirectoryRetry(loop, folder, file_system)
+            directory = self.directory_retry.open()
+            if directory is not None:
+                self.hot_restart = HotRestart(loop, engine, directory, born_ns=self.born_ns)
 
     @property
     def shared(self) -> bool:
@@ -67,7 +72,8 @@
         if self.address is None:
             return True
         sock = socket.create_server(self.address, backlog=RESERVED_DESCRIPTORS)
-        self.admin_server = AdminServer(self.loop, sock, self.operations())
+        self.admin_operations = self.operations()
+        self.admin_server = AdminServer(self.loop, sock, self.admin_operations)
         # The fleet laboratory and tests read the address from this line.
         log.info("the door is at %s:%d", *self.admin_server.address)
         if self.hot_restart is not None:
@@ -76,7 +82,8 @@
 
     def operations(self) -> AdminOperations:
         """Return what carries the requests of the admin API out."""
-        return AdminOperations(self.engine, self.hot_restart, directory_unusable=self.directory_unusable)
+        unusable = self.directory_retry is not None and not self.directory_retry.usable
+        return AdminOperations(self.engine, self.hot_restart, directory_unusable=unusable)
 
     def listen(self, address: Address) -> Address:
         """Take clients at an address.
@@ -91,16 +98,29 @@
         listener = self.engine.listen(sock)
         if self.hot_restart is not None:
             self.hot_restart.take_clients(sock)
+        elif self.directory_retry is not None:
+            self.directory_retry.start(self._join)
         return listener.address
 
+    def _join(self, directory: FileStateDirectory) -> None:
+        """Take part in hot restarts from now on: the state directory can be used at last."""
+        self.hot_restart = HotRestart(self.loop, self.engine, directory, born_ns=self.born_ns)
+        self.hot_restart.join()
+        if self.admin_operations is not None:
+            self.admin_operations.keep_orders_in(self.hot_restart)
+
     def drain(self) -> None:
         """Begin the graceful shutdown."""
+        if self.directory_retry is not None:
+            self.directory_retry.close()
         if self.hot_restart is not None:
             self.hot_restart.begin_shutdown()
         self.engine.drain()
 
     def close(self) -> None:
         """End with the process."""
+        if self.directory_retry is not None:
+            self.directory_retry.close()
         if self.hot_restart is not None:
             self.hot_restart.close()
         if self.admin_server is not None:
