--- a/dykefold/__main__.py
+++ b/dykefold/__main__.py
@@ -109,7 +109,7 @@
     fleet = listener = None
     try:
         if not await presence.begin():
-            _end_unbegun(engine, presence)
+            await _end_unbegun(engine, presence)
             return
         if config.peer_listen is not None:
             peers = PeerChannel(config.settings.index, config.peers, config.peers_all, engine.pool.on_peer)
@@ -201,8 +201,9 @@
     return sock
 
 
-def _end_unbegun(engine: SidecarServer, presence: ProcessLifecycle) -> None:
+async def _end_unbegun(engine: SidecarServer, presence: ProcessLifecycle) -> None:
     log.info("sidecar stopped before it accepted clients")
+    await presence.finish_writing()
     presence.close()
     engine.close()
 
@@ -223,6 +224,7 @@
     await engine.stopped
     if fleet is not None:
         fleet.close()
+    await presence.finish_writing()
     presence.close()
     engine.close()
 
@@ -250,7 +252,7 @@
     loop.add_signal_handler(signal.SIGHUP, reload_services, services, path)
     try:
         if not await presence.begin():
-            _end_unbegun(engine, presence)
+            await _end_unbegun(engine, presence)
             return
         address = presence.listen(plan.listen)
     except OSError as error:
--- a/dykefold/control/admin_requests.py
+++ b/dykefold/control/admin_requests.py
@@ -60,6 +60,7 @@
 
 
 OK = AdminResponse(HTTPStatus.OK, "ok")
+FAILED = AdminResponse(HTTPStatus.INTERNAL_SERVER_ERROR, "failed; see the log")
 NO_SUCH_CALL = AdminResponse(HTTPStatus.NOT_FOUND, "no such call")
 
 
--- a/dykefold/control/admin_server.py
+++ b/dykefold/control/admin_server.py
@@ -19,7 +19,7 @@
 import httptools
 
 from ..system import SYSTEM, System
-from .admin_requests import MAX_TARGET_BYTES, AdminRequest, AdminResponse, parse_admin_request
+from .admin_requests import FAILED, MAX_TARGET_BYTES, AdminRequest, AdminResponse, parse_admin_request
 
 log = logging.getLogger("dykefold.control")
 
@@ -29,14 +29,18 @@
 MAX_HEAD_BYTES = 8 * 1024  # bytes of a request line and headers
 MAX_BODY_BYTES = 4 * 1024  # of a body, which no request needs
 MAX_REQUEST_S = 5.0  # from connecting to a request's last byte
+MAX_ORDER_S = 4.0  # for an order to be written down: callers may wait 5 s
 LINGER_S = 1.0  # in which a caller may read its response and close
 
 
+NOT_YET = AdminResponse(HTTPStatus.INTERNAL_SERVER_ERROR, "not written down yet: call again")
+
+
 class AdminHandler(Protocol):
     """What carries requests out."""
 
-    def carry_out(self, request: AdminRequest, /) -> AdminResponse:
-        """Do what a request asks for; the response says whether it was done."""
+    def carry_out(self, request: AdminRequest, /) -> AdminResponse | asyncio.Future[AdminResponse]:
+        """Do what a request asks for; the response, or one to come, says whether it was done."""
         ...
 
 
@@ -87,7 +91,8 @@
                 return  # of this one connection, or out of descriptors: the listener stays readable
             sock.setblocking(False)
             if len(self.connections) >= MAX_CONNECTIONS:
-                next(iter(self.connections)).close()
+                incomplete = (one for one in self.connections if not one.complete)
+                next(incomplete, next(iter(self.connections))).close()
             connection = AdminConnection(self)
             self.connections[connection] = None
             task = self.loop.create_task(self._start(sock, connection))
@@ -122,7 +127,7 @@
         self.transport: asyncio.Transport | None = None
         self.target = b""
         self.received_bytes = 0
-        self.head_complete = self.answered = self.closing = False
+        self.head_complete = self.complete = self.answered = self.closing = False
         self.timer = server.loop.call_later(MAX_REQUEST_S, self._time_out)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -133,7 +138,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Take bytes of a request (asyncio)."""
-        if self.answered or self.closing:
+        if self.complete or self.answered or self.closing:
             return
         self.received_bytes += len(data)
         try:
@@ -150,9 +155,9 @@
 
     def eof_received(self) -> bool:
         """Take the end of input (asyncio); True keeps the connection open for the response."""
-        if not self.answered:
+        if not (self.complete or self.answered):
             self.close()
-        return self.answered
+        return self.complete or self.answered
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Take the end of the connection (asyncio)."""
@@ -174,8 +179,9 @@
 
     def on_message_complete(self) -> None:
         """Carry the request out, and answer it."""
-        if self.answered:
+        if self.complete or self.answered:
             return
+        self.complete = True
         method = self.parser.get_method().decode("latin-1")
         request = self.server.parse_request(method, self.target.decode("latin-1"))
         if isinstance(request, AdminResponse):
@@ -186,12 +192,17 @@
         except Exception:
             # Whatever goes wrong, the caller gets an error response and the loop goes on.
             log.exception("admin request failed: %s %s", request.action.value, request.server)
-            response = AdminResponse(HTTPStatus.INTERNAL_SERVER_ERROR, "failed; see the log")
-        self.answer(response)
+            response = FAILED
+        if isinstance(response, AdminResponse):
+            self.answer(response)
+            return
+        self.timer.cancel()
+        self.timer = self.server.loop.call_later(MAX_ORDER_S, self.answer, NOT_YET)
+        response.add_done_callback(lambda done: self.answer(done.result()))
 
     def answer(self, response: AdminResponse) -> None:
         """Send the one response; the connection ends behind it."""
-        if self.answered or self.transport is None:
+        if self.answered or self.closing or self.transport is None:
             return
         self.answered = True
         body = f"{response.text}\n".encode()
--- a/dykefold/control/hot_restart.py
+++ b/dykefold/control/hot_restart.py
@@ -10,9 +10,11 @@
 
 from ..net.sidecar import SidecarServer
 from ..system import System
+from .background_writer import OnWritten, Submit
 from .endpoint_list_sharing import EndpointListSharing
 from .hot_restart_state import LOOK_NS, ROOM_WAIT_NS, HotRestartMachine, ProcessHeartbeat, RestartView
 from .listener_steering import ListenerSteering
+from .maintenance import MaintenanceOrder
 from .maintenance_records import MaintenanceRecords
 from .process_records import (
     ClockReading,
@@ -73,6 +75,10 @@
         self.joining_since_ns: int | None = None  # it serves, and has not taken its part of the limits yet
         self.timer: asyncio.TimerHandle | None = None
 
+    def write_in_background(self, submit: Submit) -> None:
+        """Have writes that wait for the disk run by `submit` from now on."""
+        self.maintenance.submit = submit
+
     def read_clock(self) -> ClockReading:
         """Read the clock of this process, on which its records have their times."""
         return ClockReading(self.boot_id, self.now_ns(), self.engine.clock.offset)
@@ -207,8 +213,22 @@
         maintenance orders is, and only when it differs. What fails is retried at each look.
 
         Returns:
-            False if either can't be written, or the record may not outlast the machine.
+            False if either can't be written, or the record may not outlast the machine yet.
+        """
+        written = self._write_heartbeat()
+        return self.maintenance.write() and written
+
+    def keep(self, orders: Mapping[str, MaintenanceOrder], on_kept: OnWritten) -> None:
+        """Write the heartbeat and all maintenance orders.
+
+        Args:
+            orders: by endpoint name, in place of those that the pools know.
+            on_kept: is told whether a newer process will know of all orders.
         """
+        written = self._write_heartbeat()
+        self.maintenance.keep(orders, lambda kept: on_kept(kept and written))
+
+    def _write_heartbeat(self) -> bool:
         self.directory.lock(self.heartbeat_name)
         heartbeat = self.machine.heartbeat(self.now_ns(), self.steering.listener_index)
         record = heartbeat_record(heartbeat, self.maintenance.orders())
@@ -216,7 +236,7 @@
         clock = self.read_clock().to_record()
         written = self.directory.write(self.heartbeat_name, {**record, "lists": versions, "clock": clock})
         self.machine.wrote_heartbeat(self.now_ns(), written)
-        return self.maintenance.write() and written
+        return written
 
     # The end
 
--- a/dykefold/control/maintenance.py
+++ b/dykefold/control/maintenance.py
@@ -123,13 +123,17 @@
         Returns:
             The entries that the balancer is to be notified of.
         """
-        before = self.orders.get(name)
-        if out is (before is not None and before.out):
+        if out is self.is_out(name):
             return []  # so it is already
-        # On one clock a later order never has an earlier time. An order of another version of the program or
-        # of an earlier boot may have any.
-        earliest_ns = before.ordered_ns + 1 if before is not None else 0
-        return self._set(name, MaintenanceOrder(max(ordered_ns, earliest_ns), out))
+        return self._set(name, MaintenanceOrder(self.order_time(name, ordered_ns), out))
+
+    def order_time(self, name: str, now_ns: int) -> int:
+        """Return the time that an order given now has: later than that of the one before it.
+
+        On one clock that is now. An order of another version of the program may have any time.
+        """
+        before = self.orders.get(name)
+        return now_ns if before is None else max(now_ns, before.ordered_ns + 1)
 
     def merge(self, orders: Mapping[str, MaintenanceOrder]) -> list[E]:
         """Take the orders of another process, by endpoint name, their times on the clock of this one.
--- a/dykefold/control/process_lifecycle.py
+++ b/dykefold/control/process_lifecycle.py
@@ -3,13 +3,16 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import logging
 import socket
 
 from ..net.peers import Address
 from ..net.sidecar import SidecarServer
 from .admin_operations import AdminOperations
+from .admin_queue import AdminQueue
 from .admin_server import RESERVED_DESCRIPTORS, AdminServer
+from .background_writer import BackgroundWriter, Submit
 from .directory_retry import DirectoryRetry
 from .file_system import FILE_SYSTEM, FileSystem
 from .hot_restart import HotRestart
@@ -17,6 +20,7 @@
 
 log = logging.getLogger("dykefold.control")
 
+MAX_LAST_WRITE_S = 1.0  # that the end of the process waits for the disk
 LISTEN_BACKLOG = 512  # connections of clients that may wait to be accepted
 
 
@@ -46,13 +50,20 @@
         self.admin_server: AdminServer | None = None
         self.hot_restart: HotRestart | None = None
         self.admin_operations: AdminOperations | None = None
+        self.submit: Submit = BackgroundWriter(loop).submit
         self.born_ns = engine.clock.monotonic_ns()
         self.directory_retry: DirectoryRetry | None = None  # where a folder is configured
         if address is not None and folder:
             self.directory_retry = DirectoryRetry(loop, folder, file_system)
             directory = self.directory_retry.open()
             if directory is not None:
-                self.hot_restart = HotRestart(loop, engine, directory, born_ns=self.born_ns)
+                self.hot_restart = self._share(directory)
+
+    def _share(self, directory: FileStateDirectory) -> HotRestart:
+        """Take part in hot restarts by records in a directory."""
+        hot_restart = HotRestart(self.loop, self.engine, directory, born_ns=self.born_ns)
+        hot_restart.write_in_background(self.submit)
+        return hot_restart
 
     @property
     def shared(self) -> bool:
@@ -73,7 +84,8 @@
             return True
         sock = socket.create_server(self.address, backlog=RESERVED_DESCRIPTORS)
         self.admin_operations = self.operations()
-        self.admin_server = AdminServer(self.loop, sock, self.admin_operations)
+        queue = AdminQueue(self.loop, self.admin_operations)
+        self.admin_server = AdminServer(self.loop, sock, queue)
         # The fleet laboratory and tests read the address from this line.
         log.info("the door is at %s:%d", *self.admin_server.address)
         if self.hot_restart is not None:
@@ -104,7 +116,7 @@
 
     def _join(self, directory: FileStateDirectory) -> None:
         """Take part in hot restarts from now on: the state directory can be used at last."""
-        self.hot_restart = HotRestart(self.loop, self.engine, directory, born_ns=self.born_ns)
+        self.hot_restart = self._share(directory)
         self.hot_restart.join()
         if self.admin_operations is not None:
             self.admin_operations.keep_orders_in(self.hot_restart)
@@ -117,6 +129,19 @@
             self.hot_restart.begin_shutdown()
         self.engine.drain()
 
+    async def finish_writing(self) -> None:
+        """Wait until all orders are written down, or for `MAX_LAST_WRITE_S`."""
+        if self.hot_restart is None:
+            return
+        written: asyncio.Future[bool] = self.loop.create_future()
+        self.hot_restart.maintenance.keep(
+            {}, lambda kept: None if written.done() else written.set_result(kept)
+        )
+        with contextlib.suppress(TimeoutError):
+            await asyncio.wait_for(written, MAX_LAST_WRITE_S)
+        if written.cancelled():
+            log.warning("process ends before its orders are written: the disk has not answered in time")
+
     def close(self) -> None:
         """End with the process."""
         if self.directory_retry is not None:
--- a/tests/control/test_directory_retry.py
+++ b/tests/control/test_directory_retry.py
@@ -11,6 +11,7 @@
 
 from dykefold.control import process_lifecycle
 from dykefold.control.admin_requests import Action, AdminRequest
+from dykefold.control.background_writer import write_at_once
 from dykefold.control.file_system import FileSystem
 from dykefold.control.process_lifecycle import ProcessLifecycle
 
@@ -84,6 +85,7 @@
         self.files = Unusable(error)
         self.engine = ServingEngine(machine)
         self.lifecycle = ProcessLifecycle(self.loop, self.engine, (HOST, 0), str(folder), self.files)
+        self.lifecycle.submit = write_at_once
         self.lifecycle.admin_operations = self.lifecycle.operations()
         sock = type("Sock", (), {"close": lambda self: None})()
         monkeypatch.setattr(process_lifecycle.socket, "create_server", lambda *args, **more: sock)
