--- a/dykefold/__main__.py
+++ b/dykefold/__main__.py
@@ -8,7 +8,6 @@
 import os
 import random
 import signal
-import socket
 import sys
 from dataclasses import replace
 from typing import TYPE_CHECKING
@@ -16,17 +15,14 @@
 import uvloop
 
 from .control.admin_server import RESERVED_DESCRIPTORS as ADMIN_DESCRIPTORS
-from .control.admin_server import AdminServer
 from .control.process_lifecycle import ProcessLifecycle
 from .failover.options import Options as FailoverOptions
-from .net.peers import Address, PeerChannel
+from .fleet_wiring import FleetFeatures
+from .net.peers import Address
 from .net.sidecar import SidecarServer
-from .sidecar_config import Config, ConfigError, read_config, read_service_file, system_limit
+from .sidecar_config import Config, ConfigError, cannot_listen, read_config, read_service_file, system_limit
 
 if TYPE_CHECKING:
-    from .failover.controller import FailoverController
-    from .fleet.agent import FleetAgent
-    from .fleet.endpoint_list_sync import EndpointListSync
     from .routing.plan import Plan
     from .routing.services import Services
     from .service_config import Service
@@ -61,9 +57,7 @@
         self.config = config
         self.path = path
         self.service = service
-        self.fleet: FleetAgent | None = None
-        self.lists: EndpointListSync | None = None
-        self.failover: FailoverController | None = None
+        self.features: FleetFeatures | None = None
 
     def __call__(self) -> None:
         """Read and apply the file; log why where it can't be applied."""
@@ -80,13 +74,8 @@
         engine.change_limits(config.sockets, config.caps)
         if engine.peers is not None:
             engine.peers.change_addresses(config.settings.index, config.peers, config.peers_all)
-        if self.fleet is not None:
-            self.fleet.renumber(config.peers, config.settings.index)
-        if self.failover is not None:
-            pool = engine.pool
-            self.failover.change_settings(list(pool.names.zones), pool.settings.zone, config.fleet.failover)
-        if self.lists is not None and config.settings.must_ask:
-            self.lists.change_settings(config.settings.must_ask_in_ns)
+        if self.features is not None:
+            self.features.apply(config)
         if engine.pool.discovery is not None:
             engine.pool.discovery.change_address(config.discovery)
 
@@ -105,100 +94,17 @@
         loop.add_signal_handler(number, presence.drain)
     reload = Reload(engine, config, path, service)
     loop.add_signal_handler(signal.SIGHUP, reload)
-    lists = reload.lists = _spread_calls(engine, config)
-    fleet = listener = None
+    features = reload.features = FleetFeatures(loop, engine, config)
     try:
         if not await presence.begin():
             await _end_unbegun(engine, presence)
             return
-        if config.peer_listen is not None:
-            peers = PeerChannel(config.settings.index, config.peers, config.peers_all, engine.pool.on_peer)
-            await loop.create_datagram_endpoint(
-                lambda: peers, sock=_datagram_socket(config.peer_listen, presence.shared)
-            )
-            engine.peers = peers
-            fleet = reload.fleet = _keep_view(loop, engine, config, peers)
-        if fleet is not None and lists is not None:
-            fleet.spread(lists)
-        failover = None
-        if fleet is not None and config.fleet.failover.on:
-            failover = reload.failover = _fail_over(loop, engine, config, fleet)
-        if fleet is not None and config.fleet.listen is not None:
-            listener = _show_view(loop, fleet, config.fleet.listen, failover)
+        await features.start(config, presence.shared)
         address = presence.listen(config.listen)
     except OSError as error:
-        raise ConfigError(f"can't listen: {error}") from None
-    await _until_stopped(engine, config.name, address, presence, fleet)
-    if listener is not None:
-        listener.close()
-    if lists is not None:
-        lists.close()
-
-
-def _spread_calls(engine: SidecarServer, config: Config) -> EndpointListSync | None:
-    """Spread the polls of discovery over the fleet, where the operator's file asks for it."""
-    settings, discovery = config.settings, engine.pool.discovery
-    if not (config.fleet.calls and settings.must_ask and discovery is not None):
-        return None
-    from .fleet.endpoint_list_sync import EndpointListSync  # off by default, and then it costs no memory
-
-    within_ns, rate = settings.must_ask_in_ns, config.fleet.calls_per_s
-    return EndpointListSync(discovery, within_ns, rate, settings.index, settings.fleet_size, config.seed)
-
-
-def _keep_view(
-    loop: asyncio.AbstractEventLoop, engine: SidecarServer, config: Config, peers: PeerChannel
-) -> FleetAgent | None:
-    """Take part in the fleet's membership, where the operator's file and the settings allow it."""
-    settings = config.settings
-    known = len(config.peers) > 1 and 0 <= settings.index < len(config.peers)
-    if not (config.fleet.view and settings.can_tell and known):
-        return None
-    from .fleet.agent import FleetAgent  # off by default, and then it costs no memory
-
-    me, zone = settings.index, settings.zone
-    fleet = FleetAgent(loop, engine, peers, config.peers, me, zone, settings.price_peer, config.seed)
-    fleet.serve(engine.pool)
-    return fleet
-
-
-def _fail_over(
-    loop: asyncio.AbstractEventLoop, engine: SidecarServer, config: Config, fleet: FleetAgent
-) -> FailoverController:
-    """Take part in the failover between zones."""
-    from .failover.controller import FailoverController
-
-    zones, home = config.settings.zones, config.settings.zone
-    for name in {*config.fleet.failover.regions, *config.fleet.failover.out} - set(zones):
-        log.warning("failover: no zone %s; the settings have %s", name, ", ".join(zones))
-    return FailoverController(loop, fleet.view, engine.pool, zones, home, config.fleet.failover)
-
-
-def _show_view(
-    loop: asyncio.AbstractEventLoop, fleet: FleetAgent, address: Address, failover: FailoverController | None
-) -> AdminServer:
-    """Serve the fleet's membership at an address.
-
-    Raises:
-        OSError: the address can't be listened on.
-    """
-    from .control.admin_requests import parse_membership_request
-    from .fleet.agent import MembershipAdmin
-
-    sock = socket.create_server(address, backlog=ADMIN_DESCRIPTORS, reuse_port=True)
-    plan = failover.shown if failover is not None else None
-    server = AdminServer(loop, sock, MembershipAdmin(fleet, plan), read=parse_membership_request)
-    log.info("fleet membership is served at %s:%d", *server.address)
-    return server
-
-
-def _datagram_socket(address: Address, shared: bool) -> socket.socket:
-    sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    if shared:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-    sock.setblocking(False)
-    sock.bind(address)
-    return sock
+        raise cannot_listen(error) from None
+    await _until_stopped(engine, config.name, address, presence, features)
+    features.close()
 
 
 async def _end_unbegun(engine: SidecarServer, presence: ProcessLifecycle) -> None:
@@ -213,7 +119,7 @@
     name: str,
     address: Address,
     presence: ProcessLifecycle,
-    fleet: FleetAgent | None = None,
+    features: FleetFeatures | None = None,
 ) -> None:
     # What exists now lives as long as the process: garbage collections need not scan it again, nor run as
     # often as for a program that makes cycles.
@@ -222,8 +128,8 @@
     gc.set_threshold(20_000, 20, 50)
     log.info("%s listens at %s:%d", name, *address)
     await engine.stopped
-    if fleet is not None:
-        fleet.close()
+    if features is not None:
+        features.leave()
     await presence.finish_writing()
     presence.close()
     engine.close()
@@ -256,7 +162,7 @@
             return
         address = presence.listen(plan.listen)
     except OSError as error:
-        raise ConfigError(f"can't listen: {error}") from None
+        raise cannot_listen(error) from None
     await _until_stopped(engine, plan.name, address, presence)
 
 
--- /dev/null
+++ b/dykefold/fleet_wiring.py
@@ -0,0 +1,166 @@
+"""Wires membership, the spread of discovery calls and failover to the platform's sidecar.
+
+Each is off by default, and its package is imported only where it is on: off, it costs no memory.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import socket
+from typing import TYPE_CHECKING
+
+from .control.admin_server import RESERVED_DESCRIPTORS, AdminServer
+from .net.peers import Address, PeerChannel
+from .net.sidecar import SidecarServer
+from .sidecar_config import Config
+
+if TYPE_CHECKING:
+    from .failover.controller import FailoverController
+    from .fleet.agent import FleetAgent
+    from .fleet.endpoint_list_sync import EndpointListSync
+
+log = logging.getLogger("dykefold")
+
+__all__ = ["FleetFeatures"]
+
+
+class FleetFeatures:
+    """What a sidecar does together with its peers.
+
+    Attributes:
+        list_sync: spreads calls of discovery over the fleet; None where it is off.
+        agent: takes part in the membership; None where it is off, or the settings do not allow it.
+        failover: takes part in the failover between zones; None where it is off.
+        admin_server: serves the membership to operators; None where no address is given.
+    """
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, engine: SidecarServer, config: Config) -> None:
+        """Spread the calls of discovery, where that is on; the rest begins with `start`.
+
+        Args:
+            loop: that runs the process.
+            engine: what serves clients.
+            config: what the process runs by.
+        """
+        self.loop = loop
+        self.engine = engine
+        self.list_sync = _start_list_sync(engine, config)
+        self.agent: FleetAgent | None = None
+        self.failover: FailoverController | None = None
+        self.admin_server: AdminServer | None = None
+
+    async def start(self, config: Config, shared: bool) -> None:
+        """Receive datagrams of peers, and begin what is on.
+
+        Args:
+            config: what the process runs by.
+            shared: whether another process may listen at the same addresses.
+
+        Raises:
+            OSError: an address can't be listened on.
+        """
+        if config.peer_listen is None:
+            return
+        peers = await self._open_peer_channel(config, config.peer_listen, shared)
+        self.agent = _start_agent(self.loop, self.engine, config, peers)
+        if self.agent is None:
+            return
+        if self.list_sync is not None:
+            self.agent.spread(self.list_sync)
+        if config.fleet.failover.on:
+            self.failover = _start_failover(self.loop, self.engine, config, self.agent)
+        if config.fleet.listen is not None:
+            self.admin_server = _serve_membership(self.loop, self.agent, config.fleet.listen, self.failover)
+
+    async def _open_peer_channel(self, config: Config, address: Address, shared: bool) -> PeerChannel:
+        engine = self.engine
+        peers = PeerChannel(config.settings.index, config.peers, config.peers_all, engine.pool.on_peer)
+        await self.loop.create_datagram_endpoint(lambda: peers, sock=_datagram_socket(address, shared))
+        engine.peers = peers
+        return peers
+
+    def apply(self, config: Config) -> None:
+        """Follow a configuration that was read again."""
+        pool, settings = self.engine.pool, config.settings
+        if self.agent is not None:
+            self.agent.renumber(config.peers, settings.index)
+        if self.failover is not None:
+            self.failover.change_settings(list(pool.names.zones), pool.settings.zone, config.fleet.failover)
+        if self.list_sync is not None and settings.must_ask:
+            self.list_sync.change_settings(settings.must_ask_in_ns)
+
+    def leave(self) -> None:
+        """Tell the peers that this process ends."""
+        if self.agent is not None:
+            self.agent.close()
+
+    def close(self) -> None:
+        """End with the process."""
+        if self.admin_server is not None:
+            self.admin_server.close()
+        if self.list_sync is not None:
+            self.list_sync.close()
+
+
+def _start_list_sync(engine: SidecarServer, config: Config) -> EndpointListSync | None:
+    settings, discovery = config.settings, engine.pool.discovery
+    if not (config.fleet.calls and settings.must_ask and discovery is not None):
+        return None
+    from .fleet.endpoint_list_sync import EndpointListSync
+
+    within_ns, rate = settings.must_ask_in_ns, config.fleet.calls_per_s
+    return EndpointListSync(discovery, within_ns, rate, settings.index, settings.fleet_size, config.seed)
+
+
+def _start_agent(
+    loop: asyncio.AbstractEventLoop, engine: SidecarServer, config: Config, peers: PeerChannel
+) -> FleetAgent | None:
+    settings = config.settings
+    is_known = len(config.peers) > 1 and 0 <= settings.index < len(config.peers)
+    if not (config.fleet.view and settings.can_tell and is_known):
+        return None
+    from .fleet.agent import FleetAgent
+
+    index, zone = settings.index, settings.zone
+    agent = FleetAgent(loop, engine, peers, config.peers, index, zone, settings.price_peer, config.seed)
+    agent.serve(engine.pool)
+    return agent
+
+
+def _start_failover(
+    loop: asyncio.AbstractEventLoop, engine: SidecarServer, config: Config, agent: FleetAgent
+) -> FailoverController:
+    from .failover.controller import FailoverController
+
+    zones, home = config.settings.zones, config.settings.zone
+    for name in {*config.fleet.failover.regions, *config.fleet.failover.out} - set(zones):
+        log.warning("failover: no zone %s; the settings have %s", name, ", ".join(zones))
+    return FailoverController(loop, agent.view, engine.pool, zones, home, config.fleet.failover)
+
+
+def _serve_membership(
+    loop: asyncio.AbstractEventLoop, agent: FleetAgent, address: Address, failover: FailoverController | None
+) -> AdminServer:
+    """Serve the fleet's membership at an address.
+
+    Raises:
+        OSError: the address can't be listened on.
+    """
+    from .control.admin_requests import parse_membership_request
+    from .fleet.agent import MembershipAdmin
+
+    sock = socket.create_server(address, backlog=RESERVED_DESCRIPTORS, reuse_port=True)
+    plan = failover.shown if failover is not None else None
+    server = AdminServer(loop, sock, MembershipAdmin(agent, plan), read=parse_membership_request)
+    log.info("fleet membership is served at %s:%d", *server.address)
+    return server
+
+
+def _datagram_socket(address: Address, shared: bool) -> socket.socket:
+    sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    if shared:
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+    sock.setblocking(False)
+    sock.bind(address)
+    return sock
--- a/dykefold/sidecar_config.py
+++ b/dykefold/sidecar_config.py
@@ -44,6 +44,11 @@
         self.code = code
 
 
+def cannot_listen(error: OSError) -> ConfigError:
+    """Return the error of an address that can't be listened on."""
+    return ConfigError(f"can't listen: {error}")
+
+
 @dataclass(slots=True)
 class Config:
     """The configuration of a sidecar.
