--- a/dykefold/__main__.py
+++ b/dykefold/__main__.py
@@ -3,12 +3,14 @@
 from __future__ import annotations
 
 import asyncio
+import functools
 import gc
 import logging
 import os
 import random
 import signal
 import sys
+from collections.abc import Collection
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
@@ -20,7 +22,15 @@
 from .fleet_wiring import FleetFeatures
 from .net.peers import Address
 from .net.sidecar import SidecarServer
-from .sidecar_config import Config, ConfigError, cannot_listen, read_config, read_service_file, system_limit
+from .sidecar_config import (
+    Config,
+    ConfigError,
+    FileError,
+    ListenError,
+    read_config,
+    read_service_file,
+    system_limit,
+)
 
 if TYPE_CHECKING:
     from .routing.plan import Plan
@@ -29,6 +39,10 @@
 
 log = logging.getLogger("dykefold")
 
+FLEET_FEATURES = frozenset(("view", "calls", "failover"))  # of [fleet], on without an operator's file
+USAGE = "usage: python -m dykefold [[view] [calls] [failover] | check FILE | serve FILE]"
+USAGE_EXIT_CODE = 2
+
 
 def start_engine(loop: asyncio.AbstractEventLoop, config: Config) -> SidecarServer:
     """Make the server of the platform's sidecar, with its one pool; it does not listen yet."""
@@ -102,7 +116,7 @@
         await features.start(config, presence.shared)
         address = presence.listen(config.listen)
     except OSError as error:
-        raise cannot_listen(error) from None
+        raise ListenError(error) from None
     await _until_stopped(engine, config.name, address, presence, features)
     features.close()
 
@@ -152,7 +166,7 @@
     try:
         services.apply(plan, sockets, service.caps)
     except ValueError as error:
-        raise ConfigError(f"{path}: {error}", code=2) from None
+        raise FileError(path, [str(error)], code=2) from None
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, presence.drain)
     loop.add_signal_handler(signal.SIGHUP, reload_services, services, path)
@@ -162,20 +176,25 @@
             return
         address = presence.listen(plan.listen)
     except OSError as error:
-        raise cannot_listen(error) from None
+        raise ListenError(error) from None
     await _until_stopped(engine, plan.name, address, presence)
 
 
 def reload_services(services: Services, path: str) -> None:
     """Read an operator's file again; one that can't be read or applied changes nothing."""
     try:
-        read = read_service_file(path)
-        if read.plan is None:
-            raise ConfigError(f"{path}: pools: missing")
-        services.apply(read.plan, min(read.plan.sockets, system_limit()), read.caps)
+        service = read_service_file(path)
+        plan = _plan_of(service, path, "pools: missing")
+        services.apply(plan, min(plan.sockets, system_limit()), service.caps)
     except (ConfigError, ValueError) as error:
         log.warning("the services stay as they were: %s", error)
-        return
+
+
+def _plan_of(service: Service, path: str, problem: str) -> Plan:
+    """Return the plan that an operator's file names; raise FileError with a problem where it names none."""
+    if service.plan is None:
+        raise FileError(path, [problem], code=2)
+    return service.plan
 
 
 def check(path: str) -> int:
@@ -191,35 +210,48 @@
 
 def main() -> int:
     """Run by the command line; return the exit code."""
-    if len(sys.argv) == 3 and sys.argv[1] == "check":
-        return check(sys.argv[2])
-    serves = len(sys.argv) == 3 and sys.argv[1] == "serve"
-    parts = sys.argv[1:]  # of what stands in [fleet], on without an operator's file
-    if parts and not serves and not set(parts) <= {"view", "calls", "failover"}:
-        usage = "usage: python -m dykefold [[view] [calls] [failover] | check FILE | serve FILE]"
-        print(usage, file=sys.stderr)
-        return 2
+    match sys.argv[1:]:
+        case ["check", path]:
+            return check(path)
+        case ["serve", path]:
+            serve_until_end = functools.partial(serve_file, path)
+        case features if FLEET_FEATURES.issuperset(features):
+            serve_until_end = functools.partial(serve_platform, features)
+        case _:
+            print(USAGE, file=sys.stderr)
+            return USAGE_EXIT_CODE
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(levelname)s %(name)s: %(message)s")
     # While no loop handles the signal, at the start and the end, its default would end the process.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    path, service = os.environ.get("GW_CONFIG"), os.environ.get("DYKEFOLD_SERVICE")
     try:
-        if serves:
-            serve_file(sys.argv[2])
-            return 0
-        config = read_config(path, service)
-        if parts:
-            moves = FailoverOptions(on="failover" in parts)
-            config.fleet = replace(config.fleet, view="view" in parts, calls="calls" in parts, failover=moves)
-        with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            runner.run(run(config, path, service))
-            signal.signal(signal.SIGHUP, signal.SIG_IGN)
+        serve_until_end()
     except ConfigError as error:
         print(f"dykefold: {error}", file=sys.stderr)
         return error.code
     return 0
 
 
+def serve_platform(features: Collection[str]) -> None:
+    """Serve as the platform's sidecar until the graceful shutdown is over.
+
+    Args:
+        features: of `FLEET_FEATURES`, those that are on; none: as the operator's file says.
+
+    Raises:
+        ConfigError: a file can't be used, or an address can't be listened on.
+    """
+    path, service = os.environ.get("GW_CONFIG"), os.environ.get("DYKEFOLD_SERVICE")
+    config = read_config(path, service)
+    if features:
+        failover = FailoverOptions(on="failover" in features)
+        config.fleet = replace(
+            config.fleet, view="view" in features, calls="calls" in features, failover=failover
+        )
+    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
+        runner.run(run(config, path, service))
+        signal.signal(signal.SIGHUP, signal.SIG_IGN)
+
+
 def serve_file(path: str) -> None:
     """Serve an operator's file until the graceful shutdown is over.
 
@@ -228,10 +260,9 @@
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the loop listens
     service = read_service_file(path)
-    if service.plan is None:
-        raise ConfigError(f"{path}: pools: missing; expected at least one table [pools.NAME]", code=2)
+    plan = _plan_of(service, path, "pools: missing; expected at least one table [pools.NAME]")
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(serve(service, service.plan, path))
+        runner.run(serve(service, plan, path))
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 
--- a/dykefold/sidecar_config.py
+++ b/dykefold/sidecar_config.py
@@ -9,7 +9,7 @@
 import json
 import os
 import resource
-from collections.abc import Callable, Mapping
+from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any, TypeVar
 
@@ -44,9 +44,57 @@
         self.code = code
 
 
-def cannot_listen(error: OSError) -> ConfigError:
-    """Return the error of an address that can't be listened on."""
-    return ConfigError(f"can't listen: {error}")
+class ListenError(ConfigError):
+    """An address can't be listened on."""
+
+    def __init__(self, cause: OSError) -> None:
+        """Say what the system says."""
+        super().__init__(f"can't listen: {cause}")
+
+
+class VariableError(ConfigError):
+    """A variable of the environment is missing or unreadable.
+
+    Attributes:
+        name: of the variable.
+    """
+
+    def __init__(self, name: str, problem: str) -> None:
+        """Say what is wrong with a variable."""
+        super().__init__(f"{name}{problem}")
+        self.name = name
+
+
+class FileError(ConfigError):
+    """A configuration file can't be used.
+
+    Attributes:
+        path: of the file.
+        problems: what is wrong with it, each with the field that it is about.
+    """
+
+    def __init__(self, path: str, problems: Sequence[str], code: int = 1) -> None:
+        """Say what is wrong with a file, and with which exit code."""
+        super().__init__(f"{path}: {'; '.join(problems)}", code)
+        self.path = path
+        self.problems = tuple(problems)
+
+
+class FieldError(ValueError):
+    """A field has a value that can't be.
+
+    Attributes:
+        field: its name.
+        value: that it has.
+        expected: what it should have been.
+    """
+
+    def __init__(self, field: str, value: object, expected: str) -> None:
+        """Say which field has which value, and what was expected."""
+        super().__init__(f"{field} is no {expected}: {value!r}")
+        self.field = field
+        self.value = value
+        self.expected = expected
 
 
 @dataclass(slots=True)
@@ -147,21 +195,21 @@
         ConfigError: with all problems.
     """
     if not path:
-        raise ConfigError("GW_CONFIG is not set")
+        raise VariableError("GW_CONFIG", " is not set")
     caps, fleet = _read_operators(service)
     try:
         with open(path, encoding="utf-8") as file:
             data = json.load(file)
     except (OSError, ValueError, RecursionError) as error:
-        raise ConfigError(f"{path}: {_one_line(error)}") from None
+        raise FileError(path, [_one_line(error)]) from None
     if not isinstance(data, dict):
-        raise ConfigError(f"{path}: no JSON object")
+        raise FileError(path, ["no JSON object"])
     checked = _Checked(data)
     config = _check(checked, caps, fleet)
     if before is not None:
         checked.problems += [f"{key} is missing" for key in lacking(before.shape, data)]
     if checked.problems:
-        raise ConfigError(f"{path}: {'; '.join(dict.fromkeys(checked.problems))}")
+        raise FileError(path, list(dict.fromkeys(checked.problems)))
     return config
 
 
@@ -241,14 +289,14 @@
     try:
         return _maybe_any_port(os.environ.get("GW_CONTROL"))
     except ValueError as error:
-        raise ConfigError(f"GW_CONTROL: {error}") from None
+        raise VariableError("GW_CONTROL", f": {error}") from None
 
 
 def _limits(limits: Mapping[str, Any]) -> tuple[int, int]:
     sockets, memory_mb = limits.get("sockets", DEFAULT_SOCKETS), limits.get("memory_mb", DEFAULT_MEMORY_MB)
     for name, value in (("sockets", sockets), ("memory_mb", memory_mb)):
         if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value < MAX_LIMIT:
-            raise ValueError(f"{name} is no number above 0: {value!r}")
+            raise FieldError(name, value, "number above 0")
     return int(sockets), int(memory_mb * MB)
 
 
@@ -257,10 +305,11 @@
         return Caps(), Options()
     read = read_service_file(service)
     if read.control is not None:
-        raise ConfigError(f"{service}: control: beside the platform's file that one names the door", code=2)
+        problem = "control: beside the platform's file that one names the door"
+        raise FileError(service, [problem], code=2)
     if read.plan is not None:
-        text = f"{service}: pools and routes are for `serve`; beside the platform's file they have no meaning"
-        raise ConfigError(text, code=2)
+        problem = "pools and routes are for `serve`; beside the platform's file they have no meaning"
+        raise FileError(service, [problem], code=2)
     return read.caps, read.fleet
 
 
