--- a/dykefold/sidecar_config.py
+++ b/dykefold/sidecar_config.py
@@ -27,6 +27,8 @@
 DEFAULT_SOCKETS = 1024  # where the configuration names no limit
 DEFAULT_MEMORY_MB = 192  # likewise
 MAX_LIMIT = 1e9
+CONFIG_VARIABLE = "GW_CONFIG"  # names the platform's file
+CONTROL_VARIABLE = "GW_CONTROL"  # names the admin API's address, where the file doesn't
 
 T = TypeVar("T")
 
@@ -195,7 +197,7 @@
         ConfigError: with all problems.
     """
     if not path:
-        raise VariableError("GW_CONFIG", " is not set")
+        raise VariableError(CONFIG_VARIABLE, " is not set")
     caps, fleet = _read_operators(service)
     try:
         with open(path, encoding="utf-8") as file:
@@ -287,9 +289,9 @@
 def _from_environment() -> Address | None:
     """Return the admin API's address where only the environment names it."""
     try:
-        return _maybe_any_port(os.environ.get("GW_CONTROL"))
+        return _maybe_any_port(os.environ.get(CONTROL_VARIABLE))
     except ValueError as error:
-        raise VariableError("GW_CONTROL", f": {error}") from None
+        raise VariableError(CONTROL_VARIABLE, f": {error}") from None
 
 
 def _limits(limits: Mapping[str, Any]) -> tuple[int, int]:
--- a/dykefold/simulator_adapter.py
+++ b/dykefold/simulator_adapter.py
@@ -9,7 +9,9 @@
 import struct
 import sys
 import traceback
-from typing import BinaryIO
+from collections.abc import Callable
+from enum import IntEnum
+from typing import Any, BinaryIO
 
 from .balancer.actions import (
     Action,
@@ -74,6 +76,11 @@
 SET_TIMER = struct.Struct("<BHQI9x")
 EVERY_PEER = 0xFFFFFFFF
 
+# Bits of an INBOUND record.
+HAS_COST = 1
+IS_RETRY = 2
+IS_WRITE = 4
+
 STATUS = {
     200: Status.OK,
     500: Status.ERROR,
@@ -93,94 +100,177 @@
 }
 
 
+class EventCode(IntEnum):
+    """Records of the input; the names are the wire's."""
+
+    NEW_INSTANCE = 16
+    ENDPOINTS = 17
+    INBOUND = 18
+    FIRST = 19
+    SETTLED = 20
+    DROPPED = 21
+    BELL = 22
+    HEALTH = 23
+    NOTE_FROM = 24
+    END_INSTANCE = 25
+    SNAPSHOT_ROWS = 26
+
+
+class ActionCode(IntEnum):
+    """Records of a reply; the names are the wire's."""
+
+    SHARE = 16
+    RETRACT = 17
+    FOLLOW = 18
+    INTERNAL_ERROR = 19
+    HANG_UP = 20
+    TRACE = 21
+    TOUCH = 22
+    TURN_AWAY = 23
+    RESOLVE = 24
+    DISPATCH = 25
+    ABORT = 26
+    SET_TIMER = 27
+
+
 class FrameError(Exception):
     """The input is no frame of this protocol."""
 
 
+def _outcome(body: bytes, at: int) -> Outcome:
+    request, attempt, server, reason, took, last, columns, *report = SETTLED.unpack_from(body, at)
+    status = STATUS.get(reason, Status.ERROR)
+    return Outcome(request, attempt, server, status, took, last != 0, tuple(report[:columns]))
+
+
+def _request(body: bytes, at: int) -> Request:
+    request, cls, tenant, key, deadline, cost, bits = INBOUND.unpack_from(body, at)
+    return Request(
+        request,
+        cls,
+        tenant,
+        deadline,
+        key,
+        cost if bits & HAS_COST else 0,
+        is_retry=bits & IS_RETRY != 0,
+        is_write=bits & IS_WRITE != 0,
+    )
+
+
+def _probe_result(body: bytes, at: int) -> ProbeResult:
+    server, reason, took, columns, *report = HEALTH.unpack_from(body, at)
+    return ProbeResult(server, STATUS.get(reason, Status.ERROR), took, tuple(report[:columns]))
+
+
+DECODERS: dict[int, Callable[[bytes, int], Event]] = {
+    EventCode.SETTLED: _outcome,
+    EventCode.INBOUND: _request,
+    EventCode.BELL: lambda body, at: Timer(BELL.unpack_from(body, at)[0]),
+    EventCode.DROPPED: lambda body, at: ClientDisconnected(DROPPED.unpack_from(body, at)[0]),
+    EventCode.HEALTH: _probe_result,
+    EventCode.FIRST: lambda body, at: StreamStarted(*FIRST.unpack_from(body, at)),
+}
+# What each action is in a record; the argument is an action of the type that it is listed under.
+ENCODERS: dict[type[Action], Callable[[int, Any], bytes]] = {
+    Send: lambda i, act: DISPATCH.pack(ActionCode.DISPATCH, i, act.id, act.timeout_ns, act.server),
+    SetTimer: lambda i, act: SET_TIMER.pack(ActionCode.SET_TIMER, i, act.after_ns, act.token),
+    Refuse: lambda i, act: TURN_AWAY.pack(ActionCode.TURN_AWAY, i, act.id, act.retry_after_ns),
+    Fail: lambda i, act: ABORT.pack(ActionCode.ABORT, i, act.id),
+    Cancel: lambda i, act: RETRACT.pack(ActionCode.RETRACT, i, act.id, act.attempt),
+    Probe: lambda i, act: ONE_SERVER.pack(ActionCode.TOUCH, i, act.server),
+    CloseIdle: lambda i, act: ONE_SERVER.pack(ActionCode.HANG_UP, i, act.server),
+    Watch: lambda i, act: FOLLOW.pack(ActionCode.FOLLOW, i, act.on),
+    Fetch: lambda i, act: RESOLVE.pack(ActionCode.RESOLVE, i),
+}
+
+
 class Host:
     """Runs any number of balancers behind one pair of streams."""
 
     def __init__(self) -> None:
+        """Begin with no balancer and no endpoint list."""
         self.balancers: dict[int, Balancer] = {}
         self.lists: dict[int, list[Endpoint]] = {}
         self.records: list[bytes] = []
         self.tail = bytearray()
 
     def reply_to(self, body: bytes) -> bytes:
-        """Answer one frame, given without its length field."""
+        """Answer one frame, given without its length field.
+
+        Raises:
+            FrameError: it is none of this protocol.
+            SettingError: a new instance has settings that can't be.
+        """
         if len(body) < HEADER.size:
-            raise FrameError("frame shorter than its header")
+            problem = "frame shorter than its header"
+            raise FrameError(problem)
         now, count = HEADER.unpack_from(body)
         tail_at = HEADER.size + count * EVENT_SIZE
         if len(body) < tail_at:
-            raise FrameError(f"frame of {len(body)} bytes cannot hold {count} records")
+            problem = f"frame of {len(body)} bytes cannot hold {count} records"
+            raise FrameError(problem)
         self.records, self.tail = [], bytearray()
         for at in range(HEADER.size, tail_at, EVENT_SIZE):
-            self._event(now, body, at, tail_at)
+            self._record(now, body, at, tail_at)
         payload = b"".join(self.records) + self.tail
         return REPLY.pack(len(self.records), len(payload)) + payload
 
-    def _event(self, now: int, body: bytes, at: int, tail_at: int) -> None:
+    def _record(self, now: int, body: bytes, at: int, tail_at: int) -> None:
         code = body[at]
-        if code == 26:
+        if code == EventCode.SNAPSHOT_ROWS:
             self._rows(body, at, tail_at)
             return
         (instance,) = INSTANCE.unpack_from(body, at)
         try:
-            if code == 16:
-                seed, offset, size = NEW_INSTANCE.unpack_from(body, at + FIELDS)
-                text = _slice(body, tail_at, offset, size).decode()
-                self.balancers[instance] = Balancer(parse_settings(text), seed)
-                return
-            if code == 25:
+            if code == EventCode.NEW_INSTANCE:
+                self._new_instance(instance, body, at + FIELDS, tail_at)
+            elif code == EventCode.END_INSTANCE:
                 self.balancers.pop(instance, None)
-                return
-            event = self._decode(code, body, at + FIELDS, tail_at)
-            balancer = self.balancers.get(instance)
-            if event is not None and balancer is not None:
-                if type(event) is Request and event.cls >= len(balancer.settings.classes):
-                    raise FrameError(f"request {event.id} is of unknown class {event.cls}")
-                self._encode(instance, balancer.handle(now, event))
+            else:
+                self._event(now, instance, self._decode(code, body, at + FIELDS, tail_at))
         except (FrameError, SettingError):
             raise
         except Exception as error:  # the wire has a word for any failure of the module
             traceback.print_exc(file=sys.stderr)
-            self._text(19, instance, f"{type(error).__name__}: {error}")
+            self._text(ActionCode.INTERNAL_ERROR, instance, f"{type(error).__name__}: {error}")
+
+    def _new_instance(self, instance: int, body: bytes, at: int, tail_at: int) -> None:
+        seed, offset, size = NEW_INSTANCE.unpack_from(body, at)
+        text = _slice(body, tail_at, offset, size).decode()
+        self.balancers[instance] = Balancer(parse_settings(text), seed)
+
+    def _event(self, now: int, instance: int, event: Event | None) -> None:
+        balancer = self.balancers.get(instance)
+        if event is None or balancer is None:
+            return
+        if type(event) is Request and event.cls >= len(balancer.settings.classes):
+            problem = f"request {event.id} is of unknown class {event.cls}"
+            raise FrameError(problem)
+        self._encode(instance, balancer.handle(now, event))
 
     def _decode(self, code: int, body: bytes, at: int, tail_at: int) -> Event | None:
-        if code == 20:
-            ticket, n, server, reason, took, last, columns, *report = SETTLED.unpack_from(body, at)
-            status = STATUS.get(reason, Status.ERROR)
-            return Outcome(ticket, n, server, status, took, last != 0, tuple(report[:columns]))
-        if code == 18:
-            ticket, cls, tenant, key, deadline, cost, bits = INBOUND.unpack_from(body, at)
-            return Request(
-                ticket, cls, tenant, deadline, key, cost if bits & 1 else 0, bits & 2 != 0, bits & 4 != 0
-            )
-        if code == 22:
-            return Timer(BELL.unpack_from(body, at)[0])
-        if code == 21:
-            return ClientDisconnected(DROPPED.unpack_from(body, at)[0])
-        if code == 17:
-            scope, version, number = ENDPOINTS.unpack_from(body, at)
-            kind = LIST_KINDS.get(scope)
-            if kind is None:
-                return None
-            if kind is ListKind.FAILED:
-                return Membership(kind, version, [])
-            if number not in self.lists:
-                raise FrameError(f"list {number} was never sent")
-            return Membership(kind, version, self.lists[number])
-        if code == 24:
+        if code == EventCode.ENDPOINTS:
+            return self._membership(body, at)
+        if code == EventCode.NOTE_FROM:
             sender, offset, size = NOTE_FROM.unpack_from(body, at)
             return PeerMessage(sender, _slice(body, tail_at, offset, size))
-        if code == 23:
-            server, reason, took, columns, *report = HEALTH.unpack_from(body, at)
-            status = STATUS.get(reason, Status.ERROR)
-            return ProbeResult(server, status, took, tuple(report[:columns]))
-        if code == 19:
-            return StreamStarted(*FIRST.unpack_from(body, at))
-        raise FrameError(f"event code {code} is unknown")
+        decode = DECODERS.get(code)
+        if decode is None:
+            problem = f"event code {code} is unknown"
+            raise FrameError(problem)
+        return decode(body, at)
+
+    def _membership(self, body: bytes, at: int) -> Membership | None:
+        scope, version, number = ENDPOINTS.unpack_from(body, at)
+        kind = LIST_KINDS.get(scope)
+        if kind is None:
+            return None
+        if kind is ListKind.FAILED:
+            return Membership(kind, version, [])
+        if number not in self.lists:
+            problem = f"list {number} was never sent"
+            raise FrameError(problem)
+        return Membership(kind, version, self.lists[number])
 
     def _rows(self, body: bytes, at: int, tail_at: int) -> None:
         number, offset, count = SNAPSHOT_ROWS.unpack_from(body, at)
@@ -195,48 +285,34 @@
         self.records.append(TEXT.pack(code, instance, len(self.tail), len(data)))
         self.tail += data
 
-    def _encode(self, i: int, actions: list[Action]) -> None:
-        add = self.records.append
-        for act in actions:
-            if isinstance(act, Send):
-                add(DISPATCH.pack(25, i, act.id, act.timeout_ns, act.server))
-            elif isinstance(act, SetTimer):
-                add(SET_TIMER.pack(27, i, act.after_ns, act.token))
-            elif isinstance(act, Refuse):
-                add(TURN_AWAY.pack(23, i, act.id, act.retry_after_ns))
-            elif isinstance(act, Fail):
-                add(ABORT.pack(26, i, act.id))
-            elif isinstance(act, Cancel):
-                add(RETRACT.pack(17, i, act.id, act.attempt))
-            elif isinstance(act, SendToPeer):
-                peer = EVERY_PEER if act.peer is None else act.peer
-                add(SHARE.pack(16, i, peer, len(self.tail), len(act.data)))
-                self.tail += act.data
-            elif isinstance(act, Probe):
-                add(ONE_SERVER.pack(22, i, act.server))
-            elif isinstance(act, CloseIdle):
-                add(ONE_SERVER.pack(20, i, act.server))
-            elif isinstance(act, Watch):
-                add(FOLLOW.pack(18, i, act.on))
-            elif isinstance(act, Fetch):
-                add(RESOLVE.pack(24, i))
-            elif isinstance(act, Log):
-                self._text(21, i, act.text)
+    def _encode(self, instance: int, actions: list[Action]) -> None:
+        for action in actions:
+            if isinstance(action, SendToPeer):
+                self._share(instance, action)
+            elif isinstance(action, Log):
+                self._text(ActionCode.TRACE, instance, action.text)
             else:
-                raise TypeError(f"no action: {act!r}")
+                self.records.append(ENCODERS[type(action)](instance, action))
+
+    def _share(self, instance: int, action: SendToPeer) -> None:
+        peer = EVERY_PEER if action.peer is None else action.peer
+        self.records.append(SHARE.pack(ActionCode.SHARE, instance, peer, len(self.tail), len(action.data)))
+        self.tail += action.data
 
 
 def _slice(body: bytes, tail_at: int, offset: int, size: int) -> bytes:
     start = tail_at + offset
     if start + size > len(body):
-        raise FrameError(f"tail ends before byte {offset + size}")
+        problem = f"tail ends before byte {offset + size}"
+        raise FrameError(problem)
     return body[start : start + size]
 
 
 def _read(stream: BinaryIO, size: int) -> bytes:
     data = stream.read(size)
     if data and len(data) < size:
-        raise FrameError(f"input ended {size - len(data)} bytes short")
+        problem = f"input ended {size - len(data)} bytes short"
+        raise FrameError(problem)
     return data
 
 
@@ -247,12 +323,14 @@
         size = LENGTH.unpack(head)[0]
         body = _read(source, size)
         if size and not body:
-            raise FrameError(f"input ended {size} bytes short")
+            problem = f"input ended {size} bytes short"
+            raise FrameError(problem)
         sink.write(host.reply_to(body))
         sink.flush()
 
 
 def main() -> int:
+    """Answer frames of standard input; return the exit code, 1 where the input is none of this protocol."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except (FrameError, SettingError) as error:
