--- a/dykefold/cli/control.py
+++ b/dykefold/cli/control.py
@@ -4,6 +4,7 @@
 
 import http.client
 import json
+from http import HTTPStatus
 from typing import Annotated
 from urllib.parse import quote
 
@@ -53,9 +54,10 @@
     except ValueError as error:
         raise typer.BadParameter(str(error), param_hint="--at") from None
     if action is not Action.HEALTH and not 0 < len(server) <= MAX_ID_CHARACTERS:
-        raise typer.BadParameter(f"expected 1 to {MAX_ID_CHARACTERS} characters", param_hint="ID")
+        problem = f"expected 1 to {MAX_ID_CHARACTERS} characters"
+        raise typer.BadParameter(problem, param_hint="ID")
     code, text = _answer(host, port, action, server)
-    good = code is not None and 200 <= code < 300
+    good = code is not None and HTTPStatus.OK <= code < HTTPStatus.MULTIPLE_CHOICES
     if as_json:
         call = {"call": action.value, "server": server or None, "at": at}
         typer.echo(json.dumps({**call, "yes": good, "code": code, "text": text}))
--- a/dykefold/cli/fleet.py
+++ b/dykefold/cli/fleet.py
@@ -4,6 +4,7 @@
 
 import http.client
 import json
+from http import HTTPStatus
 from typing import Annotated, Any
 
 import typer
@@ -78,7 +79,7 @@
         caller.request("GET", f"/{action.value}")
         reply = caller.getresponse()
         text = reply.read().decode("utf-8", "replace").strip()
-        if reply.status == 200:
+        if reply.status == HTTPStatus.OK:
             told = json.loads(text)
             if isinstance(told, dict) and key in told:
                 return told
--- a/dykefold/cli/lab.py
+++ b/dykefold/cli/lab.py
@@ -111,7 +111,7 @@
     raise typer.Exit(2)
 
 
-def described(result: RunResult) -> dict:
+def described(result: RunResult) -> dict[str, object]:
     """A result as JSON has it."""
     return {
         "valid": result.valid,
--- a/dykefold/cli/logs.py
+++ b/dykefold/cli/logs.py
@@ -10,6 +10,8 @@
 
 
 class LogFormat(StrEnum):
+    """How log lines are written; the values are those of the command line."""
+
     TEXT = "text"
     JSON = "json"
 
--- a/dykefold/cli/services.py
+++ b/dykefold/cli/services.py
@@ -4,7 +4,7 @@
 
 import json
 from pathlib import Path
-from typing import Annotated
+from typing import Annotated, Any
 
 import typer
 from rich.console import Console
@@ -59,7 +59,7 @@
         _show(service)
 
 
-def _described(service: Service) -> dict:
+def _described(service: Service) -> dict[str, Any]:
     plan = service.plan
     if plan is None:
         return {"pools": [], "routes": []}
--- a/dykefold/cli/simulation.py
+++ b/dykefold/cli/simulation.py
@@ -79,7 +79,7 @@
             yield play_seed(world, options.seed, options.span_s)
 
 
-def _described(total: Sum) -> dict:
+def _described(total: Sum) -> dict[str, object]:
     return {
         "runs": total.runs,
         "steps": total.steps,
--- a/dykefold/service_config.py
+++ b/dykefold/service_config.py
@@ -48,6 +48,7 @@
     remembered_most: Annotated[int, Meta(ge=1, le=100_000)] = 4096
 
     def caps(self) -> Caps:
+        """Return the limits on clients by address that the table asks for."""
         return Caps(
             connections=self.connections_per_address,
             known_connections=self.known_connections_per_address,
@@ -67,7 +68,7 @@
 
 
 class ControlTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[control]`: see docs/operators/operation.md; without `listen` there is no door."""
+    """`[control]`: see docs/operators/operation.md; without `listen` there is no admin API."""
 
     listen: str | None = None
     folder: str | None = None
@@ -94,11 +95,13 @@
     """The file can't be used; `problems` has one line for each thing wrong with it."""
 
     def __init__(self, path: str, problems: list[str]) -> None:
+        """Say what is wrong with the file at a path."""
         super().__init__("; ".join(problems))
         self.path = path
         self.problems = problems
 
     def lines(self) -> list[str]:
+        """Return a line for each problem, with the path in front."""
         return [f"{self.path}: {problem}" for problem in self.problems]
 
 
@@ -111,7 +114,7 @@
 
     Attributes:
         plan: None where it names no pool.
-        control: address of the operators' door; None for none.
+        control: address of the admin API; None for none.
         folder: that an older and a newer process share during an upgrade; None for no upgrades.
         fleet: what it asks of the view.
     """
