--- a/dykefold/__main__.py
+++ b/dykefold/__main__.py
@@ -3,36 +3,46 @@
 from __future__ import annotations
 
 import asyncio
+import functools
 import gc
 import logging
 import os
 import random
 import signal
-import socket
 import sys
+from collections.abc import Collection
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
 import uvloop
 
 from .control.admin_server import RESERVED_DESCRIPTORS as ADMIN_DESCRIPTORS
-from .control.admin_server import AdminServer
 from .control.process_lifecycle import ProcessLifecycle
 from .fleet.options import FailoverOptions
-from .net.peers import Address, PeerChannel
+from .fleet_wiring import FleetFeatures
+from .net.peers import Address
 from .net.sidecar import SidecarServer
-from .sidecar_config import Config, ConfigError, read_config, read_service_file, system_limit
+from .sidecar_config import (
+    Config,
+    ConfigError,
+    FileError,
+    ListenError,
+    read_config,
+    read_service_file,
+    system_limit,
+)
 
 if TYPE_CHECKING:
-    from .failover.controller import FailoverController
-    from .fleet.agent import FleetAgent
-    from .fleet.endpoint_list_sync import EndpointListSync
     from .routing.plan import Plan
     from .routing.services import Services
     from .service_config import Service
 
 log = logging.getLogger("dykefold")
 
+FLEET_FEATURES = frozenset(("view", "calls", "failover"))  # of [fleet], on without an operator's file
+USAGE = "usage: python -m dykefold [[view] [calls] [failover] | check FILE | serve FILE]"
+USAGE_EXIT_CODE = 2
+
 
 def start_engine(loop: asyncio.AbstractEventLoop, config: Config) -> SidecarServer:
     """Make the server of the platform's sidecar, with its one pool; it does not listen yet."""
@@ -61,9 +71,7 @@
         self.config = config
         self.path = path
         self.service = service
-        self.fleet: FleetAgent | None = None
-        self.lists: EndpointListSync | None = None
-        self.failover: FailoverController | None = None
+        self.features: FleetFeatures | None = None
 
     def __call__(self) -> None:
         """Read and apply the file; log why where it can't be applied."""
@@ -80,16 +88,8 @@
         engine.change_limits(config.sockets, config.caps)
         if engine.peers is not None:
             engine.peers.change_addresses(config.settings.index, config.peers, config.peers_all)
-        if self.fleet is not None:
-            self.fleet.renumber(config.peers, config.settings.index)
-        if self.failover is not None:
-            from .failover.settings import FailoverSettings
-
-            pool = engine.pool
-            zones, home = list(pool.names.zones), pool.settings.zone
-            self.failover.change_settings(FailoverSettings(zones, home, config.fleet.failover))
-        if self.lists is not None and config.settings.must_ask:
-            self.lists.change_settings(config.settings.must_ask_in_ns)
+        if self.features is not None:
+            self.features.apply(config)
         if engine.pool.discovery is not None:
             engine.pool.discovery.change_address(config.discovery)
 
@@ -108,109 +108,22 @@
         loop.add_signal_handler(number, presence.drain)
     reload = Reload(engine, config, path, service)
     loop.add_signal_handler(signal.SIGHUP, reload)
-    lists = reload.lists = _spread_calls(engine, config)
-    fleet = listener = None
+    features = reload.features = FleetFeatures(loop, engine, config)
     try:
         if not await presence.begin():
-            _end_unbegun(engine, presence)
+            await _end_unbegun(engine, presence)
             return
-        if config.peer_listen is not None:
-            peers = PeerChannel(config.settings.index, config.peers, config.peers_all, engine.pool.on_peer)
-            await loop.create_datagram_endpoint(
-                lambda: peers, sock=_datagram_socket(config.peer_listen, presence.shared)
-            )
-            engine.peers = peers
-            fleet = reload.fleet = _keep_view(loop, engine, config, peers)
-        if fleet is not None and lists is not None:
-            fleet.coordinate_polls(lists)
-        failover = None
-        if fleet is not None and config.fleet.failover.on:
-            failover = reload.failover = _fail_over(loop, engine, config, fleet)
-        if fleet is not None and config.fleet.listen is not None:
-            listener = _show_view(loop, fleet, config.fleet.listen, failover)
+        await features.start(config, presence.shared)
         address = presence.listen(config.listen)
     except OSError as error:
-        raise ConfigError(f"can't listen: {error}") from None
-    await _until_stopped(engine, config.name, address, presence, fleet)
-    if listener is not None:
-        listener.close()
-    if lists is not None:
-        lists.close()
-
-
-def _spread_calls(engine: SidecarServer, config: Config) -> EndpointListSync | None:
-    """Spread the polls of discovery over the fleet, where the operator's file asks for it."""
-    settings, discovery = config.settings, engine.pool.discovery
-    if not (config.fleet.calls and settings.must_ask and discovery is not None):
-        return None
-    from .fleet.endpoint_list_sync import EndpointListSync  # off by default, and then it costs no memory
-    from .fleet.poll_schedule import PollSettings
-
-    within_ns, rate = settings.must_ask_in_ns, config.fleet.calls_per_s
-    polls = PollSettings(within_ns, rate, settings.index, settings.fleet_size)
-    return EndpointListSync(discovery, polls, config.seed)
-
-
-def _keep_view(
-    loop: asyncio.AbstractEventLoop, engine: SidecarServer, config: Config, peers: PeerChannel
-) -> FleetAgent | None:
-    """Take part in the fleet's membership, where the operator's file and the settings allow it."""
-    settings = config.settings
-    known = len(config.peers) > 1 and 0 <= settings.index < len(config.peers)
-    if not (config.fleet.view and settings.can_tell and known):
-        return None
-    from .fleet.agent import FleetAgent, start_protocol  # off by default, and then it costs no memory
-    from .fleet.membership import LocalMember
-
-    local = LocalMember(config.peers, settings.index, settings.zone)
-    fleet = FleetAgent(loop, engine, peers, start_protocol(local, settings.price_peer, config.seed))
-    fleet.serve(engine.pool)
-    return fleet
-
-
-def _fail_over(
-    loop: asyncio.AbstractEventLoop, engine: SidecarServer, config: Config, fleet: FleetAgent
-) -> FailoverController:
-    """Take part in the failover between zones."""
-    from .failover.controller import FailoverController
-    from .failover.settings import FailoverSettings
-
-    zones, home = config.settings.zones, config.settings.zone
-    for name in {*config.fleet.failover.regions, *config.fleet.failover.out} - set(zones):
-        log.warning("failover: no zone %s; the settings have %s", name, ", ".join(zones))
-    settings = FailoverSettings(zones, home, config.fleet.failover)
-    return FailoverController(loop, fleet.membership, engine.pool, settings)
-
-
-def _show_view(
-    loop: asyncio.AbstractEventLoop, fleet: FleetAgent, address: Address, failover: FailoverController | None
-) -> AdminServer:
-    """Serve the fleet's membership at an address.
-
-    Raises:
-        OSError: the address can't be listened on.
-    """
-    from .control.admin_requests import parse_membership_request
-    from .fleet.admin import MembershipAdmin
-
-    sock = socket.create_server(address, backlog=ADMIN_DESCRIPTORS, reuse_port=True)
-    plan = failover.report if failover is not None else None
-    server = AdminServer(loop, sock, MembershipAdmin(fleet, plan), read=parse_membership_request)
-    log.info("fleet membership is served at %s:%d", *server.address)
-    return server
-
+        raise ListenError(error) from None
+    await _until_stopped(engine, config.name, address, presence, features)
+    features.close()
 
-def _datagram_socket(address: Address, shared: bool) -> socket.socket:
-    sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    if shared:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-    sock.setblocking(False)
-    sock.bind(address)
-    return sock
 
-
-def _end_unbegun(engine: SidecarServer, presence: ProcessLifecycle) -> None:
+async def _end_unbegun(engine: SidecarServer, presence: ProcessLifecycle) -> None:
     log.info("sidecar stopped before it accepted clients")
+    await presence.finish_writing()
     presence.close()
     engine.close()
 
@@ -220,7 +133,7 @@
     name: str,
     address: Address,
     presence: ProcessLifecycle,
-    fleet: FleetAgent | None = None,
+    features: FleetFeatures | None = None,
 ) -> None:
     # What exists now lives as long as the process: garbage collections need not scan it again, nor run as
     # often as for a program that makes cycles.
@@ -229,8 +142,9 @@
     gc.set_threshold(20_000, 20, 50)
     log.info("%s listens at %s:%d", name, *address)
     await engine.stopped
-    if fleet is not None:
-        fleet.close()
+    if features is not None:
+        features.leave()
+    await presence.finish_writing()
     presence.close()
     engine.close()
 
@@ -252,30 +166,35 @@
     try:
         services.apply(plan, sockets, service.caps)
     except ValueError as error:
-        raise ConfigError(f"{path}: {error}", code=2) from None
+        raise FileError(path, [str(error)], code=2) from None
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, presence.drain)
     loop.add_signal_handler(signal.SIGHUP, reload_services, services, path)
     try:
         if not await presence.begin():
-            _end_unbegun(engine, presence)
+            await _end_unbegun(engine, presence)
             return
         address = presence.listen(plan.listen)
     except OSError as error:
-        raise ConfigError(f"can't listen: {error}") from None
+        raise ListenError(error) from None
     await _until_stopped(engine, plan.name, address, presence)
 
 
 def reload_services(services: Services, path: str) -> None:
     """Read an operator's file again; one that can't be read or applied changes nothing."""
     try:
-        read = read_service_file(path)
-        if read.plan is None:
-            raise ConfigError(f"{path}: pools: missing")
-        services.apply(read.plan, min(read.plan.sockets, system_limit()), read.caps)
+        service = read_service_file(path)
+        plan = _plan_of(service, path, "pools: missing")
+        services.apply(plan, min(plan.sockets, system_limit()), service.caps)
     except (ConfigError, ValueError) as error:
         log.warning("the services stay as they were: %s", error)
-        return
+
+
+def _plan_of(service: Service, path: str, problem: str) -> Plan:
+    """Return the plan that an operator's file names; raise FileError with a problem where it names none."""
+    if service.plan is None:
+        raise FileError(path, [problem], code=2)
+    return service.plan
 
 
 def check(path: str) -> int:
@@ -291,35 +210,48 @@
 
 def main() -> int:
     """Run by the command line; return the exit code."""
-    if len(sys.argv) == 3 and sys.argv[1] == "check":
-        return check(sys.argv[2])
-    serves = len(sys.argv) == 3 and sys.argv[1] == "serve"
-    parts = sys.argv[1:]  # of what stands in [fleet], on without an operator's file
-    if parts and not serves and not set(parts) <= {"view", "calls", "failover"}:
-        usage = "usage: python -m dykefold [[view] [calls] [failover] | check FILE | serve FILE]"
-        print(usage, file=sys.stderr)
-        return 2
+    match sys.argv[1:]:
+        case ["check", path]:
+            return check(path)
+        case ["serve", path]:
+            serve_until_end = functools.partial(serve_file, path)
+        case features if FLEET_FEATURES.issuperset(features):
+            serve_until_end = functools.partial(serve_platform, features)
+        case _:
+            print(USAGE, file=sys.stderr)
+            return USAGE_EXIT_CODE
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(levelname)s %(name)s: %(message)s")
     # While no loop handles the signal, at the start and the end, its default would end the process.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    path, service = os.environ.get("GW_CONFIG"), os.environ.get("DYKEFOLD_SERVICE")
     try:
-        if serves:
-            serve_file(sys.argv[2])
-            return 0
-        config = read_config(path, service)
-        if parts:
-            moves = FailoverOptions(on="failover" in parts)
-            config.fleet = replace(config.fleet, view="view" in parts, calls="calls" in parts, failover=moves)
-        with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            runner.run(run(config, path, service))
-            signal.signal(signal.SIGHUP, signal.SIG_IGN)
+        serve_until_end()
     except ConfigError as error:
         print(f"dykefold: {error}", file=sys.stderr)
         return error.code
     return 0
 
 
+def serve_platform(features: Collection[str]) -> None:
+    """Serve as the platform's sidecar until the graceful shutdown is over.
+
+    Args:
+        features: of `FLEET_FEATURES`, those that are on; none: as the operator's file says.
+
+    Raises:
+        ConfigError: a file can't be used, or an address can't be listened on.
+    """
+    path, service = os.environ.get("GW_CONFIG"), os.environ.get("DYKEFOLD_SERVICE")
+    config = read_config(path, service)
+    if features:
+        failover = FailoverOptions(on="failover" in features)
+        config.fleet = replace(
+            config.fleet, view="view" in features, calls="calls" in features, failover=failover
+        )
+    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
+        runner.run(run(config, path, service))
+        signal.signal(signal.SIGHUP, signal.SIG_IGN)
+
+
 def serve_file(path: str) -> None:
     """Serve an operator's file until the graceful shutdown is over.
 
@@ -328,10 +260,9 @@
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the loop listens
     service = read_service_file(path)
-    if service.plan is None:
-        raise ConfigError(f"{path}: pools: missing; expected at least one table [pools.NAME]", code=2)
+    plan = _plan_of(service, path, "pools: missing; expected at least one table [pools.NAME]")
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(serve(service, service.plan, path))
+        runner.run(serve(service, plan, path))
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 
--- a/dykefold/control/hot_restart.py
+++ b/dykefold/control/hot_restart.py
@@ -9,12 +9,15 @@
 from collections.abc import Mapping
 
 from ..net.sidecar import SidecarServer
-from ..system import SYSTEM, System
+from ..system import System
+from .background_writer import OnWritten, Submit
 from .endpoint_list_sharing import EndpointListSharing
-from .hot_restart_state import LOOK_NS, HotRestartMachine, ProcessHeartbeat, RestartView
+from .hot_restart_state import LOOK_NS, ROOM_WAIT_NS, HotRestartMachine, ProcessHeartbeat, RestartView
 from .listener_steering import ListenerSteering
+from .maintenance import MaintenanceOrder
 from .maintenance_records import MaintenanceRecords
 from .process_records import (
+    ClockReading,
     Record,
     RecordKind,
     heartbeat_record,
@@ -41,7 +44,8 @@
         loop: asyncio.AbstractEventLoop,
         engine: SidecarServer,
         directory: StateDirectory,
-        system: System = SYSTEM,
+        system: System | None = None,
+        born_ns: int | None = None,
     ) -> None:
         """Prepare; nothing is written yet.
 
@@ -49,25 +53,36 @@
             loop: that runs the looks.
             engine: what serves clients in this process.
             directory: that the processes share.
-            system: clocks.
+            system: clocks; None: those of the engine.
+            born_ns: when this process started, monotonic; None: now.
         """
         self.loop = loop
         self.engine = engine
         self.directory = directory
-        self.now_ns = system.monotonic_ns
-        born_ns = self.now_ns()
+        self.now_ns = (system or engine.clock).monotonic_ns
+        self.boot_id = directory.boot_id()
+        born_ns = self.now_ns() if born_ns is None else born_ns
         self.machine = HotRestartMachine(f"{born_ns:020d}-{os.getpid()}", born_ns)
         name = self.machine.name
         self.heartbeat_name = RecordKind.HEARTBEAT.of_process(name)
         self.steering = ListenerSteering(engine)
         self.lists = EndpointListSharing(engine, directory, name)
-        self.snapshots = SnapshotTransfer(engine, directory, name, born_ns, self.now_ns)
-        self.maintenance = MaintenanceRecords(engine, directory, name)
+        self.snapshots = SnapshotTransfer(engine, directory, name, born_ns, self.read_clock)
+        self.maintenance = MaintenanceRecords(engine, directory, name, self.read_clock)
         self.process_count = 1
         self.others: dict[str, ProcessHeartbeat] = {}  # of the processes that live, by name
         self.records_stand = True  # what this process has written was there at the last look
+        self.joining_since_ns: int | None = None  # it serves, and has not taken its part of the limits yet
         self.timer: asyncio.TimerHandle | None = None
 
+    def write_in_background(self, submit: Submit) -> None:
+        """Have writes that wait for the disk run by `submit` from now on."""
+        self.maintenance.submit = submit
+
+    def read_clock(self) -> ClockReading:
+        """Read the clock of this process, on which its records have their times."""
+        return ClockReading(self.boot_id, self.now_ns(), self.engine.clock.offset)
+
     # The start
 
     async def wait_for_capacity(self) -> None:
@@ -91,6 +106,38 @@
         self.write_records()
         self._tick()
 
+    # The start where the state directory could not be used for a while
+
+    def join(self) -> None:
+        """Take part from now on, as a process that has served clients for some time.
+
+        Until the others have made way for it, it keeps the limits that it had without them. Which index its
+        listener has in the reuseport group can't be known, so the kernel selects by hash.
+        """
+        self.machine.hold(self.engine.needed_descriptors())
+        self.joining_since_ns = self.now_ns()
+        self._try_to_join()
+
+    def _try_to_join(self) -> None:
+        self.write_records()
+        self._look()
+        if self._may_join():
+            self._finish_joining()
+            self._tick()
+        else:
+            self.timer = self.loop.call_later(LOOK_S, self._try_to_join)
+
+    def _may_join(self) -> bool:
+        since_ns = self.joining_since_ns
+        waited = since_ns is not None and self.now_ns() - since_ns >= ROOM_WAIT_NS
+        return waited or self.machine.max_descriptors >= max(self.machine.claimed_descriptors, 1)
+
+    def _finish_joining(self) -> None:
+        self.joining_since_ns = None
+        self.machine.on_serving()
+        self._look()
+        self.write_records()
+
     # While it runs
 
     def _tick(self) -> None:
@@ -141,6 +188,8 @@
 
     def _apply(self, view: RestartView) -> None:
         """Follow what a look has shown: limits, new connections, and the snapshot for a newer process."""
+        if self.joining_since_ns is not None:
+            return
         if view.process_count != self.process_count:
             log.info("sidecar has %d processes", view.process_count)
             self.process_count = view.process_count
@@ -164,20 +213,37 @@
         maintenance orders is, and only when it differs. What fails is retried at each look.
 
         Returns:
-            False if either can't be written, or the record may not outlast the machine.
+            False if either can't be written, or the record may not outlast the machine yet.
+        """
+        written = self._write_heartbeat()
+        return self.maintenance.write() and written
+
+    def keep(self, orders: Mapping[str, MaintenanceOrder], on_kept: OnWritten) -> None:
+        """Write the heartbeat and all maintenance orders.
+
+        Args:
+            orders: by endpoint name, in place of those that the pools know.
+            on_kept: is told whether a newer process will know of all orders.
         """
+        written = self._write_heartbeat()
+        self.maintenance.keep(orders, lambda kept: on_kept(kept and written))
+
+    def _write_heartbeat(self) -> bool:
         self.directory.lock(self.heartbeat_name)
         heartbeat = self.machine.heartbeat(self.now_ns(), self.steering.listener_index)
         record = heartbeat_record(heartbeat, self.maintenance.orders())
         versions = self.lists.write(needed=bool(self.others))
-        written = self.directory.write(self.heartbeat_name, {**record, "lists": versions})
+        clock = self.read_clock().to_record()
+        written = self.directory.write(self.heartbeat_name, {**record, "lists": versions, "clock": clock})
         self.machine.wrote_heartbeat(self.now_ns(), written)
-        return self.maintenance.write() and written
+        return written
 
     # The end
 
     def begin_shutdown(self) -> None:
         """Begin the graceful shutdown."""
+        if self.joining_since_ns is not None:
+            self._finish_joining()
         self._look()
         self.machine.on_end()
         self.write_records()
--- a/dykefold/control/process_lifecycle.py
+++ b/dykefold/control/process_lifecycle.py
@@ -3,18 +3,24 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import logging
 import socket
 
 from ..net.peers import Address
 from ..net.sidecar import SidecarServer
 from .admin_operations import AdminOperations
+from .admin_queue import AdminQueue
 from .admin_server import RESERVED_DESCRIPTORS, AdminServer
+from .background_writer import BackgroundWriter, Submit
+from .directory_retry import DirectoryRetry
+from .file_system import FILE_SYSTEM, FileSystem
 from .hot_restart import HotRestart
 from .state_directory import FileStateDirectory
 
 log = logging.getLogger("dykefold.control")
 
+MAX_LAST_WRITE_S = 1.0  # that the end of the process waits for the disk
 LISTEN_BACKLOG = 512  # connections of clients that may wait to be accepted
 
 
@@ -27,6 +33,7 @@
         engine: SidecarServer,
         address: Address | None,
         folder: str | None,
+        file_system: FileSystem = FILE_SYSTEM,
     ) -> None:
         """Prepare.
 
@@ -35,19 +42,28 @@
             engine: what serves clients.
             address: of the admin API; None for none, and no hot restarts either.
             folder: that the processes of this sidecar share; None for no hot restarts.
+            file_system: the file calls.
         """
         self.loop = loop
         self.engine = engine
         self.address = address
         self.admin_server: AdminServer | None = None
         self.hot_restart: HotRestart | None = None
-        self.directory_unusable = False  # a folder is configured, and can't be used
+        self.admin_operations: AdminOperations | None = None
+        self.submit: Submit = BackgroundWriter(loop).submit
+        self.born_ns = engine.clock.monotonic_ns()
+        self.directory_retry: DirectoryRetry | None = None  # where a folder is configured
         if address is not None and folder:
-            try:
-                self.hot_restart = HotRestart(loop, engine, FileStateDirectory(folder))
-            except OSError as error:
-                log.warning("process disables hot restarts: folder %s, %s", folder, error.strerror)
-                self.directory_unusable = True
+            self.directory_retry = DirectoryRetry(loop, folder, file_system)
+            directory = self.directory_retry.open()
+            if directory is not None:
+                self.hot_restart = self._share(directory)
+
+    def _share(self, directory: FileStateDirectory) -> HotRestart:
+        """Take part in hot restarts by records in a directory."""
+        hot_restart = HotRestart(self.loop, self.engine, directory, born_ns=self.born_ns)
+        hot_restart.write_in_background(self.submit)
+        return hot_restart
 
     @property
     def shared(self) -> bool:
@@ -67,7 +83,9 @@
         if self.address is None:
             return True
         sock = socket.create_server(self.address, backlog=RESERVED_DESCRIPTORS)
-        self.admin_server = AdminServer(self.loop, sock, self.operations())
+        self.admin_operations = self.operations()
+        queue = AdminQueue(self.loop, self.admin_operations)
+        self.admin_server = AdminServer(self.loop, sock, queue)
         # The fleet laboratory and tests read the address from this line.
         log.info("the door is at %s:%d", *self.admin_server.address)
         if self.hot_restart is not None:
@@ -76,7 +94,8 @@
 
     def operations(self) -> AdminOperations:
         """Return what carries the requests of the admin API out."""
-        return AdminOperations(self.engine, self.hot_restart, directory_unusable=self.directory_unusable)
+        unusable = self.directory_retry is not None and not self.directory_retry.usable
+        return AdminOperations(self.engine, self.hot_restart, directory_unusable=unusable)
 
     def listen(self, address: Address) -> Address:
         """Take clients at an address.
@@ -91,16 +110,42 @@
         listener = self.engine.listen(sock)
         if self.hot_restart is not None:
             self.hot_restart.take_clients(sock)
+        elif self.directory_retry is not None:
+            self.directory_retry.start(self._join)
         return listener.address
 
+    def _join(self, directory: FileStateDirectory) -> None:
+        """Take part in hot restarts from now on: the state directory can be used at last."""
+        self.hot_restart = self._share(directory)
+        self.hot_restart.join()
+        if self.admin_operations is not None:
+            self.admin_operations.keep_orders_in(self.hot_restart)
+
     def drain(self) -> None:
         """Begin the graceful shutdown."""
+        if self.directory_retry is not None:
+            self.directory_retry.close()
         if self.hot_restart is not None:
             self.hot_restart.begin_shutdown()
         self.engine.drain()
 
+    async def finish_writing(self) -> None:
+        """Wait until all orders are written down, or for `MAX_LAST_WRITE_S`."""
+        if self.hot_restart is None:
+            return
+        written: asyncio.Future[bool] = self.loop.create_future()
+        self.hot_restart.maintenance.keep(
+            {}, lambda kept: None if written.done() else written.set_result(kept)
+        )
+        with contextlib.suppress(TimeoutError):
+            await asyncio.wait_for(written, MAX_LAST_WRITE_S)
+        if written.cancelled():
+            log.warning("process ends before its orders are written: the disk has not answered in time")
+
     def close(self) -> None:
         """End with the process."""
+        if self.directory_retry is not None:
+            self.directory_retry.close()
         if self.hot_restart is not None:
             self.hot_restart.close()
         if self.admin_server is not None:
