--- a/dykefold/net/service/attempts.py
+++ b/dykefold/net/service/attempts.py
@@ -27,6 +27,8 @@
     3.0  # seconds in which a streamed body or answer must progress, where the endpoint is the one to act
 )
 MAX_OVERSTATED_NS = 50 * MS  # by which the announced time may exceed what is left when the last byte goes out
+# What an end that proves that a request never ran means where the endpoint may act on a part of a body.
+MAY_HAVE_ACTED = {Status.CONNECT_FAILED: Status.RESET, Status.NOT_ATTEMPTED: Status.CANCELLED}
 STREAM_MARGIN_DIVISOR = 4  # one part in this many of the client's time is not announced for a streamed body
 
 
@@ -324,7 +326,7 @@
     servers); others may act on a part.
     """
     if request.call.profile is not HttpProfile.PLATFORM:
-        return Status.RESET if status is Status.CONNECT_FAILED else status
+        return MAY_HAVE_ACTED.get(status, status)
     if not upload.sent and status in (Status.RESET, Status.TIMEOUT, Status.CANCELLED):
         return Status.CONNECT_FAILED
     return status
--- a/dykefold/net/service/pending_requests.py
+++ b/dykefold/net/service/pending_requests.py
@@ -257,7 +257,7 @@
         pool = self.pool
         streamed = call.upload is not None or request.streaming_answer
         self._settle(request)
-        # Attempts that are not written yet are withdrawn first, so that the balancer learns their true end.
+        # Attempts not written whole yet are withdrawn first, so that the balancer learns their true end.
         for attempt in pool.attempt_runner.of(request):
             pool.upstreams.abandon(attempt.server, attempt)
         pool.post(ClientDisconnected(request.id))
--- a/dykefold/net/upstream/connection.py
+++ b/dykefold/net/upstream/connection.py
@@ -155,10 +155,18 @@
         assert exchange is not None
         if exchange.wanted():
             return True
-        self.exchange = None
+        self.withdraw()
+        return False
+
+    def withdraw(self) -> None:
+        """End the exchange on it, whose last byte was kept back, as not attempted.
+
+        Its endpoint did nothing wrong: nobody waits for the response any more, or it would come too late.
+        """
+        exchange, self.exchange = self.exchange, None
+        assert exchange is not None
         self.close(discard=True)
         exchange.end(Status.NOT_ATTEMPTED)
-        return False
 
     @property
     def incomplete(self) -> bool:
--- a/dykefold/net/upstream/connection_pool.py
+++ b/dykefold/net/upstream/connection_pool.py
@@ -247,19 +247,25 @@
         self.idle[connection] = None
 
     def abandon(self, server: int, exchange: Exchange) -> None:
-        """See that nobody waits for an exchange any more: one that was not written yet never is.
+        """See that nobody waits for an exchange any more: one that was not written whole yet never is.
 
-        The connection that is being made for it is kept for others, and says nothing of its endpoint.
+        That says nothing of its endpoint. A connection that is being made for it is kept for others; one on
+        which a part of it was written is closed. An exchange that may have run goes on.
 
         Args:
             server: number of the endpoint.
             exchange: that was started there.
         """
-        target = self.endpoints.get(server)
-        if exchange.connection is None and not exchange.ended:
+        connection = exchange.connection
+        if exchange.ended:
+            return
+        if connection is None:
+            target = self.endpoints.get(server)
             if target is not None and exchange in target.opening:
                 self._stop_waiting(target, exchange)
             exchange.end(Status.NOT_ATTEMPTED)
+        elif connection.incomplete:
+            connection.withdraw()
 
     def _stop_waiting(self, target: Upstream, exchange: Exchange) -> None:
         """Take an exchange that is not to be written from those that wait for a connection."""
--- a/tests/routing/test_streams.py
+++ b/tests/routing/test_streams.py
@@ -209,12 +209,15 @@
 def test_a_client_that_leaves_in_its_body_leaves_nothing_behind():
     async def play():
         async with served(waits) as (node, (server,)):
+            ends = []
+            node.pool("a").on_attempt_end = lambda endpoint, status, took_ns, goal_ns: ends.append(status)
             _, writer = await opened(node)
             writer.write(head(len(BIG)) + BIG[: 300 * KB])
             await until(lambda: server.heads)
             writer.transport.abort()
             await until(lambda: not node.pool("a").attempts)
             assert not node.pool("a").upstreams.connections
+            assert ends == [Status.CANCELLED]  # a part of a body may have had an effect here
 
     run(play())
 
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -29,6 +29,7 @@
 )
 from test_net_upstream import full_listener
 
+from dykefold.balancer.events import Status
 from dykefold.net.downstream.connection import WAITING_MOST
 from dykefold.net.upstream import connection_pool as upstream
 from dykefold.system import System
@@ -143,12 +144,14 @@
 async def test_what_a_slow_socket_keeps_back_never_gets_whole_once_its_client_left(
     tmp_path, kind, cancel, how
 ):
-    """A server begins a request with its last byte, and that is still here."""
+    """A server begins a request with its last byte, and that is still here: the server has not failed."""
     server = SlowServer()
     data = config(news(1, entry("s1", f"{HOST}:{server.port}")))
     data["settings"]["ceilings"]["cancel"] = cancel
     async with Sidecar(tmp_path / "c", data) as sidecar:
         pool, loop = sidecar.engine.pool, asyncio.get_running_loop()
+        ends = []
+        pool.on_attempt_end = lambda endpoint, status, took_ns, objective_ns: ends.append(status)
         pool.upstreams.system = SmallSockets()
         client = socket.socket()
         client.setblocking(False)
@@ -163,6 +166,8 @@
         await until(lambda: server.ended == len(server.brought))
         client.close()
         assert not server.whole()
+        assert set(ends) == {Status.NOT_ATTEMPTED}
+        assert pool.balancer.servers[1].failure_score == 0.0
     server.close()
 
 
