--- a/dykefold/net/service/attempts.py
+++ b/dykefold/net/service/attempts.py
@@ -27,6 +27,7 @@
     3.0  # seconds in which a streamed body or answer must progress, where the endpoint is the one to act
 )
 MAX_OVERSTATED_NS = 50 * MS  # by which the announced time may exceed what is left when the last byte goes out
+MIN_WRITE_NS = MS  # left of its time, or an attempt is not written: the shortest time that can be announced
 # What an end that proves that a request never ran means where the endpoint may act on a part of a body.
 MAY_HAVE_ACTED = {Status.CONNECT_FAILED: Status.RESET, Status.NOT_ATTEMPTED: Status.CANCELLED}
 STREAM_MARGIN_DIVISOR = 4  # one part in this many of the client's time is not announced for a streamed body
@@ -100,8 +101,8 @@
             return (
                 False  # the endpoint no longer remembers the idempotency key: this would be a second effect
             )
-        if self.expires_ns and now >= self.expires_ns:
-            return False  # the event loop is late: the timer has not fired yet
+        if self.expires_ns and now > self.expires_ns - MIN_WRITE_NS:
+            return False  # nobody would hear an answer, and the request may have an effect
         return not self._announced_too_much(now) and not self.held.sink.gone()
 
     def _announced_too_much(self, now: int) -> bool:
--- a/tests/test_deadline_told.py
+++ b/tests/test_deadline_told.py
@@ -32,6 +32,7 @@
 from test_client_gone import KB, SlowServer, SmallSockets, announced, chunked
 from test_net_upstream import full_listener
 
+from dykefold.balancer.events import Status
 from dykefold.net.downstream.arrivals import MARKS_MOST, Arrivals
 from dykefold.net.downstream.connection import WAITING_MOST
 from dykefold.net.service.attempts import Attempt
@@ -276,6 +277,31 @@
     assert not told.noted
 
 
+@pytest.mark.parametrize(("left_ns", "written"), [(MS * 4 // 10, False), (10 * MS, True)])
+@on_loop
+async def test_an_attempt_for_which_hardly_any_time_is_left_when_its_connection_is_up_is_not_written(
+    tmp_path, monkeypatch, left_ns, written
+):
+    """It can't be answered in time, nor be told how little is left: it would only risk an effect."""
+    fake = await Fake(answer_ok).start()
+    async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
+        pool, wanted = sidecar.engine.pool, Attempt.wanted
+
+        def wanted_shortly_before_the_end(attempt):
+            if not attempt.expires_ns:
+                return wanted(attempt)
+            with monkeypatch.context() as patch:
+                patch.setattr(pool, "now", lambda: attempt.expires_ns - left_ns)
+                return wanted(attempt)
+
+        monkeypatch.setattr(Attempt, "wanted", wanted_shortly_before_the_end)
+        ends = []
+        pool.on_attempt_end = lambda endpoint, status, took_ns, objective_ns: ends.append(status)
+        await ask(Told(), sidecar.port, "ab", message("order", "ab", "300m"))
+    # Where it was not written, a further attempt may find the connection that was kept.
+    assert ends[0] is (Status.OK if written else Status.NOT_ATTEMPTED)
+
+
 @pytest.mark.parametrize("count", [12, 24, 40])
 @on_loop
 async def test_requests_sent_ahead_of_their_answers(tmp_path, count):
