--- a/dykefold/net/downstream/request_parser.py
+++ b/dykefold/net/downstream/request_parser.py
@@ -12,7 +12,7 @@
 
 import httptools
 
-from ...balancer.settings import Effect, Settings
+from ...balancer.settings import Effect, RequestClass, Settings
 from ..streaming import Upload
 from ..upstream.classify import HttpProfile
 
@@ -105,6 +105,29 @@
     return int(float(match[1]) * DEADLINE_UNITS[match[2]])
 
 
+@dataclass(slots=True, frozen=True)
+class ClassForm:
+    """What the requests of one class look like.
+
+    Attributes:
+        number: Of the class in the settings.
+        method: The one method of its requests.
+        needs_key: They must bring an idempotency key.
+        deadline_ns: The longest time that a client may wait, nanoseconds.
+    """
+
+    number: int
+    method: bytes
+    needs_key: bool
+    deadline_ns: int
+
+    @classmethod
+    def of(cls, number: int, spec: RequestClass) -> ClassForm:
+        """Return the form of a class of the settings."""
+        method = b"GET" if spec.effect is Effect.SAFE else b"POST"
+        return cls(number, method, spec.effect is Effect.KEYED, spec.deadline_ns)
+
+
 class RequestParser:
     """Parses requests by one version of the settings: its classes and tenants."""
 
@@ -126,8 +149,11 @@
             before: The parser of the previous settings, for requests that do not fit these, while `lingers`.
         """
         self.pool = pool
-        self.specs = settings.classes
-        self.classes = {spec.name.encode(): n for n, spec in enumerate(settings.classes) if n not in retired}
+        self.classes = {
+            spec.name.encode(): ClassForm.of(number, spec)
+            for number, spec in enumerate(settings.classes)
+            if number not in retired
+        }
         self.tenants = {tenant.name.encode(): number for number, tenant in enumerate(settings.tenants)}
         self.before = before
         self.until_ns = 0  # until when the next parser may fall back on this one
@@ -166,60 +192,46 @@
     def _read(self, message: Message) -> ParsedRequest:
         """Parse a message by these settings alone.
 
-        One function for all headers, since each further call would be paid by every request.
+        The headers that every request has are read here, since each further call would be paid by every one.
         """
-        headers, method, target = message.headers, message.method, message.target
-        path = target
-        if not path.startswith(b"/"):  # the absolute form, as to a proxy
-            try:
-                path = httptools.parse_url(target).path or b"/"
-            except httptools.HttpParserInvalidURLError:
-                raise RequestError(400, "the target is no path") from None
+        headers, target = message.headers, message.target
+        path = target if target.startswith(b"/") else _path_of_absolute_form(target)
         name = path[1:].split(b"/", 1)[0].split(b"?", 1)[0]
-        cls = self.classes.get(name)
-        if cls is None and b"%" in name:  # a name that a path has to escape (RFC 3986, 2.1)
-            cls = self.classes.get(unquote_to_bytes(name))
-        if cls is None:
+        form = self.classes.get(name)
+        if form is None and b"%" in name:  # a name that a path has to escape (RFC 3986, 2.1)
+            form = self.classes.get(unquote_to_bytes(name))
+        if form is None:
             raise MalformedRequestError(404, "unknown class")
-        spec = self.specs[cls]
-        if method != (b"GET" if spec.effect is Effect.SAFE else b"POST"):
+        if message.method != form.method:
             raise MalformedRequestError(405, "the method is not that of the class")
         ident = headers.get(b"x-request-id")
         if not ident:
             raise RequestError(400, "X-Request-Id is missing")
         # Without the key no endpoint could recognize a retry, and the effect could occur twice.
-        if spec.effect is Effect.KEYED and not headers.get(b"idempotency-key"):
+        if form.needs_key and not headers.get(b"idempotency-key"):
             raise MalformedRequestError(400, "Idempotency-Key is missing")
-        wait = spec.deadline_ns
-        if (value := headers.get(b"x-deadline")) is not None:
+        wait_ns = form.deadline_ns
+        if (deadline := headers.get(b"x-deadline")) is not None:
             # The class's deadline covers all attempts; a client that states more does not wait for it.
-            wait = min(wait, parse_deadline(value))
+            wait_ns = min(wait_ns, parse_deadline(deadline))
         tenant = 0
-        if self.tenants and (value := headers.get(b"x-tenant")) is not None:
-            if value not in self.tenants:
+        if self.tenants and (tenant_name := headers.get(b"x-tenant")) is not None:
+            if tenant_name not in self.tenants:
                 raise RequestError(400, "unknown tenant")
-            tenant = self.tenants[value]
-        cost = 0
-        if b"x-cost-hint" in headers:
-            value = headers[b"x-cost-hint"]
-            if COST.fullmatch(value) is None:
-                raise RequestError(400, "X-Cost-Hint is no number")
-            cost = int(float(value) * 1000)
-        key = 0
-        if b"x-key" in headers and (value := headers[b"x-key"]):
-            key = int.from_bytes(blake2b(value, digest_size=8).digest(), "little")
+            tenant = self.tenants[tenant_name]
+        cost, key = headers.get(b"x-cost-hint"), headers.get(b"x-key")
         return ParsedRequest(
             ident,
-            method,
+            message.method,
             target,
             message.lines,
             message.body,
-            cls,
+            form.number,
             tenant,
-            key,
-            message.now + wait,
-            wait,
-            cost,
+            _hash_key(key) if key else 0,
+            message.now + wait_ns,
+            wait_ns,
+            _parse_cost(cost) if cost is not None else 0,
             headers.get(b"x-retry") == b"1",
             message.keep_alive,
             pool=self.pool,
@@ -227,3 +239,31 @@
             max_response_bytes=STREAM_MOST,
             old=message.old,
         )
+
+
+def _path_of_absolute_form(target: bytes) -> bytes:
+    """Return the path of a target in the absolute form, as a proxy gets it (RFC 9112, 3.2.2).
+
+    Raises:
+        RequestError: It is neither a path nor of that form.
+    """
+    try:
+        return httptools.parse_url(target).path or b"/"
+    except httptools.HttpParserInvalidURLError:
+        raise RequestError(400, "the target is no path") from None
+
+
+def _parse_cost(value: bytes) -> int:
+    """Return the nanoseconds of an X-Cost-Hint value, which is in microseconds.
+
+    Raises:
+        RequestError: The value is malformed.
+    """
+    if COST.fullmatch(value) is None:
+        raise RequestError(400, "X-Cost-Hint is no number")
+    return int(float(value) * 1000)
+
+
+def _hash_key(value: bytes) -> int:
+    """Return the number that stands for an X-Key value in the balancer."""
+    return int.from_bytes(blake2b(value, digest_size=8).digest(), "little")
