--- a/dykefold/net/downstream/connection.py
+++ b/dykefold/net/downstream/connection.py
@@ -14,7 +14,7 @@
 from ...system import Watch
 from ..upstream.abort import NO_LINGER
 from ..upstream.classify import HttpProfile
-from .connection_state import MAX_HEADERS_BYTES
+from .connection_state import CLOSED, CLOSING, LINGERING, MAX_HEADERS_BYTES, OPEN
 from .protocols import FlowControlled, MessageReader, RequestHandler
 from .request_parser import BODY_MOST, ParsedRequest, RequestError
 from .request_reader import MAX_WAITING_REQUESTS, RequestReader
@@ -53,11 +53,12 @@
         self.transport = transport  # type: ignore[assignment]
         self.sock = None
         transport.set_write_buffer_limits(high=0)  # type: ignore[attr-defined]
-        if self.closing:
+        if self.lifecycle is CLOSING:
             self.close()
-        elif (
-            not self.engine.accepting_requests
-        ):  # accepted just before the shutdown: what it has sent is still answered
+            return
+        self._enter(OPEN)
+        if not self.engine.accepting_requests:
+            # It was accepted just before the shutdown: what it has sent is still answered.
             self.close_when_idle()
 
     def eof_received(self) -> bool:
@@ -71,7 +72,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Return all that was reserved, and report the request that was being served."""
-        self.closed = True
+        self._enter(CLOSED)
         if self.stall_timer is not None:
             self.stall_timer.cancel()
         self._end_unfinished()
@@ -91,7 +92,7 @@
             return
         self.dispatching = True
         try:
-            while self.waiting and self.current is None and not self.unread and not self.closed:
+            while self.waiting and self.current is None and not self.unread and self.lifecycle is not CLOSED:
                 item = self.waiting.popleft()
                 if isinstance(item, ParsedRequest):
                     refusal: tuple[int, bytes, bytes] | None
@@ -158,6 +159,7 @@
         """
         if self.transport is None or self.transport.is_closing():
             return
+        self._enter(LINGERING)
         self.waiting.clear()
         self.linger_s = LINGER if self.discarding_input else LINGER_ANSWERED
         self.discarding_input = True
@@ -179,7 +181,9 @@
             reset: With a TCP reset, so that the client sees an incomplete answer as such in any framing.
             flush: Only after what was written has been sent; else at once.
         """
-        self.closing = True
+        if self.lifecycle is CLOSED:
+            return
+        self._enter(CLOSING)
         if self.transport is None:
             return
         if reset and (sock := self.transport.get_extra_info("socket")) is not None:
@@ -194,7 +198,7 @@
 
     def has_unread_input(self) -> bool:
         """Whether bytes of the client, or its end, are there that were not read yet."""
-        if self.closed or (self.transport is None and self.sock is None):
+        if self.lifecycle is CLOSED or (self.transport is None and self.sock is None):
             return False
         return self.unfed is not None or (not self.half_closed and bool(self._poll_end()))
 
@@ -204,8 +208,8 @@
         The transport reports the end of a client late if reading is paused or the loop stood still; asking
         the socket spares endpoints work that nobody waits for.
         """
-        if self.closed or self.transport is None:
-            return self.closed
+        if self.lifecycle is CLOSED or self.transport is None:
+            return self.lifecycle is CLOSED
         found = self._poll_end()
         if not found or not found[0][1] & (END_BOTH if self.engine.half_close else END):
             return False
--- a/dykefold/net/downstream/connection_state.py
+++ b/dykefold/net/downstream/connection_state.py
@@ -5,18 +5,12 @@
 The layers are classes in one line of inheritance rather than objects of their own: the transport and the
 parser call bound methods of one object, and a small request pays for no delegation.
 
-Three aspects are independent of each other; the fields that define each state are in parentheses.
+Three aspects are independent of each other. Lifecycle is a state of its own, as it changes a few times in the
+life of a connection. Input and output change with each message and are read off the fields that are needed
+anyway, so that a request pays for no second account of them.
 
-Lifecycle, in this order, where states may be left out:
-
-| state | fields | next |
-| --- | --- | --- |
-| accepted, no transport yet | `sock` set, `transport` None | open; closing (`close`) |
-| open | `transport` set | half-closed; lingering; closing |
-| half-closed by the client, awaiting answers | `half_closed` | lingering; closing |
-| lingering: own side ended, input discarded | `linger_s` > 0, `discarding_input` | closing |
-| closing: aborted, or refusal being flushed | `closing` | closed |
-| closed | `closed` | |
+Lifecycle: `Lifecycle` names the states, `TRANSITIONS` says which may follow which. Beside it, `half_closed`
+says that the client has ended its side and waits for answers.
 
 Input:
 
@@ -47,6 +41,7 @@
 import socket
 from collections import deque
 from dataclasses import dataclass
+from enum import Enum
 
 import httptools
 
@@ -60,6 +55,27 @@
 MAX_HEADERS_BYTES = 32 * 1024
 
 
+class Lifecycle(Enum):
+    """How far a connection has come, from accept to close."""
+
+    ACCEPTED = "its socket was accepted, its transport is still to be made"
+    OPEN = "it has a transport"
+    LINGERING = "the own side has ended; input is discarded until the client closes"
+    CLOSING = "it is aborted, or closed behind what was written"
+    CLOSED = "the connection is lost"
+
+
+ACCEPTED, OPEN, LINGERING, CLOSING, CLOSED = Lifecycle
+TRANSITIONS: dict[Lifecycle, frozenset[Lifecycle]] = {
+    ACCEPTED: frozenset((OPEN, CLOSING, CLOSED)),  # CLOSING: closed before its transport was made
+    OPEN: frozenset((LINGERING, CLOSING, CLOSED)),
+    LINGERING: frozenset((CLOSING, CLOSED)),
+    CLOSING: frozenset((CLOSED,)),
+    CLOSED: frozenset(),
+}
+ENDED = (CLOSING, CLOSED)
+
+
 @dataclass(slots=True)
 class ReadinessCheck:
     """A client's question whether this sidecar accepts requests.
@@ -76,13 +92,15 @@
 
     Attributes:
         client: The client's entry in the table of open connections.
+        lifecycle: How far it has come; only `_enter` sets it.
         current: The request that is being served.
         waiting: What was read and waits for its turn, in order.
         messages: Whole messages so far.
         paused: Nothing is read until some of what waits is answered.
         discarding_input: Input is discarded, since where a next message begins is unknown.
         unread: The client leaves answers unread.
-        closed: The connection is lost.
+        half_closed: The client has ended its side, and waits for answers.
+        linger_s: Seconds to wait for the client's close after the own one; 0 before that.
     """
 
     # More than 30 attributes would not share their keys, and each look-up would cost a hash (CPython 3.11).
@@ -93,8 +111,6 @@
         "body",
         "body_bytes",
         "client",
-        "closed",
-        "closing",
         "current",
         "discarding_input",
         "dispatching",
@@ -107,6 +123,7 @@
         "headers",
         "in_body",
         "keep_alive",
+        "lifecycle",
         "linger_s",
         "max_message_bytes",
         "max_upload_bytes",
@@ -138,6 +155,7 @@
         """
         self.engine = engine
         self.client = client
+        self.lifecycle = ACCEPTED
         self.parser = httptools.HttpRequestParser(self)
         self.transport: asyncio.Transport | None = None
         self.sock: socket.socket | None = None  # as it was accepted, until the transport has it
@@ -145,12 +163,10 @@
         self.current: ParsedRequest | None = None
         self.dispatching = False
         self.discarding_input = False
-        self.closed = False
         self.paused = False
         self.unread = False
         self.stall_timer: asyncio.TimerHandle | None = None
-        self.closing = False  # without a transport yet: it is aborted once it has one
-        self.half_closed = False  # the client has ended its side, and waits for answers
+        self.half_closed = False
         self.messages = 0
         self.reserved_bytes = 0  # of the memory budget, for all pending messages
         self.unfed: memoryview | None = None  # bytes that were read and wait to be parsed
@@ -163,7 +179,7 @@
         self.arrivals = Arrivals()
         self.arrived_ns = 0  # when the bytes being parsed arrived; 0: just now
         self.end: Watch | None = None  # watches for the client's close, once needed
-        self.linger_s = 0.0  # to wait for the client's close after the own one; 0 before that
+        self.linger_s = 0.0
         self._reset_message()
 
     def _reset_message(self) -> None:
@@ -179,6 +195,12 @@
         self.message_reserved_bytes = 0  # of the memory budget, for this message
         self.in_body = False
 
+    def _enter(self, state: Lifecycle) -> None:
+        """Go on to a state of the lifecycle; to stay in one is no transition."""
+        if state is not self.lifecycle:
+            assert state in TRANSITIONS[self.lifecycle], f"{self.lifecycle.name} to {state.name}"
+            self.lifecycle = state
+
     @property
     def message_unfinished(self) -> bool:
         """Whether a message has begun and not ended."""
--- a/dykefold/net/downstream/request_reader.py
+++ b/dykefold/net/downstream/request_reader.py
@@ -7,7 +7,7 @@
 from ..read_scheduler import SLICE_BYTES, cut
 from ..streaming import BUFFER_BYTES, FRAMING_MOST, Upload
 from ..upstream.http_fields import BLANKS, HOP_BY_HOP, gather
-from .connection_state import MAX_HEADERS_BYTES, ReadinessCheck
+from .connection_state import CLOSED, ENDED, MAX_HEADERS_BYTES, ReadinessCheck
 from .request_parser import BODY_MOST, Message, ParsedRequest, RequestError
 from .response_writer import ResponseWriter
 
@@ -29,7 +29,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Parse the first slice at once; longer input waits for the read scheduler."""
-        if self.discarding_input or self.closed:
+        if self.discarding_input or self.lifecycle is CLOSED:
             return
         if len(data) <= SLICE_BYTES:
             began_s = self.engine.monotonic()
@@ -38,7 +38,7 @@
             return
         # The first slice may show that the rest is of no use, so that it need not be kept.
         self._parse(data[:SLICE_BYTES])
-        if self.discarding_input or self.closed:
+        if self.discarding_input or self.lifecycle is CLOSED:
             return
         rest = memoryview(data)[SLICE_BYTES:]
         if not self.engine.memory.reserve(len(rest)):
@@ -52,7 +52,7 @@
 
     def feed_slice(self) -> bool:
         """Parse the next slice; return whether another one can follow in the next turn of the loop."""
-        if self.closing:  # nobody is left to answer: nothing more may be accepted
+        if self.lifecycle in ENDED:  # nobody is left to answer: nothing more may be accepted
             self._drop_unfed()
         if self.unfed is not None:
             data, self.unfed = cut(self.unfed)
--- a/tests/test_net_front.py
+++ b/tests/test_net_front.py
@@ -26,6 +26,7 @@
 from dykefold.admission.budget import Budget
 from dykefold.net import sidecar as engine
 from dykefold.net.downstream import request_parser, response_writer
+from dykefold.net.downstream.connection_state import TRANSITIONS, ConnectionState, Lifecycle
 from dykefold.net.memory_budget import MB, MemoryBudget
 from dykefold.net.peers import PeerChannel
 
@@ -424,3 +425,51 @@
             assert not sidecar.engine.pool.pending and not sidecar.engine.pool.attempts
 
     run(play())
+
+
+WAYS = {
+    # what ends the connection: (does the client ask on, the states that it goes through)
+    "the client closes": (False, [Lifecycle.OPEN, Lifecycle.CLOSED]),
+    "an error that is answered": (True, [Lifecycle.OPEN, Lifecycle.LINGERING, Lifecycle.CLOSED]),
+}
+
+
+@pytest.mark.parametrize("way", WAYS)
+def test_a_connection_goes_on_to_no_state_that_the_table_does_not_name(way, tmp_path, monkeypatch):
+    seen, enter = [], ConnectionState._enter
+
+    def noted(connection, state):
+        enter(connection, state)
+        seen.append(state)
+
+    async def play():
+        monkeypatch.setattr(ConnectionState, "_enter", noted)
+        async with Sidecar(tmp_path / "c", config(news(1))) as sidecar:
+            reader, writer = await asyncio.open_connection(HOST, sidecar.port)
+            if asks:
+                writer.write(b"this is no http\r\n\r\n")
+                await reader.read()
+            else:
+                await until(lambda: sidecar.engine.clients.all)
+            writer.close()
+            await until(lambda: seen[-1:] == [Lifecycle.CLOSED])
+
+    asks, states = WAYS[way]
+    run(play())
+    assert [state for state in seen if state is not Lifecycle.CLOSING] == states
+    assert set(TRANSITIONS) == set(Lifecycle)
+
+
+@pytest.mark.parametrize("state", Lifecycle)
+def test_every_state_of_a_connection_can_be_left_to_closed_and_closed_never(state):
+    connection = ConnectionState(None, None)
+    connection.lifecycle = state
+    for following in Lifecycle:
+        connection.lifecycle = state
+        if following is state or following in TRANSITIONS[state]:
+            connection._enter(following)
+            assert connection.lifecycle is following
+        else:
+            with pytest.raises(AssertionError):
+                connection._enter(following)
+    assert state is Lifecycle.CLOSED or Lifecycle.CLOSED in TRANSITIONS[state]
