--- a/dykefold/net/discovery/client.py
+++ b/dykefold/net/discovery/client.py
@@ -133,7 +133,7 @@
     reads any more, and a call that is cancelled had nothing to bring.
 
     Attributes:
-        heard: called with each update, and with None for each failure of a watch or a fetch.
+        on_update: called with each update, and with None for each failure of a watch or a fetch.
         pushed: discovery is an agent on the same machine, which only this client calls again after a failure.
         watching: a watch is open, or its next call is scheduled.
         called: when the latest call of the watch was made, in seconds of the monotonic clock.
@@ -148,7 +148,7 @@
         address: tuple[str, int],
         names: NameTable,
         version: int,
-        heard: Callable[[EndpointUpdate | None], None],
+        on_update: Callable[[EndpointUpdate | None], None],
         pushed: bool,
         system: System = SYSTEM,
     ) -> None:
@@ -159,14 +159,14 @@
             address: host and port of discovery.
             names: numbers the endpoints.
             version: the index of the list that is known.
-            heard: as the attribute.
+            on_update: as the attribute.
             pushed: as the attribute.
             system: the clocks and sockets.
         """
         self.loop = loop
         self.system = system
         self.names = names
-        self.on_update = heard
+        self.on_update = on_update
         self.pushed = pushed
         self.watching = False
         self.watch_round = 0  # what was scheduled in an earlier round of watching is not done
--- a/dykefold/net/downstream/arrivals.py
+++ b/dykefold/net/downstream/arrivals.py
@@ -9,7 +9,7 @@
 
 from collections import deque
 
-MARKS_MOST = 64  # further ones replace the latest
+MAX_MARKS = 64  # further ones replace the latest
 
 
 class Arrivals:
@@ -36,7 +36,7 @@
         """
         came = self.read + unread
         marks = self.marks
-        if len(marks) > 1 and (marks[-1][1] == came or len(marks) >= MARKS_MOST):
+        if len(marks) > 1 and (marks[-1][1] == came or len(marks) >= MAX_MARKS):
             marks.pop()
         marks.append((now_ns, came))
 
--- a/dykefold/net/downstream/request_reader.py
+++ b/dykefold/net/downstream/request_reader.py
@@ -5,7 +5,7 @@
 import httptools
 
 from ..read_scheduler import SLICE_BYTES, cut
-from ..streaming import BUFFER_BYTES, FRAMING_MOST, Upload
+from ..streaming import BUFFER_BYTES, MAX_FRAMING_FACTOR, Upload
 from ..upstream.http_fields import BLANKS, HOP_BY_HOP, gather
 from .connection_state import CLOSED, ENDED, MAX_HEADERS_BYTES, ReadinessCheck
 from .request_parser import BODY_MOST, Message, ParsedRequest, RequestError
@@ -302,7 +302,7 @@
         elif self._reserve(max(BUFFER_BYTES - self.message_reserved_bytes, 0)):
             self.upload = call.upload = Upload(length, bytes(self.body), self._resume)
             self.body = b""
-            self.max_message_bytes = MAX_HEADERS_BYTES + FRAMING_MOST * call.body_most
+            self.max_message_bytes = MAX_HEADERS_BYTES + MAX_FRAMING_FACTOR * call.body_most
             self._end_unfinished()
             self.message_begun = False
             self.messages += 1
--- a/dykefold/net/peers.py
+++ b/dykefold/net/peers.py
@@ -16,7 +16,7 @@
     """Sends datagrams to peers by their number, and passes on what known peers send.
 
     Attributes:
-        heard: called with the number of the sender and the data.
+        on_datagram: called with the number of the sender and the data.
         peers: addresses by number.
         everyone: the address that reaches all peers; None where there is none.
         numbers: by address, of all peers but this sidecar.
@@ -24,7 +24,11 @@
     """
 
     def __init__(
-        self, index: int, peers: list[Address], everyone: Address | None, heard: Callable[[int, bytes], None]
+        self,
+        index: int,
+        peers: list[Address],
+        everyone: Address | None,
+        on_datagram: Callable[[int, bytes], None],
     ) -> None:
         """Prepare; the event loop opens the socket.
 
@@ -32,9 +36,9 @@
             index: the number of this sidecar.
             peers: as the attribute.
             everyone: as the attribute.
-            heard: as the attribute.
+            on_datagram: as the attribute.
         """
-        self.on_datagram = heard
+        self.on_datagram = on_datagram
         self.change_addresses(index, peers, everyone)
         self.transport: asyncio.DatagramTransport | None = None
 
--- a/dykefold/net/service/attempts.py
+++ b/dykefold/net/service/attempts.py
@@ -40,9 +40,9 @@
         "announced_ns",
         "answer_began_ns",
         "expires_ns",
-        "held",
         "last_progress",
         "number",
+        "request",
         "sent_ns",
         "server",
         "write_by_ns",
@@ -61,7 +61,7 @@
         self.profile = request.call.profile
         self.max_streamed_bytes = request.call.max_response_bytes
         self.upload = request.call.upload
-        self.held = request
+        self.request = request
         self.number = number
         self.server = server
         self.sent_ns = sent_ns
@@ -80,7 +80,7 @@
         if not self._streaming() or not self._has_progressed():
             super().expire()
         elif self.timer_wheel is not None:
-            self.timer_wheel.start(self, STALL_S, self.held.pool.monotonic())
+            self.timer_wheel.start(self, STALL_S, self.request.pool.monotonic())
 
     def _streaming(self) -> bool:
         return self.answer_began_ns > 0 or (self.upload is not None and not self.upload.ended)
@@ -96,14 +96,14 @@
 
     def wanted(self) -> bool:
         """Return whether the attempt may still be written."""
-        now = self.held.pool.now()
+        now = self.request.pool.now()
         if self.write_by_ns and now >= self.write_by_ns:
             return (
                 False  # the endpoint no longer remembers the idempotency key: this would be a second effect
             )
         if self.expires_ns and now > self.expires_ns - MIN_WRITE_NS:
             return False  # nobody would hear an answer, and the request may have an effect
-        return not self._announced_too_much(now) and not self.held.sink.gone()
+        return not self._announced_too_much(now) and not self.request.sink.gone()
 
     def _announced_too_much(self, now: int) -> bool:
         """Return whether the head, which is written, announced more time than the client has left now.
@@ -113,36 +113,38 @@
         """
         if self.connection is None or self.profile is not HttpProfile.PLATFORM:
             return False
-        return now + self.announced_ns > self.held.call.deadline_ns + MAX_OVERSTATED_NS
+        return now + self.announced_ns > self.request.call.deadline_ns + MAX_OVERSTATED_NS
 
     def compose(self) -> bytes:
         """Return the message to write; if connecting took long, it announces the time that is left now."""
-        now = self.held.pool.now()
+        now = self.request.pool.now()
         if now - self.sent_ns >= MS:
-            self.announce(self.expires_ns - now if self.expires_ns else stream_time_ns(self.held.call, now))
+            self.announce(
+                self.expires_ns - now if self.expires_ns else stream_time_ns(self.request.call, now)
+            )
         return self.payload
 
     def announce(self, left_ns: int) -> None:
         """Encode the message for an endpoint that has so many nanoseconds."""
         self.announced_ns = left_ns
-        self.payload = self.held.pool.message(self.held.call, left_ns)
+        self.payload = self.request.pool.message(self.request.call, left_ns)
 
     def restart_timer(self, after_s: float) -> None:
         """Replace the time limit of an attempt in flight, in seconds from now."""
         if self.timer_wheel is not None and not self.ended:
             self.timer_wheel.stop(self)
-            self.timer_wheel.start(self, after_s, self.held.pool.monotonic())
+            self.timer_wheel.start(self, after_s, self.request.pool.monotonic())
 
     def upload_begins(self) -> None:
         """Notify the balancer that the body is being streamed: the request can't be retried any more."""
-        request = self.held
+        request = self.request
         request.pool.post(StreamStarted(request.id, self.number, self.server, 0, Status.NOT_ATTEMPTED))
         if request.call.upload is not None and request.call.upload.ended:
             self.body_sent()
 
     def body_sent(self) -> None:
         """Notify the balancer that the streamed body is complete: the endpoint is the one to act."""
-        self.held.pool.post(BodySent(self.held.id, self.number, self.server))
+        self.request.pool.post(BodySent(self.request.id, self.number, self.server))
 
     def begin_response(
         self, code: int, headers: list[tuple[bytes, bytes]], length: int | None, load: bytes
@@ -158,7 +160,7 @@
         Returns:
             Whether the answer is passed on.
         """
-        request = self.held
+        request = self.request
         if not request.awaiting_answer or request.streaming_answer:
             return False
         request.streaming_answer = request.sink.begin_response(
@@ -176,7 +178,7 @@
 
     def send_response_piece(self, data: bytes) -> None:
         """Pass on the next bytes of a streamed answer."""
-        self.held.sink.send_response_piece(self.held.call, data)
+        self.request.sink.send_response_piece(self.request.call, data)
 
     def block(self, on: bool) -> None:
         """Pause or resume reading from the endpoint, as the client can take bytes."""
@@ -253,7 +255,7 @@
         attempt = self.in_flight.get((action.id, action.attempt))
         if attempt is None:
             return
-        request, upload = attempt.held, attempt.upload
+        request, upload = attempt.request, attempt.upload
         streamed = request.streaming_answer or (upload is not None and upload.begun)
         # A streamed attempt of a pending request can't be retried: it ends by itself or at its time limit.
         if not (streamed and request.awaiting_answer):
--- a/dykefold/net/service/pool.py
+++ b/dykefold/net/service/pool.py
@@ -63,7 +63,7 @@
     """The endpoints, connections and pending requests of one service, and the balancer that decides on them.
 
     Args:
-        home: What the process shares.
+        host: What the process shares.
         settings: Of the balancer.
         transport: Limits and times of sockets.
         seed: Of the balancer's random draws.
@@ -71,7 +71,7 @@
         names: Numbers of endpoints and zones by name.
         known: The endpoint list to begin with.
         budget: Descriptors that the pool may reserve; None for all of the process's.
-        elsewhere: Closes a connection that another pool does not need, and tells whether there was one.
+        close_in_other_pools: Closes a connection that another pool does not need; tells whether it could.
         label: Identifies the pool in the process, and in the next one after a hot restart.
 
     Attributes:
@@ -85,7 +85,7 @@
 
     def __init__(
         self,
-        home: PoolHost,
+        host: PoolHost,
         settings: Settings,
         transport: Transport,
         seed: int,
@@ -93,17 +93,17 @@
         names: NameTable,
         known: EndpointUpdate,
         budget: DescriptorReservations | None = None,
-        elsewhere: Callable[[], bool] | None = None,
+        close_in_other_pools: Callable[[], bool] | None = None,
         label: str = "",
     ) -> None:
         """Begin with the known endpoints, and watch the endpoint list. The class describes the arguments."""
         # At most 30 attributes: instances with more do not share their keys, and look-ups cost more.
-        self.host = home
+        self.host = host
         self.label = label
-        self.loop = home.loop
-        self.monotonic = home.system.monotonic
-        self.now = home.clock.now
-        self.budget: DescriptorReservations = budget if budget is not None else home.budget
+        self.loop = host.loop
+        self.monotonic = host.system.monotonic
+        self.now = host.clock.now
+        self.budget: DescriptorReservations = budget if budget is not None else host.budget
         self.closed = False
         self.on_retired: Callable[[Pool], None] | None = None  # set while the pool retires
         self.on_attempt_end: Callable[[int, Status, int, int], None] | None = None
@@ -115,7 +115,7 @@
         self.version = known.version
         self._use_settings(settings, frozenset())
         self.balancer = Balancer(settings, seed)
-        self.upstreams = self._connection_pool(transport, elsewhere)
+        self.upstreams = self._connection_pool(transport, close_in_other_pools)
         self.discovery = self._discovery_client(discovery, known.version) if discovery is not None else None
         self.requests = PendingRequests(self)
         self.attempt_runner = AttemptRunner(self)
@@ -135,18 +135,20 @@
     def _connect_timeout_s(self) -> float:
         return self.settings.connect_timeout_ns / SECOND or DEFAULT_CONNECT_TIMEOUT_S
 
-    def _connection_pool(self, transport: Transport, elsewhere: Callable[[], bool] | None) -> ConnectionPool:
-        home = self.host
+    def _connection_pool(
+        self, transport: Transport, close_in_other_pools: Callable[[], bool] | None
+    ) -> ConnectionPool:
+        host = self.host
         return ConnectionPool(
-            home.loop,
-            home.budget.upstreams,
-            home.memory,
+            host.loop,
+            host.budget.upstreams,
+            host.memory,
             self._connect_timeout_s(),
             transport.conn_idle_ns / SECOND,
-            home.read_scheduler,
-            home.timer_wheel,
-            elsewhere,
-            home.system,
+            host.read_scheduler,
+            host.timer_wheel,
+            close_in_other_pools,
+            host.system,
         )
 
     def _discovery_client(self, address: Address, version: int) -> DiscoveryClient:
@@ -313,25 +315,25 @@
         """When endpoints started, as far as that is known."""
         return self.endpoints.start_times
 
-    def on_update(self, news: EndpointUpdate | None) -> None:
+    def on_update(self, update: EndpointUpdate | None) -> None:
         """Apply an endpoint list or a change of it; None if discovery failed."""
-        self.endpoints.on_update(news)
+        self.endpoints.on_update(update)
 
     def list_record(self) -> dict[str, Any]:
         """Return the endpoint list as discovery reported it, for the state directory."""
         return self.endpoints.record()
 
-    def adopt_list_record(self, word: Mapping[str, Any]) -> None:
+    def adopt_list_record(self, record: Mapping[str, Any]) -> None:
         """Apply another process's endpoint list if it is newer. Raises ListError if it can't be read."""
-        self.endpoints.adopt(word)
+        self.endpoints.adopt(record)
 
     def apply_order(self, name: str, out: bool) -> bool:
         """Take a known endpoint out of service, or put it back; return whether that changed anything."""
         return self.endpoints.maintain(name, out)
 
-    def merge_maintenance(self, said: Mapping[str, MaintenanceOrder]) -> None:
+    def merge_maintenance(self, orders: Mapping[str, MaintenanceOrder]) -> None:
         """Apply maintenance orders that another process of this sidecar was given."""
-        self.endpoints.merge_maintenance(said)
+        self.endpoints.merge_maintenance(orders)
 
     def endpoint_numbers(self) -> dict[str, int]:
         """Return the numbers of the balancer's endpoints, by name."""
--- a/dykefold/net/service/protocols.py
+++ b/dykefold/net/service/protocols.py
@@ -74,7 +74,7 @@
         """Log the exception that is being handled, at a limited rate."""
         ...
 
-    def on_request_end(self, asker: ResponseSink, call: ParsedRequest, served: bool) -> None:
+    def on_request_end(self, sink: ResponseSink, call: ParsedRequest, served: bool) -> None:
         """Note that a request is no longer pending; its final answer, if any, follows this call."""
         ...
 
--- a/dykefold/net/sidecar.py
+++ b/dykefold/net/sidecar.py
@@ -154,8 +154,8 @@
         waiting = [
             call.cls for connection in self.clients.all.values() for call in connection.pending_requests()
         ]
-        accepted = [held.call.cls for held in pool.pending.values()]
-        attempts = [attempt.held.call.cls for attempt in pool.attempts.values()]
+        accepted = [request.call.cls for request in pool.pending.values()]
+        attempts = [attempt.request.call.cls for attempt in pool.attempts.values()]
         generation = self.generation.next(settings, {*waiting, *accepted, *attempts}, now_ns)
         if generation == self.generation:
             pool.change_transport(transport)
@@ -217,9 +217,9 @@
         """Accept an admitted request: from here on it awaits one final response."""
         call.pool.accept(connection, call)
 
-    def on_request_end(self, asker: ResponseSink, call: ParsedRequest, served: bool) -> None:
+    def on_request_end(self, sink: ResponseSink, call: ParsedRequest, served: bool) -> None:
         """Release what a finished request had reserved of the process."""
-        self.clients.close_request(asker.client, served)
+        self.clients.close_request(sink.client, served)
         self.old_ids.append((self.monotonic(), call.ident))
         if self.draining:
             self.shutdown.end_if_done()
--- a/dykefold/net/streaming.py
+++ b/dykefold/net/streaming.py
@@ -12,7 +12,7 @@
 
 BUFFER_BYTES = 64 * 1024  # of an upload that wait for its server; a buffered body may be as long
 SOCKET_READ_NS = 50_000_000  # in which the kernel's part of a body is read, once reading resumes
-FRAMING_MOST = 8  # times the body's own bytes that chunks may take, as for buffered bodies
+MAX_FRAMING_FACTOR = 8  # times the body's own bytes that chunks may take, as for buffered bodies
 
 
 class Sink(Protocol):
@@ -49,7 +49,7 @@
 
     __slots__ = (
         "begun",
-        "held",
+        "buffered",
         "length",
         "on_drain",
         "on_whole",
@@ -73,7 +73,7 @@
             on_drain: called when less than `BUFFER_BYTES` waits again.
         """
         self.length = length
-        self.held: list[bytes] = [prefix] if prefix else []
+        self.buffered: list[bytes] = [prefix] if prefix else []
         self.size = len(prefix)
         self.on_drain = on_drain
         self.on_whole: Callable[[], None] | None = None
@@ -91,7 +91,7 @@
 
     def feed(self, data: bytes) -> None:
         """Take the next bytes of the body."""
-        self.held.append(data)
+        self.buffered.append(data)
         self.size += len(data)
         self.flow()
 
@@ -162,7 +162,7 @@
         self._forward(sink)
         if self.ended and not sink.unwritten and sink.may_end():
             self.sent = True
-            last, self.held, self.size = b"".join(self.held), [], 0
+            last, self.buffered, self.size = b"".join(self.buffered), [], 0
             self.passed += len(last)
             sink.write_on(last if self.length is not None else b"0\r\n\r\n")
         if was_full and not self.full:
@@ -170,10 +170,10 @@
 
     def _forward(self, sink: Sink) -> None:
         """Write what has come, without the last byte of a body whose length is known."""
-        data, last = b"".join(self.held), b""
+        data, last = b"".join(self.buffered), b""
         if self.length is not None and self.passed + len(data) >= self.length:
             data, last = data[:-1], data[-1:]
-        self.held, self.size = [last] if last else [], len(last)
+        self.buffered, self.size = [last] if last else [], len(last)
         if data:
             self.passed += len(data)
             sink.write_on(data if self.length is not None else b"%x\r\n%s\r\n" % (len(data), data))
--- a/dykefold/net/upstream/classify.py
+++ b/dykefold/net/upstream/classify.py
@@ -1,4 +1,4 @@
-"""What a response of an endpoint proves of the request that it answers."""
+"""What the end of an exchange proves of its request: a response, or a connection that broke."""
 
 from __future__ import annotations
 
@@ -56,3 +56,18 @@
     if answer.code in CODES_NOT_RUN and answer.not_run:
         return Status.FULL
     return Status.ERROR
+
+
+def classify_break(incomplete: bool, own: bool) -> Status:
+    """Say what the break of a connection proves of the request on it, which has no whole response.
+
+    Args:
+        incomplete: whether the last byte of the request was kept back.
+        own: whether this machine lacked something, which says nothing of the endpoint.
+
+    Returns:
+        `RESET` where it may have run, `NOT_ATTEMPTED` or `CONNECT_FAILED` where it never ran.
+    """
+    if not incomplete:
+        return Status.RESET
+    return Status.NOT_ATTEMPTED if own else Status.CONNECT_FAILED
--- a/dykefold/net/upstream/connection.py
+++ b/dykefold/net/upstream/connection.py
@@ -33,7 +33,7 @@
 from ...system import is_own
 from ..read_scheduler import SLICE_BYTES, cut
 from .abort import abort_connection
-from .classify import Response, classify
+from .classify import Response, classify, classify_break
 from .response_reader import ResponseReader
 
 if TYPE_CHECKING:
@@ -381,14 +381,8 @@
         if exchange is not None and died and not own:
             self.upstream.ages.note(self.idle_before_s, True, now)
         self.close()
-        if exchange is None:
-            return
-        if not never:
-            exchange.end(Status.RESET)
-        elif own and exchange.upload is None:
-            exchange.end(Status.NOT_ATTEMPTED)
-        else:
-            exchange.end(Status.CONNECT_FAILED)
+        if exchange is not None:
+            exchange.end(classify_break(never, own and exchange.upload is None))
 
     def close(self, discard: bool = False) -> None:
         """End the connection: the one end of each, called before its exchange is reported as over.
--- a/dykefold/net/upstream/connection_pool.py
+++ b/dykefold/net/upstream/connection_pool.py
@@ -75,10 +75,10 @@
         allowance: Allowance,
         memory: MemoryBudget,
         connect_timeout: float,
-        idle_most: float,
+        endpoint_idle_s: float,
         read_scheduler: ReadScheduler | None = None,
         timer_wheel: TimerWheel | None = None,
-        elsewhere: Callable[[], bool] | None = None,
+        close_in_other_pools: Callable[[], bool] | None = None,
         system: System = SYSTEM,
     ) -> None:
         """Begin without endpoints.
@@ -88,23 +88,23 @@
             allowance: counts its connections against their maximum.
             memory: bounds the bytes of responses that are kept.
             connect_timeout: seconds.
-            idle_most: seconds after which endpoints may close an idle connection.
+            endpoint_idle_s: seconds after which endpoints may close an idle connection.
             read_scheduler: parses long responses in slices; by default one of its own.
             timer_wheel: runs the time limits of exchanges; by default one of its own.
-            elsewhere: closes a connection that another pool does not need, and returns whether there was one.
+            close_in_other_pools: closes a connection that another pool does not need; tells whether it could.
             system: the sockets and the clock.
         """
         self.loop = loop
         self.system = system
         self.monotonic = system.monotonic
-        self.free_elsewhere = elsewhere
+        self.close_in_other_pools = close_in_other_pools
         self.timer_wheel = timer_wheel or TimerWheel(loop, system)
         self.read_scheduler = read_scheduler or ReadScheduler(loop, system=system)
         self.lag = self.read_scheduler.lag
         self.allowance = allowance
         self.memory = memory
         self.connect_timeout = connect_timeout
-        self.max_idle_s = idle_most * IDLE_FRACTION
+        self.max_idle_s = endpoint_idle_s * IDLE_FRACTION
         self.scarcity = ScarcityLimit(self.max_idle_s)
         self.quarantine = Quarantine()
         self.ages = IdleAgeStats(self.max_idle_s)
@@ -114,17 +114,17 @@
         self.idle: OrderedDict[UpstreamConnection, None] = OrderedDict()
         self.unneeded: dict[UpstreamConnection, Exchange] = {}
 
-    def change_settings(self, connect_timeout: float, idle_most: float) -> None:
+    def change_settings(self, connect_timeout: float, endpoint_idle_s: float) -> None:
         """Take other times; what was learned of idle connections stays, under the new maximum.
 
         Args:
             connect_timeout: seconds.
-            idle_most: seconds after which endpoints may close an idle connection.
+            endpoint_idle_s: seconds after which endpoints may close an idle connection.
         """
         self.connect_timeout = connect_timeout
-        if idle_most * IDLE_FRACTION == self.max_idle_s:
+        if endpoint_idle_s * IDLE_FRACTION == self.max_idle_s:
             return
-        self.max_idle_s = idle_most * IDLE_FRACTION
+        self.max_idle_s = endpoint_idle_s * IDLE_FRACTION
         ages = [self.ages, *self.kinds.values(), *(target.ages for target in self.endpoints.values())]
         limits: list[ScarcityLimit | IdleAgeStats] = [self.scarcity, *ages]
         for limited in limits:
@@ -306,7 +306,9 @@
         return connection
 
     def _free_capacity(self) -> bool:
-        return self.close_unneeded() or (self.free_elsewhere is not None and self.free_elsewhere())
+        return self.close_unneeded() or (
+            self.close_in_other_pools is not None and self.close_in_other_pools()
+        )
 
     def close_unneeded(self) -> bool:
         """Close a connection that nobody needs: the one idle for longest, or one still being made.
--- a/tests/test_deadline_told.py
+++ b/tests/test_deadline_told.py
@@ -33,7 +33,7 @@
 from test_net_upstream import full_listener
 
 from dykefold.balancer.events import Status
-from dykefold.net.downstream.arrivals import MARKS_MOST, Arrivals
+from dykefold.net.downstream.arrivals import MAX_MARKS, Arrivals
 from dykefold.net.downstream.connection import WAITING_MOST
 from dykefold.net.service.attempts import Attempt
 from dykefold.net.upstream import connection_pool as upstream
@@ -368,4 +368,4 @@
             first_ns = came_ns[arrivals.read]
             assert arrivals.came_ns(live=False) <= first_ns
             arrivals.read += min(size, len(came_ns) - arrivals.read)
-    assert len(arrivals.marks) <= MARKS_MOST
+    assert len(arrivals.marks) <= MAX_MARKS
