--- a/dykefold/net/downstream/connection.py
+++ b/dykefold/net/downstream/connection.py
@@ -78,13 +78,13 @@
         self._end_unfinished()
         self._release(self.reserved_bytes)
         self._drop_unfed()
-        call, self.current = self.current, None
+        request, self.current = self.current, None
         self.waiting.clear()
         # The parser, the upload and the source refer back to this object. Without these cycles it is freed
         # at once; else each connection of a long day would stay until the rare run of the collector.
         self.upload = self.response_source = None
         del self.parser
-        self.engine.disconnected(self, call)
+        self.engine.disconnected(self, request)
 
     def _dispatch_waiting(self) -> None:
         """Serve what waits, one item at a time."""
@@ -117,12 +117,12 @@
             self.dispatching = False
         self._resume()
 
-    def _refuse(self, call: ParsedRequest, code: int, headers: bytes, text: bytes) -> None:
+    def _refuse(self, request: ParsedRequest, code: int, headers: bytes, text: bytes) -> None:
         """Answer a request that was not admitted."""
-        self._release(call.size)
-        if call.upload is not None:
-            self._stop_upload(call.upload, call)
-        self._respond(code, headers, text, call.keep_alive, call.profile is HttpProfile.HEAD)
+        self._release(request.size)
+        if request.upload is not None:
+            self._stop_upload(request.upload, request)
+        self._respond(code, headers, text, request.keep_alive, request.profile is HttpProfile.HEAD)
 
     # Lifecycle
 
--- a/dykefold/net/downstream/protocols.py
+++ b/dykefold/net/downstream/protocols.py
@@ -72,7 +72,7 @@
         """The clock that deadlines are stated in, in nanoseconds."""
         ...
 
-    def admit(self, connection: ClientConnection, call: ParsedRequest) -> tuple[int, bytes, bytes] | None:
+    def admit(self, connection: ClientConnection, request: ParsedRequest) -> tuple[int, bytes, bytes] | None:
         """Reserve what a request will need.
 
         Returns:
@@ -80,16 +80,16 @@
         """
         ...
 
-    def accept(self, connection: ClientConnection, call: ParsedRequest) -> None:
+    def accept(self, connection: ClientConnection, request: ParsedRequest) -> None:
         """Accept an admitted request: `ClientConnection.respond` or `begin_response` is called once."""
         ...
 
-    def disconnected(self, connection: ClientConnection, call: ParsedRequest | None) -> None:
+    def disconnected(self, connection: ClientConnection, request: ParsedRequest | None) -> None:
         """Note that the client's connection is lost.
 
         Args:
             connection: The connection.
-            call: Its request that was being served, if any.
+            request: Its request that was being served, if any.
         """
         ...
 
--- a/dykefold/net/downstream/request_reader.py
+++ b/dykefold/net/downstream/request_reader.py
@@ -220,9 +220,9 @@
             self._release(self.message_reserved_bytes)
         else:
             try:
-                call = self._build_request(bytes(self.body))
-                call.size = self.message_reserved_bytes
-                self.waiting.append(call)
+                request = self._build_request(bytes(self.body))
+                request.size = self.message_reserved_bytes
+                self.waiting.append(request)
             except RequestError as problem:
                 problem.keep_alive = keep_alive
                 problem.head = self.parser.get_method() == b"HEAD"
@@ -293,22 +293,22 @@
             self._reject(413, "the body is too large")
             return
         try:
-            call = self._build_request(b"")
+            request = self._build_request(b"")
         except RequestError as problem:
             self._reject(problem.code, str(problem), self.parser.get_method() == b"HEAD")
             return
-        if (length or self.body_bytes) > call.body_most:
+        if (length or self.body_bytes) > request.body_most:
             self._reject(413, "the body is too large")
         elif self._reserve(max(BUFFER_BYTES - self.message_reserved_bytes, 0)):
-            self.upload = call.upload = Upload(length, bytes(self.body), self._resume)
+            self.upload = request.upload = Upload(length, bytes(self.body), self._resume)
             self.body = b""
-            self.max_message_bytes = MAX_HEADERS_BYTES + MAX_FRAMING_FACTOR * call.body_most
+            self.max_message_bytes = MAX_HEADERS_BYTES + MAX_FRAMING_FACTOR * request.body_most
             self._end_unfinished()
             self.message_begun = False
             self.messages += 1
-            call.size, self.message_reserved_bytes = self.message_reserved_bytes, 0
-            self.max_upload_bytes = call.body_most
-            self.waiting.append(call)
+            request.size, self.message_reserved_bytes = self.message_reserved_bytes, 0
+            self.max_upload_bytes = request.body_most
+            self.waiting.append(request)
 
     def _feed_upload(self, upload: Upload, data: bytes) -> None:
         """Pass on a piece of a body."""
--- a/dykefold/net/downstream/response_writer.py
+++ b/dykefold/net/downstream/response_writer.py
@@ -20,34 +20,34 @@
 
     __slots__ = ()
 
-    def respond(self, call: ParsedRequest, code: int, headers: bytes, body: bytes) -> None:
+    def respond(self, request: ParsedRequest, code: int, headers: bytes, body: bytes) -> None:
         """Write the final answer to the request that is being served.
 
         Args:
-            call: The request; nothing is written if it is served no more.
+            request: The request; nothing is written if it is served no more.
             code: The HTTP status.
             headers: Whole header lines, without those of the framing.
             body: The whole body.
         """
-        if self.current is not call:
+        if self.current is not request:
             return
         self.current = None
-        self._release(call.size)
-        if call.told:
-            headers += call.told
-        if call.upload is not None:
-            self._stop_upload(call.upload, call)
-        self._respond(code, headers, body, call.keep_alive, call.profile is HttpProfile.HEAD)
+        self._release(request.size)
+        if request.told:
+            headers += request.told
+        if request.upload is not None:
+            self._stop_upload(request.upload, request)
+        self._respond(code, headers, body, request.keep_alive, request.profile is HttpProfile.HEAD)
         self._dispatch_waiting()
         self.engine.clients.place(self)
 
     def begin_response(
-        self, call: ParsedRequest, code: int, headers: bytes, length: int | None, paced: FlowControlled
+        self, request: ParsedRequest, code: int, headers: bytes, length: int | None, paced: FlowControlled
     ) -> bool:
         """Begin the final answer to the request that is being served; its body follows in pieces.
 
         Args:
-            call: The request.
+            request: The request.
             code: The HTTP status.
             headers: Whole header lines, without those of the framing.
             length: Of the body in bytes; None where chunks or the connection's end mark its end.
@@ -56,39 +56,39 @@
         Returns:
             False if the client does not wait for the answer any more.
         """
-        if self.current is not call:
+        if self.current is not request:
             return False
-        if call.upload is not None:
-            self._stop_upload(call.upload, call)
+        if request.upload is not None:
+            self._stop_upload(request.upload, request)
         self.response_source = paced
-        self.keep_alive = call.keep_alive and self._keeps_open()
+        self.keep_alive = request.keep_alive and self._keeps_open()
         self.final_chunk = None
         if length is not None:
             framing = b"Content-Length: %d\r\n" % length
-        elif call.old:  # HTTP/1.0 has no chunks: the end of the connection ends its answer
+        elif request.old:  # HTTP/1.0 has no chunks: the end of the connection ends its answer
             framing, self.keep_alive = b"", False
         else:
             framing, self.final_chunk = b"Transfer-Encoding: chunked\r\n", b"0\r\n\r\n"
-        self._write(_response_head(code, headers + call.told + framing, self.keep_alive))
+        self._write(_response_head(code, headers + request.told + framing, self.keep_alive))
         return True
 
-    def send_response_piece(self, call: ParsedRequest, data: bytes) -> None:
+    def send_response_piece(self, request: ParsedRequest, data: bytes) -> None:
         """Write the next bytes of the answer that has begun."""
-        if self.current is call and data:
+        if self.current is request and data:
             self._write(data if self.final_chunk is None else b"%x\r\n%s\r\n" % (len(data), data))
 
-    def end_response(self, call: ParsedRequest, whole: bool) -> None:
+    def end_response(self, request: ParsedRequest, whole: bool) -> None:
         """End the answer that has begun.
 
         Args:
-            call: The request.
+            request: The request.
             whole: Whether the body is complete; if not, the connection is reset, so that the client
                 sees it in any framing.
         """
-        if self.current is not call:
+        if self.current is not request:
             return
         self.current = self.response_source = None
-        self._release(call.size)
+        self._release(request.size)
         if not whole:
             self.close(reset=True)
             return
@@ -99,10 +99,10 @@
         self._dispatch_waiting()
         self.engine.clients.place(self)
 
-    def _stop_upload(self, upload: Upload, call: ParsedRequest) -> None:
+    def _stop_upload(self, upload: Upload, request: ParsedRequest) -> None:
         """Discard the rest of a body whose request is answered: where the next message begins is unknown."""
         if not upload.ended:
-            call.keep_alive = False
+            request.keep_alive = False
             self.discarding_input = True
             self.upload = None
 
--- a/dykefold/net/service/protocols.py
+++ b/dykefold/net/service/protocols.py
@@ -27,17 +27,17 @@
         """Return whether the client has closed, even if the event loop has not reported it yet."""
         ...
 
-    def respond(self, call: ParsedRequest, code: int, headers: bytes, body: bytes) -> None:
+    def respond(self, request: ParsedRequest, code: int, headers: bytes, body: bytes) -> None:
         """Give the complete final answer; a second one for the same request has no effect."""
         ...
 
     def begin_response(
-        self, call: ParsedRequest, code: int, headers: bytes, length: int | None, paced: FlowControlled
+        self, request: ParsedRequest, code: int, headers: bytes, length: int | None, paced: FlowControlled
     ) -> bool:
         """Begin a streamed final answer.
 
         Args:
-            call: The request that is answered.
+            request: The request that is answered.
             code: HTTP status code.
             headers: Complete header lines, each ended by CRLF.
             length: Bytes of the body; None if it is not known.
@@ -48,11 +48,11 @@
         """
         ...
 
-    def send_response_piece(self, call: ParsedRequest, data: bytes) -> None:
+    def send_response_piece(self, request: ParsedRequest, data: bytes) -> None:
         """Pass on the next bytes of a streamed answer's body."""
         ...
 
-    def end_response(self, call: ParsedRequest, whole: bool) -> None:
+    def end_response(self, request: ParsedRequest, whole: bool) -> None:
         """End a streamed answer; the client is shown that it broke off unless it is complete."""
         ...
 
@@ -74,7 +74,7 @@
         """Log the exception that is being handled, at a limited rate."""
         ...
 
-    def on_request_end(self, sink: ResponseSink, call: ParsedRequest, served: bool) -> None:
+    def on_request_end(self, sink: ResponseSink, request: ParsedRequest, served: bool) -> None:
         """Note that a request is no longer pending; its final answer, if any, follows this call."""
         ...
 
--- a/dykefold/net/sidecar.py
+++ b/dykefold/net/sidecar.py
@@ -152,7 +152,9 @@
         pool, now_ns = self.pool, self.now()
         settings = pool.renumber_zones(settings)
         waiting = [
-            call.cls for connection in self.clients.all.values() for call in connection.pending_requests()
+            request.cls
+            for connection in self.clients.all.values()
+            for request in connection.pending_requests()
         ]
         accepted = [request.call.cls for request in pool.pending.values()]
         attempts = [attempt.request.call.cls for attempt in pool.attempts.values()]
@@ -183,7 +185,7 @@
 
     # Requests
 
-    def admit(self, connection: ClientConnection, call: ParsedRequest) -> tuple[int, bytes, bytes] | None:
+    def admit(self, connection: ClientConnection, request: ParsedRequest) -> tuple[int, bytes, bytes] | None:
         """Reserve what a request will need.
 
         Its id must be new: a server would take another request under the id of a pending one for a hedged
@@ -200,38 +202,38 @@
         if self.all_answered:
             # Clients may send ahead on a connection that is never idle. Every pending request has had its
             # response by now, and one accepted from here on would be pending when the process stops.
-            return 503, _retry_after_header(call.pool), b"this sidecar ends\n"
-        if call.ident in self.ids:
+            return 503, _retry_after_header(request.pool), b"this sidecar ends\n"
+        if request.ident in self.ids:
             return 409, b"", b"a request with this id is open or has just been\n"
-        pool: Pool = call.pool
+        pool: Pool = request.pool
         if not self.clients.open_request(connection.client):
             return 429, _retry_after_header(pool), b"too many open requests from this address\n"
         if len(pool.pending) >= pool.max_open or pool.closed or not pool.budget.reserve():
             self.clients.close_request(connection.client, served=False)
             self.clients.note(Reason.REQUESTS, connection.client.host)
             return 503, _retry_after_header(pool), b"too many open requests\n"
-        self.ids.add(call.ident)
+        self.ids.add(request.ident)
         return None
 
-    def accept(self, connection: ClientConnection, call: ParsedRequest) -> None:
+    def accept(self, connection: ClientConnection, request: ParsedRequest) -> None:
         """Accept an admitted request: from here on it awaits one final response."""
-        call.pool.accept(connection, call)
+        request.pool.accept(connection, request)
 
-    def on_request_end(self, sink: ResponseSink, call: ParsedRequest, served: bool) -> None:
+    def on_request_end(self, sink: ResponseSink, request: ParsedRequest, served: bool) -> None:
         """Release what a finished request had reserved of the process."""
         self.clients.close_request(sink.client, served)
-        self.old_ids.append((self.monotonic(), call.ident))
+        self.old_ids.append((self.monotonic(), request.ident))
         if self.draining:
             self.shutdown.end_if_done()
 
     # Clients
 
-    def disconnected(self, connection: ClientConnection, call: ParsedRequest | None) -> None:
+    def disconnected(self, connection: ClientConnection, request: ParsedRequest | None) -> None:
         """Release what a client had that has gone, and drop its pending request."""
         self.clients.remove(connection.client)
         if self.listener is not None:
             self.listener.released()
-        if (call is None or not call.pool.drop_disconnected(call)) and self.draining:
+        if (request is None or not request.pool.drop_disconnected(request)) and self.draining:
             self.shutdown.end_if_done()
 
     @property
--- a/tests/sim/mutants.py
+++ b/tests/sim/mutants.py
@@ -38,8 +38,10 @@
     Mutant(
         "a request is answered twice",
         "net/downstream/response_writer.py",
-        "        self._respond(code, headers, body, call.keep_alive, call.profile is HttpProfile.HEAD)\n",
-        "        self._respond(code, headers, body, call.keep_alive, call.profile is HttpProfile.HEAD)\n" * 2,
+        "request.profile is HttpProfile.HEAD)\n        self._dispatch_waiting()\n",
+        "request.profile is HttpProfile.HEAD)\n"
+        "        self._respond(code, headers, body, request.keep_alive)\n"
+        "        self._dispatch_waiting()\n",
         "parts",
     ),
     Mutant(
