--- a/dykefold/net/downstream/request_reader.py
+++ b/dykefold/net/downstream/request_reader.py
@@ -5,9 +5,9 @@
 import httptools
 
 from ..read_scheduler import SLICE_BYTES, cut
-from ..streaming import BUFFER_BYTES, FRAMING_MOST, Upload
+from ..streaming import BUFFER_BYTES, MAX_FRAMING_FACTOR, Upload
 from ..upstream.http_fields import BLANKS, HOP_BY_HOP, gather
-from .connection_state import MAX_HEADERS_BYTES, ReadinessCheck
+from .connection_state import CLOSED, ENDED, MAX_HEADERS_BYTES, ReadinessCheck
 from .request_parser import BODY_MOST, Message, ParsedRequest, RequestError
 from .response_writer import ResponseWriter
 
@@ -29,7 +29,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Parse the first slice at once; longer input waits for the read scheduler."""
-        if self.discarding_input or self.closed:
+        if self.discarding_input or self.lifecycle is CLOSED:
             return
         if len(data) <= SLICE_BYTES:
             began_s = self.engine.monotonic()
@@ -38,7 +38,7 @@
             return
         # The first slice may show that the rest is of no use, so that it need not be kept.
         self._parse(data[:SLICE_BYTES])
-        if self.discarding_input or self.closed:
+        if self.discarding_input or self.lifecycle is CLOSED:
             return
         rest = memoryview(data)[SLICE_BYTES:]
         if not self.engine.memory.reserve(len(rest)):
@@ -52,7 +52,7 @@
 
     def feed_slice(self) -> bool:
         """Parse the next slice; return whether another one can follow in the next turn of the loop."""
-        if self.closing:  # nobody is left to answer: nothing more may be accepted
+        if self.lifecycle in ENDED:  # nobody is left to answer: nothing more may be accepted
             self._drop_unfed()
         if self.unfed is not None:
             data, self.unfed = cut(self.unfed)
@@ -220,9 +220,9 @@
             self._release(self.message_reserved_bytes)
         else:
             try:
-                call = self._build_request(bytes(self.body))
-                call.size = self.message_reserved_bytes
-                self.waiting.append(call)
+                request = self._build_request(bytes(self.body))
+                request.size = self.message_reserved_bytes
+                self.waiting.append(request)
             except RequestError as problem:
                 problem.keep_alive = keep_alive
                 problem.head = self.parser.get_method() == b"HEAD"
@@ -293,22 +293,22 @@
             self._reject(413, "the body is too large")
             return
         try:
-            call = self._build_request(b"")
+            request = self._build_request(b"")
         except RequestError as problem:
             self._reject(problem.code, str(problem), self.parser.get_method() == b"HEAD")
             return
-        if (length or self.body_bytes) > call.body_most:
+        if (length or self.body_bytes) > request.body_most:
             self._reject(413, "the body is too large")
         elif self._reserve(max(BUFFER_BYTES - self.message_reserved_bytes, 0)):
-            self.upload = call.upload = Upload(length, bytes(self.body), self._resume)
+            self.upload = request.upload = Upload(length, bytes(self.body), self._resume)
             self.body = b""
-            self.max_message_bytes = MAX_HEADERS_BYTES + FRAMING_MOST * call.body_most
+            self.max_message_bytes = MAX_HEADERS_BYTES + MAX_FRAMING_FACTOR * request.body_most
             self._end_unfinished()
             self.message_begun = False
             self.messages += 1
-            call.size, self.message_reserved_bytes = self.message_reserved_bytes, 0
-            self.max_upload_bytes = call.body_most
-            self.waiting.append(call)
+            request.size, self.message_reserved_bytes = self.message_reserved_bytes, 0
+            self.max_upload_bytes = request.body_most
+            self.waiting.append(request)
 
     def _feed_upload(self, upload: Upload, data: bytes) -> None:
         """Pass on a piece of a body."""
