--- a/dykefold/balancer/endpoints.py
+++ b/dykefold/balancer/endpoints.py
@@ -43,6 +43,7 @@
         probation_ns: from when on one request may probe it while ejected.
         probation_pending: whether that request is in flight.
         slow_start_tokens: requests that it may be sent while it warms up, as of `slow_start_ns`.
+        slow_start_sent: requests sent while it warmed up.
         slow_start_room: requests until the ceiling that no answers raise, as of then too.
     """
 
@@ -73,6 +74,7 @@
         "samples",
         "slow_start_ns",
         "slow_start_room",
+        "slow_start_sent",
         "slow_start_tokens",
         "started_ns",
         "zone",
@@ -111,6 +113,7 @@
         self.probation_ns = 0
         self.probation_pending = False
         self.slow_start_tokens = 0.0
+        self.slow_start_sent = 0
         self.slow_start_room = 0.0
         self.slow_start_ns = 0
 
--- a/dykefold/balancer/slow_start.py
+++ b/dykefold/balancer/slow_start.py
@@ -15,6 +15,7 @@
 MAX_CEILING = 1.6  # ... nor than so many times the overload factor, in place of RATE_FACTOR
 SMALL_ALLOWANCE = 30.0  # requests; the slack for chance is larger below
 DEMAND_PART = 0.3  # of the overload factor, times the fair fraction of the demand, times the ramp
+MAX_UNANSWERED = 3  # requests that failed, up to which an endpoint is sent more by the demand
 CROWD_FACTOR = 1.5  # times both where many sidecars see little: most requests come to others than have tokens
 CROWD_BURST = 2.0  # requests that may come at once there, by the ceiling
 BURST_PER_ANSWER = 0.1  # requests more that may come at once for each one answered since the start
@@ -63,6 +64,7 @@
         """Take the tokens of a request that is sent to the endpoint."""
         if endpoint.started_ns and self._refill(endpoint) is not None:
             cost = self.cost(stats)
+            endpoint.slow_start_sent += 1
             endpoint.slow_start_tokens -= cost
             endpoint.slow_start_room -= cost
 
@@ -111,7 +113,7 @@
         rate, ceiling = RATE_FACTOR * ramp * fair, self._ceiling(endpoint, ramp * fair)
         if self._in_crowd():
             rate, ceiling = rate * CROWD_FACTOR, ceiling * CROWD_FACTOR
-        if self.endpoints.all_warm_up():
+        if self._may_go_by_demand(endpoint):
             rate = max(rate, self._rate_by_demand(endpoint, ramp))
             ceiling = max(ceiling, rate)
         return rate, ceiling
@@ -158,6 +160,11 @@
         fleet = max(self.context.sidecar_count(), settings.fleet_size, 1)
         return math.ceil(fleet / max(len(settings.zones), 1)) if local else fleet
 
+    def _may_go_by_demand(self, endpoint: EndpointState) -> bool:
+        """Tell whether no endpoint is warm, and this one has answered nearly all that it was sent."""
+        unanswered = endpoint.slow_start_sent - endpoint.samples
+        return not endpoint.in_flight and unanswered < MAX_UNANSWERED and self.endpoints.all_warm_up()
+
     def _rate_by_demand(self, endpoint: EndpointState, ramp: float) -> float:
         """Requests a second that it may be sent while no endpoint is warm.
 
--- a/tests/sim/mutants.py
+++ b/tests/sim/mutants.py
@@ -123,8 +123,8 @@
     Mutant(
         "a sidecar breaks off an answer that it streams",
         "net/service/attempts.py",
-        "        self.held.sink.send_response_piece(self.held.call, data)\n",
-        "        self.held.sink.send_response_piece(self.held.call, data)\n"
+        "        self.request.sink.send_response_piece(self.request.call, data)\n",
+        "        self.request.sink.send_response_piece(self.request.call, data)\n"
         "        if self.connection is not None:\n"
         "            self.connection.close(discard=True)\n",
         "services",
