--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -98,7 +98,7 @@
             assert (await ask(port, b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")).code == 200 and len(first.got) == 2
             path.write_text(good(second.port))
             process.send_signal(signal.SIGHUP)
-            await line_with("table 2")
+            await line_with("sidecar replaced the route table: number=2")
             assert (await ask(port, b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")).code == 200 and len(
                 second.got
             ) == 1
