--- a/tests/test_cold_budget_all_cold.py
+++ b/tests/balancer/test_slow_start_whole_fleet.py
@@ -1,10 +1,11 @@
 """What servers get of sidecars that begin together with all of them: no sidecar has an answer to go by.
 
-The same model as in `test_cold_budget.py`, but no server is warm: the start of each is in the first list.
+The same model as in `test_slow_start_budget.py`, but no server is warm: the start of each is in the
+first list.
 """
 
 import pytest
-from test_cold_budget import START_CAPACITY, WARM_S, Day, Played
+from test_slow_start_budget import START_CAPACITY, WARM_S, Day, Played
 
 SIDECARS = (1, 2, 5, 30, 200)
 SERVERS = 12
--- a/tests/test_net_ends.py
+++ b/tests/net/test_aborted_attempts.py
@@ -13,7 +13,7 @@
 
 import pytest
 from net_helpers import WAIT, run
-from test_net_upstream import PAYLOAD, make
+from test_upstream_connections import PAYLOAD, make
 
 from dykefold.balancer.events import State, Status
 from dykefold.net.upstream.exchange import Exchange
--- a/tests/test_client_gone.py
+++ b/tests/net/test_client_disconnects.py
@@ -27,7 +27,7 @@
     stand_still,
     until,
 )
-from test_net_upstream import full_listener
+from test_upstream_connections import full_listener
 
 from dykefold.balancer.events import Status
 from dykefold.net.downstream.connection import WAITING_MOST
--- a/tests/test_crossings_clients.py
+++ b/tests/net/test_client_races.py
@@ -32,7 +32,7 @@
     stand_still,
     until,
 )
-from test_net_upstream import full_listener, make
+from test_upstream_connections import full_listener, make
 
 from dykefold.admission import controller, request_gaps
 from dykefold.balancer.events import Status
--- a/tests/test_deadline_told.py
+++ b/tests/net/test_deadline_propagation.py
@@ -29,8 +29,8 @@
     until,
 )
 from stream_helpers import read_body
-from test_client_gone import KB, SlowServer, SmallSockets, announced, chunked
-from test_net_upstream import full_listener
+from test_client_disconnects import KB, SlowServer, SmallSockets, announced, chunked
+from test_upstream_connections import full_listener
 
 from dykefold.balancer.events import Status
 from dykefold.net.downstream.arrivals import MAX_MARKS, Arrivals
--- a/tests/test_net_sweep.py
+++ b/tests/net/test_idle_sweep.py
@@ -1,7 +1,7 @@
 """The sweep of idle connections costs what is idle, not what is listed (3,200 servers and more)."""
 
 from net_helpers import HOST, Fake, answer_ok, run
-from test_net_upstream import make, start
+from test_upstream_connections import make, start
 
 from dykefold.balancer.events import State, Status
 from dykefold.net.upstream.idle_timeouts import IdleAgeStats
--- a/tests/test_crossings_processes.py
+++ b/tests/net/test_process_races.py
@@ -25,7 +25,7 @@
     until,
 )
 from process_helpers import Process, played_in_time
-from test_net_discovery import listing
+from test_discovery_client import listing
 
 from dykefold.lab.fleet.scenario import FaultTable, FleetScenario, FleetTable, ListTable
 
--- a/tests/test_syscalls_upstream.py
+++ b/tests/net/test_upstream_syscalls.py
@@ -31,7 +31,7 @@
     silent,
     until,
 )
-from test_net_upstream import listener, start
+from test_upstream_connections import listener, start
 
 from dykefold.admission.budget import Allowance
 from dykefold.balancer.actions import Fail, Refuse, Send
