--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -6,12 +6,30 @@
 import importlib
 import importlib.util
 import sys
+from collections.abc import Callable
 from pathlib import Path
-from typing import Any
+from types import ModuleType
+from typing import Protocol, cast
+
+from dykefold.balancer.actions import Action
+from dykefold.balancer.events import Event
+from dykefold.balancer.settings import Settings
 
 ROOT = Path(__file__).parent.parent
 
 
+class AnyBalancer(Protocol):
+    """What the balancers of all checkouts have in common."""
+
+    def handle(self, now_ns: int, event: Event) -> list[Action]:
+        """Take one event at the given time; return what to do, in order."""
+        ...
+
+
+# The class `Balancer` of a checkout: settings and the seed of all random draws in, a balancer out.
+BalancerFactory = Callable[[Settings, int], AnyBalancer]
+
+
 def arguments(description: str | None) -> argparse.ArgumentParser:
     """A parser that knows --before: another checkout to play in the same run."""
     parser = argparse.ArgumentParser(
@@ -26,25 +44,29 @@
     return {"now": ROOT} if before is None else {"before": before, "now": ROOT}
 
 
-def balancer_of(tree: Path, name: str) -> Any:
+def balancer_of(tree: Path, name: str) -> BalancerFactory:
     """The `Balancer` of a checkout, under a name of its own, on this tree's events, actions and settings.
 
     Raises:
         FileNotFoundError: the checkout has no balancer, neither as a package nor as the one file that it was.
     """
     folder, file = tree / "dykefold" / "balancer", tree / "dykefold" / "logic.py"
-    own = f"dykefold.balancer_of_{name}"
+    module_name = f"dykefold.balancer_of_{name}"
     if folder.is_dir():
         for part in ("actions", "events", "settings"):
-            sys.modules[f"{own}.{part}"] = importlib.import_module(f"dykefold.balancer.{part}")
-        spec = importlib.util.spec_from_file_location(
-            own, folder / "__init__.py", submodule_search_locations=[str(folder)]
-        )
+            sys.modules[f"{module_name}.{part}"] = importlib.import_module(f"dykefold.balancer.{part}")
+        module = _load(module_name, folder / "__init__.py", [str(folder)])
     else:
-        spec = importlib.util.spec_from_file_location(own, file)
+        module = _load(module_name, file, None)
+    return cast("BalancerFactory", module.Balancer)
+
+
+def _load(name: str, file: Path, package_path: list[str] | None) -> ModuleType:
+    """Execute a file as the module `name`; as a package, whose parts are found there, if a path is given."""
+    spec = importlib.util.spec_from_file_location(name, file, submodule_search_locations=package_path)
     if spec is None or spec.loader is None:
-        raise FileNotFoundError(tree)
+        raise FileNotFoundError(file)
     module = importlib.util.module_from_spec(spec)
-    sys.modules[own] = module
+    sys.modules[name] = module
     spec.loader.exec_module(module)
-    return module.Balancer
+    return module
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -10,104 +10,157 @@
 
 from __future__ import annotations
 
+import contextlib
 import dataclasses
 import statistics
 import time
-from typing import Any
+from collections.abc import Iterator, Mapping
+from dataclasses import dataclass
+from unittest import mock
 
-import dykefold.net.service.pool
 from dykefold.balancer.actions import Send
 from dykefold.balancer.events import Endpoint, ListKind, Membership, Outcome, Request, State, Status
 from dykefold.balancer.settings import Effect, RequestClass, Settings
+from dykefold.net.service import pool
 from dykefold.sim import schedule
 from dykefold.sim.kernel import MS, SECOND
+from dykefold.sim.nodes import Node
 from dykefold.sim.schedule import Fault, Kind, draw
 from dykefold.sim.world import Running
 
-from . import arguments, balancer_of, trees
+from . import BalancerFactory, arguments, balancer_of, trees
 
 SIDECARS = (5, 40, 200)
 SERVERS = (15, 60, 600)
 RATE = 300.0  # requests a second, of all sidecars together
 SPAN_S = 8.0
+SPAN_NS = int(SPAN_S * SECOND)
+FIRST_SEED = 100
 REQUESTS = 4000  # in the module, for each turn of the last table
+REQUEST_EVERY_NS = 50 * MS
+ANSWER_AFTER_NS = 40 * MS
 TURNS = 5
 
 
-def play(balancer_type: Any, sidecars: int, seed: int) -> dict[str, float]:
-    """One run; its figures."""
-    world = dataclasses.replace(schedule.WORLDS["fleet"], sidecars=sidecars, rate=RATE / sidecars)
-    was, balancer = schedule.WORLDS["fleet"], dykefold.net.pool.Balancer
-    schedule.WORLDS["fleet"] = world
-    dykefold.net.pool.Balancer = balancer_type
-    try:
-        scenario = draw("fleet", seed, int(SPAN_S * SECOND))
+@dataclass(frozen=True, slots=True)
+class Figures:
+    """What one run showed, per server; rates are per second of simulated time.
+
+    Attributes:
+        made: connections accepted, per second.
+        open: connections that stand open at the end.
+        calls: of discovery, per second.
+        cold: the largest part of a cold server's budget that was spent; 1 is all of it.
+        served: part of all requests.
+        breaches: of the simulation's rules, in the whole run.
+    """
+
+    made: float
+    open: float
+    calls: float
+    cold: float
+    served: float
+    breaches: int
+
+
+@contextlib.contextmanager
+def simulated_fleet(balancer_type: BalancerFactory, sidecars: int) -> Iterator[None]:
+    """Let the simulation's world `fleet` have so many sidecars, which decide by this balancer."""
+    spec = dataclasses.replace(schedule.WORLDS["fleet"], sidecars=sidecars, rate=RATE / sidecars)
+    with (
+        mock.patch.dict(schedule.WORLDS, {"fleet": spec}),
+        mock.patch.object(pool, "Balancer", balancer_type),
+    ):
+        yield
+
+
+def play(balancer_type: BalancerFactory, sidecars: int, seed: int) -> Figures:
+    """Play one run of the fleet while six in ten servers are replaced."""
+    with simulated_fleet(balancer_type, sidecars):
         fault = Fault(2 * SECOND, Kind.REPLACE, seed % 10, 0, 4 * SECOND)
-        running = Running(dataclasses.replace(scenario, faults=(fault,)))
-        seen: set[Any] = set(running.nodes)
-        running.kernel.at(int(SPAN_S * SECOND) - MS, lambda: seen.update(running.nodes))
-        held: list[int] = []
-        running.kernel.at(
-            int(SPAN_S * SECOND) - MS, lambda: held.extend(len(node.connections) for node in running.nodes)
-        )
+        scenario = dataclasses.replace(draw("fleet", seed, SPAN_NS), faults=(fault,))
+        running = Running(scenario)
+        nodes: set[Node] = set(running.nodes)
+        open_connections: list[int] = []
+
+        def count_open() -> None:
+            open_connections.extend(len(node.connections) for node in running.nodes)
+
+        # Two events, as the kernel draws once for each: with one the runs are others than those on record.
+        running.kernel.at(SPAN_NS - MS, lambda: nodes.update(running.nodes))
+        running.kernel.at(SPAN_NS - MS, count_open)
         breaches = running.play()
-    finally:
-        schedule.WORLDS["fleet"], dykefold.net.pool.Balancer = was, balancer
-    each = len(running.nodes) * SPAN_S
-    return {
-        "made": sum(node.handshakes for node in seen) / each,
-        "open": statistics.mean(held),
-        "calls": running.registry.calls / each,
-        "cold": running.rules.cold_most,
-        "served": running.rules.counts["served"] / max(running.rules.counts["requests"], 1),
-        "breaches": float(len(breaches)),
-    }
-
-
-def cost(balancer_type: Any, servers: int) -> float:
-    """Seconds for a number of requests, each answered, in one module of a fleet of 40."""
+    server_seconds = len(running.nodes) * SPAN_S
+    counts = running.rules.counts
+    return Figures(
+        made=sum(node.handshakes for node in nodes) / server_seconds,
+        open=statistics.mean(open_connections),
+        calls=running.registry.calls / server_seconds,
+        cold=running.rules.cold_most,
+        served=counts["served"] / max(counts["requests"], 1),
+        breaches=len(breaches),
+    )
+
+
+def cost(balancer_type: BalancerFactory, servers: int) -> float:
+    """Processor seconds for `REQUESTS` requests, each answered, in one module of a fleet of 40."""
     spec = RequestClass("lookup", 500 * MS, 2 * SECOND, 1.0, 0.2, Effect.SAFE)
     settings = Settings(classes=[spec], zones=list("abcde"), max_attempts=3, fleet_size=40)
     balancer = balancer_type(settings, 1)
-    now = 1_000 * SECOND
-    entries = [Endpoint(n, n % 5, 0, 0, State.READY) for n in range(servers)]
-    balancer.handle(now, Membership(ListKind.CACHED, 1, entries))
-    began = time.process_time()
-    for ident in range(REQUESTS):
-        now += 50 * MS
-        actions = balancer.handle(now, Request(ident, 0, 0, now + 2 * SECOND))
+    now_ns = 1_000 * SECOND
+    entries = [Endpoint(number, number % 5, 0, 0, State.READY) for number in range(servers)]
+    balancer.handle(now_ns, Membership(ListKind.CACHED, 1, entries))
+    began_s = time.process_time()
+    for request_id in range(REQUESTS):
+        now_ns += REQUEST_EVERY_NS
+        actions = balancer.handle(now_ns, Request(request_id, 0, 0, now_ns + 2 * SECOND))
         sent = next(action for action in actions if isinstance(action, Send))
-        balancer.handle(now + 40 * MS, Outcome(ident, 0, sent.server, Status.OK, 40 * MS, True))
-    return time.process_time() - began
+        outcome = Outcome(request_id, 0, sent.server, Status.OK, ANSWER_AFTER_NS, True)
+        balancer.handle(now_ns + ANSWER_AFTER_NS, outcome)
+    return time.process_time() - began_s
 
 
-def main() -> None:
-    parser = arguments(__doc__)
-    parser.add_argument("--seeds", type=int, default=4)
-    options = parser.parse_args()
-    modules = {name: balancer_of(tree, name) for name, tree in trees(options.before).items()}
+def print_figures(balancers: Mapping[str, BalancerFactory], seeds: int) -> None:
+    """Print a row for each size of the fleet and each checkout: means over the seeds, the most of `cold`."""
     print("tree     sidecars  made/s  open  calls/s  cold p100  served  breaches   (per server; cold of 1.0)")
     for sidecars in SIDECARS:
-        for name, module in modules.items():
-            runs = [play(module, sidecars, 100 + seed) for seed in range(options.seeds)]
-            mean = {key: statistics.mean(run[key] for run in runs) for key in runs[0]}
+        for name, balancer_type in balancers.items():
+            runs = [play(balancer_type, sidecars, FIRST_SEED + seed) for seed in range(seeds)]
+            made = statistics.mean(run.made for run in runs)
+            opened = statistics.mean(run.open for run in runs)
+            calls = statistics.mean(run.calls for run in runs)
+            served = statistics.mean(run.served for run in runs)
             print(
-                f"{name:8} {sidecars:8}  {mean['made']:6.2f} {mean['open']:5.1f}  {mean['calls']:7.3f}"
-                f"  {max(run['cold'] for run in runs):9.2f}  {mean['served']:6.3f}"
-                f"  {sum(run['breaches'] for run in runs):8.0f}",
+                f"{name:8} {sidecars:8}  {made:6.2f} {opened:5.1f}  {calls:7.3f}"
+                f"  {max(run.cold for run in runs):9.2f}  {served:6.3f}"
+                f"  {sum(run.breaches for run in runs):8.0f}",
                 flush=True,
             )
+
+
+def print_costs(balancers: Mapping[str, BalancerFactory]) -> None:
+    """Print the median cost of a request by checkout and number of servers, in turns."""
     print("cost of a request in the module, against 15 servers of the first tree")
     turns: dict[tuple[str, int], list[float]] = {}
     for _ in range(TURNS):
         for servers in SERVERS:
-            for name, module in modules.items():
-                turns.setdefault((name, servers), []).append(cost(module, servers))
-    first = next(iter(modules))
+            for name, balancer_type in balancers.items():
+                turns.setdefault((name, servers), []).append(cost(balancer_type, servers))
+    first = next(iter(balancers))
     for (name, servers), times in turns.items():
         ratios = [one / base for one, base in zip(times, turns[first, SERVERS[0]], strict=True)]
         print(f"{name:8} {servers:8}  {statistics.median(ratios):.2f}")
 
 
+def main() -> None:
+    """Read the command line and print both tables."""
+    parser = arguments(__doc__)
+    parser.add_argument("--seeds", type=int, default=4)
+    options = parser.parse_args()
+    balancers = {name: balancer_of(tree, name) for name, tree in trees(options.before).items()}
+    print_figures(balancers, options.seeds)
+    print_costs(balancers)
+
+
 if __name__ == "__main__":
     main()
