--- a/benchmarks/replay.py
+++ b/benchmarks/replay.py
@@ -21,19 +21,24 @@
 import time
 from collections import Counter
 from concurrent.futures import ProcessPoolExecutor
+from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from unittest import mock
 
-import dykefold.net.service.pool as pool_module
 from dykefold import Balancer
+from dykefold.balancer.actions import Action
+from dykefold.balancer.events import Event
+from dykefold.balancer.settings import Settings
+from dykefold.net.service import pool
 from dykefold.sim.run import play_seed
 from dykefold.sim.schedule import WORLDS
 from standins import decision_world
 
-from . import ROOT, balancer_of
+from . import ROOT, BalancerFactory, balancer_of
 
 WORLD_S = 8.0
 SHOWN = 8  # differences
+SHOWN_OF_A_WORLD = 3
 GOLDEN = ROOT / "tests" / "balancer" / "golden_actions.json"
 GOLDEN_SEEDS = 10
 GOLDEN_EVENTS = 1_500  # of each world
@@ -43,31 +48,38 @@
 COMPARED_WORLDS = [world for world in WORLDS if world != "upgrade"]
 
 
-def compared(other: Any, counts: Counter[str], differences: list[str]) -> Any:
-    """A class that decides as this tree's module and holds each decision against the other's."""
+def compared(other_type: BalancerFactory, counts: Counter[str], differences: list[str]) -> type[Balancer]:
+    """A class that decides as this tree's balancer and compares each decision with the other's.
 
-    class Both(Balancer):
-        def __init__(self, settings: Any, seed: int) -> None:
+    Args:
+        other_type: the balancer of the other tree.
+        counts: gets the events by the names of their types.
+        differences: gets the first differences, a line each.
+    """
+
+    class Compared(Balancer):
+        def __init__(self, settings: Settings, seed: int) -> None:
             super().__init__(settings, seed)
-            self.other = other(settings, seed)
+            self.other = other_type(settings, seed)
 
-        def handle(self, now_ns: int, event: Any) -> list[Any]:
+        def handle(self, now_ns: int, event: Event) -> list[Action]:
             actions = super().handle(now_ns, event)
             theirs = self.other.handle(now_ns, event)
             counts[type(event).__name__] += 1
-            if actions != theirs and len(differences) < 3:
+            if actions != theirs and len(differences) < SHOWN_OF_A_WORLD:
                 differences.append(f"{event} at {now_ns}: {actions} here, {theirs} there")
             return actions
 
-    return Both
+    return Compared
 
 
 def play(tree: Path, world: str, seed: int) -> tuple[Counter[str], list[str]]:
-    """Play one world with both modules: events by kind, and the first differences."""
+    """Play one world with both balancers: events by kind, and the first differences."""
     counts: Counter[str] = Counter()
     differences: list[str] = []
-    pool_module.Balancer = compared(balancer_of(tree, "other"), counts, differences)  # type: ignore[misc]
-    play_seed(world, seed, WORLD_S)
+    balancer_type = compared(balancer_of(tree, "other"), counts, differences)
+    with mock.patch.object(pool, "Balancer", balancer_type):
+        play_seed(world, seed, WORLD_S)
     return counts, differences
 
 
@@ -76,8 +88,8 @@
     events: Counter[str] = Counter()
     found: dict[str, str] = {}
     jobs = decision_world.scenarios(range(GOLDEN_SEEDS))
-    with ProcessPoolExecutor(2) as pool:
-        results = pool.map(decision_world.play, *zip(*jobs, strict=True), [GOLDEN_EVENTS] * len(jobs))
+    with ProcessPoolExecutor(2) as executor:
+        results = executor.map(decision_world.play, *zip(*jobs, strict=True), [GOLDEN_EVENTS] * len(jobs))
         for (profile, seed), (digest, counts, _) in zip(jobs, results, strict=True):
             found[f"{profile} {seed}"] = digest
             events += counts
@@ -91,46 +103,58 @@
     return 1 if differ else 0
 
 
-def recorded(profile: str, seed: int) -> tuple[Any, list[tuple[int, Any]]]:
-    """The settings of a world, and every event that it fed with its time."""
-    events: list[tuple[int, Any]] = []
+@dataclass(frozen=True, slots=True)
+class Recording:
+    """What a world fed its balancer: the settings and seed, and each event with its time in ns."""
+
+    settings: Settings
+    seed: int
+    events: list[tuple[int, Event]]
+
+    def replay_s(self, balancer_type: BalancerFactory) -> float:
+        """The processor seconds that a new balancer takes for all events."""
+        handle = balancer_type(self.settings, self.seed).handle
+        began_s = time.process_time()
+        for now_ns, event in self.events:
+            handle(now_ns, event)
+        return time.process_time() - began_s
+
+
+def recorded(profile: str, seed: int) -> Recording:
+    """Play a world of `standins.decision_world` and record its events."""
+    events: list[tuple[int, Event]] = []
 
     class Recorder(Balancer):
-        def handle(self, now_ns: int, event: Any) -> list[Any]:
+        def handle(self, now_ns: int, event: Event) -> list[Action]:
             events.append((now_ns, event))
             return super().handle(now_ns, event)
 
     world = decision_world.DecisionWorld(profile, seed, Recorder)
     settings = world.config
     world.play(GOLDEN_EVENTS)
-    return settings, events
+    return Recording(settings, seed, events)
 
 
 def cost(tree: Path) -> None:
     """Print the processor time of `handle` here against the other tree's, over all worlds in each round."""
-    worlds = [
-        (*recorded(profile, seed), seed) for profile, seed in decision_world.scenarios(range(COST_SEEDS))
-    ]
-    count = sum(len(events) for _, events, _ in worlds)
-    types = {"here": Balancer, "there": balancer_of(tree, "other")}
+    worlds = [recorded(profile, seed) for profile, seed in decision_world.scenarios(range(COST_SEEDS))]
+    count = sum(len(world.events) for world in worlds)
+    types: dict[str, BalancerFactory] = {"here": Balancer, "there": balancer_of(tree, "other")}
     ratios = []
     for number in range(COST_ROUNDS):
-        took = dict.fromkeys(types, 0.0)
-        for at, (settings, events, seed) in enumerate(worlds):
+        took_s = dict.fromkeys(types, 0.0)
+        for index, world in enumerate(worlds):
             # Which goes first changes with each world and round, lest warm caches favour one.
-            for name in sorted(types, reverse=bool((at + number) % 2)):
-                handle = types[name](settings, seed).handle
-                began = time.process_time()
-                for now, event in events:
-                    handle(now, event)
-                took[name] += time.process_time() - began
-        ratios.append(took["here"] / took["there"])
-        each = {name: f"{seconds / count * 1e6:.2f} us" for name, seconds in took.items()}
+            for name in sorted(types, reverse=bool((index + number) % 2)):
+                took_s[name] += world.replay_s(types[name])
+        ratios.append(took_s["here"] / took_s["there"])
+        each = {name: f"{seconds / count * 1e6:.2f} us" for name, seconds in took_s.items()}
         print(f"round {number}: {each} an event, ratio {ratios[-1]:.3f}", flush=True)
     print(f"{count:,} events a round, median ratio {statistics.median(ratios):.3f}")
 
 
 def main() -> int:
+    """Read the command line and play; 1 if anything differs."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -156,8 +180,8 @@
     jobs = [(tree, world, seed) for world in worlds for seed in range(seeds)]
     counts: Counter[str] = Counter()
     differences: list[str] = []
-    with ProcessPoolExecutor() as pool:
-        results = pool.map(play, *zip(*jobs, strict=True))
+    with ProcessPoolExecutor() as executor:
+        results = executor.map(play, *zip(*jobs, strict=True))
         for (_, world, seed), (played, found) in zip(jobs, results, strict=True):
             counts += played
             differences += [f"{world} {seed}: {line}" for line in found]
