--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -1,8 +1,8 @@
 """Upgrades of one sidecar under load, alone and under each fault between its two processes.
 
 `python -m benchmarks.upgrade [N]`: N upgrades of each kind (20), a line each. `--orders`: the search of the
-hot restart's orders with three processes instead, some minutes. `--with TREE`: each process runs the program
-of this checkout and of TREE in turn, so that each version takes over from the other.
+orders of a hot restart's events with three processes instead, some minutes. `--with TREE`: each process runs
+the program of this checkout and of TREE in turn, so that each version takes over from the other.
 """
 
 from __future__ import annotations
@@ -15,34 +15,41 @@
 import uvloop
 
 from dykefold.lab.fleet.process import OWN_TREE
-from dykefold.lab.fleet.upgrades import FAULTS, measure
+from dykefold.lab.fleet.upgrades import FAULTS, Row, measure
 from dykefold.sim.explore import explore
 from dykefold.sim.upgrades import Model
 
 COUNTED = ("served", "refused", "failed", "late", "crossed", "unsent")
 
 
-def upgrades(count: int, trees: tuple[Path, ...]) -> None:
+def print_upgrades(count: int, trees: tuple[Path, ...]) -> None:
+    """Print a row for each fault, of `count` upgrades between these checkouts; none: of this one alone."""
     heads = ("requests", *COUNTED, "lost", "excused", "rules", "gap s", "MB", "descriptors")
     print(f"| {count} upgrades | " + " | ".join(heads) + " |")
     for fault in FAULTS:
         with tempfile.TemporaryDirectory() as folder:
-            row = uvloop.run(measure(Path(folder), fault, count, trees=trees))
-        counts, verdict = row.verdict.counts, row.verdict
-        cells = [sum(counts.values()), *(counts.get(end, 0) for end in COUNTED)]
-        cells += [len(verdict.lost), verdict.excused, len(verdict.violations)]
-        told = " | ".join(map(str, cells))
-        print(
-            f"| {fault} | {told} | {verdict.gap_s:.2f} | {row.memory_mb:.0f} | {row.descriptors} |",
-            flush=True,
-        )
-
-
-def orders() -> None:
+            measured = uvloop.run(measure(Path(folder), fault, count, trees=trees))
+        print(table_row(fault, measured), flush=True)
+
+
+def table_row(fault: str, measured: Row) -> str:
+    """The counts of one fault as a row of the table: requests, seconds, MB, descriptors."""
+    verdict = measured.verdict
+    counts = verdict.counts
+    cells = [sum(counts.values()), *(counts.get(end, 0) for end in COUNTED)]
+    cells += [len(verdict.lost), verdict.excused, len(verdict.violations)]
+    numbers = " | ".join(map(str, cells))
+    return (
+        f"| {fault} | {numbers} | {verdict.gap_s:.2f} | {measured.memory_mb:.0f} | {measured.descriptors} |"
+    )
+
+
+def print_orders() -> None:
+    """Search all orders of three processes, with locks and stops and without, and print what was found."""
     for model in (Model(3, 1, 60), Model(3, 1, 10, locks=False, stops=False)):
-        began = time.monotonic()
+        began_s = time.monotonic()
         found = explore(model.first(), model.moves, model.wrong)
-        took_s = time.monotonic() - began
+        took_s = time.monotonic() - began_s
         print(f"{found.states} states, {found.moves} moves, wrong: {found.wrong}, {took_s:.0f} s", flush=True)
 
 
@@ -54,9 +61,9 @@
     parser.add_argument("--with", dest="tree", type=Path, help="a checkout of another version")
     options = parser.parse_args()
     if options.orders:
-        orders()
+        print_orders()
     else:
-        upgrades(options.count, (OWN_TREE, options.tree.resolve()) if options.tree is not None else ())
+        print_upgrades(options.count, (OWN_TREE, options.tree.resolve()) if options.tree is not None else ())
 
 
 if __name__ == "__main__":
