--- a/benchmarks/view.py
+++ b/benchmarks/view.py
@@ -10,150 +10,252 @@
 import random
 import sys
 import time
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass
 from itertools import pairwise
+from math import log10
 from pathlib import Path
+from typing import Any, NamedTuple
 
 from dykefold.fleet.member_state import LIVE, State
 from dykefold.fleet.rate_limits import SECOND, RateLimits
 from dykefold.sim.views import Views
 
+SIZES, LOSSES = "10,200,2000,10000", "0,0.1,0.3"
+FIRST_PROBES_NS = 3 * SECOND  # until the first probes are answered
 QUIET_S = {10: 120, 200: 30, 2000: 8, 10000: 3}  # in which nothing happens, by size
+QUIET_OTHERWISE_S = 30
 DEATHS = 5
-OBSERVERS = 40  # whose words are noted
-BEAT_NS = RateLimits().period_ns  # of the heartbeats; silence for as long as a suspicion stands is a death
+MEMBERS_PER_DEATH = 3  # at the least
+OBSERVERS = 40  # whose changes are noted
+DEATHS_KNOWN_WITHIN_NS = 60 * SECOND
+SECONDS_PER_HOUR = 3600
+HEARTBEAT_NS = RateLimits().period_ns  # silence for as long as a suspicion stands is a death
+HEARTBEAT_BYTES = 21
+HEARTBEAT_DRAWS = 400
+DELAY_NS = (1_000_000, 40_000_000)  # of a datagram, at the least and at the most
+
+# A line of the output; the names of figures end with their units.
+Row = dict[str, Any]
 
 
 def percentile(values: list[float], part: float) -> float:
+    """The value below which this part of all lie, to two places."""
     return round(sorted(values)[min(int(part * len(values)), len(values) - 1)], 2)
 
 
-def measured(size: int, loss: float, seed: int = 1) -> dict[str, object]:
-    """What a fleet of this size shows."""
-    began = time.monotonic()
-    world = Views(size, seed, loss)
-    world.start_settled()
-    world.run(3 * SECOND)  # until the first questions are answered
+@dataclass(frozen=True, slots=True)
+class QuietFigures:
+    """What a fleet does while nothing happens.
+
+    Attributes:
+        span_s: how long it was watched.
+        datagrams: sent by a member in a second.
+        sent_bytes: sent by a member in a second.
+        suspected: claims that a live member is suspect.
+        gone: live members that were taken for gone.
+    """
+
+    span_s: int
+    datagrams: float
+    sent_bytes: float
+    suspected: int
+    gone: int
+
+
+def watch_quiet(world: Views) -> QuietFigures:
+    """Let a settled fleet be for a while, and count."""
+    span_s = QUIET_S.get(world.size, QUIET_OTHERWISE_S)
     world.changes.clear()
     sent, sent_bytes = world.sent, world.sent_bytes
-    quiet_s = QUIET_S.get(size, 30)
-    world.run(quiet_s * SECOND)
-    idle = (world.sent - sent) / size / quiet_s, (world.sent_bytes - sent_bytes) / size / quiet_s
-    suspected = {
-        (change.member, change.incarnation) for _, change in world.changes if change.after is State.SUSPECT
-    }
-    gone = {change.member for _, change in world.changes if change.after is State.GONE}
-    chance = random.Random(seed)
-    dead = chance.sample(range(size), min(DEATHS, size // 3))
-    alive = [number for number in range(size) if number not in dead]
-    world.watch = set(chance.sample(alive, min(OBSERVERS, len(alive))))
+    world.run(span_s * SECOND)
+    changes = [change for _, change in world.changes]
+    suspected = {(change.member, change.incarnation) for change in changes if change.after is State.SUSPECT}
+    gone = {change.member for change in changes if change.after is State.GONE}
+    return QuietFigures(
+        span_s=span_s,
+        datagrams=(world.sent - sent) / world.size / span_s,
+        sent_bytes=(world.sent_bytes - sent_bytes) / world.size / span_s,
+        suspected=len(suspected),
+        gone=len(gone),
+    )
+
+
+@dataclass(frozen=True, slots=True)
+class DeathFigures:
+    """How the deaths of some members became known.
+
+    Attributes:
+        whole: whether all observers held all dead for gone in the end.
+        noticed_s: from the deaths until an observer no longer held a dead member for alive, for each pair.
+        settled_s: from the deaths until all observers held all dead for gone.
+        datagrams: sent by a live member in a second of that time.
+    """
+
+    whole: bool
+    noticed_s: list[float]
+    settled_s: float
+    datagrams: float
+
+
+def watch_deaths(world: Views, generator: random.Random) -> DeathFigures:
+    """Kill some members at once, and watch until all observers know."""
+    dead = generator.sample(range(world.size), min(DEATHS, world.size // MEMBERS_PER_DEATH))
+    alive = [number for number in range(world.size) if number not in dead]
+    world.watch = set(generator.sample(alive, min(OBSERVERS, len(alive))))
     world.changes.clear()
     for number in dead:
         world.kill(number)
     died_ns, sent = world.now_ns, world.sent
-    observers = [world.living[number] for number in world.watch]
-    whole = world.run(
-        60 * SECOND,
-        lambda: all(
-            view.membership.table.state(number) is State.GONE for view in observers for number in dead
-        ),
-    )
-    noticed: dict[tuple[int, int], int] = {}
-    for by, change in world.changes:
+    tables = [world.living[number].membership.table for number in world.watch]
+
+    def all_known() -> bool:
+        return all(table.state(number) is State.GONE for table in tables for number in dead)
+
+    whole = world.run(DEATHS_KNOWN_WITHIN_NS, all_known)
+    noticed_ns: dict[tuple[int, int], int] = {}
+    for observer, change in world.changes:
         if change.member in dead and change.after not in LIVE:
-            noticed.setdefault((by, change.member), change.at_ns)
-    times = [(at_ns - died_ns) / SECOND for at_ns in noticed.values()]
-    spread_s = (world.now_ns - died_ns) / SECOND
-    beats = heartbeats(size, loss, random.Random(seed))
+            noticed_ns.setdefault((observer, change.member), change.at_ns)
+    settled_s = (world.now_ns - died_ns) / SECOND
+    return DeathFigures(
+        whole=whole,
+        noticed_s=[(at_ns - died_ns) / SECOND for at_ns in noticed_ns.values()],
+        settled_s=settled_s,
+        datagrams=(world.sent - sent) / len(alive) / max(settled_s, 1.0),
+    )
+
+
+def measured(size: int, loss: float, seed: int = 1) -> Row:
+    """What a fleet of this size shows while this part of its datagrams is lost."""
+    began_s = time.monotonic()
+    world = Views(size, seed, loss)
+    world.start_settled()
+    world.run(FIRST_PROBES_NS)
+    quiet = watch_quiet(world)
+    deaths = watch_deaths(world, random.Random(seed))
+    suspected_per_hour = quiet.suspected / size / quiet.span_s * SECONDS_PER_HOUR
     return {
         "members": size,
         "loss": loss,
-        "whole": whole,
-        "gone_p50_s": percentile(times, 0.5),
-        "gone_p99_s": percentile(times, 0.99),
-        "settled_s": round(spread_s, 2),
+        "whole": deaths.whole,
+        "gone_p50_s": percentile(deaths.noticed_s, 0.5),
+        "gone_p99_s": percentile(deaths.noticed_s, 0.99),
+        "settled_s": round(deaths.settled_s, 2),
         "bound_s": round(world.pace.settled_ns(size) / SECOND, 1),
-        "suspected_per_member_hour": round(len(suspected) / size / quiet_s * 3600, 1),
-        "falsely_gone": len(gone),
-        "datagrams_per_member_s": round(idle[0], 1),
-        "bytes_per_member_s": round(idle[1]),
-        "datagrams_after_deaths": round((world.sent - sent) / len(alive) / max(spread_s, 1.0), 1),
-        **beats,
-        "took_s": round(time.monotonic() - began, 1),
+        "suspected_per_member_hour": round(suspected_per_hour, 1),
+        "falsely_gone": quiet.gone,
+        "datagrams_per_member_s": round(quiet.datagrams, 1),
+        "bytes_per_member_s": round(quiet.sent_bytes),
+        "datagrams_after_deaths": round(deaths.datagrams, 1),
+        **heartbeats(size, loss, random.Random(seed)),
+        "took_s": round(time.monotonic() - began_s, 1),
     }
 
 
-def heartbeats(size: int, loss: float, chance: random.Random) -> dict[str, object]:
+def heartbeats(size: int, loss: float, generator: random.Random) -> Row:
     """Each tells all others that it lives, once in a period: what an observer sees of one that dies."""
-    pace = RateLimits()
-    stands_ns = pace.suspicion_ns(size)
-    times = []
-    for _ in range(400):
-        last_ns = -chance.random() * BEAT_NS  # the beat before the death
-        while chance.random() < loss:
-            last_ns -= BEAT_NS
-        times.append((last_ns + chance.randint(1_000_000, 40_000_000) + stands_ns) / SECOND)
-    lost_in_a_row = int(stands_ns // BEAT_NS)
+    suspicion_ns = RateLimits().suspicion_ns(size)
+    noticed_s = []
+    for _ in range(HEARTBEAT_DRAWS):
+        last_ns = -generator.random() * HEARTBEAT_NS  # the heartbeat before the death
+        while generator.random() < loss:
+            last_ns -= HEARTBEAT_NS
+        noticed_s.append((last_ns + generator.randint(*DELAY_NS) + suspicion_ns) / SECOND)
+    lost_in_a_row = int(suspicion_ns // HEARTBEAT_NS)
     pairs = size * (size - 1)
+    heartbeats_per_hour = pairs * SECONDS_PER_HOUR * SECOND / HEARTBEAT_NS
+    datagrams = (size - 1) * SECOND / HEARTBEAT_NS
     return {
-        "beats_gone_p50_s": percentile(times, 0.5),
-        "beats_gone_p99_s": percentile(times, 0.99),
-        "beats_datagrams_per_member_s": round((size - 1) * SECOND / BEAT_NS),
-        "beats_bytes_per_member_s": round((size - 1) * SECOND / BEAT_NS * 21),
-        "beats_falsely_gone_per_hour": round(pairs * 3600 * SECOND / BEAT_NS * loss**lost_in_a_row, 1),
+        "beats_gone_p50_s": percentile(noticed_s, 0.5),
+        "beats_gone_p99_s": percentile(noticed_s, 0.99),
+        "beats_datagrams_per_member_s": round(datagrams),
+        "beats_bytes_per_member_s": round(datagrams * HEARTBEAT_BYTES),
+        "beats_falsely_gone_per_hour": round(heartbeats_per_hour * loss**lost_in_a_row, 1),
     }
 
 
-SERIES = ("#1b6ca8", "#c0392b", "#2e8b57")
-WIDTH, HEIGHT, MARGIN = 420, 240, 50
+COLOURS = ("#1b6ca8", "#c0392b", "#2e8b57")  # by loss
+WIDTH, HEIGHT, MARGIN = 420, 240, 50  # of the plotted area, pixels
+TOP, RIGHT, BOTTOM = 30, 30, 44  # pixels for the title, the last figures and the legend
+LEAST_PLOTTED = 0.1  # smaller values are drawn as this on a logarithmic axis
+
+
+class Point(NamedTuple):
+    """A place in the picture, pixels from its upper left corner."""
+
+    x: float
+    y: float
+
+
+def text(x: float, y: float, words: object, colour: str = "") -> str:
+    """An SVG text that begins here."""
+    fill = f' fill="{colour}"' if colour else ""
+    return f'<text x="{x:.0f}" y="{y:.0f}"{fill}>{words}</text>'
+
 
+def line(start: Point, end: Point, colour: str, dashed: bool) -> str:
+    """An SVG line."""
+    dashes = ' stroke-dasharray="5 4"' if dashed else ""
+    ends = f'x1="{start.x:.0f}" y1="{start.y:.0f}" x2="{end.x:.0f}" y2="{end.y:.0f}"'
+    return f'<line {ends} stroke="{colour}"{dashes}/>'
 
-def plotted(rows: list[dict], names: dict[str, str], title: str, log: bool) -> str:
+
+def axes(rows: list[Row], names: Iterable[str], log: bool) -> Callable[[int, float], Point]:
+    """Where a size and a value lie in the picture, if all values of these rows are to fit."""
+
+    def scaled(value: float) -> float:
+        return log10(max(value, LEAST_PLOTTED)) if log else value
+
+    sizes = [row["members"] for row in rows]
+    values = [max(float(row[name]), LEAST_PLOTTED) for row in rows for name in names]
+    low, high = (scaled(min(values)) if log else 0.0), scaled(max(values))
+    step = WIDTH / max(log10(max(sizes) / min(sizes)), 0.1)
+
+    def point(size: int, value: float) -> Point:
+        height = (scaled(value) - low) / (high - low or 1) * (HEIGHT - TOP)
+        return Point(MARGIN + log10(size / min(sizes)) * step, HEIGHT - height)
+
+    return point
+
+
+def plotted(rows: list[Row], names: dict[str, str], title: str, log: bool) -> str:
     """Figures over the size of the fleet, a line for each loss; broken lines for names after the first."""
-    from math import log10
-
-    sizes = sorted({row["members"] for row in rows})
-    values = [max(float(row[name]), 0.1) for row in rows for name in names]
-    low, high = (0.0, max(values)) if not log else (log10(min(values)), log10(max(values)))
-    step = WIDTH / max(log10(sizes[-1] / sizes[0]), 0.1)
-
-    def point(size: int, value: float) -> tuple[float, float]:
-        at = log10(max(value, 0.1)) if log else value
-        return MARGIN + log10(size / sizes[0]) * step, HEIGHT - (at - low) / (high - low or 1) * (HEIGHT - 30)
-
-    parts = [f'<text x="{MARGIN}" y="14">{title}</text>']
-    for colour, loss in zip(SERIES, sorted({row["loss"] for row in rows}), strict=False):
-        of = sorted((row for row in rows if row["loss"] == loss), key=lambda row: row["members"])
-        for turn, name in enumerate(names):
-            points = [point(row["members"], float(row[name])) for row in of]
-            dashes = ' stroke-dasharray="5 4"' if turn else ""
-            for (x, y), (x2, y2) in pairwise(points):
-                parts.append(
-                    f'<line x1="{x:.0f}" y1="{y:.0f}" x2="{x2:.0f}" y2="{y2:.0f}" stroke="{colour}"{dashes}/>'
-                )
-            for (x, y), row in zip(points, of, strict=True):
-                parts.append(f'<text x="{x + 3:.0f}" y="{y - 3:.0f}" fill="{colour}">{row[name]}</text>')
-    for size in sizes:
-        parts.append(f'<text x="{point(size, 1)[0]:.0f}" y="{HEIGHT + 16}">{size}</text>')
+    point = axes(rows, names, log)
+    parts = [text(MARGIN, 14, title)]
+    for colour, loss in zip(COLOURS, sorted({row["loss"] for row in rows}), strict=False):
+        series = sorted((row for row in rows if row["loss"] == loss), key=lambda row: int(row["members"]))
+        for index, name in enumerate(names):
+            points = [point(row["members"], float(row[name])) for row in series]
+            parts += [line(start, end, colour, dashed=index > 0) for start, end in pairwise(points)]
+            parts += [
+                text(at.x + 3, at.y - 3, row[name], colour) for at, row in zip(points, series, strict=True)
+            ]
+    parts += [text(point(size, 1).x, HEIGHT + 16, size) for size in sorted({row["members"] for row in rows})]
     legend = "; ".join([*names.values(), "blue, red, green: 0, 0.1, 0.3 lost"])
-    parts.append(f'<text x="{MARGIN}" y="{HEIGHT + 34}">{legend}</text>')
+    parts.append(text(MARGIN, HEIGHT + 34, legend))
     style = "<style>text{font:10px sans-serif}</style>"
-    size_text = f'width="{WIDTH + 2 * MARGIN + 30}" height="{HEIGHT + 44}"'
-    return f'<svg xmlns="http://www.w3.org/2000/svg" {size_text}>{style}{"".join(parts)}</svg>\n'
+    extent = f'width="{WIDTH + 2 * MARGIN + RIGHT}" height="{HEIGHT + BOTTOM}"'
+    return f'<svg xmlns="http://www.w3.org/2000/svg" {extent}>{style}{"".join(parts)}</svg>\n'
+
+
+def plot(folder: Path, lines: Path) -> None:
+    """Draw the two pictures from the lines that a run printed."""
+    rows = [json.loads(row) for row in lines.read_text().splitlines()]
+    seen = {"gone_p99_s": "until a death is known, p99", "beats_gone_p99_s": "heartbeats (broken)"}
+    (folder / "view-detection.svg").write_text(plotted(rows, seen, "seconds by members", log=False))
+    cost = {"bytes_per_member_s": "idle", "beats_bytes_per_member_s": "heartbeats (broken)"}
+    (folder / "view-bytes.svg").write_text(plotted(rows, cost, "bytes a member and second", log=True))
 
 
 def main(arguments: list[str]) -> None:
+    """Draw, or print a line of JSON for each size and loss."""
     if arguments[:1] == ["--plot"]:
-        rows = [json.loads(line) for line in Path(arguments[2]).read_text().splitlines()]
-        folder = Path(arguments[1])
-        seen = {"gone_p99_s": "until a death is known, p99", "beats_gone_p99_s": "heartbeats (broken)"}
-        (folder / "view-detection.svg").write_text(plotted(rows, seen, "seconds by members", log=False))
-        cost = {"bytes_per_member_s": "idle", "beats_bytes_per_member_s": "heartbeats (broken)"}
-        (folder / "view-bytes.svg").write_text(plotted(rows, cost, "bytes a member and second", log=True))
+        plot(Path(arguments[1]), Path(arguments[2]))
         return
-    sizes = [int(one) for one in (arguments[0] if arguments else "10,200,2000,10000").split(",")]
-    losses = [float(one) for one in (arguments[1] if len(arguments) > 1 else "0,0.1,0.3").split(",")]
-    for size in sizes:
-        for loss in losses:
+    sizes, losses, *_ = [*arguments, *(SIZES, LOSSES)[len(arguments) :]]
+    for size in map(int, sizes.split(",")):
+        for loss in map(float, losses.split(",")):
             print(json.dumps(measured(size, loss)), flush=True)
 
 
