--- a/benchmarks/large_fleet.py
+++ b/benchmarks/large_fleet.py
@@ -21,6 +21,7 @@
 from collections import deque
 from collections.abc import AsyncIterator, Mapping
 from dataclasses import dataclass, field
+from functools import partial
 from pathlib import Path
 from typing import Any
 
@@ -28,7 +29,7 @@
 
 from dykefold.lab.chance import generator
 from dykefold.lab.emulator.server import Connection, Server, Truth
-from dykefold.lab.fleet.desk import Desk, End, all_asked, playing
+from dykefold.lab.fleet.desk import Asked, Desk, End, all_asked, playing
 from dykefold.lab.fleet.judge import judge
 from dykefold.lab.fleet.member import Member, entry, settings
 from dykefold.lab.fleet.registry import Caller, Registry
@@ -66,6 +67,7 @@
     each: float = 0.0
 
     def at(self, usual: float, servers: int) -> float:
+        """The limit with so many servers, where the figure at the usual size is `usual`."""
         return self.times * usual + self.apart + self.each * servers / 1000
 
 
@@ -93,16 +95,17 @@
 
     @property
     def broken(self) -> bool:
+        """Whether the limit is not held."""
         if self.name == SERVED:
             return self.measured < self.limit
         return self.measured > self.limit
 
     def __str__(self) -> str:
+        """The line as printed, in the unit of its figure."""
         unit, scale = UNITS.get(self.name, ("", 1.0))
         figures = "".join(f" {one / scale:10.3f}" for one in (self.usual, self.limit, self.measured))
-        return (
-            f"{self.name + (f' ({unit})' if unit else ''):22}{figures}  {'BROKEN' if self.broken else 'held'}"
-        )
+        title = f"{self.name} ({unit})" if unit else self.name
+        return f"{title:22}{figures}  {'BROKEN' if self.broken else 'held'}"
 
 
 def compared(usual: Mapping[str, float], large: Mapping[str, float], servers: int) -> list[Line]:
@@ -119,6 +122,7 @@
     made = 0
 
     async def listen(self) -> None:
+        """Listen, and count each connection from then on."""
         self.listening = await self.loop.create_server(self._connected, "127.0.0.1", self.port)
         self.port = self.listening.sockets[0].getsockname()[1]
 
@@ -131,110 +135,158 @@
     """A caller of the list service whose bytes are counted."""
 
     def __init__(self, registry: Registry, member: int, sent: list[int]) -> None:
+        """Begin with the place in `sent`, by member, to which the bytes of answers are added."""
         super().__init__(registry, member, 0)
         self.sent = sent
 
     def reply(self, code: int, body: bytes) -> None:
+        """Answer, and count the body's bytes."""
         self.sent[self.member] += len(body)
         super().reply(code, body)
 
 
-@dataclass(slots=True)
-class Day:
-    """One day at one size, while it is played."""
+@dataclass(frozen=True, slots=True)
+class Needs:
+    """What a process has needed since its start: processor time, and the most resident memory."""
+
+    cpu_s: float
+    peak_bytes: float
+
+
+@dataclass(frozen=True, slots=True)
+class Size:
+    """What the days at two sizes differ in, and what they share.
+
+    Attributes:
+        servers: that stand at a time.
+        times: as many servers as usual; each has that part of the usual cores.
+        members: sidecars.
+        push: lists are pushed to the sidecars; else they ask for them.
+        seed: of all draws.
+    """
 
     servers: int
-    times: int  # as many servers as usual
+    times: int
     members: int
     push: bool
     seed: int
+
+
+@dataclass(slots=True)
+class Day:
+    """One day at one size, while it is played.
+
+    Attributes:
+        size: of the fleet.
+        truth: what the servers saw.
+        standing: the servers by place.
+        gone: those that were replaced.
+        lag_s: the latest that this process was.
+        waited_s: the longest that a sidecar waited for a core, in a second.
+        descriptors: the most that each sidecar held.
+        list_bytes: of lists that each sidecar was sent.
+    """
+
+    size: Size
     truth: Truth = field(default_factory=Truth)
     standing: list[CountedServer] = field(default_factory=list)
     gone: list[CountedServer] = field(default_factory=list)
-    lag_s: float = 0.0  # the latest that this process was
-    waited_s: float = 0.0  # the longest that a sidecar waited for a core, in a second
+    lag_s: float = 0.0
+    waited_s: float = 0.0
     descriptors: list[int] = field(default_factory=list)
+    list_bytes: list[int] = field(default_factory=list)
 
     async def play(self, folder: Path) -> dict[str, float]:
         """The figures of a sidecar in the mean."""
-        self.descriptors = [0] * self.members
-        registry = Registry(CALLS_PER_S, WAITING_MOST, LIST_LATE_S, changes_kept=10 * self.servers)
-        for number in range(self.servers):
+        size = self.size
+        self.descriptors, self.list_bytes = [0] * size.members, [0] * size.members
+        registry = Registry(CALLS_PER_S, WAITING_MOST, LIST_LATE_S, changes_kept=10 * size.servers)
+        for number in range(size.servers):
             await self._serve(registry, number, 0)
-        sent = [0] * self.members
         async with contextlib.AsyncExitStack() as stack:
             members = [
-                await stack.enter_async_context(self._member(number, folder, registry, sent))
-                for number in range(self.members)
+                await stack.enter_async_context(self._member(number, folder, registry))
+                for number in range(size.members)
             ]
             stack.push_async_callback(self._close)
-            desks = [
-                Desk(number, CLASSES, RATE, generator(self.seed, "desk", str(number)))
-                for number in range(self.members)
-            ]
-            for desk, member in zip(desks, members, strict=True):
-                desk.address = await member.begin()
-            looks = asyncio.create_task(self._look(members))
-            changes = asyncio.create_task(self._replace(registry))
-            async with playing(desks):
-                await asyncio.sleep(SPAN_S)
-            await changes
-            looks.cancel()
+            desks = await self._load(members, registry)
             needs = [_needs(member.living[0].pid) for member in members]
-        asked = list(all_asked(desks))
+        return self._figures(list(all_asked(desks)), needs)
+
+    async def _load(self, members: list[Member], registry: Registry) -> list[Desk]:
+        """Begin all sidecars, ask them for the whole span while servers are replaced; who asked."""
+        desks = [
+            Desk(number, CLASSES, RATE, generator(self.size.seed, "desk", str(number)))
+            for number in range(len(members))
+        ]
+        for desk, member in zip(desks, members, strict=True):
+            desk.address = await member.begin()
+        looks = asyncio.create_task(self._look(members))
+        changes = asyncio.create_task(self._replace(registry))
+        async with playing(desks):
+            await asyncio.sleep(SPAN_S)
+        await changes
+        looks.cancel()
+        return desks
+
+    def _figures(self, asked: list[Asked], needs: list[Needs]) -> dict[str, float]:
+        """Hold the requests against the rules, and what was needed in the mean."""
         verdict = judge(asked, self.truth.arrivals, CLASSES)
         if verdict.broken:
-            print(f"{self.servers} servers: {len(verdict.broken)} rules broken, as: {verdict.broken[0]}")
+            print(f"{self.size.servers} servers: {len(verdict.broken)} rules broken, as: {verdict.broken[0]}")
             print(f"  {verdict.counts}")
         served = sum(
-            one.end is End.SERVED and one.ended_s - one.sent_s <= CLASSES[one.cls].aim_ms / 1000
-            for one in asked
+            request.end is End.SERVED
+            and request.ended_s - request.sent_s <= CLASSES[request.cls].aim_ms / 1000
+            for request in asked
         )
         made = sum(server.made for server in (*self.standing, *self.gone))
+        members = self.size.members
         return {
-            "CPU seconds": sum(cpu_s for cpu_s, _ in needs) / self.members,
-            "peak memory": sum(peak for _, peak in needs) / self.members,
-            "descriptors": sum(self.descriptors) / self.members,
-            "connections made": made / self.members,
-            "bytes of lists": sum(sent) / self.members,
+            "CPU seconds": sum(need.cpu_s for need in needs) / members,
+            "peak memory": sum(need.peak_bytes for need in needs) / members,
+            "descriptors": sum(self.descriptors) / members,
+            "connections made": made / members,
+            "bytes of lists": sum(self.list_bytes) / members,
             SERVED: served / len(asked),
         }
 
     @contextlib.asynccontextmanager
-    async def _member(
-        self, number: int, folder: Path, registry: Registry, sent: list[int]
-    ) -> AsyncIterator[Member]:
+    async def _member(self, number: int, folder: Path, registry: Registry) -> AsyncIterator[Member]:
         """A sidecar with a place of its own at the list service."""
         loop = asyncio.get_running_loop()
-        lists = await loop.create_server(lambda: CountedCaller(registry, number, sent), "127.0.0.1", 0)
+        list_service = await loop.create_server(
+            partial(CountedCaller, registry, number, self.list_bytes), "127.0.0.1", 0
+        )
         own = folder / f"m{number}"
         own.mkdir()
-        told: dict[str, Any] = settings(
-            CLASSES, ZONES, number % len(ZONES), number, FLEET, cold=(COLD_SHARE, WARM_S)
-        )
+        deployment = settings(CLASSES, ZONES, number % len(ZONES), number, FLEET, cold=(COLD_SHARE, WARM_S))
         data = {
             "name": f"m{number}",
             "listen": "127.0.0.1:0",
-            "discovery": f"127.0.0.1:{lists.sockets[0].getsockname()[1]}",
-            "seed": f"{self.seed * 1000 + number:016x}",
+            "discovery": f"127.0.0.1:{list_service.sockets[0].getsockname()[1]}",
+            "seed": f"{self.size.seed * 1000 + number:016x}",
             "limits": {"cores": 1.0, "memory_mb": 80, "sockets": 384},
             "known": registry.known(0),
-            "settings": {**told, "discovery": "push" if self.push else "ask"},
+            "settings": {**deployment, "discovery": "push" if self.size.push else "ask"},
         }
         member = Member(number, own, data)
         try:
             yield member
         finally:
             await member.close()
-            lists.close()
+            list_service.close()
 
     async def _serve(self, registry: Registry, number: int, since_ms: int) -> None:
         """Another server in this place."""
         name = f"s-{len(self.standing) + len(self.gone)}"
         table = ServerTable(
-            "s", cores=max(CORES // self.times, 1), cold_share=COLD_SHARE if since_ms else 1.0, warm_s=WARM_S
+            "s",
+            cores=max(CORES // self.size.times, 1),
+            cold_share=COLD_SHARE if since_ms else 1.0,
+            warm_s=WARM_S,
         )
-        server = CountedServer(Scenario([table], CLASSES, LoadTable(), seed=self.seed), name, self.truth)
+        server = CountedServer(Scenario([table], CLASSES, LoadTable(), seed=self.size.seed), name, self.truth)
         await server.listen()
         if since_ms:
             server.started_s = server.loop.time()
@@ -246,13 +298,13 @@
             registry.entries[name] = self._entry(server, number, "SERVING", 0)
 
     def _entry(self, server: CountedServer, number: int, status: str, since_ms: int) -> dict[str, Any]:
-        told = entry(server.name, "", ZONES[number % len(ZONES)], status, since_ms)
-        return {**told, "addresses": [f"127.0.0.1:{server.port}"]}
+        listed = entry(server.name, "", ZONES[number % len(ZONES)], status, since_ms)
+        return {**listed, "addresses": [f"127.0.0.1:{server.port}"]}
 
     async def _replace(self, registry: Registry) -> None:
         """The servers' places in steps: the new one serves, the old one drains and goes."""
         await asyncio.sleep(FIRST_STEP_S)
-        count = round(REPLACED * self.servers / STEPS)
+        count = round(REPLACED * self.size.servers / STEPS)
         for step in range(STEPS):
             old = {number: self.standing[number] for number in range(step * count, (step + 1) * count)}
             for number, server in old.items():
@@ -282,13 +334,13 @@
                 server.listening.close()
 
 
-def _needs(pid: int) -> tuple[float, float]:
-    """Processor seconds and the most resident bytes of a process since its start."""
+def _needs(pid: int) -> Needs:
+    """What a process has needed so far."""
     words = Path(f"/proc/{pid}/stat").read_text().rpartition(") ")[2].split()
     cpu_s = (int(words[11]) + int(words[12])) / TICKS_A_SECOND
     status = Path(f"/proc/{pid}/status").read_text()
     peak_kb = next(int(line.split()[1]) for line in status.splitlines() if line.startswith("VmHWM"))
-    return cpu_s, peak_kb * KB
+    return Needs(cpu_s, peak_kb * KB)
 
 
 def _waited_s(pid: int) -> float:
@@ -296,20 +348,32 @@
     return int(Path(f"/proc/{pid}/schedstat").read_text().split()[1]) / 1e9
 
 
-def day(servers: int, times: int, members: int, push: bool, seed: int) -> tuple[dict[str, float], float]:
-    """A day's figures, and how late the machine was while it was played."""
-    one = Day(servers, times, members, push, seed)
+def day(size: Size) -> tuple[dict[str, float], float]:
+    """A day's figures, and how late the machine was while it was played, in seconds."""
+    played = Day(size)
     with tempfile.TemporaryDirectory() as folder:
-        figures = uvloop.run(one.play(Path(folder)))
+        figures = uvloop.run(played.play(Path(folder)))
     print(
-        f"{servers} servers: this process was late by {one.lag_s:.2f} s,"
-        f" a sidecar waited {one.waited_s:.2f} s in {WAIT_OVER_S:.0f} s for a core",
+        f"{size.servers} servers: this process was late by {played.lag_s:.2f} s,"
+        f" a sidecar waited {played.waited_s:.2f} s in {WAIT_OVER_S:.0f} s for a core",
         file=sys.stderr,
     )
-    return figures, max(one.lag_s, one.waited_s)
+    return figures, max(played.lag_s, played.waited_s)
+
+
+def allow_descriptors(servers: int) -> bool:
+    """Raise this process's limit to what so many servers take; whether the system allows it."""
+    wanted = 2 * servers + DESCRIPTORS_APART
+    soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
+    if hard != resource.RLIM_INFINITY and hard < wanted:
+        print(f"descriptors: {hard} allowed, expected {wanted} for {servers} servers", file=sys.stderr)
+        return False
+    resource.setrlimit(resource.RLIMIT_NOFILE, (max(soft, wanted), hard))
+    return True
 
 
 def main() -> int:
+    """Read the command line and print the table; 1 if a limit is broken, 2 if the figures say nothing."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -319,23 +383,18 @@
     parser.add_argument("--push", action="store_true", help="lists are pushed; else asked for")
     parser.add_argument("--seed", type=int, default=1)
     options = parser.parse_args()
-    large = options.servers * options.times
-    wanted = 2 * large + DESCRIPTORS_APART
-    soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    if hard != resource.RLIM_INFINITY and hard < wanted:
-        print(f"descriptors: {hard} allowed, expected {wanted} for {large} servers", file=sys.stderr)
+    servers: int = options.servers
+    large = servers * options.times
+    if not allow_descriptors(large):
         return 2
-    resource.setrlimit(resource.RLIMIT_NOFILE, (max(soft, wanted), hard))
-    played, void = [], False
-    for servers, times in ((options.servers, 1), (large, options.times)):
-        figures, lag_s = day(servers, times, options.members, options.push, options.seed)
-        played.append(figures)
-        void = void or lag_s > LAG_MOST_S
-    print(f"a sidecar in the mean      {options.servers:6} servers  limit   {large:6} servers")
-    lines = compared(played[0], played[1], large)
+    shared = options.members, options.push, options.seed
+    usual_figures, usual_lag_s = day(Size(servers, 1, *shared))
+    large_figures, large_lag_s = day(Size(large, options.times, *shared))
+    print(f"a sidecar in the mean      {servers:6} servers  limit   {large:6} servers")
+    lines = compared(usual_figures, large_figures, large)
     for line in lines:
         print(line)
-    if void:
+    if max(usual_lag_s, large_lag_s) > LAG_MOST_S:
         print(f"void: the machine was late by over {LAG_MOST_S} s; this says nothing")
         return 2
     return 1 if any(line.broken for line in lines) else 0
