--- a/dykefold/balancer/slow_start.py
+++ b/dykefold/balancer/slow_start.py
@@ -11,7 +11,7 @@
 
 RATE_FACTOR = 1.2  # times the fair fraction of the own answers, times the ramp
 TOKENS_PER_ANSWER = 1.5  # requests allowed for each one answered: many warm by work, sooner than stated
-BUDGET_PART = 0.9  # but no more than this part of the own share of the budget ...
+BUDGET_PART = 0.9  # but no more than this part of the budget by the ceilings of all sidecars together ...
 MAX_CEILING = 1.6  # ... nor than so many times the overload factor, in place of RATE_FACTOR
 SMALL_ALLOWANCE = 30.0  # requests; the slack for chance is larger below
 DEMAND_PART = 0.3  # of the overload factor, times the fair fraction of the demand, times the ramp
@@ -129,11 +129,14 @@
             capacity: the own fraction of what it can do by now, in requests a second.
         """
         settings = self.context.settings
-        sharing = self._sidecars(local=endpoint.zone == settings.zone)
+        fleet, local = self._sidecars(local=False), self._sidecars(local=True)
+        sharing = local if endpoint.zone == settings.zone else fleet
         span_s = settings.overload_for_ns / SECOND_NS
         allowed = settings.overload_factor * capacity
         budget = slow_start_budget(allowed * span_s * sharing) / sharing
-        return min(MAX_CEILING * allowed, BUDGET_PART * budget / (span_s + BURST_S))
+        # Those of its zone share it among them; beside them each of the others takes the fleet's share.
+        shares = 1.0 + (fleet - local) / fleet
+        return min(MAX_CEILING * allowed, BUDGET_PART / shares * budget / (span_s + BURST_S))
 
     def _fair_rate(self, endpoint: EndpointState, fade: float) -> float:
         """The endpoint's fair fraction of the own answers a second.
