--- a/standins/truth.py
+++ b/standins/truth.py
@@ -154,10 +154,18 @@
         if answer == CLOSE:
             self._close(sock)
         elif answer is not SILENCE:
-            sock.send(answer)
-            if answer in (GOOD, NEVER):
+            if self._send(sock, answer) and answer in (GOOD, NEVER):
                 earlier.remove(arrival)  # over, and its connection may go on to others
 
+    def _send(self, sock: socket.socket, answer: bytes) -> bool:
+        """Send an answer; False to a client that has reset its connection meanwhile."""
+        try:
+            sock.send(answer)
+        except OSError:
+            self._close(sock)
+            return False
+        return True
+
     def _close(self, sock: socket.socket) -> None:
         self.selector.unregister(sock)
         self.held.pop(sock, None)
--- a/tests/net/test_aborted_attempts.py
+++ b/tests/net/test_aborted_attempts.py
@@ -6,6 +6,7 @@
 import os
 import signal
 import socket
+import struct
 import subprocess
 import sys
 import threading
@@ -224,6 +225,31 @@
         run(play())
 
 
+def test_the_servers_of_these_tests_go_on_when_a_client_has_reset_before_its_answer():
+    """Their thread ended with the error, and a run of some seconds was judged by what came before."""
+    came, gone = threading.Event(), threading.Event()
+
+    def act(arrival, earlier):
+        if arrival.ident == "ab":
+            came.set()
+            assert gone.wait(WAIT)
+        return GOOD
+
+    def send(number, payload):
+        sock = socket.create_connection(("127.0.0.1", number), WAIT)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))  # closed by a reset
+        sock.sendall(payload)
+        return sock
+
+    with truth(1, act) as server:
+        sock = send(server.numbers[0], PAYLOAD)
+        assert came.wait(WAIT)
+        sock.close()
+        gone.set()
+        with send(server.numbers[0], PAYLOAD.replace(b"ab", b"other")) as other:
+            assert other.recv(len(GOOD)) == GOOD
+
+
 @pytest.mark.processes
 def test_a_paused_process_sends_no_repeat_that_overlaps():
     """The real process, stopped for 60 ms again and again while one node after the other is in trouble."""
