--- a/standins/truth.py
+++ b/standins/truth.py
@@ -153,9 +153,8 @@
                 self.tally.orders_twice += self.ran[ident] > 1
         if answer == CLOSE:
             self._close(sock)
-        elif answer is not SILENCE:
-            if self._send(sock, answer) and answer in (GOOD, NEVER):
-                earlier.remove(arrival)  # over, and its connection may go on to others
+        elif answer is not SILENCE and self._send(sock, answer) and answer in (GOOD, NEVER):
+            earlier.remove(arrival)  # over, and its connection may go on to others
 
     def _send(self, sock: socket.socket, answer: bytes) -> bool:
         """Send an answer; False to a client that has reset its connection meanwhile."""
