--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -115,7 +115,7 @@
         now_ns += REQUEST_EVERY_NS
         actions = balancer.handle(now_ns, Request(request_id, 0, 0, now_ns + 2 * SECOND))
         sent = next(action for action in actions if isinstance(action, Send))
-        outcome = Outcome(request_id, 0, sent.server, Status.OK, ANSWER_AFTER_NS, True)
+        outcome = Outcome(request_id, 0, sent.endpoint_number, Status.OK, ANSWER_AFTER_NS, True)
         balancer.handle(now_ns + ANSWER_AFTER_NS, outcome)
     return time.process_time() - began_s
 
--- a/dykefold/__main__.py
+++ b/dykefold/__main__.py
@@ -44,30 +44,30 @@
 USAGE_EXIT_CODE = 2
 
 
-def start_engine(loop: asyncio.AbstractEventLoop, config: Config) -> SidecarServer:
+def start_sidecar(loop: asyncio.AbstractEventLoop, config: Config) -> SidecarServer:
     """Make the server of the platform's sidecar, with its one pool; it does not listen yet."""
     admin_addresses = [config.control, config.fleet.listen if config.fleet.view else None]
     set_aside = ADMIN_DESCRIPTORS * sum(address is not None for address in admin_addresses)
-    engine = SidecarServer(loop, config.sockets, config.memory, config.caps, set_aside=set_aside)
-    engine.serve_one(
+    sidecar = SidecarServer(loop, config.sockets, config.memory, config.caps, set_aside=set_aside)
+    sidecar.serve_one(
         config.settings, config.transport, config.seed, config.discovery, config.names, config.known
     )
-    return engine
+    return sidecar
 
 
 class Reload:
     """Applies the platform's file again, as a whole or not at all."""
 
-    def __init__(self, engine: SidecarServer, config: Config, path: str | None, service: str | None) -> None:
+    def __init__(self, sidecar: SidecarServer, config: Config, path: str | None, service: str | None) -> None:
         """Prepare.
 
         Args:
-            engine: is to follow the file.
+            sidecar: is to follow the file.
             config: what the process runs by.
             path: of the platform's file.
             service: path of the operator's file; None: there is none.
         """
-        self.engine = engine
+        self.sidecar = sidecar
         self.config = config
         self.path = path
         self.service = service
@@ -75,23 +75,23 @@
 
     def __call__(self) -> None:
         """Read and apply the file; log why where it can't be applied."""
-        engine = self.engine
+        sidecar = self.sidecar
         try:
             config = read_config(self.path, self.service, self.config)
             # First what may be rejected, so that nothing else is half applied.
-            engine.change_settings(config.settings, config.transport)
+            sidecar.change_settings(config.settings, config.transport)
         except (ConfigError, ValueError) as error:
             log.warning("the configuration stays as it was: %s", error)
             return
         self.config = config
-        engine.memory_limit = config.memory
-        engine.change_limits(config.sockets, config.caps)
-        if engine.peers is not None:
-            engine.peers.change_addresses(config.settings.index, config.peers, config.peers_all)
+        sidecar.memory_limit = config.memory
+        sidecar.change_limits(config.sockets, config.caps)
+        if sidecar.peers is not None:
+            sidecar.peers.change_addresses(config.settings.index, config.peers, config.peers_all)
         if self.features is not None:
             self.features.apply(config)
-        if engine.pool.discovery is not None:
-            engine.pool.discovery.change_address(config.discovery)
+        if sidecar.pool.discovery is not None:
+            sidecar.pool.discovery.change_address(config.discovery)
 
 
 async def run(config: Config, path: str | None, service: str | None) -> None:
@@ -101,38 +101,38 @@
         ConfigError: an address can't be listened on.
     """
     loop = asyncio.get_running_loop()
-    engine = start_engine(loop, config)
+    sidecar = start_sidecar(loop, config)
     # Where the platform gives no admin address there is no hot restart either, and no address is shared.
-    presence = ProcessLifecycle(loop, engine, config.control, os.environ.get("TMPDIR"))
+    lifecycle = ProcessLifecycle(loop, sidecar, config.control, os.environ.get("TMPDIR"))
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, presence.drain)
-    reload = Reload(engine, config, path, service)
+        loop.add_signal_handler(number, lifecycle.drain)
+    reload = Reload(sidecar, config, path, service)
     loop.add_signal_handler(signal.SIGHUP, reload)
-    features = reload.features = FleetFeatures(loop, engine, config)
+    features = reload.features = FleetFeatures(loop, sidecar, config)
     try:
-        if not await presence.begin():
-            await _end_unbegun(engine, presence)
+        if not await lifecycle.begin():
+            await _end_unbegun(sidecar, lifecycle)
             return
-        await features.start(config, presence.shared)
-        address = presence.listen(config.listen)
+        await features.start(config, lifecycle.shared)
+        address = lifecycle.listen(config.listen)
     except OSError as error:
         raise ListenError(error) from None
-    await _until_stopped(engine, config.name, address, presence, features)
+    await _until_stopped(sidecar, config.name, address, lifecycle, features)
     features.close()
 
 
-async def _end_unbegun(engine: SidecarServer, presence: ProcessLifecycle) -> None:
+async def _end_unbegun(sidecar: SidecarServer, lifecycle: ProcessLifecycle) -> None:
     log.info("sidecar stopped before it accepted clients")
-    await presence.finish_writing()
-    presence.close()
-    engine.close()
+    await lifecycle.finish_writing()
+    lifecycle.close()
+    sidecar.close()
 
 
 async def _until_stopped(
-    engine: SidecarServer,
+    sidecar: SidecarServer,
     name: str,
     address: Address,
-    presence: ProcessLifecycle,
+    lifecycle: ProcessLifecycle,
     features: FleetFeatures | None = None,
 ) -> None:
     # What exists now lives as long as the process: garbage collections need not scan it again, nor run as
@@ -141,12 +141,12 @@
     gc.freeze()
     gc.set_threshold(20_000, 20, 50)
     log.info("%s listens at %s:%d", name, *address)
-    await engine.stopped
+    await sidecar.stopped
     if features is not None:
         features.leave()
-    await presence.finish_writing()
-    presence.close()
-    engine.close()
+    await lifecycle.finish_writing()
+    lifecycle.close()
+    sidecar.close()
 
 
 async def serve(service: Service, plan: Plan, path: str) -> None:
@@ -160,24 +160,24 @@
     loop = asyncio.get_running_loop()
     sockets = min(plan.sockets, system_limit())
     set_aside = ADMIN_DESCRIPTORS if service.control is not None else 0
-    engine = SidecarServer(loop, sockets, plan.memory_bytes, service.caps, set_aside=set_aside)
-    presence = ProcessLifecycle(loop, engine, service.control, service.folder)
-    services = Services(engine, lambda: random.getrandbits(63))
+    sidecar = SidecarServer(loop, sockets, plan.memory_bytes, service.caps, set_aside=set_aside)
+    lifecycle = ProcessLifecycle(loop, sidecar, service.control, service.folder)
+    services = Services(sidecar, lambda: random.getrandbits(63))
     try:
         services.apply(plan, sockets, service.caps)
     except ValueError as error:
         raise FileError(path, [str(error)], code=2) from None
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, presence.drain)
+        loop.add_signal_handler(number, lifecycle.drain)
     loop.add_signal_handler(signal.SIGHUP, reload_services, services, path)
     try:
-        if not await presence.begin():
-            await _end_unbegun(engine, presence)
+        if not await lifecycle.begin():
+            await _end_unbegun(sidecar, lifecycle)
             return
-        address = presence.listen(plan.listen)
+        address = lifecycle.listen(plan.listen)
     except OSError as error:
         raise ListenError(error) from None
-    await _until_stopped(engine, plan.name, address, presence)
+    await _until_stopped(sidecar, plan.name, address, lifecycle)
 
 
 def reload_services(services: Services, path: str) -> None:
--- a/dykefold/admission/addresses.py
+++ b/dykefold/admission/addresses.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Caps:
+class AddressLimits:
     """What one address may use, and which are known. None stands for no limit.
 
     Attributes:
@@ -119,7 +119,7 @@
         learned: keys of addresses that were learned, the longest without success first.
     """
 
-    def __init__(self, caps: Caps) -> None:
+    def __init__(self, caps: AddressLimits) -> None:
         """Begin with no address.
 
         Args:
@@ -130,7 +130,7 @@
         self.learned: OrderedDict[AddressKey, None] = OrderedDict()
         self.apply(caps)
 
-    def apply(self, caps: Caps) -> None:
+    def apply(self, caps: AddressLimits) -> None:
         """Take other limits: which addresses are known changes at once, what is used stays counted."""
         self.caps = caps
         self._known_networks = NetworkSet(caps.known)
--- a/dykefold/admission/budget.py
+++ b/dykefold/admission/budget.py
@@ -20,7 +20,7 @@
 REQUESTS_DIVISOR = 3  # clients hold at most one in so many of all descriptors for requests
 
 
-class Allowance:
+class DescriptorAllowance:
     """How many descriptors one purpose may hold.
 
     Attributes:
@@ -45,7 +45,7 @@
         return self.in_use >= self.limit
 
 
-class Budget:
+class DescriptorBudget:
     """All descriptors of the process, by purpose; the admission rules count what clients hold.
 
     Attributes:
@@ -63,7 +63,7 @@
             set_aside: of these, for what else the process does.
         """
         self._process = PROCESS + set_aside
-        self.upstreams = Allowance(0)
+        self.upstreams = DescriptorAllowance(0)
         self.reservations = 0
         self.resize(limit)
 
--- a/dykefold/admission/clients.py
+++ b/dykefold/admission/clients.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 
 from ..system import SYSTEM, System
-from .addresses import Caps
+from .addresses import AddressLimits
 from .client import Client
 from .client_state import ClientState
 from .connection import ManagedConnection
@@ -111,7 +111,7 @@
         """Count bytes of a message no longer as unfinished."""
         self.admission.release_unfinished(client, size)
 
-    def resize(self, limits: ConnectionLimits, caps: Caps) -> None:
+    def resize(self, limits: ConnectionLimits, caps: AddressLimits) -> None:
         """Take other limits, and close the connections beyond them that may be evicted.
 
         Args:
--- a/dykefold/admission/controller.py
+++ b/dykefold/admission/controller.py
@@ -13,7 +13,7 @@
 
 from __future__ import annotations
 
-from .addresses import AddressTable, Caps
+from .addresses import AddressLimits, AddressTable
 from .client import Client
 from .client_state import IDLE_STATES, RENEWED_STATES, ClientState
 from .decision import AdmissionDecision, RejectionReason
@@ -39,7 +39,7 @@
         request_gaps: how long clients leave a connection idle between requests.
     """
 
-    def __init__(self, limits: ConnectionLimits, caps: Caps) -> None:
+    def __init__(self, limits: ConnectionLimits, caps: AddressLimits) -> None:
         """Begin with no connection.
 
         Args:
@@ -55,7 +55,7 @@
         self.request_gaps = RequestGaps()
 
     @property
-    def caps(self) -> Caps:
+    def caps(self) -> AddressLimits:
         """What each address may use."""
         return self.addresses.caps
 
@@ -67,7 +67,7 @@
     def resize(
         self,
         limits: ConnectionLimits,
-        caps: Caps,
+        caps: AddressLimits,
         now_s: float,
         has_unread_input: HasUnreadInput = never_unread,
     ) -> list[Client]:
--- a/dykefold/balancer/actions.py
+++ b/dykefold/balancer/actions.py
@@ -11,12 +11,12 @@
 
     Attributes:
         id: request.
-        server: endpoint.
+        endpoint_number: endpoint.
         timeout_ns: of the attempt; 0: until the client gives up.
     """
 
     id: int
-    server: int
+    endpoint_number: int
     timeout_ns: int = 0
 
 
@@ -52,14 +52,14 @@
 class Probe:
     """Send a health check to an endpoint."""
 
-    server: int
+    endpoint_number: int
 
 
 @dataclass(slots=True)
 class CloseIdle:
     """Close idle connections to an endpoint."""
 
-    server: int
+    endpoint_number: int
 
 
 @dataclass(slots=True)
@@ -79,7 +79,7 @@
 class ReportEndpointHealth:
     """Tell the fleet that an endpoint is given up on, or that it answers again."""
 
-    server: int
+    endpoint_number: int
     answers: bool
 
 
--- a/dykefold/balancer/attempt_results.py
+++ b/dykefold/balancer/attempt_results.py
@@ -53,7 +53,7 @@
 
     def on_body_sent(self, event: BodySent, req: PendingRequest) -> None:
         """A request's body has reached its endpoint: from now on the endpoint works on it."""
-        endpoint = self.endpoints.all.get(event.server)
+        endpoint = self.endpoints.all.get(event.endpoint_number)
         if endpoint is not None:
             now = self.context.now_ns
             endpoint.in_flight[event.id, event.attempt] = InFlightAttempt(now, req.stats)
@@ -61,7 +61,7 @@
 
     def on_end(self, event: Outcome | StreamStarted) -> None:
         """Take an attempt out of what is in flight, and its end into the estimates."""
-        endpoint = self.endpoints.all.get(event.server)
+        endpoint = self.endpoints.all.get(event.endpoint_number)
         if endpoint is None:
             return
         key = (event.id, event.attempt)
--- a/dykefold/balancer/attempt_rules.py
+++ b/dykefold/balancer/attempt_rules.py
@@ -33,7 +33,7 @@
         for attempt in req.attempts:
             if attempt.state is NEVER_RAN:
                 continue
-            if attempt.state is IN_FLIGHT and not self.context.settings.second_copies:
+            if attempt.state is IN_FLIGHT and not self.context.settings.can_hedge:
                 return False
             if spec.effect is Effect.KEYED:
                 if spec.scope is Scope.CELL and attempt.endpoint.cell != endpoint.cell:
--- a/dykefold/balancer/balancer.py
+++ b/dykefold/balancer/balancer.py
@@ -104,14 +104,14 @@
             events.Request: self.on_request,
             events.Outcome: self.on_outcome,
             events.Timer: self.on_timer,
-            events.ClientDisconnected: self.on_dropped,
+            events.ClientDisconnected: self.on_client_disconnected,
             events.Membership: self.list_updater.on_membership,
             events.PeerMessage: self.quotas.on_peer,
             events.ProbeResult: self.on_probe_result,
             events.StreamStarted: self.on_stream_started,
             events.BodySent: self.on_body_sent,
-            events.SettingsChanged: self.on_retune,
-            events.MembershipChanged: self.on_fleet,
+            events.SettingsChanged: self.on_settings_changed,
+            events.MembershipChanged: self.on_membership_changed,
         }
 
     def handle(self, now_ns: int, event: events.Event) -> list[Action]:
@@ -126,7 +126,7 @@
     def on_request(self, event: events.Request) -> None:
         """A client sends a request: send it on, hold it for a moment, or reject it."""
         context = self.context
-        stats = context.classes[event.cls]
+        stats = context.classes[event.class_number]
         req = PendingRequest(event, stats, context.settings.max_attempts, context.now_ns)
         self.answers.pending[req.id] = req
         self.retries.count_request()
@@ -191,7 +191,7 @@
         elif not req.retry_planned:
             self.retries.plan(req, not_attempted)
 
-    def on_dropped(self, event: events.ClientDisconnected) -> None:
+    def on_client_disconnected(self, event: events.ClientDisconnected) -> None:
         """The client of a request has gone."""
         req = self.answers.pending.get(event.id)
         if req is not None:
@@ -216,8 +216,8 @@
 
     def on_probe_result(self, event: events.ProbeResult) -> None:
         """A health check has ended; requests that waited for the loads of their endpoints go out."""
-        endpoint = self.endpoints.all.get(event.server)
-        waiting = self.load_reports.stop_waiting(event.server)
+        endpoint = self.endpoints.all.get(event.endpoint_number)
+        waiting = self.load_reports.stop_waiting(event.endpoint_number)
         if endpoint is None or event.status is not Status.OK:
             return  # the requests that waited go elsewhere when their wait is over
         self.load_reports.record(endpoint, event.report)
@@ -247,7 +247,7 @@
                 req.retry_planned = False
                 self.retries.retry(req)
 
-    def on_retune(self, event: events.SettingsChanged) -> None:
+    def on_settings_changed(self, event: events.SettingsChanged) -> None:
         """Go by other settings. Estimates of a class go on under its name, pending requests by their own."""
         context = self.context
         classes = context.classes
@@ -266,19 +266,19 @@
         self.load_reports.apply_settings()
         self.endpoints.rebuild()
 
-    def on_fleet(self, event: events.MembershipChanged) -> None:
+    def on_membership_changed(self, event: events.MembershipChanged) -> None:
         """Who is there, and what several sidecars found."""
         context = self.context
         context.fleet = event
-        for number, typical_ns in event.usual.items():
+        for number, typical_ns in event.typical_latency_ns.items():
             stats = context.classes[number]
             if not stats.answers:
                 self.latency.adopt_typical(stats, typical_ns)
         for endpoint in self.endpoints.all.values():
             endpoint.rank = event.ranks.get(endpoint.id, endpoint.rank)
-            if endpoint.id in event.failing:
+            if endpoint.id in event.failing_endpoints:
                 self.outliers.suspect(endpoint)
-            if endpoint.id in event.answering:
+            if endpoint.id in event.answering_endpoints:
                 endpoint.probation_ns = min(endpoint.probation_ns, context.now_ns)
         self.endpoints.rebuild()
 
--- a/dykefold/balancer/concurrency_limit.py
+++ b/dykefold/balancer/concurrency_limit.py
@@ -98,7 +98,7 @@
         fraction = req.stats.limit_fraction
         over_quota = self.quotas.over_quota
         if over_quota and self.context.random.random() < over_quota[req.tenant]:
-            worth = self.context.settings.over_share_worth
+            worth = self.context.settings.over_quota_weight_fraction
             return CHEAP_FRACTION + (fraction - CHEAP_FRACTION) * worth
         return fraction
 
@@ -195,5 +195,5 @@
 
     def _density(self, stats: ClassStats) -> float:
         """Worth for the endpoints' time that it takes."""
-        worth = stats.spec.worth
-        return worth if self.context.settings.worth_by_work else worth / stats.typical_latency_ns
+        worth = stats.spec.priority_weight
+        return worth if self.context.settings.weight_per_work else worth / stats.typical_latency_ns
--- a/dykefold/balancer/context.py
+++ b/dykefold/balancer/context.py
@@ -59,7 +59,7 @@
 
     def sidecar_count(self) -> int:
         """Count the sidecars that carry traffic, this one among them."""
-        return self.fleet.live if self.fleet else self.settings.fleet_size
+        return self.fleet.live_sidecars if self.fleet else self.settings.fleet_size
 
     def log(self, text: str) -> None:
         """Add a log action, one line a second at most: the report keeps only a few hundred."""
--- a/dykefold/balancer/endpoints.py
+++ b/dykefold/balancer/endpoints.py
@@ -82,7 +82,7 @@
 
     def __init__(self, entry: Endpoint, rank: float) -> None:
         """Begin with nothing learnt of an endpoint that the list gives."""
-        self.id = entry.server
+        self.id = entry.number
         self.rank = rank
         self.in_flight: dict[AttemptKey, InFlightAttempt] = {}
         self.lost: set[AttemptKey] = set()
@@ -121,11 +121,6 @@
         """Count the attempts in flight whose response is still expected."""
         return len(self.in_flight) - len(self.lost)
 
-    @property
-    def last_ok(self) -> int:
-        """`last_alive_ns`, by the name that callers outside the package use."""
-        return self.last_alive_ns
-
 
 class EndpointGroup:
     """What this sidecar believes of endpoints that are listed alike: of one kind, in the own zone or not.
@@ -185,13 +180,3 @@
         self.first_timeout_ns = 0
         self.first_timeout_votes = 0
         self.limit_fraction = 1.0
-
-    @property
-    def seen(self) -> int:
-        """`answers`, by the name that callers outside the package use."""
-        return self.answers
-
-    @property
-    def usual(self) -> float:
-        """`typical_latency_ns`, by the name that callers outside the package use."""
-        return self.typical_latency_ns
--- a/dykefold/balancer/events.py
+++ b/dykefold/balancer/events.py
@@ -49,7 +49,7 @@
     """An entry of the endpoint list.
 
     Attributes:
-        server: number of the endpoint.
+        number: number of the endpoint.
         zone: where it is.
         kind: which kind of machine it is.
         cell: group of endpoints that know each other's idempotency keys.
@@ -59,7 +59,7 @@
         ramp_from_ns: from when its slow start counts; 0: from `started_ns`, which is of the same clock.
     """
 
-    server: int
+    number: int
     zone: int
     kind: int
     cell: int
@@ -90,7 +90,7 @@
 
     Attributes:
         id: unique among pending requests.
-        cls: number of its class.
+        class_number: number of its class.
         tenant: number of its tenant.
         deadline_ns: when the client gives up.
         key: idempotency key; 0: none.
@@ -100,7 +100,7 @@
     """
 
     id: int
-    cls: int
+    class_number: int
     tenant: int
     deadline_ns: int
     key: int = 0
@@ -116,7 +116,7 @@
     Attributes:
         id: request.
         attempt: number of the attempt, from 0.
-        server: endpoint.
+        endpoint_number: endpoint.
         status: how it ended.
         duration_ns: from its sending.
         final: whether the request has ended with it or before.
@@ -125,7 +125,7 @@
 
     id: int
     attempt: int
-    server: int
+    endpoint_number: int
     status: Status
     duration_ns: int
     final: bool
@@ -141,7 +141,7 @@
 
     id: int
     attempt: int
-    server: int
+    endpoint_number: int
     duration_ns: int
     status: Status = Status.OK
     report: tuple[float, ...] = ()
@@ -153,7 +153,7 @@
 
     id: int
     attempt: int
-    server: int
+    endpoint_number: int
 
 
 @dataclass(slots=True)
@@ -168,13 +168,13 @@
     """The end of a health check.
 
     Attributes:
-        server: endpoint.
+        endpoint_number: endpoint.
         status: how it ended.
         duration_ns: from its sending.
         report: load report that came with it, by column.
     """
 
-    server: int
+    endpoint_number: int
     status: Status
     duration_ns: int
     report: tuple[float, ...] = ()
@@ -198,20 +198,20 @@
     """What the membership of the sidecars tells; see docs/design/view.md.
 
     Attributes:
-        live: sidecars that carry traffic, or may be about to again, this one among them.
+        live_sidecars: sidecars that carry traffic, or may be about to again, this one among them.
         ranks: by endpoint, the own place among sidecars of the own zone, from 0, below 1; each has another.
-        part: ranks of endpoints of other zones below this are to be sampled.
-        failing: endpoints that several others gave up on lately.
-        answering: endpoints that several others had an answer of after that.
-        usual: by class, the typical latency that others tell one that starts anew, nanoseconds.
+        max_remote_rank: ranks of endpoints of other zones below this are to be sampled.
+        failing_endpoints: endpoints that several others gave up on lately.
+        answering_endpoints: endpoints that several others had an answer of after that.
+        typical_latency_ns: by class, the typical latency that others tell one that starts anew, nanoseconds.
     """
 
-    live: int
+    live_sidecars: int
     ranks: Mapping[int, float]
-    part: float = 1.0
-    failing: Set[int] = frozenset()
-    answering: Set[int] = frozenset()
-    usual: Mapping[int, float] = field(default_factory=dict)
+    max_remote_rank: float = 1.0
+    failing_endpoints: Set[int] = frozenset()
+    answering_endpoints: Set[int] = frozenset()
+    typical_latency_ns: Mapping[int, float] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
--- a/dykefold/balancer/hedging.py
+++ b/dykefold/balancer/hedging.py
@@ -86,7 +86,7 @@
         if self.retries.budget < 1.0 or not self.rules.may_retry(req, self.context.now_ns):
             return
         settings = self.context.settings
-        if settings.second_copies:
+        if settings.can_hedge:
             self.retries.plan(req)
         elif settings.can_cancel:
             self.context.actions.append(Cancel(req.id, number))  # its end plans the retry
--- a/dykefold/balancer/membership.py
+++ b/dykefold/balancer/membership.py
@@ -51,18 +51,18 @@
 
     def _unlist_absent(self, entries: list[Endpoint]) -> None:
         """What is absent from a complete list is gone."""
-        present = {entry.server for entry in entries}
+        present = {entry.number for entry in entries}
         for endpoint in self.endpoints.all.values():
             if endpoint.id not in present:
                 endpoint.listed = False
 
     def _apply(self, entry: Endpoint) -> None:
         """Take one entry of the list."""
-        endpoint = self.endpoints.all.get(entry.server)
+        endpoint = self.endpoints.all.get(entry.number)
         ready = entry.state is State.READY
         if endpoint is None:
             endpoint = EndpointState(entry, self.context.random.random())
-            self.endpoints.all[entry.server] = endpoint
+            self.endpoints.all[entry.number] = endpoint
         elif entry.started_ns != endpoint.started_ns or (ready and not endpoint.ready):
             if endpoint.ejected:
                 self.limit.in_flight += endpoint.expected_responses()
--- a/dykefold/balancer/poll_schedule.py
+++ b/dykefold/balancer/poll_schedule.py
@@ -26,8 +26,8 @@
     def on_cached_list(self) -> None:
         """Poll soon, but restarted sidecars must not all poll at once."""
         settings = self.context.settings
-        if settings.must_ask:
-            spread = settings.must_ask_in_ns * BACKOFF_BASE
+        if settings.poll_required:
+            spread = settings.max_poll_interval_ns * BACKOFF_BASE
             delay = int(spread * self.context.random.random())
             self.timers.add(self.context.now_ns + delay, POLL)
 
@@ -40,9 +40,9 @@
         """A poll failed or the watch broke: poll again after a backoff."""
         self.watching = False
         settings = self.context.settings
-        if not settings.must_ask:
+        if not settings.poll_required:
             return
-        backoff = settings.must_ask_in_ns * min(MAX_BACKOFF, BACKOFF_BASE * 2**self.failures)
+        backoff = settings.max_poll_interval_ns * min(MAX_BACKOFF, BACKOFF_BASE * 2**self.failures)
         backoff = min(backoff, MAX_DELAY_S * SECOND_NS)
         self.failures += 1
         delay = int(backoff * self.context.random.uniform(MIN_JITTER, 1.0)) + 1
--- a/dykefold/balancer/quotas.py
+++ b/dykefold/balancer/quotas.py
@@ -53,7 +53,7 @@
                 rate = count * SECOND_NS / elapsed
                 self.rates[number] += RATE_SMOOTHING * (rate - self.rates[number])
         self.counts = [0.0] * len(self.counts)
-        if context.settings.can_tell and context.settings.fleet_size > 1:
+        if context.settings.can_message_peers and context.settings.fleet_size > 1:
             steps = [min(int(rate * RATE_UNIT), MAX_RATE) for rate in self.rates]
             context.actions.append(SendToPeer(self.message.pack(*steps)))
         self._judge()
--- a/dykefold/balancer/request_value.py
+++ b/dykefold/balancer/request_value.py
@@ -48,7 +48,9 @@
             in_time = min(max(spec.objective_ns - typical, 0.0) / (spec.deadline_ns - first), 1.0)
         else:
             in_time = 1.0
-        return max((in_time + (1.0 - in_time) * spec.late_worth) * _chance(left, typical), MIN_VALUE)
+        return max(
+            (in_time + (1.0 - in_time) * spec.late_weight_fraction) * _chance(left, typical), MIN_VALUE
+        )
 
     def _vote(self, stats: ClassStats, left_ns: int) -> None:
         """Learn the timeout that first attempts state as the one of a majority (Boyer and Moore, 1981).
--- a/dykefold/balancer/settings.py
+++ b/dykefold/balancer/settings.py
@@ -33,8 +33,8 @@
         name: unique; estimates go on under it when settings change.
         objective_ns: latency objective, from the client's first attempt.
         deadline_ns: when the client gives up, from its first attempt.
-        worth: priority weight of an answer within the objective.
-        late_worth: part of it that a later answer is worth.
+        priority_weight: priority weight of an answer within the objective.
+        late_weight_fraction: part of it that a later answer is worth.
         effect: whether a request may run more than once.
         scope: which endpoints drop a repeated key.
         window_ns: how long they know a key.
@@ -44,8 +44,8 @@
     name: str
     objective_ns: int
     deadline_ns: int
-    worth: float
-    late_worth: float
+    priority_weight: float
+    late_weight_fraction: float
     effect: Effect
     scope: Scope = Scope.ALL
     window_ns: int = 0
@@ -76,13 +76,13 @@
         zones: names of zones, by number.
         zone: the own one.
         tenants: by number.
-        over_share_worth: part of its worth that a request over quota counts.
-        worth_by_work: whether worth is meant for each unit of work rather than each request.
+        over_quota_weight_fraction: part of its worth that a request over quota counts.
+        weight_per_work: whether worth is meant for each unit of work rather than each request.
         index: number of this sidecar.
         fleet_size: sidecars, where there is no fleet view.
         tick_ns: resolution of the caller's time.
-        must_ask: whether discovery answers only when polled.
-        must_ask_in_ns: time within which a sidecar must poll.
+        poll_required: whether discovery answers only when polled.
+        max_poll_interval_ns: time within which a sidecar must poll.
         drain_grace_ns: time in which a draining endpoint may still get requests.
         answer_slack_ns: time after a deadline in which an answer still counts.
         start_capacity: part of its capacity that an endpoint has when it starts.
@@ -90,10 +90,10 @@
         overload_factor: load, in capacities, that is fatal to a cold endpoint.
         overload_for_ns: how long that load has to last.
         max_attempts: of one request.
-        second_copies: whether hedged requests are allowed.
+        can_hedge: whether hedged requests are allowed.
         can_cancel: whether an attempt can be cancelled.
         can_probe: whether health checks can be sent.
-        can_tell: whether messages to peers can be sent.
+        can_message_peers: whether messages to peers can be sent.
         retry_after: whether a rejection may carry advice when to retry.
         max_retry_after_ns: the longest such advice.
         connect_timeout_ns: of a connection attempt; 0: none.
@@ -110,13 +110,13 @@
     zones: list[str]
     zone: int = 0
     tenants: list[Tenant] = field(default_factory=list)
-    over_share_worth: float = 1.0
-    worth_by_work: bool = False
+    over_quota_weight_fraction: float = 1.0
+    weight_per_work: bool = False
     index: int = 0
     fleet_size: int = 1
     tick_ns: int = 5_000_000
-    must_ask: bool = False
-    must_ask_in_ns: int = 10_000_000_000
+    poll_required: bool = False
+    max_poll_interval_ns: int = 10_000_000_000
     drain_grace_ns: int = 0
     answer_slack_ns: int = 0
     start_capacity: float = 1.0
@@ -124,10 +124,10 @@
     overload_factor: float = 3.0
     overload_for_ns: int = 3_000_000_000
     max_attempts: int = 1
-    second_copies: bool = False
+    can_hedge: bool = False
     can_cancel: bool = False
     can_probe: bool = False
-    can_tell: bool = False
+    can_message_peers: bool = False
     retry_after: bool = False
     max_retry_after_ns: int = 0
     connect_timeout_ns: int = 0
--- a/dykefold/balancer/subsetting.py
+++ b/dykefold/balancer/subsetting.py
@@ -117,7 +117,7 @@
         """Count the endpoints of other zones that this sidecar has to sample for the fleet."""
         fleet = self.context.fleet
         if fleet and fleet.ranks:
-            return sum(endpoint.rank < fleet.part for endpoint in far)
+            return sum(endpoint.rank < fleet.max_remote_rank for endpoint in far)
         return math.ceil(REMOTE_SAMPLERS * len(far) / self.context.sidecar_count())
 
     def _wanted_local_size(self, near_count: int) -> int:
--- a/dykefold/control/admin_operations.py
+++ b/dykefold/control/admin_operations.py
@@ -51,17 +51,17 @@
     """The requests of the admin API, carried out on all pools of a sidecar alike."""
 
     def __init__(
-        self, engine: SidecarServer, order_store: OrderStore | None = None, directory_unusable: bool = False
+        self, sidecar: SidecarServer, order_store: OrderStore | None = None, directory_unusable: bool = False
     ) -> None:
         """Prepare.
 
         Args:
-            engine: the sidecar.
+            sidecar: the sidecar.
             order_store: None where nothing is kept.
             directory_unusable: a state directory is configured and can't be used yet: nothing is kept there
                 until `keep_orders_in`.
         """
-        self.engine = engine
+        self.sidecar = sidecar
         self.order_store = order_store
         self.directory_unusable = directory_unusable
 
@@ -84,7 +84,7 @@
         if request.action is Action.HEALTH:
             answer(self._health())
             return
-        pools = [pool for pool in self.engine.pools if pool.maintenance.knows(request.server)]
+        pools = [pool for pool in self.sidecar.pools if pool.maintenance.knows(request.server)]
         out = request.action is Action.OUT
         if not pools:
             answer(NO_SUCH_SERVER)
@@ -96,7 +96,7 @@
             self._put_back(pools, request.server, answer)
 
     def _health(self) -> AdminResponse:
-        if self.engine.accepts_clients:
+        if self.sidecar.accepts_clients:
             return OK
         return AdminResponse(HTTPStatus.SERVICE_UNAVAILABLE, "this process takes no clients")
 
--- a/dykefold/control/endpoint_list_sharing.py
+++ b/dykefold/control/endpoint_list_sharing.py
@@ -14,9 +14,9 @@
 class EndpointListSharing:
     """Writes the endpoint lists of this process, and takes newer ones of the others."""
 
-    def __init__(self, engine: SidecarServer, directory: StateDirectory, name: str) -> None:
+    def __init__(self, sidecar: SidecarServer, directory: StateDirectory, name: str) -> None:
         """Prepare; `name` is that of this process."""
-        self.engine = engine
+        self.sidecar = sidecar
         self.directory = directory
         self.name = name
         self.written: dict[str, int] = {}  # versions of the lists that others can read, by pool
@@ -27,9 +27,9 @@
         Args:
             needed: whether another process lives that may read them.
         """
-        versions = {pool.label: pool.version for pool in self.engine.pools}
+        versions = {pool.label: pool.version for pool in self.sidecar.pools}
         if needed and versions != self.written:
-            lists = {pool.label: pool.list_record() for pool in self.engine.pools}
+            lists = {pool.label: pool.list_record() for pool in self.sidecar.pools}
             if self.directory.write(RecordKind.ENDPOINT_LISTS.of_process(self.name), {"pools": lists}):
                 self.written = versions
         return self.written
@@ -42,7 +42,7 @@
             heartbeat: its record, with the versions of its lists.
         """
         versions = nested_table(heartbeat, "lists")
-        newer = [pool for pool in self.engine.pools if list_version(versions.get(pool.label)) > pool.version]
+        newer = [pool for pool in self.sidecar.pools if list_version(versions.get(pool.label)) > pool.version]
         if not newer:
             return
         record = self.directory.read(RecordKind.ENDPOINT_LISTS.of_process(process))
--- a/dykefold/control/hot_restart.py
+++ b/dykefold/control/hot_restart.py
@@ -13,7 +13,7 @@
 from .background_writer import OnWritten, Submit
 from .endpoint_list_sharing import EndpointListSharing
 from .hot_restart_state import LOOK_NS, ROOM_WAIT_NS, HotRestartMachine, ProcessHeartbeat, RestartView
-from .listener_steering import ListenerSteering
+from .listener_selection import ListenerSelection
 from .maintenance import MaintenanceOrder
 from .maintenance_records import MaintenanceRecords
 from .process_records import (
@@ -22,14 +22,11 @@
     RecordKind,
     heartbeat_record,
     parse_heartbeat,
-    parse_maintenance_orders,
 )
 from .record_cleanup import gone_processes, remove_records
 from .snapshot_transfer import SnapshotTransfer
 from .state_directory import StateDirectory
 
-__all__ = ["LOOK_S", "HotRestart", "heartbeat_record", "parse_heartbeat", "parse_maintenance_orders"]
-
 log = logging.getLogger("dykefold.control")
 
 LOOK_S = LOOK_NS / 1e9
@@ -42,7 +39,7 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        engine: SidecarServer,
+        sidecar: SidecarServer,
         directory: StateDirectory,
         system: System | None = None,
         born_ns: int | None = None,
@@ -51,24 +48,24 @@
 
         Args:
             loop: that runs the looks.
-            engine: what serves clients in this process.
+            sidecar: what serves clients in this process.
             directory: that the processes share.
-            system: clocks; None: those of the engine.
+            system: clocks; None: those of the sidecar.
             born_ns: when this process started, monotonic; None: now.
         """
         self.loop = loop
-        self.engine = engine
+        self.sidecar = sidecar
         self.directory = directory
-        self.now_ns = (system or engine.clock).monotonic_ns
+        self.now_ns = (system or sidecar.clock).monotonic_ns
         self.boot_id = directory.boot_id()
         born_ns = self.now_ns() if born_ns is None else born_ns
         self.machine = HotRestartMachine(f"{born_ns:020d}-{os.getpid()}", born_ns)
         name = self.machine.name
         self.heartbeat_name = RecordKind.HEARTBEAT.of_process(name)
-        self.steering = ListenerSteering(engine)
-        self.lists = EndpointListSharing(engine, directory, name)
-        self.snapshots = SnapshotTransfer(engine, directory, name, born_ns, self.read_clock)
-        self.maintenance = MaintenanceRecords(engine, directory, name, self.read_clock)
+        self.steering = ListenerSelection(sidecar)
+        self.lists = EndpointListSharing(sidecar, directory, name)
+        self.snapshots = SnapshotTransfer(sidecar, directory, name, born_ns, self.read_clock)
+        self.maintenance = MaintenanceRecords(sidecar, directory, name, self.read_clock)
         self.process_count = 1
         self.others: dict[str, ProcessHeartbeat] = {}  # of the processes that live, by name
         self.records_stand = True  # what this process has written was there at the last look
@@ -81,14 +78,14 @@
 
     def read_clock(self) -> ClockReading:
         """Read the clock of this process, on which its records have their times."""
-        return ClockReading(self.boot_id, self.now_ns(), self.engine.clock.offset)
+        return ClockReading(self.boot_id, self.now_ns(), self.sidecar.clock.offset)
 
     # The start
 
     async def wait_for_capacity(self) -> None:
         """Wait until older processes leave this one its part of the limits, or are seen to be gone."""
         self.write_records()
-        while not self._may_start() and not self.engine.draining:
+        while not self._may_start() and not self.sidecar.draining:
             self.write_records()  # what it is about to take, before it does
             await asyncio.sleep(LOOK_S / 4)
         self.snapshots.restore(self.others.values())
@@ -114,7 +111,7 @@
         Until the others have made way for it, it keeps the limits that it had without them. Which index its
         listener has in the reuseport group can't be known, so the kernel selects by hash.
         """
-        self.machine.hold(self.engine.needed_descriptors())
+        self.machine.hold(self.sidecar.needed_descriptors())
         self.joining_since_ns = self.now_ns()
         self._try_to_join()
 
@@ -178,8 +175,8 @@
         view = self.machine.look(
             now_ns,
             [beat for beat in heartbeats.values() if alive.get(beat.name) is not False],
-            self.engine.sockets,
-            self.engine.needed_descriptors(),
+            self.sidecar.sockets,
+            self.sidecar.needed_descriptors(),
             [name for name, held in alive.items() if held],
         )
         seen = set(self.machine.acknowledged) - {self.machine.name}
@@ -193,8 +190,8 @@
         if view.process_count != self.process_count:
             log.info("sidecar has %d processes", view.process_count)
             self.process_count = view.process_count
-        self.engine.share_capacity(view.process_count, view.max_descriptors)
-        self.engine.handing_over = view.newer_takes
+        self.sidecar.share_capacity(view.process_count, view.max_descriptors)
+        self.sidecar.handing_over = view.newer_takes
         self.steering.update(view.leads, self.others.values())
         if view.arrived or self.snapshots.retry_needed:
             self.snapshots.write(self.others.values())
@@ -252,7 +249,7 @@
         """End with the process. Its records stay for the next one, unless a newer one has them already."""
         if self.timer is not None:
             self.timer.cancel()
-        if self.engine.handing_over and self.maintenance.stand_with_others(self.others):
+        if self.sidecar.handing_over and self.maintenance.stand_with_others(self.others):
             remove_records(self.directory, self.machine.name)
 
 
--- a/dykefold/control/listener_steering.py
+++ b/dykefold/control/listener_selection.py
@@ -13,12 +13,12 @@
 log = logging.getLogger("dykefold.control")
 
 
-class ListenerSteering:
+class ListenerSelection:
     """The listener of this process in its reuseport group."""
 
-    def __init__(self, engine: SidecarServer) -> None:
+    def __init__(self, sidecar: SidecarServer) -> None:
         """Prepare for a process that does not listen yet."""
-        self.engine = engine
+        self.sidecar = sidecar
         self.sock: socket.socket | None = None  # that clients connect to
         self.group = ReuseportGroup()
         self.accepted = True  # the kernel took the last filter; else its refusal has been logged
@@ -26,7 +26,7 @@
     @property
     def listener_index(self) -> int | None:
         """The index of the own listener in the group; None while it has none, or it is not known."""
-        return self.group.index if self.engine.listener is not None else None
+        return self.group.index if self.sidecar.listener is not None else None
 
     def join(self, sock: socket.socket, others: Iterable[ProcessHeartbeat]) -> None:
         """Take a socket that has just begun to listen, after those of all these processes."""
@@ -44,7 +44,7 @@
         """
         indexes = _indexes(others)
         index = self.group.update(indexes)
-        if self.sock is None or self.engine.listener is None or not leads or not indexes:
+        if self.sock is None or self.sidecar.listener is None or not leads or not indexes:
             return
         # Imported here, since a process that takes over from nobody does not need ctypes.
         from .reuseport_filter import select_by_hash, select_listener
--- a/dykefold/control/maintenance_records.py
+++ b/dykefold/control/maintenance_records.py
@@ -37,7 +37,7 @@
 
     def __init__(
         self,
-        engine: SidecarServer,
+        sidecar: SidecarServer,
         directory: StateDirectory,
         name: str,
         read_clock: Callable[[], ClockReading],
@@ -45,12 +45,12 @@
         """Prepare.
 
         Args:
-            engine: whose maintenance orders are kept.
+            sidecar: whose maintenance orders are kept.
             directory: that the processes share.
             name: of this process.
             read_clock: reads the clock of this process, on which its orders have their times.
         """
-        self.engine = engine
+        self.sidecar = sidecar
         self.directory = directory
         self.read_clock = read_clock
         self.record_name = RecordKind.MAINTENANCE.of_process(name)
@@ -62,7 +62,7 @@
     def orders(self) -> dict[str, MaintenanceOrder]:
         """Return the orders that this process knows, by endpoint name."""
         orders: dict[str, MaintenanceOrder] = {}
-        for pool in self.engine.pools:
+        for pool in self.sidecar.pools:
             orders |= pool.maintenance.orders
         return orders
 
@@ -128,7 +128,7 @@
     def merge(self, record: Record) -> None:
         """Take the orders that another process wrote."""
         orders = orders_on_clock(record, self.read_clock())
-        for pool in self.engine.pools:
+        for pool in self.sidecar.pools:
             pool.merge_maintenance(orders)
 
     def stand_with_others(self, processes: Iterable[str]) -> bool:
--- a/dykefold/control/process_lifecycle.py
+++ b/dykefold/control/process_lifecycle.py
@@ -30,7 +30,7 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        engine: SidecarServer,
+        sidecar: SidecarServer,
         address: Address | None,
         folder: str | None,
         file_system: FileSystem = FILE_SYSTEM,
@@ -39,19 +39,19 @@
 
         Args:
             loop: that runs the process.
-            engine: what serves clients.
+            sidecar: what serves clients.
             address: of the admin API; None for none, and no hot restarts either.
             folder: that the processes of this sidecar share; None for no hot restarts.
             file_system: the file calls.
         """
         self.loop = loop
-        self.engine = engine
+        self.sidecar = sidecar
         self.address = address
         self.admin_server: AdminServer | None = None
         self.hot_restart: HotRestart | None = None
         self.admin_operations: AdminOperations | None = None
         self.submit: Submit = BackgroundWriter(loop).submit
-        self.born_ns = engine.clock.monotonic_ns()
+        self.born_ns = sidecar.clock.monotonic_ns()
         self.directory_retry: DirectoryRetry | None = None  # where a folder is configured
         if address is not None and folder:
             self.directory_retry = DirectoryRetry(loop, folder, file_system)
@@ -61,7 +61,7 @@
 
     def _share(self, directory: FileStateDirectory) -> HotRestart:
         """Take part in hot restarts by records in a directory."""
-        hot_restart = HotRestart(self.loop, self.engine, directory, born_ns=self.born_ns)
+        hot_restart = HotRestart(self.loop, self.sidecar, directory, born_ns=self.born_ns)
         hot_restart.write_in_background(self.submit)
         return hot_restart
 
@@ -90,12 +90,12 @@
         log.info("the door is at %s:%d", *self.admin_server.address)
         if self.hot_restart is not None:
             await self.hot_restart.wait_for_capacity()
-        return not self.engine.draining
+        return not self.sidecar.draining
 
     def operations(self) -> AdminOperations:
         """Return what carries the requests of the admin API out."""
         unusable = self.directory_retry is not None and not self.directory_retry.usable
-        return AdminOperations(self.engine, self.hot_restart, directory_unusable=unusable)
+        return AdminOperations(self.sidecar, self.hot_restart, directory_unusable=unusable)
 
     def listen(self, address: Address) -> Address:
         """Take clients at an address.
@@ -107,7 +107,7 @@
             OSError: the address can't be used.
         """
         sock = socket.create_server(address, backlog=LISTEN_BACKLOG, reuse_port=self.shared)
-        listener = self.engine.listen(sock)
+        listener = self.sidecar.listen(sock)
         if self.hot_restart is not None:
             self.hot_restart.take_clients(sock)
         elif self.directory_retry is not None:
@@ -127,7 +127,7 @@
             self.directory_retry.close()
         if self.hot_restart is not None:
             self.hot_restart.begin_shutdown()
-        self.engine.drain()
+        self.sidecar.drain()
 
     async def finish_writing(self) -> None:
         """Wait until all orders are written down, or for `MAX_LAST_WRITE_S`."""
--- a/dykefold/control/snapshot_transfer.py
+++ b/dykefold/control/snapshot_transfer.py
@@ -19,7 +19,7 @@
 
     def __init__(
         self,
-        engine: SidecarServer,
+        sidecar: SidecarServer,
         directory: StateDirectory,
         name: str,
         born_ns: int,
@@ -28,13 +28,13 @@
         """Prepare.
 
         Args:
-            engine: whose balancers are written and restored.
+            sidecar: whose balancers are written and restored.
             directory: that the processes share.
             name: of this process.
             born_ns: when this process started, monotonic.
             read_clock: reads the clock of this process, which times in its snapshot are on.
         """
-        self.engine = engine
+        self.sidecar = sidecar
         self.directory = directory
         self.name = name
         self.born_ns = born_ns
@@ -43,7 +43,7 @@
 
     def write(self, others: Iterable[ProcessHeartbeat]) -> None:
         """Write what this process believes; if that fails and a newer one waits, it is to be retried."""
-        pools = {pool.label: snapshot(pool.balancer, pool.names) for pool in self.engine.pools}
+        pools = {pool.label: snapshot(pool.balancer, pool.names) for pool in self.sidecar.pools}
         record = {"pools": pools, "clock": self.read_clock().to_record()}
         written = self.directory.write(RecordKind.SNAPSHOT.of_process(self.name), record)
         awaited = any(
@@ -68,7 +68,7 @@
         record = self.directory.read(RecordKind.SNAPSHOT.of_process(older.name))
         known = nested_table(record, "pools")
         shift_ns = shift_between_clocks(record, self.read_clock())
-        for pool in self.engine.pools:
+        for pool in self.sidecar.pools:
             if pool.label not in known:
                 continue
             if shift_ns is None or not restore(pool.balancer, pool.names, known[pool.label], shift_ns):
--- a/dykefold/fleet/endpoint_list_sync.py
+++ b/dykefold/fleet/endpoint_list_sync.py
@@ -45,13 +45,13 @@
 
     # Called by the discovery client: see `PollSchedule`
 
-    def opens_s(self) -> float:
+    def watch_delay_s(self) -> float:
         """Return in how many seconds a watch may be opened."""
         now_ns = self.system.monotonic_ns()
         self._opens_watch = True
         return (self.schedule.open_watch_ns(now_ns, self.version) - now_ns) / SECOND
 
-    def goes_on_s(self) -> float:
+    def next_call_delay_s(self) -> float:
         """Return in how many seconds a watch may go on after an answer."""
         now_ns = self.system.monotonic_ns()
         due_ns = self.schedule.continue_watch_ns(now_ns, self.version)
@@ -100,7 +100,7 @@
 
     def change_settings(self, must_ask_ns: int) -> None:
         """Take another time within which the rules want a poll, nanoseconds."""
-        self.schedule.settings.must_ask_ns = must_ask_ns
+        self.schedule.settings.max_poll_interval_ns = must_ask_ns
 
     def on_new_records(self) -> None:
         """Poll if others are answered again, or have a newer endpoint list."""
--- a/dykefold/fleet/poll_schedule.py
+++ b/dykefold/fleet/poll_schedule.py
@@ -39,13 +39,13 @@
     """What a schedule is made for.
 
     Attributes:
-        must_ask_ns: the time within which a poll is due by the rules.
+        max_poll_interval_ns: the time within which a poll is due by the rules.
         calls_per_s: polls that discovery is taken to answer until it shows.
         position: of this sidecar among those that poll, from 0.
         fleet_size: how many poll.
     """
 
-    must_ask_ns: int
+    max_poll_interval_ns: int
     calls_per_s: float
     position: int
     fleet_size: int
@@ -137,7 +137,7 @@
     def spread_ns(self, now_ns: int) -> int:
         """Return over which time the polls of all members are spread just now, nanoseconds."""
         self._decay_backoff(now_ns)
-        max_ns = int(self.settings.must_ask_ns * MAX_SPREAD_FRACTION)
+        max_ns = int(self.settings.max_poll_interval_ns * MAX_SPREAD_FRACTION)
         if self._moved:
             max_ns = min(max_ns, MAX_MOVED_SPREAD_NS)
         if self.failed_ns is not None:
--- a/dykefold/fleet_wiring.py
+++ b/dykefold/fleet_wiring.py
@@ -22,8 +22,6 @@
 
 log = logging.getLogger("dykefold")
 
-__all__ = ["FleetFeatures"]
-
 
 class FleetFeatures:
     """What a sidecar does together with its peers.
@@ -35,17 +33,17 @@
         admin_server: serves the membership to operators; None where no address is given.
     """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, engine: SidecarServer, config: Config) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, sidecar: SidecarServer, config: Config) -> None:
         """Spread the calls of discovery, where that is on; the rest begins with `start`.
 
         Args:
             loop: that runs the process.
-            engine: what serves clients.
+            sidecar: what serves clients.
             config: what the process runs by.
         """
         self.loop = loop
-        self.engine = engine
-        self.list_sync = _start_list_sync(engine, config)
+        self.sidecar = sidecar
+        self.list_sync = _start_list_sync(sidecar, config)
         self.agent: FleetAgent | None = None
         self.failover: FailoverController | None = None
         self.admin_server: AdminServer | None = None
@@ -63,26 +61,26 @@
         if config.peer_listen is None:
             return
         peers = await self._open_peer_channel(config, config.peer_listen, shared)
-        self.agent = _start_agent(self.loop, self.engine, config, peers)
+        self.agent = _start_agent(self.loop, self.sidecar, config, peers)
         if self.agent is None:
             return
         if self.list_sync is not None:
             self.agent.coordinate_polls(self.list_sync)
         if config.fleet.failover.on:
-            self.failover = _start_failover(self.loop, self.engine, config, self.agent)
+            self.failover = _start_failover(self.loop, self.sidecar, config, self.agent)
         if config.fleet.listen is not None:
             self.admin_server = _serve_membership(self.loop, self.agent, config.fleet.listen, self.failover)
 
     async def _open_peer_channel(self, config: Config, address: Address, shared: bool) -> PeerChannel:
-        engine = self.engine
-        peers = PeerChannel(config.settings.index, config.peers, config.peers_all, engine.pool.on_peer)
+        sidecar = self.sidecar
+        peers = PeerChannel(config.settings.index, config.peers, config.peers_all, sidecar.pool.on_peer)
         await self.loop.create_datagram_endpoint(lambda: peers, sock=_datagram_socket(address, shared))
-        engine.peers = peers
+        sidecar.peers = peers
         return peers
 
     def apply(self, config: Config) -> None:
         """Follow a configuration that was read again."""
-        pool, settings = self.engine.pool, config.settings
+        pool, settings = self.sidecar.pool, config.settings
         if self.agent is not None:
             self.agent.renumber(config.peers, settings.index)
         if self.failover is not None:
@@ -90,8 +88,8 @@
 
             zones, home = list(pool.names.zones), pool.settings.zone
             self.failover.change_settings(FailoverSettings(zones, home, config.fleet.failover))
-        if self.list_sync is not None and settings.must_ask:
-            self.list_sync.change_settings(settings.must_ask_in_ns)
+        if self.list_sync is not None and settings.poll_required:
+            self.list_sync.change_settings(settings.max_poll_interval_ns)
 
     def leave(self) -> None:
         """Tell the peers that this process ends."""
@@ -106,36 +104,36 @@
             self.list_sync.close()
 
 
-def _start_list_sync(engine: SidecarServer, config: Config) -> EndpointListSync | None:
-    settings, discovery = config.settings, engine.pool.discovery
-    if not (config.fleet.calls and settings.must_ask and discovery is not None):
+def _start_list_sync(sidecar: SidecarServer, config: Config) -> EndpointListSync | None:
+    settings, discovery = config.settings, sidecar.pool.discovery
+    if not (config.fleet.calls and settings.poll_required and discovery is not None):
         return None
     from .fleet.endpoint_list_sync import EndpointListSync
     from .fleet.poll_schedule import PollSettings
 
-    within_ns, rate = settings.must_ask_in_ns, config.fleet.calls_per_s
+    within_ns, rate = settings.max_poll_interval_ns, config.fleet.calls_per_s
     polls = PollSettings(within_ns, rate, settings.index, settings.fleet_size)
     return EndpointListSync(discovery, polls, config.seed)
 
 
 def _start_agent(
-    loop: asyncio.AbstractEventLoop, engine: SidecarServer, config: Config, peers: PeerChannel
+    loop: asyncio.AbstractEventLoop, sidecar: SidecarServer, config: Config, peers: PeerChannel
 ) -> FleetAgent | None:
     settings = config.settings
     is_known = len(config.peers) > 1 and 0 <= settings.index < len(config.peers)
-    if not (config.fleet.view and settings.can_tell and is_known):
+    if not (config.fleet.view and settings.can_message_peers and is_known):
         return None
     from .fleet.agent import FleetAgent, start_protocol
     from .fleet.membership import LocalMember
 
     local = LocalMember(config.peers, settings.index, settings.zone)
-    agent = FleetAgent(loop, engine, peers, start_protocol(local, settings.price_peer, config.seed))
-    agent.serve(engine.pool)
+    agent = FleetAgent(loop, sidecar, peers, start_protocol(local, settings.price_peer, config.seed))
+    agent.serve(sidecar.pool)
     return agent
 
 
 def _start_failover(
-    loop: asyncio.AbstractEventLoop, engine: SidecarServer, config: Config, agent: FleetAgent
+    loop: asyncio.AbstractEventLoop, sidecar: SidecarServer, config: Config, agent: FleetAgent
 ) -> FailoverController:
     from .failover.controller import FailoverController
     from .failover.settings import FailoverSettings
@@ -144,7 +142,7 @@
     for name in {*config.fleet.failover.regions, *config.fleet.failover.out} - set(zones):
         log.warning("failover: no zone %s; the settings have %s", name, ", ".join(zones))
     settings = FailoverSettings(zones, home, config.fleet.failover)
-    return FailoverController(loop, agent.membership, engine.pool, settings)
+    return FailoverController(loop, agent.membership, sidecar.pool, settings)
 
 
 def _serve_membership(
--- a/dykefold/net/clock.py
+++ b/dykefold/net/clock.py
@@ -3,9 +3,6 @@
 from __future__ import annotations
 
 from ..system import SYSTEM, System
-from .start_times import StartTimes
-
-__all__ = ["MS", "SECOND", "Clock", "StartTimes"]
 
 MS = 1_000_000
 SECOND = 1_000_000_000
--- a/dykefold/net/discovery/client.py
+++ b/dykefold/net/discovery/client.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import cast
 
-from ...admission.budget import DISCOVERY_CONNECTIONS, Allowance
+from ...admission.budget import DISCOVERY_CONNECTIONS, DescriptorAllowance
 from ...balancer.events import State, Status
 from ...system import SYSTEM, System
 from ..memory_budget import MB, MemoryBudget
@@ -17,12 +17,9 @@
 from ..upstream.exchange import Exchange
 from .codec import (
     EndpointListError,
-    EndpointRecord,
     EndpointUpdate,
     NameTable,
-    endpoint_update_record,
     parse_endpoint_update,
-    split_address,
 )
 from .watch_schedule import (
     ANSWER_TIMEOUT_S,
@@ -39,20 +36,6 @@
     PollSchedule,
 )
 
-__all__ = [
-    "DiscoveryClient",
-    "EndpointListError",
-    "EndpointRecord",
-    "EndpointUpdate",
-    "ListCall",
-    "ListSource",
-    "NameTable",
-    "PollSchedule",
-    "endpoint_update_record",
-    "parse_endpoint_update",
-    "split_address",
-]
-
 log = logging.getLogger("dykefold.discovery")
 
 MAX_LIST_BYTES = 4 * 1024 * 1024
@@ -89,7 +72,7 @@
         self.version = version
         self.accepted = 0
         # An allowance of its own: the cap on connections to servers must never keep the list from being read.
-        allowance, memory = Allowance(DISCOVERY_CONNECTIONS), MemoryBudget(MAX_CALLS_BYTES)
+        allowance, memory = DescriptorAllowance(DISCOVERY_CONNECTIONS), MemoryBudget(MAX_CALLS_BYTES)
         self.calls = ConnectionPool(loop, allowance, memory, CONNECT_TIMEOUT_S, IDLE_TIMEOUT_S, system=system)
         self.calls.update(DISCOVERY, address, 0, State.READY)
 
@@ -247,7 +230,7 @@
         self.watching = on
         self.watch_round += 1
         if on:
-            self._schedule_call(self.schedule.opens_s() if self.schedule is not None else 0.0)
+            self._schedule_call(self.schedule.watch_delay_s() if self.schedule is not None else 0.0)
 
     def poll_now(self) -> None:
         """Make a call at once, beside an open one or in place of a scheduled one."""
@@ -352,7 +335,7 @@
             # less than 200 ms ends no watch.
             pause = 0.0 if update.entries else MIN_CALL_INTERVAL_S - (self.system.monotonic() - self.called)
             if self.schedule is not None:
-                pause = max(pause, self.schedule.goes_on_s())
+                pause = max(pause, self.schedule.next_call_delay_s())
             if watch_round == self.watch_round:
                 self._schedule_call(pause)
 
--- a/dykefold/net/discovery/codec.py
+++ b/dykefold/net/discovery/codec.py
@@ -172,7 +172,7 @@
     entries = [_read_entry(number, entry) for number, entry in enumerate(listed)]
     for record, zone, kind in entries:
         endpoint = record.endpoint
-        endpoint.server = names.server(record.name)
+        endpoint.number = names.server(record.name)
         endpoint.zone, endpoint.kind = names.zone(zone), names.kind(kind)
     return EndpointUpdate(version, complete, [record for record, _, _ in entries])
 
@@ -218,7 +218,7 @@
     try:
         since_ms = int(entry.get("since_ms") or 0)
         endpoint = Endpoint(
-            server=0,
+            number=0,
             zone=0,
             kind=0,
             cell=int(entry.get("group") or 0),
--- a/dykefold/net/discovery/watch_schedule.py
+++ b/dykefold/net/discovery/watch_schedule.py
@@ -33,11 +33,11 @@
 class PollSchedule(Protocol):
     """Says when calls may be made, and is notified of their outcomes."""
 
-    def opens_s(self) -> float:
+    def watch_delay_s(self) -> float:
         """Return the seconds until a watch may be opened."""
         ...
 
-    def goes_on_s(self) -> float:
+    def next_call_delay_s(self) -> float:
         """Return the seconds until the next call of a watch, after an answer."""
         ...
 
--- a/dykefold/net/downstream/connection.py
+++ b/dykefold/net/downstream/connection.py
@@ -14,25 +14,10 @@
 from ...system import Watch
 from ..upstream.abort import NO_LINGER
 from ..upstream.classify import HttpProfile
-from .connection_state import CLOSED, CLOSING, LINGERING, MAX_HEADERS_BYTES, OPEN
-from .protocols import FlowControlled, MessageReader, RequestHandler
-from .request_parser import BODY_MOST, ParsedRequest, RequestError
-from .request_reader import MAX_WAITING_REQUESTS, RequestReader
-
-__all__ = [
-    "BODY_MOST",
-    "HEADERS_MOST",
-    "LINGER",
-    "LINGER_ANSWERED",
-    "WAITING_MOST",
-    "ClientConnection",
-    "FlowControlled",
-    "MessageReader",
-    "RequestHandler",
-]
-
-HEADERS_MOST = MAX_HEADERS_BYTES  # the names by which other packages know these two
-WAITING_MOST = MAX_WAITING_REQUESTS
+from .connection_state import CLOSED, CLOSING, LINGERING, OPEN
+from .request_parser import ParsedRequest, RequestError
+from .request_reader import RequestReader
+
 LINGER = 2.0  # seconds in which a rejected client may still send, unheard, and read why
 LINGER_ANSWERED = 0.3  # ... in which another one may see that its connection has ended, and close it
 END = select.POLLRDHUP | select.POLLHUP | select.POLLERR  # the client has ended its side, or all
@@ -57,14 +42,14 @@
             self.close()
             return
         self._enter(OPEN)
-        if not self.engine.accepting_requests:
+        if not self.handler.accepting_requests:
             # It was accepted just before the shutdown: what it has sent is still answered.
             self.close_when_idle()
 
     def eof_received(self) -> bool:
         """Close, unless the client may still wait for answers; return whether the transport stays open."""
         between = not self.message_unfinished and self.unfed is None
-        if self.engine.half_close and self.busy and between:
+        if self.handler.half_close and self.busy and between:
             self.half_closed = True
             return True
         self.close()
@@ -84,7 +69,7 @@
         # at once; else each connection of a long day would stay until the rare run of the collector.
         self.upload = self.response_source = None
         del self.parser
-        self.engine.disconnected(self, request)
+        self.handler.disconnected(self, request)
 
     def _dispatch_waiting(self) -> None:
         """Serve what waits, one item at a time."""
@@ -99,10 +84,10 @@
                     if item.upload is not None and (problem := item.upload.problem) is not None:
                         refusal = (problem[0], b"", problem[1])
                     else:
-                        refusal = self.engine.admit(self, item)
+                        refusal = self.handler.admit(self, item)
                     if refusal is None:
                         self.current = item
-                        self.engine.accept(self, item)
+                        self.handler.accept(self, item)
                     else:
                         self._refuse(item, *refusal)
                 elif isinstance(item, RequestError):
@@ -111,7 +96,7 @@
                         item.code, b"", text, item.keep_alive and not self.discarding_input, item.head
                     )
                 else:
-                    code, text = (503, b"draining\n") if self.engine.draining else (200, b"ready\n")
+                    code, text = (503, b"draining\n") if self.handler.draining else (200, b"ready\n")
                     self._respond(code, b"", text, item.keep_alive)
         finally:
             self.dispatching = False
@@ -130,7 +115,7 @@
         """Close while nothing of this client is open, unless something of it waits to be read."""
         if self.transport is not None and not self.has_unread_input():
             self._shut_down()
-            self.engine.clients.update(self)
+            self.handler.clients.update(self)
 
     def evict(self) -> None:
         """Close for the sake of other clients; a message that has begun is rejected first."""
@@ -149,7 +134,7 @@
         if self.message_unfinished:
             self._reject(503, text)
             self._dispatch_waiting()
-            self.engine.clients.update(self)
+            self.handler.clients.update(self)
 
     def _shut_down(self) -> None:
         """End the connection behind the last answer: the own side first, the rest once the client saw it.
@@ -169,7 +154,7 @@
             self.close()
             return
         if self.stall_timer is None:
-            self.stall_timer = self.engine.loop.call_later(self.linger_s, self.close)
+            self.stall_timer = self.handler.loop.call_later(self.linger_s, self.close)
         if self.paused:  # or the client's end would not be seen
             self.paused = False
             self.transport.resume_reading()
@@ -202,7 +187,7 @@
             return False
         return self.unfed is not None or (not self.half_closed and bool(self._poll_end()))
 
-    def gone(self) -> bool:
+    def client_has_closed(self) -> bool:
         """Whether the client has closed, also where that stands behind what was not read yet.
 
         The transport reports the end of a client late if reading is paused or the loop stood still; asking
@@ -211,9 +196,9 @@
         if self.lifecycle is CLOSED or self.transport is None:
             return self.lifecycle is CLOSED
         found = self._poll_end()
-        if not found or not found[0][1] & (END_BOTH if self.engine.half_close else END):
+        if not found or not found[0][1] & (END_BOTH if self.handler.half_close else END):
             return False
-        self.engine.loop.call_soon(self.close)
+        self.handler.loop.call_soon(self.close)
         return True
 
     def _poll_end(self) -> list[tuple[int, int]]:
@@ -228,5 +213,5 @@
         if self.end is None:
             sock = self.sock if self.transport is None else self.transport.get_extra_info("socket")
             assert sock is not None
-            self.end = self.engine.system.watch_end(sock)
+            self.end = self.handler.system.watch_end(sock)
         return self.end
--- a/dykefold/net/downstream/connection_state.py
+++ b/dykefold/net/downstream/connection_state.py
@@ -116,9 +116,9 @@
         "dispatching",
         "duplicate_header",
         "end",
-        "engine",
         "final_chunk",
         "half_closed",
+        "handler",
         "header_lines",
         "headers",
         "in_body",
@@ -146,14 +146,14 @@
         "waiting",
     )
 
-    def __init__(self, engine: RequestHandler, client: Client) -> None:
+    def __init__(self, handler: RequestHandler, client: Client) -> None:
         """Prepare a connection that was accepted.
 
         Args:
-            engine: Accepts the requests.
+            handler: Accepts the requests.
             client: The client's entry in the table of open connections.
         """
-        self.engine = engine
+        self.handler = handler
         self.client = client
         self.lifecycle = ACCEPTED
         self.parser = httptools.HttpRequestParser(self)
@@ -223,11 +223,11 @@
 
     def _end_unfinished(self) -> None:
         """Count the message no longer as unfinished by its client."""
-        self.engine.clients.release_unfinished(self.client, self.message_reserved_bytes)
+        self.handler.clients.release_unfinished(self.client, self.message_reserved_bytes)
 
     def _release(self, size: int) -> None:
         """Return bytes to the memory budget."""
-        self.engine.memory.release(size)
+        self.handler.memory.release(size)
         self.reserved_bytes -= size
 
     # Hooks: what one layer calls and a later one defines.
--- a/dykefold/net/downstream/request_parser.py
+++ b/dykefold/net/downstream/request_parser.py
@@ -16,8 +16,8 @@
 from ..streaming import Upload
 from ..upstream.classify import HttpProfile
 
-BODY_MOST = 64 * 1024
-STREAM_MOST = 40 * 1024 * 1024  # bytes of a body or an answer that goes on as it comes
+MAX_BUFFERED_BODY_BYTES = 64 * 1024
+MAX_STREAMED_BODY_BYTES = 40 * 1024 * 1024  # bytes of a body or an answer that goes on as it comes
 DEADLINE = re.compile(rb"(\d{1,12}(?:\.\d{1,9})?)([mu])")
 DEADLINE_UNITS = {b"m": 1_000_000, b"u": 1_000}
 MAX_CACHED_DEADLINES = 256  # clients send the same few values
@@ -61,7 +61,7 @@
     lines: list[bytes]  # whole header lines, as they are forwarded
     body: bytes
     keep_alive: bool
-    old: bool = False  # HTTP/1.0, where it matters
+    is_http_1_0: bool = False  # HTTP/1.0, where it matters
 
 
 @dataclass(slots=True)
@@ -73,7 +73,7 @@
     target: bytes
     headers: list[bytes]  # whole lines, as they are forwarded
     body: bytes
-    cls: int
+    class_number: int
     tenant: int
     key: int
     deadline_ns: int  # on the clock
@@ -85,10 +85,10 @@
     ticket: int = 0  # the pool's number of it
     pool: Any = None  # the service pool that serves it; kept when settings change
     profile: HttpProfile = HttpProfile.PLATFORM
-    told: bytes = b""  # header lines for its answer, whatever that is
-    body_most: int = BODY_MOST  # bytes of a body that may come as a stream
+    extra_response_headers: bytes = b""  # header lines for its answer, whatever that is
+    max_body_bytes: int = MAX_BUFFERED_BODY_BYTES  # bytes of a body that may come as a stream
     max_response_bytes: int = 0  # likewise of an answer
-    old: bool = False  # its client speaks HTTP/1.0
+    is_http_1_0: bool = False  # its client speaks HTTP/1.0
     upload: Upload | None = None  # the body, where it is passed on as it comes
 
 
@@ -235,9 +235,9 @@
             headers.get(b"x-retry") == b"1",
             message.keep_alive,
             pool=self.pool,
-            body_most=STREAM_MOST,
-            max_response_bytes=STREAM_MOST,
-            old=message.old,
+            max_body_bytes=MAX_STREAMED_BODY_BYTES,
+            max_response_bytes=MAX_STREAMED_BODY_BYTES,
+            is_http_1_0=message.is_http_1_0,
         )
 
 
--- a/dykefold/net/downstream/request_reader.py
+++ b/dykefold/net/downstream/request_reader.py
@@ -8,11 +8,11 @@
 from ..streaming import BUFFER_BYTES, MAX_FRAMING_FACTOR, Upload
 from ..upstream.http_fields import BLANKS, HOP_BY_HOP, gather
 from .connection_state import CLOSED, ENDED, MAX_HEADERS_BYTES, ReadinessCheck
-from .request_parser import BODY_MOST, Message, ParsedRequest, RequestError
+from .request_parser import MAX_BUFFERED_BODY_BYTES, Message, ParsedRequest, RequestError
 from .response_writer import ResponseWriter
 
 MAX_HEADER_LINES = 256  # each costs some hundred bytes beside its own; the usual limit is 100
-MAX_MESSAGE_BYTES = 8 * BODY_MOST  # with the framing of many small chunks
+MAX_MESSAGE_BYTES = 8 * MAX_BUFFERED_BODY_BYTES  # with the framing of many small chunks
 MAX_WAITING_REQUESTS = 16  # that a client may send ahead of their answers before it is read no further
 READY_TARGET = b"/-/ready"
 # Each may come once: of two values, two readers could each believe another one.
@@ -32,19 +32,19 @@
         if self.discarding_input or self.lifecycle is CLOSED:
             return
         if len(data) <= SLICE_BYTES:
-            began_s = self.engine.monotonic()
+            began_s = self.handler.monotonic()
             self._parse(data)
-            self.engine.lag.took(began_s, "a client's message")
+            self.handler.lag.took(began_s, "a client's message")
             return
         # The first slice may show that the rest is of no use, so that it need not be kept.
         self._parse(data[:SLICE_BYTES])
         if self.discarding_input or self.lifecycle is CLOSED:
             return
         rest = memoryview(data)[SLICE_BYTES:]
-        if not self.engine.memory.reserve(len(rest)):
+        if not self.handler.memory.reserve(len(rest)):
             self._reject(503, "too much is held")
             self._dispatch_waiting()
-            self.engine.clients.update(self)
+            self.handler.clients.update(self)
             return
         self.unfed = rest
         self._pause()
@@ -56,7 +56,7 @@
             self._drop_unfed()
         if self.unfed is not None:
             data, self.unfed = cut(self.unfed)
-            self.engine.memory.release(len(data))
+            self.handler.memory.release(len(data))
             self._parse(data)
         if self.discarding_input:
             self._drop_unfed()
@@ -68,7 +68,7 @@
     def _drop_unfed(self) -> None:
         """Discard the input that waits to be parsed."""
         if self.unfed is not None:
-            self.engine.memory.release(len(self.unfed))
+            self.handler.memory.release(len(self.unfed))
             self.unfed = None
 
     def _parse(self, data: bytes) -> None:
@@ -81,7 +81,7 @@
         except httptools.HttpParserUpgrade:
             self._reject(400, "upgrades are not known here")
         except httptools.HttpParserCallbackError:
-            self.engine.log_exception("a request could not be read")
+            self.handler.log_exception("a request could not be read")
             self._reject(400, "unreadable request")
         except httptools.HttpParserError:
             self._reject(400, "malformed request")
@@ -90,16 +90,16 @@
             self._reject(431, "headers are too long")
         self.arrivals.read += len(data)
         if self.in_body:
-            self.engine.clients.record_body(self.client, len(data))
+            self.handler.clients.record_body(self.client, len(data))
         self._dispatch_waiting()
-        self.engine.clients.update(self)
+        self.handler.clients.update(self)
 
     def expire(self) -> None:
         """Reject the message that has not come to an end in time, behind the answers to those before it."""
         if self.message_unfinished:
             self._reject(408, "the request took too long to come")
             self._dispatch_waiting()
-            self.engine.clients.update(self)
+            self.handler.clients.update(self)
         elif self.idle:
             self.close_when_idle()
 
@@ -112,7 +112,7 @@
             self.transport.pause_reading()
             self._count_unread()
             if self.upload is not None:
-                self.upload.stopped_ns = self.engine.now()
+                self.upload.stopped_ns = self.handler.now()
 
     def _resume(self) -> None:
         """Read on, beginning with what was read already, unless too much still has to be answered."""
@@ -124,20 +124,20 @@
         if self.unfed is not None:
             if not self.scheduled:
                 self.scheduled = True
-                self.engine.read_scheduler.add(self)
+                self.handler.read_scheduler.add(self)
         elif self.transport is not None and not self.transport.is_closing():
             self.paused = False
             self.transport.resume_reading()
             if self.upload is not None:
-                self.upload.resumed_ns = self.engine.now()
+                self.upload.resumed_ns = self.handler.now()
 
     def _count_unread(self) -> None:
         """Record how much has arrived unparsed: the deadlines of requests in it count from now."""
         if self.transport is not None and not self.transport.is_closing():
             sock = self.transport.get_extra_info("socket")
-            there = self.engine.system.unread(sock) if sock is not None else 0
+            there = self.handler.system.unread(sock) if sock is not None else 0
             unparsed = len(self.unfed) if self.unfed is not None else 0
-            self.arrivals.mark(self.engine.now(), unparsed + there)
+            self.arrivals.mark(self.handler.now(), unparsed + there)
 
     def _is_full(self) -> bool:
         """Whether no more may be read for now."""
@@ -194,7 +194,7 @@
         self.body_bytes += len(data)
         if self.upload is not None:
             self._feed_upload(self.upload, data)
-        elif self.body_bytes > BODY_MOST:
+        elif self.body_bytes > MAX_BUFFERED_BODY_BYTES:
             self._begin_upload(None)
             if self.upload is not None:
                 self._feed_upload(self.upload, data)
@@ -211,7 +211,7 @@
         if self.upload is not None:
             upload, self.upload = self.upload, None
             self._reset_message()
-            upload.finish(self.engine.now())
+            upload.finish(self.handler.now())
             return
         self.messages += 1
         keep_alive = self.parser.should_keep_alive()
@@ -243,26 +243,26 @@
         """
         if self.duplicate_header:
             raise RequestError(400, "a header came twice")
-        return self.engine.parser.read(
+        return self.handler.parser.read(
             Message(
-                self.arrived_ns or self.engine.now(),
+                self.arrived_ns or self.handler.now(),
                 self.parser.get_method(),
                 self.target,
                 self.headers,
                 self.header_lines,
                 body,
                 self.parser.should_keep_alive(),
-                self.engine.parser.streams and self.parser.get_http_version() == "1.0",
+                self.handler.parser.streams and self.parser.get_http_version() == "1.0",
             )
         )
 
     def _reserve(self, size: int) -> bool:
         """Reserve memory for more of a message; reject the message if there is no capacity."""
-        if not self.engine.memory.reserve(size):
+        if not self.handler.memory.reserve(size):
             self._reject(503, "too much is held")
             return False
-        if not self.engine.clients.reserve_unfinished(self.client, size):
-            self.engine.memory.release(size)
+        if not self.handler.clients.reserve_unfinished(self.client, size):
+            self.handler.memory.release(size)
             self._reject(429, "too much is unfinished from this address")
             return False
         self.reserved_bytes += size
@@ -289,7 +289,7 @@
 
     def _begin_upload(self, length: int | None) -> None:
         """Queue a request whose body is too large to be kept: its bytes follow as they arrive."""
-        if not self.engine.parser.streams:
+        if not self.handler.parser.streams:
             self._reject(413, "the body is too large")
             return
         try:
@@ -297,17 +297,17 @@
         except RequestError as problem:
             self._reject(problem.code, str(problem), self.parser.get_method() == b"HEAD")
             return
-        if (length or self.body_bytes) > request.body_most:
+        if (length or self.body_bytes) > request.max_body_bytes:
             self._reject(413, "the body is too large")
         elif self._reserve(max(BUFFER_BYTES - self.message_reserved_bytes, 0)):
             self.upload = request.upload = Upload(length, bytes(self.body), self._resume)
             self.body = b""
-            self.max_message_bytes = MAX_HEADERS_BYTES + MAX_FRAMING_FACTOR * request.body_most
+            self.max_message_bytes = MAX_HEADERS_BYTES + MAX_FRAMING_FACTOR * request.max_body_bytes
             self._end_unfinished()
             self.message_begun = False
             self.messages += 1
             request.size, self.message_reserved_bytes = self.message_reserved_bytes, 0
-            self.max_upload_bytes = request.body_most
+            self.max_upload_bytes = request.max_body_bytes
             self.waiting.append(request)
 
     def _feed_upload(self, upload: Upload, data: bytes) -> None:
@@ -328,4 +328,4 @@
 
 def _exceeds_max_body(length: bytes) -> bool:
     # The first digits suffice: the parser itself bounds how many there may be.
-    return length.isdigit() and int(length[:12]) > BODY_MOST
+    return length.isdigit() and int(length[:12]) > MAX_BUFFERED_BODY_BYTES
--- a/dykefold/net/downstream/response_writer.py
+++ b/dykefold/net/downstream/response_writer.py
@@ -33,13 +33,13 @@
             return
         self.current = None
         self._release(request.size)
-        if request.told:
-            headers += request.told
+        if request.extra_response_headers:
+            headers += request.extra_response_headers
         if request.upload is not None:
             self._stop_upload(request.upload, request)
         self._respond(code, headers, body, request.keep_alive, request.profile is HttpProfile.HEAD)
         self._dispatch_waiting()
-        self.engine.clients.update(self)
+        self.handler.clients.update(self)
 
     def begin_response(
         self, request: ParsedRequest, code: int, headers: bytes, length: int | None, paced: FlowControlled
@@ -65,11 +65,11 @@
         self.final_chunk = None
         if length is not None:
             framing = b"Content-Length: %d\r\n" % length
-        elif request.old:  # HTTP/1.0 has no chunks: the end of the connection ends its answer
+        elif request.is_http_1_0:  # HTTP/1.0 has no chunks: the end of the connection ends its answer
             framing, self.keep_alive = b"", False
         else:
             framing, self.final_chunk = b"Transfer-Encoding: chunked\r\n", b"0\r\n\r\n"
-        self._write(_response_head(code, headers + request.told + framing, self.keep_alive))
+        self._write(_response_head(code, headers + request.extra_response_headers + framing, self.keep_alive))
         return True
 
     def send_response_piece(self, request: ParsedRequest, data: bytes) -> None:
@@ -97,7 +97,7 @@
         if not self.keep_alive:
             self._shut_down()
         self._dispatch_waiting()
-        self.engine.clients.update(self)
+        self.handler.clients.update(self)
 
     def _stop_upload(self, upload: Upload, request: ParsedRequest) -> None:
         """Discard the rest of a body whose request is answered: where the next message begins is unknown."""
@@ -115,7 +115,7 @@
             return True
         if self.half_closed:
             return False
-        return (self.engine.accepting_requests and not self.engine.handing_over) or self.has_unread_input()
+        return (self.handler.accepting_requests and not self.handler.handing_over) or self.has_unread_input()
 
     def _respond(self, code: int, headers: bytes, body: bytes, keep_alive: bool, head: bool = False) -> None:
         """Write a whole answer; `head` leaves out its body, as HEAD requests need it."""
@@ -150,19 +150,19 @@
             self.stall_timer.cancel()
             self.stall_timer = None
         if self.linger_s:  # which begins when the last byte has gone
-            self.stall_timer = self.engine.loop.call_later(self.linger_s, self.close)
+            self.stall_timer = self.handler.loop.call_later(self.linger_s, self.close)
         if self.response_source is not None:
             self.response_source.block(False)
         self._dispatch_waiting()
-        self.engine.clients.update(self)
-        if self.idle and (self.half_closed or not self.engine.accepting_requests):
+        self.handler.clients.update(self)
+        if self.idle and (self.half_closed or not self.handler.accepting_requests):
             self.close_when_idle()
 
     def _watch_stall(self) -> None:
         """Check in `MAX_STALL_S` whether the client has read anything meanwhile."""
         assert self.transport is not None
         left = self.transport.get_write_buffer_size()
-        self.stall_timer = self.engine.loop.call_later(MAX_STALL_S, self._check_stall, left)
+        self.stall_timer = self.handler.loop.call_later(MAX_STALL_S, self._check_stall, left)
 
     def _check_stall(self, before: int) -> None:
         """Close the connection of a client that left all of `before` bytes unread."""
--- a/dykefold/net/service/attempts.py
+++ b/dykefold/net/service/attempts.py
@@ -13,7 +13,7 @@
 from ...balancer.events import BodySent, Outcome, Status, StreamStarted
 from ...balancer.settings import Effect
 from ..clock import MS, SECOND
-from ..downstream.request_parser import BODY_MOST, ParsedRequest
+from ..downstream.request_parser import MAX_BUFFERED_BODY_BYTES, ParsedRequest
 from ..streaming import Upload
 from ..upstream.classify import HttpProfile, Response
 from ..upstream.exchange import Exchange
@@ -39,12 +39,12 @@
     __slots__ = (
         "announced_ns",
         "answer_began_ns",
+        "endpoint_number",
         "expires_ns",
         "last_progress",
         "number",
         "request",
         "sent_ns",
-        "server",
         "write_by_ns",
     )
 
@@ -57,13 +57,13 @@
             server: The endpoint's number.
             sent_ns: When the balancer sent it, nanoseconds on the clock.
         """
-        super().__init__(b"", request.ended, BODY_MOST)
-        self.profile = request.call.profile
-        self.max_streamed_bytes = request.call.max_response_bytes
-        self.upload = request.call.upload
+        super().__init__(b"", request.ended, MAX_BUFFERED_BODY_BYTES)
+        self.profile = request.parsed.profile
+        self.max_streamed_bytes = request.parsed.max_response_bytes
+        self.upload = request.parsed.upload
         self.request = request
         self.number = number
-        self.server = server
+        self.endpoint_number = server
         self.sent_ns = sent_ns
         self.answer_began_ns = 0  # when a streamed answer began; 0: none has
         self.last_progress = -1  # bytes streamed when progress was last checked
@@ -103,7 +103,7 @@
             )
         if self.expires_ns and now > self.expires_ns - MIN_WRITE_NS:
             return False  # nobody would hear an answer, and the request may have an effect
-        return not self._announced_too_much(now) and not self.request.sink.gone()
+        return not self._announced_too_much(now) and not self.request.sink.client_has_closed()
 
     def _announced_too_much(self, now: int) -> bool:
         """Return whether the head, which is written, announced more time than the client has left now.
@@ -113,21 +113,21 @@
         """
         if self.connection is None or self.profile is not HttpProfile.PLATFORM:
             return False
-        return now + self.announced_ns > self.request.call.deadline_ns + MAX_OVERSTATED_NS
+        return now + self.announced_ns > self.request.parsed.deadline_ns + MAX_OVERSTATED_NS
 
     def compose(self) -> bytes:
         """Return the message to write; if connecting took long, it announces the time that is left now."""
         now = self.request.pool.now()
         if now - self.sent_ns >= MS:
             self.announce(
-                self.expires_ns - now if self.expires_ns else stream_time_ns(self.request.call, now)
+                self.expires_ns - now if self.expires_ns else stream_time_ns(self.request.parsed, now)
             )
         return self.payload
 
     def announce(self, left_ns: int) -> None:
         """Encode the message for an endpoint that has so many nanoseconds."""
         self.announced_ns = left_ns
-        self.payload = self.request.pool.message(self.request.call, left_ns)
+        self.payload = self.request.pool.message(self.request.parsed, left_ns)
 
     def restart_timer(self, after_s: float) -> None:
         """Replace the time limit of an attempt in flight, in seconds from now."""
@@ -138,13 +138,15 @@
     def upload_begins(self) -> None:
         """Notify the balancer that the body is being streamed: the request can't be retried any more."""
         request = self.request
-        request.pool.post(StreamStarted(request.id, self.number, self.server, 0, Status.NOT_ATTEMPTED))
-        if request.call.upload is not None and request.call.upload.ended:
+        request.pool.post(
+            StreamStarted(request.id, self.number, self.endpoint_number, 0, Status.NOT_ATTEMPTED)
+        )
+        if request.parsed.upload is not None and request.parsed.upload.ended:
             self.body_sent()
 
     def body_sent(self) -> None:
         """Notify the balancer that the streamed body is complete: the endpoint is the one to act."""
-        self.request.pool.post(BodySent(self.request.id, self.number, self.server))
+        self.request.pool.post(BodySent(self.request.id, self.number, self.endpoint_number))
 
     def begin_response(
         self, code: int, headers: list[tuple[bytes, bytes]], length: int | None, load: bytes
@@ -164,7 +166,7 @@
         if not request.awaiting_answer or request.streaming_answer:
             return False
         request.streaming_answer = request.sink.begin_response(
-            request.call, code, header_lines(headers), length, self
+            request.parsed, code, header_lines(headers), length, self
         )
         if request.streaming_answer:
             pool, self.answer_began_ns = request.pool, request.pool.now()
@@ -173,12 +175,16 @@
                 self.sent_ns, self.upload.whole_ns if self.upload is not None else 0
             )
             report = pool.reports.read(load) if load and pool.reports.columns else ()
-            pool.post(StreamStarted(request.id, self.number, self.server, max(took_ns, 0), Status.OK, report))
+            pool.post(
+                StreamStarted(
+                    request.id, self.number, self.endpoint_number, max(took_ns, 0), Status.OK, report
+                )
+            )
         return request.streaming_answer
 
     def send_response_piece(self, data: bytes) -> None:
         """Pass on the next bytes of a streamed answer."""
-        self.request.sink.send_response_piece(self.request.call, data)
+        self.request.sink.send_response_piece(self.request.parsed, data)
 
     def block(self, on: bool) -> None:
         """Pause or resume reading from the endpoint, as the client can take bytes."""
@@ -209,17 +215,19 @@
         if request is None:
             return  # no longer pending: the balancer was notified, or will be by an event in the queue
         now = pool.now()
-        attempt = Attempt(request, request.attempt_count, action.server, now)
+        attempt = Attempt(request, request.attempt_count, action.endpoint_number, now)
         request.attempt_count += 1
         self.in_flight[request.id, attempt.number] = attempt
-        request.out += 1
-        upload = request.call.upload
+        request.attempts_in_flight += 1
+        upload = request.parsed.upload
         body_arriving = upload is not None and not upload.ended  # the deadline starts when it is complete
-        last = int(STALL_S * SECOND) if body_arriving else request.call.deadline_ns - ATTEMPT_MARGIN_NS - now
+        last = (
+            int(STALL_S * SECOND) if body_arriving else request.parsed.deadline_ns - ATTEMPT_MARGIN_NS - now
+        )
         # The balancer's time-out does not allow for a body that is still arriving.
         bounded = action.timeout_ns > 0 and upload is None
         wait = min(action.timeout_ns, last) if bounded else last
-        if request.may_have_run or request.out > 1:
+        if request.may_have_run or request.attempts_in_flight > 1:
             attempt.write_by_ns = self._idempotency_window_end(request, attempt)
         if (
             request.attempt_count > request.max_attempts
@@ -231,8 +239,8 @@
             return
         attempt.expires_ns = 0 if body_arriving else now + wait
         # The time of a streamed body counts from its last byte, which the endpoint gets later than this.
-        attempt.announce(stream_time_ns(request.call, now) if body_arriving else wait)
-        pool.upstreams.start(action.server, attempt, wait / SECOND)
+        attempt.announce(stream_time_ns(request.parsed, now) if body_arriving else wait)
+        pool.upstreams.start(action.endpoint_number, attempt, wait / SECOND)
 
     def _idempotency_window_end(self, request: PendingRequest, attempt: Attempt) -> int:
         """Return when the request's idempotency key may be forgotten; 0 if it has none.
@@ -241,7 +249,7 @@
         otherwise be written after it, when its connection comes up late.
         """
         settings = self.pool.settings
-        request_class = settings.classes[request.call.cls]
+        request_class = settings.classes[request.parsed.class_number]
         if request_class.effect is not Effect.KEYED:
             return 0
         earlier_ns = [other.sent_ns for other in self.of(request) if other is not attempt]
@@ -274,9 +282,9 @@
         """
         pool = self.pool
         self.in_flight.pop((request.id, attempt.number), None)
-        request.out -= 1
+        request.attempts_in_flight -= 1
         pool.requests.release_descriptors(request)
-        upload = request.call.upload
+        upload = request.parsed.upload
         if upload is not None and upload.begun:
             status = _status_of_streamed(request, upload, status)
         if status is Status.NOT_ATTEMPTED:
@@ -290,10 +298,14 @@
         # While a body was streamed its client set the pace, so the endpoint's time counts from its end.
         took_ns = pool.now() - max(attempt.sent_ns, upload.whole_ns if upload is not None else 0)
         if pool.on_attempt_end is not None:
-            objective_ns = pool.settings.classes[request.call.cls].objective_ns
-            pool.on_attempt_end(attempt.server, status, took_ns, objective_ns)
+            objective_ns = pool.settings.classes[request.parsed.class_number].objective_ns
+            pool.on_attempt_end(attempt.endpoint_number, status, took_ns, objective_ns)
         request_over = not request.awaiting_answer
-        pool.post(Outcome(request.id, attempt.number, attempt.server, status, took_ns, request_over, report))
+        pool.post(
+            Outcome(
+                request.id, attempt.number, attempt.endpoint_number, status, took_ns, request_over, report
+            )
+        )
         if pool.on_retired is not None:
             pool.loop.call_soon(pool.close_if_finished)
 
@@ -307,7 +319,7 @@
             report = pool.reports.read(response.load)
         if status is Status.OK and request.awaiting_answer and not request.streaming_answer:
             pool.requests.forward(request, response)
-        elif status is Status.ERROR and request.call.profile is not HttpProfile.PLATFORM:
+        elif status is Status.ERROR and request.parsed.profile is not HttpProfile.PLATFORM:
             request.error_response = response
         return report
 
@@ -328,7 +340,7 @@
     The platform's endpoints begin with a request when its last byte has arrived (PROTOCOL, sidecars to
     servers); others may act on a part.
     """
-    if request.call.profile is not HttpProfile.PLATFORM:
+    if request.parsed.profile is not HttpProfile.PLATFORM:
         return MAY_HAVE_ACTED.get(status, status)
     if not upload.sent and status in (Status.RESET, Status.TIMEOUT, Status.CANCELLED):
         return Status.CONNECT_FAILED
--- a/dykefold/net/service/endpoint_registry.py
+++ b/dykefold/net/service/endpoint_registry.py
@@ -22,7 +22,7 @@
     endpoint_update_record,
     parse_endpoint_update,
 )
-from ..downstream.request_parser import BODY_MOST
+from ..downstream.request_parser import MAX_BUFFERED_BODY_BYTES
 from ..start_times import StartTimes
 from ..upstream.classify import Response
 from ..upstream.exchange import Exchange
@@ -123,7 +123,7 @@
         pool.post(membership)
         upstreams = pool.upstreams
         if update.complete:
-            listed = {entry.endpoint.server for entry in update.entries}
+            listed = {entry.endpoint.number for entry in update.entries}
             for server in [server for server in upstreams.endpoints if server not in listed]:
                 self._remove(server)
         for entry in update.entries:
@@ -134,19 +134,19 @@
 
     def _apply_entry(self, entry: EndpointRecord) -> None:
         endpoint, upstreams = entry.endpoint, self.pool.upstreams
-        target = upstreams.endpoints.get(endpoint.server)
+        target = upstreams.endpoints.get(endpoint.number)
         if target is not None and (target.takes_new != (endpoint.state is State.READY)):
             state = endpoint.state.name.lower()
-            log.info("endpoint %s (%d) changed state to %s", entry.name, endpoint.server, state)
+            log.info("endpoint %s (%d) changed state to %s", entry.name, endpoint.number, state)
         if target is None:
             if endpoint.state is State.GONE:
                 return
-            log.info("endpoint %s (%d) added at %s:%d", entry.name, endpoint.server, *entry.address)
+            log.info("endpoint %s (%d) added at %s:%d", entry.name, endpoint.number, *entry.address)
         elif target.since_ms != entry.since_ms:
-            log.info("endpoint %s (%d) restarted", entry.name, endpoint.server)
-        upstreams.update(endpoint.server, entry.address, entry.since_ms, endpoint.state, endpoint.kind)
+            log.info("endpoint %s (%d) restarted", entry.name, endpoint.number)
+        upstreams.update(endpoint.number, entry.address, entry.since_ms, endpoint.state, endpoint.kind)
         if endpoint.state is State.GONE:
-            upstreams.forget(endpoint.server)
+            upstreams.forget(endpoint.number)
 
     def _remove(self, server: int) -> None:
         upstreams = self.pool.upstreams
@@ -179,7 +179,7 @@
 
     def probe(self, action: Probe) -> None:
         """Send a health check to an endpoint; its result is posted to the balancer."""
-        pool, server = self.pool, action.server
+        pool, server = self.pool, action.endpoint_number
         started_ns = pool.now()
         if not pool.budget.reserve():
             pool.loop.call_soon(pool.post, ProbeResult(server, Status.NOT_ATTEMPTED, 0, ()))
@@ -194,7 +194,7 @@
 
         path = b"/-/load" if pool.reports.columns else b"/-/healthy"
         payload = b"GET %s HTTP/1.1\r\nHost: probe\r\n\r\n" % path
-        pool.upstreams.start(server, Exchange(payload, done, BODY_MOST), PROBE_TIMEOUT_S)
+        pool.upstreams.start(server, Exchange(payload, done, MAX_BUFFERED_BODY_BYTES), PROBE_TIMEOUT_S)
 
     # What the balancer knows of endpoints
 
@@ -225,4 +225,4 @@
     def answered_since(self, server: int, took_ns: int) -> bool:
         """Return whether an endpoint has answered anything in the last `took_ns` nanoseconds."""
         known = self.pool.balancer.servers.get(server)
-        return known is not None and known.last_ok > self.pool.now() - took_ns
+        return known is not None and known.last_alive_ns > self.pool.now() - took_ns
--- a/dykefold/net/service/pending_requests.py
+++ b/dykefold/net/service/pending_requests.py
@@ -31,14 +31,14 @@
 
     __slots__ = (
         "attempt_count",
+        "attempts_in_flight",
         "awaiting_answer",
-        "call",
         "error_response",
         "first_run_ns",
         "id",
         "max_attempts",
         "may_have_run",
-        "out",
+        "parsed",
         "pool",
         "reservations",
         "sink",
@@ -56,12 +56,12 @@
         """
         self.tick = 0
         self.id = request_id
-        self.call = call
+        self.parsed = call
         self.sink = sink
         self.pool = pool
         self.attempt_count = 0
         self.max_attempts = pool.settings.max_attempts  # as when accepted, whatever settings say later
-        self.out = 0  # attempts in flight
+        self.attempts_in_flight = 0  # attempts in flight
         self.reservations = 1  # descriptors reserved for it
         self.may_have_run = False  # an attempt has ended without proof that the endpoint did not run it
         self.first_run_ns = 0  # when the first such attempt began
@@ -107,7 +107,7 @@
         pool.post(
             Request(
                 request.id,
-                call.cls,
+                call.class_number,
                 call.tenant,
                 call.deadline_ns,
                 call.key,
@@ -120,14 +120,14 @@
     def _start_guard(self, request: PendingRequest) -> None:
         pool = self.pool
         now_s = pool.monotonic()
-        left_ns = max(request.call.deadline_ns - GUARD_MARGIN_NS - pool.host.clock.at(now_s), 0)
+        left_ns = max(request.parsed.deadline_ns - GUARD_MARGIN_NS - pool.host.clock.at(now_s), 0)
         pool.host.timer_wheel.start(request, left_ns / SECOND, now_s)
 
     def start_deadline(self, request: PendingRequest) -> None:
         """Give a request whose streamed body is complete the time that its client stated."""
         if not request.awaiting_answer or request.streaming_answer:
             return
-        call = request.call
+        call = request.parsed
         assert call.upload is not None
         call.deadline_ns = call.upload.whole_ns + call.wait_ns
         self._start_guard(request)
@@ -188,11 +188,11 @@
 
     def end_streamed(self, request: PendingRequest, status: Status) -> None:
         """End a request whose body or answer was streamed: its one attempt has ended."""
-        upload = request.call.upload
+        upload = request.parsed.upload
         if request.streaming_answer:
             complete = status is Status.OK
             self._settle(request, served=complete)
-            request.sink.end_response(request.call, complete)
+            request.sink.end_response(request.parsed, complete)
         elif upload is not None and upload.problem is not None:
             self._answer(request, upload.problem[0], b"", upload.problem[1])
         elif status in (Status.FULL, Status.CONNECT_FAILED, Status.NOT_ATTEMPTED):
@@ -213,7 +213,7 @@
     def _answer(self, request: PendingRequest, code: int, headers: bytes, body: bytes) -> None:
         """Give the one final answer."""
         self._settle(request, served=code < FIRST_ERROR_CODE)
-        request.sink.respond(request.call, code, headers, body)
+        request.sink.respond(request.parsed, code, headers, body)
 
     def _settle(self, request: PendingRequest, served: bool = False) -> None:
         """Take a request off the pending ones, before its final answer is written."""
@@ -222,7 +222,7 @@
         self.release_descriptors(request)
         self.by_id.pop(request.id, None)
         pool.host.timer_wheel.stop(request)
-        pool.host.on_request_end(request.sink, request.call, served)
+        pool.host.on_request_end(request.sink, request.parsed, served)
         if pool.on_retired is not None:
             pool.loop.call_soon(pool.close_if_finished)
 
@@ -230,7 +230,7 @@
 
     def reserve_descriptor(self, request: PendingRequest) -> bool:
         """Reserve a descriptor for one more attempt where it needs one; False if none is left."""
-        if request.reservations < request.out:
+        if request.reservations < request.attempts_in_flight:
             if not self.pool.budget.reserve():
                 return False
             request.reservations += 1
@@ -238,7 +238,7 @@
 
     def release_descriptors(self, request: PendingRequest) -> None:
         """Release what no attempt can need any more; an attempt in flight keeps its own."""
-        needed = request.out or request.awaiting_answer
+        needed = request.attempts_in_flight or request.awaiting_answer
         while request.reservations > needed:
             request.reservations -= 1
             self.pool.budget.release()
@@ -259,7 +259,7 @@
         self._settle(request)
         # Attempts not written whole yet are withdrawn first, so that the balancer learns their true end.
         for attempt in pool.attempt_runner.of(request):
-            pool.upstreams.abandon(attempt.server, attempt)
+            pool.upstreams.abandon(attempt.endpoint_number, attempt)
         pool.post(ClientDisconnected(request.id))
         if streamed:
             # Nobody sends the body or reads the answer any more, so the attempt would never end by itself.
--- a/dykefold/net/service/pool.py
+++ b/dykefold/net/service/pool.py
@@ -46,12 +46,10 @@
 from ..upstream.connector import LATE_S
 from .attempts import Attempt, AttemptRunner
 from .endpoint_registry import EndpointRegistry
-from .http_encoding import encode_request, retry_after
+from .http_encoding import encode_request
 from .load_reports import LoadReportParser
 from .pending_requests import PendingRequest, PendingRequests
-from .protocols import DescriptorReservations, PoolHost, ResponseSink
-
-__all__ = ["DescriptorReservations", "Pool", "PoolHost", "ResponseSink", "retry_after"]
+from .protocols import DescriptorReservations, PoolHost
 
 log = logging.getLogger("dykefold")
 
@@ -125,7 +123,7 @@
         self.endpoints = EndpointRegistry(self, names)
         self.carry_out = self._actions()
         self.endpoints.apply_list(known, ListKind.CACHED)
-        if not settings.must_ask:
+        if not settings.poll_required:
             self._watch(True)
 
     def _use_settings(self, settings: Settings, retired: frozenset[int]) -> None:
@@ -158,7 +156,7 @@
             self.names,
             version,
             self.on_update,
-            pushed=not self.settings.must_ask,
+            pushed=not self.settings.poll_required,
             system=self.host.system,
         )
 
@@ -197,9 +195,9 @@
             Fail: self.requests.fail,
             Cancel: self.attempt_runner.cancel,
             Probe: self.endpoints.probe,
-            CloseIdle: lambda action: self.upstreams.close_idle(action.server),
+            CloseIdle: lambda action: self.upstreams.close_idle(action.endpoint_number),
             SendToPeer: self._send_to_peer,
-            ReportEndpointHealth: lambda action: self.on_health_hint(action.server, action.answers),
+            ReportEndpointHealth: lambda action: self.on_health_hint(action.endpoint_number, action.answers),
             Watch: lambda action: self._watch(action.on),
             Fetch: lambda _: self.discovery.fetch() if self.discovery is not None else None,
             Log: lambda action: log.info(action.text),
@@ -273,7 +271,7 @@
         self.change_transport(transport)
         self.post(SettingsChanged(settings, retired))
         if self.discovery is not None:
-            self.discovery.change_settings(pushed=not settings.must_ask)
+            self.discovery.change_settings(pushed=not settings.poll_required)
 
     def change_transport(self, transport: Transport) -> None:
         """Change the limits and times of sockets."""
@@ -300,8 +298,8 @@
 
     def typical_latencies(self) -> dict[str, float]:
         """Return typical latencies in nanoseconds by class, where enough answers have been seen."""
-        known = (stats for stats in self.balancer.live_classes if stats.seen >= LEARNING_ANSWERS)
-        return {stats.spec.name: stats.usual for stats in known}
+        known = (stats for stats in self.balancer.live_classes if stats.answers >= LEARNING_ANSWERS)
+        return {stats.spec.name: stats.typical_latency_ns for stats in known}
 
     # Endpoints: names that other packages call
 
--- a/dykefold/net/service/protocols.py
+++ b/dykefold/net/service/protocols.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import Protocol
 
-from ...admission.budget import Allowance, Budget
+from ...admission.budget import DescriptorAllowance, DescriptorBudget
 from ...admission.client import Client
 from ...system import System
 from ..clock import Clock
@@ -23,7 +23,7 @@
 
     client: Client
 
-    def gone(self) -> bool:
+    def client_has_closed(self) -> bool:
         """Return whether the client has closed, even if the event loop has not reported it yet."""
         ...
 
@@ -63,7 +63,7 @@
     loop: asyncio.AbstractEventLoop
     system: System
     clock: Clock
-    budget: Budget
+    budget: DescriptorBudget
     memory: MemoryBudget
     read_scheduler: ReadScheduler
     timer_wheel: TimerWheel
@@ -82,7 +82,7 @@
 class DescriptorReservations(Protocol):
     """The file descriptors that a pool may reserve for its connections."""
 
-    upstreams: Allowance
+    upstreams: DescriptorAllowance
 
     def reserve(self) -> bool:
         """Reserve one descriptor; False if none is left."""
--- a/dykefold/net/sidecar.py
+++ b/dykefold/net/sidecar.py
@@ -11,8 +11,8 @@
 import socket
 from collections import deque
 
-from ..admission.addresses import Caps
-from ..admission.budget import Budget
+from ..admission.addresses import AddressLimits
+from ..admission.budget import DescriptorBudget
 from ..admission.clients import ClientConnections
 from ..admission.controller import AdmissionController
 from ..admission.decision import RejectionReason
@@ -71,7 +71,7 @@
         loop: asyncio.AbstractEventLoop,
         sockets: int,
         memory: int,
-        caps: Caps | None = None,
+        caps: AddressLimits | None = None,
         system: System = SYSTEM,
         set_aside: int = 0,
     ) -> None:
@@ -96,10 +96,10 @@
         self.sockets, self.memory_limit = sockets, memory
         self.process_count = 1
         self.max_descriptors = sockets
-        self.budget = Budget(sockets, set_aside)
+        self.budget = DescriptorBudget(sockets, set_aside)
         self.memory = MemoryBudget(memory)
         self.clients = ClientConnections(
-            AdmissionController(self._connection_limits(), caps or Caps()), system
+            AdmissionController(self._connection_limits(), caps or AddressLimits()), system
         )
         self.lag = LoopLagMonitor(loop, system)
         self.read_scheduler = ReadScheduler(loop, self.lag, system)
@@ -156,12 +156,12 @@
         pool, now_ns = self.pool, self.now()
         settings = pool.renumber_zones(settings)
         waiting = [
-            request.cls
+            request.class_number
             for connection in self.clients.all.values()
             for request in connection.pending_requests()
         ]
-        accepted = [request.call.cls for request in pool.pending.values()]
-        attempts = [attempt.request.call.cls for attempt in pool.attempts.values()]
+        accepted = [request.parsed.class_number for request in pool.pending.values()]
+        attempts = [attempt.request.parsed.class_number for attempt in pool.attempts.values()]
         generation = self.generation.next(settings, {*waiting, *accepted, *attempts}, now_ns)
         if generation == self.generation:
             pool.change_transport(transport)
@@ -257,7 +257,7 @@
         )
         return self.listener
 
-    def change_limits(self, sockets: int, caps: Caps) -> None:
+    def change_limits(self, sockets: int, caps: AddressLimits) -> None:
         """Apply other limits while running: what is open beyond them is closed, except what a request needs.
 
         Args:
--- a/dykefold/net/upstream/classify.py
+++ b/dykefold/net/upstream/classify.py
@@ -35,7 +35,7 @@
     """How the responses of an endpoint are understood. Only `PLATFORM` is false as a condition."""
 
     PLATFORM = 0  # 200 is served, 503 or 504 with X-Not-Run never ran, all else has failed
-    USUAL = 1  # whatever is under 500 is served as it is
+    GENERIC = 1  # whatever is under 500 is served as it is
     HEAD = 2  # likewise, and no body follows (RFC 9110, 9.3.2)
 
 
--- a/dykefold/net/upstream/connection_pool.py
+++ b/dykefold/net/upstream/connection_pool.py
@@ -8,43 +8,22 @@
 from __future__ import annotations
 
 import asyncio
-import socket
 from collections import OrderedDict
 from collections.abc import Callable
 
-from ...admission.budget import Allowance
+from ...admission.budget import DescriptorAllowance
 from ...balancer.events import State, Status
 from ...system import SYSTEM, System
 from ..memory_budget import MemoryBudget
 from ..read_scheduler import ReadScheduler
 from ..timer_wheel import TimerWheel
-from .classify import HttpProfile, Response, classify
-from .connection import MAX_STALL_S, UpstreamConnection
-from .connector import LATE_S, establish, tune
+from .connection import UpstreamConnection
+from .connector import establish, tune
 from .endpoint_connections import Upstream
-from .exchange import READ_WITHIN, Exchange
-from .http_fields import BLANKS, HOP_BY_HOP, gather
+from .exchange import Exchange
 from .idle_timeouts import QUARANTINE_MIN_S, IdleAgeStats, Quarantine, ScarcityLimit
 
-__all__ = [
-    "BLANKS",
-    "HOP_BY_HOP",
-    "LATE_S",
-    "READ_WITHIN",
-    "STALL_MOST",
-    "ConnectionPool",
-    "Exchange",
-    "HttpProfile",
-    "Response",
-    "Upstream",
-    "UpstreamConnection",
-    "classify",
-    "gather",
-    "socket",  # tests of other packages replace its `socket`
-]
-
 IDLE_FRACTION = 0.7  # of the time after which an endpoint may close an idle connection
-STALL_MOST = MAX_STALL_S  # the name by which other packages know it
 
 
 class ConnectionPool:
@@ -72,7 +51,7 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        allowance: Allowance,
+        allowance: DescriptorAllowance,
         memory: MemoryBudget,
         connect_timeout: float,
         endpoint_idle_s: float,
--- a/dykefold/routing/requests.py
+++ b/dykefold/routing/requests.py
@@ -116,7 +116,7 @@
             target=message.target,
             headers=message.lines,
             body=message.body,
-            cls=number,
+            class_number=number,
             tenant=self._tenant_of(headers),
             key=0,
             deadline_ns=message.now + wait_ns,
@@ -125,11 +125,11 @@
             is_retry=headers.get(b"x-retry") == b"1",
             keep_alive=message.keep_alive,
             pool=self._pool,
-            profile=HttpProfile.HEAD if method == b"HEAD" else HttpProfile.USUAL,
-            told=told,
-            body_most=self._options.max_body_bytes,
+            profile=HttpProfile.HEAD if method == b"HEAD" else HttpProfile.GENERIC,
+            extra_response_headers=told,
+            max_body_bytes=self._options.max_body_bytes,
             max_response_bytes=self._options.max_response_bytes,
-            old=message.old,
+            is_http_1_0=message.is_http_1_0,
         )
 
     def _class_of(self, method: bytes) -> tuple[int, RequestClass]:
--- a/dykefold/routing/services.py
+++ b/dykefold/routing/services.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass
 from uuid import uuid4
 
-from ..admission.addresses import Caps
-from ..admission.budget import Budget
+from ..admission.addresses import AddressLimits
+from ..admission.budget import DescriptorBudget
 from ..balancer.events import Endpoint, State
 from ..net.discovery.codec import EndpointRecord, EndpointUpdate, NameTable
 from ..net.service.pool import Pool
@@ -34,7 +34,7 @@
         upstreams: the connections to endpoints of all pools.
     """
 
-    def __init__(self, budget: Budget, reservations: PoolReservations) -> None:
+    def __init__(self, budget: DescriptorBudget, reservations: PoolReservations) -> None:
         """Begin with nothing reserved.
 
         Args:
@@ -86,21 +86,21 @@
         table: the route table.
     """
 
-    def __init__(self, engine: SidecarServer, seed: Callable[[], int]) -> None:
+    def __init__(self, sidecar: SidecarServer, seed: Callable[[], int]) -> None:
         """Begin with no pool.
 
         Args:
-            engine: accepts the requests; it has no pool yet.
+            sidecar: accepts the requests; it has no pool yet.
             seed: returns a new seed for the random draws of a pool's balancer.
         """
-        self._engine = engine
+        self._sidecar = sidecar
         self._seed = seed
-        self.reservations = PoolReservations(engine.budget.upstreams.limit)
+        self.reservations = PoolReservations(sidecar.budget.upstreams.limit)
         self.by_name: dict[str, Service] = {}
         self.table = RouteTable(0, (), ())
-        engine.half_close = True
+        sidecar.half_close = True
 
-    def apply(self, plan: Plan, sockets: int, caps: Caps) -> None:
+    def apply(self, plan: Plan, sockets: int, caps: AddressLimits) -> None:
         """Apply another plan, and other limits with it.
 
         Args:
@@ -113,18 +113,18 @@
             GuaranteesError: the pools' minima exceed what the process has; nothing has changed then.
         """
         table = plan.table(self.table.number + 1)
-        total = Budget(sockets).upstreams.limit
+        total = DescriptorBudget(sockets).upstreams.limit
         PoolReservations(total).resize(total, {name: pool.limits for name, pool in plan.pools.items()})
-        self._engine.change_limits(sockets, caps)
+        self._sidecar.change_limits(sockets, caps)
         retired = self._replace_services(plan)
         self.reservations.resize(
             total, {service.budget: service.plan.limits for service in self.by_name.values()}
         )
         self.table = table
-        self._engine.parser = self._request_reader(plan, table)
+        self._sidecar.parser = self._request_reader(plan, table)
         for service in retired:
             log.info("pool %s retires: pending_requests=%d", service.plan.name, len(service.pool.pending))
-            service.pool.retire(self._engine.forget)
+            service.pool.retire(self._sidecar.forget)
         log.info(
             "sidecar replaced the route table: number=%d routes=%d pools=%d",
             table.number,
@@ -158,9 +158,9 @@
 
     def _make(self, plan: PoolPlan) -> Service:
         names = NameTable(plan.settings.zones, [])
-        budget = PoolBudget(self._engine.budget, self.reservations)
+        budget = PoolBudget(self._sidecar.budget, self.reservations)
         pool = Pool(
-            self._engine,
+            self._sidecar,
             plan.settings,
             Transport([], plan.idle_ns, plan.limits.max),
             self._seed(),
@@ -168,10 +168,10 @@
             names,
             _endpoint_list(plan, names, 1),
             budget,
-            self._engine.close_unneeded_upstream,
+            self._sidecar.close_unneeded_upstream,
             plan.name,
         )
-        self._engine.pools[pool] = None
+        self._sidecar.pools[pool] = None
         return Service(plan, pool, budget)
 
     def _update(self, service: Service, plan: PoolPlan) -> Service:
--- a/dykefold/service_config.py
+++ b/dykefold/service_config.py
@@ -14,7 +14,7 @@
 import msgspec
 from msgspec import Meta
 
-from .admission.addresses import Caps
+from .admission.addresses import AddressLimits
 from .fleet.options import CALLS_PER_S, FailoverOptions, FleetOptions
 from .net.discovery.codec import split_address
 from .routing.config import read_plan, struct_problems
@@ -46,9 +46,9 @@
     learned_most: Annotated[int, Meta(ge=1, le=100_000)] = 1024
     remembered_most: Annotated[int, Meta(ge=1, le=100_000)] = 4096
 
-    def caps(self) -> Caps:
+    def caps(self) -> AddressLimits:
         """Return the limits on clients by address that the table asks for."""
-        return Caps(
+        return AddressLimits(
             connections=self.connections_per_address,
             known_connections=self.known_connections_per_address,
             new_per_s=self.new_connections_per_s,
@@ -118,7 +118,7 @@
         fleet: what it asks of the view.
     """
 
-    caps: Caps
+    caps: AddressLimits
     plan: Plan | None
     control: tuple[str, int] | None = None
     folder: str | None = None
--- a/dykefold/settings.py
+++ b/dykefold/settings.py
@@ -24,7 +24,7 @@
 DEFAULT_CONNECTION_IDLE_NS = 60_000_000_000
 DEFAULT_MAX_OPEN = 20_000
 DEFAULT_TICK_NS = 1_000_000
-DEFAULT_MUST_ASK_IN_NS = 10_000_000_000
+DEFAULT_MAX_POLL_INTERVAL_NS = 10_000_000_000
 DEFAULT_OVERLOAD_FOR_NS = 3_000_000_000
 
 _Value = TypeVar("_Value")
@@ -140,8 +140,8 @@
         name=pairs.text(at + "name", ""),
         objective_ns=pairs.whole(at + "objective-ns", deadline),
         deadline_ns=deadline,
-        worth=pairs.number(at + "points", 1.0),
-        late_worth=pairs.number(at + "late-value", 0.0),
+        priority_weight=pairs.number(at + "points", 1.0),
+        late_weight_fraction=pairs.number(at + "late-value", 0.0),
         effect=pairs.choice(at + "repeat", EFFECTS),
         scope=pairs.choice(at + "key-scope", SCOPES, Scope.CELL),
         window_ns=pairs.whole(at + "window-ns", 0),
@@ -240,13 +240,13 @@
         zones=pairs.names("dcs"),
         zone=pairs.whole("my-zone", 0),
         tenants=tenants,
-        over_share_worth=pairs.number("over-share-worth", 1.0),
-        worth_by_work=pairs.text("worth-by", "request") == "work",
+        over_quota_weight_fraction=pairs.number("over-share-worth", 1.0),
+        weight_per_work=pairs.text("worth-by", "request") == "work",
         index=pairs.whole("index", 0),
         fleet_size=pairs.whole("fleet-size", 1),
         tick_ns=pairs.whole("tick-ns", DEFAULT_TICK_NS),
-        must_ask=pairs.text("discovery", "push") == "ask",
-        must_ask_in_ns=pairs.whole("rules.must-ask-in-ns", DEFAULT_MUST_ASK_IN_NS),
+        poll_required=pairs.text("discovery", "push") == "ask",
+        max_poll_interval_ns=pairs.whole("rules.must-ask-in-ns", DEFAULT_MAX_POLL_INTERVAL_NS),
         drain_grace_ns=pairs.whole("rules.drain-grace-ns", 0),
         answer_slack_ns=pairs.whole("rules.answer-slack-ns", 0),
         start_capacity=pairs.number("rules.start-capacity", 1.0),
@@ -254,10 +254,10 @@
         overload_factor=pairs.number("rules.overload-factor", 3.0),
         overload_for_ns=pairs.whole("rules.overload-for-ns", DEFAULT_OVERLOAD_FOR_NS),
         max_attempts=pairs.positive("ceilings.send-cap"),
-        second_copies=pairs.flag("ceilings.second-copies", False),
+        can_hedge=pairs.flag("ceilings.second-copies", False),
         can_cancel=pairs.flag("ceilings.cancel", False),
         can_probe=pairs.flag("ceilings.probing", False),
-        can_tell=pairs.flag("ceilings.peers", False),
+        can_message_peers=pairs.flag("ceilings.peers", False),
         retry_after=pairs.flag("ceilings.retry-after", False),
         max_retry_after_ns=pairs.whole("ceilings.max-retry-after-ns", 0),
         connect_timeout_ns=pairs.whole("ceilings.connect-timeout-ns", 0),
--- a/dykefold/sidecar_config.py
+++ b/dykefold/sidecar_config.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any, TypeVar
 
-from .admission.addresses import Caps
+from .admission.addresses import AddressLimits
 from .balancer.settings import Settings
 from .fleet.options import FleetOptions
 from .net.discovery.codec import EndpointUpdate, NameTable, parse_endpoint_update, split_address
@@ -137,7 +137,7 @@
     transport: Transport
     names: NameTable
     known: EndpointUpdate
-    caps: Caps
+    caps: AddressLimits
     fleet: FleetOptions
     shape: Shape
 
@@ -245,7 +245,7 @@
     return " ".join(str(error).split())
 
 
-def _check(checked: _Checked, caps: Caps, fleet: FleetOptions) -> Config:
+def _check(checked: _Checked, caps: AddressLimits, fleet: FleetOptions) -> Config:
     nobody = ("0.0.0.0", 0)
     settings = checked.need("settings", nested_settings, Settings([], [""]))
     transport = checked.read("settings", nested_transport, Transport([], 0, 0))
@@ -302,9 +302,9 @@
     return int(sockets), int(memory_mb * MB)
 
 
-def _read_operators(service: str | None) -> tuple[Caps, FleetOptions]:
+def _read_operators(service: str | None) -> tuple[AddressLimits, FleetOptions]:
     if not service:
-        return Caps(), FleetOptions()
+        return AddressLimits(), FleetOptions()
     read = read_service_file(service)
     if read.control is not None:
         problem = "control: beside the platform's file that one names the door"
--- a/dykefold/sim/minimise.py
+++ b/dykefold/sim/minimise.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True)
-class Budget:
+class DescriptorBudget:
     """How many plays are left."""
 
     left: int
@@ -35,7 +35,7 @@
         fails: plays a scenario and tells whether it fails in the same way.
         max_plays: plays at most.
     """
-    budget = Budget(max_plays)
+    budget = DescriptorBudget(max_plays)
     last_ns = max((arrival.at_ns for arrival in scenario.arrivals), default=0)
     for end_ns in (last_ns // 4, last_ns // 2):
         shorter = _until(scenario, end_ns)
@@ -56,7 +56,7 @@
 
 
 def _reduce(
-    items: Sequence[Item], fails: Callable[[tuple[Item, ...]], bool], budget: Budget
+    items: Sequence[Item], fails: Callable[[tuple[Item, ...]], bool], budget: DescriptorBudget
 ) -> tuple[Item, ...]:
     """Return the items without those that are not needed for the failure, as far as the budget goes."""
     kept = tuple(items)
--- a/dykefold/sim/observer.py
+++ b/dykefold/sim/observer.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ..net.downstream.request_parser import BODY_MOST
+from ..net.downstream.request_parser import MAX_BUFFERED_BODY_BYTES
 from .kernel import MS, Kernel
 from .rules import Attempt, AttemptStart, Rules
 from .sockets import SimSocket
@@ -111,7 +111,7 @@
         if not first.startswith(HEALTH_CHECK):
             connection.attempt = self._start_attempt(sock, connection, headers)
         connection.body_left = int(headers.get("content-length", 0))
-        connection.streamed = connection.body_left > BODY_MOST
+        connection.streamed = connection.body_left > MAX_BUFFERED_BODY_BYTES
         if connection.attempt is not None:
             connection.attempt.streamed = connection.streamed
         if not connection.body_left:
--- a/dykefold/sim/process.py
+++ b/dykefold/sim/process.py
@@ -6,7 +6,7 @@
 import signal
 from typing import Protocol, cast
 
-from ..admission.addresses import Caps
+from ..admission.addresses import AddressLimits
 from ..balancer.settings import Settings
 from ..control.hot_restart import HotRestart
 from ..failover.controller import FailoverController
@@ -114,7 +114,7 @@
         self.seed = 0
         self.alive = False
         self.ending = False
-        self.engine: SidecarServer | None = None
+        self.server: SidecarServer | None = None
         self.services: Services | None = None
         self.hot_restart: HotRestart | None = None
         self.fleet: FleetAgent | None = None
@@ -143,40 +143,42 @@
         self.loop.wake(self._boot)
 
     def _boot(self) -> None:
-        engine = SidecarServer(self.loop.for_asyncio, MAX_DESCRIPTORS, MEMORY_BYTES, Caps(), self.system)
-        self.engine = engine
+        server = SidecarServer(
+            self.loop.for_asyncio, MAX_DESCRIPTORS, MEMORY_BYTES, AddressLimits(), self.system
+        )
+        self.server = server
         if self.world.plan is not None:
-            self.services = Services(engine, lambda: self.seed)
+            self.services = Services(server, lambda: self.seed)
             self.apply_plan()
         else:
-            self._serve_one(engine)
-        self.loop.add_signal_handler(signal.SIGTERM, self._drain, engine)
+            self._serve_one(server)
+        self.loop.add_signal_handler(signal.SIGTERM, self._drain, server)
         self.loop.add_signal_handler(signal.SIGHUP, self._reload)
-        engine.stopped.add_done_callback(self._stopped)
+        server.stopped.add_done_callback(self._stopped)
         if self.world.scenario.world == "upgrade":
             directory = SimStateDirectory(self.world.folders[self.number], self.loop)
-            self.hot_restart = HotRestart(self.loop.for_asyncio, engine, directory, self.system)
-            self.loop.create_task(self._take_over(engine, self.hot_restart))
+            self.hot_restart = HotRestart(self.loop.for_asyncio, server, directory, self.system)
+            self.loop.create_task(self._take_over(server, self.hot_restart))
         else:
-            engine.listen(as_socket(self.world.network.listen(self.loop, PORT)))
+            server.listen(as_socket(self.world.network.listen(self.loop, PORT)))
 
-    async def _take_over(self, engine: SidecarServer, hot_restart: HotRestart) -> None:
+    async def _take_over(self, server: SidecarServer, hot_restart: HotRestart) -> None:
         """Take clients once there is capacity, as `control.process_registry` does."""
         await hot_restart.wait_for_capacity()
-        if not engine.draining and self.alive:
+        if not server.draining and self.alive:
             sock = as_socket(self.world.network.listen(self.loop, PORT))
-            engine.listen(sock)
+            server.listen(sock)
             hot_restart.take_clients(sock)
             self.world.kernel.note(f"{self.process} takes clients")
 
-    def _drain(self, engine: SidecarServer) -> None:
+    def _drain(self, server: SidecarServer) -> None:
         if self.hot_restart is not None:
             self.hot_restart.begin_shutdown()
-        engine.drain()
+        server.drain()
 
     # One service, listed by discovery
 
-    def _serve_one(self, engine: SidecarServer) -> None:
+    def _serve_one(self, server: SidecarServer) -> None:
         settings = self.world.settings_at(self.number)
         names = NameTable(settings.zones, ["std"])
         known = parse_endpoint_update(self.world.known_list(self.name), names)
@@ -184,38 +186,38 @@
             ready, now_ns = entry.endpoint.state.name == "READY", self.world.kernel.now_ns
             self.world.rules.endpoint_notified(now_ns, self.name, entry.name, ready, entry.since_ms)
         transport = Transport(["std"], IDLE_NS, MAX_PENDING)
-        engine.serve_one(settings, transport, self.seed, self.world.registry.address, names, known)
-        if settings.can_tell:
-            self._join_peers(engine, settings)
+        server.serve_one(settings, transport, self.seed, self.world.registry.address, names, known)
+        if settings.can_message_peers:
+            self._join_peers(server, settings)
         spec = self.world.scenario.spec
         if spec.failover and self.fleet is not None:
             self.failover = FailoverController(
                 self.loop.for_asyncio,
                 self.fleet.membership,
-                engine.pool,
+                server.pool,
                 FailoverSettings(settings.zones, settings.zone, FailoverOptions(on=True)),
                 self.system,
             )
         if spec.coordinated_polls:
-            self._coordinate_polls(engine, settings)
+            self._coordinate_polls(server, settings)
 
-    def _join_peers(self, engine: SidecarServer, settings: Settings) -> None:
+    def _join_peers(self, server: SidecarServer, settings: Settings) -> None:
         peers = [(sidecar.address, PEER_PORT) for sidecar in self.world.sidecars]
-        channel = PeerChannel(self.number, peers, None, engine.pool.on_peer)
+        channel = PeerChannel(self.number, peers, None, server.pool.on_peer)
         endpoint = self.loop.network.bind_datagrams(self.loop, peers[self.number], channel)
         channel.connection_made(cast("asyncio.DatagramTransport", endpoint))
-        engine.peers = channel
+        server.peers = channel
         if self.world.scenario.spec.membership:
             local = LocalMember(peers, self.number, settings.zone)
             protocol = start_protocol(local, 0.0, self.seed, self.system)
-            self.fleet = FleetAgent(self.loop.for_asyncio, engine, channel, protocol, self.system)
-            self.fleet.serve(engine.pool)
+            self.fleet = FleetAgent(self.loop.for_asyncio, server, channel, protocol, self.system)
+            self.fleet.serve(server.pool)
 
-    def _coordinate_polls(self, engine: SidecarServer, settings: Settings) -> None:
-        if engine.pool.discovery is None:
+    def _coordinate_polls(self, server: SidecarServer, settings: Settings) -> None:
+        if server.pool.discovery is None:
             return
-        polls = PollSettings(settings.must_ask_in_ns, CALLS_PER_S, self.number, settings.fleet_size)
-        lists = EndpointListSync(engine.pool.discovery, polls, self.seed, self.system)
+        polls = PollSettings(settings.max_poll_interval_ns, CALLS_PER_S, self.number, settings.fleet_size)
+        lists = EndpointListSync(server.pool.discovery, polls, self.seed, self.system)
         if self.fleet is not None:
             self.fleet.coordinate_polls(lists)
 
@@ -233,14 +235,14 @@
     def _reload(self) -> None:
         if self.world.plan is not None:
             self.apply_plan()
-        elif self.engine is not None and self.engine.pool.discovery is not None:
-            self.engine.pool.discovery.change_address(self.world.registry.address)
+        elif self.server is not None and self.server.pool.discovery is not None:
+            self.server.pool.discovery.change_address(self.world.registry.address)
 
     def apply_plan(self) -> None:
         """Turn to the world's present plan."""
         assert self.services is not None
         assert self.world.plan is not None
-        self.services.apply(self.world.plan, MAX_DESCRIPTORS, Caps())
+        self.services.apply(self.world.plan, MAX_DESCRIPTORS, AddressLimits())
         self.world.plan_applied(self.name)
 
     def terminate(self) -> None:
@@ -251,12 +253,12 @@
             self.world.kernel.after(KILL_AFTER_NS, self._kill_late, self.incarnation)
 
     def _stopped(self, _: object) -> None:
-        assert self.engine is not None
+        assert self.server is not None
         if self.hot_restart is not None:
             self.hot_restart.close()
         if self.fleet is not None:
             self.fleet.close()
-        self.engine.close()
+        self.server.close()
         self.world.kernel.after(MS, self._exit, self.incarnation)
 
     def _exit(self, incarnation: int) -> None:
@@ -264,11 +266,11 @@
             self.kill()
 
     def _kill_late(self, incarnation: int) -> None:
-        if self.incarnation != incarnation or not self.alive or self.engine is None:
+        if self.incarnation != incarnation or not self.alive or self.server is None:
             return
-        for pool in self.engine.pools:
+        for pool in self.server.pools:
             for request in pool.pending.values():
-                ident = request.call.ident.decode()
+                ident = request.parsed.ident.decode()
                 self.world.rules.request_lost(
                     self.world.kernel.now_ns, ident, "held when a planned end was over"
                 )
@@ -280,4 +282,4 @@
         self.world.kernel.note(f"{self.process} ends")
         self.world.check_process(self)
         self.world.network.kill(self.loop)
-        self.engine = self.services = self.hot_restart = self.fleet = None
+        self.server = self.services = self.hot_restart = self.fleet = None
--- a/dykefold/sim/process_checks.py
+++ b/dykefold/sim/process_checks.py
@@ -12,39 +12,39 @@
 from .sockets import SimSocket
 
 
-def bounds_broken(engine: SidecarServer, open_sockets: Mapping[int, SimSocket]) -> list[str]:
+def bounds_broken(server: SidecarServer, open_sockets: Mapping[int, SimSocket]) -> list[str]:
     """Return which of the bounds that a sidecar states do not hold."""
     found = []
-    memory, budget = engine.memory, engine.budget
+    memory, budget = server.memory, server.budget
     if not 0 <= memory.reserved_bytes <= memory.capacity_bytes:
         found.append(f"message memory {memory.reserved_bytes} of {memory.capacity_bytes}")
     if not 0 <= budget.reservations <= budget.upstreams.limit:
         found.append(f"claims {budget.reservations} of {budget.upstreams.limit}")
-    held = sum(len(pool.upstreams.connections) for pool in engine.pools)
+    held = sum(len(pool.upstreams.connections) for pool in server.pools)
     if budget.upstreams.in_use != held:
         found.append(f"connections to servers counted as {budget.upstreams.in_use}, there are {held}")
     if len(open_sockets) > MAX_DESCRIPTORS:
         found.append(f"{len(open_sockets)} descriptors of {MAX_DESCRIPTORS}")
-    for pool in engine.pools:
+    for pool in server.pools:
         blocked = sum(connection.blocked for connection in pool.upstreams.idle)
         if blocked:
             found.append(f"{blocked} connections to servers wait for use and are not read")
-        out = sum(request.out for request in pool.pending.values())
+        out = sum(request.attempts_in_flight for request in pool.pending.values())
         if out > len(pool.attempts):
             found.append(f"{out} attempts out of requests, {len(pool.attempts)} known")
     return found
 
 
-def left_over(engine: SidecarServer) -> list[str]:
+def left_over(server: SidecarServer) -> list[str]:
     """Return what a sidecar still has that has nobody to ask and nobody to wait for."""
     found = {
-        "clients": len(engine.clients.all),
-        "message memory": engine.memory.reserved_bytes,
-        "claims": engine.budget.reservations,
-        "time limits": sum(len(bucket or ()) for bucket in engine.timer_wheel.buckets.values()),
-        "input that waits": len(engine.read_scheduler.queue),
+        "clients": len(server.clients.all),
+        "message memory": server.memory.reserved_bytes,
+        "claims": server.budget.reservations,
+        "time limits": sum(len(bucket or ()) for bucket in server.timer_wheel.buckets.values()),
+        "input that waits": len(server.read_scheduler.queue),
     }
-    for number, pool in enumerate(engine.pools):
+    for number, pool in enumerate(server.pools):
         found[f"requests of pool {number}"] = len(pool.pending)
         found[f"attempts of pool {number}"] = len(pool.attempts)
         found[f"requests of module {number}"] = len(pool.balancer.pending)
@@ -65,28 +65,28 @@
         for failure in process.loop.failures:
             self.rules.report(now_ns, "no unhandled error", f"{process.name}: {failure}")
         process.loop.failures.clear()
-        if process.engine is not None and process.alive:
-            for text in bounds_broken(process.engine, self.network.open[process.process]):
+        if process.server is not None and process.alive:
+            for text in bounds_broken(process.server, self.network.open[process.process]):
                 self.rules.report(now_ns, "bounds", f"{process.name}: {text}")
 
     def check_left_over(self, now_ns: int, process: Sidecar) -> None:
         """Check that a process at rest has nothing left."""
-        if process.alive and not process.ending and process.engine is not None:
-            for text in left_over(process.engine):
+        if process.alive and not process.ending and process.server is not None:
+            for text in left_over(process.server):
                 self.rules.report(now_ns, "nothing left", f"{process.name}: {text}")
 
     def check_together(self, now_ns: int, living: Iterable[Sidecar]) -> None:
         """Check what the processes of a sidecar hold together, and that one of them takes clients."""
-        processes = [process for process in living if process.engine is not None]
+        processes = [process for process in living if process.server is not None]
         if len(processes) <= 1:
             return
         name = processes[0].name
         held = sum(len(self.network.open[process.process]) for process in processes)
         if held > MAX_DESCRIPTORS:
             self.rules.report(now_ns, "bounds", f"{name}: {held} descriptors of {MAX_DESCRIPTORS} in all")
-        engines = [process.engine for process in processes if process.engine is not None]
-        serving = [engine for engine in engines if engine.listener is not None]
-        claimed = sum(engine.max_descriptors for engine in serving)
+        servers = [process.server for process in processes if process.server is not None]
+        serving = [server for server in servers if server.listener is not None]
+        claimed = sum(server.max_descriptors for server in serving)
         if claimed > MAX_DESCRIPTORS:
             self.rules.report(now_ns, "bounds", f"{name}: {claimed} descriptors of {MAX_DESCRIPTORS} claimed")
         staying = [process for process in processes if not process.ending]
--- a/dykefold/sim/sidecar_faults.py
+++ b/dykefold/sim/sidecar_faults.py
@@ -83,7 +83,7 @@
         if not newer.alive or newer.ending:
             return
         now_ns = self.kernel.now_ns
-        if newer.engine is not None and newer.engine.accepts_clients:
+        if newer.server is not None and newer.server.accepts_clients:
             for process in older:
                 if process.alive:
                     process.terminate()
@@ -101,14 +101,14 @@
 
     def _take_out(self, fault: Fault) -> None:
         process = self._process_of(fault)
-        if process is not None and process.engine is not None:
+        if process is not None and process.server is not None:
             node = self.world.nodes[fault.server]
             self._order(process, node, Action.OUT)
             self.at_end(fault, self._put_back, fault, node)
 
     def _put_back(self, fault: Fault, node: Node) -> None:
         process = self._process_of(fault)
-        if process is not None and process.engine is not None:
+        if process is not None and process.server is not None:
             self._order(process, node, Action.BACK)
 
     def _order(self, process: Sidecar, node: Node, action: Action) -> None:
@@ -116,11 +116,11 @@
 
     def _carry_out(self, process: Sidecar, incarnation: int, node: Node, action: Action) -> None:
         """Call a process's admin API; from its yes the order binds the sidecar, over hot restarts too."""
-        if process.incarnation != incarnation or process.engine is None or process.ending:
+        if process.incarnation != incarnation or process.server is None or process.ending:
             return
         if process.hot_restart is None:
             return
-        operations = AdminOperations(process.engine, process.hot_restart)
+        operations = AdminOperations(process.server, process.hot_restart)
         response = operations.carry_out(AdminRequest(action, node.name))
         if response.code == HTTP_OK:
             out = action is Action.OUT
--- a/dykefold/sim/world.py
+++ b/dykefold/sim/world.py
@@ -44,7 +44,7 @@
         ],
         zones=list(spec.zones),
         fleet_size=scenario.sidecars,
-        must_ask=True,
+        poll_required=True,
         drain_grace_ns=GRACE_NS,
         start_capacity=spec.start_capacity,
         warm_within_ns=spec.warm_ns,
@@ -52,7 +52,7 @@
         overload_for_ns=2 * SECOND,
         max_attempts=3,
         can_cancel=True,
-        can_tell=True,
+        can_message_peers=True,
         retry_after=True,
         max_retry_after_ns=2 * SECOND,
         connect_timeout_ns=250 * MS,
@@ -87,7 +87,7 @@
         )
         self.checks = ProcessChecks(self.rules, self.network)
         self.lists = NotifiedLists(self.rules)
-        self.poll_rules = PollRules(self.rules, self.settings.must_ask_in_ns)
+        self.poll_rules = PollRules(self.rules, self.settings.max_poll_interval_ns)
         self.observer = WireObserver(self.kernel, self.rules, self._place_of)
         self.network.observer = self.observer
         self._build_servers()
@@ -164,8 +164,8 @@
 
     def close_means_left(self, number: int) -> bool:
         """Return whether for this sidecar a client whose connection ends has left."""
-        engine = self.sidecars[number].engine
-        return engine is not None and not engine.half_close
+        server = self.sidecars[number].server
+        return server is not None and not server.half_close
 
     def check_process(self, process: Sidecar) -> None:
         """Check the bounds that a process states, and what it failed to catch."""
--- a/dykefold/simulator_adapter.py
+++ b/dykefold/simulator_adapter.py
@@ -172,13 +172,13 @@
 }
 # What each action is in a record; the argument is an action of the type that it is listed under.
 ENCODERS: dict[type[Action], Callable[[int, Any], bytes]] = {
-    Send: lambda i, act: DISPATCH.pack(ActionCode.DISPATCH, i, act.id, act.timeout_ns, act.server),
+    Send: lambda i, act: DISPATCH.pack(ActionCode.DISPATCH, i, act.id, act.timeout_ns, act.endpoint_number),
     SetTimer: lambda i, act: SET_TIMER.pack(ActionCode.SET_TIMER, i, act.after_ns, act.token),
     Refuse: lambda i, act: TURN_AWAY.pack(ActionCode.TURN_AWAY, i, act.id, act.retry_after_ns),
     Fail: lambda i, act: ABORT.pack(ActionCode.ABORT, i, act.id),
     Cancel: lambda i, act: RETRACT.pack(ActionCode.RETRACT, i, act.id, act.attempt),
-    Probe: lambda i, act: ONE_SERVER.pack(ActionCode.TOUCH, i, act.server),
-    CloseIdle: lambda i, act: ONE_SERVER.pack(ActionCode.HANG_UP, i, act.server),
+    Probe: lambda i, act: ONE_SERVER.pack(ActionCode.TOUCH, i, act.endpoint_number),
+    CloseIdle: lambda i, act: ONE_SERVER.pack(ActionCode.HANG_UP, i, act.endpoint_number),
     Watch: lambda i, act: FOLLOW.pack(ActionCode.FOLLOW, i, act.on),
     Fetch: lambda i, act: RESOLVE.pack(ActionCode.RESOLVE, i),
 }
@@ -243,8 +243,8 @@
         balancer = self.balancers.get(instance)
         if event is None or balancer is None:
             return
-        if type(event) is Request and event.cls >= len(balancer.settings.classes):
-            problem = f"request {event.id} is of unknown class {event.cls}"
+        if type(event) is Request and event.class_number >= len(balancer.settings.classes):
+            problem = f"request {event.id} is of unknown class {event.class_number}"
             raise FrameError(problem)
         self._encode(instance, balancer.handle(now, event))
 
--- a/standins/decision_world.py
+++ b/standins/decision_world.py
@@ -132,18 +132,21 @@
     "tenants": Profile(
         {
             "tenants": TENANTS,
-            "can_tell": True,
+            "can_message_peers": True,
             "fleet_size": 3,
-            "over_share_worth": 0.1,
+            "over_quota_weight_fraction": 0.1,
         },
         rate=80.0,
         slots=2,
     ),
     "tenants alone": Profile(
-        {"tenants": TENANTS, "fleet_size": 50, "over_share_worth": 0.1}, servers=4, rate=150.0, slots=1
+        {"tenants": TENANTS, "fleet_size": 50, "over_quota_weight_fraction": 0.1},
+        servers=4,
+        rate=150.0,
+        slots=1,
     ),
     "tenants of slow peers": Profile(
-        {"tenants": TENANTS, "can_tell": True, "fleet_size": 3, "over_share_worth": 0.1},
+        {"tenants": TENANTS, "can_message_peers": True, "fleet_size": 3, "over_quota_weight_fraction": 0.1},
         servers=3,
         rate=40.0,
         slots=1,
@@ -154,14 +157,16 @@
     "late": Profile({"max_attempts": 6, "retry_after": True}, service_ms=500.0, slots=20, fault_rate=0.5),
     "rare and slow": Profile({"fleet_size": 1000}, servers=30, rate=0.8, service_ms=2_500.0, fault_rate=0.2),
     "shifting timeouts": Profile(servers=4, rate=150.0, slots=2, shifting_timeouts=True),
-    "registry down": Profile({"must_ask": True, "must_ask_in_ns": SECOND}, rate=4.0, long_gaps=True),
+    "registry down": Profile(
+        {"poll_required": True, "max_poll_interval_ns": SECOND}, rate=4.0, long_gaps=True
+    ),
     "other clock": Profile({"fleet_size": 12}, servers=20, rate=80.0, other_clock=True),
     "streams": Profile({"can_cancel": True}, streams=0.5),
     "view": Profile({"fleet_size": 12}, servers=20, fleet_view=True, fault_rate=0.12),
-    "faults": Profile({"max_attempts": 5, "second_copies": True, "can_cancel": True}, fault_rate=0.35),
-    "single copies": Profile({"max_attempts": 4, "second_copies": False, "can_cancel": True}, fault_rate=0.2),
+    "faults": Profile({"max_attempts": 5, "can_hedge": True, "can_cancel": True}, fault_rate=0.35),
+    "single copies": Profile({"max_attempts": 4, "can_hedge": False, "can_cancel": True}, fault_rate=0.2),
     "retuned": Profile({"report_columns": ("queue",)}, retunes=True, streams=0.1, fleet_view=True),
-    "quiet": Profile({"must_ask": True}, rate=6.0, long_gaps=True, fault_rate=0.15),
+    "quiet": Profile({"poll_required": True}, rate=6.0, long_gaps=True, fault_rate=0.15),
     "large": Profile({"fleet_size": 40, "price_cross_zone": 0.02}, servers=120, rate=60.0, tick_ms=5),
 }
 
@@ -173,8 +178,8 @@
         name=name,
         objective_ns=deadline_ms * MS * rng.randrange(20, 60) // 100,
         deadline_ns=deadline_ms * MS,
-        worth=rng.choice([0.0, 1.0, 3.0, 8.0]),
-        late_worth=rng.choice([0.0, 0.2, 0.5]),
+        priority_weight=rng.choice([0.0, 1.0, 3.0, 8.0]),
+        late_weight_fraction=rng.choice([0.0, 0.2, 0.5]),
         effect=effect,
         scope=rng.choice(list(Scope)),
         window_ns=rng.randrange(200, 4_000) * MS,
@@ -188,14 +193,14 @@
         "classes": [drawn_class(rng, f"c{n}", effect) for n, effect in enumerate(effects)],
         "zones": list(ZONES),
         "zone": rng.randrange(len(ZONES)),
-        "worth_by_work": rng.random() < 0.5,
+        "weight_per_work": rng.random() < 0.5,
         "tick_ns": 5 * MS,
-        "must_ask": rng.random() < 0.4,
+        "poll_required": rng.random() < 0.4,
         "answer_slack_ns": 20 * MS,
         "start_capacity": rng.choice([0.1, 0.5]),
         "warm_within_ns": rng.randrange(2, 20) * SECOND,
         "max_attempts": rng.randrange(1, 7),
-        "second_copies": rng.random() < 0.5,
+        "can_hedge": rng.random() < 0.5,
         "can_cancel": rng.random() < 0.6,
         "retry_after": rng.random() < 0.7,
         "max_retry_after_ns": SECOND,
@@ -208,7 +213,7 @@
     """An action as text that does not hang on how its type is called."""
     match action:
         case Send():
-            return f"send {action.id} {action.server} {action.timeout_ns}"
+            return f"send {action.id} {action.endpoint_number} {action.timeout_ns}"
         case SetTimer():
             return f"timer {action.after_ns} {action.token}"
         case Refuse():
@@ -218,11 +223,11 @@
         case Cancel():
             return f"cancel {action.id} {action.attempt}"
         case Probe():
-            return f"probe {action.server}"
+            return f"probe {action.endpoint_number}"
         case SendToPeer():
             return f"tell {action.peer} {action.data.hex()}"
         case ReportEndpointHealth():
-            return f"hint {action.server} {action.answers}"
+            return f"hint {action.endpoint_number} {action.answers}"
         case Watch():
             return f"watch {action.on}"
         case Log():
@@ -301,7 +306,7 @@
             key = action.id, action.attempt
             self.later(self.now + 5 * MS, lambda: self.settle(key, Status.CANCELLED))
         elif isinstance(action, Probe):
-            self.answer_probe(action.server)
+            self.answer_probe(action.endpoint_number)
         elif isinstance(action, Watch):
             kind = ListKind.FAILED if self.rng.random() < 0.4 else ListKind.FULL
             self.later(self.now + self.exponential(50), lambda: self.membership(kind))
@@ -315,7 +320,7 @@
     def take_attempt(self, action: Send) -> None:
         """An attempt reaches its server: draw how and when it ends."""
         number = self.attempts[action.id] = self.attempts.get(action.id, -1) + 1
-        key, server, request = (action.id, number), action.server, self.requests[action.id]
+        key, server, request = (action.id, number), action.endpoint_number, self.requests[action.id]
         self.sent[key] = server, self.now
         self.load[server] += 1
         crowd = max(1.0, self.load[server] / self.profile.slots)
@@ -428,9 +433,9 @@
         marked = self.rng.random() < 0.7
 
         def again() -> Event | None:
-            if was.cls in self.retired:
+            if was.class_number in self.retired:
                 return None
-            return self.request(was.cls, was.tenant, was.deadline_ns - self.now, marked)
+            return self.request(was.class_number, was.tenant, was.deadline_ns - self.now, marked)
 
         self.later(when, again)
 
@@ -509,12 +514,12 @@
         self.later(self.now + self.exponential(800), self.fleet_view)
         servers = sorted(self.speed)
         return MembershipChanged(
-            live=rng.choice([2, 8, 12, 12, 12, 60]),
+            live_sidecars=rng.choice([2, 8, 12, 12, 12, 60]),
             ranks={server: rng.random() for server in servers if rng.random() < 0.8},
-            part=rng.uniform(0.2, 1.0),
-            failing=frozenset(rng.sample(servers, 2)),
-            answering=frozenset(rng.sample(servers, 1)),
-            usual={n: 70 * MS for n in range(len(self.config.classes)) if rng.random() < 0.5},
+            max_remote_rank=rng.uniform(0.2, 1.0),
+            failing_endpoints=frozenset(rng.sample(servers, 2)),
+            answering_endpoints=frozenset(rng.sample(servers, 1)),
+            typical_latency_ns={n: 70 * MS for n in range(len(self.config.classes)) if rng.random() < 0.5},
         )
 
     def retune(self) -> Event:
--- a/tests/admission/test_accept_errors.py
+++ b/tests/admission/test_accept_errors.py
@@ -25,7 +25,7 @@
 )
 
 from dykefold.admission import rejected_connection
-from dykefold.admission.addresses import Caps
+from dykefold.admission.addresses import AddressLimits
 from dykefold.net.upstream.abort import NO_LINGER
 
 # accept(2): those of the call, and those of the network that come through it.
@@ -37,9 +37,9 @@
 def faulty(sidecar):
     """The sidecar's listener on a socket that can fail: its faults."""
     system = FaultySystem()
-    sidecar.engine.listener.close()
+    sidecar.server.listener.close()
     sock = system.take(socket.create_server((HOST, 0), backlog=64))
-    _, sidecar.port = sidecar.engine.listen(sock).address
+    _, sidecar.port = sidecar.server.listen(sock).address
     return system.faults
 
 
@@ -70,36 +70,36 @@
 async def test_clients_that_wait_are_served_whatever_accept_meets(tmp_path, error, ends):
     """A transient error used to end the last turn of a closing listener, and the close reset who waited."""
     async with one_server(tmp_path, answer_ok) as (sidecar, fake):
-        engine = sidecar.engine
+        sidecar_server = sidecar.server
         faults = faulty(sidecar).on("accept", getattr(errno, error), for_s=0.12)
         socks = connected(
             sidecar.port, *(message("order", f"id{n}", "3000m", b"", "Connection: close") for n in "ab")
         )
         if ends:
-            engine.drain()
-            engine.shutdown.stop_accepting()
+            sidecar_server.drain()
+            sidecar_server.shutdown.stop_accepting()
         answers = await whole(*socks)
         assert [answer[:13] for answer in answers] == [b"HTTP/1.1 200 "] * 2
         # A loop that spins would have been there thousands of times.
         assert 0 < faults.made["accept", errno.errorcode[getattr(errno, error)]] <= 6 * 16
-        await until(lambda: not engine.clients.all and (engine.listener is None) == ends)
+        await until(lambda: not sidecar_server.clients.all and (sidecar_server.listener is None) == ends)
     assert len(fake.got) == 2
 
 
 @on_loop
 async def test_a_listener_that_can_not_accept_until_its_timeout_closes(tmp_path):
     async with one_server(tmp_path, answer_ok) as (sidecar, _fake):
-        engine = sidecar.engine
+        sidecar_server = sidecar.server
         faulty(sidecar).on("accept", errno.EMFILE)
         (sock,) = connected(sidecar.port, b"")
-        engine.drain()
-        engine.shutdown.answer_at = engine.monotonic() + 0.2
-        engine.shutdown.stop_accepting()
-        engine.shutdown.stop_requests()
-        assert engine.listener is not None
+        sidecar_server.drain()
+        sidecar_server.shutdown.answer_at = sidecar_server.monotonic() + 0.2
+        sidecar_server.shutdown.stop_accepting()
+        sidecar_server.shutdown.stop_requests()
+        assert sidecar_server.listener is not None
         async with asyncio.timeout(WAIT):
-            await engine.stopped
-        assert engine.listener is None
+            await sidecar_server.stopped
+        assert sidecar_server.listener is None
         sock.close()
 
 
@@ -111,14 +111,14 @@
     fake = await Fake(answer_ok).start()
     async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
         faults = faulty(sidecar)
-        sidecar.engine.change_limits(1024, Caps(connections=1))
+        sidecar.server.change_limits(1024, AddressLimits(connections=1))
         (first,) = connected(sidecar.port, b"")
-        await until(lambda: sidecar.engine.clients.all)
+        await until(lambda: sidecar.server.clients.all)
         await play(sidecar, faults)
-        await until(lambda: not sidecar.engine.listener.rejections)
+        await until(lambda: not sidecar.server.listener.rejections)
         first.close()
-        await until(lambda: not sidecar.engine.clients.all)
-        assert not sidecar.engine.clients.admission.addresses.active
+        await until(lambda: not sidecar.server.clients.all)
+        assert not sidecar.server.clients.admission.addresses.active
 
 
 @pytest.mark.parametrize("part", [1, 7, 100])
@@ -159,12 +159,12 @@
 @pytest.mark.parametrize("call", ["send", "shutdown", "recv"])
 def test_a_rejected_client_that_was_reset_meanwhile_leaves_nothing_behind(tmp_path, call, error):
     async def play(sidecar, faults):
-        files = len(sidecar.engine.clients.all)
+        files = len(sidecar.server.clients.all)
         faults.on(call, getattr(errno, error))
         (sock,) = connected(sidecar.port, message("order", "ab"))
         await until(lambda: faults.made[call, error])
-        await until(lambda: not sidecar.engine.listener.rejections)
-        assert len(sidecar.engine.clients.all) == files
+        await until(lambda: not sidecar.server.listener.rejections)
+        assert len(sidecar.server.clients.all) == files
         faults.clear()
         sock.close()
 
@@ -177,10 +177,10 @@
         max_open = 0
         for sock in socks:
             assert await asyncio.to_thread(sock.recv, 65536)
-            max_open = max(max_open, len(sidecar.engine.listener.rejections))
+            max_open = max(max_open, len(sidecar.server.listener.rejections))
         assert 0 < max_open <= 8
         began = time.monotonic()
-        await until(lambda: not sidecar.engine.listener.rejections)
+        await until(lambda: not sidecar.server.listener.rejections)
         assert time.monotonic() - began < 1.0
         for sock in socks:
             sock.close()
@@ -192,15 +192,15 @@
     """More of them than may linger, each with its request sent: none meets a reset."""
 
     async def play(sidecar, faults):
-        sidecar.engine.change_limits(1024, Caps())
-        for connection in sidecar.engine.clients.all.values():
-            sidecar.engine.clients.admission.remove(connection.client)  # none may be evicted
+        sidecar.server.change_limits(1024, AddressLimits())
+        for connection in sidecar.server.clients.all.values():
+            sidecar.server.clients.admission.remove(connection.client)  # none may be evicted
         faults.on("accept", errno.EMFILE, times=1)
         socks = connected(sidecar.port, *(message("order", f"id{n}") for n in range(16)))
         answers = await whole(*socks)
         assert {answer[:13] for answer in answers} == {b"HTTP/1.1 503 "}
         assert all(answer.endswith(b"refused: too many connections\n") for answer in answers)
-        assert sidecar.engine.listener.reserve.held
+        assert sidecar.server.listener.reserve.held
 
     run_plain(with_one_connection_allowed(tmp_path, play))
 
@@ -215,21 +215,21 @@
         loop, escaped = asyncio.get_running_loop(), []
         loop.set_exception_handler(lambda _, context: escaped.append(context))
         async with one_server(tmp_path, answer_ok) as (sidecar, _fake):
-            engine = sidecar.engine
+            sidecar_server = sidecar.server
             faults = faulty(sidecar).on(call, getattr(errno, error))
             socks = connected(
                 sidecar.port, *(message("order", name, "3000m", b"", "Connection: close") for name in "ab")
             )
             answers = await whole(*socks)
             assert all(answer.startswith((b"HTTP/1.1 200 ", b"HTTP/1.1 503 ")) for answer in answers)
-            await until(lambda: not engine.clients.all)
+            await until(lambda: not sidecar_server.clients.all)
             faults.clear()
             gc.collect()  # asyncio leaves a transport that could not be made to the collector
             assert (await ask(sidecar.port, message("order", "cd"))).code == 200
-            await until(lambda: not engine.clients.all)
-            assert not engine.clients.admission.addresses.active
-            assert not engine.pool.pending
-            assert not engine.clients.admission.count
+            await until(lambda: not sidecar_server.clients.all)
+            assert not sidecar_server.clients.admission.addresses.active
+            assert not sidecar_server.pool.pending
+            assert not sidecar_server.clients.admission.count
             assert not escaped
             assert "Traceback" not in caplog.text
 
@@ -245,13 +245,13 @@
     loop, escaped = asyncio.get_running_loop(), []
     loop.set_exception_handler(lambda _, context: escaped.append(context))
     async with one_server(tmp_path, answer_ok) as (sidecar, fake):
-        engine = sidecar.engine
+        sidecar_server = sidecar.server
         for sock in connected(sidecar.port, *[sent] * 8):
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
             sock.close()
         assert (await ask(sidecar.port, message("order", "cd"))).code == 200
-        await until(lambda: not engine.clients.all)
-        assert not engine.clients.admission.count
-        assert not engine.pool.pending
+        await until(lambda: not sidecar_server.clients.all)
+        assert not sidecar_server.clients.admission.count
+        assert not sidecar_server.pool.pending
         assert not escaped
     assert [got.headers["x-request-id"] for got in fake.got] == ["cd"]
--- a/tests/admission/test_addresses.py
+++ b/tests/admission/test_addresses.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from dykefold.admission.addresses import AddressTable, AddressTrust, Caps
+from dykefold.admission.addresses import AddressLimits, AddressTable, AddressTrust
 
 
 @pytest.mark.parametrize(
@@ -20,18 +20,18 @@
     ],
 )
 def test_prefixes_make_one_address(one, other, same):
-    addresses = AddressTable(Caps())
+    addresses = AddressTable(AddressLimits())
     assert (addresses.key(one) == addresses.key(other)) is same
 
 
 def test_prefix_of_ipv4_is_a_setting():
-    addresses = AddressTable(Caps(v4_prefix=24))
+    addresses = AddressTable(AddressLimits(v4_prefix=24))
     assert addresses.key("10.0.0.1") == addresses.key("10.0.0.200") != addresses.key("10.0.1.1")
 
 
 def test_configured_networks_are_known_in_both_versions():
     networks = tuple(map(ip_network, ("10.1.0.0/16", "10.9.9.9/32", "2001:db8::/32")))
-    addresses = AddressTable(Caps(known=networks))
+    addresses = AddressTable(AddressLimits(known=networks))
     trust = {
         host: addresses.find(host, 0.0).trust
         for host in ("10.1.2.3", "10.2.0.1", "10.9.9.9", "10.9.9.8", "2001:db8:5::1", "2001:db9::1")
@@ -44,7 +44,7 @@
 
 
 def test_new_connections_come_at_the_rate_and_a_clock_that_goes_back_gives_none():
-    addresses = AddressTable(Caps(new_per_s=10.0, new_burst=5.0))
+    addresses = AddressTable(AddressLimits(new_per_s=10.0, new_burst=5.0))
     address = addresses.find("10.0.0.1", 100.0)
     assert [addresses.take_token(address, 100.0) for _ in range(7)] == [True] * 5 + [False] * 2
     assert not addresses.take_token(address, 90.0)
@@ -61,14 +61,14 @@
 
 
 def test_an_address_is_learned_after_both_served_requests_and_time():
-    addresses = AddressTable(Caps(learn_requests=10, learn_after_s=60.0))
+    addresses = AddressTable(AddressLimits(learn_requests=10, learn_after_s=60.0))
     assert served(addresses, "10.0.0.1", 100, 0.0, 0.1).trust is AddressTrust.UNKNOWN  # ten seconds only
     assert served(addresses, "10.0.0.2", 5, 0.0, 100.0).trust is AddressTrust.UNKNOWN  # five requests only
     assert served(addresses, "10.0.0.3", 61, 0.0, 1.0).trust is AddressTrust.LEARNED
 
 
 def test_one_violation_forgets_a_learned_address_and_restarts_its_count():
-    addresses = AddressTable(Caps(learn_requests=10, learn_after_s=60.0))
+    addresses = AddressTable(AddressLimits(learn_requests=10, learn_after_s=60.0))
     address = served(addresses, "10.0.0.1", 70, 0.0, 1.0)
     assert address.known
     addresses.record_violation(address, 70.0)
@@ -81,12 +81,14 @@
 
 
 def test_nothing_is_learned_by_default():
-    addresses = AddressTable(Caps())
+    addresses = AddressTable(AddressLimits())
     assert not served(addresses, "10.0.0.1", 1000, 0.0, 10.0).known
 
 
 def test_what_is_learned_and_remembered_is_bounded():
-    addresses = AddressTable(Caps(learn_requests=1, learn_after_s=0.0, max_learned=10, max_remembered=20))
+    addresses = AddressTable(
+        AddressLimits(learn_requests=1, learn_after_s=0.0, max_learned=10, max_remembered=20)
+    )
     for number in range(300):
         address = served(addresses, f"10.0.{number // 250}.{number % 250}", 2, float(number), 0.5)
         address.connections = 0
@@ -96,6 +98,6 @@
     assert not addresses.active
     assert addresses.find("10.0.1.49", 300.0).known  # the latest
     assert not addresses.find("10.0.0.1", 300.0).known
-    addresses.apply(Caps(max_remembered=5))  # learning is switched off
+    addresses.apply(AddressLimits(max_remembered=5))  # learning is switched off
     assert not addresses.learned
     assert len(addresses.inactive) == 5
--- a/tests/admission/test_client_state.py
+++ b/tests/admission/test_client_state.py
@@ -71,7 +71,7 @@
                 writer.write(piece.replace(b"IDENT", b"id%03d" % number))
                 await until(lambda n=before: len(entered) > n and entered[-1] is not ClientState.BUSY)
             writer.close()
-            await until(lambda: not sidecar.engine.clients.all)
+            await until(lambda: not sidecar.server.clients.all)
 
     play()
     assert [ClientState.NEW, *entered] == states_of(name)
--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -8,7 +8,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from dykefold.admission import controller, eviction, message_timeouts, working_set
-from dykefold.admission.addresses import Caps
+from dykefold.admission.addresses import AddressLimits
 from dykefold.admission.client_state import IDLE_STATES, ClientState
 from dykefold.admission.controller import AdmissionController
 from dykefold.admission.decision import RejectionReason
@@ -18,11 +18,11 @@
 
 
 def make(connections=8, usable=100, **caps):
-    return AdmissionController(ConnectionLimits(connections, usable), Caps(**caps))
+    return AdmissionController(ConnectionLimits(connections, usable), AddressLimits(**caps))
 
 
 def make_limited(max_connections, **caps):
-    return AdmissionController(ConnectionLimits(max_connections, 100), Caps(**caps))
+    return AdmissionController(ConnectionLimits(max_connections, 100), AddressLimits(**caps))
 
 
 def enter(admission, host="10.0.0.1", now=0.0, state=ClientState.NEW):
@@ -338,8 +338,8 @@
     busy = [enter(admission, state=ClientState.BUSY) for _ in range(10)]
     for _ in range(30):
         enter(admission, state=ClientState.IDLE_REUSED)
-    assert len(admission.resize(ConnectionLimits(15, 5), Caps(), 1.0)) == 25
-    assert len(admission.resize(ConnectionLimits(5, 5), Caps(), 1.0)) == 5
+    assert len(admission.resize(ConnectionLimits(15, 5), AddressLimits(), 1.0)) == 25
+    assert len(admission.resize(ConnectionLimits(5, 5), AddressLimits(), 1.0)) == 5
     assert admission.count == 10
     assert all(client.state is ClientState.BUSY for client in busy)
     assert admission.connect("10.0.0.9", 1.0)[1] is RejectionReason.ALL_CONNECTIONS
@@ -396,7 +396,7 @@
     def begin(self, max_connections, reserve, cap, usable):
         self.admission = AdmissionController(
             ConnectionLimits(max_connections, usable),
-            Caps(known=KNOWN, reserve=reserve, connections=cap, open_requests=3),
+            AddressLimits(known=KNOWN, reserve=reserve, connections=cap, open_requests=3),
         )
         self.now = 0.0
         self.allowed = max_connections
--- a/tests/admission/test_flood.py
+++ b/tests/admission/test_flood.py
@@ -142,9 +142,9 @@
 def test_the_file_that_is_shipped_is_good_and_switches_nothing_on():
     from pathlib import Path
 
-    from dykefold.admission.addresses import Caps
+    from dykefold.admission.addresses import AddressLimits
     from dykefold.service_config import read_service
 
     read = read_service(str(Path(__file__).parents[2] / "deploy" / "service.toml"))
-    assert read.caps == Caps()
+    assert read.caps == AddressLimits()
     assert read.plan is None
--- a/tests/admission/test_listener.py
+++ b/tests/admission/test_listener.py
@@ -27,9 +27,8 @@
 
 from dykefold import sidecar_config as configuration
 from dykefold.admission import listener
-from dykefold.admission.addresses import Caps
+from dykefold.admission.addresses import AddressLimits
 from dykefold.admission.client_state import ClientState
-from dykefold.net.upstream import connection_pool as upstream
 
 
 class Starving(socket.socket):
@@ -52,7 +51,7 @@
         self.sock = Starving(socket.AF_INET, socket.SOCK_STREAM)
         self.sock.bind((HOST, 0))
         self.sock.listen(64)
-        _, self.port = self.engine.listen(self.sock).address
+        _, self.port = self.server.listen(self.sock).address
         return self
 
 
@@ -142,7 +141,7 @@
             assert (
                 await read_message(reader)
             ).code == 200  # a request that was accepted is answered all the same
-            await until(lambda: sidecar.engine.listener.reserve.held)
+            await until(lambda: sidecar.server.listener.reserve.held)
             assert (await ask(sidecar.port, message("order", "after"))).code == 200
             writer.close()
 
@@ -153,9 +152,9 @@
     async def play():
         fake = await Fake(answer_ok).start()
         async with start(tmp_path, fake) as sidecar:
-            sidecar.engine.change_limits(1024, Caps(connections=1))
+            sidecar.server.change_limits(1024, AddressLimits(connections=1))
             _, first = await connect(sidecar.port, "127.9.0.1")
-            await until(lambda: sidecar.engine.clients.all)
+            await until(lambda: sidecar.server.clients.all)
             reader, writer = await connect(sidecar.port, "127.9.0.1")
             writer.write(message("order", "no"))
             answer = await read_message(reader)
@@ -176,7 +175,7 @@
         go, act = gated()
         fake = await Fake(act).start()
         async with start(tmp_path, fake) as sidecar:
-            sidecar.engine.change_limits(1024, Caps(open_requests=2))
+            sidecar.server.change_limits(1024, AddressLimits(open_requests=2))
             pairs = [await connect(sidecar.port) for _ in range(3)]
             for number in range(2):
                 pairs[number][1].write(message("order", f"o{number}"))
@@ -191,8 +190,8 @@
             assert (await read_message(pairs[2][0])).code == 200
             for _, writer in pairs:
                 writer.close()
-            await until(lambda: not sidecar.engine.clients.all)
-            assert not sidecar.engine.clients.admission.addresses.active
+            await until(lambda: not sidecar.server.clients.all)
+            assert not sidecar.server.clients.admission.addresses.active
 
     run(play())
 
@@ -201,7 +200,7 @@
     async def play():
         fake = await Fake(answer_ok).start()
         async with start(tmp_path, fake) as sidecar:
-            sidecar.engine.change_limits(1024, Caps(unfinished_bytes=40_000))
+            sidecar.server.change_limits(1024, AddressLimits(unfinished_bytes=40_000))
             whole = message("order", "a", "3000m", b"x" * 30_000)
             half = await connect(sidecar.port)
             half[1].write(whole[:-1])
@@ -213,12 +212,12 @@
             assert address.unfinished_bytes == 0
             assert (await ask(sidecar.port, message("order", "c", "3000m", b"x" * 30_000))).code == 200
             half[1].close()
-            await until(lambda: not sidecar.engine.clients.all)
-            assert not sidecar.engine.memory.reserved_bytes
+            await until(lambda: not sidecar.server.clients.all)
+            assert not sidecar.server.memory.reserved_bytes
 
     async def _address(sidecar):
-        await until(lambda: sidecar.engine.clients.all)
-        (client,) = sidecar.engine.clients.all
+        await until(lambda: sidecar.server.clients.all)
+        (client,) = sidecar.server.clients.all
         return client.address
 
     run(play())
@@ -231,7 +230,7 @@
         go, act = gated()
         fake = await Fake(act).start()
         async with start(tmp_path, fake, limits={"sockets": 1}) as sidecar:
-            budget = sidecar.engine.budget
+            budget = sidecar.server.budget
             assert (budget.clients, budget.upstreams.limit) == (4, 4)
             budget.upstreams.limit = 2
             pairs = [await connect(sidecar.port) for _ in range(4)]
@@ -273,14 +272,14 @@
                 return real(*arguments)
 
             reader, writer = await connect(sidecar.port)
-            monkeypatch.setattr(upstream.socket, "socket", scarce)
+            monkeypatch.setattr(socket, "socket", scarce)
             writer.write(message("order", "one", "3000m", b"x"))
             answer = await read_message(reader)
-            monkeypatch.setattr(upstream.socket, "socket", real)
+            monkeypatch.setattr(socket, "socket", real)
             assert answer.code == code
             assert len(fake.got) == (code == 200)
             assert code == 200 or float(answer.headers["retry-after"]) > 0
-            assert not sidecar.engine.budget.reservations
+            assert not sidecar.server.budget.reservations
             writer.close()
 
     run(play())
@@ -290,14 +289,14 @@
     async def play():
         fake = await Fake(answer_ok).start()
         async with start(tmp_path, fake) as sidecar:
-            before = sidecar.engine.pool.discovery.address
+            before = sidecar.server.pool.discovery.address
 
             def scarce(*_, **__):
                 raise OSError(errno.EMFILE, "Too many open files")
 
             monkeypatch.setattr(configuration, "open", scarce, raising=False)
             sidecar.reload()
-            assert sidecar.engine.pool.discovery.address == before
+            assert sidecar.server.pool.discovery.address == before
             assert (await ask(sidecar.port, message("order", "a"))).code == 200
 
     run(play())
@@ -317,7 +316,7 @@
             data["limits"]["sockets"] = 52
             (tmp_path / "c").write_text(json.dumps(data))
             sidecar.reload()
-            assert len(sidecar.engine.clients.admission.eviction.groups[False].queues[ClientState.NEW]) == 0
+            assert len(sidecar.server.clients.admission.eviction.groups[False].queues[ClientState.NEW]) == 0
             for reader, _ in idle:
                 assert await reader.read() == b""
             go.set()
--- a/tests/balancer/test_attempt_rules.py
+++ b/tests/balancer/test_attempt_rules.py
@@ -42,7 +42,7 @@
     ],
 )
 def test_a_further_attempt_is_allowed_by_effect_and_states(effect, states, hedged, allowed):
-    rules, req = set_up(effect, states=states, second_copies=hedged)
+    rules, req = set_up(effect, states=states, can_hedge=hedged)
     assert rules.may_send(req, EndpointState(endpoint(2), 0.5)) is allowed
 
 
--- a/tests/balancer/test_concerns.py
+++ b/tests/balancer/test_concerns.py
@@ -170,7 +170,7 @@
     ],
 )
 def test_quotas_hold_over_all_sidecars_or_by_the_middle_tenant(own, peers, over):
-    balancer = fresh(tenants=TENANTS, fleet_size=2, can_tell=True)
+    balancer = fresh(tenants=TENANTS, fleet_size=2, can_message_peers=True)
     state = balancer.quotas
     for rates in peers:
         steps = [int(rate * quotas.RATE_UNIT) for rate in rates]
@@ -214,7 +214,7 @@
 
 @pytest.mark.parametrize("failures", [1, 2, 3, 8])
 def test_polls_back_off_while_they_fail_and_stop_once_the_registry_answers(failures):
-    balancer = fresh(must_ask=True, must_ask_in_ns=10 * SECOND)
+    balancer = fresh(poll_required=True, max_poll_interval_ns=10 * SECOND)
     for _ in range(failures):
         balancer.timers.heap.clear()
         balancer.polls.on_failure()
--- a/tests/balancer/test_lost_attempts.py
+++ b/tests/balancer/test_lost_attempts.py
@@ -20,36 +20,36 @@
         now += MS
         ident += 1
         sent = send_one(balancer, now, ident)
-        done += balancer.handle(now + step, Outcome(ident, 0, sent.server, Status.OK, step, True))
+        done += balancer.handle(now + step, Outcome(ident, 0, sent.endpoint_number, Status.OK, step, True))
         now += step
-        answers -= sent.server == server
+        answers -= sent.endpoint_number == server
     return now, done
 
 
 @pytest.mark.parametrize("effect", list(Effect))
 def test_an_attempt_that_later_ones_overtake_counts_as_lost_and_is_not_called_off(effect):
     """Guards the limit against answers that never come, and the request against a second copy of it."""
-    balancer, now = make(servers=1, effect=effect, second_copies=False)
+    balancer, now = make(servers=1, effect=effect, can_hedge=False)
     now = warm(balancer, now)
     sent = send_one(balancer, now, 1)
-    server = balancer.endpoints.all[sent.server]
-    now, done = overtake(balancer, now, sent.server, 2)
+    server = balancer.endpoints.all[sent.endpoint_number]
+    now, done = overtake(balancer, now, sent.endpoint_number, 2)
     assert not server.lost
-    now, more = overtake(balancer, now, sent.server, 1)
+    now, more = overtake(balancer, now, sent.endpoint_number, 1)
     assert server.lost == {(1, 0)} and balancer.limit.in_flight == 0
     assert not [action for action in done + more if isinstance(action, Cancel)]
     assert not [action for action in done + more if isinstance(action, Send) and action.id == 1]
 
 
 def test_short_work_that_overtakes_long_work_on_another_core_loses_nothing():
-    balancer, now = make(servers=1, effect=Effect.SAFE, second_copies=False)
+    balancer, now = make(servers=1, effect=Effect.SAFE, can_hedge=False)
     now = warm(balancer, now)
     sent = send_one(balancer, now, 1)
     for ident in range(60_000, 60_005):  # five answers within one usual latency
         now += MS
         send_one(balancer, now, ident)
-        balancer.handle(now + 5 * MS, Outcome(ident, 0, sent.server, Status.OK, 5 * MS, True))
-    assert not balancer.endpoints.all[sent.server].lost
+        balancer.handle(now + 5 * MS, Outcome(ident, 0, sent.endpoint_number, Status.OK, 5 * MS, True))
+    assert not balancer.endpoints.all[sent.endpoint_number].lost
 
 
 def test_a_late_attempt_is_counted_as_pressure_once():
@@ -58,17 +58,17 @@
     balancer, now = make(servers=1, effect=Effect.UNSAFE)
     now = warm(balancer, now)
     sent = send_one(balancer, now, 1)
-    server = balancer.endpoints.all[sent.server]
+    server = balancer.endpoints.all[sent.endpoint_number]
     now += 50 * MS
     other = send_one(balancer, now, 2)
-    balancer.handle(now + 40 * MS, Outcome(2, 0, other.server, Status.OK, 40 * MS, True))
+    balancer.handle(now + 40 * MS, Outcome(2, 0, other.endpoint_number, Status.OK, 40 * MS, True))
     counts = []
     real = balancer.congestion.add
     balancer.congestion.add = lambda value, sent: (counts.append(value), real(value, sent))
     balancer.context.now_ns = now = now + SECOND
     balancer.hedging.on_overdue(balancer.answers.pending[1], 0)
     assert len(counts) == 1 and server.counted_late == {(1, 0)}
-    balancer.handle(now + SECOND, Outcome(1, 0, sent.server, Status.TIMEOUT, 2 * SECOND, True))
+    balancer.handle(now + SECOND, Outcome(1, 0, sent.endpoint_number, Status.TIMEOUT, 2 * SECOND, True))
     assert len(counts) == 1 and not server.counted_late
 
 
@@ -82,7 +82,7 @@
         if at >= until:
             break
         if sent is not None:
-            balancer.handle(at, Outcome(sent.id, 0, sent.server, Status.OK, took, True))
+            balancer.handle(at, Outcome(sent.id, 0, sent.endpoint_number, Status.OK, took, True))
         ident += 1
         actions = balancer.handle(at, request(ident, at))
         sends = [action for action in actions if isinstance(action, Send)]
--- a/tests/balancer/test_many_balancers.py
+++ b/tests/balancer/test_many_balancers.py
@@ -23,7 +23,7 @@
             zones=list("abcde"),
             zone=number % ZONES,
             fleet_size=sidecars,
-            second_copies=False,
+            can_hedge=False,
             **more,
         )
         made.append(balancer)
@@ -37,7 +37,7 @@
         now += int(SECOND / rate)
         number = chance.randrange(len(made))
         sent = send_one(made[number], now, ident)
-        made[number].handle(now + took, Outcome(ident, 0, sent.server, Status.OK, took, True))
+        made[number].handle(now + took, Outcome(ident, 0, sent.endpoint_number, Status.OK, took, True))
     return now
 
 
@@ -83,7 +83,7 @@
         server.ready = False  # as between two lists, before the sets are made anew
     actions = balancer.handle(now + MS, request(2, now + MS))
     sent = next(action for action in actions if isinstance(action, Send))
-    assert sent.server in {server.id for server in balancer.endpoints.rest}
+    assert sent.endpoint_number in {server.id for server in balancer.endpoints.rest}
 
 
 def test_a_cold_server_gets_a_fair_share_of_its_ramp_from_the_whole_fleet():
@@ -99,8 +99,8 @@
         now += int(SECOND / 400)
         balancer = made[chance.randrange(40)]
         sent = send_one(balancer, now, ident)
-        count += sent.server == 7
-        balancer.handle(now + 40 * MS, Outcome(ident, 0, sent.server, Status.OK, 40 * MS, True))
+        count += sent.endpoint_number == 7
+        balancer.handle(now + 40 * MS, Outcome(ident, 0, sent.endpoint_number, Status.OK, 40 * MS, True))
     fair = 2 * 400 / 60  # a warm server's share in that time; this one begins at a fifth of what that can do
     assert 1 <= count <= 3.0 * 0.2 * fair
 
--- a/tests/balancer/test_many_endpoints.py
+++ b/tests/balancer/test_many_endpoints.py
@@ -18,8 +18,8 @@
     while (now := now + int(chance.expovariate(rate) * SECOND)) < end:
         ident += 1
         for sent in [one for one in balancer.handle(now, request(ident, now)) if isinstance(one, Send)]:
-            met[sent.server] = met.get(sent.server, 0) + 1
-            balancer.handle(now + took, Outcome(ident, 0, sent.server, Status.OK, took, True))
+            met[sent.endpoint_number] = met.get(sent.endpoint_number, 0) + 1
+            balancer.handle(now + took, Outcome(ident, 0, sent.endpoint_number, Status.OK, took, True))
     return met
 
 
--- a/tests/balancer/test_overload.py
+++ b/tests/balancer/test_overload.py
@@ -32,9 +32,9 @@
             if isinstance(action, SetTimer):
                 self._later(self.now + action.after_ns, Timer(action.token))
             elif isinstance(action, Send):
-                latency = took(action.server)
+                latency = took(action.endpoint_number)
                 if latency is not None:
-                    ok = Outcome(action.id, 0, action.server, Status.OK, latency, True)
+                    ok = Outcome(action.id, 0, action.endpoint_number, Status.OK, latency, True)
                     self._later(self.now + latency, ok)
 
     def run(
@@ -158,14 +158,14 @@
     sends = []
     for ident in range(30):
         sends += [a for a in balancer.handle(now, request(ident, now)) if isinstance(a, Send)]
-    on_first = [a.id for a in sends if a.server == 100]
+    on_first = [a.id for a in sends if a.endpoint_number == 100]
     assert len(on_first) >= 3
     now += 40 * MS
     for ident in on_first[:2]:
         balancer.handle(now, Outcome(ident, 0, 100, Status.RESET, 40 * MS, False))
     assert [server.id for server in balancer.endpoints.ejected] == [100]
     later = [a for n in range(100, 150) for a in balancer.handle(now, request(n, now)) if isinstance(a, Send)]
-    assert later and all(a.server != 100 for a in later)
+    assert later and all(a.endpoint_number != 100 for a in later)
     balancer.handle(now, Outcome(on_first[2], 0, 100, Status.OK, 40 * MS, True))
     assert not balancer.endpoints.ejected
 
@@ -246,7 +246,7 @@
 
 def test_a_tenant_over_its_share_is_refused_first_and_only_in_overload():
     tenants = [Tenant("calm", 0.5, 50.0), Tenant("loud", 0.5, 50.0)]
-    feed = Feed(*make(servers=6, effect=Effect.UNSAFE, tenants=tenants, over_share_worth=0.1))
+    feed = Feed(*make(servers=6, effect=Effect.UNSAFE, tenants=tenants, over_quota_weight_fraction=0.1))
     loud_mostly = {"tenant": lambda n: n % 5 != 0}
     assert share(feed.run(5, 200, fast, **loud_mostly), Refuse) == 0
     log = feed.run(6, 200, lambda server: 350 * MS, **loud_mostly)
@@ -259,7 +259,7 @@
 
 def test_peers_rates_are_told_and_taken_and_corrupt_ones_skipped():
     tenants = [Tenant("a", 0.5, 10.0), Tenant("b", 0.5, 10.0)]
-    config = settings(effect=Effect.UNSAFE, tenants=tenants, can_tell=True, fleet_size=2, index=0)
+    config = settings(effect=Effect.UNSAFE, tenants=tenants, can_message_peers=True, fleet_size=2, index=0)
     balancer = Balancer(config, 1)
     balancer.handle(START, Membership(ListKind.FULL, 1, [endpoint(n) for n in range(4)]))
     feed = Feed(balancer, START)
@@ -294,10 +294,10 @@
     for step in range(1000):
         now += 10 * MS
         for action in balancer.handle(now, request(step, now)):
-            if isinstance(action, Send) and action.server == 100:
+            if isinstance(action, Send) and action.endpoint_number == 100:
                 tried.append(now)
             elif isinstance(action, Send):
-                balancer.handle(now, Outcome(action.id, 0, action.server, Status.OK, 5 * MS, True))
+                balancer.handle(now, Outcome(action.id, 0, action.endpoint_number, Status.OK, 5 * MS, True))
     assert len(tried) == 1
     assert tried[0] - START > SECOND
 
@@ -311,29 +311,29 @@
     balancer.outliers.record_failure(balancer.endpoints.all[100], 5.0, 1.0)
     now += 30 * SECOND
     sent = [a for n in range(3) for a in balancer.handle(now, request(n, now, cls=1)) if isinstance(a, Send)]
-    assert sent and all(action.server != 100 for action in sent)
+    assert sent and all(action.endpoint_number != 100 for action in sent)
     actions = balancer.handle(now, request(99, now, cls=0))
-    assert [a.server for a in actions if isinstance(a, Send)] == [100]
+    assert [a.endpoint_number for a in actions if isinstance(a, Send)] == [100]
 
 
 def test_attempts_whose_answers_are_lost_do_not_fill_the_limit():
     """Guards against a network that drops answers: they filled the limit, and all was refused."""
-    balancer, now = make(servers=4, effect=Effect.UNSAFE, second_copies=False)
+    balancer, now = make(servers=4, effect=Effect.UNSAFE, can_hedge=False)
     sent = {}
     for ident in range(400):
         now += 5 * MS
         (send,) = [a for a in balancer.handle(now, request(ident, now)) if isinstance(a, Send)]
-        balancer.handle(now + MS, Outcome(ident, 0, send.server, Status.OK, 40 * MS, True))
+        balancer.handle(now + MS, Outcome(ident, 0, send.endpoint_number, Status.OK, 40 * MS, True))
     for ident in range(1000, 1008):  # these are never answered, while others are
         for action in balancer.handle(now, request(ident, now)):
             if isinstance(action, Send):
-                sent[ident] = action.server
+                sent[ident] = action.endpoint_number
     assert balancer.limit.in_flight == len(sent) == 8
     for ident in range(2000, 2200):
         now += 5 * MS
         balancer.handle(now, Timer(balancer.timers.token))
         (send,) = [a for a in balancer.handle(now, request(ident, now)) if isinstance(a, Send)]
-        balancer.handle(now + MS, Outcome(ident, 0, send.server, Status.OK, 40 * MS, True))
+        balancer.handle(now + MS, Outcome(ident, 0, send.endpoint_number, Status.OK, 40 * MS, True))
     assert balancer.limit.in_flight < 8
     for ident, server in sent.items():  # each is told in the end, and counted once
         balancer.handle(now, Outcome(ident, 0, server, Status.TIMEOUT, 2 * SECOND, True))
--- a/tests/balancer/test_overload_degradation.py
+++ b/tests/balancer/test_overload_degradation.py
@@ -62,7 +62,7 @@
             make(entries=entries, classes=CLASSES, seed=n, fleet_size=sidecars, index=n)[0]
             for n in range(sidecars)
         ]
-        self.workers = {entry.server: Worker() for entry in entries}
+        self.workers = {entry.number: Worker() for entry in entries}
         self.now = START
         self.events = []
         self.tie = 0
@@ -78,7 +78,7 @@
             if isinstance(action, SetTimer):
                 self.at(self.now + action.after_ns, self.tell, sidecar, Timer(action.token))
             elif isinstance(action, Send):
-                self.arrive(sidecar, action.id, action.server)
+                self.arrive(sidecar, action.id, action.endpoint_number)
 
     def arrive(self, sidecar, ident, server):
         worker = self.workers[server]
--- a/tests/balancer/test_property.py
+++ b/tests/balancer/test_property.py
@@ -60,16 +60,16 @@
         zones=["a", "b", "c"],
         zone=rng.randrange(3),
         tenants=tenants,
-        over_share_worth=0.1,
+        over_quota_weight_fraction=0.1,
         tick_ns=TICK,
-        must_ask=rng.random() < 0.5,
+        poll_required=rng.random() < 0.5,
         answer_slack_ns=4 * TICK,
         start_capacity=rng.choice([0.1, 0.5]),
         warm_within_ns=rng.randrange(2, 20) * SECOND,
         max_attempts=rng.randrange(1, 7),
-        second_copies=rng.random() < 0.5,
+        can_hedge=rng.random() < 0.5,
         can_cancel=rng.random() < 0.7,
-        can_tell=rng.random() < 0.5,
+        can_message_peers=rng.random() < 0.5,
         fleet_size=rng.choice([1, 3, 300]),
         retry_after=rng.random() < 0.5,
         max_retry_after_ns=SECOND,
@@ -116,7 +116,7 @@
                 took = int(self.rng.expovariate(1) * 15 * MS) + 1
                 status = self.rng.choice(STATUSES)
                 report = self.report() if status is Status.OK else ()
-                made = ProbeResult(action.server, status, took, report)
+                made = ProbeResult(action.endpoint_number, status, took, report)
                 self.later(self.now + took, lambda made=made: made)
             elif isinstance(action, Cancel):
                 key = action.id, action.attempt
@@ -130,7 +130,7 @@
     def _sent(self, action):
         number = self.attempts[action.id] = self.attempts.get(action.id, -1) + 1
         key = action.id, number
-        self.state[key] = action.server, self.now
+        self.state[key] = action.endpoint_number, self.now
         status = self.rng.choice(STATUSES)
         deadline = self.deadlines[action.id]
         took = int(self.rng.expovariate(1) * 150 * MS) + 1
--- a/tests/balancer/test_rejections.py
+++ b/tests/balancer/test_rejections.py
@@ -33,7 +33,7 @@
     balancer.congestion.fade()
     assert balancer.congestion.level <= pressure
     for number in range(1, 13):  # nothing goes there for a while
-        assert send_one(balancer, now, number).server != 100
+        assert send_one(balancer, now, number).endpoint_number != 100
 
 
 def test_one_that_lets_some_in_is_full_and_counts_as_pressure():
@@ -61,6 +61,6 @@
     now, _ = serve(balancer, now, range(10_000, 10_200), 40 * MS)
     now = full(balancer, now, 100, 2) + 5 * SECOND
     sent = send_one(balancer, now, 1)
-    assert sent.server == 100
+    assert sent.endpoint_number == 100
     balancer.handle(now + 40 * MS, Outcome(1, 0, 100, Status.OK, 40 * MS, True))
     assert not balancer.endpoints.ejected
--- a/tests/balancer/test_retry.py
+++ b/tests/balancer/test_retry.py
@@ -22,17 +22,17 @@
 def test_what_never_ran_is_repeated_elsewhere_after_a_delay(effect, status):
     balancer, now = make(effect=effect)
     first = send_one(balancer, now, 1)
-    done = _later(balancer, now, _finish(balancer, now, 1, first.server, status))
+    done = _later(balancer, now, _finish(balancer, now, 1, first.endpoint_number, status))
     sends = [(when, a) for when, a in done if isinstance(a, Send)]
     assert sends[0][0] > now
-    assert sends[0][1].server != first.server
+    assert sends[0][1].endpoint_number != first.endpoint_number
 
 
 @pytest.mark.parametrize("status", [Status.TIMEOUT, Status.RESET])
 def test_ambiguous_failures_end_unsafe_requests_with_a_failure(status):
     balancer, now = make(effect=Effect.UNSAFE)
     first = send_one(balancer, now, 1)
-    done = _later(balancer, now, _finish(balancer, now, 1, first.server, status))
+    done = _later(balancer, now, _finish(balancer, now, 1, first.endpoint_number, status))
     assert [a for _, a in done if isinstance(a, Send | Refuse | Fail)] == [Fail(1)]
 
 
@@ -40,7 +40,7 @@
 def test_ambiguous_failures_of_safe_requests_are_repeated(status):
     balancer, now = make(effect=Effect.SAFE)
     first = send_one(balancer, now, 1)
-    done = _later(balancer, now, _finish(balancer, now, 1, first.server, status))
+    done = _later(balancer, now, _finish(balancer, now, 1, first.endpoint_number, status))
     assert [a.id for _, a in done if isinstance(a, Send)][:1] == [1]
 
 
@@ -50,7 +50,7 @@
     for seed in range(10):
         balancer, now = make(effect=Effect.KEYED, scope=Scope.CELL, seed=seed)
         first = send_one(balancer, now, 1, 10 * SECOND)
-        actions = _finish(balancer, now + ended_ms * MS, 1, first.server, Status.RESET)
+        actions = _finish(balancer, now + ended_ms * MS, 1, first.endpoint_number, Status.RESET)
         assert (Fail(1) in actions) is not sends
         done = _later(balancer, now + ended_ms * MS, actions)
         assert any(isinstance(a, Send) for _, a in done) is sends
@@ -63,7 +63,7 @@
         for seed in range(20):
             balancer, now = make(effect=Effect.SAFE, seed=seed)
             first = send_one(balancer, now, 1, length)
-            done = _later(balancer, now, _finish(balancer, now, 1, first.server, Status.FULL))
+            done = _later(balancer, now, _finish(balancer, now, 1, first.endpoint_number, Status.FULL))
             seen.append(next(when for when, a in done if isinstance(a, Send)) - now)
         assert len(set(seen)) > 15
         waits[length] = sum(seen)
@@ -73,7 +73,7 @@
 def test_a_plain_error_ends_the_request():
     balancer, now = make(effect=Effect.SAFE)
     first = send_one(balancer, now, 1)
-    actions = _finish(balancer, now, 1, first.server, Status.ERROR)
+    actions = _finish(balancer, now, 1, first.endpoint_number, Status.ERROR)
     assert any(isinstance(a, Refuse | Fail) for a in actions)
 
 
@@ -89,7 +89,9 @@
     now, _ = serve(balancer, now, range(40), 20 * MS)  # first tries, to save up from
     done = []
     for sent in [send_one(balancer, now, ident) for ident in range(1000, 1024)]:
-        done += balancer.handle(now, Outcome(sent.id, 0, sent.server, Status.CONNECT_FAILED, MS, False))
+        done += balancer.handle(
+            now, Outcome(sent.id, 0, sent.endpoint_number, Status.CONNECT_FAILED, MS, False)
+        )
     refused = sum(isinstance(action, Refuse) for action in done)
     again = []
     for step in range(1, 400):
