--- a/tests/balancer/test_rules.py
+++ b/tests/balancer/test_rules.py
@@ -23,7 +23,7 @@
     balancer, now = make(effect=Effect.UNSAFE)
     first = send_one(balancer, now, 1)
     late = now + 2 * SECOND
-    actions = balancer.handle(late, Outcome(1, 0, first.server, Status.TIMEOUT, 2 * SECOND, False))
+    actions = balancer.handle(late, Outcome(1, 0, first.endpoint_number, Status.TIMEOUT, 2 * SECOND, False))
     assert kinds(actions, Fail, Refuse) == [Fail(1)]
 
 
@@ -42,13 +42,13 @@
     actions = balancer.handle(now, request(1, now))
     actions += balancer.handle(now, Membership(ListKind.DELTA, 2, [endpoint(7)]))
     done = play_timers(balancer, now, actions, now + SECOND)
-    assert [a.server for _, a in done if isinstance(a, Send)][:1] == [7]
+    assert [a.endpoint_number for _, a in done if isinstance(a, Send)][:1] == [7]
 
 
 def test_nothing_follows_a_drop():
     balancer, now = make(effect=Effect.SAFE)
     first = send_one(balancer, now, 1)
-    actions = balancer.handle(now + MS, Outcome(1, 0, first.server, Status.FULL, MS, False))
+    actions = balancer.handle(now + MS, Outcome(1, 0, first.endpoint_number, Status.FULL, MS, False))
     balancer.handle(now + MS, ClientDisconnected(1))
     balancer.handle(now + MS, ClientDisconnected(1))
     done = play_timers(balancer, now + MS, actions, now + 3 * SECOND)
@@ -59,15 +59,15 @@
     entries = [endpoint(1), endpoint(2)]
     balancer, now = make(entries=entries, effect=Effect.SAFE)
     first = send_one(balancer, now, 1)
-    other = 3 - first.server
-    actions = balancer.handle(now, Outcome(1, 0, first.server, Status.FULL, MS, False))
+    other = 3 - first.endpoint_number
+    actions = balancer.handle(now, Outcome(1, 0, first.endpoint_number, Status.FULL, MS, False))
     balancer.handle(now, Membership(ListKind.DELTA, 2, [endpoint(other, state=State.DRAINING)]))
     done = play_timers(balancer, now, actions, now + SECOND)
-    assert {a.server for _, a in done if isinstance(a, Send)} <= {first.server}
+    assert {a.endpoint_number for _, a in done if isinstance(a, Send)} <= {first.endpoint_number}
     balancer.handle(now, Membership(ListKind.FULL, 3, [endpoint(other)]))
     for n in range(2, 12):
         sends = kinds(balancer.handle(now, request(n, now)), Send)
-        assert {a.server for a in sends} <= {other}
+        assert {a.endpoint_number for a in sends} <= {other}
 
 
 def test_a_keyed_repeat_stays_in_the_cell_and_is_never_refused():
@@ -75,11 +75,13 @@
     for seed in range(20):
         balancer, now = make(entries=entries, seed=seed, effect=Effect.KEYED, scope=Scope.CELL)
         first = send_one(balancer, now, 1)
-        actions = balancer.handle(now, Outcome(1, 0, first.server, Status.RESET, MS, False))
+        actions = balancer.handle(now, Outcome(1, 0, first.endpoint_number, Status.RESET, MS, False))
         done = play_timers(balancer, now, actions, now + SECOND)
-        assert {(a.server - 1) // 2 for _, a in done if isinstance(a, Send)} <= {(first.server - 1) // 2}
+        assert {(a.endpoint_number - 1) // 2 for _, a in done if isinstance(a, Send)} <= {
+            (first.endpoint_number - 1) // 2
+        }
         end = now + 2 * SECOND
-        ended = balancer.handle(end, Outcome(1, 1, first.server, Status.TIMEOUT, SECOND, False))
+        ended = balancer.handle(end, Outcome(1, 1, first.endpoint_number, Status.TIMEOUT, SECOND, False))
         assert not kinds([a for _, a in done] + ended, Refuse)
 
 
@@ -94,13 +96,13 @@
         new = balancer.handle(now, request(ident, now))
         actions += new
         for sent in kinds(new, Send):
-            balancer.handle(now, Outcome(ident, 0, sent.server, Status.OK, 20 * MS, True))
+            balancer.handle(now, Outcome(ident, 0, sent.endpoint_number, Status.OK, 20 * MS, True))
     sends = []
     for ident in range(40):
         new = balancer.handle(now, request(ident, now))
         actions += new
         sends += kinds(new, Send)
-    there = [a.id for a in sends if a.server == server]
+    there = [a.id for a in sends if a.endpoint_number == server]
     assert len(there) > 3
     for token in {a.token for a in kinds(actions, SetTimer)}:
         actions += balancer.handle(now, Timer(token))  # the timers of the answered ones are over
@@ -110,7 +112,7 @@
 
 
 def test_no_second_copy_where_forbidden_but_the_first_is_called_off_at_a_lost_server():
-    balancer, now = make(effect=Effect.SAFE, second_copies=False)
+    balancer, now = make(effect=Effect.SAFE, can_hedge=False)
     waiting, actions, now = lose(balancer, now, 100)
     assert {a.id for a in kinds(actions, Cancel)} == set(waiting)
     called_off = Outcome(waiting[0], 0, 100, Status.CANCELLED, 6 * MS, False)
@@ -120,7 +122,7 @@
 
 
 def test_what_waits_at_a_lost_server_is_repeated_beside_it_where_allowed():
-    balancer, now = make(effect=Effect.SAFE, second_copies=True)
+    balancer, now = make(effect=Effect.SAFE, can_hedge=True)
     waiting, actions, now = lose(balancer, now, 100)
     done = play_timers(balancer, now, actions, now + SECOND)
     assert {a.id for _, a in done if isinstance(a, Send)} & set(waiting)
@@ -129,7 +131,7 @@
 
 def test_a_late_attempt_at_a_server_not_known_to_be_bad_is_not_repeated():
     """Incidents i921dec, i4efe13: quiet sidecars find every server silent and doubled the load."""
-    balancer, now = make(effect=Effect.SAFE, second_copies=True)
+    balancer, now = make(effect=Effect.SAFE, can_hedge=True)
     done = play_timers(balancer, now, balancer.handle(now, request(1, now)), now + 2 * SECOND)
     assert not [a for _, a in done if isinstance(a, Send)]
 
@@ -162,8 +164,8 @@
                 if isinstance(action, SetTimer):
                     timers.append((now + action.after_ns, action.token))
                 elif isinstance(action, Send):
-                    chosen += action.server == hung
-                    out.append((now, action.id, action.server))
+                    chosen += action.endpoint_number == hung
+                    out.append((now, action.id, action.endpoint_number))
         return chosen
 
     assert run(3, answers=True) > 5
@@ -178,11 +180,11 @@
         now += 10 * MS
         send = kinds(balancer.handle(now, request(ident, now)), Send)
         for action in send:
-            chosen[action.server] += 1
-            bad = action.server == 1
+            chosen[action.endpoint_number] += 1
+            bad = action.endpoint_number == 1
             status = Status.ERROR if bad else Status.OK
             took = MS if bad else 50 * MS
-            balancer.handle(now + took, Outcome(ident, 0, action.server, status, took, not bad))
+            balancer.handle(now + took, Outcome(ident, 0, action.endpoint_number, status, took, not bad))
     assert chosen[1] < min(chosen[n] for n in range(2, 7))
 
 
@@ -195,10 +197,12 @@
         if ident == 300:
             balancer.handle(now, Membership(ListKind.DELTA, 2, [endpoint(9, started=now)]))
         for action in kinds(balancer.handle(now, request(ident, now)), Send):
-            if action.server == 9:
+            if action.endpoint_number == 9:
                 cold_sends += 1
             else:
-                balancer.handle(now + 50 * MS, Outcome(ident, 0, action.server, Status.OK, 50 * MS, True))
+                balancer.handle(
+                    now + 50 * MS, Outcome(ident, 0, action.endpoint_number, Status.OK, 50 * MS, True)
+                )
     assert cold_sends <= 300 / 5
 
 
@@ -218,7 +222,7 @@
     sends = []
     for ident in range(50):
         sends += kinds(balancer.handle(now, request(ident, now)), Send)
-    assert sum(a.server == 2 for a in sends) <= 1
+    assert sum(a.endpoint_number == 2 for a in sends) <= 1
 
 
 def test_the_only_other_fit_server_is_always_found():
@@ -226,16 +230,16 @@
     for seed in range(60):
         entries = [endpoint(100 + n, cell=n // 2) for n in range(6)]  # two to a cell
         balancer, now = make(entries=entries, effect=Effect.KEYED, scope=Scope.CELL, seed=seed)
-        first = send_one(balancer, now, 1).server
+        first = send_one(balancer, now, 1).endpoint_number
         actions = balancer.handle(now + MS, Outcome(1, 0, first, Status.RESET, MS, False))
         done = play_timers(balancer, now + MS, actions, now + SECOND)
-        assert [a.server for _, a in done if isinstance(a, Send)] == [first + 1 - 2 * (first % 2)]
+        assert [a.endpoint_number for _, a in done if isinstance(a, Send)] == [first + 1 - 2 * (first % 2)]
 
 
 def test_asking_discovery_is_jittered_and_repeated_after_a_failure():
     starts = set()
     for seed in range(10):
-        balancer, now = Balancer(settings(must_ask=True, must_ask_in_ns=10 * SECOND), seed), START
+        balancer, now = Balancer(settings(poll_required=True, max_poll_interval_ns=10 * SECOND), seed), START
         armed = balancer.handle(now, Membership(ListKind.CACHED, 1, [endpoint(1)]))
         done = play_timers(balancer, now, armed, now + 10 * SECOND)
         asked = [when for when, a in done if isinstance(a, Watch)]
@@ -247,7 +251,7 @@
 
 
 def test_odd_input_is_harmless():
-    balancer, now = make(tenants=[Tenant("t", 1.0, 10.0)], can_tell=True, fleet_size=2)
+    balancer, now = make(tenants=[Tenant("t", 1.0, 10.0)], can_message_peers=True, fleet_size=2)
     for event in (
         Outcome(99, 0, 12345, Status.OK, MS, True),
         Outcome(99, 3, 100, Status.TIMEOUT, MS, False),
@@ -265,7 +269,7 @@
     balancer, now = make(effect=Effect.SAFE)
     actions = balancer.handle(now, request(1, now))
     first = kinds(actions, Send)[0]
-    actions += balancer.handle(now + MS, StreamStarted(1, 0, first.server, MS))
+    actions += balancer.handle(now + MS, StreamStarted(1, 0, first.endpoint_number, MS))
     done = play_timers(balancer, now, actions, now + 5 * SECOND)
     assert not [a for _, a in done if isinstance(a, Send)]
 
--- a/tests/balancer/test_slow_start_budget.py
+++ b/tests/balancer/test_slow_start_budget.py
@@ -84,7 +84,7 @@
                 warm_within_ns=int(WARM_S * SECOND),
                 overload_factor=FACTOR,
                 overload_for_ns=int(SPAN_S * SECOND),
-                second_copies=day.hedged,
+                can_hedge=day.hedged,
             )
             self.made.append(Balancer(values, self.chance.getrandbits(32)))
             self._later(START, number, Membership(ListKind.CACHED, 1, entries))
@@ -129,7 +129,7 @@
             if now > self.end_ns:
                 break
             if type(event) is Request:
-                cls[event.id], attempts[event.id] = event.cls, 0
+                cls[event.id], attempts[event.id] = event.class_number, 0
             for action in self.made[number].handle(now, event):
                 if type(action) is SetTimer:
                     self._later(now + action.after_ns, number, Timer(action.token))
@@ -142,8 +142,8 @@
 
     def _sent(self, now: int, number: int, action: Send, cls: int, attempt: int) -> None:
         took = self.took[cls]
-        if action.server in self.came and now >= self.cold_ns:
-            self._count(now, action.server, took / self.mean)
+        if action.endpoint_number in self.came and now >= self.cold_ns:
+            self._count(now, action.endpoint_number, took / self.mean)
             status = Status.OK
         else:
             luck = self.chance.random()
@@ -152,7 +152,7 @@
                 status, took = Status.CONNECT_FAILED, MS
             elif luck < self.day.failing + self.day.silent:
                 status, took = Status.TIMEOUT, self.classes[cls].deadline_ns
-        ended = Outcome(action.id, attempt, action.server, status, took, status is Status.OK)
+        ended = Outcome(action.id, attempt, action.endpoint_number, status, took, status is Status.OK)
         self._later(now + took, number, ended)
 
     def _count(self, now: int, server: int, work: float) -> None:
--- a/tests/balancer/test_slow_start_quick_servers.py
+++ b/tests/balancer/test_slow_start_quick_servers.py
@@ -31,7 +31,7 @@
         "overload_factor": factor,
         "overload_for_ns": int(span_s * SECOND),
         "fleet_size": sidecars,
-        "second_copies": False,
+        "can_hedge": False,
     }
     warm = [endpoint(COLD + number) for number in range(1, SERVERS)]
     balancers = [make(entries=warm, seed=number, **rules)[0] for number in range(sidecars)]
@@ -52,8 +52,8 @@
         chosen = chance.randrange(sidecars)
         for action in balancers[chosen].handle(now, request(count, now)):
             if isinstance(action, Send):
-                heapq.heappush(todo, (now + TOOK, count, chosen, count, action.server))
-                if action.server == COLD:
+                heapq.heappush(todo, (now + TOOK, count, chosen, count, action.endpoint_number))
+                if action.endpoint_number == COLD:
                     calls.append(SlowStartCall(now / SECOND, chosen))
         heapq.heappush(todo, (now + int(chance.expovariate(RATE) * SECOND), 0, -1, 0, 0))
     slow_start = SlowStart(FULL, START_CAPACITY, WARM_S, factor, span_s)
--- a/tests/balancer/test_sparse_traffic.py
+++ b/tests/balancer/test_sparse_traffic.py
@@ -28,9 +28,9 @@
     for ident in idents:
         now += gap
         sent = send_one(balancer, now, ident)
-        used.append(sent.server)
-        latency = took(sent.server)
-        balancer.handle(now + latency, Outcome(ident, 0, sent.server, Status.OK, latency, True))
+        used.append(sent.endpoint_number)
+        latency = took(sent.endpoint_number)
+        balancer.handle(now + latency, Outcome(ident, 0, sent.endpoint_number, Status.OK, latency, True))
     return now, used
 
 
@@ -64,10 +64,10 @@
     again = []
     for seed in range(20):
         balancer, now = make(entries=entries, effect=Effect.KEYED, seed=seed)
-        first = send_one(balancer, now, 1).server
+        first = send_one(balancer, now, 1).endpoint_number
         actions = balancer.handle(now + MS, Outcome(1, 0, first, Status.RESET, MS, False))
         done = play_timers(balancer, now + MS, actions, now + SECOND)
-        again += [action.server - first for _, action in done if isinstance(action, Send)]
+        again += [action.endpoint_number - first for _, action in done if isinstance(action, Send)]
     assert len(again) == 20 and {abs(step) for step in again} == {1}  # its neighbour, of the same cell
 
 
@@ -150,23 +150,23 @@
 def test_a_crowded_sidecar_asks_two_servers_and_takes_the_one_that_holds_less():
     """At full size the queue that a request met was of now, what was known of it of seconds ago."""
     balancer, now, probes, sends = crowded()
-    assert len({probe.server for probe in probes}) == 2 and not sends
-    full, idle = (probe.server for probe in probes)
+    assert len({probe.endpoint_number for probe in probes}) == 2 and not sends
+    full, idle = (probe.endpoint_number for probe in probes)
     assert not balancer.handle(now + MS, ProbeResult(full, Status.OK, MS, (1.0, 30.0)))
     done = balancer.handle(now + 2 * MS, ProbeResult(idle, Status.OK, MS, (1.0, 0.0)))
-    assert [action.server for action in kinds(done, Send)] == [idle]
+    assert [action.endpoint_number for action in kinds(done, Send)] == [idle]
     assert not kinds(balancer.handle(now + SECOND, Timer(balancer.timers.token)), Send)
 
 
 def test_a_server_that_does_not_tell_in_time_is_passed_over_and_two_do_not_hold_a_request():
     balancer, now, probes, _ = crowded()
-    told = probes[1].server
+    told = probes[1].endpoint_number
     balancer.handle(now + MS, ProbeResult(told, Status.OK, MS, (1.0, 3.0)))
     done = balancer.handle(now + 100 * MS, Timer(balancer.timers.token))
-    assert [action.server for action in kinds(done, Send)] == [told]
+    assert [action.endpoint_number for action in kinds(done, Send)] == [told]
     balancer, now, probes, _ = crowded()
     for probe in probes:
-        balancer.handle(now + MS, ProbeResult(probe.server, Status.TIMEOUT, MS))
+        balancer.handle(now + MS, ProbeResult(probe.endpoint_number, Status.TIMEOUT, MS))
     done = balancer.handle(now + 100 * MS, Timer(balancer.timers.token))
     assert len(kinds(done, Send)) == 1
 
@@ -183,14 +183,16 @@
 def test_a_request_dropped_while_it_asks_stays_dropped():
     balancer, now, probes, _ = crowded()
     balancer.handle(now + MS, ClientDisconnected(99))
-    done = [balancer.handle(now + MS, ProbeResult(p.server, Status.OK, MS, (1.0, 0.0))) for p in probes]
+    done = [
+        balancer.handle(now + MS, ProbeResult(p.endpoint_number, Status.OK, MS, (1.0, 0.0))) for p in probes
+    ]
     done.append(balancer.handle(now + SECOND, Timer(balancer.timers.token)))
     assert not [kinds(actions, Send, Refuse) for actions in done if kinds(actions, Send, Refuse)]
 
 
 def test_reports_that_are_no_numbers_change_nothing():
     balancer, _, probes, _ = crowded()
-    server = balancer.endpoints.all[probes[0].server]
+    server = balancer.endpoints.all[probes[0].endpoint_number]
     before = server.reported_load, server.load_reported_ns
     for odd in ((), (1.0,), (1.0, float("nan")), (1.0, -3.0), (1.0, float("inf"))):
         balancer.load_reports.record(server, odd)
@@ -210,7 +212,7 @@
             sent = kinds(balancer.handle(now, request(ident, now)), Send)
             refused[phase] += not sent and step >= 20
             for action in sent:
-                done = Outcome(ident, 0, action.server, Status.OK, latency, True)
+                done = Outcome(ident, 0, action.endpoint_number, Status.OK, latency, True)
                 balancer.handle(now + latency, done)
     assert refused["before"] == refused["after"] == 0
     assert 4 < refused["crowded"] < 36
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -32,16 +32,16 @@
             if event.kind.name in ("FULL", "CACHED"):
                 self.listed = set()
             for entry in event.entries:
-                before = self.servers.get(entry.server)
+                before = self.servers.get(entry.number)
                 if before is None or before.started_ns != entry.started_ns:
-                    self.cold[entry.server] = [0, 0]
-                self.servers[entry.server] = entry
+                    self.cold[entry.number] = [0, 0]
+                self.servers[entry.number] = entry
                 if entry.state is State.READY:
-                    self.listed.add(entry.server)
+                    self.listed.add(entry.number)
                 else:
-                    self.listed.discard(entry.server)
+                    self.listed.discard(entry.number)
         elif isinstance(event, Request):
-            self.requests[event.id] = [event.cls, event.deadline_ns, False, []]
+            self.requests[event.id] = [event.class_number, event.deadline_ns, False, []]
         elif isinstance(event, Outcome):
             request = self.requests[event.id]
             request[3][event.attempt][2] = "never" if event.status in NEVER else "maybe"
@@ -49,7 +49,7 @@
                 request[2] = True
             if event.status is Status.OK:
                 self.answers.append(now)
-                self.cold[event.server][1] += 1
+                self.cold[event.endpoint_number][1] += 1
         elif isinstance(event, StreamStarted):
             self.requests[event.id][3][event.attempt][2] = "streaming"
 
@@ -66,7 +66,7 @@
                 self.requests[action.id][2] = True
             elif isinstance(action, Probe):
                 need(self.settings.can_probe, "probes where it may not")
-                need(action.server in self.servers, "probes an unknown server")
+                need(action.endpoint_number in self.servers, "probes an unknown server")
             elif isinstance(action, Cancel):
                 need(self.settings.can_cancel, "cancels where it may not")
                 need(action.attempt < len(self.requests[action.id][3]), "cancels what was never sent")
@@ -80,14 +80,14 @@
         cls, deadline, ended, attempts = self.requests[action.id]
         spec = self.settings.classes[cls]
         need(not ended and now <= deadline, "sends after the end")
-        need(action.server in self.listed, "sends to a server that is not ready")
+        need(action.endpoint_number in self.listed, "sends to a server that is not ready")
         need(len(attempts) < self.settings.max_attempts, "too many attempts")
-        target = self.servers[action.server]
+        target = self.servers[action.endpoint_number]
         for server, sent, state in attempts:
             need(state != "streaming", "sends beside a stream")
             if state == "never":
                 continue
-            need(state != "out" or self.settings.second_copies, "two attempts out")
+            need(state != "out" or self.settings.can_hedge, "two attempts out")
             need(spec.effect is not Effect.UNSAFE, "an effect twice: unsafe")
             if spec.effect is Effect.KEYED:
                 need(now < sent + spec.window_ns, "an effect twice: after the window")
@@ -104,7 +104,7 @@
         warm = self.settings.warm_within_ns
         if not target.started_ns or age >= warm:
             return
-        tally = self.cold[target.server]
+        tally = self.cold[target.number]
         tally[0] += 1
         start = self.settings.start_capacity
         part = start + (1 - start) * max(age, 0) / warm
--- a/tests/control/hot_restart_rig.py
+++ b/tests/control/hot_restart_rig.py
@@ -91,25 +91,25 @@
 
     def __init__(self, folder, machine, wrap=lambda board: board, **files):
         self.machine = machine
-        self.engine = Engine(machine)
+        self.server = Engine(machine)
         self.files = FileStateDirectory(str(folder), **files)
         self.board = wrap(self.files)
         loop = SimpleNamespace(call_later=lambda delay, act: SimpleNamespace(cancel=lambda: None))
-        self.upgrade = HotRestart(loop, self.engine, self.board, machine)
+        self.upgrade = HotRestart(loop, self.server, self.board, machine)
         # Two processes of one test share a process number.
         machine.passes(MS)
 
     @property
     def out(self):
-        return sorted(self.engine.pool.maintenance.out_of_service())
+        return sorted(self.server.pool.maintenance.out_of_service())
 
     def call(self, action, server="s0"):
-        return AdminOperations(self.engine, self.upgrade).carry_out(AdminRequest(Action(action), server))
+        return AdminOperations(self.server, self.upgrade).carry_out(AdminRequest(Action(action), server))
 
     def serve(self):
         """Take clients from now on, as `take_clients` does but for the socket."""
         self.upgrade.machine.on_serving()
-        self.engine.listener = SimpleNamespace()
+        self.server.listener = SimpleNamespace()
         self.upgrade.write_records()
 
     def tick(self):
@@ -161,4 +161,4 @@
 
 
 def known(member):
-    return snapshot(member.engine.pool.balancer, member.engine.pool.names)
+    return snapshot(member.server.pool.balancer, member.server.pool.names)
--- a/tests/control/test_admin_server.py
+++ b/tests/control/test_admin_server.py
@@ -34,7 +34,7 @@
     async def __aenter__(self):
         await super().__aenter__()
         sock = socket.create_server((HOST, 0), backlog=RESERVED_DESCRIPTORS)
-        self.door = AdminServer(self.engine.loop, sock, AdminOperations(self.engine))
+        self.door = AdminServer(self.server.loop, sock, AdminOperations(self.server))
         self.door_port = self.door.address[1]
         return self
 
@@ -71,7 +71,7 @@
         fakes = await two(answer_ok)
         async with Operated(tmp_path / "c", config(listed(*fakes))) as sidecar:
             assert await sidecar.call("GET /healthcheck") == 200
-            sidecar.engine.drain()
+            sidecar.server.drain()
             assert await sidecar.call("GET /healthcheck") == 503
 
     run(play())
@@ -81,7 +81,7 @@
     async def play():
         fakes = await two(answer_ok, answer_ok)
         async with Operated(tmp_path / "c", config(listed(*fakes))) as sidecar:
-            pool = sidecar.engine.pool
+            pool = sidecar.server.pool
             assert (await ask(sidecar.port, message("lookup", "a"))).code == 200
             used, other = fakes if fakes[0].got else reversed(fakes)
             name, rest = ("s0", "s1") if used is fakes[0] else ("s1", "s0")
@@ -119,7 +119,7 @@
             assert not registry.got  # the first call is spread over half a second
             assert await sidecar.out("s0") == 200
             await until(lambda: len(registry.got) == 2)
-            assert sidecar.engine.pool.version == 2 and sidecar.engine.pool.maintenance.is_out("s0")
+            assert sidecar.server.pool.version == 2 and sidecar.server.pool.maintenance.is_out("s0")
 
     run(play())
 
@@ -131,7 +131,7 @@
         go, act = gated()
         fakes = await two(act)
         async with Operated(tmp_path / "c", config(listed(*fakes))) as sidecar:
-            upstreams = sidecar.engine.pool.upstreams
+            upstreams = sidecar.server.pool.upstreams
             first = asyncio.create_task(ask(sidecar.port, message("lookup", "a1")))
             await until(lambda: fakes[0].got)
             (target,) = upstreams.endpoints.values()
@@ -181,7 +181,7 @@
             writer.write(data)
             assert int((await reader.readuntil(b"\r\n")).split()[1]) == code
             writer.close()
-            assert not sidecar.engine.pool.maintenance.orders
+            assert not sidecar.server.pool.maintenance.orders
             assert await sidecar.call("GET /healthcheck") == 200
 
     run(play())
@@ -226,7 +226,7 @@
     async def play():
         fakes = await two(answer_ok)
         async with Operated(tmp_path / "c", config(listed(*fakes))) as sidecar:
-            sidecar.engine.pool.apply_order = None
+            sidecar.server.pool.apply_order = None
             assert await sidecar.out("s0") == 500
             assert await sidecar.call("GET /healthcheck") == 200
 
--- a/tests/control/test_background_writes.py
+++ b/tests/control/test_background_writes.py
@@ -43,8 +43,8 @@
 @contextlib.asynccontextmanager
 async def serving(folder, disk):
     """The admin API of a process over this disk; its lifecycle and address."""
-    engine = ServingEngine(SYSTEM)
-    lifecycle = ProcessLifecycle(asyncio.get_running_loop(), engine, (HOST, 0), str(folder), disk)
+    sidecar_server = ServingEngine(SYSTEM)
+    lifecycle = ProcessLifecycle(asyncio.get_running_loop(), sidecar_server, (HOST, 0), str(folder), disk)
     await lifecycle.begin()
     try:
         yield lifecycle, lifecycle.admin_server.address
@@ -91,7 +91,7 @@
     async def play():
         disk = HangingDisk()
         async with serving(tmp_path, disk) as (lifecycle, door):
-            out = lifecycle.engine.pool.maintenance.out_of_service
+            out = lifecycle.sidecar.pool.maintenance.out_of_service
             if first == "ready":
                 assert await call(door, "POST /servers/s0/maint") == 200
             disk.hangs = True
--- a/tests/control/test_class_generations.py
+++ b/tests/control/test_class_generations.py
@@ -13,7 +13,7 @@
 from dykefold.balancer.settings import Effect, RequestClass, Settings
 from dykefold.control import class_generations as generations
 from dykefold.control.class_generations import LINGER_NS, ClassGeneration, TooManyClassesError
-from dykefold.net import sidecar as engine_module
+from dykefold.net import sidecar as sidecar_module
 from dykefold.sidecar_config import ConfigError, lacking, read_config, shape_of
 
 SECOND = 1000 * MS
@@ -167,7 +167,7 @@
         fake = await Fake(answer_ok).start()
         data = config(news(1, entry("s1", fake.address)))
         async with Sidecar(tmp_path / "c", data) as sidecar:
-            engine = sidecar.engine
+            sidecar_server = sidecar.server
             assert (await ask(sidecar.port, post("stock", "a0"))).code == 404
             rewrite(tmp_path, with_classes(data, lookup="side_effect", hold="token", stock="side_effect"))
             sidecar.reload()
@@ -177,10 +177,10 @@
             assert (await ask(sidecar.port, message("lookup", "a3"))).code == 200
             assert (await ask(sidecar.port, message("order", "a4"))).code == 200
             assert (await ask(sidecar.port, post("hold", "a5"))).code == 400  # without its key, then as now
-            engine.parser.before.until_ns = 0
+            sidecar_server.parser.before.until_ns = 0
             assert (await ask(sidecar.port, message("lookup", "a6"))).code == 405
             assert (await ask(sidecar.port, message("order", "a7"))).code == 404
-            assert engine.parser.before is None
+            assert sidecar_server.parser.before is None
 
     run(play())
 
@@ -274,10 +274,15 @@
         fake = await Fake(answer_ok).start()
         data = config(news(1, entry("s1", fake.address)))
         async with Sidecar(tmp_path / "c", data) as sidecar:
-            engine = sidecar.engine
+            sidecar_server = sidecar.server
 
             def state():
-                return engine.generation, engine.parser, engine.pool.discovery.address, engine.sockets
+                return (
+                    sidecar_server.generation,
+                    sidecar_server.parser,
+                    sidecar_server.pool.discovery.address,
+                    sidecar_server.sockets,
+                )
 
             before = state()
             changed = with_classes(data, stock="pure")
@@ -285,10 +290,10 @@
             rewrite(tmp_path, spoil(changed))
             sidecar.reload()
             assert before == (
-                engine.generation,
-                engine.parser,
-                engine.pool.discovery.address,
-                engine.sockets,
+                sidecar_server.generation,
+                sidecar_server.parser,
+                sidecar_server.pool.discovery.address,
+                sidecar_server.sockets,
             )
             assert (await ask(sidecar.port, message("lookup", "a"))).code == 200
 
@@ -300,7 +305,7 @@
         fake = await Fake(answer_ok).start()
         data = config(news(1, entry("s1", fake.address)))
         async with Sidecar(tmp_path / "c", data) as sidecar:
-            balancer = sidecar.engine.pool.balancer
+            balancer = sidecar.server.pool.balancer
             for number in range(20):
                 await ask(sidecar.port, message("lookup", f"a{number}"))
             rate = balancer.throughput.answers_per_s
@@ -317,7 +322,7 @@
 def test_a_number_in_a_waiting_request_is_not_given_to_another_class(tmp_path, monkeypatch):
     """Guards requests that were read and wait behind another one on their connection."""
     monkeypatch.setattr(generations, "LINGER_NS", 0)
-    monkeypatch.setattr(engine_module, "LINGER_NS", 0)
+    monkeypatch.setattr(sidecar_module, "LINGER_NS", 0)
 
     async def play():
         go, act = gated()
@@ -331,7 +336,7 @@
             sidecar.reload()
             rewrite(tmp_path, with_classes(data, two="side_effect"))
             sidecar.reload()
-            classes = sidecar.engine.generation.settings.classes
+            classes = sidecar.server.generation.settings.classes
             assert classes[0].name == "lookup" and classes[0].effect is Effect.SAFE
             assert classes[2].name == "order"
             go.set()
--- a/tests/control/test_directory_retry.py
+++ b/tests/control/test_directory_retry.py
@@ -61,7 +61,7 @@
 
 
 class ServingEngine(Engine):
-    """An engine that listens, with nothing on the network."""
+    """An sidecar_server that listens, with nothing on the network."""
 
     accepts_clients = True
     max_descriptors = None
@@ -83,8 +83,8 @@
     def __init__(self, folder, monkeypatch, machine, error):
         self.loop = Loop(machine)
         self.files = Unusable(error)
-        self.engine = ServingEngine(machine)
-        self.lifecycle = ProcessLifecycle(self.loop, self.engine, (HOST, 0), str(folder), self.files)
+        self.server = ServingEngine(machine)
+        self.lifecycle = ProcessLifecycle(self.loop, self.server, (HOST, 0), str(folder), self.files)
         self.lifecycle.submit = write_at_once
         self.lifecycle.admin_operations = self.lifecycle.operations()
         sock = type("Sock", (), {"close": lambda self: None})()
@@ -115,7 +115,7 @@
         f"process enables hot restarts: folder {tmp_path}"
     )
     assert one.order(Action.OUT) == 200
-    assert one.engine.max_descriptors == one.engine.sockets
+    assert one.server.max_descriptors == one.server.sockets
     one.lifecycle.drain()
     one.lifecycle.close()
     os.close(one.lifecycle.hot_restart.directory.lock_descriptor)
@@ -149,7 +149,7 @@
         other = Member(tmp_path, machine)
         other.start()
     limits = []
-    monkeypatch.setattr(one.engine, "share_capacity", lambda parts, most: limits.append(most), raising=False)
+    monkeypatch.setattr(one.server, "share_capacity", lambda parts, most: limits.append(most), raising=False)
     one.files.error = 0
     one.files.mkdir = lambda path: FileSystem.mkdir(one.files, path)
     for _ in range(60):
@@ -157,8 +157,8 @@
         other.tick()
         machine.mono_ns -= 10**8  # a tick of the other passes the time as well
         machine.wall_ns -= 10**8
-    needed = one.engine.needed_descriptors()
+    needed = one.server.needed_descriptors()
     assert min(limits, default=0) >= needed
-    assert limits[-1] + other.engine.max_descriptors <= one.engine.sockets
-    late, beside = (limits[-1], other.engine.max_descriptors)
+    assert limits[-1] + other.server.max_descriptors <= one.server.sockets
+    late, beside = (limits[-1], other.server.max_descriptors)
     assert (late < beside) is newer  # the newer one has all that the older one does not use
--- a/tests/control/test_hot_restart.py
+++ b/tests/control/test_hot_restart.py
@@ -211,7 +211,7 @@
         async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
             # All in one turn of the loop: none of them can be accepted on the way.
             early = [socket.create_connection((HOST, sidecar.port)) for _ in range(40)]
-            sidecar.engine.shutdown.close_listener()
+            sidecar.server.shutdown.close_listener()
             for number, sock in enumerate(early):
                 reader, writer = await asyncio.open_connection(sock=sock)
                 writer.write(message("lookup", f"a{number}"))
@@ -235,20 +235,20 @@
         fake = await Fake(answer_ok).start()
         data = config(news(1, entry("s1", fake.address)), limits={"memory_mb": 80, "sockets": 200})
         async with Sidecar(tmp_path / "c", data) as sidecar:
-            engine, held = sidecar.engine, []
+            sidecar_server, held = sidecar.server, []
             for number in range(70):
                 reader, writer = await asyncio.open_connection(HOST, sidecar.port)
                 writer.write(message("lookup", f"a{number}"))
                 assert (await read_message(reader)).code == 200
                 held.append((reader, writer))
-            alive = engine.clients.admission.count
-            most = max(engine.needed_descriptors(), 100)
-            assert engine.budget.clients < 2 * alive
-            engine.share_capacity(2, most)
-            assert engine.clients.admission.count == alive
-            assert engine.budget.clients + engine.budget.upstreams.limit <= most
+            alive = sidecar_server.clients.admission.count
+            most = max(sidecar_server.needed_descriptors(), 100)
+            assert sidecar_server.budget.clients < 2 * alive
+            sidecar_server.share_capacity(2, most)
+            assert sidecar_server.clients.admission.count == alive
+            assert sidecar_server.budget.clients + sidecar_server.budget.upstreams.limit <= most
             assert (await ask(sidecar.port, message("lookup", "b"))).code in (200, 503)
-            engine.share_capacity(1, 200)
+            sidecar_server.share_capacity(1, 200)
             assert (await ask(sidecar.port, message("lookup", "c"))).code == 200
             for _, writer in held:
                 writer.close()
@@ -299,7 +299,7 @@
         ):
             for number in range(30):
                 assert (await ask(one.port, message("lookup", f"a{number}"))).code == 200
-            old, new = one.engine.pool, two.engine.pool
+            old, new = one.server.pool, two.server.pool
             old.balancer.servers[old.names.servers["s1"]].relative_latency = 2.5
             values = json.loads(json.dumps(snapshot(old.balancer, old.names)))
             assert restore(new.balancer, new.names, values)
--- a/tests/control/test_hot_restart_records.py
+++ b/tests/control/test_hot_restart_records.py
@@ -28,7 +28,7 @@
 
 def test_estimates_are_written_until_they_stand_for_a_newer_process_that_waits(tmp_path, machine):
     old = running(tmp_path, machine)
-    old.engine.pool.balancer.throughput.answers_per_s = 7.5
+    old.server.pool.balancer.throughput.answers_per_s = 7.5
     old.board.failing = ("state-",)
     new = Member(tmp_path, machine)
     new.upgrade.write_records()
@@ -37,7 +37,7 @@
     assert old.board.read(f"state-{old.upgrade.machine.name}") is None
     old.board.failing = ()
     new.start(old)
-    assert new.engine.pool.balancer.throughput.answers_per_s == 7.5
+    assert new.server.pool.balancer.throughput.answers_per_s == 7.5
     old.board.wrote.clear()
     for _ in range(5):
         old.tick()
@@ -58,7 +58,7 @@
     new = Member(tmp_path, machine)
     new.start(old)
     old.tick()
-    assert old.engine.handing_over
+    assert old.server.handing_over
     assert old.call("maint").code == 200
     old.ends()  # before the newer process has looked
     new.ends(killed=True)
@@ -121,10 +121,10 @@
     tmp_path, machine, step_ns
 ):
     old = running(tmp_path, machine)
-    balancer = old.engine.pool.balancer
+    balancer = old.server.pool.balancer
     (server, *_) = balancer.endpoints.all.values()
     age_ns = 2 * 10**9
-    then = old.engine.clock.now() - age_ns
+    then = old.server.clock.now() - age_ns
     server.slow_start_ns = server.probation_ns = balancer.throughput.updated_ns = then
     balancer.live_classes[0].typical_updated_ns = then
     machine.wall_ns += step_ns
@@ -132,12 +132,12 @@
     began_ns = machine.mono_ns
     new.start(old)
     passed_ns = machine.mono_ns - began_ns
-    balancer = new.engine.pool.balancer
+    balancer = new.server.pool.balancer
     server = balancer.endpoints.all[server.id]
     moved = (server.slow_start_ns, server.probation_ns, balancer.throughput.updated_ns)
     for at in (*moved, balancer.live_classes[0].typical_updated_ns):
-        assert abs(new.engine.clock.now() - at - age_ns - passed_ns) < 10**9
-    assert server.last_ok == 0 and balancer.congestion.cut_ns == 0  # never is never on every scale
+        assert abs(new.server.clock.now() - at - age_ns - passed_ns) < 10**9
+    assert server.last_alive_ns == 0 and balancer.congestion.cut_ns == 0  # never is never on every scale
 
 
 @pytest.mark.parametrize("step_ns", [HOUR_NS, -HOUR_NS])
@@ -178,7 +178,7 @@
     """An order of another process, given before a step of the wall clock; in the same boot, or before it."""
     old = running(tmp_path, machine, files=OfBoot("a"))
     assert old.call("maint").code == old.call("ready").code == 200
-    before_ns = old.engine.clock.now() - MS + step_ns
+    before_ns = old.server.clock.now() - MS + step_ns
     old.ends(killed=True)
     machine.wall_ns += step_ns
     if boot == "b":
@@ -186,7 +186,7 @@
         machine.wall_ns += 60 * 10**9
     new = Member(tmp_path, machine, files=OfBoot(boot))
     new.start()
-    pool = new.engine.pool
+    pool = new.server.pool
     again_ns = pool.now() + MS
     # By how much the wall clock of an earlier boot was behind, nothing tells.
     starts = [(again_ns, True)] if boot == "b" and step_ns > 0 else [(before_ns, False), (again_ns, True)]
@@ -222,7 +222,7 @@
 
 def test_estimates_with_names_that_are_none_are_left(tmp_path, machine):
     one = running(tmp_path, machine)
-    pool = one.engine.pool
+    pool = one.server.pool
     for kind in ([], {}, 3):
         values = {**known(one), "groups": [{"kind": kind, "far": False, "rel": 1.0}]}
         assert not restore(pool.balancer, pool.names, values)
--- a/tests/control/test_state_directory.py
+++ b/tests/control/test_state_directory.py
@@ -192,13 +192,13 @@
 
 
 def test_an_order_where_the_folder_can_not_be_used_from_the_start_is_not_said_to_be_kept(tmp_path):
-    engine = Engine(Machine())
+    sidecar_server = Engine(Machine())
     (tmp_path / "dykefold").touch()
-    presence = ProcessLifecycle(None, engine, ("127.0.0.1", 0), str(tmp_path))
-    assert presence.hot_restart is None
-    operator = presence.operations()
+    lifecycle = ProcessLifecycle(None, sidecar_server, ("127.0.0.1", 0), str(tmp_path))
+    assert lifecycle.hot_restart is None
+    operator = lifecycle.operations()
     out, back = (operator.carry_out(AdminRequest(action, "s0")) for action in (Action.OUT, Action.BACK))
     assert out.code == 500 and "newer process would not know" in out.text
     assert (
-        back.code == 200 and engine.pool.maintenance.out_of_service() == []
+        back.code == 200 and sidecar_server.pool.maintenance.out_of_service() == []
     )  # nothing stands anywhere that it is out
--- a/tests/fleet/test_peer_observations.py
+++ b/tests/fleet/test_peer_observations.py
@@ -37,20 +37,20 @@
     report_endpoint(protocol.membership, world.now_ns, "s-1", answers=False)  # its own report does not count
     world.run(SECOND)
     changed = event(protocol, world.now_ns, endpoints)
-    assert changed.live == 9
-    assert not changed.failing
+    assert changed.live_sidecars == 9
+    assert not changed.failing_endpoints
     assert set(changed.ranks) == {11, 12}
     report_endpoint(world.living[3].membership, world.now_ns, "s-1", answers=False)
     world.run(SECOND)
-    assert event(protocol, world.now_ns, endpoints).failing == {11}
+    assert event(protocol, world.now_ns, endpoints).failing_endpoints == {11}
     for member in (1, 2, 3):
         report_endpoint(world.living[member].membership, world.now_ns, "s-1", answers=True)
     world.run(SECOND)
     changed = event(protocol, world.now_ns, endpoints)
-    assert not changed.failing
-    assert changed.answering == {11}
+    assert not changed.failing_endpoints
+    assert changed.answering_endpoints == {11}
     world.run(15 * SECOND)
-    assert not event(protocol, world.now_ns, endpoints).answering
+    assert not event(protocol, world.now_ns, endpoints).answering_endpoints
 
 
 def test_a_report_is_not_repeated_after_a_quorum_but_can_be_taken_back() -> None:
@@ -86,13 +86,13 @@
     fresh = world.start(10)
     assert world.run(20 * SECOND, lambda: fresh.membership.synchronized)
     assert len(fresh.membership.live_members(world.now_ns)) == 4
-    assert event(fresh, world.now_ns, {}).live == 12  # as for those who knew them
-    assert event(protocol, world.now_ns, {}).live == 12
+    assert event(fresh, world.now_ns, {}).live_sidecars == 12  # as for those who knew them
+    assert event(protocol, world.now_ns, {}).live_sidecars == 12
     world.run(31 * SECOND)
-    assert event(protocol, world.now_ns, {}).live == 4
+    assert event(protocol, world.now_ns, {}).live_sidecars == 4
     world.start(0)
     assert world.run(20 * SECOND, world.right)
-    assert event(protocol, world.now_ns, {}).live == 5
+    assert event(protocol, world.now_ns, {}).live_sidecars == 5
 
 
 def test_the_newest_list_version_is_announced_by_whoever_has_it() -> None:
@@ -108,15 +108,17 @@
     hints = {}
     for reported in (False, True):
         balancer, now = make(servers=6, fleet_size=4)
-        balancer.handle(now, MembershipChanged(4, {}, failing=frozenset({102}) if reported else frozenset()))
+        balancer.handle(
+            now, MembershipChanged(4, {}, failing_endpoints=frozenset({102}) if reported else frozenset())
+        )
         assert not balancer.endpoints.all[102].ejected  # never by hints alone
         ident = 1
         while True:
             send = send_one(balancer, now, ident)
             ident += 1
-            if send.server == 102:
+            if send.endpoint_number == 102:
                 break
-            balancer.handle(now, Outcome(ident - 1, 0, send.server, Status.OK, SECOND // 50, True))
+            balancer.handle(now, Outcome(ident - 1, 0, send.endpoint_number, Status.OK, SECOND // 50, True))
         actions = balancer.handle(now, Outcome(ident - 1, 0, 102, Status.RESET, SECOND // 50, False))
         assert balancer.endpoints.all[102].ejected is reported
         hints[reported] = [action for action in actions if isinstance(action, ReportEndpointHealth)]
@@ -125,15 +127,15 @@
 
 def test_the_balancer_probes_at_once_an_endpoint_that_answers_peers() -> None:
     balancer, now = make(servers=6, fleet_size=4)
-    balancer.handle(now, MembershipChanged(4, {}, failing=frozenset({102})))
+    balancer.handle(now, MembershipChanged(4, {}, failing_endpoints=frozenset({102})))
     server = balancer.endpoints.all[102]
     balancer.context.now_ns, balancer.context.actions = now, []
     balancer.outliers.eject(server)
     assert server.probation_ns > now
-    balancer.handle(now, MembershipChanged(4, {}, answering=frozenset({102})))
+    balancer.handle(now, MembershipChanged(4, {}, answering_endpoints=frozenset({102})))
     actions = balancer.handle(now, request(900, now))
-    (send,) = [action for action in actions if hasattr(action, "server")]
-    assert send.server == 102
+    (send,) = [action for action in actions if hasattr(action, "endpoint_number")]
+    assert send.endpoint_number == 102
     actions = balancer.handle(now, Outcome(900, 0, 102, Status.OK, SECOND // 50, True))
     assert ReportEndpointHealth(102, True) in actions
 
@@ -151,15 +153,15 @@
 def test_a_new_balancer_starts_with_latencies_of_peers_and_replaces_them_soon() -> None:
     balancer, now = make(servers=6, fleet_size=4)
     work = balancer.context.classes[0]
-    balancer.handle(now, MembershipChanged(4, {}, usual={0: SECOND / 4}))
+    balancer.handle(now, MembershipChanged(4, {}, typical_latency_ns={0: SECOND / 4}))
     assert work.mean_latency_ns == work.typical_latency_ns == SECOND / 4
     for ident in range(1, 61):
         send = send_one(balancer, now, ident)
-        balancer.handle(now, Outcome(ident, 0, send.server, Status.OK, SECOND // 50, True))
+        balancer.handle(now, Outcome(ident, 0, send.endpoint_number, Status.OK, SECOND // 50, True))
         now += SECOND // 20
     # Wrong by twelve times, and mostly forgotten after sixty answers.
     assert work.typical_latency_ns < SECOND / 10
-    balancer.handle(now, MembershipChanged(4, {}, usual={0: SECOND / 4}))
+    balancer.handle(now, MembershipChanged(4, {}, typical_latency_ns={0: SECOND / 4}))
     assert work.typical_latency_ns < SECOND / 10  # it knows better
 
 
@@ -183,8 +185,8 @@
     changed = peer_observations.membership_event(
         fresh.membership, world.now_ns, {}, {"lookup": 0, "order": 1}, EndpointRanking(8)
     )
-    assert set(changed.usual) == {0}
-    assert changed.usual[0] in (3e6, 8e6)
+    assert set(changed.typical_latency_ns) == {0}
+    assert changed.typical_latency_ns[0] in (3e6, 8e6)
     old = world.living[0]
     assert {key[1] for key in old.membership.records.records if key[0] == Topic.TYPICAL_LATENCY} == {
         0
--- a/tests/fleet/test_poll_schedule.py
+++ b/tests/fleet/test_poll_schedule.py
@@ -164,7 +164,7 @@
         peer_observations.announce_list_version(world.living[1].membership, world.now_ns, 9)
         world.run(SECOND)
         clock.now_ns = world.now_ns
-        lists.opens_s()
+        lists.watch_delay_s()
         lists.on_new_records()
         assert lists._extra_poll is None  # no call is open yet: it has its slot
         lists.called()
--- a/tests/golden/forms.py
+++ b/tests/golden/forms.py
@@ -106,7 +106,7 @@
         sent = helpers.send_one(balancer, now, ident)
         now += 40 * helpers.MS
         status = Status.ERROR if ident == 7 else Status.OK
-        balancer.handle(now, Outcome(ident, 0, sent.server, status, 40 * helpers.MS, True))
+        balancer.handle(now, Outcome(ident, 0, sent.endpoint_number, status, 40 * helpers.MS, True))
     return snapshot(balancer, names)
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -16,7 +16,7 @@
         "classes": [spec],
         "zones": ["a", "b"],
         "max_attempts": 3,
-        "second_copies": True,
+        "can_hedge": True,
         "can_cancel": True,
         "start_capacity": 0.2,
         "warm_within_ns": 10 * SECOND,
@@ -54,9 +54,9 @@
     used = set()
     for ident in idents:
         sent = send_one(balancer, now, ident)
-        used.add(sent.server)
+        used.add(sent.endpoint_number)
         now += took
-        balancer.handle(now, Outcome(ident, 0, sent.server, Status.OK, took, True))
+        balancer.handle(now, Outcome(ident, 0, sent.endpoint_number, Status.OK, took, True))
     return now, used
 
 
--- a/tests/net/test_client_closes.py
+++ b/tests/net/test_client_closes.py
@@ -23,7 +23,7 @@
     until,
 )
 
-from dykefold.admission.addresses import Caps
+from dykefold.admission.addresses import AddressLimits
 from dykefold.admission.decision import RejectionReason
 from dykefold.net.read_scheduler import SLICE_BYTES
 from dykefold.system import System
@@ -33,9 +33,9 @@
 
 def few_places(sidecar, most=PLACES, **caps):
     """Leave clients so many places in all."""
-    engine = sidecar.engine
-    engine.budget.clients = most
-    engine.clients.resize(engine._connection_limits(), Caps(**caps))
+    sidecar_server = sidecar.server
+    sidecar_server.budget.clients = most
+    sidecar_server.clients.resize(sidecar_server._connection_limits(), AddressLimits(**caps))
 
 
 def now(writer, data):
@@ -65,7 +65,7 @@
 
 
 def begun(sidecar):
-    return [connection for connection in sidecar.engine.clients.all.values() if connection.message_unfinished]
+    return [connection for connection in sidecar.server.clients.all.values() if connection.message_unfinished]
 
 
 # Room for a newcomer
@@ -78,11 +78,11 @@
         few_places(sidecar)
         opened = [await rested(sidecar.port, f"id{n}") for n in range(PLACES)]
         now(opened[0][1], message("order", "again"))  # the longest idle one comes back ...
-        client, reason, _ = sidecar.engine.clients.admit(
+        client, reason, _ = sidecar.server.clients.admit(
             HOST
         )  # ... as a newcomer is judged, in the same turn
         assert client is not None and reason is None
-        sidecar.engine.clients.remove(client)
+        sidecar.server.clients.remove(client)
         assert (await read_message(opened[0][0])).code == 200
         assert await opened[1][0].read() == b""
         for _, writer in opened:
@@ -95,7 +95,7 @@
 async def test_when_all_have_sent_again_no_connection_gives_way(tmp_path, limit):
     async with one_server(tmp_path, answer_ok) as (sidecar, fake):
         few_places(sidecar)
-        clients = sidecar.engine.clients
+        clients = sidecar.server.clients
         opened = [await rested(sidecar.port, f"id{n}") for n in range(PLACES)]
         for number, (_, writer) in enumerate(opened):
             now(writer, message("order", f"again{number}"))
@@ -138,8 +138,8 @@
         assert (await ask(sidecar.port, message("order", "newcomer"))).code == 200
         assert await codes(reader) == ([503], True)
         writer.close()
-        await until(lambda: not sidecar.engine.clients.all)
-        assert not sidecar.engine.memory.reserved_bytes
+        await until(lambda: not sidecar.server.clients.all)
+        assert not sidecar.server.memory.reserved_bytes
 
 
 # The planned end
@@ -153,21 +153,21 @@
     go, act = gated()
     many = 3 * SLICE_BYTES // len(message("lookup", "id00"))  # beyond the slice that is parsed at once
     async with one_server(tmp_path, act) as (sidecar, fake):
-        engine = sidecar.engine
+        sidecar_server = sidecar.server
         reader, writer = await asyncio.open_connection(HOST, sidecar.port)
         writer.write(b"".join(message("lookup", f"id{n:02}") for n in range(many)) + after)
         await until(lambda: fake.got)
-        engine.draining = True
-        engine.shutdown.stop_requests()
+        sidecar_server.draining = True
+        sidecar_server.shutdown.stop_requests()
         if not cut:
             go.set()
-            await until(lambda: len(fake.got) == many and not engine.pool.pending)
-        engine.shutdown.answer_all()
+            await until(lambda: len(fake.got) == many and not sidecar_server.pool.pending)
+        sidecar_server.shutdown.answer_all()
         found, ended = await codes(reader)
         assert ended and len(found) == many + bool(after)
         assert set(found[:many]) <= ({503, 504} if cut else {200}) and found[many:] in ([], [503])
         writer.close()
-        await until(lambda: not engine.clients.all)
+        await until(lambda: not sidecar_server.clients.all)
 
 
 @on_loop
@@ -177,10 +177,10 @@
         reader, writer = await asyncio.open_connection(HOST, sidecar.port)
         writer.write(message("order", "ab"))
         await until(lambda: fake.got)
-        engine = sidecar.engine
-        engine.draining = True
-        engine.shutdown.stop_requests()
-        connection = next(iter(engine.clients.all.values()))
+        sidecar_server = sidecar.server
+        sidecar_server.draining = True
+        sidecar_server.shutdown.stop_requests()
+        connection = next(iter(sidecar_server.clients.all.values()))
         connection._pause()  # or it is read at once
         now(writer, message("order", "cd"))
         go.set()
@@ -238,8 +238,8 @@
         played = await asyncio.gather(*(stop(n, data) for n, (data, _) in enumerate(STOPS.values())))
         wanted = {name: (found, True, True) for name, (_, found) in STOPS.items()}
         assert dict(zip(STOPS, played, strict=True)) == wanted
-        await until(lambda: not sidecar.engine.clients.all)
-        assert not sidecar.engine.memory.reserved_bytes
+        await until(lambda: not sidecar.server.clients.all)
+        assert not sidecar.server.memory.reserved_bytes
 
 
 # Without a look into the socket
@@ -262,14 +262,14 @@
 @on_loop
 async def test_a_look_that_fails_stops_neither_answers_nor_closes(tmp_path, error):
     async with one_server(tmp_path, answer_ok) as (sidecar, _fake):
-        engine = sidecar.engine
-        engine.system = Blind(error)
+        sidecar_server = sidecar.server
+        sidecar_server.system = Blind(error)
         few_places(sidecar, 2)
         opened = [await rested(sidecar.port, f"id{n}") for n in range(3)]  # the third takes a place
         assert await codes(opened[0][0]) == ([], True)
-        engine.draining = True
-        engine.shutdown.stop_requests()
+        sidecar_server.draining = True
+        sidecar_server.shutdown.stop_requests()
         assert [await codes(reader) for reader, _ in opened[1:]] == [([], True)] * 2
-        await until(lambda: not engine.clients.all)
+        await until(lambda: not sidecar_server.clients.all)
         for _, writer in opened:
             writer.close()
--- a/tests/net/test_client_connections.py
+++ b/tests/net/test_client_connections.py
@@ -23,8 +23,8 @@
 )
 
 from dykefold.admission import controller, message_timeouts
-from dykefold.admission.budget import Budget
-from dykefold.net import sidecar as engine
+from dykefold.admission.budget import DescriptorBudget
+from dykefold.net import sidecar as sidecar_module
 from dykefold.net.downstream import request_parser, response_writer
 from dykefold.net.downstream.connection_state import TRANSITIONS, ConnectionState, Lifecycle
 from dykefold.net.memory_budget import MB, MemoryBudget
@@ -81,10 +81,10 @@
             assert (await read_message(reader)).code == 200
             writer.close()
             assert [got.headers["x-request-id"] for got in fake.got] == ["before"]
-            await until(lambda: not sidecar.engine.clients.all)
+            await until(lambda: not sidecar.server.clients.all)
             assert (
-                sidecar.engine.memory.reserved_bytes == 0
-                and sidecar.engine.budget.upstreams.in_use == fake.connections
+                sidecar.server.memory.reserved_bytes == 0
+                and sidecar.server.budget.upstreams.in_use == fake.connections
             )
 
     run(play())
@@ -121,7 +121,7 @@
             chunks = b"3\r\nabc\r\n2\r\nde\r\n0\r\nX-Deadline: bad\r\n\r\n"
             data = raw(b"POST /order", ID + b"Transfer-Encoding: chunked\r\n", chunks)
             assert (await ask(sidecar.port, data)).body == b"abcde"
-            body = b"x" * request_parser.BODY_MOST
+            body = b"x" * request_parser.MAX_BUFFERED_BODY_BYTES
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
             whole = message("order", "big", "3000m", body, "Expect: 100-continue")
             writer.write(whole[: -len(body)])
@@ -160,7 +160,7 @@
                 for n in range(2000):
                     writer.write(message("lookup", f"id{n}"))
                     await writer.drain()
-            await until(lambda: not sidecar.engine.clients.all)
+            await until(lambda: not sidecar.server.clients.all)
             assert len(fake.got) < 1000
             writer.transport.abort()
             assert (await ask(sidecar.port, message("lookup", "other"))).code == 200
@@ -187,8 +187,8 @@
         async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
             assert (await ask(sidecar.port, message("order", "a", "900m", b"x" * 3001))).code == 503
             assert (await ask(sidecar.port, message("order", "b", "900m", b"x" * 1000))).code == 200
-            await until(lambda: not sidecar.engine.clients.all)
-            assert sidecar.engine.memory.reserved_bytes == 0
+            await until(lambda: not sidecar.server.clients.all)
+            assert sidecar.server.memory.reserved_bytes == 0
 
     run(play())
 
@@ -212,7 +212,7 @@
         async with Sidecar(tmp_path / "c", data) as sidecar:
             idle = [await asyncio.open_connection(HOST, sidecar.port) for _ in range(30)]
             assert (await ask(sidecar.port, message("order", "ab"))).code == 200
-            assert len(sidecar.engine.clients.all) <= sidecar.engine.budget.clients + 2
+            assert len(sidecar.server.clients.all) <= sidecar.server.budget.clients + 2
             assert await idle[0][0].read() == b""
             for _, writer in idle:
                 writer.close()
@@ -235,15 +235,15 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
             sock.setblocking(False)
             await loop.sock_connect(sock, (HOST, sidecar.port))
-            await until(lambda: sidecar.engine.clients.all)
-            (client,) = sidecar.engine.clients.all.values()
+            await until(lambda: sidecar.server.clients.all)
+            (client,) = sidecar.server.clients.all.values()
             sent = 0
             while not client.unread:  # until the kernel holds no more for it
                 await loop.sock_sendall(sock, message("lookup", f"id{sent}"))
                 sent += 1
                 await until(lambda: len(fake.got) == sent and client.current is None)  # noqa: B023
-            sidecar.engine.draining = True
-            sidecar.engine.shutdown.stop_requests()
+            sidecar.server.draining = True
+            sidecar.server.shutdown.stop_requests()
             got = bytearray()
             while data := await loop.sock_recv(sock, 65536):
                 got += data
@@ -288,7 +288,7 @@
 
 def test_the_client_quota_and_the_memory_follow_the_configuration():
     for sockets in (256, 384, 1024):
-        budget = Budget(sockets)
+        budget = DescriptorBudget(sockets)
         assert budget.clients > budget.with_requests == sockets // 3  # what clients hold at most for requests
         assert budget.upstreams.limit > sockets / 3
     assert (
@@ -310,11 +310,11 @@
                     writer.write(message("lookup", f"id{number}-{place}"))
                     assert (await read_message(reader)).code == 200
                 flood = [await asyncio.open_connection(HOST, sidecar.port) for _ in range(60)]
-                await until(lambda: len(sidecar.engine.clients.all) == sidecar.engine.budget.clients)
+                await until(lambda: len(sidecar.server.clients.all) == sidecar.server.budget.clients)
                 for _, writer in flood:
                     writer.close()
-                await until(lambda: len(sidecar.engine.clients.all) == len(usual))
-            assert fake.connections == 1 and not sidecar.engine.budget.upstreams.full
+                await until(lambda: len(sidecar.server.clients.all) == len(usual))
+            assert fake.connections == 1 and not sidecar.server.budget.upstreams.full
             for _, writer in usual:
                 writer.close()
 
@@ -344,8 +344,8 @@
             assert (await read_message(held_reader)).code == 200
             assert (await read_message(held_reader)).code == 408
             held_writer.close()
-            await until(lambda: not sidecar.engine.clients.all)
-            assert not sidecar.engine.memory.reserved_bytes and len(fake.got) == 1
+            await until(lambda: not sidecar.server.clients.all)
+            assert not sidecar.server.memory.reserved_bytes and len(fake.got) == 1
 
     run(play())
 
@@ -361,10 +361,10 @@
             assert (await read_message(reader)).code == 200
             assert await reader.read() == b""
             writer.close()
-            await until(lambda: not sidecar.engine.clients.all)
+            await until(lambda: not sidecar.server.clients.all)
             assert (
-                not sidecar.engine.clients.admission.count
-                and not sidecar.engine.clients.admission.message_timeouts.within_head_time
+                not sidecar.server.clients.admission.count
+                and not sidecar.server.clients.admission.message_timeouts.within_head_time
             )
 
     run(play())
@@ -384,7 +384,7 @@
             assert (await read_message(reader)).code == 413
             assert await reader.read() == b""
             writer.close()
-            assert not fake.got and not sidecar.engine.memory.reserved_bytes
+            assert not fake.got and not sidecar.server.memory.reserved_bytes
 
     run(play())
 
@@ -406,13 +406,13 @@
             go.set()
             assert (await first).body == b"served 1"
             assert (await ask(sidecar.port, message("order", "same", "3000m", b"3"))).code == 409
-            assert len(fake.got) == 1 and not sidecar.engine.memory.reserved_bytes
+            assert len(fake.got) == 1 and not sidecar.server.memory.reserved_bytes
 
     run(play())
 
 
 def test_the_ids_that_are_kept_are_bounded(tmp_path, monkeypatch):
-    monkeypatch.setattr(engine, "MAX_RECENT_IDS", 100)
+    monkeypatch.setattr(sidecar_module, "MAX_RECENT_IDS", 100)
 
     async def play():
         fake = await Fake(answer_ok).start()
@@ -422,8 +422,8 @@
                 writer.write(message("lookup", f"id{number}"))
                 await read_message(reader)
             writer.close()
-            assert len(sidecar.engine.ids) <= 102 and len(sidecar.engine.old_ids) <= 102
-            assert not sidecar.engine.pool.pending and not sidecar.engine.pool.attempts
+            assert len(sidecar.server.ids) <= 102 and len(sidecar.server.old_ids) <= 102
+            assert not sidecar.server.pool.pending and not sidecar.server.pool.attempts
 
     run(play())
 
@@ -451,7 +451,7 @@
                 writer.write(b"this is no http\r\n\r\n")
                 await reader.read()
             else:
-                await until(lambda: sidecar.engine.clients.all)
+                await until(lambda: sidecar.server.clients.all)
             writer.close()
             await until(lambda: seen[-1:] == [Lifecycle.CLOSED])
 
--- a/tests/net/test_client_disconnects.py
+++ b/tests/net/test_client_disconnects.py
@@ -30,8 +30,8 @@
 from test_upstream_connections import full_listener
 
 from dykefold.balancer.events import Status
-from dykefold.net.downstream.connection import WAITING_MOST
-from dykefold.net.upstream import connection_pool as upstream
+from dykefold.net.downstream.request_reader import MAX_WAITING_REQUESTS
+from dykefold.net.upstream.connection import UpstreamConnection
 from dykefold.system import System
 
 LATE_S = 0.15  # after a close; nothing may go out later than 0.1 s after it
@@ -100,7 +100,7 @@
 
 
 def gone(sidecar):
-    return not sidecar.engine.clients.all and not sidecar.engine.pool.pending
+    return not sidecar.server.clients.all and not sidecar.server.pool.pending
 
 
 def end(sock, how):
@@ -126,13 +126,13 @@
     "whole": lambda: message("order", "ab", "4000m", b"x" * 60 * KB),
     "whole, requests behind it": lambda: (
         message("order", "ab", "4000m", b"x" * 60 * KB)
-        + b"".join(message("order", f"id{n}") for n in range(2 * WAITING_MOST))
+        + b"".join(message("order", f"id{n}") for n in range(2 * MAX_WAITING_REQUESTS))
     ),
     "upload": lambda: announced(message("order", "ab", "4000m"), b"x" * 200 * KB),
     "upload in chunks": lambda: chunked(message("order", "ab", "4000m"), b"x" * 200 * KB),
     "upload, requests behind it": lambda: (
         announced(message("order", "ab", "4000m"), b"x" * 80 * KB)
-        + b"".join(message("order", f"id{n}") for n in range(2 * WAITING_MOST))
+        + b"".join(message("order", f"id{n}") for n in range(2 * MAX_WAITING_REQUESTS))
     ),
 }
 
@@ -149,7 +149,7 @@
     data = config(news(1, entry("s1", f"{HOST}:{server.port}")))
     data["settings"]["ceilings"]["cancel"] = cancel
     async with Sidecar(tmp_path / "c", data) as sidecar:
-        pool, loop = sidecar.engine.pool, asyncio.get_running_loop()
+        pool, loop = sidecar.server.pool, asyncio.get_running_loop()
         ends = []
         pool.on_attempt_end = lambda endpoint, status, took_ns, objective_ns: ends.append(status)
         pool.upstreams.system = SmallSockets()
@@ -177,7 +177,7 @@
     for kind in HELD_BACK.values():
         server = SlowServer()
         async with Sidecar(tmp_path / "c", config(news(1, entry("s1", f"{HOST}:{server.port}")))) as sidecar:
-            pool, loop = sidecar.engine.pool, asyncio.get_running_loop()
+            pool, loop = sidecar.server.pool, asyncio.get_running_loop()
             pool.upstreams.system = SmallSockets()
             client = socket.socket()
             client.setblocking(False)
@@ -216,14 +216,14 @@
 @on_loop
 async def test_no_further_attempt_begins_once_its_client_left(tmp_path, monkeypatch, kind, how, paused, late):
     act, limits = WAITS[kind]
-    written_s, send = [], upstream.UpstreamConnection.send
+    written_s, send = [], UpstreamConnection.send
 
     def noted(connection, exchange, now):
         found = send(connection, exchange, now)
         written_s.append(time.monotonic() if found else 0.0)
         return found
 
-    monkeypatch.setattr(upstream.UpstreamConnection, "send", noted)
+    monkeypatch.setattr(UpstreamConnection, "send", noted)
     fakes = [await Fake(act).start() for _ in range(3)]
     data = config(news(1, *(entry(f"s{n}", fake.address) for n, fake in enumerate(fakes))))
     data["settings"]["ceilings"].update(limits)
@@ -231,7 +231,7 @@
         client, loop = socket.socket(), asyncio.get_running_loop()
         client.setblocking(False)
         await loop.sock_connect(client, (HOST, sidecar.port))
-        behind = 2 * WAITING_MOST if paused else 0
+        behind = 2 * MAX_WAITING_REQUESTS if paused else 0
         asked = [message("lookup", f"id{number}", "2000m") for number in range(1 + behind)]
         await loop.sock_sendall(client, b"".join(asked))
         await until(lambda: any(fake.got for fake in fakes))
@@ -246,7 +246,7 @@
             await until(lambda: left_s)
         else:
             leave()
-        await until(lambda: gone(sidecar) and not sidecar.engine.pool.attempts)
+        await until(lambda: gone(sidecar) and not sidecar.server.pool.attempts)
         client.close()
     assert any(written_s) and not [at for at in written_s if at > left_s[0] + 0.1]
 
@@ -260,11 +260,11 @@
     data = config(news(1, entry("s1", f"{HOST}:{sock.getsockname()[1]}")))
     data["settings"]["ceilings"]["connect-timeout-ns"] = 20_000 * MS
     async with Sidecar(tmp_path / "c", data) as sidecar:
-        pool, loop = sidecar.engine.pool, asyncio.get_running_loop()
+        pool, loop = sidecar.server.pool, asyncio.get_running_loop()
         client = socket.socket()
         client.setblocking(False)
         await loop.sock_connect(client, (HOST, sidecar.port))
-        asked = [message("order", f"id{n}", "4000m") for n in range(1 + 2 * WAITING_MOST * paused)]
+        asked = [message("order", f"id{n}", "4000m") for n in range(1 + 2 * MAX_WAITING_REQUESTS * paused)]
         await loop.sock_sendall(client, b"".join(asked))
         opening = pool.upstreams.endpoints[1].opening
         await until(lambda: opening and all(made.sock.getsockname()[1] for made in opening.values()))
@@ -297,7 +297,7 @@
     """Where servers answer twice connections rest, and a request has a new one made."""
     fake = await Fake(answer_ok).start()
     async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
-        pool, loop = sidecar.engine.pool, asyncio.get_running_loop()
+        pool, loop = sidecar.server.pool, asyncio.get_running_loop()
         assert (await ask(sidecar.port, message("order", "warm"))).code == 200
         resting = pool.upstreams.quarantine
         resting.limit_s, resting.seen_at_s = WAIT, time.monotonic()
--- a/tests/net/test_client_races.py
+++ b/tests/net/test_client_races.py
@@ -39,8 +39,9 @@
 from dykefold.balancer.timers import OVERDUE
 from dykefold.net.discovery.codec import parse_endpoint_update
 from dykefold.net.downstream import connection as front_module
-from dykefold.net.downstream.connection import WAITING_MOST
+from dykefold.net.downstream.request_reader import MAX_WAITING_REQUESTS
 from dykefold.net.upstream import connection_pool as upstream
+from dykefold.net.upstream.connection import MAX_STALL_S, UpstreamConnection
 from dykefold.net.upstream.exchange import Exchange
 
 STILL = 0.3  # seconds for which a loop stands still: more than a client's leave may go unheeded
@@ -48,7 +49,7 @@
 
 def left(sidecar):
     """Whether the sidecar has no client any more, and owes no answer."""
-    return not sidecar.engine.clients.all and not sidecar.engine.pool.pending
+    return not sidecar.server.clients.all and not sidecar.server.pool.pending
 
 
 async def turn_away(message, reader, writer):
@@ -82,9 +83,9 @@
     go = asyncio.Event()
     async with one_server(tmp_path, act) as (sidecar, fake):
         _, writer = await asyncio.open_connection(HOST, sidecar.port)
-        writer.write(b"".join(message("lookup", f"id{n}") for n in range(2 * WAITING_MOST)))
+        writer.write(b"".join(message("lookup", f"id{n}") for n in range(2 * MAX_WAITING_REQUESTS)))
         await until(lambda: fake.got)
-        front = next(iter(sidecar.engine.clients.all.values()))
+        front = next(iter(sidecar.server.clients.all.values()))
         assert front.paused
         writer.close()
         await writer.wait_closed()
@@ -101,7 +102,7 @@
     data = settings(config(news(1, entry("s1", address))), cancel=cancel)
     data["settings"]["ceilings"]["connect-timeout-ns"] = 20_000 * MS
     async with Sidecar(tmp_path / "c", data) as sidecar:
-        pool = sidecar.engine.pool
+        pool = sidecar.server.pool
         _, writer = await asyncio.open_connection(HOST, sidecar.port)
         writer.write(message("order", "ab"))
         await until(lambda: pool.attempts)
@@ -133,7 +134,7 @@
     """The repeat's timer fires before the client's end is read."""
 
     async with one_server(tmp_path, turn_away) as (sidecar, fake):
-        pool = sidecar.engine.pool
+        pool = sidecar.server.pool
         end_attempt, ends = pool.end_attempt, []
 
         def end_and_stand_still(*ended):
@@ -155,7 +156,7 @@
     """A late loop finds the repeat's timer and the deadline due in one turn: nothing more goes out."""
 
     async with one_server(tmp_path, turn_away) as (sidecar, fake):
-        pool = sidecar.engine.pool
+        pool = sidecar.server.pool
         plan_repeat, planned = pool.balancer.retries.plan, []
 
         def plan_and_stand_still(req, *unsent):
@@ -177,7 +178,7 @@
         # A connection to the server stands ready: the request's bytes would go out as it is read.
         assert (await ask(sidecar.port, message("order", "warm"))).code == 200
         sock = socket.create_connection((HOST, sidecar.port))
-        await until(lambda: sidecar.engine.clients.all)
+        await until(lambda: sidecar.server.clients.all)
 
         def ask_and_leave():
             sock.sendall(message("order", "ab"))
@@ -193,7 +194,7 @@
 async def test_a_client_that_only_ended_its_side_is_served_where_that_is_allowed(tmp_path):
     """Guards usual clients of `serve`: their end behind a request is no leaving."""
     async with one_server(tmp_path, answer_ok) as (sidecar, _fake):
-        sidecar.engine.half_close = True
+        sidecar.server.half_close = True
         reader, writer = await asyncio.open_connection(HOST, sidecar.port)
         writer.write(message("order", "ab"))
         writer.write_eof()
@@ -233,7 +234,7 @@
         sock = slow_socket(sidecar.port)
         sock.sendall(message("lookup", "ab", "3000m", b"", "Connection: close"))
         await until(lambda: fake.got)
-        fronts = sidecar.engine.clients.all
+        fronts = sidecar.server.clients.all
         await until(lambda: all(front.discarding_input for front in list(fronts.values())))
         sock.sendall(b"GET /lookup/more")  # in the moment of the close, or after it
         got = await asyncio.to_thread(read_all, sock)
@@ -254,7 +255,7 @@
         sock = slow_socket(sidecar.port)
         # Many answers wait unread in front of the rejection of what can't be read.
         sock.sendall(b"".join(message("lookup", f"id{n}") for n in range(8)) + b"no request\r\n\r\n")
-        fronts = sidecar.engine.clients.all
+        fronts = sidecar.server.clients.all
         await until(lambda: any(front.unread for front in fronts.values()))
         sock.settimeout(WAIT)
 
@@ -269,7 +270,7 @@
         reader, writer = await asyncio.open_connection(HOST, sidecar.port)
         writer.write(message("order", "ab"))
         assert (await read_message(reader)).code == 200
-        front = next(iter(sidecar.engine.clients.all.values()))
+        front = next(iter(sidecar.server.clients.all.values()))
         data = message("order", "cd")
         # Into the kernel now, not in a later turn.
         assert os.write(writer.get_extra_info("socket").fileno(), data) == len(data)
@@ -286,7 +287,7 @@
     """Of idle connections beyond those of use the longest idle goes: its client comes back just then."""
     monkeypatch.setattr(controller, "MAX_IDLE_S", 3 * WAIT)
     async with one_server(tmp_path, answer_ok) as (sidecar, fake):
-        admission = sidecar.engine.clients.admission
+        admission = sidecar.server.clients.admission
         working_set = admission.working_set
         admission.request_gaps.mean_s = 3 * WAIT  # nobody is one too many yet
         opened = []
@@ -301,7 +302,7 @@
         reader, writer = opened[0]
         # Into the kernel now, not in a later turn; then in the same turn, before it is read:
         assert os.write(writer.get_extra_info("socket").fileno(), data) == len(data)
-        sidecar.engine.clients.sweep()
+        sidecar.server.clients.sweep()
         assert (await read_message(reader)).code == 200
         assert await opened[1][0].read() == b""  # the next one was one too many indeed
         for _, writer in opened:
@@ -312,14 +313,14 @@
 @on_loop
 async def test_half_a_request_that_is_there_at_the_planned_end_is_served(tmp_path):
     async with one_server(tmp_path, answer_ok) as (sidecar, fake):
-        engine = sidecar.engine
+        sidecar_server = sidecar.server
         reader, writer = await asyncio.open_connection(HOST, sidecar.port)
         whole = message("order", "ab", "3000m", b"body")
         writer.write(whole[:40])
-        fronts = engine.clients.all
+        fronts = sidecar_server.clients.all
         await until(lambda: any(front.message_unfinished for front in fronts.values()))
-        engine.drain()
-        engine.shutdown.stop_requests()
+        sidecar_server.drain()
+        sidecar_server.shutdown.stop_requests()
         writer.write(whole[40:])
         got = await read_message(reader)
         assert got.code == 200 and got.headers["connection"] == "close"
@@ -332,13 +333,13 @@
 async def test_a_request_of_a_client_let_in_in_the_turn_of_the_planned_end_is_served(tmp_path):
     """It was accepted, and its connection is not made up yet, when the others are closed."""
     async with one_server(tmp_path, answer_ok) as (sidecar, fake):
-        engine = sidecar.engine
+        sidecar_server = sidecar.server
         asked, resting = (socket.create_connection((HOST, sidecar.port)) for _ in range(2))
         asked.sendall(message("order", "ab"))
-        engine.listener.accept_backlog()
-        assert len(engine.clients.all) == 2
-        engine.drain()
-        engine.shutdown.stop_requests()
+        sidecar_server.listener.accept_backlog()
+        assert len(sidecar_server.clients.all) == 2
+        sidecar_server.drain()
+        sidecar_server.shutdown.stop_requests()
         got = await asyncio.to_thread(read_all, asked)
         assert got.startswith(b"HTTP/1.1 200 ") and b"Connection: close" in got
         assert await asyncio.to_thread(read_all, resting) == b""
@@ -352,12 +353,12 @@
 async def test_clients_that_wait_while_the_listener_rests_are_served_when_it_closes(tmp_path):
     """It rests after a lack of descriptors; closing the socket just then would reset who waits."""
     async with one_server(tmp_path, answer_ok) as (sidecar, fake):
-        engine = sidecar.engine
-        engine.listener.pause()
+        sidecar_server = sidecar.server
+        sidecar_server.listener.pause()
         sock = socket.create_connection((HOST, sidecar.port))
         sock.sendall(message("order", "ab"))
-        engine.drain()
-        engine.shutdown.stop_accepting()
+        sidecar_server.drain()
+        sidecar_server.shutdown.stop_accepting()
         assert (await asyncio.to_thread(read_all, sock)).startswith(b"HTTP/1.1 200 ")
         sock.close()
     assert len(fake.got) == 1
@@ -367,12 +368,12 @@
 async def test_what_comes_on_a_resting_connection_in_the_moment_of_the_planned_end_is_not_sent_on(tmp_path):
     """Read after the end of its connection it could have no answer: none is sent on and lost."""
     async with one_server(tmp_path, answer_ok) as (sidecar, fake):
-        engine = sidecar.engine
+        sidecar_server = sidecar.server
         reader, writer = await asyncio.open_connection(HOST, sidecar.port)
         writer.write(message("order", "ab"))
         assert (await read_message(reader)).code == 200
-        engine.drain()
-        engine.shutdown.stop_requests()
+        sidecar_server.drain()
+        sidecar_server.shutdown.stop_requests()
         writer.write(message("order", "cd"))
         assert await reader.read() == b""
         writer.close()
@@ -402,12 +403,12 @@
         spec["window-ns"] = 700 * MS
     data["settings"]["ceilings"]["cancel"] = False
     async with Sidecar(tmp_path / "c", data) as sidecar:
-        pool = sidecar.engine.pool
+        pool = sidecar.server.pool
         asked = asyncio.create_task(ask(sidecar.port, message("hold", "ab", "4000m")))
         loop = asyncio.get_running_loop()
         await until(lambda: first.got)
         began = loop.time()
-        await until(lambda: any(a.server == 2 for a in pool.attempts.values()))
+        await until(lambda: any(a.endpoint_number == 2 for a in pool.attempts.values()))
         await until(lambda: loop.time() - began > 0.8)
         for filler in fill:
             filler.close()
@@ -462,7 +463,7 @@
             server, _ = await loop.sock_accept(sock)
             with server:
                 await loop.sock_recv(server, 4096)
-                yield sidecar.engine.pool, asked, server
+                yield sidecar.server.pool, asked, server
 
 
 @on_loop
@@ -474,7 +475,7 @@
         connection = next(iter(pool.attempts.values())).connection
         await until(lambda: connection.stalled is not None)
         loop = asyncio.get_running_loop()
-        stand_still(loop, upstream.STALL_MOST + STILL, lambda: server.send(whole[-3:]))
+        stand_still(loop, MAX_STALL_S + STILL, lambda: server.send(whole[-3:]))
         got = await asked
         assert (got.code, got.body) == (200, b"served")
 
@@ -523,7 +524,7 @@
             taken.append(sock.accept()[0])
 
     async with Sidecar(tmp_path / "c", data) as sidecar:
-        pool = sidecar.engine.pool
+        pool = sidecar.server.pool
         strikes = noted_strikes(pool, monkeypatch)
         asked = asyncio.create_task(ask(sidecar.port, message("order", "ab", "4000m")))
         await until(lambda: any(one.sock.getsockname()[1] for one in pool.upstreams.connections))
@@ -547,7 +548,7 @@
 @on_loop
 async def test_a_connect_that_a_late_loop_never_began_says_nothing_of_its_server(tmp_path, monkeypatch):
     async with one_server(tmp_path, answer_ok) as (sidecar, fake):
-        pool, loop = sidecar.engine.pool, asyncio.get_running_loop()
+        pool, loop = sidecar.server.pool, asyncio.get_running_loop()
         begin, stood = pool.upstreams._open, []
         strikes = noted_strikes(pool, monkeypatch)
 
@@ -579,7 +580,7 @@
     data = config(news(1, entry("s1", f"{HOST}:{sock.getsockname()[1]}")))
     data["settings"]["ceilings"]["connect-timeout-ns"] = 20_000 * MS
     async with Sidecar(tmp_path / "c", data) as sidecar:
-        pool, loop = sidecar.engine.pool, asyncio.get_running_loop()
+        pool, loop = sidecar.server.pool, asyncio.get_running_loop()
         asked = asyncio.create_task(ask(sidecar.port, message("order", "ab", "4000m", b"body")))
         await until(lambda: pool.attempts)
         (attempt,) = pool.attempts.values()
@@ -625,7 +626,7 @@
     data = config(news(1, entry("s1", f"{HOST}:{sock.getsockname()[1]}")))
     data["settings"]["ceilings"]["connect-timeout-ns"] = 20_000 * MS
     async with Sidecar(tmp_path / "c", data) as sidecar:
-        pool, loop = sidecar.engine.pool, asyncio.get_running_loop()
+        pool, loop = sidecar.server.pool, asyncio.get_running_loop()
         asked = asyncio.create_task(ask(sidecar.port, message("order", "ab", "4000m")))
         await until(lambda: pool.attempts)
         pool.on_update(parse_endpoint_update(news(2, entry("s1", new.address), snapshot=False), pool.names))
@@ -650,7 +651,7 @@
     assert len(new.got) == 1
 
 
-class Late(upstream.UpstreamConnection):
+class Late(UpstreamConnection):
     """A connection that hears late that what it had buffered has gone, as on uvloop by a turn."""
 
     __slots__ = ()
@@ -701,7 +702,7 @@
 
     doubled = {}
     async with one_server(tmp_path, act) as (sidecar, fake):
-        upstreams = sidecar.engine.pool.upstreams
+        upstreams = sidecar.server.pool.upstreams
         assert (await ask(sidecar.port, message("lookup", "one"))).body == b"one"
         doubled["one"].write(reply(200, b"one"))
         await until(lambda: not upstreams.connections)
--- a/tests/net/test_deadline_propagation.py
+++ b/tests/net/test_deadline_propagation.py
@@ -34,9 +34,9 @@
 
 from dykefold.balancer.events import Status
 from dykefold.net.downstream.arrivals import MAX_MARKS, Arrivals
-from dykefold.net.downstream.connection import WAITING_MOST
+from dykefold.net.downstream.request_reader import MAX_WAITING_REQUESTS
 from dykefold.net.service.attempts import Attempt
-from dykefold.net.upstream import connection_pool as upstream
+from dykefold.net.upstream.connection_pool import ConnectionPool
 
 SLACK_S = 0.15
 HELD_UP_S = 0.15  # at most, between reading the clock and writing
@@ -92,7 +92,7 @@
 
 
 HELD_UP = {
-    "before the connection is chosen": (upstream.ConnectionPool, "start", True),
+    "before the connection is chosen": (ConnectionPool, "start", True),
     "before the time is computed": (Attempt, "compose", True),
     "between the time and the write": (Attempt, "compose", False),
     "between wanting and starting": (Attempt, "wanted", False),
@@ -182,10 +182,10 @@
     sock, fill = late_listener(data)
     told, body = Told(), b"x" * (64 * KB + 8)  # so much is read though it can't go on
     async with Sidecar(tmp_path / "c", data) as sidecar:
-        pool, loop = sidecar.engine.pool, asyncio.get_running_loop()
+        pool, loop = sidecar.server.pool, asyncio.get_running_loop()
         sent = framing(message("order", "ab", "3000m"), body)
         asked = asyncio.create_task(ask(told, sidecar.port, "ab", sent))
-        await until(lambda: begun(pool) and all(held.call.upload.ended for held in pool.pending.values()))
+        await until(lambda: begun(pool) and all(held.parsed.upload.ended for held in pool.pending.values()))
         for filler in fill:
             filler.close()
         sock.setblocking(False)
@@ -227,7 +227,7 @@
     """The head has gone: a server that would begin so late that it was told too much never gets it whole."""
     server = SlowServer()
     async with Sidecar(tmp_path / "c", config(news(1, entry("s1", f"{HOST}:{server.port}")))) as sidecar:
-        pool, loop = sidecar.engine.pool, asyncio.get_running_loop()
+        pool, loop = sidecar.server.pool, asyncio.get_running_loop()
         pool.upstreams.system = SmallSockets()
         client = socket.socket()
         client.setblocking(False)
@@ -271,7 +271,7 @@
             def __getattr__(self, name):
                 return stand_and_create if name == "create_connection" else getattr(loop, name)
 
-        sidecar.engine.pool.upstreams.loop = Loop()
+        sidecar.server.pool.upstreams.loop = Loop()
         got = await ask(told, sidecar.port, "ab", message("order", "ab", "300m"))
         assert got.code in (503, 504)
     assert not told.noted
@@ -285,7 +285,7 @@
     """It can't be answered in time, nor be told how little is left: it would only risk an effect."""
     fake = await Fake(answer_ok).start()
     async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
-        pool, wanted = sidecar.engine.pool, Attempt.wanted
+        pool, wanted = sidecar.server.pool, Attempt.wanted
 
         def wanted_shortly_before_the_end(attempt):
             if not attempt.expires_ns:
@@ -340,7 +340,7 @@
     fake = await Fake(told.noting(slowly)).start()
     async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
         reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-        ahead = WAITING_MOST + 4
+        ahead = MAX_WAITING_REQUESTS + 4
         writer.write(b"".join(message("lookup", f"id{number}", "3000m") for number in range(ahead)))
         await until(lambda: len(told.noted) > ahead // 2)
         writer.write(message("lookup", "late", "3000m"))
--- a/tests/net/test_discovery_client.py
+++ b/tests/net/test_discovery_client.py
@@ -176,7 +176,7 @@
         data = config(news(1), fake.address)
         data["settings"]["discovery"] = "push"
         async with Sidecar(tmp_path / "c", data) as sidecar:
-            await until(lambda: sidecar.engine.pool.discovery.version == 41)
+            await until(lambda: sidecar.server.pool.discovery.version == 41)
         assert len(fake.got) >= 2
 
     run(play())
@@ -205,8 +205,8 @@
             held = asyncio.create_task(ask(sidecar.port, message("order", "ab")))
             await until(lambda: old.got)
             go.set()
-            engine = sidecar.engine
-            await until(lambda: engine.pool.discovery.version == 2)
+            sidecar_server = sidecar.server
+            await until(lambda: sidecar_server.pool.discovery.version == 2)
             for number in range(5):
                 assert (await ask(sidecar.port, message("order", f"id{number}"))).body == b"served "
             finish.set()
@@ -220,13 +220,18 @@
     async def play():
         fake = await Fake(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
-            engine = sidecar.engine
+            sidecar_server = sidecar.server
             assert (await ask(sidecar.port, message("lookup", "ab"))).code == 200
             for index in range(2, 50):
-                engine.pool.on_update(
-                    parse_endpoint_update(news(index, entry(f"s{index}", fake.address)), engine.pool.names)
+                sidecar_server.pool.on_update(
+                    parse_endpoint_update(
+                        news(index, entry(f"s{index}", fake.address)), sidecar_server.pool.names
+                    )
                 )
-            assert len(engine.pool.upstreams.endpoints) == 1 and len(engine.pool.names.servers) <= 2
+            assert (
+                len(sidecar_server.pool.upstreams.endpoints) == 1
+                and len(sidecar_server.pool.names.servers) <= 2
+            )
             assert (await ask(sidecar.port, message("lookup", "cd"))).code == 200
 
     run(play())
--- a/tests/net/test_endpoint_list_races.py
+++ b/tests/net/test_endpoint_list_races.py
@@ -263,7 +263,7 @@
     data = config(news(1, entry("s1", f"{HOST}:9")), fake.address)
     data["settings"]["discovery"] = modes[0]
     async with Sidecar(tmp_path / "c", data) as sidecar:
-        found = sidecar.engine.pool.discovery
+        found = sidecar.server.pool.discovery
         await until(lambda: fake.got and not found.watching)  # a call has failed, the next one is awaited
         data["settings"]["discovery"] = modes[1]
         (tmp_path / "c").write_text(json.dumps(data))
@@ -343,7 +343,9 @@
 def test_after_a_failed_call_the_next_one_comes_soon_enough_whatever_the_settings(must_ask_s, fails, seed):
     """A change counts as told 6 s after discovery had it and could be reached; a call takes 3.5 s at most."""
     lookup = RequestClass("lookup", SECOND, 3 * SECOND, 1.0, 0.25, Effect.SAFE)
-    settings = Settings(classes=[lookup], zones=["a"], must_ask=True, must_ask_in_ns=int(must_ask_s * SECOND))
+    settings = Settings(
+        classes=[lookup], zones=["a"], poll_required=True, max_poll_interval_ns=int(must_ask_s * SECOND)
+    )
     balancer = Balancer(settings, seed)
     now = 1_000 * SECOND
     server = Endpoint(1, zone=0, kind=0, cell=0, state=State.READY)
--- a/tests/net/test_hostile_messages.py
+++ b/tests/net/test_hostile_messages.py
@@ -11,8 +11,9 @@
 from hypothesis import strategies as st
 from net_helpers import MS, WAIT, Sidecar, config, message, news, run, until
 
-from dykefold.net.downstream.connection import HEADERS_MOST, ClientConnection
-from dykefold.net.downstream.request_parser import BODY_MOST
+from dykefold.net.downstream.connection import ClientConnection
+from dykefold.net.downstream.connection_state import MAX_HEADERS_BYTES
+from dykefold.net.downstream.request_parser import MAX_BUFFERED_BODY_BYTES
 from dykefold.net.read_scheduler import MAX_SLICES_PER_TURN, SLICE_BYTES
 from dykefold.net.service.load_reports import LoadReportParser
 
@@ -75,13 +76,13 @@
 
 async def feed(sidecar, pieces):
     """Give pieces to a client's connection as a transport would; its wire and the meter."""
-    engine = sidecar.engine
-    client, _, _ = engine.clients.admit("127.9.9.9")
-    connection, wire, meter = ClientConnection(engine, client), Wire(), Meter()
-    engine.clients.add(connection)
+    sidecar_server = sidecar.server
+    client, _, _ = sidecar_server.clients.admit("127.9.9.9")
+    connection, wire, meter = ClientConnection(sidecar_server, client), Wire(), Meter()
+    sidecar_server.clients.add(connection)
     connection.connection_made(wire)
-    turn = engine.read_scheduler._turn
-    engine.read_scheduler._turn = lambda: meter.run(MAX_SLICES_PER_TURN * SLICE_BYTES, turn)
+    turn = sidecar_server.read_scheduler._turn
+    sidecar_server.read_scheduler._turn = lambda: meter.run(MAX_SLICES_PER_TURN * SLICE_BYTES, turn)
     for piece in pieces:
         async with asyncio.timeout(WAIT):
             while not wire.reading and not wire.closing:
@@ -91,8 +92,8 @@
         while connection.unfed is not None or connection.current is not None:
             await asyncio.sleep(0)
     connection.connection_lost(None)
-    engine.read_scheduler._turn = turn
-    assert not engine.memory.reserved_bytes
+    sidecar_server.read_scheduler._turn = turn
+    assert not sidecar_server.memory.reserved_bytes
     return wire, meter
 
 
@@ -101,9 +102,9 @@
     return head + b"\r\nTransfer-Encoding: chunked\r\n\r\n" + b"1\r\nx\r\n" * size + b"0\r\n\r\n"
 
 
-LINES = b"GET /lookup/part HTTP/1.1\r\n" + b"a:\r\n" * ((HEADERS_MOST - 100) // 4) + b"\r\n"
+LINES = b"GET /lookup/part HTTP/1.1\r\n" + b"a:\r\n" * ((MAX_HEADERS_BYTES - 100) // 4) + b"\r\n"
 HOSTILE = {
-    "chunks of one byte": (chunked(BODY_MOST), 1 << 18, b" 503 "),
+    "chunks of one byte": (chunked(MAX_BUFFERED_BODY_BYTES), 1 << 18, b" 503 "),
     "header lines of four bytes": (LINES, 1 << 18, b" 431 "),
     "requests of eighteen bytes": (b"GET / HTTP/1.1\r\n\r\n" * 5000, 1 << 18, b" 404 "),
     "one long number": (message("order", deadline="1m")[:-6] + b"0" * 30000 + b"\r\n\r\n", 1 << 18, b" "),
@@ -139,7 +140,7 @@
     async def play(sidecar):
         began = time.monotonic()
         for number in range(3):
-            await feed(sidecar, [chunked(BODY_MOST - number)])
+            await feed(sidecar, [chunked(MAX_BUFFERED_BODY_BYTES - number)])
         assert time.monotonic() - began < 10.0  # one to two seconds here; over twenty before
 
     many(tmp_path, play)
@@ -160,7 +161,7 @@
     async def play(sidecar):
         seen = []
         for cut in (False, True):
-            sidecar.engine.ids.clear()
+            sidecar.server.ids.clear()
             pieces, at = [], 0
             for size in sizes if cut else []:
                 pieces.append(data[at : at + size])
@@ -180,7 +181,7 @@
 
 def test_a_late_loop_is_logged_once_with_what_ran(tmp_path, caplog):
     async def play(sidecar):
-        lag = sidecar.engine.lag
+        lag = sidecar.server.lag
         with caplog.at_level(logging.WARNING):
             for _ in range(2):
                 began = time.monotonic()
--- a/tests/net/test_long_messages.py
+++ b/tests/net/test_long_messages.py
@@ -157,7 +157,7 @@
                 got = b""
             assert len(got) < len(BIG)
             writer.close()
-            await until(lambda: not sidecar.engine.pool.attempts)
+            await until(lambda: not sidecar.server.pool.attempts)
 
     run(play())
 
--- a/tests/net/test_pool.py
+++ b/tests/net/test_pool.py
@@ -5,8 +5,8 @@
 
 from net_helpers import MS, Fake, answer_ok, config, entry, news, run, silent
 
-from dykefold.admission.addresses import Caps
-from dykefold.admission.budget import Budget
+from dykefold.admission.addresses import AddressLimits
+from dykefold.admission.budget import DescriptorBudget
 from dykefold.admission.controller import AdmissionController
 from dykefold.admission.limits import ConnectionLimits
 from dykefold.net.clock import Clock
@@ -28,7 +28,7 @@
         self.loop = asyncio.get_running_loop()
         self.system = SYSTEM
         self.clock = Clock()
-        self.budget = Budget(256)
+        self.budget = DescriptorBudget(256)
         self.memory = MemoryBudget(64 * MB)
         self.lag = LoopLagMonitor(self.loop)
         self.read_scheduler = ReadScheduler(self.loop, self.lag)
@@ -46,13 +46,13 @@
 @dataclass
 class Asker:
     client: object = field(
-        default_factory=lambda: AdmissionController(ConnectionLimits(8, 8), Caps()).connect("127.0.0.1", 0.0)[
-            0
-        ]
+        default_factory=lambda: AdmissionController(ConnectionLimits(8, 8), AddressLimits()).connect(
+            "127.0.0.1", 0.0
+        )[0]
     )
     answers: list = field(default_factory=list)
 
-    def gone(self):
+    def client_has_closed(self):
         return False
 
     def respond(self, call, code, headers, body):
--- a/tests/net/test_request_outcomes.py
+++ b/tests/net/test_request_outcomes.py
@@ -78,8 +78,8 @@
         fake = await Fake(say(reply(200, b"held", "X-Load: rps=7,cpu=0.5", "Content-Type: text/x"))).start()
         async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
             heard = []
-            handle = sidecar.engine.pool.balancer.handle
-            sidecar.engine.pool.balancer.handle = lambda now, event: heard.append(event) or handle(now, event)
+            handle = sidecar.server.pool.balancer.handle
+            sidecar.server.pool.balancer.handle = lambda now, event: heard.append(event) or handle(now, event)
             got = await ask(sidecar.port, message("hold", "ab12", "900m", b"\x00body"))
         assert (got.code, got.body) == (200, b"held")
         assert got.headers["content-type"] == "text/x" and "x-load" not in got.headers
@@ -215,20 +215,20 @@
     async def play():
         fake = await Fake(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
-            handle = sidecar.engine.pool.balancer.handle
+            handle = sidecar.server.pool.balancer.handle
 
             def failing(now, event):
-                if isinstance(event, Request) and event.cls == 2:
-                    sidecar.engine.pool.balancer.actions = []
+                if isinstance(event, Request) and event.class_number == 2:
+                    sidecar.server.pool.balancer.actions = []
                     raise ZeroDivisionError("of the module")
                 return handle(now, event)
 
-            sidecar.engine.pool.balancer.handle = failing
+            sidecar.server.pool.balancer.handle = failing
             lost = asyncio.create_task(ask(sidecar.port, message("order", "ab", "500m")))
             for number in range(3):
                 assert (await ask(sidecar.port, message("lookup", f"id{number}"))).code == 200
             assert (await lost).code == 503
-            assert not sidecar.engine.pool.pending
+            assert not sidecar.server.pool.pending
 
     run(play())
 
@@ -237,15 +237,15 @@
     async def play():
         fake = await Fake(silent).start()
         async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
-            handle = sidecar.engine.pool.balancer.handle
+            handle = sidecar.server.pool.balancer.handle
 
             def deaf(now, event):
                 if isinstance(event, Outcome | Timer):
-                    sidecar.engine.pool.balancer.actions = []
+                    sidecar.server.pool.balancer.actions = []
                     raise ZeroDivisionError("of the module")
                 return handle(now, event)
 
-            sidecar.engine.pool.balancer.handle = deaf
+            sidecar.server.pool.balancer.handle = deaf
             assert (await ask(sidecar.port, message("order", "ab", "500m"))).code == 504
 
     run(play())
@@ -259,11 +259,11 @@
             def broken(*_):
                 raise ZeroDivisionError("of the program")
 
-            engine = sidecar.engine
-            engine.pool.message = broken
+            sidecar_server = sidecar.server
+            sidecar_server.pool.message = broken
             assert (await ask(sidecar.port, message("order", "ab", "300m"))).code == 503
-            assert not engine.pool.pending and not engine.pool.attempts
-            del engine.pool.message
+            assert not sidecar_server.pool.pending and not sidecar_server.pool.attempts
+            del sidecar_server.pool.message
             assert (await ask(sidecar.port, message("order", "cd"))).code == 200
 
     run(play())
@@ -278,14 +278,16 @@
             await until(lambda: fake.got)
             writer.close()
             await until(lambda: fake.ended == 1, "its attempt is called off")
-            engine = sidecar.engine
+            sidecar_server = sidecar.server
             await until(
                 lambda: (
-                    not engine.pool.pending and not engine.pool.attempts and not engine.pool.balancer.pending
+                    not sidecar_server.pool.pending
+                    and not sidecar_server.pool.attempts
+                    and not sidecar_server.pool.balancer.pending
                 )
             )
-            assert not engine.clients.all
-            (server,) = engine.pool.balancer.servers.values()
+            assert not sidecar_server.clients.all
+            (server,) = sidecar_server.pool.balancer.servers.values()
             assert not server.in_flight  # the attempt's end was reported as well
 
     run(play())
@@ -304,7 +306,7 @@
 def test_a_report_is_read_by_names_and_only_whole(tmp_path):
     async def play():
         async with Sidecar(tmp_path / "c", config(news(1))) as sidecar:
-            read = sidecar.engine.pool.reports.read
+            read = sidecar.server.pool.reports.read
             assert read(b"cpu=0.25, rps=3") == (3.0, 0.25)
             assert read(b"qps=3,util=0.25,more=1") == (3.0, 0.25)
             for figure in (
@@ -338,16 +340,16 @@
         fake = await Fake(acting).start()
         async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
             heard = []
-            engine = sidecar.engine
-            (server,) = engine.pool.upstreams.endpoints
-            engine.pool.balancer.handle = lambda now, event: heard.append(event) or []
-            engine.pool.carry_out[Probe](Probe(server))
+            sidecar_server = sidecar.server
+            (server,) = sidecar_server.pool.upstreams.endpoints
+            sidecar_server.pool.balancer.handle = lambda now, event: heard.append(event) or []
+            sidecar_server.pool.carry_out[Probe](Probe(server))
             await until(lambda: heard)
             assert heard[0].status is Status.OK and heard[0].report == (7.0, 0.5)
-            engine.pool.carry_out[CloseIdle](CloseIdle(server))
-            assert not engine.pool.upstreams.connections
+            sidecar_server.pool.carry_out[CloseIdle](CloseIdle(server))
+            assert not sidecar_server.pool.upstreams.connections
             fake.server.close()
-            engine.pool.carry_out[Probe](Probe(server))
+            sidecar_server.pool.carry_out[Probe](Probe(server))
             await until(lambda: len(heard) > 1)
             assert heard[1].status is Status.CONNECT_FAILED and heard[1].report == ()
 
@@ -359,9 +361,9 @@
         since = int(time.time() * 1000) - 2000
         known = news(1, entry("s1", f"{HOST}:9"), entry("s2", f"{HOST}:10", since_ms=since))
         async with Sidecar(tmp_path / "c", config(known)) as sidecar:
-            started = sorted(server.started_ns for server in sidecar.engine.pool.balancer.servers.values())
+            started = sorted(server.started_ns for server in sidecar.server.pool.balancer.servers.values())
             assert started[0] == 0
-            assert 1000 * MS < sidecar.engine.now() - started[1] < 60_000 * MS
+            assert 1000 * MS < sidecar.server.now() - started[1] < 60_000 * MS
 
     run(play())
 
@@ -382,8 +384,8 @@
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
             writer.write(message("lookup", "a") + message("lookup", "b"))
             await until(lambda: fake.got)
-            sidecar.engine.draining, sidecar.engine.accepting_requests = True, False
-            sidecar.engine.shutdown.answer_all()
+            sidecar.server.draining, sidecar.server.accepting_requests = True, False
+            sidecar.server.shutdown.answer_all()
             got = [await read_message(reader), await read_message(reader)]
             assert [one.code for one in got] == [504, 503]
             assert "retry-after" in got[1].headers and got[1].headers["connection"] == "close"
--- a/tests/net/test_start_times.py
+++ b/tests/net/test_start_times.py
@@ -112,10 +112,10 @@
     """With all of them cold it would refuse every request until the first is warm."""
     now = UNIX
     fleet = [endpoint(n + 1, started=now + (behind - age) * SECOND) for n, age in enumerate(ages)]
-    StartTimes().place(now, ListKind.CACHED, "one", [(f"s{one.server}", one) for one in fleet])
+    StartTimes().place(now, ListKind.CACHED, "one", [(f"s{one.number}", one) for one in fleet])
     balancer, _ = make(entries=[])
     balancer.handle(now, Membership(ListKind.CACHED, 1, fleet))
-    found = [balancer.slow_start.ramp(balancer.servers[one.server]) for one in fleet]
+    found = [balancer.slow_start.ramp(balancer.servers[one.number]) for one in fleet]
     assert found == pytest.approx(ramps)
     assert len(caplog.records) == (1 if behind else 0)
 
@@ -233,7 +233,7 @@
     data = config(news(1, entry("s1", f"{HOST}:9", since_ms=old_ms)), listing.address)
     data["settings"]["rules"] |= {"start-capacity": 0.14, "warm-within-ns": 22 * SECOND}
     async with Sidecar(tmp_path / "c", data) as sidecar:
-        pool = sidecar.engine.pool
+        pool = sidecar.server.pool
         await until(lambda: len(listing.got) == 2)
         if where == "here while running":
             wall["step"] = step
--- a/tests/net/test_state_cleanup.py
+++ b/tests/net/test_state_cleanup.py
@@ -11,7 +11,7 @@
     async def play():
         fake = await Fake(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(news(1, entry("s0", fake.address)))) as sidecar:
-            engine, module = sidecar.engine, sidecar.engine.pool.balancer
+            sidecar_server, module = sidecar.server, sidecar.server.pool.balancer
             for number in range(1, DAYS_WORTH):
                 change = news(
                     number + 1,
@@ -19,22 +19,25 @@
                     entry(f"s{number - 1}", fake.address, "DELETED"),
                     snapshot=False,
                 )
-                engine.pool.on_update(parse_endpoint_update(change, engine.pool.names))
+                sidecar_server.pool.on_update(parse_endpoint_update(change, sidecar_server.pool.names))
                 if number % 20 == 0:
                     data = message("lookup", f"id{number}", "900m", b"", f"X-Key: key{number}")
                     assert (await ask(sidecar.port, data)).code == 200
-                assert len(engine.pool.names.servers) <= 2
-            await until(lambda: not engine.clients.all)
-            assert len(module.servers) <= 2 and len(engine.pool.upstreams.endpoints) == 1
-            assert len(engine.pool.upstreams.connections) <= 2
-            assert len(module.endpoints.groups) <= 4 and len(engine.pool.names.zones) <= 256
+                assert len(sidecar_server.pool.names.servers) <= 2
+            await until(lambda: not sidecar_server.clients.all)
+            assert len(module.servers) <= 2 and len(sidecar_server.pool.upstreams.endpoints) == 1
+            assert len(sidecar_server.pool.upstreams.connections) <= 2
+            assert len(module.endpoints.groups) <= 4 and len(sidecar_server.pool.names.zones) <= 256
             assert not (
-                module.pending or module.load_reports.waiting or engine.pool.pending or engine.pool.attempts
+                module.pending
+                or module.load_reports.waiting
+                or sidecar_server.pool.pending
+                or sidecar_server.pool.attempts
             )
             assert (
                 len(module.timers.heap) <= DAYS_WORTH / 20
             )  # each goes with its deadline, whatever came of it
-            assert module.in_flight == 0 and engine.memory.reserved_bytes == 0
+            assert module.in_flight == 0 and sidecar_server.memory.reserved_bytes == 0
 
     run(play())
 
@@ -43,7 +46,7 @@
     async def play():
         fake = await Fake(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
-            engine, module = sidecar.engine, sidecar.engine.pool.balancer
+            sidecar_server, module = sidecar.server, sidecar.server.pool.balancer
             for number in range(3):
                 assert (await ask(sidecar.port, message("lookup", f"a{number}"))).code == 200
             (old,) = module.servers.values()
@@ -51,7 +54,7 @@
             old.failure_score = 5.0
             module.outliers.eject(old)
             change = news(2, entry("s1", fake.address, "DELETED"), entry("s2", fake.address), snapshot=False)
-            engine.pool.on_update(parse_endpoint_update(change, engine.pool.names))
+            sidecar_server.pool.on_update(parse_endpoint_update(change, sidecar_server.pool.names))
             (new,) = [server for server in module.servers.values() if server.listed]
             assert new is not old and not new.ejected and not new.samples and not module.endpoints.ejected
             assert (await ask(sidecar.port, message("lookup", "b"))).code == 200
@@ -64,11 +67,11 @@
     async def play():
         fake = await Fake(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(news(1, entry("s1", f"{HOST}:9")))) as sidecar:
-            engine = sidecar.engine
+            sidecar_server = sidecar.server
             for index, status in ((2, "DELETED"), (3, "SERVING")):
                 change = news(index, entry("s1", fake.address, status), snapshot=False)
-                engine.pool.on_update(parse_endpoint_update(change, engine.pool.names))
+                sidecar_server.pool.on_update(parse_endpoint_update(change, sidecar_server.pool.names))
             assert (await ask(sidecar.port, message("order", "a"))).code == 200
-            assert list(engine.pool.upstreams.endpoints) == list(engine.pool.balancer.servers)
+            assert list(sidecar_server.pool.upstreams.endpoints) == list(sidecar_server.pool.balancer.servers)
 
     run(play())
--- a/tests/net/test_upstream_connections.py
+++ b/tests/net/test_upstream_connections.py
@@ -11,7 +11,7 @@
 import pytest
 from net_helpers import HOST, WAIT, Fake, answer_ok, reply, reset, run, silent, until
 
-from dykefold.admission.budget import Allowance
+from dykefold.admission.budget import DescriptorAllowance
 from dykefold.balancer.events import State, Status
 from dykefold.net.memory_budget import MB, MemoryBudget
 from dykefold.net.timer_wheel import TimerWheel
@@ -25,7 +25,7 @@
 
 def make(address, connect_timeout=5.0, limit=1024, idle=60.0):
     pool = ConnectionPool(
-        asyncio.get_running_loop(), Allowance(limit), MemoryBudget(192 * MB), connect_timeout, idle
+        asyncio.get_running_loop(), DescriptorAllowance(limit), MemoryBudget(192 * MB), connect_timeout, idle
     )
     pool.update(1, address, 0, State.READY)
     return pool
@@ -269,9 +269,9 @@
         def exhausted(*_):
             raise OSError(errno.EMFILE, "Too many open files")
 
-        monkeypatch.setattr(upstream.socket, "socket", exhausted)
+        monkeypatch.setattr(socket, "socket", exhausted)
         assert await start(pool)[1] == (Status.NOT_ATTEMPTED, None)  # it says nothing of the server
-        monkeypatch.setattr(upstream.socket, "socket", real)
+        monkeypatch.setattr(socket, "socket", real)
         assert (await start(pool)[1])[0] is Status.OK
         pool.close()
 
--- a/tests/net/test_upstream_syscalls.py
+++ b/tests/net/test_upstream_syscalls.py
@@ -33,7 +33,7 @@
 )
 from test_upstream_connections import listener, start
 
-from dykefold.admission.budget import Allowance
+from dykefold.admission.budget import DescriptorAllowance
 from dykefold.balancer.actions import Fail, Refuse, Send
 from dykefold.balancer.events import Outcome, State, Status
 from dykefold.balancer.settings import Effect
@@ -56,7 +56,7 @@
 def make(address, system, connect_timeout=0.25):
     pool = ConnectionPool(
         asyncio.get_running_loop(),
-        Allowance(64),
+        DescriptorAllowance(64),
         MemoryBudget(192 * MB),
         connect_timeout,
         60.0,
@@ -468,7 +468,7 @@
         async with Sidecar(tmp_path / "c", config(news(1, *entries))) as sidecar:
             warm = await ask_through(sidecar, 40, 0.01)
             assert all(code == 200 for code, _ in warm)
-            balancer = sidecar.engine.pool.balancer
+            balancer = sidecar.server.pool.balancer
             struck = []
 
             def strike(server, weight, share):
@@ -595,7 +595,9 @@
     action = send_one(balancer, now, 1)
     tokens, sends, deadline = balancer.retries.budget, [], now + 4 * SECOND
     for number in range(100):
-        actions = balancer.handle(now, Outcome(1, number, action.server, Status.NOT_ATTEMPTED, 0, False))
+        actions = balancer.handle(
+            now, Outcome(1, number, action.endpoint_number, Status.NOT_ATTEMPTED, 0, False)
+        )
         later = [(now, one) for one in actions] + play_timers(balancer, now, actions, deadline)
         ends = [(at, one) for at, one in later if isinstance(one, Send | Refuse | Fail)]
         assert len(ends) == 1 and ends[0][0] >= now
--- a/tests/net_helpers.py
+++ b/tests/net_helpers.py
@@ -11,7 +11,7 @@
 
 import uvloop
 
-from dykefold.__main__ import Reload, start_engine
+from dykefold.__main__ import Reload, start_sidecar
 from dykefold.sidecar_config import read_config
 
 HOST = "127.0.0.1"
@@ -225,23 +225,23 @@
 
 
 class Sidecar:
-    """An engine with its listening socket in the test's loop."""
+    """An sidecar_server with its listening socket in the test's loop."""
 
     def __init__(self, path, data):
         path.write_text(json.dumps(data))
         config = read_config(str(path))
-        self.engine = start_engine(asyncio.get_running_loop(), config)
-        self.reload = Reload(self.engine, config, str(path), None)  # as at SIGHUP
+        self.server = start_sidecar(asyncio.get_running_loop(), config)
+        self.reload = Reload(self.server, config, str(path), None)  # as at SIGHUP
         self.port = 0
 
     async def __aenter__(self):
-        _, self.port = self.engine.listen(socket.create_server((HOST, 0))).address
+        _, self.port = self.server.listen(socket.create_server((HOST, 0))).address
         return self
 
     async def __aexit__(self, *_):
-        if self.engine.listener is not None:
-            self.engine.listener.close()
-        self.engine.close()
+        if self.server.listener is not None:
+            self.server.listener.close()
+        self.server.close()
 
 
 @contextlib.asynccontextmanager
--- a/tests/routing/services_rig.py
+++ b/tests/routing/services_rig.py
@@ -7,7 +7,7 @@
 
 from net_helpers import HOST
 
-from dykefold.admission.addresses import Caps
+from dykefold.admission.addresses import AddressLimits
 from dykefold.net.sidecar import SidecarServer
 from dykefold.routing.config import read_plan
 from dykefold.routing.services import Services
@@ -32,23 +32,23 @@
     """A node with services in the test's own loop."""
 
     def __init__(self, text, sockets=512):
-        self.engine = SidecarServer(asyncio.get_running_loop(), sockets, 192 * MB)
-        self.services = Services(self.engine, lambda: 7)
+        self.server = SidecarServer(asyncio.get_running_loop(), sockets, 192 * MB)
+        self.services = Services(self.server, lambda: 7)
         self.apply(text, sockets)
 
     def apply(self, text, sockets=512):
-        self.services.apply(plan_of(text), sockets, Caps())
+        self.services.apply(plan_of(text), sockets, AddressLimits())
 
     def pool(self, name):
         return self.services.by_name[name].pool
 
     async def __aenter__(self):
-        _, self.port = self.engine.listen(socket.create_server((HOST, 0))).address
+        _, self.port = self.server.listen(socket.create_server((HOST, 0))).address
         return self
 
     async def __aexit__(self, *_):
-        self.engine.listener.close()
-        self.engine.close()
+        self.server.listener.close()
+        self.server.close()
 
 
 def get(path, *lines, method="GET", host="parts.example"):
--- a/tests/routing/test_requests.py
+++ b/tests/routing/test_requests.py
@@ -108,23 +108,23 @@
 )
 def test_methods_have_the_effect_of_rfc_9110(method, effect):
     call, _ = read(method, "/catalogue/bolts")
-    assert CATALOGUE.settings.classes[call.cls].effect is effect
+    assert CATALOGUE.settings.classes[call.class_number].effect is effect
     assert (call.profile is HttpProfile.HEAD) == (method == "HEAD")
 
 
 def test_idempotent_methods_may_be_retried_only_where_the_route_allows_it():
     call, _ = read("PUT", "/x", "a.stock.example", x_request_id="1")
-    assert STOCK.settings.classes[call.cls].effect is Effect.UNSAFE
+    assert STOCK.settings.classes[call.class_number].effect is Effect.UNSAFE
 
 
 def test_a_missing_id_is_made_returned_and_forwarded():
     call, _ = read("GET", "/catalogue")
     assert call.ident == b"catalogue/made"
-    assert call.told == b"X-Request-Id: made\r\n"
-    assert call.headers == [call.told]
+    assert call.extra_response_headers == b"X-Request-Id: made\r\n"
+    assert call.headers == [call.extra_response_headers]
     call, _ = read("GET", "/catalogue", x_request_id="mine")
     assert call.ident == b"catalogue/mine"
-    assert not call.told
+    assert not call.extra_response_headers
     assert not call.headers
     with pytest.raises(RequestError, match="X-Request-Id is missing"):
         read("GET", "/x", "a.stock.example")
@@ -143,7 +143,7 @@
     with pytest.raises(RequestError, match="x-hold is missing"):
         read("PUT", "/hold", "parts.example")
     call, _ = read("PUT", "/hold", "parts.example", x_hold="k")
-    assert call.cls == 0
+    assert call.class_number == 0
     with pytest.raises(RequestError) as caught:
         read("GET", "/hold", "parts.example")  # no class of this pool is for it
     assert caught.value.code == 405
@@ -161,7 +161,7 @@
 
 def test_a_route_may_choose_the_platform_s_dialect():
     call, _ = read("POST", "/order/part", "dialect.example", x_request_id="7")
-    assert call.cls == 1
+    assert call.class_number == 1
     assert call.ident == b"parts/7"
     assert call.profile is HttpProfile.PLATFORM
     with pytest.raises(RequestError) as caught:
--- a/tests/routing/test_services.py
+++ b/tests/routing/test_services.py
@@ -109,13 +109,13 @@
             await until(lambda: old.got)
             node.apply(pool_text("a", new.port, attempts_most=2))  # other settings: another pool
             assert node.pool("a") is not pool
-            assert pool in node.engine.pools
+            assert pool in node.server.pools
             assert (await ask(node.port, post("/a/2"))).code == 200
             assert len(new.got) == 1
             go.set()
             assert (await held).code == 200
             assert len(old.got) == 1
-            await until(lambda: pool not in node.engine.pools)
+            await until(lambda: pool not in node.server.pools)
             assert pool.closed
             assert not pool.upstreams.connections
 
@@ -210,19 +210,19 @@
     async def play():
         fake = await Fake(answer_ok).start()
         async with Node(pool_text("a", fake.port)) as node:
-            grammar, pools = node.engine.parser, dict(node.services.by_name)
+            grammar, pools = node.server.parser, dict(node.services.by_name)
             with pytest.raises(ValueError, match="minima"):
                 node.apply(pool_text("a", fake.port, open_least=9000) + pool_text("b", fake.port))
-            assert node.engine.parser is grammar
+            assert node.server.parser is grammar
             assert node.services.by_name == pools
             assert (await ask(node.port, get("/a"))).code == 200
             text = pool_text("a", fake.port, open_least=100)
             node.apply(text)
             with pytest.raises(ValueError, match="minima"):
                 node.apply(text, sockets=128)  # judged by the limit that comes with it
-            assert node.engine.budget.upstreams.limit == node.services.reservations.total > 100
+            assert node.server.budget.upstreams.limit == node.services.reservations.total > 100
             node.apply(pool_text("a", fake.port), sockets=128)
-            assert node.engine.budget.upstreams.limit == node.services.reservations.total < 100
+            assert node.server.budget.upstreams.limit == node.services.reservations.total < 100
 
     run(play())
 
@@ -245,14 +245,14 @@
                 await load.end()
             # Where the machine took the core away some are refused, as ever; that is no loss, and no pass.
             codes = set().union(*(load.codes for load in loads))
-            late_s = node.engine.lag.worst_s
+            late_s = node.server.lag.worst_s
             void = 503 in codes and late_s >= MIN_LOGGED_S
             assert codes <= ({200, 503} if void else {200})
             assert not any(load.lost for load in loads)
             ids = [got.headers["x-request-id"] for fake in fakes for got in fake.got]
             served = sum(load.codes[200] for load in loads)
             assert len(ids) == len(set(ids)) == served
-            await until(lambda: len(node.engine.pools) == 2)
+            await until(lambda: len(node.server.pools) == 2)
         return None, f"the loop was late by {late_s:.2f} s, and some were refused" if void else None
 
     in_time(lambda: run(play()))
@@ -275,7 +275,7 @@
                         assert (await ask(node.port, get(f"/p{number}"))).code == 200
                         gone.append(weakref.ref(node.pool(f"p{number}")))
                     node.apply(base)
-                await until(lambda: len(node.engine.pools) == 1)
+                await until(lambda: len(node.server.pools) == 1)
 
             await rounds(100)
             gc.collect()
@@ -284,8 +284,8 @@
             await until(lambda: len(os.listdir("/proc/self/fd")) <= files + 2)
             await until(lambda: gc.collect() is not None and all(ref() is None for ref in gone))
             assert sys.getallocatedblocks() < blocks + 5_000  # five to a pool would show
-            assert node.engine.budget.reservations == 0
-            assert not node.engine.budget.upstreams.in_use > 1
+            assert node.server.budget.reservations == 0
+            assert not node.server.budget.upstreams.in_use > 1
             assert len(node.services.reservations.held) <= 1
 
     run(play())
@@ -296,7 +296,7 @@
         mute, fake = await Fake(silent).start(), await Fake(answer_ok).start()
         text = pool_text("a", mute.port, deadline_ms=20_000) + pool_text("b", fake.port, open_least=10)
         async with Node(text, sockets=160) as node:
-            most = node.engine.budget.upstreams.limit
+            most = node.server.budget.upstreams.limit
             writers = []
             for number in range(most + 20):
                 _, writer = await asyncio.open_connection(HOST, node.port)
@@ -328,6 +328,6 @@
             assert (await read_message(reader)).code == 200
             assert await reader.read() == b""
             writer.close()
-            await until(lambda: not node.engine.clients.all)
+            await until(lambda: not node.server.clients.all)
 
     run(play())
--- a/tests/routing/test_streams.py
+++ b/tests/routing/test_streams.py
@@ -12,7 +12,7 @@
 from services_rig import Node, get, pool_text
 from stream_helpers import BIG, KB, Server, digest
 
-from dykefold.admission.budget import Allowance
+from dykefold.admission.budget import DescriptorAllowance
 from dykefold.balancer.events import State, Status
 from dykefold.net.memory_budget import MemoryBudget
 from dykefold.net.upstream.classify import HttpProfile
@@ -66,8 +66,8 @@
     async with Node(text) as node:
         yield node, servers
         await until(lambda: not node.pool("a").pending and not node.pool("a").attempts)
-    assert node.engine.memory.reserved_bytes == 0
-    assert node.engine.budget.reservations == 0
+    assert node.server.memory.reserved_bytes == 0
+    assert node.server.budget.reservations == 0
 
 
 async def opened(node):
@@ -90,7 +90,7 @@
                 None,
                 "5",
             ]
-            assert len(node.engine.clients.all) == 1
+            assert len(node.server.clients.all) == 1
 
     run(play())
 
@@ -103,7 +103,7 @@
                 got = await client.get(f"http://{HOST}:{node.port}/a/x")
                 assert got.status_code == 200
                 assert got.content == BIG
-            assert len(node.engine.clients.all) == 1
+            assert len(node.server.clients.all) == 1
             assert len(node.pool("a").upstreams.connections) == 1
 
     run(play())
@@ -117,7 +117,7 @@
             await reader.readuntil(b"\r\n\r\n")
             connections = node.pool("a").upstreams.connections
             await until(lambda: any(connection.blocked for connection in connections))
-            assert node.engine.memory.reserved_bytes < 64 * KB
+            assert node.server.memory.reserved_bytes < 64 * KB
             assert await reader.readexactly(len(BIG)) == BIG
             writer.close()
             assert len(server.heads) == 1
@@ -272,12 +272,12 @@
     async def play():
         server = await Server(big).start()
         loop = asyncio.get_running_loop()
-        pool = ConnectionPool(loop, Allowance(8), MemoryBudget(192 * KB * KB), 5.0, 60.0)
+        pool = ConnectionPool(loop, DescriptorAllowance(8), MemoryBudget(192 * KB * KB), 5.0, 60.0)
         pool.update(1, (HOST, server.port), 0, State.READY)
         for _ in range(2):
             end = loop.create_future()
             exchange = HeldUp(get("/a/x"), lambda _, status, answer, end=end: end.set_result(status), 64 * KB)
-            exchange.profile, exchange.max_streamed_bytes = HttpProfile.USUAL, 2 * len(BIG)
+            exchange.profile, exchange.max_streamed_bytes = HttpProfile.GENERIC, 2 * len(BIG)
             pool.start(1, exchange, 5.0)
             assert await end is Status.OK
         assert len(pool.connections) == 1
@@ -310,7 +310,7 @@
             reader, writer = await asyncio.open_connection(HOST, node.port, limit=4 * KB)
             writer.write(get("/a/x"))
             await reader.readuntil(b"\r\n\r\n")
-            front = weakref.ref(next(iter(node.engine.clients.all.values())))
+            front = weakref.ref(next(iter(node.server.clients.all.values())))
             gc.disable()
             try:
                 writer.transport.abort()
--- a/tests/routing/test_usual_clients.py
+++ b/tests/routing/test_usual_clients.py
@@ -81,7 +81,7 @@
             assert got.text == "out of order"
             assert (await client.get(f"{base}/pieces")).text == "abcde"
             assert (await client.options(f"{base}/x")).status_code == 200
-            assert len(node.engine.clients.all) == 1  # one connection for all of them
+            assert len(node.server.clients.all) == 1  # one connection for all of them
             ids = [got.headers["x-request-id"] for got in fake.got]
             assert len(set(ids)) == len(ids)
 
@@ -128,7 +128,7 @@
     async def play():
         async with served() as (_, node, base):
             await asyncio.to_thread({"requests": with_requests, "urllib3": with_urllib3}[library], base)
-            await until(lambda: not node.engine.clients.all)
+            await until(lambda: not node.server.clients.all)
 
     run(play())
 
--- a/tests/sim/mutants.py
+++ b/tests/sim/mutants.py
@@ -96,7 +96,7 @@
     Mutant(
         "message memory is not given back",
         "net/downstream/connection_state.py",
-        "        self.engine.memory.release(size)\n        self.reserved_bytes -= size",
+        "        self.handler.memory.release(size)\n        self.reserved_bytes -= size",
         "        self.reserved_bytes -= size",
         "parts",
     ),
@@ -123,8 +123,8 @@
     Mutant(
         "a sidecar breaks off an answer that it streams",
         "net/service/attempts.py",
-        "        self.request.sink.send_response_piece(self.request.call, data)\n",
-        "        self.request.sink.send_response_piece(self.request.call, data)\n"
+        "        self.request.sink.send_response_piece(self.request.parsed, data)\n",
+        "        self.request.sink.send_response_piece(self.request.parsed, data)\n"
         "        if self.connection is not None:\n"
         "            self.connection.close(discard=True)\n",
         "services",
@@ -155,7 +155,7 @@
     Mutant(
         "nobody asks whether a client is there",
         "net/downstream/connection.py",
-        "        if not found or not found[0][1] & (END_BOTH if self.engine.half_close else END):\n"
+        "        if not found or not found[0][1] & (END_BOTH if self.handler.half_close else END):\n"
         "            return False\n",
         "        return False\n",
         "leaving",
--- a/tests/sim/test_reality.py
+++ b/tests/sim/test_reality.py
@@ -72,11 +72,11 @@
         await Fake(RealNode(number, wrong if number == 0 else None).act).start()
         for number in range(scenario.servers)
     ]
-    engine = SidecarServer(loop, 256, 64 * MB)
+    sidecar_server = SidecarServer(loop, 256, 64 * MB)
     settings = settings_of(scenario)
     names = NameTable(settings.zones, ["std"])
     known = news(10, *(entry(f"n{n}", fake.address, group=n % 2) for n, fake in enumerate(fakes)))
-    engine.serve_one(
+    sidecar_server.serve_one(
         settings,
         Transport(["std"], 15 * SECOND, 10_000),
         7,
@@ -84,7 +84,7 @@
         names,
         parse_endpoint_update(known, names),
     )
-    _, port = engine.listen(socket.create_server((HOST, 0))).address
+    _, port = sidecar_server.listen(socket.create_server((HOST, 0))).address
     counts = Counter()
 
     async def one(arrival):
@@ -93,9 +93,9 @@
         counts[arrival.class_number, end_of(got.code)] += 1
 
     await asyncio.gather(*(one(arrival) for arrival in scenario.arrivals))
-    late_s = engine.lag.worst_s
-    engine.listener.close()
-    engine.close()
+    late_s = sidecar_server.lag.worst_s
+    sidecar_server.listener.close()
+    sidecar_server.close()
     return shares(counts), late_s
 
 
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -22,7 +22,7 @@
     code = re.search(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.S).group(1)
     space = {}
     exec(code, space)
-    assert space["send"].server in (1, 2, 3)
+    assert space["send"].endpoint_number in (1, 2, 3)
     assert not space["balancer"].pending
 
 
@@ -95,7 +95,9 @@
                 log += actions
         for action in [a for a in log[-3:] if isinstance(a, Send) and a.id == ident]:
             status = rng.choice([Status.OK, Status.FULL, Status.RESET])
-            log += made[0].handle(now, Outcome(ident, 0, action.server, status, 5 * MS, status is Status.OK))
+            log += made[0].handle(
+                now, Outcome(ident, 0, action.endpoint_number, status, 5 * MS, status is Status.OK)
+            )
     return log
 
 
@@ -125,7 +127,7 @@
             if isinstance(action, SetTimer):
                 timers.append((now + action.after_ns, action.token))
             elif isinstance(action, Send):
-                waiting.append((now + 40 * MS, action.id, action.server))
+                waiting.append((now + 40 * MS, action.id, action.endpoint_number))
     return now
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -192,7 +192,7 @@
     assert [c.effect for c in got.classes] == [Effect.SAFE, Effect.KEYED]
     assert got.classes[1].scope is Scope.ZONE
     assert got.classes[1].window_ns == 500
-    assert got.max_attempts == 3 and got.second_copies and got.can_cancel and not got.can_probe
+    assert got.max_attempts == 3 and got.can_hedge and got.can_cancel and not got.can_probe
     assert got.tenants[0].quota_per_s == 10.0
 
 
