--- a/dykefold/control/admin_operations.py
+++ b/dykefold/control/admin_operations.py
@@ -7,11 +7,11 @@
 from http import HTTPStatus
 from typing import Protocol
 
+from ..net.service.maintenance import MAX_OUT_OF_SERVICE, MaintenanceOrder
 from ..net.service.pool import Pool
 from ..net.sidecar import SidecarServer
 from .admin_requests import FAILED, OK, Action, AdminRequest, AdminResponse
 from .background_writer import OnWritten
-from .maintenance import MAX_OUT_OF_SERVICE, MaintenanceOrder
 
 log = logging.getLogger("dykefold.control")
 
--- a/dykefold/control/hot_restart.py
+++ b/dykefold/control/hot_restart.py
@@ -8,13 +8,13 @@
 import socket
 from collections.abc import Mapping
 
+from ..net.service.maintenance import MaintenanceOrder
 from ..net.sidecar import SidecarServer
 from ..system import System
 from .background_writer import OnWritten, Submit
 from .endpoint_list_sharing import EndpointListSharing
 from .hot_restart_state import LOOK_NS, ROOM_WAIT_NS, HotRestartMachine, ProcessHeartbeat, RestartView
 from .listener_selection import ListenerSelection
-from .maintenance import MaintenanceOrder
 from .maintenance_records import MaintenanceRecords
 from .process_records import (
     ClockReading,
--- a/dykefold/control/maintenance_records.py
+++ b/dykefold/control/maintenance_records.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
 
+from ..net.service.maintenance import MaintenanceOrder
 from ..net.sidecar import SidecarServer
 from .background_writer import OnWritten, Submit, write_at_once
-from .maintenance import MaintenanceOrder
 from .process_records import (
     ClockReading,
     Record,
--- a/dykefold/control/process_records.py
+++ b/dykefold/control/process_records.py
@@ -19,8 +19,8 @@
 from enum import Enum
 from typing import Any
 
+from ..net.service.maintenance import MAX_OUT_OF_SERVICE, MaintenanceOrder
 from .hot_restart_state import HotRestartState, ProcessHeartbeat
-from .maintenance import MAX_OUT_OF_SERVICE, MaintenanceOrder
 
 MAX_GROUP_LISTENERS = 65_536  # listeners of one reuseport group: more than there are descriptors for
 MAX_TIME_NS = 2**63  # exclusive bound of a time that a record may name
--- a/dykefold/net/service/endpoint_registry.py
+++ b/dykefold/net/service/endpoint_registry.py
@@ -14,7 +14,6 @@
 
 from ...balancer.actions import Probe
 from ...balancer.events import ListKind, Membership, ProbeResult, State, Status
-from ...control.maintenance import Maintenance, MaintenanceOrder
 from ..discovery.codec import (
     EndpointRecord,
     EndpointUpdate,
@@ -26,6 +25,7 @@
 from ..start_times import StartTimes
 from ..upstream.classify import Response
 from ..upstream.exchange import Exchange
+from .maintenance import Maintenance, MaintenanceOrder
 
 if TYPE_CHECKING:
     from .pool import Pool
--- a/dykefold/control/maintenance.py
+++ b/dykefold/net/service/maintenance.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, replace
 from typing import Generic, Protocol, TypeVar
 
-from ..balancer.events import Endpoint, State
+from ...balancer.events import Endpoint, State
 
 MAX_OUT_OF_SERVICE = 1024  # endpoints out at once: far more than are restarted together
 MAX_REMEMBERED_RETURNS = 1024  # orders back that are remembered, the latest
--- a/dykefold/net/service/pool.py
+++ b/dykefold/net/service/pool.py
@@ -34,7 +34,6 @@
 from ...balancer.events import Event, ListKind, PeerMessage, SettingsChanged, Status, Timer
 from ...balancer.latency import LEARNING_ANSWERS
 from ...balancer.settings import Settings
-from ...control.maintenance import Maintenance, MaintenanceOrder
 from ...settings import Transport
 from ..clock import MS, SECOND
 from ..discovery.client import DiscoveryClient
@@ -48,6 +47,7 @@
 from .endpoint_registry import EndpointRegistry
 from .http_encoding import encode_request
 from .load_reports import LoadReportParser
+from .maintenance import Maintenance, MaintenanceOrder
 from .pending_requests import PendingRequest, PendingRequests
 from .protocols import DescriptorReservations, PoolHost
 
--- a/dykefold/net/sidecar.py
+++ b/dykefold/net/sidecar.py
@@ -19,9 +19,9 @@
 from ..admission.limits import ConnectionLimits
 from ..admission.listener import Listener
 from ..balancer.settings import Settings
-from ..control.class_generations import LINGER_NS, ClassGeneration
 from ..settings import Transport
 from ..system import SYSTEM, System
+from .class_generations import LINGER_NS, ClassGeneration
 from .clock import MS, Clock
 from .discovery.codec import EndpointUpdate, NameTable
 from .downstream.connection import ClientConnection
--- a/tests/control/hot_restart_rig.py
+++ b/tests/control/hot_restart_rig.py
@@ -12,10 +12,10 @@
 from dykefold.control.balancer_snapshot import snapshot
 from dykefold.control.hot_restart import LOOK_S, HotRestart
 from dykefold.control.hot_restart_state import LOOK_NS
-from dykefold.control.maintenance import Maintenance
 from dykefold.control.state_directory import FileStateDirectory
 from dykefold.net.clock import Clock
 from dykefold.net.discovery.codec import EndpointRecord, NameTable
+from dykefold.net.service.maintenance import Maintenance
 
 SERVERS = ("s0", "s1")
 
--- a/tests/control/test_hot_restart_state.py
+++ b/tests/control/test_hot_restart_state.py
@@ -19,7 +19,6 @@
     HotRestartMachine,
     HotRestartState,
 )
-from dykefold.control.maintenance import MaintenanceOrder
 from dykefold.control.process_records import heartbeat_record, parse_heartbeat, parse_maintenance_orders
 from dykefold.control.state_directory import (
     MAX_FILE_BYTES,
@@ -27,6 +26,7 @@
     SETTLE_NS,
     FileStateDirectory,
 )
+from dykefold.net.service.maintenance import MaintenanceOrder
 
 WHOLE = 384  # descriptors
 
--- a/tests/control/test_process_records.py
+++ b/tests/control/test_process_records.py
@@ -9,8 +9,8 @@
     GROUP_FIELDS,
 )
 from dykefold.control.hot_restart_state import HotRestartState, ProcessHeartbeat
-from dykefold.control.maintenance import MaintenanceOrder
 from dykefold.control.process_records import ClockReading, RecordKind, heartbeat_record, shift_between_clocks
+from dykefold.net.service.maintenance import MaintenanceOrder
 
 OWN = ClockReading("boot", 100, 7)
 
--- a/tests/golden/forms.py
+++ b/tests/golden/forms.py
@@ -22,11 +22,11 @@
 from dykefold.control.admin_requests import AdminRequest, parse_admin_request, parse_membership_request  # noqa: E402
 from dykefold.control.balancer_snapshot import snapshot  # noqa: E402
 from dykefold.control.hot_restart_state import HotRestartState, ProcessHeartbeat  # noqa: E402
-from dykefold.control.maintenance import MaintenanceOrder  # noqa: E402
 from dykefold.control.process_records import heartbeat_record  # noqa: E402
 from dykefold.control.state_directory import FileStateDirectory  # noqa: E402
 from dykefold.fleet import datagrams  # noqa: E402
 from dykefold.net.discovery.codec import NameTable, endpoint_update_record, parse_endpoint_update  # noqa: E402
+from dykefold.net.service.maintenance import MaintenanceOrder  # noqa: E402
 
 OWN = 0x0000_0123_4567_0000
 SIGN = {
--- a/tests/control/test_class_generations.py
+++ b/tests/net/test_class_generations.py
@@ -11,9 +11,9 @@
 from net_helpers import MS, Fake, Sidecar, answer_ok, ask, config, entry, gated, message, news, run, until
 
 from dykefold.balancer.settings import Effect, RequestClass, Settings
-from dykefold.control import class_generations as generations
-from dykefold.control.class_generations import LINGER_NS, ClassGeneration, TooManyClassesError
+from dykefold.net import class_generations as generations
 from dykefold.net import sidecar as sidecar_module
+from dykefold.net.class_generations import LINGER_NS, ClassGeneration, TooManyClassesError
 from dykefold.sidecar_config import ConfigError, lacking, read_config, shape_of
 
 SECOND = 1000 * MS
--- a/tests/control/test_maintenance.py
+++ b/tests/net/test_maintenance.py
@@ -7,8 +7,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from dykefold.balancer.events import Endpoint, State
-from dykefold.control import maintenance as module
-from dykefold.control.maintenance import Maintenance
+from dykefold.net.service import maintenance as module
+from dykefold.net.service.maintenance import Maintenance
 
 NAMES = ["s0", "s1", "s2", "s3"]
 
