--- a/dykefold/lab/emulator/__main__.py
+++ b/dykefold/lab/emulator/__main__.py
@@ -34,9 +34,7 @@
     await loop.run_in_executor(None, sys.stdin.read)
     for arrivals in truth.arrivals.values():
         for arrival in arrivals:
-            arrival.came_s -= began_s
-            arrival.began_s = arrival.began_s - began_s if arrival.began_s >= 0 else -1.0
-            arrival.ended_s = arrival.ended_s - began_s if arrival.ended_s >= 0 else -1.0
+            arrival.shift(began_s)
     print(msgspec.json.encode({"arrivals": truth.arrivals}).decode(), flush=True)
 
 
--- a/dykefold/lab/emulator/server.py
+++ b/dykefold/lab/emulator/server.py
@@ -26,15 +26,33 @@
 
 @dataclass(slots=True)
 class Arrival:
-    """What became of one attempt. Seconds on the process's monotonic clock; negative: never."""
+    """What became of one attempt.
+
+    Attributes:
+        ident: The request's id, as its client chose it.
+        cls: Name of the request's class.
+        came_s: When its last byte arrived, in seconds on the process's monotonic clock.
+        began_s: When its work began, on the same clock; None if it never ran.
+        ended_s: When its work ended; None if it did not.
+        answer: How it was answered: served, full, garbage, reset or lost; empty if nothing was sent.
+        overlaps: Whether an earlier attempt of its request was still on an open connection.
+    """
 
     ident: str
     cls: str
     came_s: float
-    began_s: float = -1.0
-    ended_s: float = -1.0
-    answer: str = ""  # as it was sent: served, full, garbage, reset, lost; empty: nothing was sent
-    overlaps: bool = False  # an earlier attempt of its request still stood on its connection
+    began_s: float | None = None
+    ended_s: float | None = None
+    answer: str = ""
+    overlaps: bool = False
+
+    def shift(self, start_s: float) -> None:
+        """Count all times from `start_s`; what was earlier becomes negative."""
+        self.came_s -= start_s
+        if self.began_s is not None:
+            self.began_s -= start_s
+        if self.ended_s is not None:
+            self.ended_s -= start_s
 
 
 @dataclass(slots=True)
@@ -61,7 +79,7 @@
         found: dict[str, list[tuple[float, str]]] = {}
         for server, arrivals in self.arrivals.items():
             for arrival in arrivals:
-                if arrival.began_s >= 0:
+                if arrival.began_s is not None:
                     found.setdefault(arrival.ident, []).append((arrival.began_s, server))
         return found
 
--- a/dykefold/lab/fleet/judge.py
+++ b/dykefold/lab/fleet/judge.py
@@ -24,12 +24,12 @@
 
 
 class Arrived(Protocol):
-    """An attempt that reached a server; `began_s` negative: it never ran."""
+    """An attempt that reached a server; `began_s` is None if it never ran."""
 
     ident: str
     cls: str
     came_s: float
-    began_s: float
+    began_s: float | None
     overlaps: bool
 
 
@@ -127,7 +127,7 @@
 
 def _violations(one: Asked, tries: list[tuple[str, Arrived]], table: ClassTable, hedged: bool) -> list[str]:
     found = []
-    ran = sorted((arrival.began_s, server) for server, arrival in tries if arrival.began_s >= 0)
+    ran = sorted((arrival.began_s, server) for server, arrival in tries if arrival.began_s is not None)
     where = ", ".join(f"{server} at {at:.3f} s" for at, server in ran)
     if len(tries) > ATTEMPTS_MOST:
         found.append(f"{one.ident} was sent {len(tries)} times")
@@ -136,7 +136,7 @@
     if table.effect == "unsafe" and len(ran) > 1:
         found.append(f"{one.ident} ({one.cls}) ran {len(ran)} times: {where}")
     # The window is between sends: what a cut has held back runs when it will, and nobody can call it off.
-    sent = [arrival.came_s for _, arrival in tries if arrival.began_s >= 0]
+    sent = [arrival.came_s for _, arrival in tries if arrival.began_s is not None]
     if table.effect == "keyed" and sent and max(sent) - min(sent) > table.window_ms / 1000 + SLACK_S:
         found.append(f"{one.ident} ({one.cls}) ran beyond its window: {where}")
     if one.end is End.SERVED and (one.body != one.ident or not ran):
--- a/dykefold/lab/judge.py
+++ b/dykefold/lab/judge.py
@@ -88,7 +88,7 @@
     for server, arrivals in truth.items():
         for arrival in arrivals:
             classes[arrival["ident"]] = scenario.classes[arrival["cls"]]
-            if arrival["began_s"] >= 0:
+            if arrival["began_s"] is not None:
                 runs.setdefault(arrival["ident"], []).append((arrival["began_s"], server))
     found = []
     for ident, places in runs.items():
--- a/tests/control/test_hot_restart_faults.py
+++ b/tests/control/test_hot_restart_faults.py
@@ -215,7 +215,7 @@
             Arrival("heldback", "hold", 1.1, 9.0),
             Arrival("heldback", "hold", 1.3, 1.3),
         ],
-        "c": [Arrival("banned", "lookup", 9.0, 9.0), Arrival("copies", "lookup", 1.0, -1.0, overlaps=True)],
+        "c": [Arrival("banned", "lookup", 9.0, 9.0), Arrival("copies", "lookup", 1.0, None, overlaps=True)],
     }
     found = judge(all_asked, arrivals, CLASSES, [Excuse(0, 5.0, 5.2)], [Ban(0, "c", 8.0)])
     assert found.lost == ["lost", "crossed"] and found.excused == 1
--- a/tests/lab/test_run.py
+++ b/tests/lab/test_run.py
@@ -2,14 +2,16 @@
 
 import asyncio
 import json
+from dataclasses import asdict
 
 import pytest
 from net_helpers import Fake, run
 from typer.testing import CliRunner
 
 from dykefold.cli import app
+from dykefold.lab.emulator.server import Arrival
 from dykefold.lab.judge import judge
-from dykefold.lab.load.client import Load
+from dykefold.lab.load.client import Load, histogram
 from dykefold.lab.run import play
 from dykefold.lab.scenario import read_scenario
 from dykefold.service_config import ServiceError
@@ -94,10 +96,8 @@
 
     truth = {
         "std-0": [arrival("a", "order", 0.1), arrival("b", "lookup", 0.1), arrival("c", "order", 0.2)],
-        "std-1": [arrival("a", "order", 0.4), arrival("b", "lookup", 0.4), arrival("e", "order", -1.0)],
+        "std-1": [arrival("a", "order", 0.4), arrival("b", "lookup", 0.4), arrival("e", "order", None)],
     }
-    from dykefold.lab.load.client import histogram
-
     empty = histogram().encode().decode()
 
     def told(served, refused):
@@ -112,6 +112,23 @@
     ]
 
 
+def test_work_begun_before_the_time_line_counts_as_run(tmp_path):
+    """Load and emulator start their clocks one after the other: the first request may come before."""
+    first = Arrival("0-0", "order", came_s=9.8, began_s=9.9)
+    first.shift(10.0)
+    unstarted = Arrival("0-1", "order", came_s=9.8)
+    unstarted.shift(10.0)
+    assert first.began_s == pytest.approx(-0.1)
+    assert unstarted.began_s is None
+    empty = histogram().encode().decode()
+    ends = {"latency": empty, "counts": {}, "by_second": {}, "served": ["0-0"], "refused": ["0-1"]}
+    none = {**ends, "served": [], "refused": []}
+    seen = [{"lag": empty, "classes": {"lookup": none, "order": ends}}]
+    truth = {"std-0": [asdict(first), asdict(unstarted)]}
+    scenario = read_scenario(str(scenario_file(tmp_path)))
+    assert judge(scenario, seen, truth).violations == []
+
+
 def test_a_scenario_file_tells_all_that_is_wrong_at_once(tmp_path):
     path = tmp_path / "scenario.toml"
     path.write_text(
