--- a/dykefold/__main__.py
+++ b/dykefold/__main__.py
@@ -56,17 +56,16 @@
 
 
 class Reload:
-    """Applies the platform's file again, as a whole or not at all."""
+    """Applies the platform's file again, as a whole or not at all.
+
+    Args:
+        sidecar: is to follow the file.
+        config: what the process runs by.
+        path: of the platform's file.
+        service: path of the operator's file; None: there is none.
+    """
 
     def __init__(self, sidecar: SidecarServer, config: Config, path: str | None, service: str | None) -> None:
-        """Prepare.
-
-        Args:
-            sidecar: is to follow the file.
-            config: what the process runs by.
-            path: of the platform's file.
-            service: path of the operator's file; None: there is none.
-        """
         self.sidecar = sidecar
         self.config = config
         self.path = path
--- a/dykefold/admission/address_keys.py
+++ b/dykefold/admission/address_keys.py
@@ -32,15 +32,14 @@
 
 
 class AddressPrefixes:
-    """How many leading bits make one address, by version."""
+    """How many leading bits make one address, by version.
 
-    def __init__(self, ipv4_bits: int, ipv6_bits: int) -> None:
-        """Take the lengths.
+    Args:
+        ipv4_bits: from 0 to 32.
+        ipv6_bits: from 0 to 128.
+    """
 
-        Args:
-            ipv4_bits: from 0 to 32.
-            ipv6_bits: from 0 to 128.
-        """
+    def __init__(self, ipv4_bits: int, ipv6_bits: int) -> None:
         self._shifts = {IPV4: IPV4_BITS - ipv4_bits, IPV6: IPV6_BITS - ipv6_bits}
 
     def key(self, host: str) -> AddressKey:
@@ -57,14 +56,13 @@
 
 
 class NetworkSet:
-    """A set of networks; a look-up costs one step for each length of prefix that occurs."""
+    """A set of networks; a look-up costs one step for each length of prefix that occurs.
 
-    def __init__(self, networks: Iterable[Network]) -> None:
-        """Index the networks.
+    Args:
+        networks: of either version, in any order.
+    """
 
-        Args:
-            networks: of either version, in any order.
-        """
+    def __init__(self, networks: Iterable[Network]) -> None:
         self._shifts: dict[int, dict[int, set[int]]] = {IPV4: {}, IPV6: {}}
         for network in networks:
             shift = network.max_prefixlen - network.prefixlen
--- a/dykefold/admission/addresses.py
+++ b/dykefold/admission/addresses.py
@@ -61,6 +61,9 @@
 class AddressRecord:
     """What one address uses of its limits.
 
+    Args:
+        now_s: the time, in seconds of the monotonic clock.
+
     Attributes:
         key: identifies the address.
         trust: whether it is known, and by what.
@@ -86,13 +89,6 @@
     )
 
     def __init__(self, key: AddressKey, tokens: float, now_s: float) -> None:
-        """Begin with nothing used.
-
-        Args:
-            key: identifies the address.
-            tokens: new connections that it may open at once.
-            now_s: the time, in seconds of the monotonic clock.
-        """
         self.key = key
         self.trust = AddressTrust.UNKNOWN
         self.connections = 0
@@ -120,11 +116,6 @@
     """
 
     def __init__(self, caps: AddressLimits) -> None:
-        """Begin with no address.
-
-        Args:
-            caps: the limits of each address.
-        """
         self.active: dict[AddressKey, AddressRecord] = {}
         self.inactive: OrderedDict[AddressKey, AddressRecord] = OrderedDict()
         self.learned: OrderedDict[AddressKey, None] = OrderedDict()
--- a/dykefold/admission/budget.py
+++ b/dykefold/admission/budget.py
@@ -31,11 +31,6 @@
     __slots__ = ("in_use", "limit")
 
     def __init__(self, limit: int) -> None:
-        """Begin with none held.
-
-        Args:
-            limit: descriptors that may be held.
-        """
         self.limit = limit
         self.in_use = 0
 
@@ -48,6 +43,10 @@
 class DescriptorBudget:
     """All descriptors of the process, by purpose; the admission rules count what clients hold.
 
+    Args:
+        limit: descriptors of the whole process.
+        set_aside: of these, for what else the process does.
+
     Attributes:
         clients: that clients may hold.
         with_requests: of these, how many clients can hold that have sent a request.
@@ -56,12 +55,6 @@
     """
 
     def __init__(self, limit: int, set_aside: int = 0) -> None:
-        """Begin with none held.
-
-        Args:
-            limit: descriptors of the whole process.
-            set_aside: of these, for what else the process does.
-        """
         self._process = PROCESS + set_aside
         self.upstreams = DescriptorAllowance(0)
         self.reservations = 0
--- a/dykefold/admission/client.py
+++ b/dykefold/admission/client.py
@@ -38,12 +38,7 @@
     )
 
     def __init__(self, address: AddressRecord, host: str) -> None:
-        """Begin a connection that has sent nothing.
-
-        Args:
-            address: the record of its address.
-            host: its address as text.
-        """
+        """Begin a connection that has sent nothing."""
         self.address = address
         self.host = host
         self.owner: AddressKey = address.key
--- a/dykefold/admission/clients.py
+++ b/dykefold/admission/clients.py
@@ -18,6 +18,9 @@
 class ClientConnections:
     """Every open connection of a client.
 
+    Args:
+        system: the clock.
+
     Attributes:
         admission: the rules.
         monotonic: the monotonic clock, in seconds.
@@ -26,12 +29,6 @@
     """
 
     def __init__(self, admission: AdmissionController, system: System = SYSTEM) -> None:
-        """Begin with no connection.
-
-        Args:
-            admission: the rules.
-            system: the clock.
-        """
         self.admission = admission
         self.monotonic = system.monotonic
         self.all: dict[Client, ManagedConnection] = {}
--- a/dykefold/admission/controller.py
+++ b/dykefold/admission/controller.py
@@ -30,6 +30,9 @@
 class AdmissionController:
     """Decides on each connection.
 
+    Args:
+        caps: what each address may use.
+
     Attributes:
         limits: what clients may hold in all.
         addresses: what each address uses of its limits.
@@ -40,12 +43,6 @@
     """
 
     def __init__(self, limits: ConnectionLimits, caps: AddressLimits) -> None:
-        """Begin with no connection.
-
-        Args:
-            limits: what clients may hold in all.
-            caps: what each address may use.
-        """
         self.limits = limits
         self.addresses = AddressTable(caps)
         self.eviction = EvictionOrder()
--- a/dykefold/admission/eviction.py
+++ b/dykefold/admission/eviction.py
@@ -38,7 +38,6 @@
     """
 
     def __init__(self) -> None:
-        """Begin with no connection."""
         self.count = 0
         self.queues: list[OwnerQueue[Client]] = [OwnerQueue() for _ in ClientState]
 
@@ -51,7 +50,6 @@
     """
 
     def __init__(self) -> None:
-        """Begin with no connection."""
         self.groups = {False: ClientGroup(), True: ClientGroup()}
 
     def choose(
--- a/dykefold/admission/listener.py
+++ b/dykefold/admission/listener.py
@@ -43,6 +43,13 @@
 class Listener:
     """Accepts on one non-blocking listening socket.
 
+    Args:
+        loop: runs everything.
+        sock: the listening socket.
+        clients: decides on each connection.
+        make_connection: makes the protocol of an admitted client's connection.
+        system: the clock and the reserve descriptor.
+
     Attributes:
         closed: the socket is closed.
         reserve: the descriptor to close when accepting needs one.
@@ -57,15 +64,6 @@
         make_connection: Callable[[Client], ManagedConnection],
         system: System = SYSTEM,
     ) -> None:
-        """Begin to accept.
-
-        Args:
-            loop: runs everything.
-            sock: the listening socket.
-            clients: decides on each connection.
-            make_connection: makes the protocol of an admitted client's connection.
-            system: the clock and the reserve descriptor.
-        """
         self._loop = loop
         self._system = system
         self._sock = sock
--- a/dykefold/admission/message_timeouts.py
+++ b/dykefold/admission/message_timeouts.py
@@ -28,7 +28,6 @@
     """
 
     def __init__(self) -> None:
-        """Begin with no connection."""
         self.within_head_time: OrderedDict[Client, float] = OrderedDict()
         self.within_body_time: dict[Client, None] = {}
 
--- a/dykefold/admission/owner_queue.py
+++ b/dykefold/admission/owner_queue.py
@@ -39,7 +39,6 @@
     """
 
     def __init__(self) -> None:
-        """Begin with no item."""
         self.added_at_s: OrderedDict[Item, float] = OrderedDict()
         self._by_owner: dict[Hashable, OrderedDict[Item, None]] = {}
         self._owners_by_count: dict[int, OrderedDict[Hashable, None]] = {}
--- a/dykefold/admission/rejected_connection.py
+++ b/dykefold/admission/rejected_connection.py
@@ -19,6 +19,12 @@
 class RejectedConnection:
     """One such connection.
 
+    Args:
+        loop: runs the timer.
+        sock: the accepted socket; it is closed in the end, whatever fails.
+        response: what the client is sent.
+        on_closed: called once, when the descriptor is free; during this call if nothing is awaited.
+
     Attributes:
         closed: its descriptor is free.
     """
@@ -42,14 +48,6 @@
         response: bytes,
         on_closed: Callable[[RejectedConnection], None],
     ) -> None:
-        """Begin to reject.
-
-        Args:
-            loop: runs the timer.
-            sock: the accepted socket; it is closed in the end, whatever fails.
-            response: what the client is sent.
-            on_closed: called once, when the descriptor is free; during this call if nothing is awaited.
-        """
         self._loop = loop
         self._sock = sock
         self._response = response
--- a/dykefold/admission/rejection_log.py
+++ b/dykefold/admission/rejection_log.py
@@ -13,14 +13,13 @@
 
 
 class RejectionLog:
-    """Counts the rejections that were not logged yet."""
+    """Counts the rejections that were not logged yet.
 
-    def __init__(self, monotonic: Callable[[], float]) -> None:
-        """Begin with no rejection.
+    Args:
+        monotonic: the monotonic clock, in seconds.
+    """
 
-        Args:
-            monotonic: the monotonic clock, in seconds.
-        """
+    def __init__(self, monotonic: Callable[[], float]) -> None:
         self._monotonic = monotonic
         self._not_logged = dict.fromkeys(RejectionReason, 0)
         self._logged_at_s = dict.fromkeys(RejectionReason, -LOG_INTERVAL_S)
--- a/dykefold/admission/rejections.py
+++ b/dykefold/admission/rejections.py
@@ -31,15 +31,14 @@
 
 
 class Rejections:
-    """The rejected connections that are still open, the oldest first; at most `MAX_LINGERING`."""
+    """The rejected connections that are still open, the oldest first; at most `MAX_LINGERING`.
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, on_closed: Callable[[], None]) -> None:
-        """Begin with none.
+    Args:
+        loop: runs the connections.
+        on_closed: called when the descriptor of one is free.
+    """
 
-        Args:
-            loop: runs the connections.
-            on_closed: called when the descriptor of one is free.
-        """
+    def __init__(self, loop: asyncio.AbstractEventLoop, on_closed: Callable[[], None]) -> None:
         self._loop = loop
         self._on_closed = on_closed
         self._open: dict[RejectedConnection, None] = {}
--- a/dykefold/admission/request_gaps.py
+++ b/dykefold/admission/request_gaps.py
@@ -22,7 +22,6 @@
     """
 
     def __init__(self) -> None:
-        """Begin with a guess."""
         self.mean_s = INITIAL_GAP_S
         self.deviation_s = INITIAL_GAP_S / 2
 
--- a/dykefold/admission/reserve_descriptor.py
+++ b/dykefold/admission/reserve_descriptor.py
@@ -8,14 +8,13 @@
 
 
 class ReserveDescriptor:
-    """Holds one descriptor of the process, if there is one to be had."""
+    """Holds one descriptor of the process, if there is one to be had.
 
-    def __init__(self, system: System) -> None:
-        """Begin without a descriptor.
+    Args:
+        system: opens and closes it.
+    """
 
-        Args:
-            system: opens and closes it.
-        """
+    def __init__(self, system: System) -> None:
         self._system = system
         self._number: int | None = None
 
--- a/dykefold/admission/working_set.py
+++ b/dykefold/admission/working_set.py
@@ -16,6 +16,9 @@
 class WorkingSet:
     """Counts the connections that carry requests, and estimates how many are of use.
 
+    Args:
+        max_with_requests: connections that clients can hold for requests.
+
     Attributes:
         with_requests: connections that have sent one request at least.
         busy: connections with a request open, or a response on its way to the client.
@@ -23,11 +26,6 @@
     """
 
     def __init__(self, max_with_requests: int) -> None:
-        """Begin with no connection.
-
-        Args:
-            max_with_requests: connections that clients can hold for requests.
-        """
         self.with_requests = 0
         self.busy = 0
         self._peak = 0  # of `busy` in this interval
--- a/dykefold/balancer/balancer.py
+++ b/dykefold/balancer/balancer.py
@@ -45,15 +45,14 @@
 
 
 class Balancer:
-    """All decisions of one sidecar for one service."""
+    """All decisions of one sidecar for one service.
 
-    def __init__(self, settings: Settings, seed: int) -> None:
-        """Begin without endpoints.
+    Args:
+        settings: in force until a `Retune` event brings others.
+        seed: of all random draws; the same seed and events give the same actions.
+    """
 
-        Args:
-            settings: in force until a `Retune` event brings others.
-            seed: of all random draws; the same seed and events give the same actions.
-        """
+    def __init__(self, settings: Settings, seed: int) -> None:
         self.context = context = BalancerContext(settings, seed)
         self.timers = timers = TimerQueue(context)
         self.throughput = throughput = Throughput(context)
--- a/dykefold/balancer/congestion.py
+++ b/dykefold/balancer/congestion.py
@@ -28,7 +28,6 @@
     """
 
     def __init__(self, context: BalancerContext, throughput: Throughput) -> None:
-        """Begin at the prior."""
         self.context = context
         self.throughput = throughput
         self.level = PRIOR
--- a/dykefold/balancer/endpoints.py
+++ b/dykefold/balancer/endpoints.py
@@ -135,7 +135,6 @@
     __slots__ = ("latency_per_request", "log_weight", "mean_load", "relative_latency", "reports", "samples")
 
     def __init__(self) -> None:
-        """Begin with nothing learnt."""
         self.relative_latency = 1.0
         self.samples = 0
         self.mean_load = 0.0
--- a/dykefold/balancer/final_answers.py
+++ b/dykefold/balancer/final_answers.py
@@ -20,7 +20,6 @@
     """
 
     def __init__(self, context: BalancerContext, rules: AttemptRules) -> None:
-        """Begin without pending requests."""
         self.context = context
         self.rules = rules
         self.pending: dict[int, PendingRequest] = {}
--- a/dykefold/balancer/group_weights.py
+++ b/dykefold/balancer/group_weights.py
@@ -23,7 +23,6 @@
     """
 
     def __init__(self, context: BalancerContext, endpoints: EndpointSet) -> None:
-        """Begin with equal weights."""
         self.context = context
         self.endpoints = endpoints
         self.mean_latency = 1.0
--- a/dykefold/balancer/hedging.py
+++ b/dykefold/balancer/hedging.py
@@ -32,7 +32,6 @@
         retries: RetryPolicy,
         lost: LostAttempts,
     ) -> None:
-        """Judge by these parts."""
         self.context = context
         self.timers = timers
         self.congestion = congestion
--- a/dykefold/balancer/load_reports.py
+++ b/dykefold/balancer/load_reports.py
@@ -28,7 +28,6 @@
     """
 
     def __init__(self, context: BalancerContext, endpoints: EndpointSet) -> None:
-        """Begin without reports."""
         self.context = context
         self.endpoints = endpoints
         self.column: int | None = None
--- a/dykefold/balancer/outlier_detection.py
+++ b/dykefold/balancer/outlier_detection.py
@@ -26,7 +26,15 @@
 
 
 class OutlierDetector:
-    """Scores failures in `EndpointState`, ejects and readmits."""
+    """Scores failures in `EndpointState`, ejects and readmits.
+
+    Args:
+        context: shared by all parts.
+        endpoints: whose state holds the scores.
+        limit: which does not count attempts at ejected endpoints.
+        rules: by which an ejected endpoint may be probed.
+        on_ejected: called with each endpoint that is ejected, after the lists are rebuilt.
+    """
 
     def __init__(
         self,
@@ -36,15 +44,7 @@
         rules: AttemptRules,
         on_ejected: Callable[[EndpointState], None],
     ) -> None:
-        """Begin with no endpoint ejected.
-
-        Args:
-            context: shared by all parts.
-            endpoints: whose state holds the scores.
-            limit: which does not count attempts at ejected endpoints.
-            rules: by which an ejected endpoint may be probed.
-            on_ejected: called with each endpoint that is ejected, after the lists are rebuilt.
-        """
+        """Begin with no endpoint ejected."""
         self.context = context
         self.endpoints = endpoints
         self.limit = limit
--- a/dykefold/balancer/picker.py
+++ b/dykefold/balancer/picker.py
@@ -38,7 +38,6 @@
         rules: AttemptRules,
         outliers: OutlierDetector,
     ) -> None:
-        """Pick from these endpoints."""
         self.context = context
         self.endpoints = endpoints
         self.latency = latency
--- a/dykefold/balancer/poll_schedule.py
+++ b/dykefold/balancer/poll_schedule.py
@@ -17,7 +17,6 @@
     """Keeps track of the watch; it does nothing where discovery need not be polled."""
 
     def __init__(self, context: BalancerContext, timers: TimerQueue) -> None:
-        """Begin without a watch."""
         self.context = context
         self.timers = timers
         self.failures = 0
--- a/dykefold/balancer/quotas.py
+++ b/dykefold/balancer/quotas.py
@@ -26,7 +26,6 @@
     """
 
     def __init__(self, context: BalancerContext) -> None:
-        """Begin with nothing counted."""
         self.context = context
         self.judged_ns = 0
         self.apply_settings()
--- a/dykefold/balancer/requests.py
+++ b/dykefold/balancer/requests.py
@@ -102,7 +102,6 @@
     )
 
     def __init__(self, request: Request, stats: ClassStats, max_attempts: int, now_ns: int) -> None:
-        """Accept a request now."""
         self.id = request.id
         self.stats = stats
         self.max_attempts = max_attempts
--- a/dykefold/balancer/subsetting.py
+++ b/dykefold/balancer/subsetting.py
@@ -48,7 +48,6 @@
     """
 
     def __init__(self, context: BalancerContext, throughput: Throughput) -> None:
-        """Begin without endpoints."""
         self.context = context
         self.throughput = throughput
         self.all: dict[int, EndpointState] = {}
--- a/dykefold/balancer/throughput.py
+++ b/dykefold/balancer/throughput.py
@@ -17,7 +17,6 @@
     """
 
     def __init__(self, context: BalancerContext) -> None:
-        """Begin without answers."""
         self.context = context
         self.answers_per_s = 0.0
         self.local_answers_per_s = 0.0
--- a/dykefold/balancer/timers.py
+++ b/dykefold/balancer/timers.py
@@ -19,7 +19,6 @@
     """
 
     def __init__(self, context: BalancerContext) -> None:
-        """Begin without timers."""
         self.context = context
         self.heap: list[tuple[int, int, int, int]] = []
         self.armed_ns = 0  # 0: none
--- a/dykefold/control/admin_operations.py
+++ b/dykefold/control/admin_operations.py
@@ -48,19 +48,18 @@
 
 
 class AdminOperations:
-    """The requests of the admin API, carried out on all pools of a sidecar alike."""
+    """The requests of the admin API, carried out on all pools of a sidecar alike.
+
+    Args:
+        sidecar: the sidecar.
+        order_store: None where nothing is kept.
+        directory_unusable: a state directory is configured and can't be used yet: nothing is kept there
+            until `keep_orders_in`.
+    """
 
     def __init__(
         self, sidecar: SidecarServer, order_store: OrderStore | None = None, directory_unusable: bool = False
     ) -> None:
-        """Prepare.
-
-        Args:
-            sidecar: the sidecar.
-            order_store: None where nothing is kept.
-            directory_unusable: a state directory is configured and can't be used yet: nothing is kept there
-                until `keep_orders_in`.
-        """
         self.sidecar = sidecar
         self.order_store = order_store
         self.directory_unusable = directory_unusable
--- a/dykefold/control/admin_queue.py
+++ b/dykefold/control/admin_queue.py
@@ -16,15 +16,14 @@
 
 
 class AdminQueue:
-    """Takes the requests of the admin server. An order is answered once it is written down."""
+    """Takes the requests of the admin server. An order is answered once it is written down.
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, operations: AdminOperations) -> None:
-        """Prepare.
+    Args:
+        loop: that runs the admin server.
+        operations: what carries the requests out.
+    """
 
-        Args:
-            loop: that runs the admin server.
-            operations: what carries the requests out.
-        """
+    def __init__(self, loop: asyncio.AbstractEventLoop, operations: AdminOperations) -> None:
         self.loop = loop
         self.operations = operations
         self.waiting: deque[tuple[AdminRequest, asyncio.Future[AdminResponse]]] = deque()
--- a/dykefold/control/admin_server.py
+++ b/dykefold/control/admin_server.py
@@ -45,7 +45,15 @@
 
 
 class AdminServer:
-    """Accepts connections on one non-blocking listening socket."""
+    """Accepts connections on one non-blocking listening socket.
+
+    Args:
+        loop: that runs the server.
+        sock: a listening socket; it is closed with the server.
+        operations: what carries requests out.
+        system: clocks.
+        read: what a method and a target ask for; the admin API's requests where none is given.
+    """
 
     def __init__(
         self,
@@ -55,15 +63,6 @@
         system: System = SYSTEM,
         read: Callable[[str, str], AdminRequest | AdminResponse] = parse_admin_request,
     ) -> None:
-        """Begin to accept connections.
-
-        Args:
-            loop: that runs the server.
-            sock: a listening socket; it is closed with the server.
-            operations: what carries requests out.
-            system: clocks.
-            read: what a method and a target ask for; the admin API's requests where none is given.
-        """
         self.loop = loop
         self.parse_request = read
         self.sock = sock
--- a/dykefold/control/directory_retry.py
+++ b/dykefold/control/directory_retry.py
@@ -18,6 +18,11 @@
 class DirectoryRetry:
     """Tries to open one state directory, with delays that double from try to try.
 
+    Args:
+        loop: that runs the tries.
+        folder: that the processes share.
+        file_system: the file calls.
+
     Attributes:
         usable: whether the last try succeeded.
     """
@@ -25,13 +30,6 @@
     def __init__(
         self, loop: asyncio.AbstractEventLoop, folder: str, file_system: FileSystem = FILE_SYSTEM
     ) -> None:
-        """Prepare.
-
-        Args:
-            loop: that runs the tries.
-            folder: that the processes share.
-            file_system: the file calls.
-        """
         self.loop = loop
         self.folder = folder
         self.file_system = file_system
--- a/dykefold/control/hot_restart.py
+++ b/dykefold/control/hot_restart.py
@@ -34,7 +34,15 @@
 
 
 class HotRestart:
-    """The heartbeats of this process and of the others, and what follows from them."""
+    """The heartbeats of this process and of the others, and what follows from them.
+
+    Args:
+        loop: that runs the looks.
+        sidecar: what serves clients in this process.
+        directory: that the processes share.
+        system: clocks; None: those of the sidecar.
+        born_ns: when this process started, monotonic; None: now.
+    """
 
     def __init__(
         self,
@@ -44,15 +52,7 @@
         system: System | None = None,
         born_ns: int | None = None,
     ) -> None:
-        """Prepare; nothing is written yet.
-
-        Args:
-            loop: that runs the looks.
-            sidecar: what serves clients in this process.
-            directory: that the processes share.
-            system: clocks; None: those of the sidecar.
-            born_ns: when this process started, monotonic; None: now.
-        """
+        """Prepare; nothing is written yet."""
         self.loop = loop
         self.sidecar = sidecar
         self.directory = directory
--- a/dykefold/control/hot_restart_state.py
+++ b/dykefold/control/hot_restart_state.py
@@ -139,15 +139,15 @@
 
 
 class HotRestartMachine:
-    """One process's side of a hot restart."""
+    """One process's side of a hot restart.
 
-    def __init__(self, name: str, born_ns: int) -> None:
-        """Begin as a process that starts.
+    Args:
+        name: of the process, unlike any other's.
+        born_ns: when it started, monotonic on the machine.
+    """
 
-        Args:
-            name: of the process, unlike any other's.
-            born_ns: when it started, monotonic on the machine.
-        """
+    def __init__(self, name: str, born_ns: int) -> None:
+        """Begin as a process that starts."""
         self.name = name
         self.born_ns = born_ns
         self.state = HotRestartState.STARTING
--- a/dykefold/control/maintenance_records.py
+++ b/dykefold/control/maintenance_records.py
@@ -33,7 +33,14 @@
 
 
 class MaintenanceRecords:
-    """The record of this process, and what those of others say."""
+    """The record of this process, and what those of others say.
+
+    Args:
+        sidecar: whose maintenance orders are kept.
+        directory: that the processes share.
+        name: of this process.
+        read_clock: reads the clock of this process, on which its orders have their times.
+    """
 
     def __init__(
         self,
@@ -42,14 +49,6 @@
         name: str,
         read_clock: Callable[[], ClockReading],
     ) -> None:
-        """Prepare.
-
-        Args:
-            sidecar: whose maintenance orders are kept.
-            directory: that the processes share.
-            name: of this process.
-            read_clock: reads the clock of this process, on which its orders have their times.
-        """
         self.sidecar = sidecar
         self.directory = directory
         self.read_clock = read_clock
--- a/dykefold/control/process_lifecycle.py
+++ b/dykefold/control/process_lifecycle.py
@@ -25,7 +25,15 @@
 
 
 class ProcessLifecycle:
-    """The admin API and the hot restart of a process; without an admin API nothing but a listener."""
+    """The admin API and the hot restart of a process; without an admin API nothing but a listener.
+
+    Args:
+        loop: that runs the process.
+        sidecar: what serves clients.
+        address: of the admin API; None for none, and no hot restarts either.
+        folder: that the processes of this sidecar share; None for no hot restarts.
+        file_system: the file calls.
+    """
 
     def __init__(
         self,
@@ -35,15 +43,6 @@
         folder: str | None,
         file_system: FileSystem = FILE_SYSTEM,
     ) -> None:
-        """Prepare.
-
-        Args:
-            loop: that runs the process.
-            sidecar: what serves clients.
-            address: of the admin API; None for none, and no hot restarts either.
-            folder: that the processes of this sidecar share; None for no hot restarts.
-            file_system: the file calls.
-        """
         self.loop = loop
         self.sidecar = sidecar
         self.address = address
--- a/dykefold/control/snapshot_transfer.py
+++ b/dykefold/control/snapshot_transfer.py
@@ -15,7 +15,15 @@
 
 
 class SnapshotTransfer:
-    """One process's side of it: it writes its own snapshot and reads that of the process before it."""
+    """One process's side of it: it writes its own snapshot and reads that of the process before it.
+
+    Args:
+        sidecar: whose balancers are written and restored.
+        directory: that the processes share.
+        name: of this process.
+        born_ns: when this process started, monotonic.
+        read_clock: reads the clock of this process, which times in its snapshot are on.
+    """
 
     def __init__(
         self,
@@ -25,15 +33,6 @@
         born_ns: int,
         read_clock: Callable[[], ClockReading],
     ) -> None:
-        """Prepare.
-
-        Args:
-            sidecar: whose balancers are written and restored.
-            directory: that the processes share.
-            name: of this process.
-            born_ns: when this process started, monotonic.
-            read_clock: reads the clock of this process, which times in its snapshot are on.
-        """
         self.sidecar = sidecar
         self.directory = directory
         self.name = name
--- a/dykefold/control/state_directory.py
+++ b/dykefold/control/state_directory.py
@@ -89,7 +89,13 @@
 
 
 class FileStateDirectory:
-    """A state directory of files in a folder, as `$TMPDIR` names one."""
+    """A state directory of files in a folder, as `$TMPDIR` names one.
+
+    Args:
+        folder: that the processes share.
+        files: the file calls.
+        monotonic_ns: the monotonic clock.
+    """
 
     def __init__(
         self,
@@ -99,11 +105,6 @@
     ) -> None:
         """Make the directory in a folder that exists, and remove what killed processes left half written.
 
-        Args:
-            folder: that the processes share.
-            files: the file calls.
-            monotonic_ns: the monotonic clock.
-
         Raises:
             OSError: the directory can't be made, or what has its name is none.
         """
--- a/dykefold/failover/controller.py
+++ b/dykefold/failover/controller.py
@@ -77,6 +77,12 @@
 class FailoverController:
     """A process's part in the failover.
 
+    Args:
+        loop: runs the timer.
+        membership: of this sidecar.
+        pool: whose home zone follows the plan.
+        system: the clock.
+
     Attributes:
         settings: of the configuration.
         sampler: counts attempts by zone.
@@ -93,15 +99,6 @@
         settings: FailoverSettings,
         system: System = SYSTEM,
     ) -> None:
-        """Take part.
-
-        Args:
-            loop: runs the timer.
-            membership: of this sidecar.
-            pool: whose home zone follows the plan.
-            settings: of the failover.
-            system: the clock.
-        """
         self.loop, self.membership, self.pool, self.system = loop, membership, pool, system
         self.settings = settings
         now_ns = system.monotonic_ns()
--- a/dykefold/failover/health_samples.py
+++ b/dykefold/failover/health_samples.py
@@ -85,7 +85,6 @@
     """
 
     def __init__(self) -> None:
-        """Begin without attempts."""
         self.counts: dict[int, dict[AttemptResult, float]] = {}
         self._decayed_ns = 0
 
--- a/dykefold/failover/traffic_plan.py
+++ b/dykefold/failover/traffic_plan.py
@@ -162,6 +162,9 @@
 class TrafficPlan:
     """What the sidecars of one zone do, as one of them holds it.
 
+    Args:
+        now_ns: on a monotonic clock, as all later times.
+
     Attributes:
         origin: the zone.
         level: 0 at home, 1 away, and one more for each step of the way back: the same number at all that hold
@@ -174,12 +177,6 @@
     """
 
     def __init__(self, origin: int, now_ns: int) -> None:
-        """Begin at home.
-
-        Args:
-            origin: the zone.
-            now_ns: on a monotonic clock, as all later times.
-        """
         self.origin = origin
         self.level = HOME_LEVEL
         self.away_fraction = 0.0
--- a/dykefold/failover/zone_reports.py
+++ b/dykefold/failover/zone_reports.py
@@ -26,15 +26,15 @@
 
 
 class ZoneReports:
-    """Publishes what one sidecar sees of zones, and reads what others do."""
+    """Publishes what one sidecar sees of zones, and reads what others do.
 
-    def __init__(self, membership: Membership, now_ns: int) -> None:
-        """Make a first report possible at once.
+    Args:
+        membership: of this sidecar.
+        now_ns: the present time.
+    """
 
-        Args:
-            membership: of this sidecar.
-            now_ns: the present time.
-        """
+    def __init__(self, membership: Membership, now_ns: int) -> None:
+        """Make a first report possible at once."""
         self.membership = membership
         self._published_ns = now_ns - PUBLISH_INTERVAL_NS
 
--- a/dykefold/fleet/admin.py
+++ b/dykefold/fleet/admin.py
@@ -16,15 +16,14 @@
 
 
 class MembershipAdmin:
-    """The membership's operations of the admin API."""
+    """The membership's operations of the admin API.
 
-    def __init__(self, agent: FleetAgent, plan: Callable[[], dict[str, Any]] | None = None) -> None:
-        """Answer for a process.
+    Args:
+        agent: its part in the membership.
+        plan: returns its traffic plan for people; None without failover.
+    """
 
-        Args:
-            agent: its part in the membership.
-            plan: returns its traffic plan for people; None without failover.
-        """
+    def __init__(self, agent: FleetAgent, plan: Callable[[], dict[str, Any]] | None = None) -> None:
         self.agent, self.plan = agent, plan
 
     def carry_out(self, call: AdminRequest) -> AdminResponse:
--- a/dykefold/fleet/agent.py
+++ b/dykefold/fleet/agent.py
@@ -40,6 +40,12 @@
 class FleetAgent:
     """A process's part in the membership, from its first datagram to its end.
 
+    Args:
+        loop: runs the timers.
+        node: the process.
+        peers: open already; what it receives goes through here from now on.
+        system: the clock.
+
     Attributes:
         protocol: decides.
         membership: what this member knows.
@@ -57,15 +63,6 @@
         protocol: MembershipProtocol,
         system: System = SYSTEM,
     ) -> None:
-        """Take part.
-
-        Args:
-            loop: runs the timers.
-            node: the process.
-            peers: open already; what it receives goes through here from now on.
-            protocol: made by `start_protocol`.
-            system: the clock.
-        """
         self.loop, self.node, self.peers, self.system = loop, node, peers, system
         self.protocol = protocol
         self.membership = protocol.membership
--- a/dykefold/fleet/anti_entropy.py
+++ b/dykefold/fleet/anti_entropy.py
@@ -27,18 +27,17 @@
 class AntiEntropy:
     """Compares and exchanges states with other members.
 
+    Args:
+        membership: whose table is compared.
+        outbox: takes the datagrams.
+        now_ns: the present time.
+
     Attributes:
         next_comparison_ns: when the next comparison begins.
     """
 
     def __init__(self, membership: Membership, outbox: Outbox, now_ns: int) -> None:
-        """Begin as a member that joins.
-
-        Args:
-            membership: whose table is compared.
-            outbox: takes the datagrams.
-            now_ns: the present time.
-        """
+        """Begin as a member that joins."""
         self.membership, self.outbox = membership, outbox
         self.reset(now_ns)
 
--- a/dykefold/fleet/balancer_link.py
+++ b/dykefold/fleet/balancer_link.py
@@ -64,6 +64,12 @@
 class BalancerLink:
     """Keeps a pool's balancer and the fleet informed of each other.
 
+    Args:
+        loop: runs the timers.
+        membership: of this member.
+        rng: spreads announcements over time.
+        system: the clock.
+
     Attributes:
         pool: whose balancer it is.
         polls: coordinates polls of discovery with the fleet; None where nothing does.
@@ -77,15 +83,7 @@
         rng: random.Random,
         system: System,
     ) -> None:
-        """Begin to take the balancer's hints.
-
-        Args:
-            loop: runs the timers.
-            membership: of this member.
-            pool: whose balancer it is.
-            rng: spreads announcements over time.
-            system: the clock.
-        """
+        """Begin to take the balancer's hints."""
         self.loop, self.membership, self.pool = loop, membership, pool
         self.rng, self.system = rng, system
         self.polls: EndpointListFollower | None = None
--- a/dykefold/fleet/datagrams.py
+++ b/dykefold/fleet/datagrams.py
@@ -138,14 +138,13 @@
 
 
 class DatagramTooLargeError(ValueError):
-    """A datagram has more content than fits."""
+    """A datagram has more content than fits.
 
-    def __init__(self, size: int) -> None:
-        """Describe the excess.
+    Args:
+        size: of the encoded datagram, bytes.
+    """
 
-        Args:
-            size: of the encoded datagram, bytes.
-        """
+    def __init__(self, size: int) -> None:
         super().__init__(f"{size} bytes; a datagram has {MAX_BYTES} at most")
 
 
--- a/dykefold/fleet/endpoint_list_sync.py
+++ b/dykefold/fleet/endpoint_list_sync.py
@@ -17,19 +17,19 @@
 
 
 class EndpointListSync:
-    """The schedule of one discovery client, from the start of the process on."""
+    """The schedule of one discovery client, from the start of the process on.
+
+    Args:
+        discovery: the client.
+        settings: its position among the sidecars holds until a membership knows better.
+        seed: of the places in slots.
+        system: the clock.
+    """
 
     def __init__(
         self, discovery: DiscoveryClient, settings: PollSettings, seed: int, system: System = SYSTEM
     ) -> None:
-        """Decide from now on when the client polls.
-
-        Args:
-            discovery: the client.
-            settings: its position among the sidecars holds until a membership knows better.
-            seed: of the places in slots.
-            system: the clock.
-        """
+        """Decide from now on when the client polls."""
         self.discovery, self.system = discovery, system
         self.schedule = CoordinatedPollSchedule(settings, random.Random(seed), system.monotonic_ns())
         self.membership: Membership | None = None
--- a/dykefold/fleet/failure_detector.py
+++ b/dykefold/fleet/failure_detector.py
@@ -25,7 +25,6 @@
     """
 
     def __init__(self) -> None:
-        """Begin with full trust."""
         self.score = 0
 
     def improve(self) -> None:
@@ -83,15 +82,15 @@
 
 
 class ProbeOrder:
-    """Whom to probe next: all members in a shuffled order, then in another one: none waits long."""
+    """Whom to probe next: all members in a shuffled order, then in another one: none waits long.
 
-    def __init__(self, own_number: int, rng: random.Random) -> None:
-        """Make an order that is not shuffled yet.
+    Args:
+        own_number: of the member that probes.
+        rng: shuffles.
+    """
 
-        Args:
-            own_number: of the member that probes.
-            rng: shuffles.
-        """
+    def __init__(self, own_number: int, rng: random.Random) -> None:
+        """Make an order that is not shuffled yet."""
         self.own_number, self.rng = own_number, rng
         self.remaining: list[int] = []
 
@@ -121,7 +120,6 @@
     """
 
     def __init__(self) -> None:
-        """Begin without any."""
         self.expiry_ns: dict[int, int] = {}
         self.reprobed: set[int] = set()
 
--- a/dykefold/fleet/gossip.py
+++ b/dykefold/fleet/gossip.py
@@ -10,18 +10,17 @@
 class Gossiper:
     """Sends changed states and new records.
 
+    Args:
+        membership: whose changes are sent.
+        outbox: takes the datagrams.
+        now_ns: the present time.
+
     Attributes:
         next_round_ns: when the next round may be.
     """
 
     def __init__(self, membership: Membership, outbox: Outbox, now_ns: int) -> None:
-        """Make the first round possible at once.
-
-        Args:
-            membership: whose changes are sent.
-            outbox: takes the datagrams.
-            now_ns: the present time.
-        """
+        """Make the first round possible at once."""
         self.membership, self.outbox = membership, outbox
         self.reset(now_ns)
 
--- a/dykefold/fleet/gossip_queue.py
+++ b/dykefold/fleet/gossip_queue.py
@@ -13,7 +13,6 @@
     """Keys of changed items with the number of their transmissions; as many as there are items at most."""
 
     def __init__(self) -> None:
-        """Make an empty queue."""
         self._transmissions: OrderedDict[K, int] = OrderedDict()
 
     def __len__(self) -> int:
--- a/dykefold/fleet/member_state.py
+++ b/dykefold/fleet/member_state.py
@@ -51,15 +51,14 @@
 
 
 class InvalidConclusionError(ValueError):
-    """No member may conclude this state of another one."""
+    """No member may conclude this state of another one.
 
-    def __init__(self, before: State, after: State) -> None:
-        """Describe the refused conclusion.
+    Args:
+        before: the known status.
+        after: the status that was to be concluded.
+    """
 
-        Args:
-            before: the known status.
-            after: the status that was to be concluded.
-        """
+    def __init__(self, before: State, after: State) -> None:
         super().__init__(f"{after.name} can't be concluded of a member that is {before.name}")
 
 
@@ -150,6 +149,9 @@
 class MemberTable:
     """The greatest state received of each member, with digests that tell whether two tables are equal.
 
+    Args:
+        size: the number of members.
+
     Attributes:
         states: the encoded state of each member, by number.
         block_digests: the digest of each block of `BLOCK_SIZE` members.
@@ -157,11 +159,7 @@
     """
 
     def __init__(self, size: int) -> None:
-        """Make a table in which nothing is known.
-
-        Args:
-            size: the number of members.
-        """
+        """Make a table in which nothing is known."""
         self.states = array("Q", bytes(8 * size))
         self.block_digests = array("Q", bytes(8 * (size // BLOCK_SIZE + 1)))
         self.counts = [size] + [0] * (len(State) - 1)
--- a/dykefold/fleet/membership.py
+++ b/dykefold/fleet/membership.py
@@ -86,6 +86,12 @@
 class Membership:
     """The fleet as one of its members knows it.
 
+    Args:
+        local: this member's place in the fleet.
+        limits: the intervals of the fleet.
+        rng: chooses members.
+        now_ns: on a monotonic clock, as all later times.
+
     Attributes:
         own_number: of this member.
         zone: its own zone.
@@ -111,15 +117,7 @@
     def __init__(
         self, local: LocalMember, incarnation: int, limits: RateLimits, rng: random.Random, now_ns: int
     ) -> None:
-        """Begin to know nothing but oneself.
-
-        Args:
-            local: this member's place in the fleet.
-            incarnation: of this process, milliseconds since 1970.
-            limits: the intervals of the fleet.
-            rng: chooses members.
-            now_ns: on a monotonic clock, as all later times.
-        """
+        """Begin to know nothing but oneself."""
         self.limits, self.rng, self.zone = limits, rng, local.zone
         self.own_status = State.ALIVE
         self.incarnation = min(max(incarnation, 1), MAX_INCARNATION)
--- a/dykefold/fleet/outbox.py
+++ b/dykefold/fleet/outbox.py
@@ -23,17 +23,15 @@
 class Outbox:
     """Datagrams that the driver has not sent yet.
 
+    Args:
+        membership: whose states and records are sent.
+        now_ns: the present time.
+
     Attributes:
         pending: in the order in which they are to be sent.
     """
 
     def __init__(self, membership: Membership, now_ns: int) -> None:
-        """Begin empty.
-
-        Args:
-            membership: whose states and records are sent.
-            now_ns: the present time.
-        """
         self.membership = membership
         self.pending: list[OutgoingDatagram] = []
         self._limit = TokenBucket(SEND_LIMIT_PER_S, 2 * SEND_LIMIT_PER_S, now_ns)
--- a/dykefold/fleet/poll_schedule.py
+++ b/dykefold/fleet/poll_schedule.py
@@ -54,19 +54,17 @@
 class CoordinatedPollSchedule:
     """The times of one sidecar's polls.
 
+    Args:
+        rng: places the poll in its slot.
+        now_ns: on a monotonic clock, as all later times.
+
     Attributes:
         settings: changed by the driver as the fleet changes.
         failed_ns: when the latest poll failed; None while polls are answered.
     """
 
     def __init__(self, settings: PollSettings, rng: random.Random, now_ns: int) -> None:
-        """Begin as a process does.
-
-        Args:
-            settings: of the schedule.
-            rng: places the poll in its slot.
-            now_ns: on a monotonic clock, as all later times.
-        """
+        """Begin as a process does."""
         self.settings, self.rng = settings, rng
         self.failed_ns: int | None = None
         self._backoff = 1.0
--- a/dykefold/fleet/probing.py
+++ b/dykefold/fleet/probing.py
@@ -19,6 +19,11 @@
 class Prober:
     """Finds members that do not answer.
 
+    Args:
+        membership: whose members are probed.
+        outbox: takes the datagrams.
+        now_ns: the present time.
+
     Attributes:
         probes: the open probes, by nonce.
         relayed: the open probes on behalf of others, by nonce.
@@ -26,13 +31,7 @@
     """
 
     def __init__(self, membership: Membership, outbox: Outbox, now_ns: int) -> None:
-        """Begin with a first round at some time in the first period.
-
-        Args:
-            membership: whose members are probed.
-            outbox: takes the datagrams.
-            now_ns: the present time.
-        """
+        """Begin with a first round at some time in the first period."""
         self.membership, self.outbox, self.limits = membership, outbox, membership.limits
         self._nonce = membership.rng.randrange(NONCES)
         self.next_round_ns = now_ns + membership.rng.randrange(self.limits.period_ns)
--- a/dykefold/fleet/protocol.py
+++ b/dykefold/fleet/protocol.py
@@ -35,6 +35,13 @@
     The driver calls `tick` when that asks for it, passes datagrams to `receive`, and sends what
     `take_datagrams` returns.
 
+    Args:
+        local: this member's place in the fleet.
+        incarnation: of this process, milliseconds since 1970; raised when others know a greater one.
+        limits: the intervals of the fleet.
+        rng: all choices are made with it.
+        now_ns: on a monotonic clock, as all later times.
+
     Attributes:
         membership: what this member knows.
         outbox: datagrams to be sent.
@@ -47,15 +54,6 @@
     def __init__(
         self, local: LocalMember, incarnation: int, limits: RateLimits, rng: random.Random, now_ns: int
     ) -> None:
-        """Begin to take part.
-
-        Args:
-            local: this member's place in the fleet.
-            incarnation: of this process, milliseconds since 1970; raised when others know a greater one.
-            limits: the intervals of the fleet.
-            rng: all choices are made with it.
-            now_ns: on a monotonic clock, as all later times.
-        """
         membership = self.membership = Membership(local, incarnation, limits, rng, now_ns)
         outbox = self.outbox = Outbox(membership, now_ns)
         self.prober = Prober(membership, outbox, now_ns)
--- a/dykefold/fleet/rate_limits.py
+++ b/dykefold/fleet/rate_limits.py
@@ -97,18 +97,18 @@
 
 
 class TokenBucket:
-    """A rate limit with a burst."""
+    """A rate limit with a burst.
+
+    Args:
+        rate: tokens per second.
+        burst: the most tokens that it holds.
+        now_ns: on a monotonic clock.
+    """
 
     __slots__ = ("burst", "rate", "tokens", "updated_ns")
 
     def __init__(self, rate: float, burst: float, now_ns: int) -> None:
-        """Begin with a full bucket.
-
-        Args:
-            rate: tokens per second.
-            burst: the most tokens that it holds.
-            now_ns: on a monotonic clock.
-        """
+        """Begin with a full bucket."""
         self.rate, self.burst = rate, burst
         self.tokens, self.updated_ns = burst, now_ns
 
--- a/dykefold/fleet/record_store.py
+++ b/dykefold/fleet/record_store.py
@@ -105,11 +105,6 @@
     """
 
     def __init__(self, own_number: int) -> None:
-        """Begin without records.
-
-        Args:
-            own_number: of the member.
-        """
         self.own_number = own_number
         self.records: dict[RecordKey, StoredRecord] = {}
         self.subjects: dict[tuple[int, int], set[int]] = {}
--- a/dykefold/fleet/record_transfer.py
+++ b/dykefold/fleet/record_transfer.py
@@ -16,18 +16,16 @@
 class RecordTransfer:
     """Requests records after a start, and replies to such requests.
 
+    Args:
+        membership: whose records are exchanged.
+        outbox: takes the datagrams.
+
     Attributes:
         asked: members that were sent a request.
         replies: how many replies came.
     """
 
     def __init__(self, membership: Membership, outbox: Outbox) -> None:
-        """Begin without any request.
-
-        Args:
-            membership: whose records are exchanged.
-            outbox: takes the datagrams.
-        """
         self.membership, self.outbox = membership, outbox
         self.reset()
 
--- a/dykefold/fleet/subsetting.py
+++ b/dykefold/fleet/subsetting.py
@@ -38,14 +38,12 @@
 
     The members of a zone have different ranks for an endpoint, evenly from 0 to 1, as the ranks that sidecars
     draw by themselves are on average: endpoints that are not ranked yet are neither first nor last.
+
+    Args:
+        own_number: of this member.
     """
 
     def __init__(self, own_number: int) -> None:
-        """Begin without endpoints.
-
-        Args:
-            own_number: of this member.
-        """
         self.own_number = own_number
         self._zone_peers: set[int] = set()  # members of the own zone, without this one
         self._members_ahead: dict[int, int] = {}  # by endpoint
--- a/dykefold/fleet_wiring.py
+++ b/dykefold/fleet_wiring.py
@@ -26,6 +26,11 @@
 class FleetFeatures:
     """What a sidecar does together with its peers.
 
+    Args:
+        loop: that runs the process.
+        sidecar: what serves clients.
+        config: what the process runs by.
+
     Attributes:
         list_sync: spreads calls of discovery over the fleet; None where it is off.
         agent: takes part in the membership; None where it is off, or the settings do not allow it.
@@ -34,13 +39,7 @@
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, sidecar: SidecarServer, config: Config) -> None:
-        """Spread the calls of discovery, where that is on; the rest begins with `start`.
-
-        Args:
-            loop: that runs the process.
-            sidecar: what serves clients.
-            config: what the process runs by.
-        """
+        """Spread the calls of discovery, where that is on; the rest begins with `start`."""
         self.loop = loop
         self.sidecar = sidecar
         self.list_sync = _start_list_sync(sidecar, config)
--- a/dykefold/lab/fleet/desk.py
+++ b/dykefold/lab/fleet/desk.py
@@ -46,7 +46,13 @@
 
 
 class Desk:
-    """Sends requests to one sidecar, whatever becomes of those before."""
+    """Sends requests to one sidecar, whatever becomes of those before.
+
+    Args:
+        rate: requests a second, as a Poisson stream.
+        new_share: of the requests that are sent on a new connection, which is then closed.
+        again: times that a request which was refused or failed is asked again at once, under a new id.
+    """
 
     def __init__(
         self,
@@ -57,13 +63,6 @@
         new_share: float = 0.0,
         again: int = 0,
     ) -> None:
-        """Prepare.
-
-        Args:
-            rate: requests a second, as a Poisson stream.
-            new_share: of the requests that are sent on a new connection, which is then closed.
-            again: times that a request which was refused or failed is asked again at once, under a new id.
-        """
         self.number = number
         self.classes = classes
         self.rate = rate
--- a/dykefold/lab/fleet/member.py
+++ b/dykefold/lab/fleet/member.py
@@ -101,16 +101,15 @@
 
 
 class Member:
-    """One sidecar, whichever of its processes lives."""
+    """One sidecar, whichever of its processes lives.
 
-    def __init__(self, number: int, folder: Path, data: dict[str, Any], service: str | None = None) -> None:
-        """Prepare.
+    Args:
+        folder: of its own, which exists.
+        data: its configuration; `listen` is kept from the first process on.
+        service: text of the operator's file; None for none.
+    """
 
-        Args:
-            folder: of its own, which exists.
-            data: its configuration; `listen` is kept from the first process on.
-            service: text of the operator's file; None for none.
-        """
+    def __init__(self, number: int, folder: Path, data: dict[str, Any], service: str | None = None) -> None:
         self.number = number
         self.service = service
         self.folder = folder
--- a/dykefold/lab/fleet/process.py
+++ b/dykefold/lab/fleet/process.py
@@ -50,7 +50,14 @@
 
 
 class Process:
-    """One life of the program."""
+    """One life of the program.
+
+    Args:
+        environment: beside the caller's own, with `GW_CONFIG`.
+        descriptors: that the system lets it have; None for the caller's limit.
+        clock_s: how far its clock on the wall is off.
+        tree: the checkout whose program it runs.
+    """
 
     def __init__(
         self,
@@ -59,14 +66,6 @@
         clock_s: float = 0.0,
         tree: Path = OWN_TREE,
     ) -> None:
-        """Prepare.
-
-        Args:
-            environment: beside the caller's own, with `GW_CONFIG`.
-            descriptors: that the system lets it have; None for the caller's limit.
-            clock_s: how far its clock on the wall is off.
-            tree: the checkout whose program it runs.
-        """
         self.clock_s = clock_s
         self.tree = tree
         self.environment = environment
--- a/dykefold/lab/fleet/registry.py
+++ b/dykefold/lab/fleet/registry.py
@@ -15,19 +15,18 @@
 
 
 class Registry:
-    """What is listed, and how calls are worked through."""
+    """What is listed, and how calls are worked through.
+
+    Args:
+        calls_per_s: that it works through, one after the other.
+        waiting_most: calls that wait their turn; one more is answered 503.
+        late_s: until a change is listed.
+        changes_kept: that it can tell by themselves; who knows less gets the whole list.
+    """
 
     def __init__(
         self, calls_per_s: float, waiting_most: int, late_s: float, changes_kept: int = CHANGES_KEPT
     ) -> None:
-        """Begin with no server.
-
-        Args:
-            calls_per_s: that it works through, one after the other.
-            waiting_most: calls that wait their turn; one more is answered 503.
-            late_s: until a change is listed.
-            changes_kept: that it can tell by themselves; who knows less gets the whole list.
-        """
         self.loop = asyncio.get_running_loop()
         self.calls_per_s = calls_per_s
         self.waiting_most = waiting_most
--- a/dykefold/lab/station.py
+++ b/dykefold/lab/station.py
@@ -15,15 +15,14 @@
 
 
 class Station(Generic[Job]):
-    """Says which job is worked on, waits, or is turned away."""
+    """Says which job is worked on, waits, or is turned away.
 
-    def __init__(self, cores: int, queue_most: int, lifo: bool = False) -> None:
-        """Make an idle station.
+    Args:
+        queue_most: jobs that may wait; one that finds them waiting is turned away.
+        lifo: the last one that came is worked on first.
+    """
 
-        Args:
-            queue_most: jobs that may wait; one that finds them waiting is turned away.
-            lifo: the last one that came is worked on first.
-        """
+    def __init__(self, cores: int, queue_most: int, lifo: bool = False) -> None:
         self.cores = cores
         self.queue_most = queue_most
         self.lifo = lifo
--- a/dykefold/net/discovery/client.py
+++ b/dykefold/net/discovery/client.py
@@ -115,6 +115,13 @@
     first counts, and only then is the other one cancelled. So discovery never notifies a call that nobody
     reads any more, and a call that is cancelled had nothing to bring.
 
+    Args:
+        loop: runs the calls.
+        address: host and port of discovery.
+        names: numbers the endpoints.
+        version: the index of the list that is known.
+        system: the clocks and sockets.
+
     Attributes:
         on_update: called with each update, and with None for each failure of a watch or a fetch.
         pushed: discovery is an agent on the same machine, which only this client calls again after a failure.
@@ -135,17 +142,7 @@
         pushed: bool,
         system: System = SYSTEM,
     ) -> None:
-        """Prepare calls; the first is made by `watch` or `fetch`.
-
-        Args:
-            loop: runs the calls.
-            address: host and port of discovery.
-            names: numbers the endpoints.
-            version: the index of the list that is known.
-            on_update: as the attribute.
-            pushed: as the attribute.
-            system: the clocks and sockets.
-        """
+        """Prepare calls; the first is made by `watch` or `fetch`."""
         self.loop = loop
         self.system = system
         self.names = names
--- a/dykefold/net/downstream/connection_state.py
+++ b/dykefold/net/downstream/connection_state.py
@@ -90,6 +90,9 @@
 class ConnectionState:
     """The fields of one client's connection.
 
+    Args:
+        handler: Accepts the requests.
+
     Attributes:
         client: The client's entry in the table of open connections.
         lifecycle: How far it has come; only `_enter` sets it.
@@ -147,12 +150,7 @@
     )
 
     def __init__(self, handler: RequestHandler, client: Client) -> None:
-        """Prepare a connection that was accepted.
-
-        Args:
-            handler: Accepts the requests.
-            client: The client's entry in the table of open connections.
-        """
+        """Prepare a connection that was accepted."""
         self.handler = handler
         self.client = client
         self.lifecycle = ACCEPTED
--- a/dykefold/net/downstream/request_parser.py
+++ b/dykefold/net/downstream/request_parser.py
@@ -27,6 +27,9 @@
 class RequestError(Exception):
     """A request that is answered here and never reaches an endpoint.
 
+    Args:
+        text: The reason, for the client.
+
     Attributes:
         code: The HTTP status of its answer.
         keep_alive: Whether the connection may stay open behind it.
@@ -34,12 +37,6 @@
     """
 
     def __init__(self, code: int, text: str) -> None:
-        """Describe the error.
-
-        Args:
-            code: The HTTP status of the answer.
-            text: The reason, for the client.
-        """
         super().__init__(text)
         self.code = code
         self.keep_alive = True
@@ -129,7 +126,14 @@
 
 
 class RequestParser:
-    """Parses requests by one version of the settings: its classes and tenants."""
+    """Parses requests by one version of the settings: its classes and tenants.
+
+    Args:
+        settings: The classes and tenants.
+        pool: The service pool that serves the requests.
+        retired: Numbers of classes that are not accepted any more.
+        before: The parser of the previous settings, for requests that do not fit these, while `lingers`.
+    """
 
     streams = True
 
@@ -140,14 +144,6 @@
         retired: Collection[int] = (),
         before: RequestParser | None = None,
     ) -> None:
-        """Index the settings.
-
-        Args:
-            settings: The classes and tenants.
-            pool: The service pool that serves the requests.
-            retired: Numbers of classes that are not accepted any more.
-            before: The parser of the previous settings, for requests that do not fit these, while `lingers`.
-        """
         self.pool = pool
         self.classes = {
             spec.name.encode(): ClassForm.of(number, spec)
--- a/dykefold/net/peers.py
+++ b/dykefold/net/peers.py
@@ -15,6 +15,9 @@
 class PeerChannel(asyncio.DatagramProtocol):
     """Sends datagrams to peers by their number, and passes on what known peers send.
 
+    Args:
+        index: the number of this sidecar.
+
     Attributes:
         on_datagram: called with the number of the sender and the data.
         peers: addresses by number.
@@ -30,14 +33,7 @@
         everyone: Address | None,
         on_datagram: Callable[[int, bytes], None],
     ) -> None:
-        """Prepare; the event loop opens the socket.
-
-        Args:
-            index: the number of this sidecar.
-            peers: as the attribute.
-            everyone: as the attribute.
-            on_datagram: as the attribute.
-        """
+        """Prepare; the event loop opens the socket."""
         self.on_datagram = on_datagram
         self.change_addresses(index, peers, everyone)
         self.transport: asyncio.DatagramTransport | None = None
--- a/dykefold/net/read_scheduler.py
+++ b/dykefold/net/read_scheduler.py
@@ -34,18 +34,17 @@
 
 
 class ReadScheduler:
-    """The connections whose input waits, each at most once."""
+    """The connections whose input waits, each at most once.
+
+    Args:
+        loop: runs the turns.
+        lag: is notified of the time that each turn took.
+        system: the clock.
+    """
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, lag: LoopLagMonitor | None = None, system: System = SYSTEM
     ) -> None:
-        """Prepare.
-
-        Args:
-            loop: runs the turns.
-            lag: is notified of the time that each turn took.
-            system: the clock.
-        """
         self.loop = loop
         self.monotonic = system.monotonic
         self.lag = lag
--- a/dykefold/net/service/attempts.py
+++ b/dykefold/net/service/attempts.py
@@ -34,7 +34,14 @@
 
 
 class Attempt(Exchange):
-    """One transmission of a pending request to one endpoint."""
+    """One transmission of a pending request to one endpoint.
+
+    Args:
+        request: The request that it belongs to.
+        number: Counts the attempts of the request, from 0.
+        server: The endpoint's number.
+        sent_ns: When the balancer sent it, nanoseconds on the clock.
+    """
 
     __slots__ = (
         "announced_ns",
@@ -49,14 +56,7 @@
     )
 
     def __init__(self, request: PendingRequest, number: int, server: int, sent_ns: int) -> None:
-        """Prepare an attempt; `AttemptRunner.start` sends it.
-
-        Args:
-            request: The request that it belongs to.
-            number: Counts the attempts of the request, from 0.
-            server: The endpoint's number.
-            sent_ns: When the balancer sent it, nanoseconds on the clock.
-        """
+        """Prepare an attempt; `AttemptRunner.start` sends it."""
         super().__init__(b"", request.ended, MAX_BUFFERED_BODY_BYTES)
         self.profile = request.parsed.profile
         self.max_streamed_bytes = request.parsed.max_response_bytes
@@ -196,7 +196,6 @@
     """Starts, cancels and ends the attempts of one pool."""
 
     def __init__(self, pool: Pool) -> None:
-        """Begin with none."""
         self.pool = pool
         # By request and number; an attempt may outlive its request.
         self.in_flight: dict[tuple[int, int], Attempt] = {}
--- a/dykefold/net/service/endpoint_registry.py
+++ b/dykefold/net/service/endpoint_registry.py
@@ -38,18 +38,16 @@
 class EndpointRegistry:
     """Knows the endpoints of one pool, and keeps the balancer and the connections up to date with them.
 
+    Args:
+        pool: Whose endpoints these are.
+        names: Numbers of endpoints and zones by name.
+
     Attributes:
         maintenance: Operators' maintenance orders on top of what discovery says.
         start_times: When endpoints started, as far as that is known.
     """
 
     def __init__(self, pool: Pool, names: NameTable) -> None:
-        """Begin without endpoints.
-
-        Args:
-            pool: Whose endpoints these are.
-            names: Numbers of endpoints and zones by name.
-        """
         self.pool = pool
         self.names = names
         self.maintenance: Maintenance[EndpointRecord] = Maintenance(
--- a/dykefold/net/service/maintenance.py
+++ b/dykefold/net/service/maintenance.py
@@ -49,14 +49,13 @@
 
 
 class Maintenance(Generic[E]):
-    """What discovery says of each endpoint, with operators' orders on top."""
+    """What discovery says of each endpoint, with operators' orders on top.
 
-    def __init__(self, copy: Callable[[E, Endpoint], E]) -> None:
-        """Begin with no endpoint.
+    Args:
+        copy: the same entry with another endpoint.
+    """
 
-        Args:
-            copy: the same entry with another endpoint.
-        """
+    def __init__(self, copy: Callable[[E, Endpoint], E]) -> None:
         self.copy = copy
         self.listed: dict[str, E] = {}  # by name, as discovery has it now
         self.orders: dict[str, MaintenanceOrder] = {}  # by name, the oldest first
--- a/dykefold/net/service/pending_requests.py
+++ b/dykefold/net/service/pending_requests.py
@@ -27,7 +27,14 @@
 
 
 class PendingRequest(Timed):
-    """An accepted request. Its timer is the last guard on its final answer."""
+    """An accepted request. Its timer is the last guard on its final answer.
+
+    Args:
+        request_id: Unique in the pool.
+        call: As the client sent it.
+        sink: Takes the final answer.
+        pool: Serves it.
+    """
 
     __slots__ = (
         "attempt_count",
@@ -46,14 +53,6 @@
     )
 
     def __init__(self, request_id: int, call: ParsedRequest, sink: ResponseSink, pool: Pool) -> None:
-        """Begin without attempts.
-
-        Args:
-            request_id: Unique in the pool.
-            call: As the client sent it.
-            sink: Takes the final answer.
-            pool: Serves it.
-        """
         self.tick = 0
         self.id = request_id
         self.parsed = call
@@ -86,7 +85,6 @@
     """The pending requests of one pool."""
 
     def __init__(self, pool: Pool) -> None:
-        """Begin with none."""
         self.pool = pool
         self.by_id: dict[int, PendingRequest] = {}
         self.next_id = 1
--- a/dykefold/net/shutdown.py
+++ b/dykefold/net/shutdown.py
@@ -68,7 +68,6 @@
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, server: SidecarServer) -> None:
-        """Prepare; `begin` starts it."""
         self.loop = loop
         self.server = server
         self.answer_at = math.inf
--- a/dykefold/net/sidecar.py
+++ b/dykefold/net/sidecar.py
@@ -49,6 +49,13 @@
 class SidecarServer:
     """Accepts clients' connections and requests for the pools of this process, within its limits.
 
+    Args:
+        loop: runs everything.
+        memory: bytes that it may take.
+        caps: limits on clients by address.
+        system: the clocks and sockets.
+        set_aside: descriptors that are neither clients' nor servers', such as the admin API's.
+
     Attributes:
         pools: those that serve, and those that retire.
         sockets: descriptors that all processes of the sidecar may hold together.
@@ -75,16 +82,7 @@
         system: System = SYSTEM,
         set_aside: int = 0,
     ) -> None:
-        """Make a server with no pool.
-
-        Args:
-            loop: runs everything.
-            sockets: descriptors that the process may hold.
-            memory: bytes that it may take.
-            caps: limits on clients by address.
-            system: the clocks and sockets.
-            set_aside: descriptors that are neither clients' nor servers', such as the admin API's.
-        """
+        """Make a server with no pool."""
         self.loop = loop
         self.system = system
         self.monotonic = system.monotonic
--- a/dykefold/net/streaming.py
+++ b/dykefold/net/streaming.py
@@ -36,6 +36,10 @@
 class Upload:
     """The body of one request between its client's connection and the one to its server.
 
+    Args:
+        prefix: what has come of the body already.
+        on_drain: called when less than `BUFFER_BYTES` waits again.
+
     Attributes:
         length: bytes that were announced; None where the body comes in chunks.
         begun: bytes of it have gone to a server, so it can't be sent again.
@@ -65,13 +69,6 @@
     )
 
     def __init__(self, length: int | None, prefix: bytes, on_drain: Callable[[], None]) -> None:
-        """Make an upload.
-
-        Args:
-            length: bytes that were announced; None where the body comes in chunks.
-            prefix: what has come of the body already.
-            on_drain: called when less than `BUFFER_BYTES` waits again.
-        """
         self.length = length
         self.buffered: list[bytes] = [prefix] if prefix else []
         self.size = len(prefix)
--- a/dykefold/net/timer_wheel.py
+++ b/dykefold/net/timer_wheel.py
@@ -39,7 +39,6 @@
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, system: System = SYSTEM) -> None:
-        """Begin with no limit."""
         self.loop = loop
         self.monotonic = system.monotonic
         self.buckets: dict[int, dict[Timed, None] | None] = {}  # None: all its limits were stopped
--- a/dykefold/net/upstream/connection.py
+++ b/dykefold/net/upstream/connection.py
@@ -50,6 +50,9 @@
 class UpstreamConnection(ResponseReader):
     """A connection to an endpoint: what is written on it, what comes, and its one end.
 
+    Args:
+        pool: that counts and keeps it.
+
     Attributes:
         upstream: the endpoint.
         generation: that of the endpoint when the connection was begun.
@@ -91,13 +94,7 @@
     )
 
     def __init__(self, pool: ConnectionPool, upstream: Upstream, sock: socket.socket) -> None:
-        """Begin a connection; its socket is connected by `connector.establish`.
-
-        Args:
-            pool: that counts and keeps it.
-            upstream: the endpoint.
-            sock: not connected yet.
-        """
+        """Begin a connection; its socket is connected by `connector.establish`."""
         super().__init__(pool)
         self.upstream = upstream
         self.generation = upstream.generation
--- a/dykefold/net/upstream/connection_pool.py
+++ b/dykefold/net/upstream/connection_pool.py
@@ -29,6 +29,11 @@
 class ConnectionPool:
     """All connections to the endpoints of one service.
 
+    Args:
+        endpoint_idle_s: seconds after which endpoints may close an idle connection.
+        close_in_other_pools: closes a connection that another pool does not need; tells whether it could.
+        system: the sockets and the clock.
+
     Attributes:
         loop: where its connections run.
         monotonic: the clock, seconds.
@@ -60,19 +65,6 @@
         close_in_other_pools: Callable[[], bool] | None = None,
         system: System = SYSTEM,
     ) -> None:
-        """Begin without endpoints.
-
-        Args:
-            loop: where its connections run.
-            allowance: counts its connections against their maximum.
-            memory: bounds the bytes of responses that are kept.
-            connect_timeout: seconds.
-            endpoint_idle_s: seconds after which endpoints may close an idle connection.
-            read_scheduler: parses long responses in slices; by default one of its own.
-            timer_wheel: runs the time limits of exchanges; by default one of its own.
-            close_in_other_pools: closes a connection that another pool does not need; tells whether it could.
-            system: the sockets and the clock.
-        """
         self.loop = loop
         self.system = system
         self.monotonic = system.monotonic
--- a/dykefold/net/upstream/endpoint_connections.py
+++ b/dykefold/net/upstream/endpoint_connections.py
@@ -27,7 +27,6 @@
     """
 
     def __init__(self, address: tuple[str, int], since_ms: int, ages: IdleAgeStats) -> None:
-        """Begin without connections."""
         self.address = address
         self.ages = ages
         self.since_ms = since_ms
--- a/dykefold/net/upstream/exchange.py
+++ b/dykefold/net/upstream/exchange.py
@@ -74,13 +74,7 @@
     read_within = READ_WITHIN
 
     def __init__(self, payload: bytes, done: Done, max_response_bytes: int) -> None:
-        """Prepare a request; `ConnectionPool.start` sends it.
-
-        Args:
-            payload: the request as it is written.
-            done: called once, at the end.
-            max_response_bytes: bytes of a response's body that is kept until it is whole.
-        """
+        """Prepare a request; `ConnectionPool.start` sends it."""
         self.tick = 0
         self.payload = payload
         self.done: Done | None = done
--- a/dykefold/net/upstream/idle_timeouts.py
+++ b/dykefold/net/upstream/idle_timeouts.py
@@ -39,7 +39,6 @@
     """
 
     def __init__(self) -> None:
-        """Begin without a rest."""
         self.limit_s = 0.0  # 0: a connection may be used at once
         self.seen_at_s = -math.inf
 
@@ -104,12 +103,7 @@
     """
 
     def __init__(self, max_s: float, parent: IdleAgeStats | None = None) -> None:
-        """Begin at the maximum, with nothing seen.
-
-        Args:
-            max_s: the limit where nothing speaks against it, seconds.
-            parent: what is counted here is counted there as well.
-        """
+        """Begin at the maximum, with nothing seen."""
         self.max_s = max_s
         self.parent = parent
         self.uses = [0.0] * len(EDGES_S)
--- a/dykefold/routing/requests.py
+++ b/dykefold/routing/requests.py
@@ -61,19 +61,18 @@
 
 
 class RouteRequestReader:
-    """Reads the requests of one route."""
+    """Reads the requests of one route.
+
+    Args:
+        pool_name: ids of requests are told apart by it.
+        pool: what serves them.
+        options: how they are read.
+        make_id: returns a new X-Request-Id.
+    """
 
     def __init__(
         self, pool_name: str, pool: ConfiguredPool, options: RouteOptions, make_id: Callable[[], str]
     ) -> None:
-        """Prepare a route's requests.
-
-        Args:
-            pool_name: ids of requests are told apart by it.
-            pool: what serves them.
-            options: how they are read.
-            make_id: returns a new X-Request-Id.
-        """
         self._pool = pool
         self._id_prefix = pool_name.encode() + b"/"
         self._options = options
@@ -158,6 +157,9 @@
 class RoutingRequestReader:
     """Reads messages by one route table: an immutable value that is replaced whole.
 
+    Args:
+        readers: by the route's name.
+
     Attributes:
         streams: larger bodies may be taken, each up to its route's limit.
         table: the route table.
@@ -166,12 +168,7 @@
     streams = True
 
     def __init__(self, table: RouteTable, readers: dict[str, RouteRequestReader]) -> None:
-        """Take a table and the reader of each of its routes.
-
-        Args:
-            table: the route table.
-            readers: by the route's name.
-        """
+        """Take a table and the reader of each of its routes."""
         self.table = table
         self._readers = readers
 
--- a/dykefold/routing/reservations.py
+++ b/dykefold/routing/reservations.py
@@ -55,11 +55,6 @@
     """
 
     def __init__(self, total: int) -> None:
-        """Begin with no pool.
-
-        Args:
-            total: reservations that there may be.
-        """
         self.total = total
         self.limits: dict[Hashable, ReservationLimits] = {}
         self.held: dict[Hashable, int] = {}
--- a/dykefold/routing/route_index.py
+++ b/dykefold/routing/route_index.py
@@ -85,7 +85,6 @@
     __slots__ = ("_exact", "_root")
 
     def __init__(self) -> None:
-        """Begin with no route."""
         self._exact: dict[tuple[str, ...], RouteGroup] = {}
         self._root = _PrefixNode()
 
--- a/dykefold/routing/services.py
+++ b/dykefold/routing/services.py
@@ -30,17 +30,15 @@
 class PoolBudget:
     """What one pool may reserve of the process's descriptors.
 
+    Args:
+        budget: of the process.
+        reservations: of all pools.
+
     Attributes:
         upstreams: the connections to endpoints of all pools.
     """
 
     def __init__(self, budget: DescriptorBudget, reservations: PoolReservations) -> None:
-        """Begin with nothing reserved.
-
-        Args:
-            budget: of the process.
-            reservations: of all pools.
-        """
         self._budget = budget
         self._reservations = reservations
         self.upstreams = budget.upstreams
@@ -80,6 +78,10 @@
 class Services:
     """The pools of a process by name, and the table that leads to them.
 
+    Args:
+        sidecar: accepts the requests; it has no pool yet.
+        seed: returns a new seed for the random draws of a pool's balancer.
+
     Attributes:
         reservations: of all pools.
         by_name: the services that the plan names.
@@ -87,12 +89,6 @@
     """
 
     def __init__(self, sidecar: SidecarServer, seed: Callable[[], int]) -> None:
-        """Begin with no pool.
-
-        Args:
-            sidecar: accepts the requests; it has no pool yet.
-            seed: returns a new seed for the random draws of a pool's balancer.
-        """
         self._sidecar = sidecar
         self._seed = seed
         self.reservations = PoolReservations(sidecar.budget.upstreams.limit)
--- a/dykefold/routing/table.py
+++ b/dykefold/routing/table.py
@@ -29,18 +29,16 @@
 class RouteTable:
     """An immutable, numbered table.
 
+    Args:
+        pools: the names that routes may lead to.
+
     Attributes:
         number: grows with each table of a process.
         routes: in the order of the file.
     """
 
     def __init__(self, number: int, routes: Iterable[Route], pools: Iterable[str]) -> None:
-        """Build the index.
-
-        Args:
-            number: grows with each table of a process.
-            routes: in any order.
-            pools: the names that routes may lead to.
+        """Build the index of the routes.
 
         Raises:
             RouteTableError: with all that is wrong with the routes.
--- a/dykefold/settings.py
+++ b/dykefold/settings.py
@@ -60,15 +60,14 @@
 
 
 class _Pairs:
-    """Settings by their path. What is wrong is collected, with its path, and read as a harmless value."""
+    """Settings by their path. What is wrong is collected, with its path, and read as a harmless value.
 
-    def __init__(self, values: Mapping[str, object], typed: bool) -> None:
-        """Prepare to read settings.
+    Args:
+        values: by path.
+        typed: numbers come as such, and a text that looks like one is none.
+    """
 
-        Args:
-            values: by path.
-            typed: numbers come as such, and a text that looks like one is none.
-        """
+    def __init__(self, values: Mapping[str, object], typed: bool) -> None:
         self.values = values
         self.numeric: tuple[type, ...] = (int, float) if typed else (int, float, str)
         self.problems: list[str] = []
--- a/dykefold/sim/callers.py
+++ b/dykefold/sim/callers.py
@@ -37,21 +37,20 @@
 
 
 class Callers:
-    """Sidecars that all start at time 0, with a service that works through calls in turn."""
+    """Sidecars that all start at time 0, with a service that works through calls in turn.
+
+    Args:
+        size: sidecars.
+        service_per_s: calls that the service works through.
+        max_waiting: calls that wait there; one more is rejected.
+        spread: whether they spread their calls, or each goes by itself as the balancer has it.
+        seed: of all that is drawn.
+        told: whether they tell each other the durations over which they spread.
+    """
 
     def __init__(
         self, size: int, service_per_s: float, max_waiting: int, spread: bool, seed: int, told: bool = False
     ) -> None:
-        """Make the world.
-
-        Args:
-            size: sidecars.
-            service_per_s: calls that the service works through.
-            max_waiting: calls that wait there; one more is rejected.
-            spread: whether they spread their calls, or each goes by itself as the balancer has it.
-            seed: of all that is drawn.
-            told: whether they tell each other the durations over which they spread.
-        """
         self.size, self.told = size, told
         self.work_ns, self.max_waiting = int(SECOND / service_per_s), max_waiting
         self.random = random.Random(seed)
--- a/dykefold/sim/kernel.py
+++ b/dykefold/sim/kernel.py
@@ -45,7 +45,6 @@
     """
 
     def __init__(self, seed: int) -> None:
-        """Begin at time 0."""
         self.seed = seed
         self.now_ns = 0
         self.steps = 0
--- a/dykefold/sim/loop.py
+++ b/dykefold/sim/loop.py
@@ -39,6 +39,11 @@
 
     It has those methods of `asyncio.AbstractEventLoop` that the program calls, and no others.
 
+    Args:
+        kernel: the clock and the events of the world.
+        name: of the process.
+        network: of the world.
+
     Attributes:
         host: the machine, where several processes share one.
         waiting_io: what is ready for the process, to be called in its next turn.
@@ -53,14 +58,7 @@
     """
 
     def __init__(self, kernel: Kernel, name: str, network: Network, host: str = "") -> None:
-        """Make the loop of a process that starts now.
-
-        Args:
-            kernel: the clock and the events of the world.
-            name: of the process.
-            network: of the world.
-            host: the machine; empty for one that is named like the process.
-        """
+        """Make the loop of a process that starts now."""
         self.kernel = kernel
         self.name = name
         self.host = host or name
--- a/dykefold/sim/machine.py
+++ b/dykefold/sim/machine.py
@@ -26,7 +26,6 @@
     """What `poll` reports of a virtual socket that is watched for reading."""
 
     def __init__(self, sock: SimSocket) -> None:
-        """Watch a socket."""
         self.sock = sock
 
     def poll(self, timeout: float, /) -> list[tuple[int, int]]:
@@ -39,7 +38,6 @@
     """What `poll` reports of a virtual socket, its other side's end included."""
 
     def __init__(self, sock: SimSocket) -> None:
-        """Watch a socket."""
         self.sock = sock
 
     def poll(self, timeout: float, /) -> list[tuple[int, int]]:
@@ -54,15 +52,15 @@
 
 
 class SimSystem(System):
-    """The machine of one virtual process, as the program sees it."""
+    """The machine of one virtual process, as the program sees it.
 
-    def __init__(self, loop: SimLoop, boot_ns: int) -> None:
-        """Make the machine of a process.
+    Args:
+        loop: of the process.
+        boot_ns: what its monotonic clock shows when the world begins.
+    """
 
-        Args:
-            loop: of the process.
-            boot_ns: what its monotonic clock shows when the world begins.
-        """
+    def __init__(self, loop: SimLoop, boot_ns: int) -> None:
+        """Make the machine of a process."""
         self.loop = loop
         self.boot_ns = boot_ns
 
--- a/dykefold/sim/messages.py
+++ b/dykefold/sim/messages.py
@@ -18,7 +18,6 @@
     """The messages in a stream of bytes that comes in pieces."""
 
     def __init__(self) -> None:
-        """Begin with no bytes."""
         self.buffer = b""
 
     def feed(self, data: bytes) -> list[Message]:
--- a/dykefold/sim/notified_lists.py
+++ b/dykefold/sim/notified_lists.py
@@ -43,7 +43,6 @@
     """Follows the lists that arrive, and tells the rules what each sidecar knows."""
 
     def __init__(self, rules: Rules) -> None:
-        """Begin without any sidecar."""
         self.rules = rules
         self.lists: dict[str, NotifiedList] = {}
 
--- a/dykefold/sim/observer.py
+++ b/dykefold/sim/observer.py
@@ -52,16 +52,15 @@
 
 
 class WireObserver:
-    """Watches what sidecars send to servers and what arrives at them: a `SocketObserver`."""
+    """Watches what sidecars send to servers and what arrives at them: a `SocketObserver`.
 
-    def __init__(self, kernel: Kernel, rules: Rules, place_of: PlaceOf) -> None:
-        """Watch for the rules.
+    Args:
+        kernel: the clock, and the record of what happened.
+        rules: are notified of what is seen.
+        place_of: returns the server and its group at an address; None where there is no server.
+    """
 
-        Args:
-            kernel: the clock, and the record of what happened.
-            rules: are notified of what is seen.
-            place_of: returns the server and its group at an address; None where there is no server.
-        """
+    def __init__(self, kernel: Kernel, rules: Rules, place_of: PlaceOf) -> None:
         self.kernel = kernel
         self.rules = rules
         self.place_of = place_of
--- a/dykefold/sim/process.py
+++ b/dykefold/sim/process.py
@@ -84,6 +84,9 @@
 class Sidecar:
     """One process of a sidecar, which may be started again after its end.
 
+    Args:
+        world: that it is part of.
+
     Attributes:
         number: of the sidecar.
         process_number: 0, or what tells this process from others of the same sidecar.
@@ -96,13 +99,7 @@
     system: SimSystem
 
     def __init__(self, world: SidecarWorld, number: int, process_number: int = 0) -> None:
-        """Make a process that does not run yet.
-
-        Args:
-            world: that it is part of.
-            number: of the sidecar.
-            process_number: as the attribute.
-        """
+        """Make a process that does not run yet."""
         self.world = world
         self.number = number
         self.process_number = process_number
--- a/dykefold/sim/state_directory.py
+++ b/dykefold/sim/state_directory.py
@@ -20,7 +20,6 @@
     """
 
     def __init__(self) -> None:
-        """Make an empty directory."""
         self.records: dict[str, str] = {}
         self.holders: dict[str, SimLoop] = {}
         self.changes = 0
@@ -35,7 +34,6 @@
     """One process's access to the directory: a `control.state_directory.StateDirectory`."""
 
     def __init__(self, folder: SharedFolder, loop: SimLoop) -> None:
-        """Give a process access."""
         self.folder = folder
         self.loop = loop
         self.seen_changes = -1
--- a/dykefold/sim/syscalls.py
+++ b/dykefold/sim/syscalls.py
@@ -61,7 +61,6 @@
     """
 
     def __init__(self, seed: int) -> None:
-        """Begin without faults."""
         self.random = stream(seed, "syscalls")
         self.shares: dict[tuple[str, SystemCall], list[float]] = {}
         self.count = 0
--- a/dykefold/sim/upgrades.py
+++ b/dykefold/sim/upgrades.py
@@ -122,7 +122,16 @@
 
 
 class Model:
-    """What may happen, and what must hold."""
+    """What may happen, and what must hold.
+
+    Args:
+        processes: the first one and those that may start later.
+        faults: deaths and stops, at most.
+        held: descriptors that a process can't do without.
+        locks: the system tells who lives.
+        stops: whether processes may stand still.
+        kind: the decisions that are judged.
+    """
 
     def __init__(
         self,
@@ -133,16 +142,6 @@
         stops: bool = True,
         kind: type[HotRestartMachine] = HotRestartMachine,
     ) -> None:
-        """Make a model.
-
-        Args:
-            processes: the first one and those that may start later.
-            faults: deaths and stops, at most.
-            held: descriptors that a process can't do without.
-            locks: the system tells who lives.
-            stops: whether processes may stand still.
-            kind: the decisions that are judged.
-        """
         self.processes = processes
         self.faults = faults
         self.held = held
--- a/dykefold/sim/views.py
+++ b/dykefold/sim/views.py
@@ -19,7 +19,16 @@
 
 
 class Views:
-    """Members 0 to `size` - 1 of a fleet; those that run are in `living`."""
+    """Members 0 to `size` - 1 of a fleet; those that run are in `living`.
+
+    Args:
+        size: members of the fleet.
+        seed: of all that is drawn.
+        loss: share of the datagrams that get lost.
+        delay_ns: least and most time that one takes.
+        pace: the bounds on datagrams; None for the usual ones.
+        zones: in which the members stand in turn.
+    """
 
     def __init__(
         self,
@@ -30,16 +39,7 @@
         pace: RateLimits | None = None,
         zones: int = 3,
     ) -> None:
-        """Make the world; nobody runs yet.
-
-        Args:
-            size: members of the fleet.
-            seed: of all that is drawn.
-            loss: share of the datagrams that get lost.
-            delay_ns: least and most time that one takes.
-            pace: the bounds on datagrams; None for the usual ones.
-            zones: in which the members stand in turn.
-        """
+        """Make the world; nobody runs yet."""
         self.size, self.loss, self.delay_ns, self.zones = size, loss, delay_ns, zones
         self.pace = pace or RateLimits()
         self.random = random.Random(seed)
