--- a/dykefold/admission/address_keys.py
+++ b/dykefold/admission/address_keys.py
@@ -14,7 +14,7 @@
 IPV6 = 6
 IPV4_BITS = 32
 IPV6_BITS = 128
-MAX_PARSED = 4096  # texts of addresses whose numbers are cached: as many as addresses are remembered
+MAX_CACHED_ADDRESSES = 4096  # Parsed addresses; as many as `AddressLimits.max_remembered`.
 
 Network = IPv4Network | IPv6Network
 # Identifies one address: the version of the Internet Protocol, and the leading bits as a number.
@@ -22,7 +22,7 @@
 AddressKey = tuple[int, int]
 
 
-@lru_cache(maxsize=MAX_PARSED)
+@lru_cache(maxsize=MAX_CACHED_ADDRESSES)
 def _parse(host: str) -> tuple[int, int]:
     """Return version and number of an address; IPv4 inside IPv6 counts as IPv4."""
     address = ip_address(host.partition("%")[0])
@@ -35,8 +35,8 @@
     """How many leading bits make one address, by version.
 
     Args:
-        ipv4_bits: from 0 to 32.
-        ipv6_bits: from 0 to 128.
+        ipv4_bits: Leading bits of an IPv4 address that identify one client, 0 to 32.
+        ipv6_bits: Leading bits of an IPv6 address that identify one client, 0 to 128.
     """
 
     def __init__(self, ipv4_bits: int, ipv6_bits: int) -> None:
@@ -46,10 +46,10 @@
         """Return the key of an address.
 
         Args:
-            host: an IPv4 or IPv6 address, with or without a zone.
+            host: IPv4 or IPv6 address as text, with or without a zone.
 
         Raises:
-            ValueError: it is no address.
+            ValueError: `host` is not an IP address.
         """
         version, number = _parse(host)
         return version, number >> self._shifts[version]
@@ -59,7 +59,7 @@
     """A set of networks; a look-up costs one step for each length of prefix that occurs.
 
     Args:
-        networks: of either version, in any order.
+        networks: IPv4 and IPv6 networks, in any order.
     """
 
     def __init__(self, networks: Iterable[Network]) -> None:
@@ -73,7 +73,7 @@
         """Return whether an address is in one of the networks.
 
         Raises:
-            ValueError: it is no address.
+            ValueError: `host` is not an IP address.
         """
         version, number = _parse(host)
         return any(number >> shift in known for shift, known in self._shifts[version].items())
--- a/dykefold/admission/addresses.py
+++ b/dykefold/admission/addresses.py
@@ -17,21 +17,25 @@
     """What one address may use, and which are known. None stands for no limit.
 
     Attributes:
-        connections: open at once from one address.
-        known_connections: the same for a known address, which may stand for a whole site behind NAT.
-        new_per_s: new connections a second. Known networks are exempt: after a restart all their clients
+        connections: Maximum number of open connections from one address.
+        known_connections: Maximum number for a known address, which may stand for a whole site behind NAT.
+        new_per_s: New connections allowed per second. Known networks are exempt: after a restart all their
+            clients
             come back together.
-        new_burst: new connections at once after a rest.
-        open_requests: pending requests of one address.
-        unfinished_bytes: of messages from one address that have not come to their end.
-        v4_prefix: bits that make one IPv4 address.
-        v6_prefix: bits that make one IPv6 address.
-        known: networks whose clients are known.
-        reserve: connections that only known clients may hold.
-        learn_requests: served requests after which an address counts as known; 0: nothing is learned.
-        learn_after_s: seconds that these must be spread over.
-        max_learned: addresses that can be learned; the one without success for the longest is forgotten.
-        max_remembered: addresses without a connection whose use of the limits is remembered.
+        new_burst: Number of connections that an address may open at once after a rest.
+        open_requests: Maximum number of pending requests from one address.
+        unfinished_bytes: Maximum size in bytes of all incomplete messages from one address.
+        v4_prefix: Leading bits of an IPv4 address that count as one address.
+        v6_prefix: Leading bits of an IPv6 address that count as one address.
+        known: Networks whose clients are known.
+        reserve: Number of connections that only known clients may hold.
+        learn_requests: Number of served requests after which an address counts as known; 0 turns learning
+            off.
+        learn_after_s: Seconds over which these requests must be spread.
+        max_learned: Maximum number of learned addresses; beyond it the one without success for the longest is
+            forgotten.
+        max_remembered: Maximum number of addresses without a connection whose use of the limits is
+            remembered.
     """
 
     connections: int | None = None
@@ -62,18 +66,18 @@
     """What one address uses of its limits.
 
     Args:
-        now_s: the time, in seconds of the monotonic clock.
+        now_s: Current monotonic time in seconds.
 
     Attributes:
-        key: identifies the address.
-        trust: whether it is known, and by what.
-        connections: open.
-        open_requests: pending.
-        unfinished_bytes: of messages that have not come to their end.
-        tokens: new connections that it may still open at once.
-        tokens_at_s: when these were last counted, in seconds of the monotonic clock.
-        served: requests served since the last violation.
-        served_since_s: when the first of them was.
+        key: Key that identifies the address.
+        trust: Whether the address is known, and by what.
+        connections: Number of open connections.
+        open_requests: Number of pending requests.
+        unfinished_bytes: Size in bytes of its incomplete messages.
+        tokens: Number of new connections that it may still open at once.
+        tokens_at_s: Monotonic time in seconds at which the tokens were last counted.
+        served: Number of requests served since the last violation.
+        served_since_s: Monotonic time in seconds of the first of them.
     """
 
     __slots__ = (
@@ -109,10 +113,10 @@
     """All addresses that are in use, and bounded memories of those that were, and of those learned.
 
     Attributes:
-        caps: the limits of each address.
-        active: records of addresses that have a connection.
-        inactive: records of others, the longest unused first.
-        learned: keys of addresses that were learned, the longest without success first.
+        caps: Limits of each address.
+        active: Records of addresses that have a connection, by key.
+        inactive: Records of addresses without a connection, the longest unused first.
+        learned: Keys of learned addresses, the longest without success first.
     """
 
     def __init__(self, caps: AddressLimits) -> None:
@@ -137,8 +141,8 @@
         A new record is kept once a connection has been added to it.
 
         Args:
-            host: an IPv4 or IPv6 address.
-            now_s: the time, in seconds of the monotonic clock.
+            host: IPv4 or IPv6 address as text.
+            now_s: Current monotonic time in seconds.
 
         Raises:
             ValueError: `host` is no address.
--- a/dykefold/admission/budget.py
+++ b/dykefold/admission/budget.py
@@ -7,25 +7,28 @@
 
 from __future__ import annotations
 
-LOOP = 16  # the event loop, standard streams, the listening socket, datagrams of peers
-ACCEPTING = 16  # accepted in one turn of the loop, before the closes that made room take effect
-DISCOVERY_CONNECTIONS = 3  # a watch, one beside it when it is silent, and a fetch
-DISCOVERY = 2 * DISCOVERY_CONNECTIONS  # at the old and at the new address, while it changes
-FILES = 3  # the configuration while it is read again, and what the runtime opens now and then
-RESERVE = 1  # kept open only to be closed when the system has none left
-PROCESS = LOOP + ACCEPTING + DISCOVERY + FILES + RESERVE
-SPARE_RESERVATIONS = 8  # for further requests on connections that clients keep
-MIN_SHARED = 8  # for clients and endpoints together, however low the limit
-CLIENTS_DIVISOR = 2  # clients get one in so many of the descriptors that are left
-REQUESTS_DIVISOR = 3  # clients hold at most one in so many of all descriptors for requests
+# Descriptors by purpose.
+LOOP_DESCRIPTORS = 16  # The event loop, standard streams, the listening socket, datagrams of peers.
+ACCEPTED_DESCRIPTORS = 16  # Accepted in one turn of the loop, before the closes that made room take effect.
+DISCOVERY_CONNECTIONS = 3  # A watch, a call beside it when it is silent, and a fetch.
+DISCOVERY_DESCRIPTORS = 2 * DISCOVERY_CONNECTIONS  # At the old and the new address while discovery moves.
+FILE_DESCRIPTORS = 3  # The configuration file, and what the runtime opens now and then.
+RESERVE_DESCRIPTORS = 1  # See `ReserveDescriptor`.
+PROCESS_DESCRIPTORS = (
+    LOOP_DESCRIPTORS + ACCEPTED_DESCRIPTORS + DISCOVERY_DESCRIPTORS + FILE_DESCRIPTORS + RESERVE_DESCRIPTORS
+)
+SPARE_RESERVATIONS = 8  # For further requests on connections that clients keep open.
+MIN_SHARED_DESCRIPTORS = 8  # For clients and endpoints together, however low the limit.
+MIN_CLIENTS_DIVISOR = 2  # Clients get at least the shared descriptors divided by this.
+MAX_REQUESTS_DIVISOR = 3  # Clients hold at most all descriptors divided by this for requests.
 
 
 class DescriptorAllowance:
     """How many descriptors one purpose may hold.
 
     Attributes:
-        limit: that it may hold.
-        in_use: that it holds.
+        limit: Maximum number of descriptors in use.
+        in_use: Number of descriptors in use.
     """
 
     __slots__ = ("in_use", "limit")
@@ -44,37 +47,42 @@
     """All descriptors of the process, by purpose; the admission rules count what clients hold.
 
     Args:
-        limit: descriptors of the whole process.
-        set_aside: of these, for what else the process does.
+        limit: Number of descriptors that the whole process may open.
+        set_aside: Descriptors of the process that serve neither clients nor endpoints, beyond those listed
+            above.
 
     Attributes:
-        clients: that clients may hold.
-        with_requests: of these, how many clients can hold that have sent a request.
-        upstreams: connections to endpoints.
-        reservations: descriptors for connections to endpoints that are reserved for requests and probes.
+        clients: Maximum number of client connections.
+        with_requests: Maximum number of client connections on which a request has been sent.
+        upstreams: Allowance of connections to endpoints.
+        reservations: Number of descriptors for connections to endpoints that are reserved by requests and
+            probes.
     """
 
     def __init__(self, limit: int, set_aside: int = 0) -> None:
-        self._process = PROCESS + set_aside
+        self._process = PROCESS_DESCRIPTORS + set_aside
         self.upstreams = DescriptorAllowance(0)
         self.reservations = 0
         self.resize(limit)
 
-    def resize(self, limit: int, all_processes: int = 0, kept: int = 0) -> None:
+    def resize(self, limit: int, all_processes: int = 0, open_connections: int = 0) -> None:
         """Take another limit.
 
         Args:
-            limit: descriptors of the whole process.
-            all_processes: descriptors of all processes of this sidecar, where there are several; else 0.
-            kept: connections that clients hold, and that they keep as far as attempts have room.
+            limit: Number of descriptors that the whole process may open.
+            all_processes: Number of descriptors of all processes of this sidecar together; 0 if there is only
+                one.
+            open_connections: Number of open client connections. They stay open as far as the attempts leave
+                descriptors.
         """
-        shared = max(limit - self._process, MIN_SHARED)
+        shared = max(limit - self._process, MIN_SHARED_DESCRIPTORS)
         # Clients need a third for requests. What they may hold beyond that must leave enough to attempts, or
         # silent clients would keep every request from its endpoint.
         self.clients = max(
-            shared // CLIENTS_DIVISOR, min(kept, shared - self.reservations - SPARE_RESERVATIONS)
+            shared // MIN_CLIENTS_DIVISOR,
+            min(open_connections, shared - self.reservations - SPARE_RESERVATIONS),
         )
-        self.with_requests = max((all_processes or limit) // REQUESTS_DIVISOR, 1)
+        self.with_requests = max((all_processes or limit) // MAX_REQUESTS_DIVISOR, 1)
         self.upstreams.limit = shared - self.clients
 
     def required(self, clients: int) -> int:
--- a/dykefold/admission/client.py
+++ b/dykefold/admission/client.py
@@ -11,17 +11,19 @@
     """One connection of a client.
 
     Attributes:
-        address: the record of its address.
-        host: its address as text.
-        owner: the key of its address, by which queues count it.
-        known: whether its address was known when it was admitted. It stays as it was, since the queues are
+        address: Record of the client's address.
+        host: The client's address as text.
+        owner: Key of the client's address, by which queues count the connection.
+        known: Whether the address was known when the connection was admitted. It never changes, since the
+            queues are
             found by it.
         state: None before it is admitted and after it has been removed.
-        messages: whole messages that were received.
-        idle_since_s: when it entered its state, in seconds of the monotonic clock.
-        body_started_at_s: when bytes of an unfinished body were first received; 0 if none were.
-        body_bytes: how many have been received since then.
-        body_received_at_s: when the latest of them were.
+        messages: Number of complete messages received.
+        idle_since_s: Monotonic time in seconds at which the connection entered its state.
+        body_started_at_s: Monotonic time in seconds of the first byte of an incomplete body; 0 if there is
+            none.
+        body_bytes: Number of body bytes received since then.
+        body_received_at_s: Monotonic time in seconds of the latest of them.
     """
 
     __slots__ = (
--- a/dykefold/admission/client_state.py
+++ b/dykefold/admission/client_state.py
@@ -9,12 +9,12 @@
     """What a connection does. The numbers index the queues of `ClientGroup`.
 
     Attributes:
-        CLOSING: it was answered with an error, and only its end is awaited.
-        NEW: it has not sent a whole request yet.
-        IDLE_ONCE: it is idle after its first request.
-        IDLE_REUSED: it is idle after more than one request.
-        READING: a message has begun and not ended.
-        BUSY: a request is pending, or a response is on its way to the client. Never evicted.
+        CLOSING: The connection was answered with an error and waits for the client to close.
+        NEW: No complete request has been received.
+        IDLE_ONCE: The connection is idle after its first request.
+        IDLE_REUSED: The connection is idle after more than one request.
+        READING: A message is incomplete.
+        BUSY: A request is pending, or a response is being written. Such a connection is never evicted.
     """
 
     CLOSING = 0
--- a/dykefold/admission/clients.py
+++ b/dykefold/admission/clients.py
@@ -19,13 +19,13 @@
     """Every open connection of a client.
 
     Args:
-        system: the clock.
+        system: Source of the clock.
 
     Attributes:
-        admission: the rules.
-        monotonic: the monotonic clock, in seconds.
-        all: the connections by their records.
-        rejections: logs rejections.
+        admission: Controller that decides on connections and requests.
+        monotonic: Returns the monotonic time in seconds.
+        all: Open connections, by client record.
+        rejections: Log of rejections.
     """
 
     def __init__(self, admission: AdmissionController, system: System = SYSTEM) -> None:
@@ -92,8 +92,8 @@
         """Count a request as no longer open.
 
         Args:
-            client: who sent it.
-            served: whether it was answered by an endpoint.
+            client: Client that sent the request.
+            served: Whether an endpoint answered the request.
         """
         self.admission.close_request(client, served, self.monotonic())
 
@@ -112,8 +112,8 @@
         """Take other limits, and close the connections beyond them that may be evicted.
 
         Args:
-            limits: what clients may hold in all.
-            caps: what each address may use.
+            limits: Limits on all client connections together.
+            caps: Limits of each address.
         """
         self._close_all(self.admission.resize(limits, caps, self.monotonic(), self._has_unread_input))
 
--- a/dykefold/admission/connection.py
+++ b/dykefold/admission/connection.py
@@ -13,10 +13,10 @@
     """A client's connection that admission may close.
 
     Attributes:
-        client: its record.
-        paused: it is not being read.
-        discarding_input: its input is discarded.
-        messages: whole messages that were received on it.
+        client: Record of the client.
+        paused: Whether reading is paused.
+        discarding_input: Whether input is read and discarded.
+        messages: Number of complete messages received.
     """
 
     client: Client
--- a/dykefold/admission/controller.py
+++ b/dykefold/admission/controller.py
@@ -23,23 +23,23 @@
 from .request_gaps import RequestGaps
 from .working_set import WorkingSet
 
-MAX_IDLE_S = 2.0  # that a connection is kept with no request open
-MAX_CLOSED_AT_ONCE = 4  # idle connections, at each event: more than arrive, and the cost stays bounded
+MAX_IDLE_S = 2.0  # For a connection without a pending request.
+MAX_CLOSED_PER_EVENT = 4  # Idle connections. More than arrive, and the cost of an event stays bounded.
 
 
 class AdmissionController:
     """Decides on each connection.
 
     Args:
-        caps: what each address may use.
+        caps: Limits of each address.
 
     Attributes:
-        limits: what clients may hold in all.
-        addresses: what each address uses of its limits.
-        eviction: the connections that may be evicted, in their order.
-        message_timeouts: the time that each connection has for a message.
-        working_set: how many connections clients can make use of.
-        request_gaps: how long clients leave a connection idle between requests.
+        limits: Limits on all client connections together.
+        addresses: Use of the limits, by address.
+        eviction: Connections that may be evicted, in order.
+        message_timeouts: Timeouts of messages that have begun.
+        working_set: Estimate of the number of connections that clients make use of.
+        request_gaps: Estimate of the time for which clients leave a connection idle between requests.
     """
 
     def __init__(self, limits: ConnectionLimits, caps: AddressLimits) -> None:
@@ -71,10 +71,10 @@
         """Take other limits.
 
         Args:
-            limits: what clients may hold in all.
-            caps: what each address may use.
-            now_s: the time, in seconds of the monotonic clock.
-            has_unread_input: whether input of a client was not read yet.
+            limits: Limits on all client connections together.
+            caps: Limits of each address.
+            now_s: Current monotonic time in seconds.
+            has_unread_input: Returns whether a client has sent input that was not read yet.
 
         Returns:
             The connections that must be closed: those beyond the limits, as far as they may be evicted.
@@ -95,9 +95,9 @@
         """Decide on a new connection.
 
         Args:
-            host: the client's address.
-            now_s: the time, in seconds of the monotonic clock.
-            has_unread_input: whether input of a client was not read yet.
+            host: The client's address as text.
+            now_s: Current monotonic time in seconds.
+            has_unread_input: Returns whether a client has sent input that was not read yet.
 
         Raises:
             ValueError: `host` is no IPv4 or IPv6 address.
@@ -156,11 +156,11 @@
         """Take the state of a connection.
 
         Args:
-            client: the connection.
-            state: its state; `IDLE_ONCE` stands for `IDLE_REUSED` too.
-            message_begun: whether a message has begun and not ended.
-            messages: whole messages that were received on it.
-            now_s: the time, in seconds of the monotonic clock.
+            client: Record of the connection.
+            state: State of the connection; `IDLE_ONCE` stands for `IDLE_REUSED` too.
+            message_begun: Whether a message is incomplete.
+            messages: Number of complete messages received.
+            now_s: Current monotonic time in seconds.
         """
         if client.state is None:
             return
@@ -186,9 +186,9 @@
         """Do what `update` does in the usual case: a whole request on an `IDLE_REUSED` connection.
 
         Args:
-            client: the connection.
-            messages: whole messages that were received on it.
-            now_s: the time, in seconds of the monotonic clock.
+            client: Record of the connection.
+            messages: Number of complete messages received.
+            now_s: Current monotonic time in seconds.
         """
         if messages > client.messages:
             self.request_gaps.record(now_s - client.idle_since_s)
@@ -217,8 +217,8 @@
         """Remove the first connection in the order of eviction, of a known address or not.
 
         Args:
-            now_s: the time, in seconds of the monotonic clock.
-            has_unread_input: whether input of a client was not read yet.
+            now_s: Current monotonic time in seconds.
+            has_unread_input: Returns whether a client has sent input that was not read yet.
 
         Returns:
             The connection, which must be closed; None if none may be evicted.
@@ -232,14 +232,14 @@
         """Remove idle connections that seem to be abandoned, while more are held than are of use.
 
         Args:
-            now_s: the time, in seconds of the monotonic clock.
-            has_unread_input: whether input of a client was not read yet.
+            now_s: Current monotonic time in seconds.
+            has_unread_input: Returns whether a client has sent input that was not read yet.
 
         Returns:
             The connections, which must be closed.
         """
         removed: list[Client] = []
-        for _ in range(MAX_CLOSED_AT_ONCE):
+        for _ in range(MAX_CLOSED_PER_EVENT):
             if self.working_set.with_requests <= self.working_set.limit:
                 break
             if (client := self.eviction.find_idle(now_s, self.request_gaps.timeout_s())) is None:
@@ -271,9 +271,9 @@
         """Count a request as no longer open.
 
         Args:
-            client: who sent it.
-            served: whether it was answered by an endpoint.
-            now_s: the time, in seconds of the monotonic clock.
+            client: Client that sent the request.
+            served: Whether an endpoint answered the request.
+            now_s: Current monotonic time in seconds.
         """
         address = client.address
         address.open_requests -= 1
--- a/dykefold/admission/decision.py
+++ b/dykefold/admission/decision.py
@@ -23,9 +23,9 @@
     """What becomes of a new connection.
 
     Attributes:
-        client: its record; None if it is rejected.
-        rejection: the limit for which it is rejected; None if it is admitted.
-        evicted: the connection that must be closed to make room, if any.
+        client: Record of the client; None if the connection is rejected.
+        rejection: Limit for which the connection is rejected; None if it is admitted.
+        evicted: Client whose connection must be closed in exchange; None if there is none.
     """
 
     client: Client | None
--- a/dykefold/admission/eviction.py
+++ b/dykefold/admission/eviction.py
@@ -16,10 +16,10 @@
 from .client_state import IDLE_STATES, ClientState
 from .owner_queue import OwnerQueue
 
-STOPPED_AFTER_S = 0.5  # without a byte of a message that has begun
-FIRST_REQUEST_S = 0.02  # in which the first request of a new connection may well be on its way
-MAX_BURST = 0.25  # of all connections: where more than that are new, it is a flood rather than a burst
-MAX_PASSED_OVER = 16  # of connections that have come back: each costs a system call
+STALLED_MESSAGE_S = 0.5  # Without a byte of an incomplete message, the connection counts as stalled.
+FIRST_REQUEST_GRACE_S = 0.02  # The first request of a new connection may be on its way.
+MAX_NEW_FRACTION = 0.25  # Of all connections. Beyond it new connections count as a flood, not as a burst.
+MAX_SKIPPED = 16  # Connections with unread input; each costs a system call.
 
 HasUnreadInput = Callable[[Client], bool]  # whether input of a client was not read yet
 
@@ -33,8 +33,8 @@
     """Connections of known addresses, or of unknown ones.
 
     Attributes:
-        count: how many there are.
-        queues: those that are not busy, by state.
+        count: Number of connections in the group.
+        queues: Connections that are not busy, by state.
     """
 
     def __init__(self) -> None:
@@ -46,7 +46,7 @@
     """The connections that may be evicted, in their order.
 
     Attributes:
-        groups: connections by whether their addresses are known.
+        groups: Connections, by whether their addresses are known.
     """
 
     def __init__(self) -> None:
@@ -58,10 +58,11 @@
         """Return the connection to evict; None if there is none.
 
         Args:
-            for_known: whether room is made for a known address; else no connection of one is evicted.
-            max_connections: that clients may hold.
-            now_s: the time, in seconds of the monotonic clock.
-            has_unread_input: whether input of a client was not read yet.
+            for_known: Whether the new connection is from a known address. If not, no connection of a known
+                address is evicted.
+            max_connections: Maximum number of client connections.
+            now_s: Current monotonic time in seconds.
+            has_unread_input: Returns whether a client has sent input that was not read yet.
         """
         passed_over: set[Client] = set()
         for known in (False, True) if for_known else (False,):
@@ -71,7 +72,7 @@
                     break
                 if not has_unread_input(client):
                     return client
-                if len(passed_over) >= MAX_PASSED_OVER:
+                if len(passed_over) >= MAX_SKIPPED:
                     return None
                 passed_over.add(client)
                 self.move_to_end(client, now_s)
@@ -109,12 +110,12 @@
     if new:
         client = new.oldest_of_largest_owner()
         assert client is not None
-        is_flood = len(new) > MAX_BURST * max_connections
-        overdue = now_s - new.added_at_s[client] >= FIRST_REQUEST_S
+        is_flood = len(new) > MAX_NEW_FRACTION * max_connections
+        overdue = now_s - new.added_at_s[client] >= FIRST_REQUEST_GRACE_S
         if is_flood or overdue or not (idle_once or idle_reused):
             return client
     stopped = reading.oldest()
-    if stopped is not None and reading.added_at_s[stopped] <= now_s - STOPPED_AFTER_S:
+    if stopped is not None and reading.added_at_s[stopped] <= now_s - STALLED_MESSAGE_S:
         return stopped
     for queue in (idle_once, idle_reused):
         if queue:
--- a/dykefold/admission/limits.py
+++ b/dykefold/admission/limits.py
@@ -10,8 +10,8 @@
     """What clients may hold in all.
 
     Attributes:
-        connections: open at once.
-        with_requests: of these, how many clients can hold that have sent a request.
+        connections: Maximum number of open client connections.
+        with_requests: Maximum number of client connections on which a request has been sent.
     """
 
     connections: int
--- a/dykefold/admission/listener.py
+++ b/dykefold/admission/listener.py
@@ -16,7 +16,7 @@
 
 from ..system import SYSTEM, System
 from .accept_errors import EXHAUSTED, TRANSIENT
-from .budget import ACCEPTING
+from .budget import ACCEPTED_DESCRIPTORS
 from .client import Client
 from .clients import ClientConnections
 from .connection import ManagedConnection
@@ -26,10 +26,10 @@
 
 log = logging.getLogger("dykefold.admission")
 
-PAUSE_S = 0.05  # without accepting when it fails; a descriptor that is released ends it sooner
-LOG_INTERVAL_S = 10.0  # between two lines on failures
-MAX_BACKLOG_TURNS = 64  # in which a listener that is to close accepts what waits: twice what the kernel holds
-SEND_BUFFER_BYTES = 128 * 1024  # of the kernel, for each client: a slow one is seen to read every few of them
+PAUSE_S = 0.05  # After a failed accept; a released descriptor ends it sooner.
+LOG_INTERVAL_S = 10.0  # Between two log lines on failures.
+MAX_BACKLOG_TURNS = 64  # Turns in which a closing listener accepts waiting clients: twice the kernel queue.
+SEND_BUFFER_BYTES = 128 * 1024  # Of each client socket; small enough to show that a slow client reads.
 
 
 class AcceptResult(Enum):
@@ -44,16 +44,16 @@
     """Accepts on one non-blocking listening socket.
 
     Args:
-        loop: runs everything.
-        sock: the listening socket.
-        clients: decides on each connection.
-        make_connection: makes the protocol of an admitted client's connection.
-        system: the clock and the reserve descriptor.
+        loop: Event loop on which the listener runs.
+        sock: Listening socket, non-blocking.
+        clients: Open connections; admits each new one.
+        make_connection: Returns the protocol of an admitted client's connection.
+        system: Source of the clock and of the reserve descriptor.
 
     Attributes:
-        closed: the socket is closed.
-        reserve: the descriptor to close when accepting needs one.
-        rejections: rejected connections whose end is awaited.
+        closed: Whether the socket is closed.
+        reserve: Descriptor that is closed when accepting needs one.
+        rejections: Rejected connections that are still open.
     """
 
     def __init__(
@@ -102,7 +102,7 @@
     def _accept(self) -> AcceptResult:
         """Accept a bounded number of connections."""
         error = None
-        for _ in range(ACCEPTING - len(self.rejections)):
+        for _ in range(ACCEPTED_DESCRIPTORS - len(self.rejections)):
             try:
                 sock, peer = self._sock.accept()
             except BlockingIOError:
@@ -171,7 +171,7 @@
 
     def _reject_waiting(self) -> None:
         """Reject clients that wait in the backlog, by the reserve descriptor."""
-        for _ in range(ACCEPTING):
+        for _ in range(ACCEPTED_DESCRIPTORS):
             if not self.reserve.held:  # a rejected connection has it, and another client waits
                 self.rejections.close_all()
                 self.reserve.open()
@@ -239,8 +239,9 @@
         """Accept all clients that wait, and close.
 
         Args:
-            timeout_s: seconds in which accepting is tried again while it fails; then, who waits is rejected.
-            on_closed: called once it is closed: during this call if nothing fails.
+            timeout_s: Seconds for which a failing accept is retried; after that, waiting clients are
+                rejected.
+            on_closed: Called once when the listener is closed, during this call if nothing fails.
         """
         self._on_closed = on_closed
         self._close_by_s = self._system.monotonic() + timeout_s
--- a/dykefold/admission/message_timeouts.py
+++ b/dykefold/admission/message_timeouts.py
@@ -11,20 +11,19 @@
 
 from .client import Client
 
-MAX_HEAD_S = (
-    2.6  # from connecting, or from a message's first byte, to the end of its head; a client may take 2
-)
-MAX_BODY_PAUSE_S = 1.5  # without a byte of a body, once `MAX_HEAD_S` is over
-MIN_BODY_BYTES_PER_S = 24 * 1024  # on the average; a client may send as slowly as 64 kB a second
-BODY_GRACE_S = 1.0  # after a body's first byte, in which its rate does not count
+# From the connect, or from the first byte of a message, to the end of its head; clients may take 2 s.
+MAX_HEAD_S = 2.6
+MAX_BODY_PAUSE_S = 1.5  # Without a byte of a body, once `MAX_HEAD_S` is over.
+MIN_BODY_BYTES_PER_S = 24 * 1024  # Mean rate of a body. A client may send 64 kB a second (DAYS.md).
+BODY_GRACE_S = 1.0  # After the first byte of a body; until then its rate does not count.
 
 
 class MessageTimeouts:
     """Finds connections whose message has not come in time.
 
     Attributes:
-        within_head_time: connections of which a message is awaited, and since when; the longest first.
-        within_body_time: those that exceeded `MAX_HEAD_S` while a body of theirs keeps coming.
+        within_head_time: Connections whose message is awaited, with the time since when; the longest first.
+        within_body_time: Connections that exceeded `MAX_HEAD_S` and whose body keeps coming.
     """
 
     def __init__(self) -> None:
@@ -35,8 +34,8 @@
         """Await a message, unless one is awaited already.
 
         Args:
-            client: whose message has begun, or who has connected.
-            now_s: the time, in seconds of the monotonic clock.
+            client: Client that has connected, or whose message has begun.
+            now_s: Current monotonic time in seconds.
         """
         if client not in self.within_body_time:
             self.within_head_time.setdefault(client, now_s)
@@ -57,9 +56,9 @@
         """Count bytes of a body that has not come to its end.
 
         Args:
-            client: whose body it is.
+            client: Client that sends the body.
             size: bytes that were received.
-            now_s: the time, in seconds of the monotonic clock.
+            now_s: Current monotonic time in seconds.
         """
         if not client.body_started_at_s:
             client.body_started_at_s, client.body_bytes = now_s, 0
--- a/dykefold/admission/owner_queue.py
+++ b/dykefold/admission/owner_queue.py
@@ -35,7 +35,7 @@
     most.
 
     Attributes:
-        added_at_s: the items and when they were added, the oldest first.
+        added_at_s: Items with the time in seconds at which they were added, the oldest first.
     """
 
     def __init__(self) -> None:
@@ -57,8 +57,8 @@
         """Append an item that is not in the queue.
 
         Args:
-            item: the item.
-            now_s: the time, in seconds, no earlier than that of the item before.
+            item: Item to add.
+            now_s: Current time in seconds, no earlier than that of the item before.
         """
         self.added_at_s[item] = now_s
         self._not_indexed[item] = None
--- a/dykefold/admission/rejected_connection.py
+++ b/dykefold/admission/rejected_connection.py
@@ -10,23 +10,23 @@
 import socket
 from collections.abc import Callable
 
-LINGER_S = 0.3  # from the rejection on, in which the client may read why and end its side
-POLL_INTERVAL_S = 0.01  # between two looks at the socket: rejections are few, and no reader is needed
+LINGER_S = 0.3  # From the rejection on; the client may read the response and close.
+POLL_INTERVAL_S = 0.01  # Between two checks of the socket.
 READ_BYTES = 16 * 1024
-MAX_DISCARDED_BYTES = 256 * 1024  # of such a client that are read at most
+MAX_DISCARDED_BYTES = 256 * 1024  # Read from one rejected client.
 
 
 class RejectedConnection:
     """One such connection.
 
     Args:
-        loop: runs the timer.
-        sock: the accepted socket; it is closed in the end, whatever fails.
-        response: what the client is sent.
-        on_closed: called once, when the descriptor is free; during this call if nothing is awaited.
+        loop: Event loop of the timer.
+        sock: Accepted socket; it is closed in the end, whatever fails.
+        response: Bytes that the client is sent.
+        on_closed: Called once when the descriptor is closed, during this call if nothing is awaited.
 
     Attributes:
-        closed: its descriptor is free.
+        closed: Whether the descriptor is closed.
     """
 
     __slots__ = (
--- a/dykefold/admission/rejection_log.py
+++ b/dykefold/admission/rejection_log.py
@@ -9,14 +9,14 @@
 
 log = logging.getLogger("dykefold.admission")
 
-LOG_INTERVAL_S = 10.0  # between two lines on the same limit
+LOG_INTERVAL_S = 10.0  # Between two log lines on the same limit.
 
 
 class RejectionLog:
     """Counts the rejections that were not logged yet.
 
     Args:
-        monotonic: the monotonic clock, in seconds.
+        monotonic: Returns the monotonic time in seconds.
     """
 
     def __init__(self, monotonic: Callable[[], float]) -> None:
@@ -28,8 +28,8 @@
         """Count a rejection, and log those not logged yet if the last line is old enough.
 
         Args:
-            reason: the limit.
-            host: the client's address.
+            reason: Limit for which the connection or request was rejected.
+            host: The client's address as text.
         """
         self._not_logged[reason] += 1
         now_s = self._monotonic()
--- a/dykefold/admission/rejections.py
+++ b/dykefold/admission/rejections.py
@@ -10,7 +10,7 @@
 from .rejected_connection import RejectedConnection
 
 RETRY_AFTER_S = 1
-MAX_LINGERING = 8  # rejected connections whose end is awaited; each takes the place of one accepted in a turn
+MAX_LINGERING = 8  # Rejected connections still open; each uses one of `ACCEPTED_DESCRIPTORS`.
 
 
 def _response(status: str, text: str) -> bytes:
@@ -34,8 +34,8 @@
     """The rejected connections that are still open, the oldest first; at most `MAX_LINGERING`.
 
     Args:
-        loop: runs the connections.
-        on_closed: called when the descriptor of one is free.
+        loop: Event loop of the connections.
+        on_closed: Called when the descriptor of a rejected connection is closed.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, on_closed: Callable[[], None]) -> None:
@@ -51,8 +51,8 @@
         """Reject an accepted socket; the oldest rejected connection is closed where there are too many.
 
         Args:
-            sock: the socket, which is closed in the end.
-            reason: a limit on connections.
+            sock: Accepted socket; it is closed in the end.
+            reason: Limit on connections that was exceeded.
         """
         if len(self._open) >= MAX_LINGERING:
             next(iter(self._open)).close()
--- a/dykefold/admission/request_gaps.py
+++ b/dykefold/admission/request_gaps.py
@@ -8,7 +8,7 @@
 
 MEAN_GAIN = 1 / 8  # RFC 6298
 DEVIATION_GAIN = 1 / 4  # RFC 6298
-DEVIATIONS = 4.0  # RFC 6298
+DEVIATION_FACTOR = 4.0  # RFC 6298
 INITIAL_GAP_S = 0.1
 MIN_TIMEOUT_S = 0.02
 
@@ -17,8 +17,8 @@
     """The estimate.
 
     Attributes:
-        mean_s: the smoothed mean of the gaps, in seconds.
-        deviation_s: their smoothed mean deviation, in seconds.
+        mean_s: Smoothed mean of the gaps, in seconds.
+        deviation_s: Smoothed mean deviation of the gaps, in seconds.
     """
 
     def __init__(self) -> None:
@@ -32,4 +32,4 @@
 
     def timeout_s(self) -> float:
         """Return the idle time after which a next request is unlikely, in seconds."""
-        return max(self.mean_s + DEVIATIONS * self.deviation_s, MIN_TIMEOUT_S)
+        return max(self.mean_s + DEVIATION_FACTOR * self.deviation_s, MIN_TIMEOUT_S)
--- a/dykefold/admission/reserve_descriptor.py
+++ b/dykefold/admission/reserve_descriptor.py
@@ -11,7 +11,7 @@
     """Holds one descriptor of the process, if there is one to be had.
 
     Args:
-        system: opens and closes it.
+        system: Opens and closes the descriptor.
     """
 
     def __init__(self, system: System) -> None:
--- a/dykefold/admission/working_set.py
+++ b/dykefold/admission/working_set.py
@@ -1,35 +1,35 @@
-"""How many connections clients can make use of, by how many requests were open at once of late.
+"""Estimates how many connections clients can use, from the recent peak of pending requests.
 
-The machine of the clients can open only so many connections for requests as well. A connection that sent one
+The clients' machine too can open only a limited number of connections. A connection that sent one
 request and stays idle for good takes one of these from the next request, so such connections are closed
 before anything is full.
 """
 
 from __future__ import annotations
 
-PEAK_INTERVAL_S = 2.0  # over which the most requests open at once are remembered, and at most twice that
-PEAK_FACTOR = 2.0  # times that peak: connections that clients can make use of
-MIN_CONNECTIONS = 8  # in addition, for clients that rarely send requests
-USABLE_FRACTION = 0.75  # of what clients may hold for requests; the rest is left for bursts
+PEAK_INTERVAL_S = 2.0  # The peak of busy connections is taken over this interval and the one before.
+CONNECTIONS_PER_BUSY = 2.0  # Useful connections for each busy one at the peak.
+MIN_CONNECTIONS = 8  # Added to the product, for clients that rarely send requests.
+USABLE_FRACTION = 0.75  # Of the connections allowed for requests; the rest is left for bursts.
 
 
 class WorkingSet:
     """Counts the connections that carry requests, and estimates how many are of use.
 
     Args:
-        max_with_requests: connections that clients can hold for requests.
+        max_with_requests: Maximum number of client connections on which a request has been sent.
 
     Attributes:
-        with_requests: connections that have sent one request at least.
-        busy: connections with a request open, or a response on its way to the client.
-        limit: connections that clients can make use of.
+        with_requests: Number of connections on which at least one request has been sent.
+        busy: Number of connections with a pending request or a response being written.
+        limit: Number of connections that clients make use of.
     """
 
     def __init__(self, max_with_requests: int) -> None:
         self.with_requests = 0
         self.busy = 0
-        self._peak = 0  # of `busy` in this interval
-        self._previous_peak = 0  # ... and in the one before
+        self._peak = 0  # Peak of `busy` in this interval.
+        self._previous_peak = 0  # Peak of `busy` in the interval before.
         self._interval_began_at_s = 0.0
         self.limit = 0.0
         self.resize(max_with_requests)
@@ -54,4 +54,4 @@
 
     def _update_limit(self) -> None:
         peak = max(self._peak, self._previous_peak)
-        self.limit = min(PEAK_FACTOR * peak + MIN_CONNECTIONS, self._usable)
+        self.limit = min(CONNECTIONS_PER_BUSY * peak + MIN_CONNECTIONS, self._usable)
--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -79,7 +79,7 @@
 
 
 def test_a_stopped_message_is_evicted_before_idle_connections_and_a_recent_one_after_them():
-    for age, goes in ((eviction.STOPPED_AFTER_S, ClientState.READING), (0.1, ClientState.IDLE_REUSED)):
+    for age, goes in ((eviction.STALLED_MESSAGE_S, ClientState.READING), (0.1, ClientState.IDLE_REUSED)):
         admission = make(connections=2)
         clients = {
             state: enter(admission, now=0.0, state=state)
@@ -147,7 +147,7 @@
         return client not in clients[-1:]
 
     assert admission.connect("10.0.1.1", 9.0, asks) == (None, RejectionReason.ALL_CONNECTIONS, None)
-    assert len(looked) == len(set(looked)) == eviction.MAX_PASSED_OVER + 1
+    assert len(looked) == len(set(looked)) == eviction.MAX_SKIPPED + 1
     # The next newcomers look at others: the one that has not come back is found.
     found = [admission.connect("10.0.1.1", 9.0, lambda one: one is not clients[3])[2] for _ in range(4)]
     assert found.count(clients[3]) == 1
@@ -288,7 +288,7 @@
     assert admission.remove_unneeded(0.01) == []  # they may come back yet
     gone = []
     while found := admission.remove_unneeded(30.0):
-        assert len(found) <= controller.MAX_CLOSED_AT_ONCE
+        assert len(found) <= controller.MAX_CLOSED_PER_EVENT
         gone += found
     # Ten were open at once of late: the working set is twice that and a few.
     assert gone == once[: len(gone)]
@@ -303,7 +303,7 @@
     gone = []
     for _ in range(100):  # each asks for some, however many of the first have come back
         found = admission.remove_unneeded(30.0, back.__contains__)
-        assert len(found) <= controller.MAX_CLOSED_AT_ONCE
+        assert len(found) <= controller.MAX_CLOSED_PER_EVENT
         gone += found
     assert not back.intersection(gone)
     assert len(gone) == 100 - admission.working_set.with_requests
--- a/tests/net/test_client_races.py
+++ b/tests/net/test_client_races.py
@@ -291,7 +291,7 @@
         working_set = admission.working_set
         admission.request_gaps.mean_s = 3 * WAIT  # nobody is one too many yet
         opened = []
-        while working_set.with_requests <= working_set.limit + controller.MAX_CLOSED_AT_ONCE:
+        while working_set.with_requests <= working_set.limit + controller.MAX_CLOSED_PER_EVENT:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
             writer.write(message("order", f"id{len(opened)}"))
             assert (await read_message(reader)).code == 200
