--- a/dykefold/routing/config.py
+++ b/dykefold/routing/config.py
@@ -10,7 +10,7 @@
 from .plan import Plan
 from .plan_builder import make_pool_plan, make_route, make_route_options
 
-MAX_POOLS = 1000  # each takes some hundred KB and a turn in every sweep
+MAX_POOLS = 1000  # Each pool takes some hundred KB and a turn in every sweep.
 
 # Tables within the table of a pool, each by a name of the operator's.
 NESTED_TABLES: dict[str, type[msgspec.Struct]] = {"classes": ClassConfig, "tenants": TenantConfig}
@@ -20,7 +20,7 @@
     """Return the plan of a file's tables, and all that is wrong with them.
 
     Args:
-        data: the tables, as they were read.
+        data: Tables of the file as `tomllib` returns them.
 
     Returns:
         The plan, or None if anything is wrong; and the problems, a line each.
@@ -54,9 +54,9 @@
     It is checked key by key, since a conversion of the whole reports the first problem only.
 
     Args:
-        place: the table's name.
-        values: the table.
-        kind: the type that it should have.
+        place: Name of the table, for errors.
+        values: Keys and values of the table.
+        kind: Type that the table should have.
     """
     if not isinstance(values, dict):
         return [f"{place} = {values!r}: expected a table"]
--- a/dykefold/routing/config_tables.py
+++ b/dykefold/routing/config_tables.py
@@ -22,10 +22,10 @@
     """`[node]`: what the process has.
 
     Attributes:
-        name: in logs.
-        listen: address and port for clients.
-        descriptors: that the process may hold.
-        memory_mb: megabytes that it may take.
+        name: Name of the process in logs.
+        listen: Address and port at which clients connect.
+        descriptors: Number of descriptors that the process may open.
+        memory_mb: Memory limit of the process in megabytes.
     """
 
     name: Name = "node"
@@ -38,13 +38,13 @@
     """`[pools.NAME.classes.CLASS]`.
 
     Attributes:
-        effect: whether a request may be retried.
-        objective_ms: the latency objective, in milliseconds.
-        deadline_ms: in milliseconds.
-        worth: the priority weight of a response within the objective.
-        late_worth: ... and of a later one.
-        scope: endpoints among which an idempotency key counts as one.
-        window_ms: milliseconds in which it does.
+        effect: Whether a request may run more than once: safe, keyed or unsafe.
+        objective_ms: Latency objective in milliseconds.
+        deadline_ms: Deadline of a request in milliseconds.
+        worth: Priority weight of a response within the latency objective.
+        late_worth: Fraction of that weight for a later response.
+        scope: Endpoints that share their idempotency keys.
+        window_ms: Milliseconds for which endpoints remember an idempotency key.
     """
 
     effect: Literal["safe", "keyed", "unsafe"]
@@ -60,7 +60,7 @@
     """`[pools.NAME.tenants.TENANT]`.
 
     Attributes:
-        requests_per_s: beyond which its requests are shed first.
+        requests_per_s: Rate of requests beyond which the tenant is shed first.
     """
 
     requests_per_s: Annotated[float, Meta(gt=0)]
@@ -81,19 +81,19 @@
     """`[pools.NAME]`.
 
     Attributes:
-        servers: addresses of its endpoints.
-        discovery: address of its discovery, instead of `servers`.
-        classes: by name; none for `read`, `idempotent` and `write`.
-        tenants: by name.
-        over_share_worth: the priority weight of what a tenant sends beyond its rate, as a fraction.
-        objective_ms: the latency objective of a pool that names no classes, in milliseconds.
-        deadline_ms: likewise, in milliseconds.
-        max_attempts: of one request.
-        connect_timeout_ms: in milliseconds.
-        idle_ms: milliseconds after which its endpoints may close an idle connection.
-        max_retry_after_ms: the longest Retry-After, in milliseconds; 0 for none.
-        min_open: open requests that are guaranteed to it.
-        max_open: open requests beyond which it rejects.
+        servers: Addresses of the endpoints.
+        discovery: Address of the pool's discovery, instead of `servers`.
+        classes: Request classes by name; none for the default classes `read`, `idempotent` and `write`.
+        tenants: Tenants by name.
+        over_share_worth: Fraction of its priority weight that a request beyond its tenant's rate counts.
+        objective_ms: Latency objective in milliseconds of a pool without classes of its own.
+        deadline_ms: Deadline in milliseconds of a pool without classes of its own.
+        max_attempts: Maximum number of attempts of one request.
+        connect_timeout_ms: Connect timeout in milliseconds.
+        idle_ms: Milliseconds after which endpoints may close an idle connection.
+        max_retry_after_ms: Longest Retry-After in milliseconds; 0 sends none.
+        min_open: Number of pending requests that the pool is guaranteed.
+        max_open: Number of pending requests beyond which the pool rejects.
     """
 
     servers: list[str] = []
@@ -115,8 +115,8 @@
     """`header` of a route: a request must have it.
 
     Attributes:
-        name: in any case.
-        value: the whole value.
+        name: Name of the header, in any case.
+        value: Complete value that the header must have.
     """
 
     name: Annotated[str, Meta(pattern="^[A-Za-z0-9-]{1,64}$")]
@@ -136,23 +136,23 @@
     """`[[routes]]`: see `Route` for the conditions and `RouteOptions` for the rest.
 
     Attributes:
-        name: in errors and logs.
-        pool: the pool that its requests belong to.
-        host: an exact name or `*.suffix`.
-        path: an exact path.
-        prefix: whole segments of a path.
-        methods: of which one must be the request's.
-        cls: the class that the request must be of.
-        header: that the request must have.
+        name: Name of the route in errors and logs.
+        pool: Name of the pool that serves its requests.
+        host: Exact host name, or `*.suffix`.
+        path: Exact path.
+        prefix: Leading complete segments of a path.
+        methods: Methods that the route accepts.
+        cls: Name of the class that the request must have.
+        header: Header that the request must have.
         dialect: `platform` for requests as on the platform.
-        classes: class of the pool by method.
+        classes: Classes of the pool, by method.
         idempotent: PUT and DELETE may be retried.
-        make_ids: a missing X-Request-Id is made.
-        deadline_ms: where a request states none, in milliseconds; 0 for the deadline of its class.
-        key_header: the header that carries an idempotency key.
-        tenant_header: the header that names a tenant.
-        max_body_bytes: of a request's body.
-        max_response_bytes: of a response's body.
+        make_ids: Whether a missing X-Request-Id is generated.
+        deadline_ms: Deadline in milliseconds of a request that states none; 0 takes that of its class.
+        key_header: Name of the header that carries an idempotency key.
+        tenant_header: Name of the header that names a tenant.
+        max_body_bytes: Maximum size of a request body in bytes.
+        max_response_bytes: Maximum size of a response body in bytes.
     """
 
     name: Name
--- a/dykefold/routing/plan.py
+++ b/dykefold/routing/plan.py
@@ -24,12 +24,12 @@
     """One service.
 
     Attributes:
-        name: in routes, logs and the keys of the file.
-        settings: what its balancer goes by.
-        servers: addresses of its endpoints where the file lists them, else empty.
-        discovery: address of its discovery, or None.
-        limits: descriptors and open requests that it may reserve.
-        idle_ns: after which its endpoints may close an idle connection, in nanoseconds.
+        name: Name of the pool in routes, logs and the keys of the file.
+        settings: Settings of its balancer.
+        servers: Addresses of the endpoints that the file lists; empty if discovery lists them.
+        discovery: Address of its discovery; None if the file lists the endpoints.
+        limits: Descriptors and pending requests that the pool may reserve.
+        idle_ns: Nanoseconds after which endpoints may close an idle connection.
     """
 
     name: str
@@ -53,16 +53,18 @@
     """How the requests of a route are read, and of which classes of its pool they are.
 
     Attributes:
-        platform: they are read as on the platform: the first segment of the path is the class, and the
+        platform: Whether requests are read as on the platform: the first segment of the path is the class,
+            and the
             headers are those of its protocol. The rest has no meaning then.
-        classes: class by method; a method that is not named goes by RFC 9110.
+        classes: Class by method; a method that is not named is treated as RFC 9110 defines it.
         idempotent: PUT and DELETE may be retried.
-        make_ids: a missing X-Request-Id is made here and sent to the client with the response.
-        deadline_ns: where a request states none, in nanoseconds; 0 for the deadline of its class.
-        key_header: lower-case name of the header that carries an idempotency key.
-        tenant_header: likewise of the header that names a tenant of the pool; empty for none.
-        max_body_bytes: of a request's body; beyond 64 KiB it goes on as a stream and is never sent again.
-        max_response_bytes: of a response's; beyond 64 KiB it goes on as it comes.
+        make_ids: Whether a missing X-Request-Id is generated and returned to the client with the response.
+        deadline_ns: Deadline in nanoseconds of a request that states none; 0 takes that of its class.
+        key_header: Lower-case name of the header that carries an idempotency key.
+        tenant_header: Lower-case name of the header that names a tenant of the pool; empty for none.
+        max_body_bytes: Maximum size of a request body in bytes. Beyond 64 KiB it is streamed and never sent
+            again.
+        max_response_bytes: Maximum size of a response body in bytes. Beyond 64 KiB it is streamed.
     """
 
     platform: bool = False
@@ -90,13 +92,13 @@
     """All that the file says of services.
 
     Attributes:
-        name: of the process, in logs.
-        listen: address of the one listener.
-        sockets: descriptors that the process may hold.
-        memory_bytes: that it may take.
-        pools: by name.
-        routes: of the route table.
-        options: by the route's name.
+        name: Name of the process in logs.
+        listen: Address of the one listener.
+        sockets: Number of descriptors that the process may open.
+        memory_bytes: Memory limit of the process in bytes.
+        pools: Pools by name.
+        routes: Routes in the order of the file.
+        options: Options of the routes, by the route's name.
     """
 
     name: str
@@ -111,10 +113,10 @@
         """Return the route table.
 
         Args:
-            number: of the table.
+            number: Number of the table.
 
         Raises:
-            RouteTableError: with all that is wrong with it.
+            RouteTableError: The routes are invalid; the error lists every problem.
         """
         return RouteTable(number, self.routes, self.pools)
 
@@ -156,8 +158,8 @@
     """Return the classes of a pool that names none: what is safe, idempotent and neither by RFC 9110.
 
     Args:
-        objective_ns: the latency objective of each, in nanoseconds.
-        deadline_ns: the deadline of each, in nanoseconds.
+        objective_ns: Latency objective of each class in nanoseconds.
+        deadline_ns: Deadline of each class in nanoseconds.
     """
     return [
         RequestClass(READ, objective_ns, deadline_ns, 1.0, 0.0, Effect.SAFE),
--- a/dykefold/routing/plan_builder.py
+++ b/dykefold/routing/plan_builder.py
@@ -11,23 +11,23 @@
 
 EFFECTS = {"safe": Effect.SAFE, "keyed": Effect.KEYED, "unsafe": Effect.UNSAFE}
 SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
-ZONE = "here"  # the one zone of a pool: the file knows no others
+ZONE_NAME = "here"  # The file knows no zones, so a pool has one.
 
 
 def make_pool_plan(name: str, pool: PoolConfig) -> PoolPlan:
     """Return the plan of a pool.
 
     Args:
-        name: of the pool.
-        pool: its table.
+        name: Name of the pool.
+        pool: Table of the pool in the file.
 
     Raises:
-        ValueError: an address is none.
+        ValueError: An address is invalid.
     """
     classes = [_make_class(key, spec) for key, spec in pool.classes.items()]
     settings = Settings(
         classes=classes or default_classes(pool.objective_ms * MS, pool.deadline_ms * MS),
-        zones=[ZONE],
+        zones=[ZONE_NAME],
         tenants=_make_tenants(pool),
         over_quota_weight_fraction=pool.over_share_worth,
         max_attempts=pool.max_attempts,
--- a/dykefold/routing/request_target.py
+++ b/dykefold/routing/request_target.py
@@ -15,7 +15,7 @@
 from urllib.parse import unquote_to_bytes
 
 MAX_HOST_LENGTH = 255  # octets of a name (RFC 1034, 3.1)
-MAX_SEGMENTS = 64  # of a path: each is one step of a look-up
+MAX_SEGMENTS = 64  # Segments of a path; each is one step of a look-up.
 
 _LABELS = re.compile(r"(?!-)[a-z0-9_-]{1,63}(?<!-)(?:\.(?!-)[a-z0-9_-]{1,63}(?<!-))*")
 _LITERAL = re.compile(r"\[[0-9a-f:.]{2,45}\]")
@@ -45,7 +45,7 @@
     """A host or path is rejected.
 
     Attributes:
-        problem: why.
+        problem: Reason for the rejection.
     """
 
     def __init__(self, problem: TargetProblem) -> None:
@@ -58,10 +58,10 @@
     """Return a Host value as routes compare it: lower case, with no port and no trailing dot.
 
     Args:
-        value: as it was received, a name or an address, with or without a port.
+        value: Host as it was received: a name or an address, with or without a port.
 
     Raises:
-        RequestTargetError: it is empty, too long or no host.
+        RequestTargetError: The value is empty, too long or not a host.
     """
     text = value.strip().lower()
     if text.startswith("["):
@@ -84,10 +84,10 @@
     `/` has none; a trailing slash is an empty last segment, since endpoints tell the two apart.
 
     Args:
-        path: an origin-form target without its query.
+        path: Target in origin form without its query.
 
     Raises:
-        RequestTargetError: it could be read in two ways.
+        RequestTargetError: The path is ambiguous.
     """
     if _PATH.fullmatch(path) is None or _BAD_PERCENT.search(path):
         raise RequestTargetError(TargetProblem.CHARACTERS)
@@ -121,8 +121,8 @@
     """Return host and path segments of a request.
 
     Args:
-        target: the request target, in origin form or absolute form.
-        hosts: the values of all Host lines, in order.
+        target: Request target in origin form or absolute form.
+        hosts: Values of all Host header lines, in order.
 
     Raises:
         RequestTargetError: no host or more than one, a target in another form, or one that names another host
--- a/dykefold/routing/requests.py
+++ b/dykefold/routing/requests.py
@@ -23,7 +23,7 @@
 from .table import RouteTable
 
 IDEMPOTENT = frozenset(method.encode() for method in IDEMPOTENT_METHODS)
-MAX_ID_BYTES = 128  # of an X-Request-Id: ids are kept for some seconds after their requests
+MAX_ID_BYTES = 128  # Of an X-Request-Id. Ids are remembered for some seconds after their requests.
 
 
 class ConfiguredPool(Protocol):
@@ -43,7 +43,7 @@
         """Return the value of a header.
 
         Raises:
-            KeyError: there is none of this name.
+            KeyError: There is no class of this name.
         """
         return self._headers[name.encode()].decode("latin-1")
 
@@ -64,10 +64,10 @@
     """Reads the requests of one route.
 
     Args:
-        pool_name: ids of requests are told apart by it.
-        pool: what serves them.
-        options: how they are read.
-        make_id: returns a new X-Request-Id.
+        pool_name: Name of the pool. It is part of the ids by which duplicate requests are recognized.
+        pool: Pool that serves the requests.
+        options: Options of the route.
+        make_id: Returns a new X-Request-Id.
     """
 
     def __init__(
@@ -87,24 +87,24 @@
         """Return the request of a message.
 
         Raises:
-            RequestError: the message is answered here and reaches no pool.
+            RequestError: The request is answered with an error and reaches no pool.
         """
         if self._options.platform:
-            call = self._platform_parser.read(message)
-            call.ident = self._id_prefix + call.ident
-            return call
+            request = self._platform_parser.read(message)
+            request.ident = self._id_prefix + request.ident
+            return request
         headers, method = message.headers, message.method
         number, spec = self._class_of(method)
         self._check_key(spec, method, headers)
-        ident, told = headers.get(b"x-request-id", b""), b""
+        ident, extra_headers = headers.get(b"x-request-id", b""), b""
         if len(ident) > MAX_ID_BYTES:
             raise RequestError(400, f"X-Request-Id is longer than {MAX_ID_BYTES} bytes")
         if not ident:
             if not self._options.make_ids:
                 raise RequestError(400, "X-Request-Id is missing")
             ident = self._make_id().encode()
-            told = b"X-Request-Id: %s\r\n" % ident
-            message.lines.append(told)
+            extra_headers = b"X-Request-Id: %s\r\n" % ident
+            message.lines.append(extra_headers)
         wait_ns = self._options.deadline_ns or spec.deadline_ns
         if (value := headers.get(b"x-deadline")) is not None:
             wait_ns = parse_deadline(value)
@@ -125,7 +125,7 @@
             keep_alive=message.keep_alive,
             pool=self._pool,
             profile=HttpProfile.HEAD if method == b"HEAD" else HttpProfile.GENERIC,
-            extra_response_headers=told,
+            extra_response_headers=extra_headers,
             max_body_bytes=self._options.max_body_bytes,
             max_response_bytes=self._options.max_response_bytes,
             is_http_1_0=message.is_http_1_0,
@@ -158,11 +158,11 @@
     """Reads messages by one route table: an immutable value that is replaced whole.
 
     Args:
-        readers: by the route's name.
+        readers: Readers by the route's name.
 
     Attributes:
-        streams: larger bodies may be taken, each up to its route's limit.
-        table: the route table.
+        streams: Whether bodies beyond 64 KiB are accepted, each up to its route's limit.
+        table: Route table in use.
     """
 
     streams = True
@@ -176,7 +176,7 @@
         """Find the route of a message and read it there.
 
         Raises:
-            RequestError: the message is answered here and reaches no pool.
+            RequestError: The request is answered with an error and reaches no pool.
         """
         headers = message.headers
         hosts = [headers[b"host"].decode("latin-1")] if b"host" in headers else []
--- a/dykefold/routing/reservations.py
+++ b/dykefold/routing/reservations.py
@@ -17,8 +17,8 @@
     """What one pool may reserve.
 
     Attributes:
-        min: reservations that are guaranteed to it, used or not.
-        max: reservations beyond which it gets none.
+        min: Number of reservations that the pool is guaranteed, used or not.
+        max: Maximum number of reservations.
     """
 
     min: int
@@ -32,8 +32,8 @@
     """The minima of all pools are more than there is.
 
     Attributes:
-        guaranteed: the sum of the minima.
-        total: reservations that there may be.
+        guaranteed: Sum of the guaranteed reservations of all pools.
+        total: Maximum number of reservations of all pools together.
     """
 
     def __init__(self, guaranteed: int, total: int) -> None:
@@ -47,17 +47,17 @@
     """Reservations by pool. A pool is known by any hashable value that no other one has.
 
     Attributes:
-        total: reservations that there may be.
-        limits: by pool.
-        held: reservations by pool.
-        shared: those that are held beyond the minima.
-        guaranteed: the sum of the minima.
+        total: Maximum number of reservations of all pools together.
+        limits: Limits by pool.
+        by_pool: Number of reservations by pool.
+        shared: Number of reservations beyond the guaranteed ones, of all pools together.
+        guaranteed: Sum of the guaranteed reservations of all pools.
     """
 
     def __init__(self, total: int) -> None:
         self.total = total
         self.limits: dict[Hashable, ReservationLimits] = {}
-        self.held: dict[Hashable, int] = {}
+        self.by_pool: dict[Hashable, int] = {}
         self.shared = 0
         self.guaranteed = 0
 
@@ -65,42 +65,42 @@
         """Take other limits. What is held beyond them stays held, and no more is reserved meanwhile.
 
         Args:
-            total: reservations that there may be.
-            limits: by pool.
+            total: Maximum number of reservations of all pools together.
+            limits: Limits by pool.
 
         Raises:
-            GuaranteesError: the minima are more than the total; nothing has changed then.
+            GuaranteesError: More is guaranteed than the total; nothing has changed then.
         """
         guaranteed = sum(pool.min for pool in limits.values())
         if guaranteed > total:
             raise GuaranteesError(guaranteed, total)
         self.total, self.guaranteed = total, guaranteed
         self.limits = dict(limits)
-        self.held = {pool: count for pool, count in self.held.items() if count or pool in limits}
+        self.by_pool = {pool: count for pool, count in self.by_pool.items() if count or pool in limits}
         self.shared = sum(
-            max(0, count - self.limits.get(pool, NO_RESERVATIONS).min) for pool, count in self.held.items()
+            max(0, count - self.limits.get(pool, NO_RESERVATIONS).min) for pool, count in self.by_pool.items()
         )
 
     def reserve(self, pool: Hashable) -> bool:
         """Reserve one more for a pool; return False if its limits or the total leave none."""
         limits = self.limits.get(pool, NO_RESERVATIONS)
-        count = self.held.get(pool, 0)
+        count = self.by_pool.get(pool, 0)
         if count >= limits.max:
             return False
         if count >= limits.min:
             if self.shared >= self.total - self.guaranteed:
                 return False
             self.shared += 1
-        self.held[pool] = count + 1
+        self.by_pool[pool] = count + 1
         return True
 
     def release(self, pool: Hashable) -> None:
         """Release one reservation of a pool."""
-        count = self.held[pool] - 1
+        count = self.by_pool[pool] - 1
         assert count >= 0, "more was released than reserved"
         if count >= self.limits.get(pool, NO_RESERVATIONS).min:
             self.shared -= 1
         if count or pool in self.limits:
-            self.held[pool] = count
+            self.by_pool[pool] = count
         else:
-            del self.held[pool]
+            del self.by_pool[pool]
--- a/dykefold/routing/route.py
+++ b/dykefold/routing/route.py
@@ -10,8 +10,8 @@
     """A header that a request must have.
 
     Attributes:
-        name: in lower case.
-        value: the whole value.
+        name: Name of the header in lower case.
+        value: Complete value that the header must have.
     """
 
     name: str
@@ -23,14 +23,14 @@
     """One line of the route table.
 
     Attributes:
-        name: in errors and logs.
-        pool: the pool that its requests belong to.
-        host: an exact name, `*.suffix` (any name below, not the suffix itself), or None for any.
-        path: an exact path; None where `prefix` is given or any path will do.
-        prefix: whole segments, `/parts` for `/parts` and all below; None likewise.
-        methods: of which one must be the request's; empty for any.
-        cls: the class that the request must be of, or None.
-        header: that the request must have, or None.
+        name: Name of the route in errors and logs.
+        pool: Name of the pool that serves its requests.
+        host: Exact host name, `*.suffix` (any name below, not the suffix itself), or None for any.
+        path: Exact path; None if a prefix is given, or for any path.
+        prefix: Leading complete segments, `/parts` for `/parts` and all below; None for any path.
+        methods: Methods that the route accepts; empty for any.
+        cls: Name of the class that the request must have, or None.
+        header: Header that the request must have, or None.
     """
 
     name: str
@@ -47,7 +47,7 @@
     """Routes make no table.
 
     Attributes:
-        problems: a line for each thing that is wrong.
+        problems: One line for each problem.
     """
 
     def __init__(self, problems: list[str]) -> None:
--- a/dykefold/routing/route_index.py
+++ b/dykefold/routing/route_index.py
@@ -8,7 +8,7 @@
 from .request_target import path_segments
 from .route import Route
 
-MAX_HEADER_NAMES = 8  # that routes of one host and path may ask for: each is a look-up
+MAX_HEADER_NAMES = 8  # Headers that routes of one host and path may depend on; each is a look-up.
 
 # A route's conditions, as they are looked up: method, class, header name and header value.
 _Conditions = tuple[str | None, str | None, str | None, str | None]
@@ -19,9 +19,9 @@
     """The routes of one host and path.
 
     Attributes:
-        routes: by their conditions.
-        header_names: that some route asks for.
-        first_with_header: the first route that asks for a header, by method and class.
+        routes: Routes by their conditions.
+        header_names: Names of the headers that some route depends on.
+        first_with_header: First route that depends on a header, by method and class.
     """
 
     routes: dict[_Conditions, Route] = field(default_factory=dict)
@@ -54,9 +54,9 @@
         """Return the most specific route that a request meets, or None.
 
         Args:
-            method: the request's, in its own case.
-            cls: the request's class, if it has one.
-            headers: by lower-case name.
+            method: Method of the request, case preserved.
+            cls: Class of the request; None if it has none.
+            headers: Headers of the request by lower-case name.
         """
         present = [(name, headers[name]) for name in self.header_names if name in headers]
         for wanted_method in (method, None):
@@ -92,7 +92,7 @@
         """Return the group of a route's path, a new one if there is none.
 
         Raises:
-            RequestTargetError: the path or prefix could be read in two ways.
+            RequestTargetError: The path or prefix is ambiguous.
         """
         if route.path is not None:
             return self._exact.setdefault(path_segments(route.path), RouteGroup())
--- a/dykefold/routing/services.py
+++ b/dykefold/routing/services.py
@@ -31,11 +31,11 @@
     """What one pool may reserve of the process's descriptors.
 
     Args:
-        budget: of the process.
-        reservations: of all pools.
+        budget: Descriptor budget of the process.
+        reservations: Reservations of all pools.
 
     Attributes:
-        upstreams: the connections to endpoints of all pools.
+        upstreams: Allowance of connections to endpoints of all pools.
     """
 
     def __init__(self, budget: DescriptorBudget, reservations: PoolReservations) -> None:
@@ -63,10 +63,10 @@
     """A pool under its name.
 
     Attributes:
-        plan: what the pool was made by, or goes by now.
-        pool: serves the requests.
-        budget: what the pool may reserve.
-        list_version: of the endpoint list that the file gives.
+        plan: Plan that the pool follows now.
+        pool: Pool that serves the requests.
+        budget: Reservations that the pool may make.
+        list_version: Version of the endpoint list that the file gives.
     """
 
     plan: PoolPlan
@@ -79,13 +79,13 @@
     """The pools of a process by name, and the table that leads to them.
 
     Args:
-        sidecar: accepts the requests; it has no pool yet.
-        seed: returns a new seed for the random draws of a pool's balancer.
+        sidecar: Server that accepts the requests; it has no pool yet.
+        seed: Returns a new seed for the random generator of a pool's balancer.
 
     Attributes:
-        reservations: of all pools.
-        by_name: the services that the plan names.
-        table: the route table.
+        reservations: Reservations of all pools.
+        by_name: Services of the plan, by name.
+        table: Route table in use.
     """
 
     def __init__(self, sidecar: SidecarServer, seed: Callable[[], int]) -> None:
@@ -100,13 +100,13 @@
         """Apply another plan, and other limits with it.
 
         Args:
-            plan: pools and routes.
-            sockets: descriptors that the process may hold from now on.
-            caps: limits on clients by address.
+            plan: Pools and routes of the new configuration.
+            sockets: Number of descriptors that the process may open from now on.
+            caps: Limits of each client address.
 
         Raises:
-            RouteTableError: the routes make no table; nothing has changed then.
-            GuaranteesError: the pools' minima exceed what the process has; nothing has changed then.
+            RouteTableError: The routes are invalid; nothing has changed then.
+            GuaranteesError: The pools are guaranteed more than the process has; nothing has changed then.
         """
         table = plan.table(self.table.number + 1)
         total = DescriptorBudget(sockets).upstreams.limit
@@ -129,16 +129,16 @@
         )
 
     def _replace_services(self, plan: Plan) -> list[Service]:
-        """Make the services that a plan names, and keep those that can go on; return the others."""
-        kept, retired = {}, []
+        """Make the services of a plan, keep unchanged ones, and return those that the plan drops."""
+        continuing, retired = {}, []
         for name, service in self.by_name.items():
             pool_plan = plan.pools.get(name)
             if pool_plan is not None and service.plan.same_service(pool_plan):
-                kept[name] = service
+                continuing[name] = service
             else:
                 retired.append(service)
         self.by_name = {
-            name: self._update(kept[name], pool_plan) if name in kept else self._make(pool_plan)
+            name: self._update(continuing[name], pool_plan) if name in continuing else self._make(pool_plan)
             for name, pool_plan in plan.pools.items()
         }
         return retired
--- a/dykefold/routing/table.py
+++ b/dykefold/routing/table.py
@@ -23,25 +23,25 @@
 from .route import Route, RouteTableError
 from .route_index import HostRoutes
 
-MAX_ROUTES = 100_000  # some 60 MB; beyond that a table is a mistake
+MAX_ROUTES = 100_000  # A larger table, over 60 MB, is taken for a mistake.
 
 
 class RouteTable:
     """An immutable, numbered table.
 
     Args:
-        pools: the names that routes may lead to.
+        pools: Names of the pools that routes may refer to.
 
     Attributes:
-        number: grows with each table of a process.
-        routes: in the order of the file.
+        number: Number of the table, increasing within a process.
+        routes: Routes in the order of the file.
     """
 
     def __init__(self, number: int, routes: Iterable[Route], pools: Iterable[str]) -> None:
         """Build the index of the routes.
 
         Raises:
-            RouteTableError: with all that is wrong with the routes.
+            RouteTableError: The routes are invalid; the error lists every problem.
         """
         self.number = number
         self.routes = tuple(routes)
@@ -102,11 +102,11 @@
         """Return the most specific route that a request meets; None if there is none.
 
         Args:
-            host: as `request_target.split_target` returns it.
-            segments: of the path, likewise.
-            method: in its own case.
-            cls: the request's class, if it has one.
-            headers: by lower-case name.
+            host: Host as `request_target.split_target` returns it.
+            segments: Segments of the path as `request_target.split_target` returns them.
+            method: Method of the request, case preserved.
+            cls: Class of the request; None if it has none.
+            headers: Headers of the request by lower-case name.
         """
         known_headers = headers or {}
         for host_routes in self._candidates(host):
--- a/tests/routing/test_reservations.py
+++ b/tests/routing/test_reservations.py
@@ -55,7 +55,7 @@
     @invariant()
     def counts_agree(self):
         assert self.reservations.shared == self._beyond()
-        assert {p: n for p, n in self.reservations.held.items() if n} == {
+        assert {p: n for p, n in self.reservations.by_pool.items() if n} == {
             p: n for p, n in self.held.items() if n
         }
 
--- a/tests/routing/test_services.py
+++ b/tests/routing/test_services.py
@@ -286,7 +286,7 @@
             assert sys.getallocatedblocks() < blocks + 5_000  # five to a pool would show
             assert node.server.budget.reservations == 0
             assert not node.server.budget.upstreams.in_use > 1
-            assert len(node.services.reservations.held) <= 1
+            assert len(node.services.reservations.by_pool) <= 1
 
     run(play())
 
