--- a/dykefold/failover/controller.py
+++ b/dykefold/failover/controller.py
@@ -15,20 +15,20 @@
 from .health_samples import AttemptResult, HealthSample, HealthSampler
 from .settings import FailoverSettings
 from .traffic_plan import PlanInputs, PlanState, TrafficPlan, ZoneFacts, staying_order
-from .zone_health import HARDLY_ANY, ZoneHealth, ZonePair, assess
+from .zone_health import MIN_DEGRADED_EJECTED_FRACTION, ZoneHealth, ZonePair, assess
 from .zone_reports import ZoneReports
 
 log = logging.getLogger("dykefold.failover")
 
-STEP_S = 0.25  # between two steps of the plan
+STEP_INTERVAL_S = 0.25
 
 
 class Pool(Protocol):
     """The pool of endpoints whose sidecar may move.
 
     Attributes:
-        on_attempt_end: called with an endpoint's number, the status of the attempt, its time and the latency
-            objective of its class, both nanoseconds.
+        on_attempt_end: Callback for the end of an attempt. Its arguments are the endpoint's number, the
+            status, the duration and the latency objective of the class, both in nanoseconds.
     """
 
     on_attempt_end: Callable[[int, Status, int, int], None] | None
@@ -38,19 +38,19 @@
         ...
 
     def tried_and_ejected_by_zone(self) -> dict[int, tuple[int, int]]:
-        """Return by zone how many endpoints have been tried, and how many of these are ejected."""
+        """Return by zone the number of endpoints with attempts, and the number of these that are ejected."""
         ...
 
     def zone_of(self, server: int) -> int | None:
-        """Return the zone of an endpoint; None where the endpoint is not known."""
+        """Return the zone of an endpoint; None if the endpoint is unknown."""
         ...
 
     def answered_since(self, server: int, took_ns: int) -> bool:
-        """Tell whether an endpoint has answered anything since an attempt began that has taken so long."""
+        """Return whether an endpoint has answered anything in the last `took_ns` nanoseconds."""
         ...
 
     def set_home_zone(self, zone: int) -> None:
-        """Take this zone for the sidecar's own from now on."""
+        """Treat this zone as the sidecar's own from now on."""
         ...
 
 
@@ -58,9 +58,9 @@
     """The live sidecars, as the plan needs them.
 
     Attributes:
-        by_zone: how many there are in each zone.
-        order: the staying order of the home zone.
-        connected: others are live, and the membership is settled.
+        by_zone: Number of live sidecars, by zone.
+        order: Order in which the sidecars of the home zone stay when its traffic moves.
+        connected: Whether other sidecars are live and the membership is settled.
     """
 
     by_zone: Counter[int]
@@ -75,20 +75,20 @@
 
 
 class FailoverController:
-    """A process's part in the failover.
+    """Runs the failover of one process.
 
     Args:
-        loop: runs the timer.
-        membership: of this sidecar.
-        pool: whose home zone follows the plan.
-        system: the clock.
+        loop: Event loop of the timer.
+        membership: Membership as this sidecar sees it.
+        pool: Pool whose home zone follows the plan.
+        system: Source of the clock.
 
     Attributes:
-        settings: of the configuration.
-        sampler: counts attempts by zone.
-        plan: of the home zone.
-        health: of each zone as seen from each.
-        working_zone: the zone that the balancer takes for its own.
+        settings: Settings of the failover.
+        sampler: Counts attempts by zone.
+        plan: Traffic plan of the home zone.
+        health: Health of each zone, as seen from each zone.
+        working_zone: Zone that the balancer treats as its own.
     """
 
     def __init__(
@@ -134,7 +134,7 @@
     def _run(self) -> None:
         if self._closed:
             return
-        self._timer = self.loop.call_later(STEP_S, self._run)
+        self._timer = self.loop.call_later(STEP_INTERVAL_S, self._run)
         now_ns = self.system.monotonic_ns()
         samples = self.sampler.samples(now_ns, self.pool.tried_and_ejected_by_zone())
         ready = self.pool.ready_by_zone()
@@ -154,7 +154,7 @@
             return False
         if not ready.get(self.settings.home) or self._reports.has_any():
             return False
-        return all(sample.ejected < HARDLY_ANY for sample in samples.values())
+        return all(sample.ejected < MIN_DEGRADED_EJECTED_FRACTION for sample in samples.values())
 
     def _home_members(self, now_ns: int) -> HomeMembers:
         live = self.membership.live_members(now_ns)
@@ -185,7 +185,7 @@
             ZoneFacts(ready, settings.regions(), settings.evacuated(), abandoned),
             members.connected,
             len(members.order),
-            reports.held_levels(now_ns, settings.home, members.order, self.plan.level),
+            reports.reported_levels(now_ns, settings.home, members.order, self.plan.level),
         )
 
     def _move(self, order: Sequence[int]) -> None:
@@ -218,7 +218,7 @@
     # The process
 
     def change_settings(self, settings: FailoverSettings) -> None:
-        """Take changed settings; the pool has taken them already, and with them its own home zone."""
+        """Apply changed settings. The pool has applied them before, so its home zone is its own again."""
         former_home = self.settings.home
         self.settings = settings
         if settings.home != former_home:
@@ -229,7 +229,7 @@
             self.pool.set_home_zone(self.working_zone)
 
     def report(self) -> dict[str, Any]:
-        """Return the plan for operators: the home zone's, what others report of theirs, and who sees what."""
+        """Return the home zone's plan, the reported plans of others and the zone samples, for operators."""
         now_ns = self.system.monotonic_ns()
         plan, name = self.plan, self.settings.name
         levels = self._reports.levels(now_ns, self.settings.zone_count)
@@ -251,6 +251,6 @@
         }
 
     def close(self) -> None:
-        """Follow the plan no more."""
+        """Stop following the plan."""
         self._closed = True
         self._timer.cancel()
--- a/dykefold/failover/health_samples.py
+++ b/dykefold/failover/health_samples.py
@@ -1,4 +1,4 @@
-"""How each zone looks from one sidecar: endpoints that it ejected, and the results of its attempts. No I/O.
+"""Health samples of zones from one sidecar: its ejected endpoints and the results of its attempts. No I/O.
 
 Losses are counted by endpoints, not by attempts: a balancer that has ejected an endpoint sends nothing there
 any more, and attempts from before the failure would hide it for seconds. Late and rejected attempts are
@@ -13,21 +13,21 @@
 
 from ..fleet.rate_limits import SECOND
 
-HALF_LIFE_NS = SECOND  # of the weight of an attempt
-MAX_ZONES = 31  # that are told apart
-ATTEMPTS_PER_EJECTION = 2.0  # what an ejected endpoint adds to the weight of a sample
+ATTEMPT_HALF_LIFE_NS = SECOND  # Of the weight of an attempt.
+MAX_ZONES = 31  # Zones with counts of their own.
+ATTEMPTS_PER_EJECTION = 2.0  # Weight of an ejected endpoint in a sample.
 
 # Encoding of a sample as the value of a record: 14 bits of weight, then 6 bits for each fraction.
 FRACTION_BITS = 6
 MAX_FRACTION_STEP = (1 << FRACTION_BITS) - 1
 WEIGHT_SHIFT = 3 * FRACTION_BITS
 LATE_SHIFT, REJECTED_SHIFT, EJECTED_SHIFT = 2 * FRACTION_BITS, FRACTION_BITS, 0
-WEIGHT_UNIT = 0.25  # attempts
+ATTEMPTS_PER_WEIGHT_STEP = 0.25
 MAX_WEIGHT_STEP = (1 << 14) - 1
 
 
 class AttemptResult(Enum):
-    """What the end of an attempt shows of the zone of its endpoint."""
+    """Result of an attempt, as evidence on the zone of its endpoint."""
 
     IN_TIME = auto()
     LATE = auto()  # answered after the latency objective, or not yet by an endpoint that answers others
@@ -36,13 +36,13 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthSample:
-    """How a zone looks from one sidecar.
+    """Health of a zone as one sidecar observes it.
 
     Attributes:
-        weight: attempts that it is based on, recent ones counting most.
-        late: fraction of the attempts.
-        rejected: fraction of the attempts.
-        ejected: fraction of the endpoints that were tried.
+        weight: Number of attempts that the sample is based on; the weight of an attempt decays with its age.
+        late: Fraction of the attempts that were late.
+        rejected: Fraction of the attempts that were rejected.
+        ejected: Fraction of the endpoints with attempts that are ejected.
     """
 
     weight: float
@@ -52,7 +52,7 @@
 
     def encode(self) -> int:
         """Return the sample as the value of a record, 32 bits."""
-        weight = min(int(self.weight / WEIGHT_UNIT), MAX_WEIGHT_STEP)
+        weight = min(int(self.weight / ATTEMPTS_PER_WEIGHT_STEP), MAX_WEIGHT_STEP)
         return (
             weight << WEIGHT_SHIFT
             | _fraction_step(self.late) << LATE_SHIFT
@@ -62,11 +62,11 @@
 
     @staticmethod
     def decode(value: int) -> HealthSample:
-        """Return the sample in a record; any 32 bits are one, with fractions held to at most all."""
+        """Return the sample in a record. Any 32 bits are valid; fractions are limited to 1."""
         late = _fraction(value >> LATE_SHIFT)
         rejected = min(_fraction(value >> REJECTED_SHIFT), 1.0 - late)
         ejected = min(_fraction(value >> EJECTED_SHIFT), 1.0 - late)
-        return HealthSample((value >> WEIGHT_SHIFT) * WEIGHT_UNIT, late, rejected, ejected)
+        return HealthSample((value >> WEIGHT_SHIFT) * ATTEMPTS_PER_WEIGHT_STEP, late, rejected, ejected)
 
 
 def _fraction_step(fraction: float) -> int:
@@ -81,7 +81,7 @@
     """Counts attempts by zone; older ones count less.
 
     Attributes:
-        counts: decayed counts of attempts, by zone and result.
+        counts: Decayed counts of attempts, by zone and result.
     """
 
     def __init__(self) -> None:
@@ -96,11 +96,11 @@
             counts[result] += 1.0
 
     def samples(self, now_ns: int, endpoints: Mapping[int, tuple[int, int]]) -> dict[int, HealthSample]:
-        """Return a sample of each zone of which anything is known.
+        """Return a sample of each zone with attempts or ejected endpoints.
 
         Args:
-            now_ns: the present time.
-            endpoints: by zone, how many endpoints have been tried, and how many of these are ejected.
+            now_ns: Current monotonic time in nanoseconds.
+            endpoints: Number of endpoints with attempts, and number of these that are ejected, by zone.
         """
         self._decay(now_ns)
         samples = {}
@@ -108,14 +108,14 @@
             counts = self.counts.get(zone) or dict.fromkeys(AttemptResult, 0.0)
             attempts = sum(counts.values())
             weight = attempts + ejected * ATTEMPTS_PER_EJECTION
-            if tried and zone < MAX_ZONES and weight >= WEIGHT_UNIT:
+            if tried and zone < MAX_ZONES and weight >= ATTEMPTS_PER_WEIGHT_STEP:
                 late = counts[AttemptResult.LATE] / max(attempts, 1.0)
                 rejected = counts[AttemptResult.REJECTED] / max(attempts, 1.0)
                 samples[zone] = HealthSample(weight, late, rejected, ejected / tried)
         return samples
 
     def _decay(self, now_ns: int) -> None:
-        factor = 0.5 ** (max(now_ns - self._decayed_ns, 0) / HALF_LIFE_NS)
+        factor = 0.5 ** (max(now_ns - self._decayed_ns, 0) / ATTEMPT_HALF_LIFE_NS)
         self._decayed_ns = max(now_ns, self._decayed_ns)
         if factor < 1.0:
             for counts in self.counts.values():
--- a/dykefold/failover/settings.py
+++ b/dykefold/failover/settings.py
@@ -14,9 +14,9 @@
     """Zones and options of the configuration.
 
     Attributes:
-        zones: their names, by number.
-        home: the number of the sidecar's own zone.
-        options: of the operator's file.
+        zones: Names of the zones, by number.
+        home: Number of the sidecar's own zone.
+        options: Options of the operator's file.
     """
 
     zones: Sequence[str]
@@ -25,11 +25,11 @@
 
     @property
     def zone_count(self) -> int:
-        """How many zones are told apart."""
+        """Number of zones with samples of their own."""
         return min(len(self.zones), MAX_ZONES)
 
     def name(self, zone: int) -> str:
-        """Return the name of a zone, or its number where it has none."""
+        """Return the name of a zone; its number if it has none."""
         return self.zones[zone] if zone < self.zone_count else str(zone)
 
     def regions(self) -> dict[int, str]:
--- a/dykefold/failover/traffic_plan.py
+++ b/dykefold/failover/traffic_plan.py
@@ -1,18 +1,18 @@
-"""The traffic plan of a zone: which of its sidecars work in which other zone, and the way back. No I/O.
+"""The traffic plan of a zone: which of its sidecars work in which other zone, and when they return. No I/O.
 
-Every sidecar applies the same function to the same records, so those that reach each other hold one plan but
-for the time that a record takes; an isolated sidecar works at home as if there were no plan. Sidecars
-move, not requests: one that is away takes another zone for its own, and its balancer chooses among that
-zone's endpoints as it did at home. Some canaries stay, whose attempts tell when the way back is open.
+Every sidecar applies the same function to the same records. So sidecars that reach each other have the same
+plan, except while a record is on its way. An isolated sidecar works at home as if there were no plan.
+Sidecars move, not requests: a sidecar that is away treats another zone as its own, and its balancer chooses
+among that zone's endpoints. Some canaries stay; their attempts show when the sidecars can return.
 
 | state | to | condition |
 | --- | --- | --- |
 | home | away | down, unreachable or without endpoints for `CONFIRM_NS`, with a destination |
-| away | returning | healthy, as the canaries see it, for `RETURN_NS`, doubled by each recent move |
-| returning | home | each step of `STEP_NS` halves what is away; the fourth takes the rest |
+| away | returning | healthy, as seen by the canaries, for `RETURN_NS`, doubled by each recent move |
+| returning | home | each step of `STEP_NS` halves the traffic that is away; the last step returns the rest |
 | returning | away | down or unreachable again: at once |
-| any | home | no member is heard, the membership is not settled, or there is no destination |
-| any | any | the median of those that report for the zone has held that for `DISSENT_NS` |
+| any | home | no other member is live, the membership is not settled, or there is no destination |
+| any | any | the median of the reporting sidecars has had that level for `DISSENT_NS` |
 
 A slow, overloaded or degraded zone moves nobody: the balancer shifts load between single endpoints by itself.
 """
@@ -29,18 +29,18 @@
 from ..fleet.statistics import lower_median
 from .zone_health import ZoneHealth, ZonePair
 
-CONFIRM_NS = SECOND // 2  # a shorter failure moves nobody
+CONFIRM_NS = SECOND // 2  # A shorter failure moves no traffic.
 RETURN_NS = 2 * SECOND
 MAX_RETURN_NS = 60 * SECOND
 MAX_RETURN_DOUBLINGS = 8
-FORGET_MOVES_NS = 60 * SECOND  # without a move, after which earlier ones no longer delay the way back
+FORGET_MOVES_NS = 60 * SECOND  # Without a move; after that earlier moves no longer delay the return.
 STEP_NS = 2 * SECOND
-RETURN_STEPS = 3  # each half of what is away, before the last
-DISSENT_NS = 5 * SECOND  # longer than the lifetime of a record of those that report
-CANARY_FRACTION = 0.125  # of a zone's sidecars, one at least
-LEAVE_FOR = frozenset((ZoneHealth.DOWN, ZoneHealth.UNREACHABLE))
-RETURN_FOR = frozenset((ZoneHealth.HEALTHY, ZoneHealth.SLOW))
-NO_DESTINATION = frozenset(
+RETURN_STEPS = 3  # Each returns half of the traffic that is away; one more step returns the rest.
+DISSENT_NS = 5 * SECOND  # Longer than the lifetime of a report.
+CANARY_FRACTION = 0.125  # Of a zone's sidecars; at least one stays.
+LEAVE_STATES = frozenset((ZoneHealth.DOWN, ZoneHealth.UNREACHABLE))
+RETURN_STATES = frozenset((ZoneHealth.HEALTHY, ZoneHealth.SLOW))
+NO_DESTINATION_STATES = frozenset(
     (ZoneHealth.DOWN, ZoneHealth.UNREACHABLE, ZoneHealth.DEGRADED, ZoneHealth.OVERLOADED)
 )
 
@@ -60,13 +60,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneFacts:
-    """What is known of zones beside their health.
+    """Facts about the zones other than their health.
 
     Attributes:
-        ready_endpoints: by zone; those without any are no destination.
-        regions: by zone; zones without one form one region together.
-        evacuated: zones that an operator has evacuated.
-        abandoned: zones that their own sidecars have left.
+        ready_endpoints: Number of ready endpoints by zone; a zone without any is no destination.
+        regions: Region by zone; all zones without a region form one.
+        evacuated: Zones that an operator has evacuated.
+        abandoned: Zones that their own sidecars have left.
     """
 
     ready_endpoints: Mapping[int, int]
@@ -77,31 +77,33 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanInputs:
-    """What a plan goes by at one moment.
+    """Inputs of one step of the plan.
 
     Attributes:
-        health: of each zone as seen from each.
-        zones: what else is known of them.
-        connected: others are live, and the membership is settled.
-        members: how many sidecars of the zone are live.
-        held_levels: of those that report for the zone, this one's among them if it does.
+        health: Health of each zone, as seen from each zone.
+        zones: Facts about the zones.
+        connected: Whether other sidecars are live and the membership is settled.
+        members: Number of live sidecars of the zone.
+        reported_levels: Plan levels of the sidecars that report for the zone, including this one if it
+            reports.
     """
 
     health: Mapping[ZonePair, ZoneHealth]
     zones: ZoneFacts
     connected: bool
     members: int
-    held_levels: Sequence[int] = field(default_factory=tuple)
+    reported_levels: Sequence[int] = field(default_factory=tuple)
 
 
 class HomeCondition(NamedTuple):
     """Whether the sidecars of a zone can work there.
 
     Attributes:
-        unusable: they have to leave.
-        usable: they may return; a zone of which too little is known is neither.
-        evacuated: an operator has evacuated it.
-        cause: for people.
+        unusable: Whether the sidecars must leave the zone.
+        usable: Whether the sidecars may return. A zone of which too little is known is neither usable nor
+            unusable.
+        evacuated: Whether an operator has evacuated the zone.
+        cause: Reason, for operators.
     """
 
     unusable: bool
@@ -111,7 +113,7 @@
 
 
 class Move(NamedTuple):
-    """A change of the level, with its cause for people."""
+    """A change of the level, with its cause for operators."""
 
     level: int
     cause: str
@@ -124,16 +126,16 @@
         return HomeCondition(True, False, True, "evacuated by hand")
     if not inputs.zones.ready_endpoints.get(origin):
         return HomeCondition(True, False, False, "home has no servers listed")
-    return HomeCondition(health in LEAVE_FOR, health in RETURN_FOR, False, f"home is {health}")
+    return HomeCondition(health in LEAVE_STATES, health in RETURN_STATES, False, f"home is {health}")
 
 
 def destinations(origin: int, zones: ZoneFacts, health: Mapping[ZonePair, ZoneHealth]) -> dict[int, float]:
-    """Return where sidecars go that are away: zones of the own region first, in proportion to endpoints.
+    """Return where sidecars that leave go: zones of their region first, in proportion to endpoints.
 
     Args:
-        origin: the zone that they leave.
-        zones: what is known of zones.
-        health: of each zone as seen from each.
+        origin: Zone that the sidecars leave.
+        zones: Facts about the zones.
+        health: Health of each zone, as seen from each zone.
 
     Returns:
         The fraction of the sidecars that are away, by zone.
@@ -144,8 +146,8 @@
         if zone != origin
         and count > 0
         and zone not in zones.evacuated | zones.abandoned
-        and health.get(ZonePair(origin, zone), ZoneHealth.UNCLEAR) not in NO_DESTINATION
-        and health.get(ZonePair(zone, zone), ZoneHealth.UNCLEAR) not in NO_DESTINATION
+        and health.get(ZonePair(origin, zone), ZoneHealth.UNCLEAR) not in NO_DESTINATION_STATES
+        and health.get(ZonePair(zone, zone), ZoneHealth.UNCLEAR) not in NO_DESTINATION_STATES
     }
     region = zones.regions.get(origin)
     near = {zone: count for zone, count in fit.items() if zones.regions.get(zone) == region}
@@ -155,25 +157,25 @@
 
 
 def staying_order(origin: int, members: Sequence[int]) -> list[int]:
-    """Return the sidecars of a zone, those first that stay longest; the same at all that know them."""
+    """Return the sidecars of a zone in staying order, the same at every sidecar: the first leaves last."""
     return sorted(members, key=lambda member: hash_pair(origin, member + 1))
 
 
 class TrafficPlan:
-    """What the sidecars of one zone do, as one of them holds it.
+    """The traffic plan of one zone, as one of its sidecars computes it.
 
     Args:
-        now_ns: on a monotonic clock, as all later times.
+        now_ns: Current monotonic time in nanoseconds.
 
     Attributes:
-        origin: the zone.
+        origin: Zone whose plan it is.
         level: 0 at home, 1 away, and one more for each step of the way back: the same number at all that hold
             one plan, whatever they know of how many they are.
-        away_fraction: of the zone's sidecars, at this level.
-        destinations: where those that are away work, as fractions of these by zone.
-        since_ns: when the level was taken.
-        recent_moves: how often the zone was left lately.
-        cause: of the level, for people.
+        away_fraction: Fraction of the zone's sidecars that work elsewhere at this level.
+        destinations: Fraction of the sidecars that work elsewhere, by zone.
+        since_ns: Monotonic time in nanoseconds at which the level was entered.
+        recent_moves: Number of recent moves away from the zone.
+        cause: Reason for the level, for operators.
     """
 
     def __init__(self, origin: int, now_ns: int) -> None:
@@ -198,12 +200,12 @@
 
     @property
     def return_ns(self) -> int:
-        """How long home must be healthy before the way back: longer for a zone that flaps."""
+        """Nanoseconds for which home must be healthy before the return; longer for a zone that flaps."""
         doublings = min(max(self.recent_moves - 1, 0), MAX_RETURN_DOUBLINGS)
         return min(RETURN_NS << doublings, MAX_RETURN_NS)
 
     def step(self, now_ns: int, inputs: PlanInputs) -> bool:
-        """Go by what is known now; return whether anything has changed."""
+        """Update the plan from the current facts; return whether it has changed."""
         before = (self.level, self.away_fraction, self.destinations)
         home = home_condition(self.origin, inputs)
         self._unusable_since_ns = _since(self._unusable_since_ns, now_ns, home.unusable)
@@ -217,13 +219,13 @@
             self._go(now_ns, Move(HOME_LEVEL, "there is nowhere to go"))
         else:
             self._go(now_ns, self._next_move(now_ns, home))
-            self._follow_median(now_ns, inputs.held_levels)
+            self._follow_median(now_ns, inputs.reported_levels)
         self.away_fraction = self._away_fraction(home, inputs.members)
         self.destinations = targets if self.level else {}
         return (self.level, self.away_fraction, self.destinations) != before
 
     def rest(self) -> None:
-        """Note that nothing is wrong anywhere: earlier observations do not count for what comes."""
+        """Forget since when the zone was unusable, usable or in dissent, as all zones are healthy."""
         self._unusable_since_ns = self._usable_since_ns = self._dissent_since_ns = None
 
     def _next_move(self, now_ns: int, home: HomeCondition) -> Move | None:
@@ -255,13 +257,13 @@
             return Move(HOME_LEVEL, "all the way back")
         return Move(self.level + 1, "a step back")
 
-    def _follow_median(self, now_ns: int, held_levels: Sequence[int]) -> None:
-        """Take the level of the median of those that report for the zone, if it differs for long.
+    def _follow_median(self, now_ns: int, reported_levels: Sequence[int]) -> None:
+        """Take the median level of the reporting sidecars if it has differed for `DISSENT_NS`.
 
-        A sidecar that has just started, or was cut off, so comes to hold what the others do. All take the
-        same median, so they can't swap levels; and causes that all see move them together long before.
+        So a sidecar that has just started or was isolated takes over the level of the others. All take the
+        same median, so they cannot swap levels. A cause that all of them see moves them together long before.
         """
-        common = lower_median(held_levels) if held_levels else self.level
+        common = lower_median(reported_levels) if reported_levels else self.level
         self._dissent_since_ns = _since(self._dissent_since_ns, now_ns, common != self.level)
         if self._dissent_since_ns is not None and now_ns - self._dissent_since_ns >= DISSENT_NS:
             self._go(now_ns, Move(common, "others of the zone hold this"))
@@ -286,7 +288,7 @@
         """Return the zone in which a sidecar works.
 
         Args:
-            position: its place in the staying order, from 0 to below 1.
+            position: Place of the sidecar in the staying order, from 0 to below 1.
         """
         staying = 1.0 - self.away_fraction
         if position < staying or not self.destinations:
@@ -300,7 +302,7 @@
 
 
 def _since(known_ns: int | None, now_ns: int, holds: bool) -> int | None:
-    """Since when something holds; None where it does not."""
+    """Return since when a condition has been true; None if it is false."""
     if not holds:
         return None
     return now_ns if known_ns is None else known_ns
--- a/dykefold/failover/zone_health.py
+++ b/dykefold/failover/zone_health.py
@@ -3,15 +3,15 @@
 | health of a zone as seen from another | samples |
 | --- | --- |
 | unclear | none, or too few |
-| down | most is ejected from there, and from every other zone that looks, its own among them |
-| unreachable | most is ejected from there, and somewhere else hardly any |
-| degraded | some is ejected, neither most nor hardly any: some of its endpoints are gone |
-| overloaded | hardly any is ejected, many attempts are rejected |
-| slow | hardly any is ejected, many attempts are late |
-| healthy | hardly any of these |
-
-What a zone sees is the median of the samples of several of its sidecars, so one that reports nonsense, or is
-cut off itself, decides nothing. What is unclear moves nobody.
+| down | most endpoints are ejected there, and in every other observing zone, its own included |
+| unreachable | most endpoints are ejected there, and hardly any in some other observing zone |
+| degraded | more than hardly any endpoints are ejected, but not most |
+| overloaded | hardly any endpoints are ejected, many attempts are rejected |
+| slow | hardly any endpoints are ejected, many attempts are late |
+| healthy | hardly any endpoints are ejected, few attempts are rejected or late |
+
+The view of a zone is the median of the samples of several of its sidecars. So one sidecar that reports
+nonsense or is isolated decides nothing. A zone whose health is unclear moves no traffic.
 """
 
 from __future__ import annotations
@@ -23,15 +23,16 @@
 from ..fleet.statistics import lower_median
 from .health_samples import HealthSample
 
-MIN_WEIGHT = 2.0  # recent attempts, below which a sample is not used
-QUORUM = 3  # sidecars of a zone that must see it, or all where there are fewer
-MOST = 0.7
-HARDLY_ANY = 0.25
-MANY = 0.5
+MIN_SAMPLE_WEIGHT = 2.0  # Recent attempts; a sample of fewer is not used.
+QUORUM = 3  # Sidecars of a zone that must report the same; all of them if there are fewer.
+MIN_DOWN_EJECTED_FRACTION = 0.7  # Of the endpoints with attempts.
+MIN_DEGRADED_EJECTED_FRACTION = 0.25
+MIN_OVERLOADED_FRACTION = 0.5  # Of the attempts that are rejected.
+MIN_SLOW_FRACTION = 0.5  # Of the attempts that are late.
 
 
 class ZoneHealth(StrEnum):
-    """How a zone looks from another; the values are part of the admin API."""
+    """Health of a zone as seen from another; the values are part of the admin API."""
 
     UNCLEAR = "unclear"
     HEALTHY = "fine"
@@ -43,29 +44,29 @@
 
 
 class ZonePair(NamedTuple):
-    """A zone, and the zone from whose sidecars it is seen."""
+    """A zone, and the zone whose sidecars observe it."""
 
     observer: int
     zone: int
 
 
 def quorum(members: int) -> int:
-    """Return how many sidecars of a zone must report the same.
+    """Return the number of sidecars of a zone that must report the same.
 
     Args:
-        members: how many of its sidecars are live.
+        members: Number of live sidecars of the zone.
     """
     return max(min(QUORUM, members), 1)
 
 
 def combine(samples: Sequence[HealthSample], members: int) -> HealthSample | None:
-    """Return what the sidecars of a zone see together; None where too few see anything.
+    """Return the median of the samples of a zone's sidecars; None if too few have a usable sample.
 
     Args:
-        samples: of one zone.
-        members: how many sidecars of the observing zone are live.
+        samples: Samples of one zone.
+        members: Number of live sidecars of the observing zone.
     """
-    usable = [sample for sample in samples if sample.weight >= MIN_WEIGHT]
+    usable = [sample for sample in samples if sample.weight >= MIN_SAMPLE_WEIGHT]
     if len(usable) < quorum(members):
         return None
     return HealthSample(
@@ -79,11 +80,11 @@
 def assess(
     samples: Mapping[ZonePair, Sequence[HealthSample]], members: Mapping[int, int]
 ) -> dict[ZonePair, ZoneHealth]:
-    """Return the health of each zone as seen from each that has a clear sight of it.
+    """Return the health of each zone, by each zone that has enough samples of it.
 
     Args:
-        samples: by observing and observed zone.
-        members: live sidecars by zone.
+        samples: Samples by observing and observed zone.
+        members: Number of live sidecars by zone.
     """
     combined = {}
     for pair, found in samples.items():
@@ -94,24 +95,24 @@
 
 
 def _classify(pair: ZonePair, sample: HealthSample, combined: Mapping[ZonePair, HealthSample]) -> ZoneHealth:
-    if sample.ejected >= MOST:
+    if sample.ejected >= MIN_DOWN_EJECTED_FRACTION:
         elsewhere = [
             other.ejected
             for other_pair, other in combined.items()
             if other_pair.zone == pair.zone and other_pair.observer != pair.observer
         ]
         return _classify_failed(elsewhere)
-    if sample.ejected >= HARDLY_ANY:
+    if sample.ejected >= MIN_DEGRADED_EJECTED_FRACTION:
         return ZoneHealth.DEGRADED
-    if sample.rejected >= MANY:
+    if sample.rejected >= MIN_OVERLOADED_FRACTION:
         return ZoneHealth.OVERLOADED
-    return ZoneHealth.SLOW if sample.late >= MANY else ZoneHealth.HEALTHY
+    return ZoneHealth.SLOW if sample.late >= MIN_SLOW_FRACTION else ZoneHealth.HEALTHY
 
 
 def _classify_failed(ejected_elsewhere: Sequence[float]) -> ZoneHealth:
-    """The health of a zone most of which is ejected from one zone, by what is ejected from others."""
-    if any(ejected < HARDLY_ANY for ejected in ejected_elsewhere):
+    """Return the health of a zone that is mostly ejected in one zone, from the samples of the others."""
+    if any(ejected < MIN_DEGRADED_EJECTED_FRACTION for ejected in ejected_elsewhere):
         return ZoneHealth.UNREACHABLE
-    if all(ejected >= MOST for ejected in ejected_elsewhere):
+    if all(ejected >= MIN_DOWN_EJECTED_FRACTION for ejected in ejected_elsewhere):
         return ZoneHealth.DOWN
     return ZoneHealth.DEGRADED  # others get through to some of it
--- a/dykefold/failover/zone_reports.py
+++ b/dykefold/failover/zone_reports.py
@@ -1,4 +1,4 @@
-"""What sidecars report of zones, as records of the membership. No I/O."""
+"""Reports of sidecars on zones, as records of the membership. No I/O."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from .zone_health import ZonePair, quorum
 
 PUBLISH_INTERVAL_NS = SECOND
-REPORTERS = 5  # the sidecars of a zone that report: the first in the staying order
+REPORTERS = 5  # Sidecars of a zone that report: the first in the staying order.
 
 
 class ZoneRecord(NamedTuple):
@@ -26,33 +26,33 @@
 
 
 class ZoneReports:
-    """Publishes what one sidecar sees of zones, and reads what others do.
+    """Publishes the zone samples of one sidecar, and reads those of others.
 
     Args:
-        membership: of this sidecar.
-        now_ns: the present time.
+        membership: Membership as this sidecar sees it.
+        now_ns: Current monotonic time in nanoseconds.
     """
 
     def __init__(self, membership: Membership, now_ns: int) -> None:
-        """Make a first report possible at once."""
+        """Allow a first report at once."""
         self.membership = membership
         self._published_ns = now_ns - PUBLISH_INTERVAL_NS
 
     def has_any(self) -> bool:
-        """Tell whether any sidecar reports that something is wrong."""
+        """Return whether any sidecar reports a problem."""
         return bool(self.membership.records.subjects_of(Topic.ZONE_HEALTH, Topic.FAILOVER_LEVEL))
 
     def publish(
         self, now_ns: int, order: Sequence[int], samples: Mapping[int, HealthSample], home: int, level: int
     ) -> None:
-        """Report what this sidecar sees, if it is one of those that report and a report is due.
+        """Publish this sidecar's samples, if it is one of the reporters and a report is due.
 
         Args:
-            now_ns: the present time.
-            order: the staying order of the home zone.
-            samples: by zone.
-            home: the zone of this sidecar.
-            level: of its traffic plan.
+            now_ns: Current monotonic time in nanoseconds.
+            order: Order in which the sidecars of the home zone stay when its traffic moves.
+            samples: Samples by zone.
+            home: Zone of this sidecar.
+            level: Level of its traffic plan.
         """
         due = now_ns - self._published_ns >= PUBLISH_INTERVAL_NS
         if not due or self.membership.own_number not in order[:REPORTERS]:
@@ -66,13 +66,13 @@
     def samples(
         self, now_ns: int, zones: int, home: int, own: Mapping[int, HealthSample]
     ) -> dict[ZonePair, list[HealthSample]]:
-        """Return what live sidecars see, with the own samples of now.
+        """Return the samples of live sidecars, with this sidecar's current ones.
 
         Args:
-            now_ns: the present time.
-            zones: how many there are.
-            home: the zone of this sidecar.
-            own: its own samples by zone.
+            now_ns: Current monotonic time in nanoseconds.
+            zones: Number of zones.
+            home: Zone of this sidecar.
+            own: This sidecar's samples by zone.
         """
         live = self._live_peers(now_ns)
         found: defaultdict[ZonePair, list[HealthSample]] = defaultdict(list)
@@ -84,13 +84,13 @@
         return found
 
     def abandoned_zones(self, now_ns: int, zones: int, home: int, members: Counter[int]) -> frozenset[int]:
-        """Return other zones that enough of their own sidecars report to have left.
+        """Return the other zones that a quorum of their own sidecars reports to have left.
 
         Args:
-            now_ns: the present time.
-            zones: how many there are.
-            home: the zone of this sidecar.
-            members: live sidecars by zone.
+            now_ns: Current monotonic time in nanoseconds.
+            zones: Number of zones.
+            home: Zone of this sidecar.
+            members: Number of live sidecars by zone.
         """
         live = self._live_peers(now_ns)
         abandoned = set()
@@ -101,14 +101,14 @@
                 abandoned.add(zone)
         return frozenset(abandoned)
 
-    def held_levels(self, now_ns: int, home: int, order: Sequence[int], own_level: int) -> list[int]:
-        """Return the levels of those that report for the home zone; one that reports none is at home.
+    def reported_levels(self, now_ns: int, home: int, order: Sequence[int], own_level: int) -> list[int]:
+        """Return the levels of the reporters of the home zone; a reporter without a report is at home.
 
         Args:
-            now_ns: the present time.
-            home: the zone of this sidecar.
-            order: its staying order.
-            own_level: of this sidecar's plan.
+            now_ns: Current monotonic time in nanoseconds.
+            home: Zone of this sidecar.
+            order: Staying order of the home zone.
+            own_level: Level of this sidecar's plan.
         """
         stored = self.membership.records.on_subject(now_ns, Topic.FAILOVER_LEVEL, home)
         levels = {record.origin: min(record.value, LAST_LEVEL) for record, _ in stored}
@@ -116,7 +116,7 @@
         return [levels.get(member, 0) for member in order[:REPORTERS]]
 
     def levels(self, now_ns: int, zones: int) -> dict[int, list[int]]:
-        """Return the levels that other sidecars report for their own zone, by zone, where there are any."""
+        """Return the levels that other sidecars report for their own zones, by zone."""
         live = self._live_peers(now_ns)
         found = {}
         for zone in range(zones):
@@ -129,7 +129,7 @@
         return set(self.membership.live_members(now_ns)) - {self.membership.own_number}
 
     def _records(self, now_ns: int, topic: Topic, zone: int, live: set[int]) -> list[ZoneRecord]:
-        """Records of live sidecars on a zone."""
+        """Return the records of live sidecars on a zone."""
         found = []
         for record, _ in self.membership.records.on_subject(now_ns, topic, zone):
             origin_zone = self.membership.zone_of(record.origin)
--- a/tests/failover/test_health_samples.py
+++ b/tests/failover/test_health_samples.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dykefold.failover.health_samples import HALF_LIFE_NS, AttemptResult, HealthSample, HealthSampler
+from dykefold.failover.health_samples import ATTEMPT_HALF_LIFE_NS, AttemptResult, HealthSample, HealthSampler
 
 
 @given(st.integers(0, (1 << 32) - 1))
@@ -24,8 +24,8 @@
         sampler.record(0, 1, AttemptResult.IN_TIME)
     assert sampler.samples(0, {1: (3, 0)})[1].rejected < 0.05
     for _ in range(40):
-        sampler.record(6 * HALF_LIFE_NS, 1, AttemptResult.LATE)
-    seen = sampler.samples(6 * HALF_LIFE_NS, {1: (3, 3), 2: (3, 0), 3: (2, 1), 4: (0, 0)})
+        sampler.record(6 * ATTEMPT_HALF_LIFE_NS, 1, AttemptResult.LATE)
+    seen = sampler.samples(6 * ATTEMPT_HALF_LIFE_NS, {1: (3, 3), 2: (3, 0), 3: (2, 1), 4: (0, 0)})
     assert seen[1].late > 0.9
     assert seen[1].ejected == 1.0  # whatever was answered a moment ago
     assert 2 not in seen  # nothing was sent there for long
--- a/tests/sim/mutants.py
+++ b/tests/sim/mutants.py
@@ -208,7 +208,7 @@
     Mutant(
         "one that holds another plan than its zone goes on with it",
         "failover/traffic_plan.py",
-        "            self._follow_median(now_ns, inputs.held_levels)\n",
+        "            self._follow_median(now_ns, inputs.reported_levels)\n",
         "",
         "zones",
     ),
