--- a/dykefold/fleet/admin.py
+++ b/dykefold/fleet/admin.py
@@ -19,8 +19,8 @@
     """The membership's operations of the admin API.
 
     Args:
-        agent: its part in the membership.
-        plan: returns its traffic plan for people; None without failover.
+        agent: Membership agent of the process.
+        plan: Returns the traffic plan for operators; None without failover.
     """
 
     def __init__(self, agent: FleetAgent, plan: Callable[[], dict[str, Any]] | None = None) -> None:
--- a/dykefold/fleet/agent.py
+++ b/dykefold/fleet/agent.py
@@ -21,16 +21,16 @@
 
 log = logging.getLogger("dykefold.fleet")
 
-LOG_LINES_PER_S = 5.0  # on changes; the burst is the same
-KEPT_CHANGES = 64  # the latest, for operators
+MAX_LOG_LINES_PER_S = 5.0  # On changes of the membership; the burst is the same.
+MAX_LATEST_CHANGES = 64  # Shown to operators.
 
 
 class Node(Protocol):
     """The process that takes part.
 
     Attributes:
-        draining: its graceful shutdown has begun.
-        handing_over: a newer process accepts clients in its place.
+        draining: Whether the graceful shutdown has begun.
+        handing_over: Whether a newer process accepts clients in its place.
     """
 
     draining: bool
@@ -41,18 +41,18 @@
     """A process's part in the membership, from its first datagram to its end.
 
     Args:
-        loop: runs the timers.
-        node: the process.
-        peers: open already; what it receives goes through here from now on.
-        system: the clock.
+        loop: Event loop of the timers.
+        node: Process that takes part.
+        peers: Open datagram channel; its datagrams are passed to this agent from now on.
+        system: Source of the clock.
 
     Attributes:
-        protocol: decides.
-        membership: what this member knows.
-        link: keeps the balancer informed; None before `serve`.
-        polls: coordinates polls of discovery with the fleet; None where nothing does.
-        latest_changes: for operators.
-        closed: it has ended, or a newer process takes part in its place.
+        protocol: Membership protocol, which makes the decisions.
+        membership: Members as this member knows them.
+        link: Informs the balancer; None before `serve`.
+        polls: Coordinates polls of discovery with the fleet; None if that is off.
+        latest_changes: Latest changes of the membership, for operators.
+        closed: Whether it has stopped, or a newer process takes part in its place.
     """
 
     def __init__(
@@ -68,9 +68,9 @@
         self.membership = protocol.membership
         self.link: BalancerLink | None = None
         self.polls: EndpointListSync | None = None
-        self.latest_changes: deque[MembershipChange] = deque(maxlen=KEPT_CHANGES)
+        self.latest_changes: deque[MembershipChange] = deque(maxlen=MAX_LATEST_CHANGES)
         self.closed = False
-        self._log_limit = TokenBucket(LOG_LINES_PER_S, LOG_LINES_PER_S, system.monotonic_ns())
+        self._log_limit = TokenBucket(MAX_LOG_LINES_PER_S, MAX_LOG_LINES_PER_S, system.monotonic_ns())
         self._unlogged_changes = 0
         self._pass_to_balancer = peers.on_datagram
         peers.on_datagram = self.on_datagram
@@ -174,10 +174,10 @@
     """Begin to take part in the membership, with an incarnation by the wall clock.
 
     Args:
-        local: this member's place in the fleet.
-        datagram_price: as the settings state it.
-        seed: of all choices.
-        system: the clock.
+        local: Number, zone and address list of this member.
+        datagram_price: Price of a datagram, as in the settings.
+        seed: Seed of the random generator.
+        system: Source of the clock.
     """
     wall_ms = system.time_ns() // 1_000_000
     limits = RateLimits.by_price(datagram_price)
--- a/dykefold/fleet/anti_entropy.py
+++ b/dykefold/fleet/anti_entropy.py
@@ -16,24 +16,24 @@
 from .member_state import LIVE, State
 from .membership import Membership
 from .outbox import Outbox
-from .rate_limits import COMPARISON_PERIODS, JOINING_COMPARISON_PERIODS, NOT_LIVE_COMPARISON_INTERVAL
+from .rate_limits import COMPARISON_PERIODS, JOINING_COMPARISON_PERIODS, COMPARISONS_PER_NOT_LIVE
 from .traffic_counters import TrafficCounter
 
-MAX_ANSWERS = 4  # datagrams in answer to one comparison
+MAX_ANSWER_DATAGRAMS = 4  # To one comparison.
 MAX_PARTNER_DRAWS = 8
-JITTER = (0.75, 1.25)  # of the time between comparisons
+COMPARISON_JITTER_FACTORS = (0.75, 1.25)  # Of the time between comparisons.
 
 
 class AntiEntropy:
     """Compares and exchanges states with other members.
 
     Args:
-        membership: whose table is compared.
-        outbox: takes the datagrams.
-        now_ns: the present time.
+        membership: Membership whose table is compared.
+        outbox: Queue of datagrams to send.
+        now_ns: Current monotonic time in nanoseconds.
 
     Attributes:
-        next_comparison_ns: when the next comparison begins.
+        next_comparison_ns: Monotonic time in nanoseconds of the next comparison.
     """
 
     def __init__(self, membership: Membership, outbox: Outbox, now_ns: int) -> None:
@@ -55,7 +55,7 @@
             return
         joining = not membership.is_settled(now_ns)
         wait_ns = membership.limits.ns(JOINING_COMPARISON_PERIODS if joining else COMPARISON_PERIODS)
-        self.next_comparison_ns = now_ns + int(wait_ns * membership.rng.uniform(*JITTER))
+        self.next_comparison_ns = now_ns + int(wait_ns * membership.rng.uniform(*COMPARISON_JITTER_FACTORS))
         membership.records.expire(now_ns)
         partner = self._choose_partner(joining)
         if partner is not None:
@@ -69,7 +69,7 @@
         """
         membership = self.membership
         rng = membership.rng
-        if not (joining or membership.isolated or rng.randrange(NOT_LIVE_COMPARISON_INTERVAL) == 0):
+        if not (joining or membership.isolated or rng.randrange(COMPARISONS_PER_NOT_LIVE) == 0):
             return next(iter(membership.random_live_members(1)), None)
         size = len(membership.addresses)
         number = None
@@ -135,7 +135,7 @@
         entries: list[MemberEntry] = []
         sent = 0
         for first, end in differing:
-            if sent >= MAX_ANSWERS:
+            if sent >= MAX_ANSWER_DATAGRAMS:
                 return
             if end - first > MAX_ENTRIES:
                 sent += self._send_digests(now_ns, sender, first, end)
@@ -144,7 +144,7 @@
                 sent += self._send_states(now_ns, sender, Kind.STATES, entries)
                 entries = []
             entries += [self.membership.entry(number) for number in range(first, end)]
-        if entries and sent < MAX_ANSWERS:
+        if entries and sent < MAX_ANSWER_DATAGRAMS:
             self._send_states(now_ns, sender, Kind.STATES, entries)
 
     def on_states(self, now_ns: int, sender: int, datagram: Datagram) -> None:
--- a/dykefold/fleet/balancer_link.py
+++ b/dykefold/fleet/balancer_link.py
@@ -16,19 +16,19 @@
 from .rate_limits import RESTART_NS, SECOND
 from .subsetting import EndpointRanking
 
-MAX_ANNOUNCE_S = 4.0  # after a new endpoint list, within which its version is announced unless others have
-LATENCY_INTERVAL_NS = 10 * SECOND  # between two reports of the typical latencies of request classes
-REPORT_DELAY_S = 0.5  # in which changes of the fleet are gathered for one event
+MAX_ANNOUNCE_DELAY_S = 4.0  # Of a new list's version. The announcement is dropped if others come first.
+LATENCY_REPORT_INTERVAL_NS = 10 * SECOND
+EVENT_DELAY_S = 0.5  # Changes of the fleet within this time become one event of the balancer.
 
 
 class Pool(Protocol):
     """The pool of endpoints whose balancer follows the fleet.
 
     Attributes:
-        names: the numbers of endpoints.
-        version: of the endpoint list.
+        names: Numbers of endpoints by name.
+        version: Version of the endpoint list.
         discovery: None where the list is fixed.
-        on_health_hint: called with an endpoint's number and whether it answers.
+        on_health_hint: Called with an endpoint's number and whether it answers.
     """
 
     names: NameTable
@@ -65,14 +65,14 @@
     """Keeps a pool's balancer and the fleet informed of each other.
 
     Args:
-        loop: runs the timers.
-        membership: of this member.
-        rng: spreads announcements over time.
-        system: the clock.
+        loop: Event loop of the timers.
+        membership: Membership as this member knows it.
+        rng: Random generator that spreads announcements over time.
+        system: Source of the clock.
 
     Attributes:
-        pool: whose balancer it is.
-        polls: coordinates polls of discovery with the fleet; None where nothing does.
+        pool: Pool of the balancer.
+        polls: Coordinates polls of discovery with the fleet; None if that is off.
     """
 
     def __init__(
@@ -103,7 +103,7 @@
     def tick(self, now_ns: int) -> None:
         """Report typical latencies and a changed endpoint list."""
         if now_ns >= self._next_latencies_ns:
-            self._next_latencies_ns = now_ns + LATENCY_INTERVAL_NS
+            self._next_latencies_ns = now_ns + LATENCY_REPORT_INTERVAL_NS
             latencies = self.pool.typical_latencies()
             peer_observations.publish_typical_latencies(self.membership, now_ns, latencies)
         known = (self.pool.names.next_server, self.pool.version)
@@ -113,13 +113,13 @@
         self.report_soon()
         if self._announcement is None:
             # Most members wait longer than some other one, and then need not announce it themselves.
-            wait_s = self.rng.uniform(0, MAX_ANNOUNCE_S)
+            wait_s = self.rng.uniform(0, MAX_ANNOUNCE_DELAY_S)
             self._announcement = self.loop.call_later(wait_s, self._announce_list)
 
     def report_soon(self) -> None:
         """Tell the balancer of the fleet, together with what else changes in a moment."""
         if self._report is None and not self.closed:
-            self._report = self.loop.call_later(REPORT_DELAY_S, self._post_event)
+            self._report = self.loop.call_later(EVENT_DELAY_S, self._post_event)
 
     def _post_event(self) -> None:
         self._report = None
@@ -134,9 +134,9 @@
             peer_observations.membership_event(self.membership, now_ns, endpoints, classes, self._ranking)
         )
         if self.membership.departed_ns and self._recount is None:
-            self._recount = self.loop.call_later(RESTART_NS / SECOND, self._count_again)
+            self._recount = self.loop.call_later(RESTART_NS / SECOND, self._recount_members)
 
-    def _count_again(self) -> None:
+    def _recount_members(self) -> None:
         """Report once members that went have had the time to be restarted."""
         self._recount = None
         self.report_soon()
--- a/dykefold/fleet/datagrams.py
+++ b/dykefold/fleet/datagrams.py
@@ -16,9 +16,9 @@
 
 from .member_state import ENCODED_STATE_BYTES, is_encoded_state
 
-MAX_BYTES = 256  # of a datagram between sidecars (PROTOCOL)
-FOREIGN_ALIGNMENT = 4  # the lengths of balancer messages are multiples of this, ours never are
-MAGIC = 0xD7  # the first byte of each datagram of this protocol
+MAX_DATAGRAM_BYTES = 256  # Of a datagram between sidecars (PROTOCOL).
+BALANCER_MESSAGE_ALIGNMENT = 4  # Lengths of balancer messages are multiples of this; lengths here never are.
+MAGIC = 0xD7  # First byte of each datagram of this protocol.
 VERSION = 1
 
 HEADER = struct.Struct(
@@ -26,11 +26,11 @@
 )  # magic, version, checksum, fleet, kind, nonce, subject; then the sender's state
 HEADER_BYTES = HEADER.size + ENCODED_STATE_BYTES
 CHECKSUM_FROM = 2
-CHECKED_FROM = 6  # the checksum covers all bytes from here on
+CHECKED_FROM = 6  # Position from which the checksum covers all bytes.
 NUMBER_BYTES = 2
 ENTRY_BYTES = NUMBER_BYTES + ENCODED_STATE_BYTES
 COUNT_BYTES = 1
-RANGE = struct.Struct("<HHH")  # first member, one past the last, members to a digest
+RANGE = struct.Struct("<HHH")  # First member, one past the last, members per digest.
 DIGEST_BYTES = 4
 DIGEST_MASK = 0xFFFFFFFF
 RECORD = struct.Struct(
@@ -40,7 +40,7 @@
 RECORD_BYTES = RECORD.size + INCARNATION_BYTES
 AGE_UNIT_NS = 250_000_000
 MAX_AGE_UNITS = 255
-MAX_PAYLOAD_BYTES = MAX_BYTES - 1  # one byte may be added to keep the length from being a multiple of four
+MAX_PAYLOAD_BYTES = MAX_DATAGRAM_BYTES - 1  # One byte is added if the length is a multiple of the alignment.
 MAX_DIGESTS = (MAX_PAYLOAD_BYTES - HEADER_BYTES - RANGE.size - COUNT_BYTES) // DIGEST_BYTES
 MAX_ENTRIES = (MAX_PAYLOAD_BYTES - HEADER_BYTES - 2 * COUNT_BYTES) // ENTRY_BYTES
 
@@ -92,13 +92,13 @@
     """Something that one member knows, beside who is there; see `record_store.py`.
 
     Attributes:
-        topic: a `Topic`, or that of a later version.
-        origin: the number of the member that published it.
-        subject: what it is about, by its topic.
-        incarnation: of the origin when it published the record.
-        sequence: counts the records of the origin.
+        topic: A `Topic`, or the number of a topic of a later version.
+        origin: Number of the member that published the record.
+        subject: Subject of the record; its meaning depends on the topic.
+        incarnation: Incarnation of the origin when it published the record.
+        sequence: Number of the record among those of its origin.
         value: 32 bits, by its topic.
-        age_ns: time since its origin published it.
+        age_ns: Nanoseconds since the origin published the record.
     """
 
     topic: int
@@ -115,15 +115,15 @@
     """One message between two members.
 
     Attributes:
-        kind: its purpose.
-        fleet: the checksum of the sender's address list (`fleet_checksum`), by which its numbers are meant.
-        sender_state: the sender's own encoded state.
-        nonce: ties an answer to its probe.
-        subject: of a PROBE_REQUEST and NACK, the number of the probed member; else 0.
-        entries: states of members.
-        digest_range: of DIGESTS, the members that the digests are about.
-        digests: the digest of each slice of the range.
-        records: other knowledge, with its age.
+        kind: Purpose of the datagram.
+        fleet: Checksum of the sender's address list (`fleet_checksum`), to which its member numbers refer.
+        sender_state: Encoded state of the sender.
+        nonce: Number that relates an answer to its probe.
+        subject: Number of the probed member in a PROBE_REQUEST or NACK; 0 otherwise.
+        entries: Encoded states of members.
+        digest_range: Members that the digests of a DIGESTS datagram cover.
+        digests: Digest of each slice of the range.
+        records: Published records with their age.
     """
 
     kind: Kind
@@ -141,11 +141,11 @@
     """A datagram has more content than fits.
 
     Args:
-        size: of the encoded datagram, bytes.
+        size: Size of the encoded datagram in bytes.
     """
 
     def __init__(self, size: int) -> None:
-        super().__init__(f"{size} bytes; a datagram has {MAX_BYTES} at most")
+        super().__init__(f"{size} bytes; a datagram has {MAX_DATAGRAM_BYTES} at most")
 
 
 def fleet_checksum(addresses: Sequence[tuple[str, int]]) -> int:
@@ -161,14 +161,14 @@
 
 def is_membership_datagram(data: bytes) -> bool:
     """Tell whether data is meant for this protocol, and not for the balancer."""
-    return len(data) % FOREIGN_ALIGNMENT != 0 and data[0] == MAGIC
+    return len(data) % BALANCER_MESSAGE_ALIGNMENT != 0 and data[0] == MAGIC
 
 
 def encode(datagram: Datagram) -> bytes:
     """Return the bytes of a datagram: at most 256, never a multiple of four.
 
     Raises:
-        DatagramTooLargeError: the content does not fit.
+        DatagramTooLargeError: The content exceeds the maximum size.
     """
     header = HEADER.pack(MAGIC, VERSION, 0, datagram.fleet, datagram.kind, datagram.nonce, datagram.subject)
     data = bytearray(header)
@@ -178,9 +178,9 @@
     else:
         _append_entries(data, datagram.entries)
         _append_records(data, datagram.records)
-    if len(data) % FOREIGN_ALIGNMENT == 0:
+    if len(data) % BALANCER_MESSAGE_ALIGNMENT == 0:
         data.append(0)
-    if len(data) > MAX_BYTES:
+    if len(data) > MAX_DATAGRAM_BYTES:
         raise DatagramTooLargeError(len(data))
     data[CHECKSUM_FROM:CHECKED_FROM] = zlib.crc32(data[CHECKED_FROM:]).to_bytes(4, "little")
     return bytes(data)
@@ -226,7 +226,7 @@
 
 
 def _decode_header(data: bytes) -> _Header | None:
-    if not HEADER_BYTES < len(data) <= MAX_BYTES or not is_membership_datagram(data):
+    if not HEADER_BYTES < len(data) <= MAX_DATAGRAM_BYTES or not is_membership_datagram(data):
         return None
     _, _, checksum, fleet, kind, nonce, subject = HEADER.unpack_from(data)
     if zlib.crc32(data[CHECKED_FROM:]) != checksum or kind not in KINDS:
--- a/dykefold/fleet/endpoint_list_sync.py
+++ b/dykefold/fleet/endpoint_list_sync.py
@@ -20,10 +20,10 @@
     """The schedule of one discovery client, from the start of the process on.
 
     Args:
-        discovery: the client.
-        settings: its position among the sidecars holds until a membership knows better.
-        seed: of the places in slots.
-        system: the clock.
+        discovery: Discovery client.
+        settings: Settings of the polls. The position among the sidecars is used until a membership is known.
+        seed: Seed of the random position within a slot.
+        system: Source of the clock.
     """
 
     def __init__(
@@ -98,9 +98,9 @@
             pollers = self.membership.potential_pollers(self.system.monotonic_ns())
             self.schedule.set_fleet(pollers.index(self.membership.own_number), len(pollers))
 
-    def change_settings(self, must_ask_ns: int) -> None:
+    def change_settings(self, max_poll_interval_ns: int) -> None:
         """Take another time within which the rules want a poll, nanoseconds."""
-        self.schedule.settings.max_poll_interval_ns = must_ask_ns
+        self.schedule.settings.max_poll_interval_ns = max_poll_interval_ns
 
     def on_new_records(self) -> None:
         """Poll if others are answered again, or have a newer endpoint list."""
--- a/dykefold/fleet/failure_detector.py
+++ b/dykefold/fleet/failure_detector.py
@@ -12,9 +12,9 @@
 from .member_state import PROBED, MemberTable, State
 
 MAX_HEALTH_SCORE = 8
-MAX_PROBES = 16  # open at once
-MAX_RELAYED_PROBES = 64  # open at once
-NONCES = 1 << 16
+MAX_OPEN_PROBES = 16
+MAX_OPEN_RELAYED_PROBES = 64
+NONCE_COUNT = 1 << 16
 
 
 class LocalHealth:
@@ -46,13 +46,13 @@
     """An open probe of a member.
 
     Attributes:
-        target: the probed member.
-        started_ns: when it was first sent.
-        retry_ns: when it is sent again, if there is no answer.
-        timeout_ns: when it has failed.
-        helpers: members asked to probe the target as well.
-        nacks: helpers that were not answered by the target.
-        retries: how often it was repeated.
+        target: Number of the probed member.
+        started_ns: Monotonic time in nanoseconds at which the probe was first sent.
+        retry_ns: Monotonic time in nanoseconds at which the probe is sent again without an answer.
+        timeout_ns: Monotonic time in nanoseconds at which the probe fails.
+        helpers: Members that were requested to probe the target too.
+        nacks: Helpers that got no answer from the target.
+        retries: Number of times that the probe was sent again.
     """
 
     target: int
@@ -69,10 +69,10 @@
     """An open probe on behalf of another member.
 
     Attributes:
-        requester: the member that asked for it.
-        requester_nonce: the nonce of its request.
-        target: the probed member.
-        timeout_ns: when the requester gets a NACK.
+        requester: Number of the member that requested the probe.
+        requester_nonce: Nonce of the request.
+        target: Number of the probed member.
+        timeout_ns: Monotonic time in nanoseconds at which the requester is sent a NACK.
     """
 
     requester: int
@@ -85,8 +85,8 @@
     """Whom to probe next: all members in a shuffled order, then in another one: none waits long.
 
     Args:
-        own_number: of the member that probes.
-        rng: shuffles.
+        own_number: Number of the member that probes.
+        rng: Random generator of the order.
     """
 
     def __init__(self, own_number: int, rng: random.Random) -> None:
@@ -115,8 +115,8 @@
     """Which members are suspected, and until when they may refute that.
 
     Attributes:
-        expiry_ns: by member.
-        reprobed: members that were probed once more before the expiry.
+        expiry_ns: Monotonic time in nanoseconds at which a suspicion expires, by member.
+        reprobed: Members that were probed once more before the expiry.
     """
 
     def __init__(self) -> None:
@@ -127,9 +127,9 @@
         """Follow a member's changed status.
 
         Args:
-            number: the member.
-            state: its status now.
-            expiry_ns: of the suspicion, if it is one.
+            number: Number of the member.
+            state: Current status of the member.
+            expiry_ns: Monotonic time in nanoseconds at which the suspicion expires, if the member is suspect.
         """
         self.reprobed.discard(number)
         if state is State.SUSPECT:
--- a/dykefold/fleet/gossip.py
+++ b/dykefold/fleet/gossip.py
@@ -11,12 +11,12 @@
     """Sends changed states and new records.
 
     Args:
-        membership: whose changes are sent.
-        outbox: takes the datagrams.
-        now_ns: the present time.
+        membership: Membership whose changes are sent.
+        outbox: Queue of datagrams to send.
+        now_ns: Current monotonic time in nanoseconds.
 
     Attributes:
-        next_round_ns: when the next round may be.
+        next_round_ns: Earliest monotonic time in nanoseconds of the next round.
     """
 
     def __init__(self, membership: Membership, outbox: Outbox, now_ns: int) -> None:
--- a/dykefold/fleet/gossip_queue.py
+++ b/dykefold/fleet/gossip_queue.py
@@ -36,8 +36,8 @@
         """Return the next items to send, and count the transmission.
 
         Args:
-            max_count: how many at most.
-            max_transmissions: how often an item is sent in all.
+            max_count: Maximum number of items to return.
+            max_transmissions: Number of times that an item is sent in total.
         """
         taken: list[K] = []
         remaining: list[tuple[K, int]] = []
--- a/dykefold/fleet/member_state.py
+++ b/dykefold/fleet/member_state.py
@@ -33,7 +33,7 @@
     1 << ZONE_BITS
 ) - 1  # the field holds the zone's number plus one; 0: not known, all ones: too large
 INCARNATION_SHIFT = STATE_BITS + ZONE_BITS
-MAX_INCARNATION = (1 << 48) - 1  # milliseconds since 1970 reach it in the year 10889
+MAX_INCARNATION = (1 << 48) - 1  # Milliseconds since 1970 reach it in the year 10889.
 ENCODED_STATE_BYTES = 7
 MAX_ENCODED_STATE = (1 << 8 * ENCODED_STATE_BYTES) - 1
 
@@ -45,7 +45,7 @@
     (State.SUSPECT, State.GONE): "the suspicion was not refuted in time",
     (State.LEAVING, State.LEFT): "its graceful shutdown has had its time",
 }
-LIVE = frozenset((State.ALIVE, State.SUSPECT))  # counted as carrying traffic
+LIVE = frozenset((State.ALIVE, State.SUSPECT))  # Members that count as carrying traffic.
 PROBED = frozenset((State.UNKNOWN, State.ALIVE, State.SUSPECT))
 TRUSTED = frozenset((State.ALIVE, State.SUSPECT, State.LEAVING))
 
@@ -54,8 +54,8 @@
     """No member may conclude this state of another one.
 
     Args:
-        before: the known status.
-        after: the status that was to be concluded.
+        before: Known status.
+        after: Status that was to replace it.
     """
 
     def __init__(self, before: State, after: State) -> None:
@@ -66,9 +66,9 @@
     """Encode the state of a member.
 
     Args:
-        incarnation: at most `MAX_INCARNATION`.
-        state: its status.
-        zone: the number of its zone; None where that is not known.
+        incarnation: Incarnation of the member, at most `MAX_INCARNATION`.
+        state: Status of the member.
+        zone: Number of the member's zone; None if it is unknown.
 
     Returns:
         An integer of at most `ENCODED_STATE_BYTES` bytes.
@@ -102,8 +102,8 @@
     """Return the state of a member after a conclusion about it.
 
     Args:
-        encoded: the known state.
-        after: the concluded status.
+        encoded: Known encoded state.
+        after: New status.
 
     Raises:
         InvalidConclusionError: `CONCLUSIONS` does not allow it.
@@ -130,8 +130,8 @@
     wall clock was set back.
 
     Args:
-        own: the member's own encoded state.
-        claim: the encoded state that others hold of it.
+        own: Encoded state of the member itself.
+        claim: Encoded state that others have of the member.
 
     Returns:
         None where there is nothing to refute.
@@ -143,25 +143,25 @@
     return encode_state(incarnation_of(claim) + 1, state_of(own)) | own & ZONE_MASK
 
 
-BLOCK_SIZE = 32  # members whose states share a digest that is kept up to date
+MEMBERS_PER_BLOCK = 32  # Their states share a digest that is kept up to date.
 
 
 class MemberTable:
     """The greatest state received of each member, with digests that tell whether two tables are equal.
 
     Args:
-        size: the number of members.
+        size: Number of members.
 
     Attributes:
-        states: the encoded state of each member, by number.
-        block_digests: the digest of each block of `BLOCK_SIZE` members.
-        counts: how many members have each status.
+        states: Encoded state of each member, by number.
+        block_digests: Digest of each block of `MEMBERS_PER_BLOCK` members.
+        counts: Number of members by status.
     """
 
     def __init__(self, size: int) -> None:
         """Make a table in which nothing is known."""
         self.states = array("Q", bytes(8 * size))
-        self.block_digests = array("Q", bytes(8 * (size // BLOCK_SIZE + 1)))
+        self.block_digests = array("Q", bytes(8 * (size // MEMBERS_PER_BLOCK + 1)))
         self.counts = [size] + [0] * (len(State) - 1)
 
     def __len__(self) -> int:
@@ -178,7 +178,9 @@
         if encoded <= before:
             return False
         self.states[number] = encoded
-        self.block_digests[number // BLOCK_SIZE] ^= hash_pair(number, before) ^ hash_pair(number, encoded)
+        self.block_digests[number // MEMBERS_PER_BLOCK] ^= hash_pair(number, before) ^ hash_pair(
+            number, encoded
+        )
         self.counts[state_of(before)] -= 1
         self.counts[state_of(encoded)] += 1
         return True
@@ -191,9 +193,9 @@
         total = 0
         number = first
         while number < end:
-            if number % BLOCK_SIZE == 0 and number + BLOCK_SIZE <= end:
-                total ^= self.block_digests[number // BLOCK_SIZE]
-                number += BLOCK_SIZE
+            if number % MEMBERS_PER_BLOCK == 0 and number + MEMBERS_PER_BLOCK <= end:
+                total ^= self.block_digests[number // MEMBERS_PER_BLOCK]
+                number += MEMBERS_PER_BLOCK
             else:
                 total ^= hash_pair(number, self.states[number])
                 number += 1
--- a/dykefold/fleet/membership.py
+++ b/dykefold/fleet/membership.py
@@ -41,8 +41,8 @@
 from .traffic_counters import TrafficCounter
 
 MAX_PENDING_CHANGES = 4096
-RANDOM_DRAWS_PER_MEMBER = 6  # to find a live member by chance
-UNRELIABLE_HEALTH_SCORE = 2  # from which on suspicions stand twice as long
+RANDOM_DRAWS_PER_MEMBER = 6  # Draws of a random member until a live one is found.
+UNRELIABLE_HEALTH_SCORE = 2  # From this score on suspicions last twice as long.
 
 Address = tuple[str, int]
 
@@ -52,12 +52,12 @@
     """A member came to have another status or incarnation.
 
     Attributes:
-        at_ns: when this member learned it.
-        member: its number.
-        before: its former status.
-        after: its status now.
-        incarnation: its incarnation now.
-        cause: for people.
+        at_ns: Monotonic time in nanoseconds at which this member learned of the change.
+        member: Number of the member.
+        before: Former status of the member.
+        after: Current status of the member.
+        incarnation: Current incarnation of the member.
+        cause: Reason, for operators.
     """
 
     at_ns: int
@@ -73,9 +73,9 @@
     """Where a process stands in the fleet.
 
     Attributes:
-        addresses: of all members, by number.
-        number: its own one.
-        zone: the number of its zone; None where it has none.
+        addresses: Addresses of all members, by number.
+        number: Number of this member.
+        zone: Number of this member's zone; None if it has none.
     """
 
     addresses: Sequence[Address]
@@ -87,31 +87,31 @@
     """The fleet as one of its members knows it.
 
     Args:
-        local: this member's place in the fleet.
-        limits: the intervals of the fleet.
-        rng: chooses members.
-        now_ns: on a monotonic clock, as all later times.
+        local: Number, zone and address list of this member.
+        limits: Intervals of the protocol, which depend on the size of the fleet.
+        rng: Random generator that chooses members.
+        now_ns: Current monotonic time in nanoseconds.
 
     Attributes:
-        own_number: of this member.
-        zone: its own zone.
+        own_number: Number of this member.
+        zone: Zone of this member.
         own_status: ALIVE, then LEAVING, then LEFT.
-        incarnation: of this process; raised when others know a greater one.
-        addresses: of all members, by number.
-        fleet: the checksum of the addresses.
-        table: the state of each member.
-        gossip: members whose changed state is yet to be gossiped.
-        records: what members publish beside their states.
-        suspicions: members that may be gone.
-        health: how far this member trusts its own observations.
-        received_ns: when a datagram of each member was received last.
-        last_received_ns: when one of any member was.
-        wrong_claims: members that hold a lesser state of themselves than others do, and are to be notified.
-        changes: what the driver has not taken yet.
-        has_new_records: a record came that was new; the driver takes that back.
-        synchronized: digests were once found equal with another member's, with all members known.
-        counts: of the traffic, by `TrafficCounter` and `SENT_BY_KIND`.
-        next_tick_ns: when the driver was asked to call.
+        incarnation: Incarnation of this process; it is raised when others know a greater one.
+        addresses: Addresses of all members, by number.
+        fleet: Checksum of the addresses.
+        table: State of each member.
+        gossip: Members whose changed state is still to be gossiped.
+        records: Records that members publish beside their states.
+        suspicions: Members that are suspected to be dead.
+        health: Confidence of this member in its own observations.
+        received_ns: Monotonic time in nanoseconds of the latest datagram of each member.
+        last_received_ns: Monotonic time in nanoseconds of the latest datagram of any member.
+        wrong_claims: Members that must be notified: they claim a lower state of themselves than others know.
+        changes: Changes that the driver has not taken yet.
+        has_new_records: Whether a new record was received; the driver resets it.
+        synchronized: Whether digests were once equal to another member's, with all members known.
+        counts: Traffic counters, by `TrafficCounter` and `SENT_BY_KIND`.
+        next_tick_ns: Monotonic time in nanoseconds at which the driver must call `tick`.
     """
 
     def __init__(
@@ -238,10 +238,10 @@
         """Take a state of a member, if it overrides the known one.
 
         Args:
-            now_ns: the present time.
-            number: of the member.
-            encoded: its state.
-            cause: for people.
+            now_ns: Current monotonic time in nanoseconds.
+            number: Number of the member.
+            encoded: Encoded state of the member.
+            cause: Reason, for operators.
         """
         before = self.table.state(number)
         if not self.table.merge(number, encoded):
--- a/dykefold/fleet/options.py
+++ b/dykefold/fleet/options.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-CALLS_PER_S = 125.0  # polls that discovery is taken to answer until it shows: 8 ms of one core each
+DEFAULT_CALLS_PER_S = 125.0  # One poll takes discovery 8 ms of a core.
 
 
 @dataclass(frozen=True, slots=True)
@@ -13,9 +13,9 @@
     """`[failover]` of the operator's file: docs/operators/failover.md.
 
     Attributes:
-        on: whether the sidecar may work away from its zone.
-        regions: by name of a zone, its region; zones of the same region are preferred.
-        out: names of evacuated zones.
+        on: Whether the sidecar may work away from its zone.
+        regions: Region by name of a zone; zones of the same region are preferred.
+        out: Names of evacuated zones.
     """
 
     on: bool = False
@@ -28,15 +28,15 @@
     """`[fleet]` of the operator's file: docs/operators/view.md.
 
     Attributes:
-        view: whether the sidecar takes part in the membership, where the settings allow datagrams.
-        listen: where its membership can be asked for; None for nowhere.
-        calls: whether polls of discovery are spread over the fleet: docs/operators/coldstart.md.
-        calls_per_s: polls that discovery is taken to answer until it shows.
-        failover: what is asked of the failover, which stands on the membership.
+        view: Whether the sidecar takes part in the membership, if the settings allow datagrams.
+        listen: Address of the membership's admin API; None for no such API.
+        calls: Whether polls of discovery are spread over the fleet (docs/operators/coldstart.md).
+        calls_per_s: Assumed number of polls per second that discovery can answer, until its rate is observed.
+        failover: Options of the failover, which needs the membership.
     """
 
     view: bool = False
     listen: tuple[str, int] | None = None
     calls: bool = False
-    calls_per_s: float = CALLS_PER_S
+    calls_per_s: float = DEFAULT_CALLS_PER_S
     failover: FailoverOptions = field(default_factory=FailoverOptions)
--- a/dykefold/fleet/outbox.py
+++ b/dykefold/fleet/outbox.py
@@ -10,7 +10,7 @@
 from .rate_limits import EXTRA_TRANSMISSIONS, SEND_LIMIT_PER_S, TokenBucket
 from .traffic_counters import SENT_BY_KIND, TrafficCounter
 
-PROBE_RESERVE = 10.0  # datagrams of the send limit that gossip and comparisons leave to probes and answers
+PROBE_RESERVE_DATAGRAMS = 10.0  # Of the send limit; gossip and comparisons leave them to probes and answers.
 
 
 class OutgoingDatagram(NamedTuple):
@@ -24,11 +24,11 @@
     """Datagrams that the driver has not sent yet.
 
     Args:
-        membership: whose states and records are sent.
-        now_ns: the present time.
+        membership: Membership whose states and records are sent.
+        now_ns: Current monotonic time in nanoseconds.
 
     Attributes:
-        pending: in the order in which they are to be sent.
+        pending: Datagrams in the order in which they are to be sent.
     """
 
     def __init__(self, membership: Membership, now_ns: int) -> None:
@@ -47,11 +47,13 @@
 
     def send_gossip(self, now_ns: int, peer: int) -> bool:
         """Send a datagram of gossip alone; return whether the send limit allowed it."""
-        return self._allows(now_ns, PROBE_RESERVE) and self._put_with_gossip(now_ns, peer, Kind.GOSSIP, 0, 0)
+        return self._allows(now_ns, PROBE_RESERVE_DATAGRAMS) and self._put_with_gossip(
+            now_ns, peer, Kind.GOSSIP, 0, 0
+        )
 
     def send_prepared(self, now_ns: int, peer: int, datagram: Datagram) -> bool:
         """Send a datagram with content of its own; return whether the send limit allowed it."""
-        if not self._allows(now_ns, PROBE_RESERVE):
+        if not self._allows(now_ns, PROBE_RESERVE_DATAGRAMS):
             return False
         self._put(peer, datagram)
         return True
--- a/dykefold/fleet/peer_observations.py
+++ b/dykefold/fleet/peer_observations.py
@@ -17,11 +17,11 @@
 from .statistics import lower_median
 from .subsetting import EndpointRanking, PlacedMember, subset_fraction
 
-HINT_QUORUM = 3  # other members that must have found the same: two may share a fault, such as a partition ...
-MIN_HINT_QUORUM = 2  # ... in a fleet so small that three would be most of it
-LATENCY_QUORUM = 3  # other members: then the median is not beyond what two good ones report
-VERSION_MODULUS = 1 << 32  # of the versions of endpoint lists in records
-NO_SUBJECT = 0  # of records about the fleet's one discovery service
+HINT_QUORUM = 3  # Other members that must report the same: two may share a fault, such as a partition.
+MIN_HINT_QUORUM = 2  # In a fleet so small that three would be most of it.
+LATENCY_QUORUM = 3  # Other members. Then the median lies between two correct reports.
+VERSION_MODULUS = 1 << 32  # Of the versions of endpoint lists in records.
+NO_SUBJECT = 0  # Of records about the fleet's one discovery service.
 NS_PER_MS = 1_000_000
 NS_PER_US = 1_000
 
@@ -30,8 +30,8 @@
     """What other live members report of their polls of discovery.
 
     Attributes:
-        spreads_ns: over which time each would spread the fleet's polls.
-        last_answered_ns: when one of them last reported an answer; None if none did.
+        spreads_ns: Nanoseconds over which each member would spread the fleet's polls.
+        last_answered_ns: Monotonic time in nanoseconds of the latest reported answer; None if there is none.
     """
 
     spreads_ns: list[int]
@@ -62,7 +62,7 @@
     """Return how many other members must report the same for a hint: one bad sidecar must not suffice.
 
     Args:
-        live: how many members are live.
+        live: Number of live members.
     """
     return min(HINT_QUORUM, max(MIN_HINT_QUORUM, live // 2))
 
@@ -133,9 +133,9 @@
     """Have the typical latencies of request classes ready for members that start.
 
     Args:
-        membership: publishes them.
-        now_ns: the present time.
-        latencies: nanoseconds, by name of the class.
+        membership: Membership that publishes the records.
+        now_ns: Current monotonic time in nanoseconds.
+        latencies: Typical latencies in nanoseconds, by name of the class.
     """
     for name, latency_ns in latencies.items():
         subject = name_checksum(name)
@@ -152,11 +152,11 @@
     """Return what the balancer is to know of the fleet now.
 
     Args:
-        membership: of this member.
-        now_ns: the present time.
-        endpoints: the balancer's number of each, by name.
-        classes: the balancer's number of each request class, by name.
-        ranking: of this member, kept from one call to the next.
+        membership: Membership as this member knows it.
+        now_ns: Current monotonic time in nanoseconds.
+        endpoints: The balancer's numbers of endpoints, by name.
+        classes: The balancer's numbers of request classes, by name.
+        ranking: Ranking of this member, kept from one call to the next.
     """
     live = membership.live_members(now_ns)
     if live == [membership.own_number]:
--- a/dykefold/fleet/poll_schedule.py
+++ b/dykefold/fleet/poll_schedule.py
@@ -19,19 +19,19 @@
 from .hashing import hash_pair
 from .rate_limits import SECOND
 
-MAX_SPREAD_FRACTION = 0.4  # of the time within which a poll is due: one that fails leaves time for another
-MAX_MOVED_SPREAD_NS = 2 * SECOND  # after a new configuration, whose list counts 4 s after it
+MAX_SPREAD_FRACTION = 0.4  # Of the maximum poll interval, so that a failed poll leaves time for another.
+MAX_MOVED_SPREAD_NS = 2 * SECOND  # After a new configuration, whose list is binding 4 s later (STANDING).
 MAX_FAILED_SPREAD_NS = (
     2 * SECOND
 )  # after a failure: a change counts as notified 6 s later, a poll takes 3.5 s
-WATCH_PAUSE_NS = 150_000_000  # a watch goes on if the next poll comes within 200 ms of an answer (PROTOCOL)
-BACKOFF_FACTOR = 2.0  # of the spread after a failure, if the fleet had an answer since the last one
+WATCH_PAUSE_NS = 150_000_000  # A watch continues if the next poll follows an answer within 200 ms (PROTOCOL).
+BACKOFF_FACTOR = 2.0  # Of the spread after a failure, if the fleet had an answer since the last one.
 MAX_BACKOFF = 64.0
-BACKOFF_HALF_LIFE_NS = 5 * SECOND  # without a failure
-QUEUED_NS = 100_000_000  # the first answer of a watch takes so long where many wait ahead of it ...
-MAX_QUEUED_NS = 2 * SECOND  # ... or longer where there was no change yet
-SILENT_NS = 2 * SECOND  # a poll is silent if others have a newer list for so long; the rules allow 6 s
-WRONG_SPREADS = 2  # members whose reports may be wrong without effect
+BACKOFF_HALF_LIFE_NS = 5 * SECOND  # Without a failure.
+QUEUED_ANSWER_NS = 100_000_000  # A first answer of a watch that takes longer was queued at discovery.
+MAX_QUEUED_ANSWER_NS = 2 * SECOND  # Beyond this discovery rather waited for a change.
+SILENT_POLL_NS = 2 * SECOND  # A poll is silent if others have had a newer list for this time (rules: 6 s).
+MAX_WRONG_REPORTS = 2  # Number of members whose wrong reports have no effect.
 
 
 @dataclass(slots=True)
@@ -39,10 +39,10 @@
     """What a schedule is made for.
 
     Attributes:
-        max_poll_interval_ns: the time within which a poll is due by the rules.
-        calls_per_s: polls that discovery is taken to answer until it shows.
-        position: of this sidecar among those that poll, from 0.
-        fleet_size: how many poll.
+        max_poll_interval_ns: Nanoseconds within which the rules require a poll.
+        calls_per_s: Assumed number of polls per second that discovery can answer, until its rate is observed.
+        position: Position of this sidecar among those that poll, from 0.
+        fleet_size: Number of sidecars that poll.
     """
 
     max_poll_interval_ns: int
@@ -55,12 +55,12 @@
     """The times of one sidecar's polls.
 
     Args:
-        rng: places the poll in its slot.
-        now_ns: on a monotonic clock, as all later times.
+        rng: Random generator of the position within a slot.
+        now_ns: Current monotonic time in nanoseconds.
 
     Attributes:
-        settings: changed by the driver as the fleet changes.
-        failed_ns: when the latest poll failed; None while polls are answered.
+        settings: Settings, which the driver changes as the fleet changes.
+        failed_ns: Monotonic time in nanoseconds of the latest failed poll; None while polls are answered.
     """
 
     def __init__(self, settings: PollSettings, rng: random.Random, now_ns: int) -> None:
@@ -85,30 +85,32 @@
 
     def set_peer_spreads(self, spreads_ns: Sequence[int]) -> None:
         """Take spreads that others go by, nanoseconds: the third longest counts, as two may be wrong."""
-        enough = len(spreads_ns) > WRONG_SPREADS
-        self._peer_spread_ns = sorted(spreads_ns, reverse=True)[WRONG_SPREADS] if enough else 0
+        enough = len(spreads_ns) > MAX_WRONG_REPORTS
+        self._peer_spread_ns = sorted(spreads_ns, reverse=True)[MAX_WRONG_REPORTS] if enough else 0
 
     def on_poll(self, now_ns: int, opens_watch: bool) -> None:
         """Note that a poll begins.
 
         Args:
-            now_ns: the present time.
-            opens_watch: it does not only continue a watch.
+            now_ns: Current monotonic time in nanoseconds.
+            opens_watch: Whether the poll opens a watch; otherwise it continues one.
         """
         self._polled_ns, self._opens_watch = now_ns, opens_watch
 
     def on_answer(self, now_ns: int) -> bool:
         """Note an answered poll; return whether others should know: they may poll, or had better wait."""
-        is_news, self.failed_ns = self.failed_ns is not None, None
+        is_newer, self.failed_ns = self.failed_ns is not None, None
         self._answered_since_failure, self._moved = True, False
         if self._opens_watch and self._was_queued(now_ns):
             self._increase_backoff(now_ns)
-            is_news = True
+            is_newer = True
         self._opens_watch = False
-        return is_news
+        return is_newer
 
     def _was_queued(self, now_ns: int) -> bool:
-        return self._polled_ns is not None and QUEUED_NS < now_ns - self._polled_ns < MAX_QUEUED_NS
+        return (
+            self._polled_ns is not None and QUEUED_ANSWER_NS < now_ns - self._polled_ns < MAX_QUEUED_ANSWER_NS
+        )
 
     def on_failure(self, now_ns: int) -> bool:
         """Note a failed poll; return whether the spread is longer for it."""
@@ -163,8 +165,8 @@
         """Return when a watch may be opened, not before now.
 
         Args:
-            now_ns: the present time.
-            version: of the own endpoint list, or 0.
+            now_ns: Current monotonic time in nanoseconds.
+            version: Version of this sidecar's endpoint list; 0 without one.
         """
         # Members that were rejected together draw anew, or the same ones would meet again.
         place = self.rng.random() if self.failed_ns is not None else self._slot(version)
@@ -200,13 +202,13 @@
         report and that the service does not have is no reason twice.
 
         Args:
-            now_ns: the present time.
-            version: of the own endpoint list.
-            newest: version that others report.
+            now_ns: Current monotonic time in nanoseconds.
+            version: Version of this sidecar's endpoint list.
+            newest: Newest version that others report.
 
         Returns:
             None where there is no reason to.
         """
         if newest <= max(version, self._refuted_version) or self.failed_ns is not None:
             return None
-        return now_ns + SILENT_NS + int(self.spread_ns(now_ns) * self._slot(newest))
+        return now_ns + SILENT_POLL_NS + int(self.spread_ns(now_ns) * self._slot(newest))
--- a/dykefold/fleet/probing.py
+++ b/dykefold/fleet/probing.py
@@ -3,13 +3,20 @@
 from __future__ import annotations
 
 from .datagrams import Datagram, Kind
-from .failure_detector import MAX_PROBES, MAX_RELAYED_PROBES, NONCES, Probe, ProbeOrder, RelayedProbe
+from .failure_detector import (
+    MAX_OPEN_PROBES,
+    MAX_OPEN_RELAYED_PROBES,
+    NONCE_COUNT,
+    Probe,
+    ProbeOrder,
+    RelayedProbe,
+)
 from .member_state import State
 from .membership import Membership
 from .outbox import Outbox
 from .rate_limits import (
-    HELPER_RETRY_INTERVAL,
-    HELPERS,
+    RETRIES_PER_HELPER_CHANGE,
+    HELPERS_PER_RETRY,
     PROBE_RETRY_PERIODS,
     PROBE_TIMEOUT_PERIODS,
     RELAY_TIMEOUT_PERIODS,
@@ -20,20 +27,20 @@
     """Finds members that do not answer.
 
     Args:
-        membership: whose members are probed.
-        outbox: takes the datagrams.
-        now_ns: the present time.
+        membership: Membership whose members are probed.
+        outbox: Queue of datagrams to send.
+        now_ns: Current monotonic time in nanoseconds.
 
     Attributes:
-        probes: the open probes, by nonce.
-        relayed: the open probes on behalf of others, by nonce.
-        next_round_ns: when the next member is probed.
+        probes: Open probes, by nonce.
+        relayed: Open probes on behalf of others, by nonce.
+        next_round_ns: Monotonic time in nanoseconds at which the next member is probed.
     """
 
     def __init__(self, membership: Membership, outbox: Outbox, now_ns: int) -> None:
         """Begin with a first round at some time in the first period."""
         self.membership, self.outbox, self.limits = membership, outbox, membership.limits
-        self._nonce = membership.rng.randrange(NONCES)
+        self._nonce = membership.rng.randrange(NONCE_COUNT)
         self.next_round_ns = now_ns + membership.rng.randrange(self.limits.period_ns)
         self.probes: dict[int, Probe] = {}
         self.relayed: dict[int, RelayedProbe] = {}
@@ -78,11 +85,11 @@
         return self.limits.ns(PROBE_RETRY_PERIODS * self.membership.health.timeout_factor)
 
     def _next_nonce(self) -> int:
-        self._nonce = (self._nonce + 1) % NONCES
+        self._nonce = (self._nonce + 1) % NONCE_COUNT
         return self._nonce
 
     def _probe(self, now_ns: int, target: int) -> None:
-        if len(self.probes) >= MAX_PROBES:
+        if len(self.probes) >= MAX_OPEN_PROBES:
             return
         nonce = self._next_nonce()
         retry_ns, timeout_ns = now_ns + self._retry_ns(), now_ns + self._timeout_ns()
@@ -93,9 +100,9 @@
         probe.retry_ns += self._retry_ns()
         self.outbox.send(now_ns, probe.target, Kind.PING, nonce)
         probe.retries += 1
-        if probe.retries % HELPER_RETRY_INTERVAL != 1:
+        if probe.retries % RETRIES_PER_HELPER_CHANGE != 1:
             return
-        helpers = self.membership.random_live_members(HELPERS, (probe.target, *probe.helpers))
+        helpers = self.membership.random_live_members(HELPERS_PER_RETRY, (probe.target, *probe.helpers))
         probe.helpers += helpers
         for helper in helpers:
             self.outbox.send(now_ns, helper, Kind.PROBE_REQUEST, nonce, probe.target)
@@ -158,7 +165,7 @@
         target = datagram.subject
         if target >= len(self.membership.addresses) or target == self.membership.own_number:
             return
-        if len(self.relayed) >= MAX_RELAYED_PROBES:
+        if len(self.relayed) >= MAX_OPEN_RELAYED_PROBES:
             return
         nonce = self._next_nonce()
         timeout_ns = now_ns + self.limits.ns(RELAY_TIMEOUT_PERIODS)
--- a/dykefold/fleet/protocol.py
+++ b/dykefold/fleet/protocol.py
@@ -22,9 +22,9 @@
 from .record_transfer import RecordTransfer
 from .traffic_counters import TrafficCounter
 
-MAX_LEAVE_NOTICES = 6  # members that are notified of this member's end at once
-MIN_TICKS_PER_GOSSIP_ROUND = 4  # no two ticks are closer than a part of a round
-ANY_FLEET = frozenset((Kind.PING, Kind.ACK, Kind.NACK))  # answered whatever the sender's address list
+MAX_LEAVE_NOTICES = 6  # Members that are notified at once when this member leaves.
+MIN_TICKS_PER_GOSSIP_ROUND = 4  # A tick comes no sooner than one round divided by this after the last.
+ANY_FLEET = frozenset((Kind.PING, Kind.ACK, Kind.NACK))  # Accepted whatever the sender's address list.
 
 Handler = Callable[[int, int, Datagram], None]  # takes the present time, the sender and the datagram
 
@@ -36,19 +36,20 @@
     `take_datagrams` returns.
 
     Args:
-        local: this member's place in the fleet.
-        incarnation: of this process, milliseconds since 1970; raised when others know a greater one.
-        limits: the intervals of the fleet.
-        rng: all choices are made with it.
-        now_ns: on a monotonic clock, as all later times.
+        local: Number, zone and address list of this member.
+        incarnation: Incarnation of this process in milliseconds since 1970; raised when others know a greater
+            one.
+        limits: Intervals of the protocol, which depend on the size of the fleet.
+        rng: Random generator of all choices.
+        now_ns: Current monotonic time in nanoseconds.
 
     Attributes:
-        membership: what this member knows.
-        outbox: datagrams to be sent.
-        prober: finds members that do not answer.
-        anti_entropy: compares states with other members.
-        gossiper: spreads changes.
-        record_transfer: gets the records of others after the start.
+        membership: Members as this member knows them.
+        outbox: Datagrams to be sent.
+        prober: Detects members that do not answer.
+        anti_entropy: Compares states with other members.
+        gossiper: Sends changes to other members.
+        record_transfer: Requests the records of others after the start.
     """
 
     def __init__(
--- a/dykefold/fleet/rate_limits.py
+++ b/dykefold/fleet/rate_limits.py
@@ -10,46 +10,46 @@
 
 SECOND = 1_000_000_000
 
-PERIOD_NS = SECOND // 2  # each member probes another one once in this time
-DEFAULT_DATAGRAM_PRICE = 0.02  # a higher price in the settings stretches the period in proportion
+PERIOD_NS = SECOND // 2  # Each member probes one other member per period.
+DEFAULT_DATAGRAM_PRICE = 0.02  # A higher price in the settings lengthens the period in proportion.
 MAX_PERIOD_FACTOR = 4.0
 
 # Probes.
-PROBE_RETRY_PERIODS = 0.3  # without an answer, until the probe is repeated, also through helpers
-PROBE_TIMEOUT_PERIODS = 1.6  # until the probe has failed, for a member that has full confidence in itself
-HELPERS = 3
-HELPER_RETRY_INTERVAL = 2  # other helpers are asked with every so many repeats of a probe
-RELAY_TIMEOUT_PERIODS = 0.4  # in which a helper waits for the subject's answer
+PROBE_RETRY_PERIODS = 0.3  # Without an answer; then the probe is sent again, also through helpers.
+PROBE_TIMEOUT_PERIODS = 1.6  # For a member with full confidence in its own observations.
+HELPERS_PER_RETRY = 3
+RETRIES_PER_HELPER_CHANGE = 2  # Other helpers are requested after this number of retries.
+RELAY_TIMEOUT_PERIODS = 0.4  # For which a helper waits for the answer of the probed member.
 
-# Suspicions. A member that stops for some periods has the time to refute one.
+# Suspicions. A member that was paused for some periods has time to refute one.
 SUSPICION_PERIODS = 5.0
-SUSPICION_PERIODS_PER_DOUBLING = 0.5  # of the fleet, for the suspicion and its refutation to spread
-FOREIGN_SUSPICION_FACTOR = 1.5  # for a suspicion of others, whose refutation may not have come through yet
+SUSPICION_PERIODS_PER_DOUBLING = 0.5  # Of the fleet's size: suspicion and refutation take longer to spread.
+FOREIGN_SUSPICION_FACTOR = 1.5  # For a suspicion of another member, whose refutation may be on its way.
 
 # Gossip.
-GOSSIP_PERIODS = 0.2  # between two rounds, while there is anything to send
-GOSSIP_FANOUT = 2  # members in a round
-EXTRA_TRANSMISSIONS = 1  # of each change beyond log2 of the fleet; anti-entropy finds whom they missed
+GOSSIP_PERIODS = 0.2  # Between two rounds, while there is anything to send.
+GOSSIP_FANOUT = 2  # Members that receive gossip in a round.
+EXTRA_TRANSMISSIONS = 1  # Of each change, beyond log2 of the fleet's size.
 
 # Anti-entropy.
-COMPARISON_PERIODS = 2.0  # between two comparisons of digests with another member
-NOT_LIVE_COMPARISON_INTERVAL = 3  # one in so many is with a member that is not counted as live
-JOINING_COMPARISON_PERIODS = 0.5  # between two comparisons of a member that joins ...
-MAX_JOINING_PERIODS = 12.0  # ... until one has found both equal, or so many periods have passed
+COMPARISON_PERIODS = 2.0  # Between two comparisons of digests.
+COMPARISONS_PER_NOT_LIVE = 3  # One comparison of this number is with a member that is not live.
+JOINING_COMPARISON_PERIODS = 0.5  # Between two comparisons by a joining member.
+MAX_JOINING_PERIODS = 12.0  # Joining also ends when a comparison finds equal digests.
 
 # A member that receives nothing.
-ISOLATED_PERIODS = 3.0  # without any datagram: nothing is concluded about others any more
-ISOLATED_ALONE_PERIODS = 20.0  # ... and from then on nobody else counts as live
-MAX_DELAY_PERIODS = 0.5  # by which the process may run late before it doubts its own observations
+ISOLATED_PERIODS = 3.0  # Without any datagram; then nothing is concluded about other members.
+ISOLATED_ALONE_PERIODS = 20.0  # Without any datagram; then no other member counts as live.
+MAX_DELAY_PERIODS = 0.5  # A process that runs later than this loses confidence in its observations.
 
-LEAVING_NS = 10 * SECOND  # no graceful shutdown lasts longer
-RESTART_NS = 30 * SECOND  # in which a member that went may be started again
-REFUTATION_PERIODS = 0.5  # between two incarnations of one process
-LEGACY_LIVE_NS = 10 * SECOND  # for which a process without membership counts as live after a message
+LEAVING_NS = 10 * SECOND  # Longer than any graceful shutdown.
+RESTART_NS = 30 * SECOND  # A member that has left may be started again within this time.
+REFUTATION_PERIODS = 0.5  # Between two incarnations of one process.
+LEGACY_LIVE_NS = 10 * SECOND  # After a message, a process without membership counts as live.
 
-SEND_LIMIT_PER_S = 60.0  # datagrams, answers included; the burst is twice that
-RECEIVE_LIMIT_PER_S = 600.0  # decoded, 75 microseconds each: 5 % of a core; the burst is the same
-RECEIVE_LIMIT_PER_MEMBER_PER_S = 15.0  # far below what a member may send; the burst is twice that
+SEND_LIMIT_PER_S = 60.0  # Datagrams, answers included; the burst is twice that.
+RECEIVE_LIMIT_PER_S = 600.0  # Decoded datagrams; the burst is the same. Decoding then takes 5 % of a core.
+RECEIVE_LIMIT_PER_MEMBER_PER_S = 15.0  # The burst is twice that.
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,7 +57,7 @@
     """The intervals of one fleet.
 
     Attributes:
-        period_ns: time between two probes of a member.
+        period_ns: Nanoseconds between two probes by a member.
     """
 
     period_ns: int = PERIOD_NS
@@ -76,8 +76,8 @@
         """Return how long a suspicion stands before the member counts as gone, nanoseconds.
 
         Args:
-            members: size of the fleet.
-            own: whether this member has found it itself.
+            members: Number of members of the fleet.
+            own: Whether this member raised the suspicion itself.
         """
         periods = SUSPICION_PERIODS + SUSPICION_PERIODS_PER_DOUBLING * math.log2(members + 1)
         return self.ns(periods if own else FOREIGN_SUSPICION_FACTOR * periods)
@@ -91,7 +91,7 @@
         """
         rounds = math.log2(members + 1)
         detection = PROBE_TIMEOUT_PERIODS * 6.0
-        reunion = 2.0 * NOT_LIVE_COMPARISON_INTERVAL * COMPARISON_PERIODS
+        reunion = 2.0 * COMPARISONS_PER_NOT_LIVE * COMPARISON_PERIODS
         found = detection + reunion + COMPARISON_PERIODS * rounds
         return self.ns(found) + self.suspicion_ns(members, own=False)
 
@@ -100,9 +100,9 @@
     """A rate limit with a burst.
 
     Args:
-        rate: tokens per second.
-        burst: the most tokens that it holds.
-        now_ns: on a monotonic clock.
+        rate: Tokens per second.
+        burst: Maximum number of tokens.
+        now_ns: Current monotonic time in nanoseconds.
     """
 
     __slots__ = ("burst", "rate", "tokens", "updated_ns")
--- a/dykefold/fleet/record_store.py
+++ b/dykefold/fleet/record_store.py
@@ -18,7 +18,7 @@
 from .gossip_queue import GossipQueue
 from .rate_limits import SECOND
 
-MAX_RECORDS = 8192  # some MB
+MAX_RECORDS = 8192  # These take some MB.
 MAX_SEQUENCE = (1 << 32) - 1
 MAX_VALUE = (1 << 32) - 1
 
@@ -37,15 +37,15 @@
 
 @dataclass(frozen=True, slots=True)
 class TopicLimits:
-    """What the records of a topic may take up.
+    """Limits on the records of one topic.
 
     Attributes:
-        lifetime_ns: how long a record counts.
-        max_subjects: records of one origin.
-        max_origins: records on one subject that are gossiped; those of more origins are only kept. With 0
-            nothing is gossiped, and records are only sent on request.
-        transmissions: of each record by each member. Three reach most of a fleet; what is one record, and not
-            one for each endpoint, may be sent until it has reached all.
+        lifetime_ns: Nanoseconds for which a record is valid.
+        max_subjects: Maximum number of records of one origin.
+        max_origins: Maximum number of records on one subject that are gossiped; those of further origins are
+            only stored. With 0 nothing is gossiped, and records are only sent on request.
+        transmissions: Number of times that each member sends a record. Three reach most members of a fleet; a
+            topic with one record in all can afford enough to reach every member.
     """
 
     lifetime_ns: int
@@ -97,11 +97,11 @@
     """The records that a member has received or published.
 
     Attributes:
-        own_number: of the member.
-        records: by key.
-        subjects: of the records that are kept, by topic and origin.
-        origins: of the records that are kept, by topic and subject.
-        gossip: records that are yet to be sent.
+        own_number: Number of the member.
+        records: Records by key.
+        subjects: Subjects of the stored records, by topic and origin.
+        origins: Origins of the stored records, by topic and subject.
+        gossip: Records that are still to be sent.
     """
 
     def __init__(self, own_number: int) -> None:
@@ -120,10 +120,10 @@
         """Make or renew a record of one's own.
 
         Args:
-            now_ns: on a monotonic clock.
-            incarnation: of the member.
-            key: its origin is the member.
-            value: what is above or below 32 bits is held to these.
+            now_ns: Current monotonic time in nanoseconds.
+            incarnation: Incarnation of the member.
+            key: Key of the record; its origin is the member.
+            value: Value of the record, limited to 32 bits.
         """
         self._sequence = min(self._sequence + 1, MAX_SEQUENCE)
         value = min(max(value, 0), MAX_VALUE)
--- a/dykefold/fleet/record_transfer.py
+++ b/dykefold/fleet/record_transfer.py
@@ -9,7 +9,7 @@
 from .rate_limits import MAX_JOINING_PERIODS
 
 WANTED_REPLIES = 3
-MAX_REQUESTS = 8  # other members that have just started know nothing, and do not reply
+MAX_REQUESTS = 8  # More than replies: members that have just started do not reply.
 MAX_REPLY_DATAGRAMS = 2
 
 
@@ -17,12 +17,12 @@
     """Requests records after a start, and replies to such requests.
 
     Args:
-        membership: whose records are exchanged.
-        outbox: takes the datagrams.
+        membership: Membership whose records are exchanged.
+        outbox: Queue of datagrams to send.
 
     Attributes:
-        asked: members that were sent a request.
-        replies: how many replies came.
+        requested: Members that were sent a request.
+        replies: Number of replies received.
     """
 
     def __init__(self, membership: Membership, outbox: Outbox) -> None:
@@ -31,17 +31,17 @@
 
     def reset(self) -> None:
         """Begin anew with a changed fleet."""
-        self.asked: set[int] = set()
+        self.requested: set[int] = set()
         self.replies = 0
 
     def request_from(self, now_ns: int, sender: int) -> None:
         """Request the records of a member that is there, if this one has just started and needs more."""
-        if self.replies >= WANTED_REPLIES or len(self.asked) >= MAX_REQUESTS or sender in self.asked:
+        if self.replies >= WANTED_REPLIES or len(self.requested) >= MAX_REQUESTS or sender in self.requested:
             return
         membership = self.membership
         just_started = now_ns - membership.joined_ns < membership.limits.ns(MAX_JOINING_PERIODS)
         if just_started and membership.table.state(sender) in LIVE:
-            self.asked.add(sender)
+            self.requested.add(sender)
             self.outbox.send(now_ns, sender, Kind.RECORDS_REQUEST)
 
     def on_request(self, now_ns: int, sender: int, _datagram: Datagram) -> None:
--- a/dykefold/fleet/subsetting.py
+++ b/dykefold/fleet/subsetting.py
@@ -11,8 +11,8 @@
 
 from .hashing import hash_pair
 
-MEMBERS_PER_ENDPOINT = 5  # of other zones, about (as `FAR_KNOWN` of the balancer)
-MAX_RANKED_PAIRS = 60_000  # of member and endpoint, some 50 ms; beyond it nobody is ranked
+MEMBERS_PER_ENDPOINT = 5  # Approximate number of members of other zones that know an endpoint.
+MAX_RANKED_PAIRS = 60_000  # Pairs of member and endpoint; ranking takes 50 ms. Beyond it none is ranked.
 
 
 class PlacedMember(NamedTuple):
@@ -26,7 +26,7 @@
     """Return the fraction of a zone's members that use an endpoint of another zone; 1 at most.
 
     Args:
-        members: all that carry traffic.
+        members: Members that carry traffic.
     """
     zones = len({member.zone for member in members}) or 1
     members_elsewhere = len(members) * (zones - 1) / zones  # of an endpoint's zone, on average
@@ -40,7 +40,7 @@
     draw by themselves are on average: endpoints that are not ranked yet are neither first nor last.
 
     Args:
-        own_number: of this member.
+        own_number: Number of this member.
     """
 
     def __init__(self, own_number: int) -> None:
@@ -54,9 +54,9 @@
         """Return the ranks now, computing only those that may have changed.
 
         Args:
-            endpoints: a number for each that is the same at all members.
-            zone: this member's.
-            members: all that carry traffic.
+            endpoints: A number of each endpoint that is the same at all members.
+            zone: Zone of this member.
+            members: Members that carry traffic.
 
         Returns:
             By endpoint, from 0 to below 1. Empty where there is too much to rank, and each member goes by
--- a/dykefold/lab/fleet/scenario.py
+++ b/dykefold/lab/fleet/scenario.py
@@ -8,7 +8,7 @@
 import msgspec
 from msgspec import Meta
 
-from ...fleet.options import CALLS_PER_S
+from ...fleet.options import DEFAULT_CALLS_PER_S
 from ...routing.config import struct_problems
 from ...service_config import ServiceError, read_toml
 from ..scenario import Above, ClassTable, NotBelow, Positive, ServiceTable, Share
@@ -44,7 +44,7 @@
     sockets: Positive = 384
     view: bool = False  # whether members keep a view of the fleet (docs/operators/view.md)
     calls: bool = False  # whether they spread their calls of the list service (docs/operators/coldstart.md)
-    calls_per_s: Above = CALLS_PER_S  # that they take it to work through
+    calls_per_s: Above = DEFAULT_CALLS_PER_S  # that they take it to work through
     failover: bool = False  # whether they may work away from their zone (docs/operators/failover.md)
     fall_multiple: Above = FALL_MULTIPLE  # times what a cold server can do ...
     fall_s: Above = FALL_S  # ... for so long, push it over
--- a/dykefold/service_config.py
+++ b/dykefold/service_config.py
@@ -15,7 +15,7 @@
 from msgspec import Meta
 
 from .admission.addresses import AddressLimits
-from .fleet.options import CALLS_PER_S, FailoverOptions, FleetOptions
+from .fleet.options import DEFAULT_CALLS_PER_S, FailoverOptions, FleetOptions
 from .net.discovery.codec import split_address
 from .routing.config import read_plan, struct_problems
 from .routing.plan import Plan
@@ -79,7 +79,7 @@
     view: bool = False
     listen: str | None = None
     calls: bool = False
-    calls_per_s: Annotated[float, Meta(gt=0)] = CALLS_PER_S
+    calls_per_s: Annotated[float, Meta(gt=0)] = DEFAULT_CALLS_PER_S
 
 
 class FailoverTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
--- a/dykefold/sim/process.py
+++ b/dykefold/sim/process.py
@@ -14,7 +14,7 @@
 from ..fleet.agent import FleetAgent, start_protocol
 from ..fleet.endpoint_list_sync import EndpointListSync
 from ..fleet.membership import LocalMember
-from ..fleet.options import CALLS_PER_S, FailoverOptions
+from ..fleet.options import DEFAULT_CALLS_PER_S, FailoverOptions
 from ..fleet.poll_schedule import PollSettings
 from ..net.discovery.codec import NameTable, parse_endpoint_update
 from ..net.memory_budget import MB
@@ -213,7 +213,9 @@
     def _coordinate_polls(self, server: SidecarServer, settings: Settings) -> None:
         if server.pool.discovery is None:
             return
-        polls = PollSettings(settings.max_poll_interval_ns, CALLS_PER_S, self.number, settings.fleet_size)
+        polls = PollSettings(
+            settings.max_poll_interval_ns, DEFAULT_CALLS_PER_S, self.number, settings.fleet_size
+        )
         lists = EndpointListSync(server.pool.discovery, polls, self.seed, self.system)
         if self.fleet is not None:
             self.fleet.coordinate_polls(lists)
--- a/tests/fleet/test_datagrams.py
+++ b/tests/fleet/test_datagrams.py
@@ -8,7 +8,7 @@
 
 from dykefold.fleet import datagrams
 from dykefold.fleet.datagrams import (
-    MAX_BYTES,
+    MAX_DATAGRAM_BYTES,
     MAX_DIGESTS,
     MAX_ENTRIES,
     Datagram,
@@ -51,7 +51,7 @@
     drawn = data.draw(st.lists(records, max_size=datagrams.record_capacity(len(entries))))
     datagram = Datagram(kind, 99, data.draw(states), 7, 8, entries, records=drawn)
     written = datagrams.encode(datagram)
-    assert len(written) <= MAX_BYTES
+    assert len(written) <= MAX_DATAGRAM_BYTES
     assert len(written) % 4  # a process without a view takes only multiples of four for its own
     assert datagrams.decode(written) == datagram
 
@@ -66,7 +66,7 @@
         digests=digests,
     )
     written = datagrams.encode(datagram)
-    assert len(written) <= MAX_BYTES
+    assert len(written) <= MAX_DATAGRAM_BYTES
     assert len(written) % 4
     assert datagrams.decode(written) == datagram
 
--- a/tests/fleet/test_poll_schedule.py
+++ b/tests/fleet/test_poll_schedule.py
@@ -16,7 +16,7 @@
     MAX_FAILED_SPREAD_NS,
     MAX_MOVED_SPREAD_NS,
     MAX_SPREAD_FRACTION,
-    SILENT_NS,
+    SILENT_POLL_NS,
     WATCH_PAUSE_NS,
     CoordinatedPollSchedule,
     PollSettings,
@@ -129,7 +129,7 @@
     assert one.reopen_watch_ns(0, 7, 7) is None
     due = one.reopen_watch_ns(0, 7, 8)
     assert due is not None
-    assert SILENT_NS <= due <= SILENT_NS + one.spread_ns(0)
+    assert SILENT_POLL_NS <= due <= SILENT_POLL_NS + one.spread_ns(0)
     one.refute_version(8)
     assert one.reopen_watch_ns(due, 7, 8) is None  # the service did not have it
     assert one.reopen_watch_ns(due, 7, 9) is not None
