--- a/dykefold/fleet/anti_entropy.py
+++ b/dykefold/fleet/anti_entropy.py
@@ -16,7 +16,7 @@
 from .member_state import LIVE, State
 from .membership import Membership
 from .outbox import Outbox
-from .rate_limits import COMPARISON_PERIODS, JOINING_COMPARISON_PERIODS, COMPARISONS_PER_NOT_LIVE
+from .rate_limits import COMPARISON_PERIODS, COMPARISONS_PER_NOT_LIVE, JOINING_COMPARISON_PERIODS
 from .traffic_counters import TrafficCounter
 
 MAX_ANSWER_DATAGRAMS = 4  # To one comparison.
--- a/dykefold/fleet/probing.py
+++ b/dykefold/fleet/probing.py
@@ -15,11 +15,11 @@
 from .membership import Membership
 from .outbox import Outbox
 from .rate_limits import (
-    RETRIES_PER_HELPER_CHANGE,
     HELPERS_PER_RETRY,
     PROBE_RETRY_PERIODS,
     PROBE_TIMEOUT_PERIODS,
     RELAY_TIMEOUT_PERIODS,
+    RETRIES_PER_HELPER_CHANGE,
 )
 
 
