--- a/dykefold/fleet/admin.py
+++ b/dykefold/fleet/admin.py
@@ -1,4 +1,4 @@
-"""Answers operators who ask for the membership."""
+"""Answers operators' requests for the membership."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 
 def full_report(agent: FleetAgent) -> dict[str, Any]:
-    """Return all that is known of the members."""
+    """Return everything that is known of the members."""
     membership, now_ns = agent.membership, agent.system.monotonic_ns()
     live = set(membership.live_members(now_ns))
     return {
@@ -83,7 +83,7 @@
 
 
 def _list_versions(agent: FleetAgent, now_ns: int) -> dict[str, int | None]:
-    """The version of the own endpoint list, and the newest that any member reports."""
+    """Return the version of this sidecar's endpoint list, and the newest that any member reports."""
     pool = agent.link.pool if agent.link is not None else None
     if pool is None or pool.discovery is None:
         return {"own": None, "newest": None}
--- a/dykefold/fleet/agent.py
+++ b/dykefold/fleet/agent.py
@@ -26,7 +26,7 @@
 
 
 class Node(Protocol):
-    """The process that takes part.
+    """The process that takes part in the membership.
 
     Attributes:
         draining: Whether the graceful shutdown has begun.
@@ -38,7 +38,7 @@
 
 
 class FleetAgent:
-    """A process's part in the membership, from its first datagram to its end.
+    """Runs the membership of one process, from its first datagram to its end.
 
     Args:
         loop: Event loop of the timers.
@@ -77,19 +77,19 @@
         self._timer = loop.call_later(0.0, self._tick)
 
     def serve(self, pool: Pool) -> None:
-        """Keep a pool's balancer and the fleet informed of each other from now on."""
+        """Begin to exchange observations between a pool's balancer and the fleet."""
         self.link = BalancerLink(self.loop, self.membership, pool, self.membership.rng, self.system)
         self.link.polls = self.polls
 
     def coordinate_polls(self, polls: EndpointListSync) -> None:
-        """Have polls of discovery go by the membership from now on."""
+        """Begin to coordinate polls of discovery by the membership."""
         self.polls = polls
         polls.join(self.membership)
         if self.link is not None:
             self.link.polls = polls
 
     def on_datagram(self, sender: int, data: bytes) -> None:
-        """Take a datagram of the protocol, or pass a balancer's message on."""
+        """Handle a datagram of the protocol, or pass on a balancer's message."""
         now_ns = self.system.monotonic_ns()
         if is_membership_datagram(data):
             self.protocol.receive(now_ns, sender, data)
@@ -114,7 +114,7 @@
         self._timer = self.loop.call_later((due_ns - now_ns) / SECOND, self._tick)
 
     def _hand_over(self) -> None:
-        """Stop: two processes at one address would each receive half of the member's datagrams."""
+        """Stop. Two processes at one address would each receive only some of the member's datagrams."""
         log.info("membership is kept by a newer process from now on")
         self.closed = True
         if self.link is not None:
@@ -123,7 +123,7 @@
             self.peers.transport.close()
 
     def renumber(self, addresses: Sequence[Address], own_number: int) -> None:
-        """Follow a changed address list; one without this member changes nothing."""
+        """Apply a changed address list; a list without this member changes nothing."""
         if not 0 <= own_number < len(addresses):
             log.warning(
                 "membership keeps its addresses: member %d is not among %d peers", own_number, len(addresses)
@@ -171,7 +171,7 @@
 def start_protocol(
     local: LocalMember, datagram_price: float, seed: int, system: System = SYSTEM
 ) -> MembershipProtocol:
-    """Begin to take part in the membership, with an incarnation by the wall clock.
+    """Create the agent, with an incarnation from the wall clock.
 
     Args:
         local: Number, zone and address list of this member.
@@ -185,7 +185,7 @@
 
 
 def describe(change: MembershipChange) -> str:
-    """Return a line on a change for people."""
+    """Return a log line that describes a change."""
     return (
         f"member {change.member} is {change.after.name.lower()}, was {change.before.name.lower()}: "
         f"{change.cause} (incarnation {change.incarnation})"
--- a/dykefold/fleet/anti_entropy.py
+++ b/dykefold/fleet/anti_entropy.py
@@ -37,12 +37,12 @@
     """
 
     def __init__(self, membership: Membership, outbox: Outbox, now_ns: int) -> None:
-        """Begin as a member that joins."""
+        """Start as a joining member."""
         self.membership, self.outbox = membership, outbox
         self.reset(now_ns)
 
     def reset(self, now_ns: int) -> None:
-        """Begin anew with a changed fleet."""
+        """Start again after a change of the address list."""
         max_wait_ns = self.membership.limits.ns(JOINING_COMPARISON_PERIODS)
         self.next_comparison_ns = now_ns + self.membership.rng.randrange(max_wait_ns + 1)
 
@@ -62,7 +62,7 @@
             self._send_digests(now_ns, partner, 0, len(membership.addresses), max_digests=1)
 
     def _choose_partner(self, joining: bool) -> int | None:
-        """Return the member to compare with, now and then one that does not count as live.
+        """Return the member to compare with; sometimes one that does not count as live.
 
         Two halves that lost each other for so long that each counts the other as gone would otherwise never
         meet again.
@@ -124,7 +124,7 @@
         ]
 
     def _compares_all(self, digest_range: DigestRange) -> bool:
-        """Whether equal digests show that all is known.
+        """Return whether equal digests show that all states are known.
 
         Two members that have both just started are equal as well, and know nothing of the others.
         """
@@ -148,7 +148,7 @@
             self._send_states(now_ns, sender, Kind.STATES, entries)
 
     def on_states(self, now_ns: int, sender: int, datagram: Datagram) -> None:
-        """Answer states, which are merged already, with what is known beyond them."""
+        """Answer states, which are merged already, with the newer ones that this member knows."""
         states = self.membership.table.states
         newer = [
             MemberEntry(number, states[number])
--- a/dykefold/fleet/balancer_link.py
+++ b/dykefold/fleet/balancer_link.py
@@ -1,4 +1,4 @@
-"""What the agent reports to the balancer, and the balancer to the fleet."""
+"""Reports from the membership to the balancer, and from the balancer to the fleet."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Pool(Protocol):
-    """The pool of endpoints whose balancer follows the fleet.
+    """The pool whose balancer is informed of the fleet.
 
     Attributes:
         names: Numbers of endpoints by name.
@@ -49,20 +49,20 @@
         ...
 
     def typical_latencies(self) -> dict[str, float]:
-        """Return the typical latency of each class of which it is well known, nanoseconds."""
+        """Return typical latencies in nanoseconds by class, for classes with enough answers."""
         ...
 
 
 class EndpointListFollower(Protocol):
-    """Coordinates polls with the fleet, if any does: see `EndpointListSync`."""
+    """Coordinates polls of discovery with the fleet (`EndpointListSync`)."""
 
     def update_fleet(self) -> None:
-        """Follow a changed fleet."""
+        """Apply a changed address list."""
         ...
 
 
 class BalancerLink:
-    """Keeps a pool's balancer and the fleet informed of each other.
+    """Exchanges observations between a pool's balancer and the fleet.
 
     Args:
         loop: Event loop of the timers.
@@ -83,7 +83,7 @@
         rng: random.Random,
         system: System,
     ) -> None:
-        """Begin to take the balancer's hints."""
+        """Begin to publish the balancer's hints on endpoints."""
         self.loop, self.membership, self.pool = loop, membership, pool
         self.rng, self.system = rng, system
         self.polls: EndpointListFollower | None = None
@@ -97,11 +97,11 @@
         pool.on_health_hint = self._on_health_hint
 
     def renumber(self) -> None:
-        """Follow a changed address list."""
+        """Apply a changed address list."""
         self._ranking = EndpointRanking(self.membership.own_number)
 
     def tick(self, now_ns: int) -> None:
-        """Report typical latencies and a changed endpoint list."""
+        """Publish typical latencies and a changed endpoint list."""
         if now_ns >= self._next_latencies_ns:
             self._next_latencies_ns = now_ns + LATENCY_REPORT_INTERVAL_NS
             latencies = self.pool.typical_latencies()
@@ -117,7 +117,7 @@
             self._announcement = self.loop.call_later(wait_s, self._announce_list)
 
     def report_soon(self) -> None:
-        """Tell the balancer of the fleet, together with what else changes in a moment."""
+        """Schedule an event for the balancer that gathers the changes of `EVENT_DELAY_S`."""
         if self._report is None and not self.closed:
             self._report = self.loop.call_later(EVENT_DELAY_S, self._post_event)
 
@@ -137,7 +137,7 @@
             self._recount = self.loop.call_later(RESTART_NS / SECOND, self._recount_members)
 
     def _recount_members(self) -> None:
-        """Report once members that went have had the time to be restarted."""
+        """Inform the balancer again when departed members have had time to restart."""
         self._recount = None
         self.report_soon()
 
@@ -154,11 +154,11 @@
                 peer_observations.report_endpoint(self.membership, now_ns, name, answers)
 
     def finish(self) -> None:
-        """Begin no more reports; one that is due soon is still made."""
+        """Schedule no further reports; one that is scheduled is still made."""
         self.closed = True
 
     def close(self) -> None:
-        """Report nothing more."""
+        """Stop all reports."""
         self.finish()
         for timer in (self._report, self._announcement, self._recount):
             if timer is not None:
--- a/dykefold/fleet/datagrams.py
+++ b/dykefold/fleet/datagrams.py
@@ -89,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """Something that one member knows, beside who is there; see `record_store.py`.
+    """A record that one member publishes; see `record_store.py`.
 
     Attributes:
         topic: A `Topic`, or the number of a topic of a later version.
@@ -138,7 +138,7 @@
 
 
 class DatagramTooLargeError(ValueError):
-    """A datagram has more content than fits.
+    """The content of a datagram exceeds its maximum size.
 
     Args:
         size: Size of the encoded datagram in bytes.
@@ -149,18 +149,18 @@
 
 
 def fleet_checksum(addresses: Sequence[tuple[str, int]]) -> int:
-    """Return a number for an address list: members with different lists don't take each other's numbers."""
+    """Return the checksum of an address list; members with different lists ignore each other's numbers."""
     return zlib.crc32("\n".join(f"{host}:{port}" for host, port in addresses).encode())
 
 
 def record_capacity(entries: int) -> int:
-    """Return how many records fit beside this many member states."""
+    """Return the number of records that fit beside a number of member states."""
     used = HEADER_BYTES + 2 * COUNT_BYTES + entries * ENTRY_BYTES
     return max((MAX_PAYLOAD_BYTES - used) // RECORD_BYTES, 0)
 
 
 def is_membership_datagram(data: bytes) -> bool:
-    """Tell whether data is meant for this protocol, and not for the balancer."""
+    """Return whether data is a datagram of this protocol, not a balancer's message."""
     return len(data) % BALANCER_MESSAGE_ALIGNMENT != 0 and data[0] == MAGIC
 
 
@@ -208,7 +208,7 @@
 
 
 def decode(data: bytes) -> Datagram | None:
-    """Return a datagram; None where data is none, is damaged, or has a kind of a later version."""
+    """Decode a datagram; return None if it is not one, is damaged or has a kind of a later version."""
     header = _decode_header(data)
     if header is None:
         return None
@@ -216,7 +216,7 @@
 
 
 class _Header(NamedTuple):
-    """The fields that all kinds have, as in `Datagram`."""
+    """The fields that all kinds of datagrams have, as in `Datagram`."""
 
     kind: Kind
     fleet: int
--- a/dykefold/fleet/endpoint_list_sync.py
+++ b/dykefold/fleet/endpoint_list_sync.py
@@ -17,7 +17,7 @@
 
 
 class EndpointListSync:
-    """The schedule of one discovery client, from the start of the process on.
+    """The poll schedule of one discovery client, from the start of the process on.
 
     Args:
         discovery: Discovery client.
@@ -29,7 +29,7 @@
     def __init__(
         self, discovery: DiscoveryClient, settings: PollSettings, seed: int, system: System = SYSTEM
     ) -> None:
-        """Decide from now on when the client polls."""
+        """Begin to schedule the client's polls."""
         self.discovery, self.system = discovery, system
         self.schedule = CoordinatedPollSchedule(settings, random.Random(seed), system.monotonic_ns())
         self.membership: Membership | None = None
@@ -40,44 +40,44 @@
 
     @property
     def version(self) -> int:
-        """The version of the own endpoint list, as records have it; 0 before the first."""
+        """Version of this sidecar's endpoint list, as in records; 0 before the first list."""
         return (self.discovery.version or 0) % peer_observations.VERSION_MODULUS
 
     # Called by the discovery client: see `PollSchedule`
 
     def watch_delay_s(self) -> float:
-        """Return in how many seconds a watch may be opened."""
+        """Return the seconds until a watch may be opened."""
         now_ns = self.system.monotonic_ns()
         self._opens_watch = True
         return (self.schedule.open_watch_ns(now_ns, self.version) - now_ns) / SECOND
 
     def next_call_delay_s(self) -> float:
-        """Return in how many seconds a watch may go on after an answer."""
+        """Return the seconds until the next call of a watch, after an answer."""
         now_ns = self.system.monotonic_ns()
         due_ns = self.schedule.continue_watch_ns(now_ns, self.version)
         self._opens_watch = due_ns > now_ns
         return (due_ns - now_ns) / SECOND
 
     def called(self) -> None:
-        """Note that a poll begins."""
+        """Record that a poll begins."""
         self.schedule.on_poll(self.system.monotonic_ns(), self._opens_watch)
         self._polling = True
         self._cancel_extra_poll()
 
     def answered(self) -> None:
-        """Note that a poll was answered."""
+        """Record that a poll was answered."""
         self._polling = False
         if self.schedule.on_answer(self.system.monotonic_ns()):
             self._announce()
 
     def failed(self) -> None:
-        """Note that a poll failed."""
+        """Record that a poll failed."""
         self._polling = False
         if self.schedule.on_failure(self.system.monotonic_ns()):
             self._announce()
 
     def moved(self) -> None:
-        """Note that discovery is another service now."""
+        """Record that discovery has moved to another address."""
         now_ns = self.system.monotonic_ns()
         self._cancel_extra_poll()
         self._polling = False
@@ -89,21 +89,21 @@
     # Reports of the fleet
 
     def join(self, membership: Membership) -> None:
-        """Follow a membership from now on."""
+        """Begin to use a membership."""
         self.membership = membership
 
     def update_fleet(self) -> None:
-        """Follow a changed fleet."""
+        """Apply a changed address list."""
         if self.membership is not None:
             pollers = self.membership.potential_pollers(self.system.monotonic_ns())
             self.schedule.set_fleet(pollers.index(self.membership.own_number), len(pollers))
 
     def change_settings(self, max_poll_interval_ns: int) -> None:
-        """Take another time within which the rules want a poll, nanoseconds."""
+        """Change the maximum time between polls, in nanoseconds."""
         self.schedule.settings.max_poll_interval_ns = max_poll_interval_ns
 
     def on_new_records(self) -> None:
-        """Poll if others are answered again, or have a newer endpoint list."""
+        """Poll at once if other members are answered again, or have a newer endpoint list."""
         membership, now_ns = self.membership, self.system.monotonic_ns()
         if membership is None or self.discovery.closed:
             return
@@ -159,5 +159,5 @@
             peer_observations.announce_poll_spread(self.membership, now_ns, spread_ns, answered)
 
     def close(self) -> None:
-        """Make no more extra polls."""
+        """Stop polls that reports of other members cause."""
         self._cancel_extra_poll()
--- a/dykefold/fleet/failure_detector.py
+++ b/dykefold/fleet/failure_detector.py
@@ -18,7 +18,7 @@
 
 
 class LocalHealth:
-    """How far a member trusts its own observations.
+    """The confidence of a member in its own observations.
 
     Attributes:
         score: 0 is full trust; each step lengthens the timeouts by once the usual time.
@@ -28,16 +28,16 @@
         self.score = 0
 
     def improve(self) -> None:
-        """Note a sign that the member works well."""
+        """Record evidence that the member works well."""
         self.score = max(self.score - 1, 0)
 
     def degrade(self, steps: int = 1) -> None:
-        """Note a sign that the fault is the member's own."""
+        """Record evidence that the fault is the member's own."""
         self.score = min(self.score + steps, MAX_HEALTH_SCORE)
 
     @property
     def timeout_factor(self) -> int:
-        """What the timeouts of probes are multiplied by."""
+        """Factor by which the timeouts of probes are multiplied."""
         return self.score + 1
 
 
@@ -82,7 +82,7 @@
 
 
 class ProbeOrder:
-    """Whom to probe next: all members in a shuffled order, then in another one: none waits long.
+    """The order of probes: rounds over all members, each shuffled anew, so that no member waits long.
 
     Args:
         own_number: Number of the member that probes.
@@ -90,12 +90,12 @@
     """
 
     def __init__(self, own_number: int, rng: random.Random) -> None:
-        """Make an order that is not shuffled yet."""
+        """Start with an order that is not shuffled."""
         self.own_number, self.rng = own_number, rng
         self.remaining: list[int] = []
 
     def next(self, table: MemberTable) -> int | None:
-        """Return the next member that is to be probed; None if there is none."""
+        """Return the next member to probe; None if there is none."""
         target = self._next_remaining(table)
         if target is None:
             self.remaining = [number for number in range(len(table)) if number != self.own_number]
@@ -112,7 +112,7 @@
 
 
 class Suspicions:
-    """Which members are suspected, and until when they may refute that.
+    """The suspected members, and the times until which they can refute the suspicion.
 
     Attributes:
         expiry_ns: Monotonic time in nanoseconds at which a suspicion expires, by member.
@@ -124,7 +124,7 @@
         self.reprobed: set[int] = set()
 
     def on_state(self, number: int, state: State, expiry_ns: int) -> None:
-        """Follow a member's changed status.
+        """Apply a member's changed status.
 
         Args:
             number: Number of the member.
@@ -138,17 +138,17 @@
             self.expiry_ns.pop(number, None)
 
     def shorten(self, number: int, expiry_ns: int) -> None:
-        """Bring the expiry of a suspicion forward, because it is an observation of one's own as well now."""
+        """Shorten a suspicion that this member has now confirmed by its own observation."""
         if number in self.expiry_ns:
             self.expiry_ns[number] = min(self.expiry_ns[number], expiry_ns)
 
     def extend(self, by_ns: int) -> None:
-        """Give all suspected members more time."""
+        """Extend all suspicions."""
         for number in self.expiry_ns:
             self.expiry_ns[number] += by_ns
 
     def take_reprobes(self, until_ns: int) -> list[int]:
-        """Return members whose suspicion expires by then, to be probed once more; each only once."""
+        """Return members whose suspicion expires by a time, to be probed once more; each is returned once."""
         due = [
             number
             for number, expiry_ns in self.expiry_ns.items()
@@ -162,7 +162,7 @@
         return [number for number, expiry_ns in self.expiry_ns.items() if expiry_ns <= now_ns]
 
     def next_ns(self, reprobe_before_ns: int) -> int | None:
-        """Return when the next suspicion expires, or its member is to be probed so long before that."""
+        """Return when the next suspicion expires, or when its member must be probed once more before that."""
         return min(
             (
                 expiry_ns if number in self.reprobed else expiry_ns - reprobe_before_ns
--- a/dykefold/fleet/gossip.py
+++ b/dykefold/fleet/gossip.py
@@ -1,4 +1,4 @@
-"""Rounds of gossip: what has changed goes to a few members drawn by chance. No I/O."""
+"""Rounds of gossip: changes are sent to a few random members. No I/O."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
     """
 
     def __init__(self, membership: Membership, outbox: Outbox, now_ns: int) -> None:
-        """Make the first round possible at once."""
+        """Allow the first round at once."""
         self.membership, self.outbox = membership, outbox
         self.reset(now_ns)
 
     def reset(self, now_ns: int) -> None:
-        """Begin anew with a changed fleet."""
+        """Start again after a change of the address list."""
         self.next_round_ns = now_ns
 
     def has_anything(self) -> bool:
-        """Tell whether there is anything to send."""
+        """Return whether there is anything to send."""
         membership = self.membership
         return bool(membership.gossip or membership.records.gossip or membership.wrong_claims)
 
@@ -47,7 +47,7 @@
                 self.outbox.send_gossip(now_ns, peer)
 
     def _notify_wrong_claims(self, now_ns: int) -> None:
-        """Tell members what is claimed of them, so that they can refute it."""
+        """Notify members of claims about them, so that they can refute these."""
         wrong_claims = self.membership.wrong_claims
         while wrong_claims and self.outbox.send_gossip(now_ns, next(iter(wrong_claims))):
             pass
--- a/dykefold/fleet/gossip_queue.py
+++ b/dykefold/fleet/gossip_queue.py
@@ -1,4 +1,4 @@
-"""What is yet to be gossiped, each item a limited number of times, the least sent first. No I/O."""
+"""Items still to be gossiped, each a limited number of times, the least sent first. No I/O."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 
 class GossipQueue(Generic[K]):
-    """Keys of changed items with the number of their transmissions; as many as there are items at most."""
+    """Keys of changed items with the number of their transmissions."""
 
     def __init__(self) -> None:
         self._transmissions: OrderedDict[K, int] = OrderedDict()
 
     def __len__(self) -> int:
-        """Return how many items are still to be sent."""
+        """Return the number of items still to be sent."""
         return len(self._transmissions)
 
     def add(self, key: K) -> None:
-        """Queue an item that has changed, ahead of all that were sent already."""
+        """Queue a changed item ahead of all items that were sent before."""
         self._transmissions[key] = 0
         self._transmissions.move_to_end(key, last=False)
 
--- a/dykefold/fleet/member_state.py
+++ b/dykefold/fleet/member_state.py
@@ -15,7 +15,7 @@
 
 
 class State(IntEnum):
-    """The status of a member; of one incarnation, a greater value overrides a smaller one."""
+    """The status of a member. Within one incarnation a greater value overrides a smaller one."""
 
     UNKNOWN = 0  # nothing has been received from or about it
     ALIVE = 1
@@ -51,7 +51,7 @@
 
 
 class InvalidConclusionError(ValueError):
-    """No member may conclude this state of another one.
+    """A member may not conclude this status of another member.
 
     Args:
         before: Known status.
@@ -78,7 +78,7 @@
 
 
 def is_encoded_state(value: int) -> bool:
-    """Tell whether an integer is the encoded state of a member."""
+    """Return whether an integer is the encoded state of a member."""
     return value <= MAX_ENCODED_STATE and value >> ZONE_BITS & STATE_MASK < len(STATES)
 
 
@@ -88,7 +88,7 @@
 
 
 def zone_of(encoded: int) -> int | None:
-    """Return the zone's number in an encoded state; None where it is not known or too large to be encoded."""
+    """Return the zone's number in an encoded state; None if it is unknown or too large to be encoded."""
     zone_field = encoded & ZONE_MASK
     return zone_field - 1 if 0 < zone_field < ZONE_MASK else None
 
@@ -99,7 +99,7 @@
 
 
 def conclude(encoded: int, after: State) -> int:
-    """Return the state of a member after a conclusion about it.
+    """Return the encoded state of a member after a conclusion about it.
 
     Args:
         encoded: Known encoded state.
@@ -115,7 +115,7 @@
 
 
 def is_trusted(state: State) -> bool:
-    """Tell whether the claims of a member with this status about others are taken.
+    """Return whether claims about others are accepted from a member with this status.
 
     A member that receives nothing concludes that all others are gone; it is gone itself for those that it
     still reaches, and must not convince them.
@@ -159,7 +159,7 @@
     """
 
     def __init__(self, size: int) -> None:
-        """Make a table in which nothing is known."""
+        """Create a table in which no member is known."""
         self.states = array("Q", bytes(8 * size))
         self.block_digests = array("Q", bytes(8 * (size // MEMBERS_PER_BLOCK + 1)))
         self.counts = [size] + [0] * (len(State) - 1)
@@ -173,7 +173,7 @@
         return state_of(self.states[number])
 
     def merge(self, number: int, encoded: int) -> bool:
-        """Take a state of a member; return whether it overrides the known one."""
+        """Merge a state of a member; return whether it overrides the known one."""
         before = self.states[number]
         if encoded <= before:
             return False
@@ -202,7 +202,7 @@
         return total
 
     def live(self) -> int:
-        """Return how many members count as live."""
+        """Return the number of members that count as live."""
         return sum(self.counts[state] for state in LIVE)
 
     def members_in(self, states: Sequence[State]) -> Iterator[int]:
--- a/dykefold/fleet/membership.py
+++ b/dykefold/fleet/membership.py
@@ -1,4 +1,4 @@
-"""What one member knows of its fleet: the state, and queries on it. No I/O.
+"""The membership as one member knows it: the state, and queries on it. No I/O.
 
 `protocol.py` drives it with times and datagrams; see docs/design/view.md.
 """
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipChange:
-    """A member came to have another status or incarnation.
+    """A change of a member's status or incarnation.
 
     Attributes:
         at_ns: Monotonic time in nanoseconds at which this member learned of the change.
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LocalMember:
-    """Where a process stands in the fleet.
+    """The number, zone and address list of a process.
 
     Attributes:
         addresses: Addresses of all members, by number.
@@ -117,7 +117,7 @@
     def __init__(
         self, local: LocalMember, incarnation: int, limits: RateLimits, rng: random.Random, now_ns: int
     ) -> None:
-        """Begin to know nothing but oneself."""
+        """Start with this member as the only one known."""
         self.limits, self.rng, self.zone = limits, rng, local.zone
         self.own_status = State.ALIVE
         self.incarnation = min(max(incarnation, 1), MAX_INCARNATION)
@@ -147,7 +147,7 @@
         self.synchronized = self.has_no_peers
 
     def renumber(self, now_ns: int, addresses: Sequence[Address], own_number: int) -> None:
-        """Follow a changed address list: the state of an address goes on under its new number."""
+        """Apply a changed address list: the state of an address continues under its new number."""
         known = {address: self.table.states[number] for number, address in enumerate(self.addresses)}
         self._reset(addresses, own_number, now_ns)
         for number, address in enumerate(addresses):
@@ -168,11 +168,11 @@
 
     @property
     def isolated(self) -> bool:
-        """Whether nothing was received for so long that this member knows nothing of the others."""
+        """Whether nothing was received for `ISOLATED_PERIODS`, so that nothing is concluded about others."""
         return self.next_tick_ns - self.last_received_ns > self.limits.ns(ISOLATED_PERIODS)
 
     def is_settled(self, now_ns: int) -> bool:
-        """Tell whether this member has had the time to learn who is there."""
+        """Return whether this member has had time to learn the state of the others."""
         return self.synchronized or now_ns - self.joined_ns >= self.limits.ns(MAX_JOINING_PERIODS)
 
     def live_members(self, now_ns: int) -> list[int]:
@@ -188,21 +188,21 @@
         ]
 
     def expected_members(self, now_ns: int) -> list[int]:
-        """Return live members, and those that went so recently that they may be about to be restarted."""
+        """Return live members, and members that left so recently that they may restart."""
         recent = {number for number, ns in self.departed_ns.items() if now_ns - ns < RESTART_NS}
         return sorted(recent.union(self.live_members(now_ns)))
 
     def potential_pollers(self, now_ns: int) -> list[int]:
-        """Return members that may poll discovery: the expected ones, and those not known yet."""
+        """Return members that may poll discovery: the expected ones, and those of unknown state."""
         unknown = set(self.table.members_in((State.UNKNOWN,)))
         return sorted(unknown.union(self.expected_members(now_ns)))
 
     def zone_of(self, number: int) -> int | None:
-        """Return the zone of a member; None where it is not known."""
+        """Return the zone of a member; None if it is unknown."""
         return zone_of(self.table.states[number])
 
     def random_live_members(self, max_count: int, excluded: Collection[int] = ()) -> list[int]:
-        """Return up to so many other members, drawn by chance, that count as live."""
+        """Return up to `max_count` random other members that count as live."""
         found: list[int] = []
         for _ in range(RANDOM_DRAWS_PER_MEMBER * max_count):
             number = self.rng.randrange(len(self.addresses))
@@ -218,24 +218,24 @@
         return MemberEntry(number, self.table.states[number])
 
     def suspicion_ns(self, own: bool) -> int:
-        """Return how long a suspicion stands here, nanoseconds; `own` as for `RateLimits`."""
+        """Return the duration of a suspicion at this member in nanoseconds; `own` as for `RateLimits`."""
         factor = 2 if self.health.score >= UNRELIABLE_HEALTH_SCORE else 1
         return self.limits.suspicion_ns(len(self.addresses), own) * factor
 
     # Changes
 
     def publish(self, now_ns: int, topic: Topic, subject: int, value: int) -> None:
-        """Tell the fleet something that this member knows."""
+        """Publish a record to the fleet."""
         key = RecordKey(topic, self.own_number, subject)
         self.records.publish(now_ns, self.incarnation, key, value)
 
     def merge_record(self, now_ns: int, record: Record) -> None:
-        """Take a record of another member."""
+        """Merge a record of another member."""
         if record.origin != self.own_number and record.origin < len(self.addresses):
             self.has_new_records |= self.records.merge(now_ns, record)
 
     def update(self, now_ns: int, number: int, encoded: int, cause: str) -> None:
-        """Take a state of a member, if it overrides the known one.
+        """Merge a state of a member, if it overrides the known one.
 
         Args:
             now_ns: Current monotonic time in nanoseconds.
@@ -258,7 +258,7 @@
             self.changes.append(change)
 
     def conclude(self, now_ns: int, number: int, after: State) -> None:
-        """Draw a conclusion of one's own about a member.
+        """Apply a conclusion of this member about another.
 
         Raises:
             InvalidConclusionError: `CONCLUSIONS` does not allow it.
@@ -267,7 +267,7 @@
         self.update(now_ns, number, encoded, CONCLUSIONS[self.table.state(number), after])
 
     def conclude_overdue_shutdowns(self, now_ns: int) -> None:
-        """Count members as ended whose graceful shutdown takes too long."""
+        """Mark members as left whose graceful shutdown takes too long."""
         if not self.table.counts[State.LEAVING]:
             return
         for number in list(self.table.members_in((State.LEAVING,))):
@@ -281,7 +281,7 @@
         self.update(now_ns, self.own_number, self.own_state, "it ends")
 
     def refute(self, now_ns: int, claim: int) -> None:
-        """Override what others claim of this member, if that is greater than its own state."""
+        """Refute a claim about this member that overrides its own state."""
         refuting = refutation(self.own_state, claim)
         if refuting is None or now_ns - self.refuted_ns < self.limits.ns(REFUTATION_PERIODS):
             return
@@ -293,7 +293,7 @@
         self.update(now_ns, self.own_number, self.own_state, cause)
 
     def on_received(self, now_ns: int, sender: int, sender_state: int) -> None:
-        """Note a datagram of a member, with the state that it claims for itself.
+        """Record a datagram of a member, with the state that it claims for itself.
 
         Where a greater state of it is known, it is to be notified, so that it can refute that.
         """
@@ -305,17 +305,17 @@
             self.wrong_claims[sender] = None
 
     def on_legacy_message(self, now_ns: int, sender: int) -> None:
-        """Note a balancer's message: its sender lives, whether it takes part in the membership or not."""
+        """Record a balancer's message: its sender is alive, even if it has no membership."""
         if 0 <= sender < len(self.addresses):
             self.legacy_received_ns[sender] = now_ns
 
     def delay_ns(self, now_ns: int) -> int:
-        """Return how much later than asked for the driver calls, where that is too much; else 0."""
+        """Return by how many nanoseconds the driver calls too late; 0 within `MAX_DELAY_PERIODS`."""
         late_ns = now_ns - self.next_tick_ns
         return late_ns if late_ns > self.limits.ns(MAX_DELAY_PERIODS) else 0
 
     def absorb_delay(self, now_ns: int, late_ns: int) -> None:
-        """Doubt this member's own observations after a delay, before those of others."""
+        """Lower this member's confidence in its own observations after a delay."""
         self.counts[TrafficCounter.DELAYED] += 1
         self.health.degrade(1 + late_ns // self.limits.period_ns)
         self.suspicions.extend(late_ns + self.limits.period_ns)
--- a/dykefold/fleet/options.py
+++ b/dykefold/fleet/options.py
@@ -1,4 +1,4 @@
-"""What an operator's file asks of the membership and of the failover, which stands on it."""
+"""Options of the membership and of the failover in an operator's file."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FailoverOptions:
-    """`[failover]` of the operator's file: docs/operators/failover.md.
+    """The table `[failover]` of the operator's file (docs/operators/failover.md).
 
     Attributes:
         on: Whether the sidecar may work away from its zone.
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetOptions:
-    """`[fleet]` of the operator's file: docs/operators/view.md.
+    """The table `[fleet]` of the operator's file (docs/operators/view.md).
 
     Attributes:
         view: Whether the sidecar takes part in the membership, if the settings allow datagrams.
--- a/dykefold/fleet/outbox.py
+++ b/dykefold/fleet/outbox.py
@@ -1,4 +1,4 @@
-"""Outgoing datagrams, within the send limit and with gossip in the room that is left. No I/O."""
+"""Outgoing datagrams within the send limit; gossip fills their remaining space. No I/O."""
 
 from __future__ import annotations
 
@@ -78,7 +78,7 @@
         return True
 
     def _claims_about(self, peer: int) -> list[MemberEntry]:
-        """What the peer may have to refute of itself."""
+        """Return the states that the peer may have to refute."""
         membership = self.membership
         entry = membership.entry(peer)
         is_wrong = peer in membership.wrong_claims
--- a/dykefold/fleet/peer_observations.py
+++ b/dykefold/fleet/peer_observations.py
@@ -1,4 +1,4 @@
-"""What members tell each other of endpoints, latencies and discovery, for their balancers. No I/O.
+"""Reports that members exchange on endpoints, latencies and discovery, for their balancers. No I/O.
 
 Between members names stand for endpoints, as the numbers of a process are its own: the checksum of a name is
 the subject of a record, and what is ranked. Two names with one checksum share hints; a hint is only a prior.
@@ -27,7 +27,7 @@
 
 
 class PollReports(NamedTuple):
-    """What other live members report of their polls of discovery.
+    """Reports of other live members on their polls of discovery.
 
     Attributes:
         spreads_ns: Nanoseconds over which each member would spread the fleet's polls.
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointHints:
-    """The balancer's numbers of endpoints of which enough other members report the same."""
+    """Numbers of endpoints on which a quorum of other members reports the same."""
 
     failing: set[int]
     answering: set[int]
@@ -54,12 +54,12 @@
 
 
 def name_checksum(name: str) -> int:
-    """Return the number that stands for a name between members."""
+    """Return the number that represents a name in records."""
     return zlib.crc32(name.encode())
 
 
 def hint_quorum(live: int) -> int:
-    """Return how many other members must report the same for a hint: one bad sidecar must not suffice.
+    """Return the number of other members that must agree on a hint; one faulty sidecar must not suffice.
 
     Args:
         live: Number of live members.
@@ -68,7 +68,7 @@
 
 
 def report_endpoint(membership: Membership, now_ns: int, name: str, answers: bool) -> bool:
-    """Tell the fleet that the balancer ejected an endpoint, or had an answer of it after that.
+    """Publish that the balancer ejected an endpoint, or had an answer from it after that.
 
     What enough others report is not repeated, unless it takes back what this member has reported: else a lost
     zone would cost each member a record for each of its endpoints, which all would pass on. A member that
@@ -93,14 +93,14 @@
 
 
 def announce_list_version(membership: Membership, now_ns: int, version: int) -> None:
-    """Tell the version of the own endpoint list, if nobody is known to have a newer one."""
+    """Publish the version of this sidecar's endpoint list, unless a member reports a newer one."""
     newest = newest_list_version(membership, now_ns)
     if newest is None or version % VERSION_MODULUS > newest:
         membership.publish(now_ns, Topic.LIST_VERSION, NO_SUBJECT, version % VERSION_MODULUS)
 
 
 def newest_list_version(membership: Membership, now_ns: int) -> int | None:
-    """Return the newest version of the endpoint list that any member reports; None where none does.
+    """Return the newest version of the endpoint list that any member reports; None if none does.
 
     Where discovery moves, its versions begin anew, and for the lifetime of a record this may be one of the
     old service's: a reason to poll that the answer does not bear out, which costs one poll.
@@ -110,13 +110,13 @@
 
 
 def announce_poll_spread(membership: Membership, now_ns: int, spread_ns: int, answered: bool) -> None:
-    """Tell over which time polls of discovery should be spread, and whether this member's are answered."""
+    """Publish over which time polls should be spread, and whether this member's polls are answered."""
     value = spread_ns // NS_PER_MS << 1 | answered
     membership.publish(now_ns, Topic.POLL_SPREAD, NO_SUBJECT, value)
 
 
 def poll_reports(membership: Membership, now_ns: int) -> PollReports:
-    """Return what other live members report of their polls of discovery."""
+    """Return the reports of other live members on their polls of discovery."""
     spreads_ns: list[int] = []
     last_answered_ns: int | None = None
     live = set(membership.live_members(now_ns)) - {membership.own_number}
@@ -130,7 +130,7 @@
 
 
 def publish_typical_latencies(membership: Membership, now_ns: int, latencies: Mapping[str, float]) -> None:
-    """Have the typical latencies of request classes ready for members that start.
+    """Publish typical latencies of request classes, for members that start.
 
     Args:
         membership: Membership that publishes the records.
@@ -149,7 +149,7 @@
     classes: Mapping[str, int],
     ranking: EndpointRanking,
 ) -> MembershipChanged:
-    """Return what the balancer is to know of the fleet now.
+    """Return the event that informs the balancer of the fleet.
 
     Args:
         membership: Membership as this member knows it.
@@ -183,7 +183,7 @@
 def _endpoint_hints(
     membership: Membership, now_ns: int, by_subject: Mapping[int, int], live: Collection[int]
 ) -> EndpointHints:
-    """Of which endpoints enough other live members report the same."""
+    """Return the endpoints on which a quorum of other live members reports the same."""
     others, quorum = set(live) - {membership.own_number}, hint_quorum(len(live))
     hints = EndpointHints(set(), set())
     subjects = membership.records.subjects_of(Topic.ENDPOINT_FAILED, Topic.ENDPOINT_ANSWERED)
@@ -198,7 +198,7 @@
 
 
 def _typical_latencies(membership: Membership, now_ns: int, classes: Mapping[str, int]) -> dict[int, float]:
-    """By class, the median of what others report, nanoseconds; too few of them may be wrong."""
+    """Return by class the median of the reported latencies in nanoseconds, with a quorum of reports."""
     latencies = {}
     for name, number in classes.items():
         stored = membership.records.on_subject(now_ns, Topic.TYPICAL_LATENCY, name_checksum(name))
@@ -210,7 +210,7 @@
 
 
 def _endpoint_reports(membership: Membership, now_ns: int, subject: int) -> dict[int, bool]:
-    """By origin, whether its latest report on an endpoint is that it answers."""
+    """Return by origin whether its latest report on an endpoint is that it answers."""
     latest: dict[int, _Report] = {}
     for topic in (Topic.ENDPOINT_FAILED, Topic.ENDPOINT_ANSWERED):
         for record, _ in membership.records.on_subject(now_ns, topic, subject):
--- a/dykefold/fleet/poll_schedule.py
+++ b/dykefold/fleet/poll_schedule.py
@@ -1,4 +1,4 @@
-"""When a sidecar polls discovery: the polls of a fleet are spread over what the service can do. No I/O.
+"""The poll schedule of a sidecar: the polls of a fleet are spread over the service's capacity. No I/O.
 
 What each sidecar does is harmless, the sum is not: a change of the endpoint list, a restart, or an outage
 ends the wait of all at one moment. So whenever all may want to poll at once, each has a slot of its own in a
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class PollSettings:
-    """What a schedule is made for.
+    """Settings of a poll schedule.
 
     Attributes:
         max_poll_interval_ns: Nanoseconds within which the rules require a poll.
@@ -52,7 +52,7 @@
 
 
 class CoordinatedPollSchedule:
-    """The times of one sidecar's polls.
+    """The poll schedule of one sidecar.
 
     Args:
         rng: Random generator of the position within a slot.
@@ -64,7 +64,7 @@
     """
 
     def __init__(self, settings: PollSettings, rng: random.Random, now_ns: int) -> None:
-        """Begin as a process does."""
+        """Start as at the start of a process."""
         self.settings, self.rng = settings, rng
         self.failed_ns: int | None = None
         self._backoff = 1.0
@@ -80,16 +80,16 @@
     # What happened
 
     def set_fleet(self, position: int, fleet_size: int) -> None:
-        """Follow a changed fleet."""
+        """Apply a changed address list."""
         self.settings.position, self.settings.fleet_size = position, fleet_size
 
     def set_peer_spreads(self, spreads_ns: Sequence[int]) -> None:
-        """Take spreads that others go by, nanoseconds: the third longest counts, as two may be wrong."""
+        """Apply reported spreads in nanoseconds: the third longest is used, as two may be wrong."""
         enough = len(spreads_ns) > MAX_WRONG_REPORTS
         self._peer_spread_ns = sorted(spreads_ns, reverse=True)[MAX_WRONG_REPORTS] if enough else 0
 
     def on_poll(self, now_ns: int, opens_watch: bool) -> None:
-        """Note that a poll begins.
+        """Record that a poll begins.
 
         Args:
             now_ns: Current monotonic time in nanoseconds.
@@ -98,7 +98,7 @@
         self._polled_ns, self._opens_watch = now_ns, opens_watch
 
     def on_answer(self, now_ns: int) -> bool:
-        """Note an answered poll; return whether others should know: they may poll, or had better wait."""
+        """Record an answered poll; return whether other members should be informed."""
         is_newer, self.failed_ns = self.failed_ns is not None, None
         self._answered_since_failure, self._moved = True, False
         if self._opens_watch and self._was_queued(now_ns):
@@ -113,7 +113,7 @@
         )
 
     def on_failure(self, now_ns: int) -> bool:
-        """Note a failed poll; return whether the spread is longer for it."""
+        """Record a failed poll; return whether the spread has become longer."""
         self._decay_backoff(now_ns)
         self._slots_from_ns = self.failed_ns = now_ns
         if not self._answered_since_failure:
@@ -123,19 +123,19 @@
         return True
 
     def on_move(self, now_ns: int) -> None:
-        """Note that discovery is another service now, which has shown nothing yet."""
+        """Record that discovery has moved; nothing is known of the new service."""
         self._backoff, self._peer_spread_ns, self._refuted_version = 1.0, 0, -1
         self._slots_from_ns, self.failed_ns = now_ns, None
         self._answered_since_failure = self._moved = True
 
     def refute_version(self, version: int) -> None:
-        """Note that the service is polled for this version, which is no reason to poll from now on."""
+        """Record that the service does not have this version, so that it no longer causes a poll."""
         self._refuted_version = max(self._refuted_version, version)
 
     # What follows
 
     def spread_ns(self, now_ns: int) -> int:
-        """Return over which time the polls of all members are spread just now, nanoseconds."""
+        """Return the nanoseconds over which the polls of all members are spread now."""
         self._decay_backoff(now_ns)
         max_ns = int(self.settings.max_poll_interval_ns * MAX_SPREAD_FRACTION)
         if self._moved:
@@ -156,13 +156,13 @@
         self._backoff = min(self._backoff * BACKOFF_FACTOR, MAX_BACKOFF)
 
     def _slot(self, version: int) -> float:
-        """The own place in a spread, from 0 to below 1; by the version, so that none is always last."""
+        """Return this sidecar's place in a spread, from 0 to below 1; it changes with the list version."""
         size = max(self.settings.fleet_size, 1)
         position = (self.settings.position + hash_pair(0, version + 1) % size) % size
         return (position + self.rng.random()) / size
 
     def open_watch_ns(self, now_ns: int, version: int) -> int:
-        """Return when a watch may be opened, not before now.
+        """Return the earliest time at which a watch may be opened.
 
         Args:
             now_ns: Current monotonic time in nanoseconds.
@@ -188,7 +188,7 @@
         return max(slot_ns, min(self._polled_ns + spread_ns, now_ns + spread_ns))
 
     def recovery_ns(self, now_ns: int, version: int) -> int | None:
-        """Return when to poll as others are answered again after an outage; None where there was none."""
+        """Return when to poll after an outage, as others are answered again; None without an outage."""
         if self.failed_ns is None:
             return None
         self._answered_since_failure = True
@@ -196,7 +196,7 @@
         return now_ns + int(self.spread_ns(now_ns) * self._slot(version))
 
     def reopen_watch_ns(self, now_ns: int, version: int, newest: int) -> int | None:
-        """Return when to replace an open poll that brings no list although others have a newer one.
+        """Return when to replace an open poll that brings no list although other members have a newer one.
 
         A watch that has fallen silent shows in no other way before its wait is over. A version that others
         report and that the service does not have is no reason twice.
--- a/dykefold/fleet/probing.py
+++ b/dykefold/fleet/probing.py
@@ -1,4 +1,4 @@
-"""Probe rounds, indirect probes through helpers, and what follows from probes that fail. No I/O."""
+"""Probe rounds, indirect probes through helpers, and suspicions after failed probes. No I/O."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Prober:
-    """Finds members that do not answer.
+    """Detects members that do not answer.
 
     Args:
         membership: Membership whose members are probed.
@@ -38,7 +38,7 @@
     """
 
     def __init__(self, membership: Membership, outbox: Outbox, now_ns: int) -> None:
-        """Begin with a first round at some time in the first period."""
+        """Schedule the first round at a random time in the first period."""
         self.membership, self.outbox, self.limits = membership, outbox, membership.limits
         self._nonce = membership.rng.randrange(NONCE_COUNT)
         self.next_round_ns = now_ns + membership.rng.randrange(self.limits.period_ns)
@@ -47,13 +47,13 @@
         self.reset()
 
     def reset(self) -> None:
-        """Begin anew with a changed fleet."""
+        """Start again after a change of the address list."""
         self.order = ProbeOrder(self.membership.own_number, self.membership.rng)
         self.probes = {}
         self.relayed = {}
 
     def next_ns(self) -> int:
-        """Return when something is due next, nanoseconds."""
+        """Return the monotonic time in nanoseconds of the next action."""
         due = [self.next_round_ns]
         due += [min(probe.retry_ns, probe.timeout_ns) for probe in self.probes.values()]
         due += [relayed.timeout_ns for relayed in self.relayed.values()]
@@ -63,13 +63,13 @@
         return min(due)
 
     def forget_probes(self) -> None:
-        """Drop the open probes: after a delay their answers may have come while nothing was received."""
+        """Drop the open probes: their answers may have been lost during a delay of this process."""
         self.probes.clear()
 
     # Probes
 
     def run_round(self, now_ns: int) -> None:
-        """Probe the next member if that is due."""
+        """Probe the next member if a probe is due."""
         if self.next_round_ns > now_ns:
             return
         period_ns = self.limits.period_ns
@@ -108,7 +108,7 @@
             self.outbox.send(now_ns, helper, Kind.PROBE_REQUEST, nonce, probe.target)
 
     def check_timeouts(self, now_ns: int) -> None:
-        """Repeat or fail open probes, and act on suspicions that are over."""
+        """Retry or fail open probes, and handle expired suspicions."""
         self._expire_relayed(now_ns)
         for nonce, probe in list(self.probes.items()):
             if probe.timeout_ns <= now_ns:
@@ -125,7 +125,7 @@
             self.outbox.send(now_ns, relayed.requester, Kind.NACK, relayed.requester_nonce, relayed.target)
 
     def on_probe_failed(self, now_ns: int, probe: Probe) -> None:
-        """Suspect the target of a probe, unless it is more likely that the fault lies here."""
+        """Suspect the target of a probe, unless the fault is more likely this member's own."""
         membership = self.membership
         if membership.received_ns.get(probe.target, -1) >= probe.started_ns:
             membership.health.improve()
@@ -173,7 +173,7 @@
         self.outbox.send(now_ns, target, Kind.PING, nonce)
 
     def on_ack(self, now_ns: int, sender: int, datagram: Datagram) -> None:
-        """Take an answer to a probe, of the target or through a helper."""
+        """Handle an answer to a probe, from the target or through a helper."""
         nonce = datagram.nonce
         relayed = self.relayed.get(nonce)
         if relayed is not None and relayed.target == sender:
@@ -185,7 +185,7 @@
             self.membership.health.improve()
 
     def on_nack(self, _now_ns: int, sender: int, datagram: Datagram) -> None:
-        """Note that a helper was not answered so far."""
+        """Record that a helper has had no answer so far."""
         probe = self.probes.get(datagram.nonce)
         if probe is not None and sender in probe.helpers:
             probe.nacks += 1
--- a/dykefold/fleet/protocol.py
+++ b/dykefold/fleet/protocol.py
@@ -30,7 +30,7 @@
 
 
 class MembershipProtocol:
-    """One member's part in the protocol.
+    """The membership protocol of one member.
 
     The driver calls `tick` when that asks for it, passes datagrams to `receive`, and sends what
     `take_datagrams` returns.
@@ -75,7 +75,7 @@
         }
 
     def renumber(self, now_ns: int, addresses: Sequence[Address], own_number: int) -> None:
-        """Follow a changed address list."""
+        """Apply a changed address list."""
         membership = self.membership
         if list(addresses) == membership.addresses and own_number == membership.own_number:
             return
@@ -87,7 +87,7 @@
         self._member_limits.clear()
 
     def tick(self, now_ns: int) -> int:
-        """Do what is due; return when to call again, nanoseconds."""
+        """Run all due actions; return the monotonic time in nanoseconds of the next call."""
         membership = self.membership
         self._absorb_delay(now_ns)
         if membership.own_status is not State.LEFT:
@@ -104,7 +104,7 @@
         return membership.next_tick_ns
 
     def _absorb_delay(self, now_ns: int) -> None:
-        """Doubt this member itself, before any other, after its process stood still or its loop ran late.
+        """Lower this member's confidence after its process was paused or its loop ran late.
 
         Its probes were answered while it could not receive, and what came may not have been read yet.
         """
@@ -114,7 +114,7 @@
             self.prober.forget_probes()
 
     def receive(self, now_ns: int, sender: int, data: bytes) -> None:
-        """Take a datagram of this protocol from the member with that number."""
+        """Handle a datagram of this protocol from the member with this number."""
         membership = self.membership
         is_other = 0 <= sender < len(membership.addresses) and sender != membership.own_number
         if not is_other or membership.own_status is State.LEFT:
@@ -134,7 +134,7 @@
             handler(now_ns, sender, datagram)
 
     def _decode_within_limits(self, now_ns: int, sender: int, data: bytes) -> Datagram | None:
-        """Decode a datagram, if the limits allow it: those of a loud member are dropped before others'."""
+        """Decode a datagram within the receive limits; a member that sends too many loses its own first."""
         counts = self.membership.counts
         limit = self._member_limits.get(sender)
         if limit is None:
@@ -149,7 +149,7 @@
         return datagram
 
     def _merge(self, now_ns: int, sender: int, datagram: Datagram) -> None:
-        """Take the claims of a trusted sender about others, and refute those of any about this member."""
+        """Merge claims of a trusted sender about others, and refute any sender's claims about this member."""
         membership = self.membership
         trusted = is_trusted(membership.table.state(sender))
         for number, encoded in datagram.entries:
--- a/dykefold/fleet/rate_limits.py
+++ b/dykefold/fleet/rate_limits.py
@@ -64,16 +64,16 @@
 
     @staticmethod
     def by_price(price: float) -> RateLimits:
-        """Return the intervals for a price of datagrams: a higher one slows the protocol down."""
+        """Return the intervals for a price of datagrams; a higher price slows the protocol down."""
         factor = min(max(price / DEFAULT_DATAGRAM_PRICE, 1.0), MAX_PERIOD_FACTOR)
         return RateLimits(int(PERIOD_NS * factor))
 
     def ns(self, periods: float) -> int:
-        """Return so many periods in nanoseconds."""
+        """Return a number of periods in nanoseconds."""
         return int(self.period_ns * periods)
 
     def suspicion_ns(self, members: int, own: bool = True) -> int:
-        """Return how long a suspicion stands before the member counts as gone, nanoseconds.
+        """Return the nanoseconds after which a suspected member counts as gone.
 
         Args:
             members: Number of members of the fleet.
@@ -83,7 +83,7 @@
         return self.ns(periods if own else FOREIGN_SUSPICION_FACTOR * periods)
 
     def settled_ns(self, members: int) -> int:
-        """Return the time after the last fault by which all live members agree, nanoseconds.
+        """Return the nanoseconds after the last fault within which all live members agree.
 
         It grows with the logarithm of the fleet's size. It is made of rounds of probes until a survivor has
         found each dead member, the suspicion, and the spread of the change; or, after a partition, of the
@@ -108,12 +108,12 @@
     __slots__ = ("burst", "rate", "tokens", "updated_ns")
 
     def __init__(self, rate: float, burst: float, now_ns: int) -> None:
-        """Begin with a full bucket."""
+        """Start with a full bucket."""
         self.rate, self.burst = rate, burst
         self.tokens, self.updated_ns = burst, now_ns
 
     def take(self, now_ns: int, reserve: float = 0.0) -> bool:
-        """Take a token if that leaves `reserve` tokens; return whether it was taken."""
+        """Take a token if `reserve` tokens remain after that; return whether it was taken."""
         elapsed_ns = max(now_ns - self.updated_ns, 0)
         self.tokens = min(self.burst, self.tokens + self.rate * elapsed_ns / SECOND)
         self.updated_ns = now_ns
--- a/dykefold/fleet/record_store.py
+++ b/dykefold/fleet/record_store.py
@@ -1,4 +1,4 @@
-"""What members publish beside their states: small records with origin, age and bounds. No I/O.
+"""Records that members publish beside their states: small, with origin, age and limits. No I/O.
 
 A record's key is its topic, origin and subject. Two records of a key merge to the one of the greater
 incarnation and sequence of their origin; of one origin and topic the `max_subjects` greatest are kept. Both
@@ -24,7 +24,7 @@
 
 
 class Topic(IntEnum):
-    """What a record is about."""
+    """The topic of a record."""
 
     LIST_VERSION = 2  # subject: none; value: the newest version of the endpoint list seen, modulo 2^32
     ENDPOINT_FAILED = 3  # subject: an endpoint that its origin has ejected, or found silent again
@@ -67,7 +67,7 @@
 
 
 class RecordKey(NamedTuple):
-    """What a record replaces an earlier one by."""
+    """Identifies a record; a later record with the same key replaces it."""
 
     topic: int
     origin: int
@@ -82,7 +82,7 @@
 
 
 class StoredRecord(NamedTuple):
-    """A record with the time at which its origin published it, on the own clock."""
+    """A record with the time of its publication on this process's clock."""
 
     record: Record
     published_ns: int
@@ -117,7 +117,7 @@
         return len(self.records)
 
     def publish(self, now_ns: int, incarnation: int, key: RecordKey, value: int) -> None:
-        """Make or renew a record of one's own.
+        """Create or renew a record of this member.
 
         Args:
             now_ns: Current monotonic time in nanoseconds.
@@ -131,7 +131,7 @@
         self.merge(now_ns, record)
 
     def merge(self, now_ns: int, record: Record) -> bool:
-        """Take a record; return whether it is newer than what was known."""
+        """Merge a record; return whether it is newer than the known one."""
         if record.topic not in TOPICS:
             return False  # of a later version
         published_ns = now_ns - record.age_ns
@@ -155,7 +155,7 @@
             self.records[key] = StoredRecord(known.record, published_ns)
 
     def _make_room(self, key: RecordKey, record: Record) -> bool:
-        """Make room for a record with a new key; return whether it is to be kept."""
+        """Make room for a record with a new key; return whether there is room."""
         topic, origin, subject = key
         subjects = self.subjects.get((topic, origin), set())
         if len(subjects) >= LIMITS[Topic(topic)].max_subjects:
@@ -192,7 +192,7 @@
             del self.subjects[topic, origin]
 
     def expire(self, now_ns: int) -> None:
-        """Forget records whose lifetime is over."""
+        """Remove expired records."""
         expired = [key for key, stored in self.records.items() if not _counts(stored, now_ns)]
         for key in expired:
             self._drop(key)
@@ -205,7 +205,7 @@
         return [_aged(self.records[key], now_ns) for key in keys if key in self.records]
 
     def for_newcomer(self, now_ns: int, max_count: int) -> list[Record]:
-        """Return records for a member that has just started: the own ones first, then the youngest."""
+        """Return records for a member that has just started: this member's first, then the newest."""
         kept = [
             (stored.record.origin != self.own_number, now_ns - stored.published_ns, stored)
             for stored in self.records.values()
@@ -216,11 +216,11 @@
         return [_aged(stored, now_ns) for _, _, stored in kept[:max_count]]
 
     def subjects_of(self, *topics: Topic) -> set[int]:
-        """Return the subjects of all kept records of these topics."""
+        """Return the subjects of all stored records of these topics."""
         return {subject for topic in topics for subject in self.origins[topic]}
 
     def on_subject(self, now_ns: int, topic: Topic, subject: int) -> Iterator[StoredRecord]:
-        """Iterate over the records on a subject whose lifetime is not over."""
+        """Iterate over the valid records on a subject."""
         for origin in self.origins[topic].get(subject, ()):
             stored = self.records[RecordKey(topic, origin, subject)]
             if _counts(stored, now_ns):
--- a/dykefold/fleet/record_transfer.py
+++ b/dykefold/fleet/record_transfer.py
@@ -1,4 +1,4 @@
-"""How a member that has just started gets the records that others hold. No I/O."""
+"""Transfer of records to a member that has just started. No I/O."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
         self.reset()
 
     def reset(self) -> None:
-        """Begin anew with a changed fleet."""
+        """Start again after a change of the address list."""
         self.requested: set[int] = set()
         self.replies = 0
 
     def request_from(self, now_ns: int, sender: int) -> None:
-        """Request the records of a member that is there, if this one has just started and needs more."""
+        """Request the records of a live member, if this one has just started and needs more."""
         if self.replies >= WANTED_REPLIES or len(self.requested) >= MAX_REQUESTS or sender in self.requested:
             return
         membership = self.membership
--- a/dykefold/fleet/statistics.py
+++ b/dykefold/fleet/statistics.py
@@ -1,4 +1,4 @@
-"""Statistics that a minority of wrong values can't move. No I/O."""
+"""Statistics that are robust against a minority of wrong values. No I/O."""
 
 from __future__ import annotations
 
--- a/dykefold/fleet/subsetting.py
+++ b/dykefold/fleet/subsetting.py
@@ -16,14 +16,14 @@
 
 
 class PlacedMember(NamedTuple):
-    """A member's number, and its zone where that is known."""
+    """A member's number, and its zone if that is known."""
 
     number: int
     zone: int | None
 
 
 def subset_fraction(members: Sequence[PlacedMember]) -> float:
-    """Return the fraction of a zone's members that use an endpoint of another zone; 1 at most.
+    """Return the fraction of a zone's members that use an endpoint of another zone, at most 1.
 
     Args:
         members: Members that carry traffic.
@@ -34,7 +34,7 @@
 
 
 class EndpointRanking:
-    """This member's rank for each endpoint among the members of its zone, kept up to date as both change.
+    """Ranks of this member among the members of its zone, by endpoint; updated as both change.
 
     The members of a zone have different ranks for an endpoint, evenly from 0 to 1, as the ranks that sidecars
     draw by themselves are on average: endpoints that are not ranked yet are neither first nor last.
@@ -51,7 +51,7 @@
     def update(
         self, endpoints: Sequence[int], zone: int | None, members: Sequence[PlacedMember]
     ) -> dict[int, float]:
-        """Return the ranks now, computing only those that may have changed.
+        """Return the current ranks; only those that may have changed are computed.
 
         Args:
             endpoints: A number of each endpoint that is the same at all members.
@@ -84,5 +84,5 @@
 
 
 def _count_ahead(endpoint: int, own_hash: int, members: Iterable[int]) -> int:
-    """How many of these members have a higher hash for an endpoint."""
+    """Return the number of these members with a higher hash for an endpoint."""
     return sum(hash_pair(endpoint, member + 1) > own_hash for member in members)
--- a/dykefold/fleet/traffic_counters.py
+++ b/dykefold/fleet/traffic_counters.py
@@ -8,7 +8,7 @@
 
 
 class TrafficCounter(StrEnum):
-    """What is counted; the values are part of the admin API."""
+    """A counter; the values are part of the admin API."""
 
     SENT = "sent"
     SENT_BYTES = "sent bytes"
