--- a/benchmarks/large_fleet.py
+++ b/benchmarks/large_fleet.py
@@ -27,13 +27,13 @@
 
 import uvloop
 
-from dykefold.lab.chance import generator
 from dykefold.lab.emulator.server import Connection, Server, Truth
-from dykefold.lab.fleet.desk import Asked, Desk, End, all_asked, playing
+from dykefold.lab.fleet.client import Client, ClientRequest, RequestEnd, all_requests, playing
 from dykefold.lab.fleet.judge import judge
 from dykefold.lab.fleet.member import Member, entry, settings
-from dykefold.lab.fleet.registry import Caller, Registry
+from dykefold.lab.fleet.registry import DiscoveryConnection, Registry
 from dykefold.lab.fleet.scenario import CLASSES
+from dykefold.lab.random_streams import generator
 from dykefold.lab.scenario import LoadTable, Scenario, ServerTable
 
 KB = 1024.0
@@ -50,7 +50,7 @@
 WAITING_MOST = 64
 LIST_LATE_S = 0.1
 ZONES = ["a", "b", "c"]
-LAG_MOST_S = 0.25  # of this process, or of a sidecar for want of a core, beyond which a run says nothing
+MAX_LAG_S = 0.25  # of this process, or of a sidecar for want of a core, beyond which a run says nothing
 WAIT_OVER_S = 1.0  # over which a sidecar's wait for a core is looked at
 SAMPLE_S = 0.05
 WARM_S, COLD_SHARE = 4.0, 0.25
@@ -131,7 +131,7 @@
         return Connection(self)
 
 
-class CountedCaller(Caller):
+class CountedCaller(DiscoveryConnection):
     """A caller of the list service whose bytes are counted."""
 
     def __init__(self, registry: Registry, member: int, sent: list[int]) -> None:
@@ -200,7 +200,7 @@
         """The figures of a sidecar in the mean."""
         size = self.size
         self.descriptors, self.list_bytes = [0] * size.members, [0] * size.members
-        registry = Registry(CALLS_PER_S, WAITING_MOST, LIST_LATE_S, changes_kept=10 * size.servers)
+        registry = Registry(CALLS_PER_S, WAITING_MOST, LIST_LATE_S, max_changes=10 * size.servers)
         for number in range(size.servers):
             await self._serve(registry, number, 0)
         async with contextlib.AsyncExitStack() as stack:
@@ -211,12 +211,12 @@
             stack.push_async_callback(self._close)
             desks = await self._load(members, registry)
             needs = [_needs(member.living[0].pid) for member in members]
-        return self._figures(list(all_asked(desks)), needs)
+        return self._figures(list(all_requests(desks)), needs)
 
-    async def _load(self, members: list[Member], registry: Registry) -> list[Desk]:
+    async def _load(self, members: list[Member], registry: Registry) -> list[Client]:
         """Begin all sidecars, ask them for the whole span while servers are replaced; who asked."""
         desks = [
-            Desk(number, CLASSES, RATE, generator(self.size.seed, "desk", str(number)))
+            Client(number, CLASSES, RATE, generator(self.size.seed, "desk", str(number)))
             for number in range(len(members))
         ]
         for desk, member in zip(desks, members, strict=True):
@@ -229,14 +229,14 @@
         looks.cancel()
         return desks
 
-    def _figures(self, asked: list[Asked], needs: list[Needs]) -> dict[str, float]:
+    def _figures(self, asked: list[ClientRequest], needs: list[Needs]) -> dict[str, float]:
         """Hold the requests against the rules, and what was needed in the mean."""
         verdict = judge(asked, self.truth.arrivals, CLASSES)
         if verdict.broken:
             print(f"{self.size.servers} servers: {len(verdict.broken)} rules broken, as: {verdict.broken[0]}")
             print(f"  {verdict.counts}")
         served = sum(
-            request.end is End.SERVED
+            request.end is RequestEnd.SERVED
             and request.ended_s - request.sent_s <= CLASSES[request.cls].aim_ms / 1000
             for request in asked
         )
@@ -267,7 +267,7 @@
             "discovery": f"127.0.0.1:{list_service.sockets[0].getsockname()[1]}",
             "seed": f"{self.size.seed * 1000 + number:016x}",
             "limits": {"cores": 1.0, "memory_mb": 80, "sockets": 384},
-            "known": registry.known(0),
+            "known": registry.initial_list(0),
             "settings": {**deployment, "discovery": "push" if self.size.push else "ask"},
         }
         member = Member(number, own, data)
@@ -394,8 +394,8 @@
     lines = compared(usual_figures, large_figures, large)
     for line in lines:
         print(line)
-    if max(usual_lag_s, large_lag_s) > LAG_MOST_S:
-        print(f"void: the machine was late by over {LAG_MOST_S} s; this says nothing")
+    if max(usual_lag_s, large_lag_s) > MAX_LAG_S:
+        print(f"void: the machine was late by over {MAX_LAG_S} s; this says nothing")
         return 2
     return 1 if any(line.broken for line in lines) else 0
 
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -79,7 +79,7 @@
         began_s = time.monotonic()
         seen = uvloop.run(play(scenario(name, fleet)))
         run = {"scenario": name, "members": members, "took_s": round(time.monotonic() - began_s, 1)}
-        print(json.dumps({**run, **seen.described()}), flush=True)
+        print(json.dumps({**run, **seen.as_json()}), flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -17,7 +17,8 @@
 import uvloop
 
 from dykefold.lab.fleet.judge import SlowStartLoad
-from dykefold.lab.fleet.run import Seen, play
+from dykefold.lab.fleet.report import FleetRunResult
+from dykefold.lab.fleet.run import play
 from dykefold.lab.fleet.scenario import FaultTable, FleetScenario, FleetTable, ListTable
 
 MEMBERS = (1, 2, 5, 20, 30, 60)
@@ -63,18 +64,23 @@
     """The worst span of a kind: load, age of the server, calls of those allowed, and who sent them."""
     return (
         f"{found.load:5.2f} at {found.age_s:4.2f} s {found.calls:4}/{found.allowed:5.1f}"
-        f" of {found.sidecars:3} first {found.openers:3} again {found.repeats:3} most {found.most:3}"
+        f" of {found.sidecars:3} first {found.first_calls:3} again {found.retries:3}"
+        f" most {found.max_calls_per_sidecar:3}"
     )
 
 
-def row(name: str, members: int, seed: int, seen: Seen) -> str:
+def row(name: str, members: int, seed: int, seen: FleetRunResult) -> str:
     """A line of the table."""
-    spans = {"all": seen.slow_start, "told": seen.slow_start_notified, "short": seen.slow_start_short}
+    spans = {
+        "all": seen.slow_start.worst,
+        "told": seen.slow_start.worst_notified,
+        "short": seen.slow_start.worst_short,
+    }
     described_spans = "  ".join(f"{kind} {described(found)}" for kind, found in spans.items())
-    served = sum(seen.served) / max(sum(seen.asked), 1)
+    served = sum(seen.load.served_by_second) / max(sum(seen.load.requests_by_second), 1)
     violations = seen.verdict.broken
     broken = f"  broken {len(violations)}: {violations[0]}" if violations else ""
-    state = "" if seen.valid else f"  VOID: the rig was {seen.lag_s:.2f} s late"
+    state = "" if seen.valid else f"  VOID: the rig was {seen.lag.load_s:.2f} s late"
     return f"{name:22} {members:4} {seed:3}  {described_spans}  served {served:.2f}{broken}{state}"
 
 
@@ -92,7 +98,7 @@
         for name in options.only:
             for seed in range(1, options.seeds + 1):
                 seen = uvloop.run(play(scenario(name, members, seed)))
-                broken |= seen.slow_start_notified.falls
+                broken |= seen.slow_start.worst_notified.falls
                 print(row(name, members, seed, seen), flush=True)
     return 1 if broken else 0
 
--- a/dykefold/cli/lab.py
+++ b/dykefold/cli/lab.py
@@ -75,9 +75,9 @@
     """Play SCENARIO with real processes and a network that breaks; exit code 1 if a rule is broken."""
     import uvloop
 
+    from ..lab.fleet.membership_samples import samples_svg
     from ..lab.fleet.run import play
     from ..lab.fleet.scenario import read_fleet
-    from ..lab.fleet.views import plotted
     from ..service_config import ServiceError
 
     try:
@@ -91,8 +91,8 @@
         raise typer.Exit(1) from None
     if plot is not None:
         faults = [(one.at_s, one.at_s + one.for_s, one.kind) for one in scenario.faults]
-        plot.write_text(plotted(seen.looks, scenario.fleet.members, faults))
-    told = seen.described()
+        plot.write_text(samples_svg(seen.membership.samples, scenario.fleet.members, faults))
+    told = seen.as_json()
     if as_json:
         typer.echo(json.dumps(told))
     else:
@@ -102,7 +102,7 @@
                 name.replace("_", " "), " ".join(map(str, value)) if isinstance(value, list) else str(value)
             )
         Console().print(table)
-    raise typer.Exit(0 if seen.good else 1)
+    raise typer.Exit(0 if seen.passed else 1)
 
 
 def _refuse(path: str, problems: list[str]) -> None:
--- a/dykefold/lab/emulator/server.py
+++ b/dykefold/lab/emulator/server.py
@@ -1,4 +1,4 @@
-"""A server of the emulated platform: HTTP/1.1 by the platform's protocol before a `Station`.
+"""A server of the emulated platform: HTTP/1.1 by the platform's protocol before a `QueueingModel`.
 
 It keeps the truth: each arrival of each request id, when its work began and ended, and how it was answered.
 Work that has begun goes on whatever becomes of its client, as PROTOCOL says of time-outs.
@@ -16,9 +16,9 @@
 import numpy as np
 
 from ..arrivals import service_times
-from ..chance import generator
+from ..queueing import QueueingModel
+from ..random_streams import generator
 from ..scenario import FaultTable, Scenario
-from ..station import Station
 
 DRAWS = 4096  # service times that are drawn at once, since one by one costs a microsecond each
 NO_LINGER = struct.pack("ii", 1, 0)
@@ -60,19 +60,19 @@
     """Every attempt that reached any server, by server."""
 
     arrivals: dict[str, list[Arrival]] = field(default_factory=dict)
-    out: dict[str, list[Connection]] = field(default_factory=dict)  # by request id, with no answer yet
+    pending: dict[str, list[Connection]] = field(default_factory=dict)  # by request id, with no answer yet
 
-    def came(self, ident: str, connection: Connection) -> bool:
+    def on_arrival(self, ident: str, connection: Connection) -> bool:
         """An attempt has come; whether an earlier one of its request still stands."""
-        standing = [other for other in self.out.get(ident, ()) if other.stands()]
-        self.out[ident] = [*standing, connection]
+        standing = [other for other in self.pending.get(ident, ()) if other.is_open()]
+        self.pending[ident] = [*standing, connection]
         return bool(standing)
 
-    def over(self, ident: str, connection: Connection) -> None:
+    def on_end(self, ident: str, connection: Connection) -> None:
         """An attempt has its answer, or its connection is gone."""
-        left = [other for other in self.out.pop(ident, ()) if other is not connection]
+        left = [other for other in self.pending.pop(ident, ()) if other is not connection]
         if left:
-            self.out[ident] = left
+            self.pending[ident] = left
 
     def effects(self) -> dict[str, list[tuple[float, str]]]:
         """Request id -> when and where its work began."""
@@ -102,7 +102,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.server.connections.discard(self)
-        self.server.truth_of_all.over(self.ident, self)
+        self.server.truth.on_end(self.ident, self)
         del self.parser
 
     def data_received(self, data: bytes) -> None:
@@ -120,9 +120,9 @@
     def on_message_complete(self) -> None:
         target, headers = self.target, self.headers
         self.target, self.headers = b"", {}
-        self.server.arrived(self, target, headers)
+        self.server.on_request(self, target, headers)
 
-    def stands(self) -> bool:
+    def is_open(self) -> bool:
         """Whether the other side has not ended it, as the kernel knows (what the loop knows is older)."""
         sock = self.transport.get_extra_info("socket")
         if sock is None or self.transport.is_closing():
@@ -136,7 +136,7 @@
                 return False
 
     def answer(self, code: int, body: bytes, lines: bytes = b"") -> None:
-        self.server.truth_of_all.over(self.ident, self)
+        self.server.truth.on_end(self.ident, self)
         if not self.transport.is_closing():
             head = b"HTTP/1.1 %d X\r\n%sContent-Length: %d\r\n\r\n" % (code, lines, len(body))
             self.transport.write(head + body)
@@ -155,17 +155,17 @@
         self.name = name
         self.table = scenario.table_of(name)
         self.classes = scenario.classes
-        self.station: Station[tuple[Connection, Arrival, float]] = Station(
+        self.queue: QueueingModel[tuple[Connection, Arrival, float]] = QueueingModel(
             self.table.cores, self.table.queue_most, self.table.discipline == "lifo"
         )
-        self.chance = generator(scenario.seed, "server", name)
+        self.rng = generator(scenario.seed, "server", name)
         self.draws: dict[str, list[float]] = {}
         self.faults: list[FaultTable] = []  # that hold now
-        self.truth_of_all = truth
-        self.truth = truth.arrivals.setdefault(name, [])
+        self.truth = truth
+        self.arrivals = truth.arrivals.setdefault(name, [])
         self.connections: set[Connection] = set()
         self.started_s = -1e9  # long ago: warm
-        self.life = 0
+        self.incarnation = 0
         self.listening: asyncio.Server | None = None
         self.port = 0
 
@@ -175,7 +175,7 @@
 
     # Work
 
-    def arrived(self, connection: Connection, target: bytes, headers: dict[bytes, bytes]) -> None:
+    def on_request(self, connection: Connection, target: bytes, headers: dict[bytes, bytes]) -> None:
         """A request's last byte has come."""
         if target.startswith(b"/-/"):
             connection.answer(200, b"ready")
@@ -187,12 +187,12 @@
             return
         arrival = Arrival(ident, cls, self.loop.time() if connection.came_s is None else connection.came_s)
         connection.ident = ident
-        arrival.overlaps = self.truth_of_all.came(ident, connection)
-        self.truth.append(arrival)
+        arrival.overlaps = self.truth.on_arrival(ident, connection)
+        self.arrivals.append(arrival)
         if self._holds("silence"):
             return
         job = (connection, arrival, self._service_s(cls))
-        begins = None if self._holds("full") else self.station.arrive(job)
+        begins = None if self._holds("full") else self.queue.arrive(job)
         if begins is None:
             arrival.answer = "full"
             connection.answer(503, b"full", b"X-Not-Run: 1\r\n")
@@ -202,7 +202,7 @@
     def _service_s(self, cls: str) -> float:
         draws = self.draws.get(cls)
         if not draws:
-            drawn: np.ndarray = service_times(self.classes[cls].service, DRAWS, self.chance)
+            drawn: np.ndarray = service_times(self.classes[cls].service, DRAWS, self.rng)
             draws = self.draws[cls] = drawn.tolist()
         return draws.pop() / self.table.speed
 
@@ -212,7 +212,7 @@
         slow = self._holds("slow")
         if slow is not None:
             took *= slow.factor
-        self.loop.call_later(took, self._finish, job, self.life)
+        self.loop.call_later(took, self._finish, job, self.incarnation)
 
     def _part(self, now: float) -> float:
         """Of its speed that a server has which has just started."""
@@ -222,16 +222,16 @@
         return self.table.cold_share + (1.0 - self.table.cold_share) * warm
 
     def _finish(self, job: tuple[Connection, Arrival, float], life: int) -> None:
-        if life != self.life:
+        if life != self.incarnation:
             return  # it died with the process
         connection, arrival, _ = job
         arrival.ended_s = self.loop.time()
-        following = self.station.finish()
+        following = self.queue.finish()
         if following is not None:
             self._begin(following)
         for kind in ("lost", "reset", "garbage"):
             fault = self._holds(kind)
-            if fault is not None and self.chance.random() < fault.share:
+            if fault is not None and self.rng.random() < fault.share:
                 arrival.answer = kind
                 break
         else:
@@ -253,7 +253,7 @@
         self.faults.append(fault)
         self.loop.call_later(fault.for_s, self._end, fault)
         if fault.kind == "crash":
-            self._crash()
+            self.crash()
 
     def _end(self, fault: FaultTable) -> None:
         self.faults.remove(fault)
@@ -261,9 +261,9 @@
             self.started_s = self.loop.time()
             self.starting = self.loop.create_task(self.listen())
 
-    def _crash(self) -> None:
-        self.life += 1
-        self.station.clear()
+    def crash(self) -> None:
+        self.incarnation += 1
+        self.queue.clear()
         if self.listening is not None:
             self.listening.close()
             self.listening = None
--- a/dykefold/lab/fleet/judge.py
+++ b/dykefold/lab/fleet/judge.py
@@ -1,7 +1,7 @@
-"""The four rules over a fleet, judged by what servers did and desks got. No I/O.
+"""Judges the four rules over a fleet, from the records of servers and clients. No I/O.
 
-What a process held when it was killed is its clients' to ask again, and one that was stopped can't answer
-meanwhile: the rig tells which desks that excuses, and when. Nothing excuses an effect that happens twice.
+Requests that were pending at a process when it was killed are for its clients to retry, and a stopped process
+cannot answer. The rig states which clients are excused for that, and when. Nothing excuses a repeated effect.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 from typing import Protocol
 
 from ..scenario import ClassTable
-from .desk import Asked, End
+from .client import ClientRequest, RequestEnd
 
-SLACK_S = 0.05  # each time limit is longer by that on sockets (PROTOCOL)
-ATTEMPTS_MOST = 3
-COLD_S = 0.5  # over which the load of a cold server is looked at
-SMALL_CALLS = 30.0  # allowed calls below which the budget's slack for chance is wider (STANDING.md)
-NOTIFIED_SHARE = 2 / 3  # a fall breaks the rule if more of its calls than that knew of the start
+SLACK_S = 0.05  # Added to each time limit on sockets (PROTOCOL).
+MAX_ATTEMPTS = 3
+SHORT_WINDOW_S = 0.5  # For the load of a cold server against its capacity.
+SMALL_BUDGET_CALLS = 30.0  # Below this the budget has a wider slack for chance (STANDING).
+MIN_NOTIFIED_FRACTION = 2 / 3  # A fall breaks the rule if more of its calls came from notified sidecars.
 
 
 class Arrived(Protocol):
@@ -35,18 +35,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Excuse:
-    """A desk whose sidecar was killed, or stood still, in this time."""
+    """A client whose sidecar was killed or stopped in this interval."""
 
-    desk: int
+    client: int
     from_s: float
     until_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class Ban:
-    """A server that the sidecar of a desk is to leave alone in this time, its grace included."""
+    """A server that a client's sidecar must not use in this interval, after the grace time."""
 
-    desk: int
+    client: int
     server: str
     from_s: float
     until_s: float = float("inf")
@@ -54,15 +54,15 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """What a run shows.
+    """Verdict on a run.
 
     Attributes:
-        counts: of requests by how they ended.
-        lost: requests that were taken and had no whole answer in time, with no excuse.
-        excused: ... with one.
-        violations: of the other rules, a line each.
-        gap_s: the longest time between two served answers.
-        gap_from_s: when that began.
+        counts: Number of requests by how they ended.
+        lost: Ids of requests that were accepted and had no complete answer in time, without an excuse.
+        excused: Number of such requests with an excuse.
+        violations: Violations of the other rules, one line each.
+        gap_s: Longest time between two served answers, in seconds.
+        gap_from_s: Time at which that gap began, in seconds of the event loop's clock.
     """
 
     counts: dict[str, int] = field(default_factory=dict)
@@ -74,22 +74,27 @@
 
     @property
     def broken(self) -> list[str]:
-        """Every rule that was broken."""
+        """All violations, lost requests included."""
         return [f"{ident} was lost" for ident in self.lost] + self.violations
 
 
 def judge(
-    asked: Sequence[Asked],
+    requests: Sequence[ClientRequest],
     arrivals: Mapping[str, Sequence[Arrived]],
     classes: Mapping[str, ClassTable],
     excuses: Iterable[Excuse] = (),
     bans: Iterable[Ban] = (),
     hedged: bool = False,
 ) -> Verdict:
-    """Put together what desks asked and got with what reached the servers, by their names.
+    """Compare the requests of clients with the attempts that reached the servers.
 
     Args:
-        hedged: whether the settings allow a second attempt beside the first.
+        requests: Requests of all clients.
+        arrivals: Attempts that reached each server, by its name.
+        classes: Request classes by name.
+        excuses: Clients that are excused for lost requests, and when.
+        bans: Servers that must not be used, and when.
+        hedged: Whether the settings allow a second attempt beside the first.
     """
     verdict = Verdict()
     reached: dict[str, list[tuple[str, Arrived]]] = {}
@@ -97,57 +102,65 @@
         for arrival in all_of:
             reached.setdefault(arrival.ident, []).append((server, arrival))
     excused = list(excuses)
-    for one in asked:
-        verdict.counts[one.end] = verdict.counts.get(one.end, 0) + 1
-        tries = reached.get(one.ident, [])
-        lost = one.end in (End.LOST, End.LATE, End.OPEN) or (one.end is End.CROSSED and bool(tries))
-        if lost and _is_excused(one, excused):
+    for request in requests:
+        verdict.counts[request.end] = verdict.counts.get(request.end, 0) + 1
+        tries = reached.get(request.ident, [])
+        lost = request.end in (RequestEnd.LOST, RequestEnd.LATE, RequestEnd.OPEN) or (
+            request.end is RequestEnd.CROSSED and bool(tries)
+        )
+        if lost and _is_excused(request, excused):
             verdict.excused += 1
         elif lost:
-            verdict.lost.append(one.ident)
-        verdict.violations += _violations(one, tries, classes[one.cls], hedged)
-    by_ident = {one.ident: one for one in asked}
+            verdict.lost.append(request.ident)
+        verdict.violations += _violations(request, tries, classes[request.cls], hedged)
+    by_ident = {request.ident: request for request in requests}
     for ban in bans:
         for arrival in arrivals.get(ban.server, ()):
             of = by_ident.get(arrival.ident)
-            if of is not None and of.desk == ban.desk and ban.from_s + SLACK_S < arrival.came_s < ban.until_s:
+            if (
+                of is not None
+                and of.client == ban.client
+                and ban.from_s + SLACK_S < arrival.came_s < ban.until_s
+            ):
                 late_ms = (arrival.came_s - ban.from_s) * 1000
                 verdict.violations.append(f"{arrival.ident} came to {ban.server} {late_ms:.0f} ms too late")
-    _measure_gap(verdict, asked)
+    _measure_gap(verdict, requests)
     return verdict
 
 
-def _is_excused(one: Asked, excuses: list[Excuse]) -> bool:
-    ended_s = one.ended_s if one.ended_s >= 0 else float("inf")
+def _is_excused(request: ClientRequest, excuses: list[Excuse]) -> bool:
+    ended_s = request.ended_s if request.ended_s >= 0 else float("inf")
     return any(
-        one.desk == excuse.desk and one.sent_s <= excuse.until_s and ended_s >= excuse.from_s
+        request.client == excuse.client and request.sent_s <= excuse.until_s and ended_s >= excuse.from_s
         for excuse in excuses
     )
 
 
-def _violations(one: Asked, tries: list[tuple[str, Arrived]], table: ClassTable, hedged: bool) -> list[str]:
+def _violations(
+    request: ClientRequest, tries: list[tuple[str, Arrived]], table: ClassTable, hedged: bool
+) -> list[str]:
     found = []
     ran = sorted((arrival.began_s, server) for server, arrival in tries if arrival.began_s is not None)
     where = ", ".join(f"{server} at {at:.3f} s" for at, server in ran)
-    if len(tries) > ATTEMPTS_MOST:
-        found.append(f"{one.ident} was sent {len(tries)} times")
+    if len(tries) > MAX_ATTEMPTS:
+        found.append(f"{request.ident} was sent {len(tries)} times")
     if not hedged and any(arrival.overlaps for _, arrival in tries):
-        found.append(f"{one.ident} had two attempts out at once")
+        found.append(f"{request.ident} had two attempts out at once")
     if table.effect == "unsafe" and len(ran) > 1:
-        found.append(f"{one.ident} ({one.cls}) ran {len(ran)} times: {where}")
-    # The window is between sends: what a cut has held back runs when it will, and nobody can call it off.
+        found.append(f"{request.ident} ({request.cls}) ran {len(ran)} times: {where}")
+    # The window counts between arrivals: attempts that a cut has delayed run later, and cannot be cancelled.
     sent = [arrival.came_s for _, arrival in tries if arrival.began_s is not None]
     if table.effect == "keyed" and sent and max(sent) - min(sent) > table.window_ms / 1000 + SLACK_S:
-        found.append(f"{one.ident} ({one.cls}) ran beyond its window: {where}")
-    if one.end is End.SERVED and (one.body != one.ident or not ran):
-        found.append(f"{one.ident} was answered with {one.body!r}, and ran at: {where}")
-    if one.end is End.REFUSED and table.effect == "unsafe" and ran:
-        found.append(f"{one.ident} ({one.cls}) was refused and ran: {where}")
+        found.append(f"{request.ident} ({request.cls}) ran beyond its window: {where}")
+    if request.end is RequestEnd.SERVED and (request.body != request.ident or not ran):
+        found.append(f"{request.ident} was answered with {request.body!r}, and ran at: {where}")
+    if request.end is RequestEnd.REFUSED and table.effect == "unsafe" and ran:
+        found.append(f"{request.ident} ({request.cls}) was refused and ran: {where}")
     return found
 
 
-def _measure_gap(verdict: Verdict, asked: Sequence[Asked]) -> None:
-    times = sorted(one.ended_s for one in asked if one.end is End.SERVED)
+def _measure_gap(verdict: Verdict, requests: Sequence[ClientRequest]) -> None:
+    times = sorted(request.ended_s for request in requests if request.end is RequestEnd.SERVED)
     for before, after in pairwise(times):
         if after - before > verdict.gap_s:
             verdict.gap_s, verdict.gap_from_s = after - before, before
@@ -160,19 +173,21 @@
     share: float,
     warm_s: float,
     multiple: float = 1.0,
-    span_s: float = COLD_S,
+    span_s: float = SHORT_WINDOW_S,
 ) -> float:
-    """How near a server that started anew came to being pushed over; 1 is over.
+    """Return the highest load of a warming-up server relative to the load that pushes it over.
 
-    It falls by N + 2 sqrt(N) + 2 requests of mean work within a span, N being what it is allowed then.
+    A server falls at N + 2 sqrt(N) + 2 requests of mean work within a window, where N is what it is allowed
+    at that age (STANDING).
 
     Args:
-        came_s: of the attempts that reached it, in order.
-        started_s: when it started; long ago for one that was warm all the time.
-        full: requests a second that it can do when warm.
-        share: of that, what it can do at its start; all of it `warm_s` later.
-        multiple: of what it can do then, that it is allowed.
-        span_s: over which that counts.
+        came_s: Times of the attempts that reached the server, in order, in seconds.
+        started_s: Start of the server; far in the past for one that was always warm.
+        full: Requests per second that the warm server can serve.
+        share: Fraction of that at its start; it grows evenly to 1 within `warm_s`.
+        warm_s: Seconds until the server is warm.
+        multiple: Allowed load relative to the capacity at that age.
+        span_s: Length of the window in seconds.
     """
     worst, first = 0.0, 0
     cold = [at_s for at_s in came_s if started_s <= at_s < started_s + warm_s]
@@ -186,43 +201,43 @@
 
 @dataclass(frozen=True, slots=True)
 class SlowStart:
-    """What the settings tell of a server that has started (WIRE, rules).
+    """Slow-start rules of the settings (WIRE, rules).
 
     Attributes:
-        full: requests of mean work that it can do a second when warm.
-        start_capacity: of that, what it can do at its start.
-        warm_s: until it can do all of it.
-        factor: times what it can do then, that it may be sent ...
-        span_s: ... for so long, before it falls.
+        capacity_per_s: Requests of mean work per second that a warm server can serve.
+        start_capacity: Fraction of that at the server's start.
+        warm_s: Seconds until the server is warm.
+        factor: Load relative to the capacity at an age that pushes the server over.
+        span_s: Seconds for which this load must last.
     """
 
-    full: float
+    capacity_per_s: float
     start_capacity: float
     warm_s: float
     factor: float
     span_s: float
 
     def allowed(self, age_s: float) -> float:
-        """Requests of mean work that the settings allow in a span which ends at this age."""
+        """Return the requests of mean work that the settings allow in a window which ends at this age."""
         part = self.start_capacity + (1.0 - self.start_capacity) * min(age_s / self.warm_s, 1.0)
-        return self.factor * self.full * self.span_s * part
+        return self.factor * self.capacity_per_s * self.span_s * part
 
 
 def slow_start_budget(allowed: float) -> float:
-    """Requests of mean work in a span that push a server over: what is allowed, and slack for chance."""
+    """Return the requests of mean work in a window that push a server over: the allowed ones and a slack."""
     root = math.sqrt(allowed)
-    return allowed + 3.0 * root + 3.0 if allowed < SMALL_CALLS else allowed + 2.0 * root + 2.0
+    return allowed + 3.0 * root + 3.0 if allowed < SMALL_BUDGET_CALLS else allowed + 2.0 * root + 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class SlowStartCall:
-    """An attempt as a server counted it.
+    """An attempt that reached a server.
 
     Attributes:
-        came_s: when.
-        sidecar: who sent it; -1 if nobody knows.
-        work: against the mean request's.
-        first: whether it was its request's first attempt.
+        came_s: Time of its arrival in seconds.
+        sidecar: Number of the sidecar that sent it; -1 if unknown.
+        work: Work relative to the mean request's.
+        first: Whether it was the first attempt of its request.
     """
 
     came_s: float
@@ -233,18 +248,18 @@
 
 @dataclass(frozen=True, slots=True)
 class SlowStartLoad:
-    """The span in which a starting server came nearest to its fall.
+    """A window of a warming-up server's load.
 
     Attributes:
-        load: work that came, against the budget; over 1 pushes the server over.
-        age_s: of the server, at the end of the span.
-        allowed: requests of mean work, without the slack.
-        calls: that came.
-        notified: ... of these, from sidecars that were notified of the start.
-        sidecars: that sent them.
-        openers: calls that were their sidecar's first to the server since its start.
-        repeats: calls that were not their request's first attempt.
-        most: calls of the sidecar that sent most.
+        load: Work that arrived relative to the budget; above 1 the server is pushed over.
+        age_s: Age of the server at the end of the window, in seconds.
+        allowed: Allowed requests of mean work, without the slack.
+        calls: Number of calls that arrived.
+        notified: Number of these from sidecars that had been notified of the start.
+        sidecars: Number of sidecars that sent them.
+        first_calls: Number of calls that were their sidecar's first to the server since its start.
+        retries: Number of calls that were not the first attempt of their request.
+        max_calls_per_sidecar: Number of calls of the sidecar that sent most.
     """
 
     load: float = 0.0
@@ -253,9 +268,9 @@
     calls: int = 0
     notified: int = 0
     sidecars: int = 0
-    openers: int = 0
-    repeats: int = 0
-    most: int = 0
+    first_calls: int = 0
+    retries: int = 0
+    max_calls_per_sidecar: int = 0
 
     @property
     def falls(self) -> bool:
@@ -264,19 +279,22 @@
 
     @property
     def known(self) -> bool:
-        """Whether over two thirds of the calls came from sidecars that were notified."""
-        return self.notified > NOTIFIED_SHARE * self.calls
+        """Whether over two thirds of the calls came from notified sidecars."""
+        return self.notified > MIN_NOTIFIED_FRACTION * self.calls
 
 
 def slow_start_load(
     calls: Sequence[SlowStartCall], started_s: float, rules: SlowStart, notified_s: Mapping[int, float]
 ) -> tuple[SlowStartLoad, SlowStartLoad]:
-    """The worst span of all, and the worst of which over two thirds knew: the rule is broken if that falls.
+    """Return the worst window of all, and the worst with over two thirds of its calls from notified sidecars.
+
+    The rule is broken if the server falls in a window of the second kind.
 
     Args:
-        calls: that reached the server, in order.
-        started_s: when it started; long ago for one that was warm all the time.
-        notified_s: when each sidecar was notified of that start; who is missing never was.
+        calls: Calls that reached the server, in order.
+        started_s: Start of the server; far in the past for one that was always warm.
+        rules: Slow-start rules of the settings.
+        notified_s: Time at which each sidecar was notified of the start; absent if it never was.
     """
     worst, worst_known = SlowStartLoad(), SlowStartLoad()
     window: deque[tuple[SlowStartCall, bool, bool]] = deque()
@@ -286,15 +304,15 @@
         age_s = call.came_s - started_s
         if not 0.0 <= age_s < rules.warm_s:
             continue
-        knew = call.came_s >= notified_s.get(call.sidecar, math.inf)
-        window.append((call, knew, call.sidecar not in seen))
+        was_notified = call.came_s >= notified_s.get(call.sidecar, math.inf)
+        window.append((call, was_notified, call.sidecar not in seen))
         seen.add(call.sidecar)
-        work, notified = work + call.work, notified + knew
+        work, notified = work + call.work, notified + was_notified
         while window[0][0].came_s <= call.came_s - rules.span_s:
-            gone, gone_knew, _ = window.popleft()
-            work, notified = work - gone.work, notified - gone_knew
+            oldest, oldest_notified, _ = window.popleft()
+            work, notified = work - oldest.work, notified - oldest_notified
         load = work / slow_start_budget(rules.allowed(age_s))
-        known = notified > NOTIFIED_SHARE * len(window)
+        known = notified > MIN_NOTIFIED_FRACTION * len(window)
         if load > worst.load or (known and load > worst_known.load):
             found = _load_of(window, load, age_s, rules.allowed(age_s), notified)
             worst = found if load > worst.load else worst
--- a/dykefold/lab/fleet/member.py
+++ b/dykefold/lab/fleet/member.py
@@ -167,7 +167,7 @@
         return address
 
     async def watch(self) -> None:
-        """Look at what its processes hold together, until cancelled."""
+        """MembershipSample at what its processes hold together, until cancelled."""
         while True:
             held = [process.held() for process in self.living]
             self.peak.see(sum(one[0] for one in held), sum(one[1] for one in held))
--- a/dykefold/lab/fleet/network.py
+++ b/dykefold/lab/fleet/network.py
@@ -27,7 +27,7 @@
 FILLERS = 2  # connections that fill a queue of length 0: Linux holds one more than it is told
 PORT = 7946
 BLOCKS = range(16, 240)  # second octets of 127.0.0.0/8 that a rig may take as its own
-DATAGRAM_MOST = 65_536
+MAX_DATAGRAM_BYTES = 65_536
 
 
 def free_block() -> tuple[int, socket.socket]:
@@ -118,7 +118,7 @@
     def _came(self, sock: socket.socket, receiver: int | None) -> None:
         while True:
             try:
-                data, source = sock.recvfrom(DATAGRAM_MOST)
+                data, source = sock.recvfrom(MAX_DATAGRAM_BYTES)
             except (BlockingIOError, ConnectionError):
                 return
             sender = self.numbers.get(source)
--- a/dykefold/lab/fleet/registry.py
+++ b/dykefold/lab/fleet/registry.py
@@ -1,4 +1,4 @@
-"""The list service of a rig, by PROTOCOL's format: one place, calls in turn, late, sometimes down."""
+"""The list service of a rig, in the format of PROTOCOL: one queue of calls, with delays and outages."""
 
 from __future__ import annotations
 
@@ -11,44 +11,59 @@
 
 import httptools
 
-CHANGES_KEPT = 200
+MAX_CHANGES = 200
 
 
 class Registry:
-    """What is listed, and how calls are worked through.
+    """Serves the endpoint list to members.
 
     Args:
-        calls_per_s: that it works through, one after the other.
-        waiting_most: calls that wait their turn; one more is answered 503.
-        late_s: until a change is listed.
-        changes_kept: that it can tell by themselves; who knows less gets the whole list.
+        calls_per_s: Calls per second that it serves, one after the other.
+        max_waiting: Maximum number of waiting calls; a further one is answered with 503.
+        list_delay_s: Seconds until a change is listed.
+        max_changes: Number of changes that it can send by themselves; an older caller gets the whole list.
+
+    Attributes:
+        version: Version of the list.
+        entries: Listed servers by name, with an address for each group of callers.
+        changes: Latest changes, with the version of each.
+        waiting: Waiting calls.
+        busy: Whether a call is being served.
+        down: Number of outages that hold now.
+        connections: Open connections.
+        watchers: Watches that wait for a change, with the version that each has.
+        calls: Number of calls by second of the event loop's time.
+        rejected_calls: Number of calls that found the queue full.
+        notified_versions: Time and version of each list that a member was sent, by member.
+        starts: Time at which each member was notified of a server's start, by name of the server.
+        changed_s: Time of the latest change, move or end of an outage.
     """
 
     def __init__(
-        self, calls_per_s: float, waiting_most: int, late_s: float, changes_kept: int = CHANGES_KEPT
+        self, calls_per_s: float, max_waiting: int, list_delay_s: float, max_changes: int = MAX_CHANGES
     ) -> None:
         self.loop = asyncio.get_running_loop()
         self.calls_per_s = calls_per_s
-        self.waiting_most = waiting_most
-        self.late_s = late_s
-        self.changes_kept = changes_kept
+        self.max_waiting = max_waiting
+        self.list_delay_s = list_delay_s
+        self.max_changes = max_changes
         self.version = 1
         self.entries: dict[str, dict[str, Any]] = {}
         self.changes: list[tuple[int, dict[str, Any]]] = []
         self.waiting: list[Callable[[], None]] = []
         self.busy = False
         self.down = 0
-        self.connections: set[Caller] = set()
-        self.watchers: dict[Caller, int] = {}
-        self.calls: Counter[int] = Counter()  # by second of the loop's time
-        self.turned_away = 0
-        self.told: dict[int, list[tuple[float, int]]] = {}  # by member, when it was told which version
-        self.starts: dict[str, dict[int, float]] = {}  # by server, when each member was notified of its start
-        self.since_s = 0.0  # when it last came to say something new, or to answer again
+        self.connections: set[DiscoveryConnection] = set()
+        self.watchers: dict[DiscoveryConnection, int] = {}
+        self.calls: Counter[int] = Counter()
+        self.rejected_calls = 0
+        self.notified_versions: dict[int, list[tuple[float, int]]] = {}
+        self.starts: dict[str, dict[int, float]] = {}
+        self.changed_s = 0.0
 
     def change(self, entry: dict[str, Any]) -> None:
-        """A server has changed; the list says so some time later."""
-        self.loop.call_later(self.late_s, self._change, entry)
+        """Change the entry of a server; it is listed after `list_delay_s`."""
+        self.loop.call_later(self.list_delay_s, self._change, entry)
 
     def _change(self, entry: dict[str, Any]) -> None:
         if entry["status"] == "DELETED":
@@ -57,46 +72,46 @@
             self.entries[entry["name"]] = entry
             self.starts[entry["name"]] = {}
         self.version += 1
-        self.since_s = self.loop.time()
+        self.changed_s = self.loop.time()
         self.changes.append((self.version, entry))
-        del self.changes[: -self.changes_kept]
-        for caller, after in list(self.watchers.items()):
-            self.answer(caller, after)
+        del self.changes[: -self.max_changes]
+        for connection, after in list(self.watchers.items()):
+            self.send_list(connection, after)
 
     def fail(self, on: bool) -> None:
-        """It is down, or up again: calls are reset, watches end."""
+        """Begin or end an outage: calls are reset, watches end."""
         self.down += 1 if on else -1
-        self.since_s = self.loop.time()
+        self.changed_s = self.loop.time()
         if self.down:
-            self.told.clear()
-            for caller in list(self.connections):
-                caller.transport.abort()
+            self.notified_versions.clear()
+            for connection in list(self.connections):
+                connection.transport.abort()
 
     def moved(self) -> None:
-        """The service goes on elsewhere, with an index that begins anew."""
+        """Start again at another address, with the first version."""
         self.version = 1
         self.changes.clear()
-        self.told.clear()
-        self.since_s = self.loop.time()
+        self.notified_versions.clear()
+        self.changed_s = self.loop.time()
 
-    def listed(self) -> dict[int, float]:
-        """By member, when it was first told the present version, since its start."""
+    def current_list_times(self) -> dict[int, float]:
+        """Return the time at which each member was first sent the present version, by member."""
         return {
-            member: next(at_s for at_s, version in told if version == self.version)
-            for member, told in self.told.items()
-            if any(version == self.version for _, version in told)
+            member: next(at_s for at_s, version in listed if version == self.version)
+            for member, listed in self.notified_versions.items()
+            if any(version == self.version for _, version in listed)
         }
 
-    def came(self, caller: Caller, target: str) -> None:
-        """A call: it takes its turn, or is turned away."""
+    def on_call(self, connection: DiscoveryConnection, target: str) -> None:
+        """Queue a call, or reject it."""
         self.calls[int(self.loop.time())] += 1
         if self.down:
-            caller.transport.abort()
-        elif len(self.waiting) >= self.waiting_most:
-            self.turned_away += 1
-            caller.reply(503, b"")
+            connection.transport.abort()
+        elif len(self.waiting) >= self.max_waiting:
+            self.rejected_calls += 1
+            connection.reply(503, b"")
         else:
-            self.waiting.append(lambda: self._work(caller, target))
+            self.waiting.append(lambda: self._work(connection, target))
             self._next()
 
     def _next(self) -> None:
@@ -110,60 +125,69 @@
             work()
         self._next()
 
-    def _work(self, caller: Caller, target: str) -> None:
+    def _work(self, connection: DiscoveryConnection, target: str) -> None:
         query = parse_qs(urlsplit(target).query)
         if "after" not in query:
-            self.answer(caller, None)
+            self.send_list(connection, None)
             return
         after = int(query["after"][0])
         if after == self.version:
-            self.watchers[caller] = after
-            self._note(caller)
+            self.watchers[connection] = after
+            self._note(connection)
             wait_s = min(int(query.get("wait_ms", ["0"])[0]), 60_000) / 1000
-            self.loop.call_later(wait_s, self._tired, caller, after)
+            self.loop.call_later(wait_s, self._on_wait_end, connection, after)
         else:
-            self.answer(caller, after)
+            self.send_list(connection, after)
 
-    def _tired(self, caller: Caller, after: int) -> None:
-        if self.watchers.get(caller) == after:
-            self.answer(caller, after)
+    def _on_wait_end(self, connection: DiscoveryConnection, after: int) -> None:
+        if self.watchers.get(connection) == after:
+            self.send_list(connection, after)
 
-    def answer(self, caller: Caller, after: int | None) -> None:
-        self.watchers.pop(caller, None)
+    def send_list(self, connection: DiscoveryConnection, after: int | None) -> None:
+        """Send the changes after a version; the complete list for None or a version that is too old."""
+        self.watchers.pop(connection, None)
         oldest = self.changes[0][0] - 1 if self.changes else self.version
-        whole = after is None or not oldest <= after <= self.version
-        if whole:
+        complete = after is None or not oldest <= after <= self.version
+        if complete:
             entries = list(self.entries.values())
         else:
             entries = [entry for version, entry in self.changes if after is not None and version > after]
-        told = [
+        listed = [
             {**{key: value for key, value in entry.items() if key != "addresses"},
-             "address": entry["addresses"][caller.group]}
+             "address": entry["addresses"][connection.group]}
             for entry in entries
         ]  # fmt: skip
-        self._note(caller)
-        caller.reply(200, json.dumps({"index": self.version, "snapshot": whole, "endpoints": told}).encode())
+        self._note(connection)
+        connection.reply(
+            200, json.dumps({"index": self.version, "snapshot": complete, "endpoints": listed}).encode()
+        )
 
-    def _note(self, caller: Caller) -> None:
-        """From now on this caller has the present list."""
-        self.told.setdefault(caller.member, []).append((self.loop.time(), self.version))
-        self.notify(caller.member)
+    def _note(self, connection: DiscoveryConnection) -> None:
+        """Record that a connection has the present list."""
+        self.notified_versions.setdefault(connection.member, []).append((self.loop.time(), self.version))
+        self.notify(connection.member)
 
     def notify(self, member: int) -> None:
-        """From now on this member knows of every start that is listed."""
+        """Record that a member knows every listed start."""
         for notified_s in self.starts.values():
             notified_s.setdefault(member, self.loop.time())
 
-    def known(self, group: int) -> dict[str, Any]:
-        """The list as a member of a group begins with it."""
-        told = [{**entry, "address": entry["addresses"][group]} for entry in self.entries.values()]
-        for entry in told:
+    def initial_list(self, group: int) -> dict[str, Any]:
+        """Return the list that a member of a group starts with."""
+        listed = [{**entry, "address": entry["addresses"][group]} for entry in self.entries.values()]
+        for entry in listed:
             del entry["addresses"]
-        return {"index": self.version, "snapshot": True, "endpoints": told}
+        return {"index": self.version, "snapshot": True, "endpoints": listed}
 
 
-class Caller(asyncio.Protocol):
-    """A connection to the list service, of a member of one group."""
+class DiscoveryConnection(asyncio.Protocol):
+    """A connection of a member to the list service.
+
+    Args:
+        registry: The list service.
+        member: Number of the member.
+        group: Group of callers, which decides the addresses that it is sent.
+    """
 
     def __init__(self, registry: Registry, member: int, group: int) -> None:
         self.registry = registry
@@ -171,34 +195,39 @@
         self.group = group
         self.parser = httptools.HttpRequestParser(self)
         self.target = b""
-        self.came_s: float | None = None  # a call counts when it is read
+        self.came_s: float | None = None  # A call counts from when it is read.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register the connection; during an outage it is reset."""
         self.transport: asyncio.Transport = transport  # type: ignore[assignment]
         self.registry.connections.add(self)
         if self.registry.down:
             self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Forget the connection and its watch."""
         self.registry.connections.discard(self)
         self.registry.watchers.pop(self, None)
         del self.parser
 
     def data_received(self, data: bytes) -> None:
+        """Parse received bytes."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
             self.transport.abort()
 
     def on_url(self, url: bytes) -> None:
+        """Collect the target of the call."""
         self.target += url
 
     def on_message_complete(self) -> None:
+        """Pass the call to the list service."""
         target, self.target = self.target.decode("latin-1"), b""
-        self.registry.came(self, target)
+        self.registry.on_call(self, target)
 
     def reply(self, code: int, body: bytes) -> None:
-        """Answer the one call that is open."""
+        """Answer the open call."""
         if not self.transport.is_closing():
             head = b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n" % (code, len(body))
             self.transport.write(head + body)
--- a/dykefold/lab/fleet/scenario.py
+++ b/dykefold/lab/fleet/scenario.py
@@ -1,4 +1,4 @@
-"""A scenario file of the rig: members, servers by zone, list service, and what breaks when. Checked whole."""
+"""A scenario file of the rig: members, servers by zone, list service and faults."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 from ..scenario import Above, ClassTable, NotBelow, Positive, ServiceTable, Share
 from .member import FALL_MULTIPLE, FALL_S
 
-MEMBERS_MOST = 1000
-ZONES_MOST = 16
-SERVERS_MOST = 250  # in a zone: one address each
+MAX_MEMBERS = 1000
+MAX_ZONES = 16
+MAX_SERVERS = 250  # In a zone; each has an address of its own.
 GROUP = re.compile(r"all|zone:([a-z0-9-]+)|members:(\d+)(?:-(\d+))?")
 EXPECTED = "expected all, zone:NAME, members:N or members:N-M"
 QUICK = ServiceTable(kind="exponential", mean_ms=8.0)
@@ -28,43 +28,90 @@
 
 
 class FleetTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[fleet]`: sidecars, a process each, and the servers that they ask."""
-
-    members: Annotated[int, Meta(ge=1, le=MEMBERS_MOST)] = 6
-    zones: Annotated[list[str], Meta(min_length=1, max_length=ZONES_MOST)] = msgspec.field(
+    """`[fleet]`: the sidecars, one process each, and the servers.
+
+    Attributes:
+        members: Number of sidecars; they are assigned to the zones in turn.
+        zones: Names of the zones.
+        servers: Number of servers in each zone.
+        cores: Cores of a server.
+        cold_share: Fraction of its speed that a server has right after a start.
+        warm_s: Seconds until a server has its full speed.
+        cold_quick: Whether a cold server answers as quickly as a warm one, until it falls.
+        rate: Requests per second to each member.
+        memory_mb: Memory limit of a member in megabytes.
+        sockets: Descriptor limit of a member.
+        view: Whether members keep a membership (docs/operators/view.md).
+        calls: Whether members spread their calls of the list service (docs/operators/coldstart.md).
+        calls_per_s: Calls per second that members assume the list service can serve.
+        failover: Whether members may work in other zones (docs/operators/failover.md).
+        fall_multiple: Load of a cold server, relative to its capacity, that pushes it over.
+        fall_s: Seconds for which that load must last.
+        hedges: Whether members may hedge requests.
+        clock_s: Seconds by which the wall clock of odd members is ahead and that of even members behind.
+        again: Number of times that a client sends a refused request again at once.
+        busy: Factor on the rate of the first member.
+    """
+
+    members: Annotated[int, Meta(ge=1, le=MAX_MEMBERS)] = 6
+    zones: Annotated[list[str], Meta(min_length=1, max_length=MAX_ZONES)] = msgspec.field(
         default_factory=lambda: ["a", "b", "c"]
     )
-    servers: Annotated[int, Meta(ge=1, le=SERVERS_MOST)] = 3  # in each zone
-    cores: Positive = 2  # of a server
-    cold_share: Annotated[float, Meta(gt=0, le=1)] = 0.25  # of its speed right after a restart
+    servers: Annotated[int, Meta(ge=1, le=MAX_SERVERS)] = 3
+    cores: Positive = 2
+    cold_share: Annotated[float, Meta(gt=0, le=1)] = 0.25
     warm_s: NotBelow = 4.0
-    cold_quick: bool = False  # a cold server answers as quickly as a warm one, up to its fall
-    rate: Above = 10.0  # requests a second to each member
-    memory_mb: Positive = 80  # that a member is told
+    cold_quick: bool = False
+    rate: Above = 10.0
+    memory_mb: Positive = 80
     sockets: Positive = 384
-    view: bool = False  # whether members keep a view of the fleet (docs/operators/view.md)
-    calls: bool = False  # whether they spread their calls of the list service (docs/operators/coldstart.md)
-    calls_per_s: Above = DEFAULT_CALLS_PER_S  # that they take it to work through
-    failover: bool = False  # whether they may work away from their zone (docs/operators/failover.md)
-    fall_multiple: Above = FALL_MULTIPLE  # times what a cold server can do ...
-    fall_s: Above = FALL_S  # ... for so long, push it over
-    hedges: bool = False  # whether members may have a second attempt out beside the first
-    clock_s: float = 0.0  # that every other member's wall clock is ahead, and the others' behind
-    again: Annotated[int, Meta(ge=0, le=10)] = 0  # times that a desk asks again at once after a refusal
-    busy: Above = 1.0  # times the usual load comes to the first member
+    view: bool = False
+    calls: bool = False
+    calls_per_s: Above = DEFAULT_CALLS_PER_S
+    failover: bool = False
+    fall_multiple: Above = FALL_MULTIPLE
+    fall_s: Above = FALL_S
+    hedges: bool = False
+    clock_s: float = 0.0
+    again: Annotated[int, Meta(ge=0, le=10)] = 0
+    busy: Above = 1.0
 
 
 class ListTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[list_service]`."""
+    """`[list_service]`.
+
+    Attributes:
+        calls_per_s: Calls per second that it serves, one after the other.
+        waiting_most: Maximum number of waiting calls.
+        late_s: Seconds until a change is listed.
+        replaced: Fraction of the servers that started, cold, after the members' first lists were made.
+    """
 
-    calls_per_s: Above = 160.0  # that it works through, one after the other
-    waiting_most: Positive = 32  # calls that wait their turn
-    late_s: NotBelow = 0.3  # until a change is listed
-    replaced: Share = 0.0  # of the servers came, cold, since the members' first lists were made, for others
+    calls_per_s: Above = 160.0
+    waiting_most: Positive = 32
+    late_s: NotBelow = 0.3
+    replaced: Share = 0.0
 
 
 class FaultTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[[faults]]`: what breaks, from when, for how long, of whom."""
+    """`[[faults]]`: one fault.
+
+    Attributes:
+        kind: Kind of the fault.
+        at_s: Seconds from the start of the load until the fault begins.
+        for_s: Duration in seconds.
+        of: Affected members; one side of a cut; zone of the servers; senders of datagrams.
+        to: Other side of a cut, or receivers of datagrams. Members on both sides belong to the first.
+        one_way: Whether only traffic from `of` to `to` is affected.
+        share: Affected fraction of datagrams, members, servers or answers; for `slow-list` the remaining
+            fraction of its rate.
+        late_s: Mean added delay of datagrams in seconds, for `late`.
+        times: Number of repetitions, each after a pause of the same duration.
+        steps: Number of groups that are affected one after the other, for `kill`, `term` and `upgrade`.
+        clock_s: Seconds by which the wall clocks of newly started processes are shifted.
+        load: Factor on the rate of requests, for `burst`.
+        rate: Datagrams per second from each sender to each receiver, for `flood`.
+    """
 
     kind: Literal[
         "cut",
@@ -86,21 +133,28 @@
     ]
     at_s: NotBelow
     for_s: Above
-    of: str = "all"  # cut: the one side; servers, resets: whose zone; burst: at which members
-    to: str = "all"  # cut and datagrams: the other side; members that are on both are of the first
-    one_way: bool = False  # only what goes from `of` to `to` is met
-    # Of the datagrams; kill, stop, term: of the members; slow-list: of its rate; servers; resets: of answers.
+    of: str = "all"
+    to: str = "all"
+    one_way: bool = False
     share: Share = 1.0
-    late_s: NotBelow = 0.1  # late: on average
-    times: Positive = 1  # stop, kill, term, servers: so often, each after as long again
-    steps: Positive = 1  # kill, term, upgrade: in so many parts, one after the other
-    clock_s: float = 0.0  # kill, term: how far the clock on the wall is off for the processes started again
-    load: Above = 4.0  # burst: times as many requests
-    rate: Above = 2000.0  # flood: datagrams a second from the one to each of the others
+    late_s: NotBelow = 0.1
+    times: Positive = 1
+    steps: Positive = 1
+    clock_s: float = 0.0
+    load: Above = 4.0
+    rate: Above = 2000.0
 
 
 class FleetScenario(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """The whole file."""
+    """A scenario.
+
+    Attributes:
+        fleet: Sidecars and servers.
+        list_service: The list service.
+        faults: Faults, in any order.
+        seed: Seed of all random streams.
+        span_s: Duration of the load in seconds.
+    """
 
     fleet: FleetTable = FleetTable()
     list_service: ListTable = ListTable()
@@ -109,11 +163,11 @@
     span_s: Annotated[float, Meta(gt=0, le=3600)] = 10.0
 
     def zone_of(self, member: int) -> int:
-        """Members stand in the zones in turn."""
+        """Return the zone of a member."""
         return member % len(self.fleet.zones)
 
     def members_of(self, group: str) -> list[int]:
-        """The members that a group names."""
+        """Return the members of a group."""
         match = GROUP.fullmatch(group)
         assert match is not None
         everyone = range(self.fleet.members)
@@ -125,9 +179,10 @@
         return list(everyone)
 
     def zones_of(self, group: str) -> list[int]:
-        """The zones that a group takes up whole: connections are cut for these, datagrams for any member.
+        """Return the zones that a group includes completely.
 
-        A zone that is named is meant also where no member stands in it.
+        Connections are cut for these zones, datagrams for each member. A named zone counts also if it has no
+        members.
         """
         match = GROUP.fullmatch(group)
         assert match is not None
@@ -142,7 +197,11 @@
 
 
 def read_fleet(path: str) -> FleetScenario:
-    """Read a scenario file of the rig. Raises ServiceError with all that is wrong at once."""
+    """Read a scenario file of the rig.
+
+    Raises:
+        ServiceError: The file is invalid; the error lists every problem.
+    """
     data = read_toml(path)
     problems = _problems(data)
     if problems:
--- a/dykefold/lab/fleet/upgrades.py
+++ b/dykefold/lab/fleet/upgrades.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from ..chance import generator
 from ..emulator.server import Server, Truth
+from ..random_streams import generator
 from ..scenario import ClassTable, LoadTable, Scenario, ServerTable, ServiceTable
-from .desk import Desk, End, all_asked, playing
+from .client import Client, RequestEnd, all_requests, playing
 from .judge import Ban, Excuse, Verdict, judge
 from .member import LOOPBACK, Member, entry, settings
 from .process import Process, call
@@ -38,14 +38,14 @@
     """One sidecar with its desk, its servers, and what is known of them."""
 
     member: Member
-    desk: Desk
+    client: Client
     servers: dict[str, Server]
     truth: Truth
     excuses: list[Excuse] = field(default_factory=list)
     bans: list[Ban] = field(default_factory=list)
 
     def verdict(self) -> Verdict:
-        return judge(list(all_asked([self.desk])), self.truth.arrivals, CLASSES, self.excuses, self.bans)
+        return judge(list(all_requests([self.client])), self.truth.arrivals, CLASSES, self.excuses, self.bans)
 
     # Faults
 
@@ -53,7 +53,7 @@
         """Kill a process: what it holds is for its clients to ask again."""
         now_s = asyncio.get_running_loop().time()
         process.kill()
-        self.excuses.append(Excuse(self.desk.number, now_s, now_s + DEATH_S))
+        self.excuses.append(Excuse(self.client.number, now_s, now_s + DEATH_S))
 
     async def stop(self, process: Process, span_s: float = STOP_S) -> None:
         """Have a process stand still for a time; what it holds may be late by that."""
@@ -61,7 +61,7 @@
         process.stop()
         await asyncio.sleep(span_s)
         process.go_on()
-        self.excuses.append(Excuse(self.desk.number, now_s, now_s + span_s + DEATH_S))
+        self.excuses.append(Excuse(self.client.number, now_s, now_s + span_s + DEATH_S))
 
     # An upgrade's steps
 
@@ -95,10 +95,10 @@
         """Take a server out at a process's door."""
         assert process.door is not None
         assert await call(process.door, f"POST /servers/{server}/maint") == 200
-        self.bans.append(Ban(self.desk.number, server, asyncio.get_running_loop().time() + GRACE_S))
+        self.bans.append(Ban(self.client.number, server, asyncio.get_running_loop().time() + GRACE_S))
 
     def served(self) -> int:
-        return sum(asked.end is End.SERVED for asked in self.desk.asked)
+        return sum(asked.end is RequestEnd.SERVED for asked in self.client.requests)
 
     async def serves_on(self, more: int = 20, within_s: float = 10.0) -> None:
         """Wait until so many more requests were served. Raises TimeoutError if they are not."""
@@ -152,7 +152,7 @@
     }
     member = Member(0, folder, data)
     member.trees = trees or member.trees
-    desk = Desk(0, CLASSES, rate, generator(seed, "desk"), new_share)
+    desk = Client(0, CLASSES, rate, generator(seed, "desk"), new_share)
     watch: asyncio.Task[None] | None = None
     try:
         desk.address = await member.begin()
--- a/dykefold/lab/judge.py
+++ b/dykefold/lab/judge.py
@@ -9,7 +9,7 @@
 
 from .scenario import Scenario
 
-LAG_MOST_US = (
+MAX_LAG_US = (
     20_000  # of the load tool at its 99th percentile; beyond it a run says nothing of what it measured
 )
 PERCENTILES = (50.0, 99.0, 99.9)
@@ -48,7 +48,7 @@
     @property
     def valid(self) -> bool:
         unsent = sum(one.counts["unsent"] for one in self.classes.values())
-        return self.lag_ms * 1000 <= LAG_MOST_US and not unsent
+        return self.lag_ms * 1000 <= MAX_LAG_US and not unsent
 
 
 def judge(scenario: Scenario, seen: list[dict], truth: dict[str, list[dict]]) -> RunResult:
--- a/dykefold/lab/load/client.py
+++ b/dykefold/lab/load/client.py
@@ -15,20 +15,20 @@
 from hdrh.histogram import HdrHistogram
 
 from ..arrivals import arrival_times
-from ..chance import generator
+from ..random_streams import generator
 from ..scenario import ClassTable, Scenario
 
 US = 1_000_000
-LATENCY_MOST_US = 120 * US
+MAX_LATENCY_US = 120 * US
 DIGITS = 3  # significant ones that a histogram keeps
 RETRY_PAUSE_S = 0.05  # of a client that is told no time, or heeds none
-RETRY_AFTER_MOST_S = 5.0
+MAX_RETRY_AFTER_S = 5.0
 ANSWER_SLACK_S = 0.05  # beyond a deadline until a client gives up
 
 
 def histogram() -> HdrHistogram:
     """Of microseconds, up to two minutes."""
-    return HdrHistogram(1, LATENCY_MOST_US, DIGITS)
+    return HdrHistogram(1, MAX_LATENCY_US, DIGITS)
 
 
 @dataclass(slots=True)
@@ -213,7 +213,7 @@
             seen.refused.append(ask.ident)
             pause_s = RETRY_PAUSE_S
             if load.heeds_retry_after and retry_after_s is not None:
-                pause_s = min(retry_after_s, RETRY_AFTER_MOST_S)
+                pause_s = min(retry_after_s, MAX_RETRY_AFTER_S)
             if ask.tries < load.retries and took_s + pause_s < table.deadline_ms / 1000:
                 again = Ask(ask.cls, ask.number, ask.tries + 1, ask.intended_s)
                 self.loop.call_later(pause_s, self._send, again)
--- a/dykefold/lab/scenario.py
+++ b/dykefold/lab/scenario.py
@@ -15,8 +15,8 @@
 NotBelow = Annotated[float, Meta(ge=0)]
 Share = Annotated[float, Meta(ge=0, le=1)]
 
-SERVERS_MOST = 1000
-LOAD_PROCESSES_MOST = 64
+MAX_SERVERS = 1000
+MAX_LOAD_PROCESSES = 64
 
 
 class ServiceTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
@@ -70,7 +70,7 @@
     peak: Above = 100.0  # step, ramp: at the end; bursty: in a burst; sine: at its height
     period_s: Above = 10.0  # sine: of a swing; bursty: on average from burst to burst
     at_s: NotBelow = 0.0  # step: when
-    processes: Annotated[int, Meta(ge=1, le=LOAD_PROCESSES_MOST)] = 1
+    processes: Annotated[int, Meta(ge=1, le=MAX_LOAD_PROCESSES)] = 1
     retries: Annotated[int, Meta(ge=0, le=10)] = 0  # of a refused request, each under a new id
     heeds_retry_after: bool = True
     connections_most: Positive = 512
@@ -149,8 +149,8 @@
     problems = []
     if len(set(kinds)) < len(kinds):
         problems.append("servers: a name comes twice")
-    if len(names) > SERVERS_MOST:
-        problems.append(f"servers: {len(names)} of them; expected {SERVERS_MOST} at most")
+    if len(names) > MAX_SERVERS:
+        problems.append(f"servers: {len(names)} of them; expected {MAX_SERVERS} at most")
     for number, fault in enumerate(scenario.faults):
         unknown = [name for name in fault.servers if name not in names and name not in kinds]
         if unknown:
--- a/tests/control/test_hot_restart_faults.py
+++ b/tests/control/test_hot_restart_faults.py
@@ -188,23 +188,23 @@
 def test_the_judge_finds_what_was_lost_doubled_late_or_went_to_a_banned_server():
     """Guards against a rig that sees no fault."""
     from dykefold.lab.emulator.server import Arrival
-    from dykefold.lab.fleet.desk import Asked, End
+    from dykefold.lab.fleet.client import ClientRequest, RequestEnd
 
     def asked(ident, cls, end, sent_s=1.0, body=None):
-        return Asked(ident, cls, 0, sent_s, sent_s + 0.1, end, 200, ident if body is None else body)
-
-    all_asked = [
-        asked("twice", "order", End.SERVED),
-        asked("lost", "lookup", End.LOST),
-        asked("held", "lookup", End.LOST, 5.0),
-        asked("else", "lookup", End.SERVED, body="other"),
-        asked("refused", "order", End.REFUSED),
-        asked("crossed", "order", End.CROSSED),
-        asked("unread", "order", End.CROSSED),
-        asked("window", "hold", End.SERVED),
-        asked("heldback", "hold", End.SERVED),
-        asked("banned", "lookup", End.SERVED, 9.0),
-        asked("copies", "lookup", End.SERVED),
+        return ClientRequest(ident, cls, 0, sent_s, sent_s + 0.1, end, 200, ident if body is None else body)
+
+    all_requests = [
+        asked("twice", "order", RequestEnd.SERVED),
+        asked("lost", "lookup", RequestEnd.LOST),
+        asked("held", "lookup", RequestEnd.LOST, 5.0),
+        asked("else", "lookup", RequestEnd.SERVED, body="other"),
+        asked("refused", "order", RequestEnd.REFUSED),
+        asked("crossed", "order", RequestEnd.CROSSED),
+        asked("unread", "order", RequestEnd.CROSSED),
+        asked("window", "hold", RequestEnd.SERVED),
+        asked("heldback", "hold", RequestEnd.SERVED),
+        asked("banned", "lookup", RequestEnd.SERVED, 9.0),
+        asked("copies", "lookup", RequestEnd.SERVED),
     ]
     arrivals = {
         "a": [Arrival(i, "x", 1.0, 1.0) for i in ("twice", "else", "refused", "crossed", "window", "copies")],
@@ -217,7 +217,7 @@
         ],
         "c": [Arrival("banned", "lookup", 9.0, 9.0), Arrival("copies", "lookup", 1.0, None, overlaps=True)],
     }
-    found = judge(all_asked, arrivals, CLASSES, [Excuse(0, 5.0, 5.2)], [Ban(0, "c", 8.0)])
+    found = judge(all_requests, arrivals, CLASSES, [Excuse(0, 5.0, 5.2)], [Ban(0, "c", 8.0)])
     assert found.lost == ["lost", "crossed"] and found.excused == 1
     assert [line.split()[0] for line in found.violations] == [
         "twice", "else", "refused", "window", "copies", "banned",
--- a/tests/failover/test_failover_processes.py
+++ b/tests/failover/test_failover_processes.py
@@ -11,9 +11,10 @@
 from typer.testing import CliRunner
 
 from dykefold.cli import app
-from dykefold.lab.fleet.run import VIEW_PORT, Rig, rigged
+from dykefold.lab.fleet.membership_samples import fetch_json
+from dykefold.lab.fleet.rig import VIEW_PORT, Rig
+from dykefold.lab.fleet.run import rigged
 from dykefold.lab.fleet.scenario import FaultTable, FleetScenario, FleetTable, ListTable
-from dykefold.lab.fleet.views import ask
 
 pytestmark = [pytest.mark.processes, pytest.mark.fleet]
 
@@ -58,18 +59,18 @@
 def test_sidecars_move_only_where_they_must(case: str) -> None:
     faults, span_s, (least, most) = CASES[case]
     seen = played_in_time(scenario(list(faults), span_s))
-    assert least <= seen.moves <= most
-    assert sum(seen.served) > 0.85 * sum(seen.asked)
-    assert seen.cold_load < 1.0
+    assert least <= seen.zones.moves <= most
+    assert sum(seen.load.served_by_second) > 0.85 * sum(seen.load.requests_by_second)
+    assert seen.slow_start.peak_capacity_load < 1.0
     if case == "calm":
-        assert sum(seen.crossed[1:-1]) < 0.02 * len(seen.crossed[1:-1])
+        assert sum(seen.zones.cross_zone_fractions[1:-1]) < 0.02 * len(seen.zones.cross_zone_fractions[1:-1])
 
 
 def test_an_evacuation_is_shown_in_the_plan_and_taken_back() -> None:
     async def wait_for_zone(rig: Rig, member: int, want: set[str]) -> dict:
-        address = rig.watch.addresses[member]  # type: ignore[union-attr]
+        address = rig.sampler.addresses[member]  # type: ignore[union-attr]
         async with asyncio.timeout(20):
-            while (plan := await ask(address, "/fleet/plan"))["works_in"] not in want:
+            while (plan := await fetch_json(address, "/fleet/plan"))["works_in"] not in want:
                 await asyncio.sleep(0.1)
         return plan
 
@@ -87,14 +88,14 @@
             plan = await wait_for_zone(rig, 0, {"b", "c"})
             assert plan["state"] == "away"
             assert plan["cause"] == "evacuated by hand"
-            at = f"{rig.watch.addresses[0][0]}:{VIEW_PORT}"  # type: ignore[union-attr]
+            at = f"{rig.sampler.addresses[0][0]}:{VIEW_PORT}"  # type: ignore[union-attr]
             shown = await asyncio.to_thread(CliRunner().invoke, app, ["fleet", "plan", "--at", at])
             assert shown.exit_code == 0
             assert "evacuated by hand" in shown.stdout
             shown = await asyncio.to_thread(CliRunner().invoke, app, ["fleet", "plan", "--at", at, "--json"])
             assert json.loads(shown.stdout)["zone"] == "a"
             write(rig, "")
-            desks = [asyncio.ensure_future(desk.play()) for desk in rig.desks]
+            desks = [asyncio.ensure_future(desk.play()) for desk in rig.clients]
             await wait_for_zone(rig, 0, {"a"})  # nobody came home before attempts showed that home is healthy
             for desk in desks:
                 desk.cancel()
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -12,9 +12,10 @@
 
 from dykefold.cli import app
 from dykefold.fleet.options import FleetOptions
-from dykefold.lab.fleet.run import VIEW_PORT, rigged
+from dykefold.lab.fleet.membership_samples import fetch_json
+from dykefold.lab.fleet.rig import VIEW_PORT
+from dykefold.lab.fleet.run import rigged
 from dykefold.lab.fleet.scenario import FleetScenario, FleetTable
-from dykefold.lab.fleet.views import ask
 from dykefold.service_config import ServiceError, read_service
 
 
@@ -32,7 +33,7 @@
             first = processes[0]
             assert first is not None
             await first.says(r"member 1 is alive, was unknown: .* \(incarnation \d+\)")
-            at = f"{rig.watch.addresses[0][0]}:{VIEW_PORT}"  # type: ignore[union-attr]
+            at = f"{rig.sampler.addresses[0][0]}:{VIEW_PORT}"  # type: ignore[union-attr]
 
             async def membership() -> dict:
                 shown = await asyncio.to_thread(view, "--at", at, "--json")
@@ -56,7 +57,7 @@
             assert "2 live" in shown.stdout
             assert "member 2 is left" in " ".join(shown.stdout.split())
             with pytest.raises(ValueError, match="404"):
-                await ask(rig.watch.addresses[0], "/servers/x/maint")  # type: ignore[union-attr]
+                await fetch_json(rig.sampler.addresses[0], "/servers/x/maint")  # type: ignore[union-attr]
 
     run(play())
 
@@ -82,7 +83,7 @@
                 assert process is not None
                 process.signal(signal.SIGHUP)
                 await asyncio.sleep(1.0)
-            brief = [await ask(address, "/fleet/brief") for address in rig.watch.addresses]  # type: ignore[union-attr]
+            brief = [await fetch_json(address, "/fleet/brief") for address in rig.sampler.addresses]  # type: ignore[union-attr]
             assert [one["live"] for one in brief] == ["7"] * 3
             assert [one["member"] for one in brief] == [0, 2, 1]
             # A list without this member is logged and changes nothing.
@@ -94,7 +95,7 @@
                 .processes[0]
                 .says("membership keeps its addresses: member 0 is not among 0 peers")
             )
-            assert (await ask(rig.watch.addresses[0], "/fleet/brief"))["live"] == "7"  # type: ignore[union-attr]
+            assert (await fetch_json(rig.sampler.addresses[0], "/fleet/brief"))["live"] == "7"  # type: ignore[union-attr]
             assert not any("is gone" in line for member in rig.members for line in member.processes[0].lines)
 
     run(play())
--- a/tests/fleet/test_coldstart_processes.py
+++ b/tests/fleet/test_coldstart_processes.py
@@ -5,7 +5,7 @@
 import pytest
 from process_helpers import played_in_time
 
-from dykefold.lab.fleet.run import Seen
+from dykefold.lab.fleet.report import FleetRunResult
 from dykefold.lab.fleet.scenario import FaultTable, FleetScenario, FleetTable, ListTable
 
 pytestmark = [pytest.mark.processes, pytest.mark.fleet]
@@ -18,12 +18,12 @@
 
 def played(
     faults: list[FaultTable], span_s: float, view: bool = True, calls: bool = True, **more: float
-) -> Seen:
+) -> FleetRunResult:
     fleet = FleetTable(members=MEMBERS, rate=5.0, servers=2, view=view, calls=calls, calls_per_s=10.0, **more)
     lists = ListTable(calls_per_s=SERVICE, waiting_most=3, replaced=0.5)
     scenario = FleetScenario(fleet, lists, faults=faults, span_s=span_s)
     seen = played_in_time(scenario, start_lag_most_s=0.25)
-    assert seen.cold_load < 1.0
+    assert seen.slow_start.peak_capacity_load < 1.0
     return seen
 
 
@@ -59,19 +59,19 @@
 def test_polls_are_spread_and_all_members_have_the_list_soon(case: str) -> None:
     faults, span_s, more = CASES[case]
     seen = played(faults, span_s, **more)
-    assert len(seen.listed_s) == MEMBERS
-    assert max(seen.listed_s) < SPAN_MOST_S
+    assert len(seen.list_service.list_delays_s) == MEMBERS
+    assert max(seen.list_service.list_delays_s) < SPAN_MOST_S
     if OUTAGE in faults:
-        assert sum(seen.calls) < 8 * MEMBERS  # bounded, over 5 s of failures
+        assert sum(seen.list_service.calls_by_second) < 8 * MEMBERS  # bounded, over 5 s of failures
     elif not any(fault.kind in ("slow-list", "move-list") for fault in faults):
-        assert seen.turned_away <= 0.05 * sum(seen.calls)
-    served = sum(seen.served) / sum(seen.asked)
+        assert seen.list_service.rejected_calls <= 0.05 * sum(seen.list_service.calls_by_second)
+    served = sum(seen.load.served_by_second) / sum(seen.load.requests_by_second)
     assert served > (0.9 if case == "in the middle of an upgrade" else 0.7)  # nobody is away then
 
 
 def test_polls_that_are_not_spread_are_rejected() -> None:
     """What the cases above are measured against: red if the rig had room for all at once."""
     seen = played([], 5.0, view=False, calls=False)
-    assert seen.turned_away > 0.1 * sum(seen.calls)
+    assert seen.list_service.rejected_calls > 0.1 * sum(seen.list_service.calls_by_second)
     alone = played([], 5.0, view=False)
-    assert alone.turned_away <= 0.05 * sum(alone.calls)
+    assert alone.list_service.rejected_calls <= 0.05 * sum(alone.list_service.calls_by_second)
--- a/tests/fleet/test_membership_processes.py
+++ b/tests/fleet/test_membership_processes.py
@@ -6,16 +6,16 @@
 from process_helpers import played_in_time
 
 from dykefold.fleet.rate_limits import RateLimits
-from dykefold.lab.fleet.run import Seen
+from dykefold.lab.fleet.membership_samples import MembershipSample, samples_svg
+from dykefold.lab.fleet.report import FleetRunResult
 from dykefold.lab.fleet.scenario import FaultTable, FleetScenario, FleetTable
-from dykefold.lab.fleet.views import Look, plotted
 
 pytestmark = [pytest.mark.processes, pytest.mark.fleet]
 
 MEMBERS = 7  # not the same number in each zone
 
 
-def played(faults: list[FaultTable], span_s: float) -> Seen:
+def played(faults: list[FaultTable], span_s: float) -> FleetRunResult:
     fleet = FleetTable(members=MEMBERS, rate=6.0, servers=2, view=True)
     return played_in_time(FleetScenario(fleet, faults=faults, span_s=span_s))
 
@@ -54,27 +54,29 @@
 def test_the_membership_settles_after_each_fault(case: str) -> None:
     faults, span_s = CASES[case]
     seen = played(list(faults), span_s)
-    assert seen.settled_s is not None, seen.looks[-1]
-    assert seen.settled_s <= RateLimits().settled_ns(MEMBERS) / 1e9
+    assert seen.membership.settled_s is not None, seen.membership.samples[-1]
+    assert seen.membership.settled_s <= RateLimits().settled_ns(MEMBERS) / 1e9
     if case in ("one way", "flood", "stopped for 3 s", "loss, doubles, spoilt", "a clock 10 s back"):
         # Nobody was ever gone for anybody: a stop of 3 s is shorter than a suspicion.
-        least = min(len(live) for look in seen.looks for live in look.live.values() if look.at_s > 1)
+        least = min(
+            len(live) for look in seen.membership.samples for live in look.live.values() if look.at_s > 1
+        )
         assert least == MEMBERS
     if case.startswith("split"):
-        assert any(len(live) < MEMBERS for look in seen.looks for live in look.live.values())
+        assert any(len(live) < MEMBERS for look in seen.membership.samples for live in look.live.values())
 
 
 def test_wrong_memberships_are_recognised_and_plotted() -> None:
     both = frozenset({0, 1})
     looks = [
-        Look(0.0, both, {0: both, 1: frozenset({1})}),
-        Look(0.5, both, {0: both}),
-        Look(1.0, frozenset({1}), {1: both}),
+        MembershipSample(0.0, both, {0: both, 1: frozenset({1})}),
+        MembershipSample(0.5, both, {0: both}),
+        MembershipSample(1.0, frozenset({1}), {1: both}),
     ]
-    assert [look.right for look in looks] == [False] * 3
-    assert [look.wrong(0) for look in looks] == [0, 0, None]
-    assert Look(0.0, both, {0: both, 1: both}).right
-    drawn = plotted(looks, 2, [(0.1, 0.4, "cut")])
+    assert [look.matches for look in looks] == [False] * 3
+    assert [look.wrong_members(0) for look in looks] == [0, 0, None]
+    assert MembershipSample(0.0, both, {0: both, 1: both}).matches
+    drawn = samples_svg(looks, 2, [(0.1, 0.4, "cut")])
     assert drawn.startswith("<svg")
     assert drawn.count("<rect") == 7
     assert "#b0b0b0" in drawn  # one that did not answer
--- a/tests/fleet/test_slow_start_processes.py
+++ b/tests/fleet/test_slow_start_processes.py
@@ -22,5 +22,5 @@
 @pytest.mark.parametrize(("name", "members"), CASES)
 def test_no_server_in_slow_start_is_pushed_over(name: str, members: int) -> None:
     seen = played_in_time(scenario(name, members), lost_if_late=True)
-    assert seen.slow_start.calls > 0  # else nothing was looked at
-    assert not seen.slow_start_notified.falls, seen.slow_start_notified
+    assert seen.slow_start.worst.calls > 0  # else nothing was looked at
+    assert not seen.slow_start.worst_notified.falls, seen.slow_start.worst_notified
--- a/tests/lab/test_fleet_rig.py
+++ b/tests/lab/test_fleet_rig.py
@@ -13,7 +13,7 @@
 from dykefold.cli import app
 from dykefold.lab.fleet.judge import cold_load
 from dykefold.lab.fleet.network import Datagrams, Link, free_block
-from dykefold.lab.fleet.registry import Caller, Registry
+from dykefold.lab.fleet.registry import DiscoveryConnection, Registry
 from dykefold.lab.fleet.scenario import FaultTable, FleetScenario, FleetTable, read_fleet
 from dykefold.service_config import ServiceError
 
@@ -120,8 +120,8 @@
 
 def test_the_list_service_works_in_turn_and_turns_away_what_it_has_no_room_for():
     async def play_it():
-        registry = Registry(calls_per_s=50.0, waiting_most=3, late_s=0.0)
-        link = Link("127.0.0.1", lambda: Caller(registry, 0, 0))
+        registry = Registry(calls_per_s=50.0, max_waiting=3, list_delay_s=0.0)
+        link = Link("127.0.0.1", lambda: DiscoveryConnection(registry, 0, 0))
 
         async def asked():
             reader, writer = await asyncio.open_connection(link.host, link.port)
@@ -131,11 +131,11 @@
             return code
 
         codes = await asyncio.gather(*(asked() for _ in range(12)))
-        assert set(codes) == {200, 503} and registry.turned_away == codes.count(503) >= 6
+        assert set(codes) == {200, 503} and registry.rejected_calls == codes.count(503) >= 6
         await until(lambda: not registry.busy)
-        assert registry.listed().keys() == {0}
+        assert registry.current_list_times().keys() == {0}
         registry.moved()
-        assert not registry.listed()  # what the old one told counts no longer
+        assert not registry.current_list_times()  # what the old one told counts no longer
         link.close()
 
     run(play_it())
@@ -174,12 +174,12 @@
     # On a machine that is busy with others the rig itself may be late, and then says nothing of answers.
     scenario = FleetScenario(fleet, faults=[FAULTS[name]], span_s=4.0)
     seen = played_in_time(scenario, lost_if_late=True)
-    assert seen.good, seen.verdict.lost[:3]
+    assert seen.passed, seen.verdict.lost[:3]
     counts = seen.verdict.counts
     assert counts["served"] > 0.5 * sum(counts.values()) > 100
     # The rig itself was there: its fault shows where it must.
     if name in ("most killed at once", "all restarted in turn"):
-        assert sum(seen.calls) > 6
+        assert sum(seen.list_service.calls_by_second) > 6
 
 
 def test_rigs_do_not_meet():
--- a/tests/lab/test_station.py
+++ b/tests/lab/test_queueing.py
@@ -8,9 +8,9 @@
 from hypothesis import strategies as st
 
 from dykefold.lab.arrivals import arrival_times, service_times
-from dykefold.lab.chance import generator
+from dykefold.lab.queueing import QueueingModel, waiting_times
+from dykefold.lab.random_streams import generator
 from dykefold.lab.scenario import LoadTable, ServiceTable
-from dykefold.lab.station import Station, waits
 
 JOBS = 150_000  # the bounds below are some four standard errors of so many
 
@@ -19,8 +19,8 @@
     """Waiting times of jobs, seconds, and the share that was turned away."""
     chance = generator(seed, "theory")
     times = arrival_times(LoadTable(rate=rate), jobs / rate, chance)
-    found = waits(
-        Station(cores, queue_most), times.tolist(), service_times(service, len(times), chance).tolist()
+    found = waiting_times(
+        QueueingModel(cores, queue_most), times.tolist(), service_times(service, len(times), chance).tolist()
     )
     kept = np.array([wait for wait in found if wait is not None])
     return kept, 1 - len(kept) / len(found)
@@ -92,7 +92,7 @@
 
 @given(st.lists(st.booleans(), max_size=60), st.integers(1, 4), st.integers(0, 5), st.booleans())
 def test_a_station_never_holds_more_than_it_says(moves, cores, queue_most, lifo):
-    station = Station(cores, queue_most, lifo)
+    station = QueueingModel(cores, queue_most, lifo)
     came, begun, done = [], [], 0
     for number, arrives in enumerate(moves):
         if arrives:
@@ -114,5 +114,5 @@
 
 
 def test_the_last_that_came_is_first_where_the_file_says_so():
-    found = waits(Station(1, 10, lifo=True), [0.0, 0.1, 0.2], [1.0, 1.0, 1.0])
+    found = waiting_times(QueueingModel(1, 10, lifo=True), [0.0, 0.1, 0.2], [1.0, 1.0, 1.0])
     assert found == [0.0, pytest.approx(1.9), pytest.approx(0.8)]
--- a/tests/lab/test_slow_start_judge.py
+++ b/tests/lab/test_slow_start_judge.py
@@ -7,9 +7,9 @@
 from dykefold.lab.fleet.judge import SlowStart, SlowStartCall, slow_start_budget, slow_start_load
 
 # 100 a second when warm, a quarter of it at first; three times that over 2 s: 150 allowed at its start.
-WIDE = SlowStart(full=100.0, start_capacity=0.25, warm_s=20.0, factor=3.0, span_s=2.0)
+WIDE = SlowStart(capacity_per_s=100.0, start_capacity=0.25, warm_s=20.0, factor=3.0, span_s=2.0)
 # Once of 5 a second over a second: 5 allowed at its start, and hardly more in that second.
-FEW = SlowStart(full=100.0, start_capacity=0.05, warm_s=1000.0, factor=1.0, span_s=1.0)
+FEW = SlowStart(capacity_per_s=100.0, start_capacity=0.05, warm_s=1000.0, factor=1.0, span_s=1.0)
 EVERYBODY = dict.fromkeys(range(4), -1.0)
 
 
@@ -58,4 +58,4 @@
     calls = [SlowStartCall(0.0, 0), *together(14, first=False), SlowStartCall(0.5, 7)]
     worst, _ = slow_start_load(calls, 0.0, FEW, EVERYBODY)
     assert (worst.calls, worst.notified, worst.sidecars) == (16, 15, 5)
-    assert (worst.openers, worst.repeats, worst.most) == (5, 14, 5)
+    assert (worst.first_calls, worst.retries, worst.max_calls_per_sidecar) == (5, 14, 5)
--- a/tests/net/test_process_races.py
+++ b/tests/net/test_process_races.py
@@ -221,5 +221,5 @@
     ]
     scenario = FleetScenario(fleet, ListTable(), faults=faults, span_s=13.0)
     seen = played_in_time(scenario, lost_if_late=True)
-    assert seen.cold_fall < 1.0
-    assert seen.cold_load < most
+    assert seen.slow_start.peak_rule_load < 1.0
+    assert seen.slow_start.peak_capacity_load < most
--- a/tests/process_helpers.py
+++ b/tests/process_helpers.py
@@ -12,7 +12,8 @@
 from net_helpers import run
 
 from dykefold.lab.fleet.compiled_tree import compiled_tree
-from dykefold.lab.fleet.run import Seen, play
+from dykefold.lab.fleet.report import FleetRunResult
+from dykefold.lab.fleet.run import play
 from dykefold.lab.fleet.scenario import FleetScenario
 
 ROOT = Path(__file__).parent.parent
@@ -38,7 +39,7 @@
 
 def played_in_time(
     scenario: FleetScenario, start_lag_most_s: float = float("inf"), lost_if_late: bool = False
-) -> Seen:
+) -> FleetRunResult:
     """A scenario of the rig, played until the rig kept up with it.
 
     Args:
@@ -49,9 +50,9 @@
     def play_once():
         seen = run(play(scenario))
         assert not seen.verdict.violations and not seen.faults and None not in seen.ready_s
-        late = not seen.valid or seen.start_lag_s > start_lag_most_s
+        late = not seen.valid or seen.lag.start_s > start_lag_most_s
         assert not seen.verdict.lost or (late and lost_if_late)
-        return seen, f"{seen.lag_s:.2f} s, {seen.start_lag_s:.2f} s at the start" if late else None
+        return seen, f"{seen.lag.load_s:.2f} s, {seen.lag.start_s:.2f} s at the start" if late else None
 
     return in_time(play_once)
 
