--- a/dykefold/lab/emulator/__main__.py
+++ b/dykefold/lab/emulator/__main__.py
@@ -1,7 +1,7 @@
 """`python -m dykefold.lab.emulator SCENARIO`: the platform as a process.
 
-It prints the servers' ports as JSON, begins its time line when a line comes on standard input, and prints
-the truth as JSON when standard input ends.
+It prints the servers' ports as JSON, begins to play faults after a line on standard input, and prints the
+recorded attempts as JSON when standard input ends.
 """
 
 from __future__ import annotations
--- a/dykefold/lab/emulator/server.py
+++ b/dykefold/lab/emulator/server.py
@@ -1,7 +1,7 @@
-"""A server of the emulated platform: HTTP/1.1 by the platform's protocol before a `QueueingModel`.
+"""A server of the emulated platform: the platform's HTTP/1.1 in front of a `QueueingModel`.
 
-It keeps the truth: each arrival of each request id, when its work began and ended, and how it was answered.
-Work that has begun goes on whatever becomes of its client, as PROTOCOL says of time-outs.
+It records each attempt of each request id, when its work began and ended, and how it was answered. Work that
+has begun continues even if the client has gone (PROTOCOL, time-outs).
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from ..random_streams import generator
 from ..scenario import FaultTable, Scenario
 
-DRAWS = 4096  # service times that are drawn at once, since one by one costs a microsecond each
+DRAWS = 4096  # Service times drawn at once; drawing each by itself would take a microsecond.
 NO_LINGER = struct.pack("ii", 1, 0)
 
 
@@ -57,25 +57,30 @@
 
 @dataclass(slots=True)
 class Truth:
-    """Every attempt that reached any server, by server."""
+    """Record of every attempt that reached any server.
+
+    Attributes:
+        arrivals: Attempts by name of the server.
+        pending: Connections with an unanswered attempt, by request id.
+    """
 
     arrivals: dict[str, list[Arrival]] = field(default_factory=dict)
-    pending: dict[str, list[Connection]] = field(default_factory=dict)  # by request id, with no answer yet
+    pending: dict[str, list[Connection]] = field(default_factory=dict)
 
     def on_arrival(self, ident: str, connection: Connection) -> bool:
-        """An attempt has come; whether an earlier one of its request still stands."""
-        standing = [other for other in self.pending.get(ident, ()) if other.is_open()]
-        self.pending[ident] = [*standing, connection]
-        return bool(standing)
+        """Record an attempt; return whether an earlier one of its request is on an open connection."""
+        open_connections = [other for other in self.pending.get(ident, ()) if other.is_open()]
+        self.pending[ident] = [*open_connections, connection]
+        return bool(open_connections)
 
     def on_end(self, ident: str, connection: Connection) -> None:
-        """An attempt has its answer, or its connection is gone."""
-        left = [other for other in self.pending.pop(ident, ()) if other is not connection]
-        if left:
-            self.pending[ident] = left
+        """Record that an attempt was answered, or that its connection was lost."""
+        others = [other for other in self.pending.pop(ident, ()) if other is not connection]
+        if others:
+            self.pending[ident] = others
 
     def effects(self) -> dict[str, list[tuple[float, str]]]:
-        """Request id -> when and where its work began."""
+        """Return by request id the time and server of each beginning of its work."""
         found: dict[str, list[tuple[float, str]]] = {}
         for server, arrivals in self.arrivals.items():
             for arrival in arrivals:
@@ -85,45 +90,59 @@
 
 
 class Connection(asyncio.Protocol):
-    """A connection of a sidecar or client; a request at a time, as the protocol has it."""
+    """A connection of a sidecar or client, with one request at a time (PROTOCOL).
+
+    Args:
+        server: The server.
+
+    Attributes:
+        ident: Id of the unanswered request; empty if there is none.
+        came_s: Time of arrival of the bytes being read, if they waited for the end of a cut; else None.
+    """
 
     def __init__(self, server: Server) -> None:
         self.server = server
         self.parser = httptools.HttpRequestParser(self)
         self.target = b""
         self.headers: dict[bytes, bytes] = {}
-        self.ident = ""  # of the attempt that has no answer yet
-        self.came_s: float | None = None  # when what is read now reached this machine, if that was earlier
+        self.ident = ""
+        self.came_s: float | None = None
         self.transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register the connection."""
         self.transport = transport  # type: ignore[assignment]
         self.server.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Forget the connection."""
         self.server.connections.discard(self)
         self.server.truth.on_end(self.ident, self)
         del self.parser
 
     def data_received(self, data: bytes) -> None:
+        """Parse received bytes; abort the connection if they are malformed."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
             self.transport.abort()
 
     def on_url(self, url: bytes) -> None:
+        """Collect the target."""
         self.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Take a header."""
         self.headers[name.lower()] = value
 
     def on_message_complete(self) -> None:
+        """Pass a complete request to the server."""
         target, headers = self.target, self.headers
         self.target, self.headers = b"", {}
         self.server.on_request(self, target, headers)
 
     def is_open(self) -> bool:
-        """Whether the other side has not ended it, as the kernel knows (what the loop knows is older)."""
+        """Return whether the peer has not closed it, as the kernel knows; the event loop may not know yet."""
         sock = self.transport.get_extra_info("socket")
         if sock is None or self.transport.is_closing():
             return False
@@ -136,19 +155,36 @@
                 return False
 
     def answer(self, code: int, body: bytes, lines: bytes = b"") -> None:
+        """Answer the open request, unless the connection is closing."""
         self.server.truth.on_end(self.ident, self)
         if not self.transport.is_closing():
             head = b"HTTP/1.1 %d X\r\n%sContent-Length: %d\r\n\r\n" % (code, lines, len(body))
             self.transport.write(head + body)
 
     def reset(self) -> None:
+        """Reset the connection."""
         sock = self.transport.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
         self.transport.abort()
 
 
 class Server:
-    """One server, on a port that stays its own while it is down."""
+    """An emulated server. It keeps its port while it is down.
+
+    Args:
+        scenario: The scenario.
+        name: Name of the server, NAME-NUMBER of its kind.
+        truth: Record of all attempts.
+
+    Attributes:
+        queue: Queueing model of the server.
+        faults: Faults that hold now.
+        arrivals: Attempts that reached this server.
+        connections: Open connections.
+        started_s: Event loop time of the latest start, in seconds; far in the past for a warm server.
+        incarnation: Number of crashes; work of an earlier incarnation is lost.
+        port: Port on loopback; 0 before the first `listen`.
+    """
 
     def __init__(self, scenario: Scenario, name: str, truth: Truth) -> None:
         self.loop = asyncio.get_running_loop()
@@ -160,23 +196,24 @@
         )
         self.rng = generator(scenario.seed, "server", name)
         self.draws: dict[str, list[float]] = {}
-        self.faults: list[FaultTable] = []  # that hold now
+        self.faults: list[FaultTable] = []
         self.truth = truth
         self.arrivals = truth.arrivals.setdefault(name, [])
         self.connections: set[Connection] = set()
-        self.started_s = -1e9  # long ago: warm
+        self.started_s = -1e9
         self.incarnation = 0
         self.listening: asyncio.Server | None = None
         self.port = 0
 
     async def listen(self) -> None:
+        """Listen, at the same port as before if there was one."""
         self.listening = await self.loop.create_server(lambda: Connection(self), "127.0.0.1", self.port)
         self.port = self.listening.sockets[0].getsockname()[1]
 
     # Work
 
     def on_request(self, connection: Connection, target: bytes, headers: dict[bytes, bytes]) -> None:
-        """A request's last byte has come."""
+        """Serve, queue or reject a complete request."""
         if target.startswith(b"/-/"):
             connection.answer(200, b"ready")
             return
@@ -215,7 +252,7 @@
         self.loop.call_later(took, self._finish, job, self.incarnation)
 
     def _part(self, now: float) -> float:
-        """Of its speed that a server has which has just started."""
+        """Return the fraction of its speed that the server has now."""
         if self.table.warm_s <= 0:
             return 1.0
         warm = min((now - self.started_s) / self.table.warm_s, 1.0)
@@ -223,7 +260,7 @@
 
     def _finish(self, job: tuple[Connection, Arrival, float], life: int) -> None:
         if life != self.incarnation:
-            return  # it died with the process
+            return  # The work was lost in a crash.
         connection, arrival, _ = job
         arrival.ended_s = self.loop.time()
         following = self.queue.finish()
@@ -249,7 +286,7 @@
         return next((fault for fault in self.faults if fault.kind == kind), None)
 
     def fault(self, fault: FaultTable) -> None:
-        """Begin a fault; it ends by itself."""
+        """Begin a fault, which ends by itself after its duration."""
         self.faults.append(fault)
         self.loop.call_later(fault.for_s, self._end, fault)
         if fault.kind == "crash":
@@ -262,6 +299,7 @@
             self.starting = self.loop.create_task(self.listen())
 
     def crash(self) -> None:
+        """Crash: close the listener, reset all connections and lose all work."""
         self.incarnation += 1
         self.queue.clear()
         if self.listening is not None:
--- a/dykefold/lab/fleet/fault_injection.py
+++ b/dykefold/lab/fleet/fault_injection.py
@@ -51,9 +51,9 @@
             "burst": self._burst,
             "cut": lambda fault: Switch(lambda: self._cut(fault, True), lambda: self._cut(fault, False)),
             "loss": lambda fault: self._datagram_fault(fault, "loss", fault.share),
-            "late": lambda fault: self._datagram_fault(fault, "late_s", fault.late_s),
+            "late": lambda fault: self._datagram_fault(fault, "delays_s", fault.late_s),
             "double": lambda fault: self._datagram_fault(fault, "doubled", fault.share),
-            "spoil": lambda fault: self._datagram_fault(fault, "spoilt", fault.share),
+            "spoil": lambda fault: self._datagram_fault(fault, "corrupted", fault.share),
         }
         self._member_actions: dict[str, Callable[[int, float], Awaitable[None]]] = {
             "kill": rig.kill,
@@ -191,7 +191,7 @@
 
     def _datagram_fault(self, fault: FaultTable, field: str, value: float) -> Switch:
         """Add a value to a field of the paths between two groups of members."""
-        paths = [self.rig.datagrams.way(sender, receiver) for sender, receiver in self._pairs(fault)]
+        paths = [self.rig.datagrams.path(sender, receiver) for sender, receiver in self._pairs(fault)]
 
         def begin() -> None:
             for path in paths:
@@ -215,7 +215,7 @@
     def _cut(self, fault: FaultTable, on: bool) -> None:
         """Cut or heal the datagrams between members, and the connections between whole zones."""
         for pair in self._pairs(fault):
-            self.rig.datagrams.way(*pair).cuts += 1 if on else -1
+            self.rig.datagrams.path(*pair).cuts += 1 if on else -1
         ones = self.scenario.zones_of(fault.of)
         others = [zone for zone in self.scenario.zones_of(fault.to) if zone not in ones]
         for one in ones:
--- a/dykefold/lab/fleet/network.py
+++ b/dykefold/lab/fleet/network.py
@@ -1,12 +1,12 @@
-"""What lies between the processes of a rig, and breaks: datagrams by relay, connections at the far end.
+"""The network between the processes of a rig, with faults: a relay for datagrams, links for connections.
 
-Every member is known to the others under an address of the rig's (PROTOCOL allows that each sees the others
-under addresses of its own). A datagram comes to the rig's socket for its receiver, whose source tells the
-sender; it goes on, or not, from the rig's socket for that sender. One socket a member, however many links.
+Each member knows the others under addresses of the rig (PROTOCOL lets each sidecar see the others under its
+own addresses). The rig receives a datagram on the socket of its receiver, recognizes the sender by the source
+address, and forwards it from the socket of the sender. So there is one socket for each member.
 
-A connection is cut where it ends, in the rig's own servers: what has come is not looked at, what is to go
-waits, and a new connection never comes up, since the listener's queue is kept full by the rig itself (Linux
-drops the SYN then; `tcp_abort_on_overflow` is 0 unless an administrator set it).
+A connection is cut at its end in the rig's own servers: received bytes are not processed, and written bytes
+wait. A new connection is never established, since the rig keeps the listener's queue full (Linux drops the
+SYN then, unless an administrator has set `tcp_abort_on_overflow`).
 """
 
 from __future__ import annotations
@@ -24,17 +24,28 @@
 from .process import Address
 
 BACKLOG = 512
-FILLERS = 2  # connections that fill a queue of length 0: Linux holds one more than it is told
+QUEUE_FILLERS = 2  # Connections that fill a queue of length 0; Linux accepts one more than its length.
 PORT = 7946
-BLOCKS = range(16, 240)  # second octets of 127.0.0.0/8 that a rig may take as its own
+BLOCKS = range(16, 240)  # Second octets of 127.0.0.0/8 that a rig may use.
+FLOOD_INTERVAL_S = 0.005
+FLOOD_NOISE_FRACTION = 0.5
+MAX_NOISE_BYTES = 256
+CORRUPTION_MASK = 0x55
 MAX_DATAGRAM_BYTES = 65_536
 
 
+class NoFreeBlockError(OSError):
+    """Every block of addresses is in use by a rig of this machine."""
+
+    def __init__(self) -> None:
+        super().__init__("every part of 127.0.0.0/8 is in use by a rig")
+
+
 def free_block() -> tuple[int, socket.socket]:
-    """A part 127.N.0.0/16 that no other rig of this machine uses, and the socket that keeps it so.
+    """Return the second octet of an unused block 127.N.0.0/16, and the socket that reserves it.
 
     Raises:
-        OSError: all are taken.
+        NoFreeBlockError: Every block is in use by a rig of this machine.
     """
     for block in BLOCKS:
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -44,44 +55,59 @@
             sock.close()
             continue
         return block, sock
-    raise OSError("every part of 127.0.0.0/8 is in use by a rig")
+    raise NoFreeBlockError
 
 
 @dataclass(slots=True)
-class Way:
-    """From one member to another, as it is just now.
+class NetworkPath:
+    """Faults that hold now on the way from one member to another.
 
     Attributes:
-        cuts: faults that let nothing pass.
-        loss: shares that are lost, one for each fault.
-        late_s: added delay, one for each fault.
-        doubled: shares that come twice.
-        spoilt: shares that come with a changed byte.
+        cuts: Number of faults that let nothing pass.
+        loss: Fraction of the datagrams that each fault drops.
+        delays_s: Mean added delay of each fault, in seconds.
+        doubled: Fraction of the datagrams that each fault delivers twice.
+        corrupted: Fraction of the datagrams of which each fault changes a byte.
     """
 
     cuts: int = 0
     loss: list[float] = field(default_factory=list)
-    late_s: list[float] = field(default_factory=list)
+    delays_s: list[float] = field(default_factory=list)
     doubled: list[float] = field(default_factory=list)
-    spoilt: list[float] = field(default_factory=list)
+    corrupted: list[float] = field(default_factory=list)
 
 
 class Datagrams:
-    """The relay between members."""
+    """Relays datagrams between members.
 
-    def __init__(self, chance: np.random.Generator) -> None:
+    Args:
+        rng: Random generator of the faults.
+
+    Attributes:
+        paths: Faults by sender and receiver.
+        relay_sockets: Socket of each member, whose address the others know.
+        member_addresses: Address at which each member listens.
+        numbers: Members by that address.
+        broadcast_socket: Socket whose datagrams go to all members.
+        sent: Number of datagrams by sender.
+        latest: Latest datagram of each sender.
+        delivered: Number of datagrams delivered.
+        bytes: Size in bytes of the datagrams delivered.
+    """
+
+    def __init__(self, rng: np.random.Generator) -> None:
         self.loop = asyncio.get_running_loop()
-        self.chance = chance
-        self.ways: dict[tuple[int, int], Way] = {}
-        self.fronts: list[socket.socket] = []  # of each member, as the others know it
-        self.behind: list[Address] = []  # where each member really listens
+        self.rng = rng
+        self.paths: dict[tuple[int, int], NetworkPath] = {}
+        self.relay_sockets: list[socket.socket] = []
+        self.member_addresses: list[Address] = []
         self.numbers: dict[Address, int] = {}
-        self.everyone = self._socket("127.0.0.1")
-        self.sent: Counter[int] = Counter()  # by sender
-        self.latest: dict[int, bytes] = {}  # by sender
+        self.broadcast_socket = self._socket("127.0.0.1")
+        self.sent: Counter[int] = Counter()
+        self.latest: dict[int, bytes] = {}
         self.delivered = 0
         self.bytes = 0
-        self.loop.add_reader(self.everyone.fileno(), self._came, self.everyone, None)
+        self.loop.add_reader(self.broadcast_socket.fileno(), self._on_readable, self.broadcast_socket, None)
 
     @staticmethod
     def _socket(host: str) -> socket.socket:
@@ -90,32 +116,34 @@
         sock.bind((host, 0))
         return sock
 
-    def add(self, behind: Address) -> None:
-        """One more member, which listens there."""
-        number = len(self.fronts)
+    def add(self, address: Address) -> None:
+        """Add a member that listens at an address."""
+        number = len(self.relay_sockets)
         front = self._socket("127.0.0.1")
-        self.fronts.append(front)
-        self.behind.append(behind)
-        self.numbers[behind] = number
-        self.loop.add_reader(front.fileno(), self._came, front, number)
+        self.relay_sockets.append(front)
+        self.member_addresses.append(address)
+        self.numbers[address] = number
+        self.loop.add_reader(front.fileno(), self._on_readable, front, number)
 
     def addresses(self) -> list[str]:
-        """Of all members, as they are told them."""
-        return [self._text(front) for front in self.fronts]
+        """Return the addresses of all members, as their configurations have them."""
+        return [self._text(front) for front in self.relay_sockets]
 
     @property
     def all_address(self) -> str:
-        return self._text(self.everyone)
+        """Address whose datagrams go to all members."""
+        return self._text(self.broadcast_socket)
 
     @staticmethod
     def _text(sock: socket.socket) -> str:
         host, port = sock.getsockname()
         return f"{host}:{port}"
 
-    def way(self, sender: int, receiver: int) -> Way:
-        return self.ways.setdefault((sender, receiver), Way())
+    def path(self, sender: int, receiver: int) -> NetworkPath:
+        """Return the faults on the way from one member to another."""
+        return self.paths.setdefault((sender, receiver), NetworkPath())
 
-    def _came(self, sock: socket.socket, receiver: int | None) -> None:
+    def _on_readable(self, sock: socket.socket, receiver: int | None) -> None:
         while True:
             try:
                 data, source = sock.recvfrom(MAX_DATAGRAM_BYTES)
@@ -126,169 +154,208 @@
                 continue
             self.sent[sender] += 1
             self.latest[sender] = data
-            receivers = range(len(self.fronts)) if receiver is None else (receiver,)
-            for one in receivers:
-                if one != sender:
-                    self._pass(sender, one, data)
+            receivers = range(len(self.relay_sockets)) if receiver is None else (receiver,)
+            for other in receivers:
+                if other != sender:
+                    self._pass(sender, other, data)
 
     def _pass(self, sender: int, receiver: int, data: bytes) -> None:
-        way = self.ways.get((sender, receiver))
+        path = self.paths.get((sender, receiver))
         copies = 1
-        late_s = 0.0
-        if way is not None:
-            if way.cuts or any(self.chance.random() < share for share in way.loss):
+        delay_s = 0.0
+        if path is not None:
+            if path.cuts or any(self.rng.random() < share for share in path.loss):
                 return
-            copies += any(self.chance.random() < share for share in way.doubled)
-            if data and any(self.chance.random() < share for share in way.spoilt):
-                place = int(self.chance.integers(len(data)))
-                data = data[:place] + bytes([data[place] ^ 0x55]) + data[place + 1 :]
-            # Each its own delay, so that one overtakes another.
-            late_s = sum(late * float(self.chance.random()) * 2 for late in way.late_s)
+            copies += any(self.rng.random() < share for share in path.doubled)
+            if data and any(self.rng.random() < share for share in path.corrupted):
+                place = int(self.rng.integers(len(data)))
+                data = data[:place] + bytes([data[place] ^ CORRUPTION_MASK]) + data[place + 1 :]
+            # Each datagram has a delay of its own, so that one may overtake another.
+            delay_s = sum(mean_s * float(self.rng.random()) * 2 for mean_s in path.delays_s)
         for _ in range(copies):
-            if late_s > 0:
-                self.loop.call_later(late_s, self._deliver, sender, receiver, data)
+            if delay_s > 0:
+                self.loop.call_later(delay_s, self._deliver, sender, receiver, data)
             else:
                 self._deliver(sender, receiver, data)
 
     async def flood(self, sender: int, receivers: list[int], rate: float) -> None:
-        """Send noise, and datagrams that came from a member already, under its address until cancelled."""
-        turn_s, owed = 0.005, 0.0
+        """Send noise and repeated datagrams under a member's address until cancelled."""
+        due = 0.0
         while True:
-            await asyncio.sleep(turn_s)
-            owed += rate * turn_s
-            while owed >= 1.0:
-                owed -= 1.0
+            await asyncio.sleep(FLOOD_INTERVAL_S)
+            due += rate * FLOOD_INTERVAL_S
+            while due >= 1.0:
+                due -= 1.0
                 data = self.latest.get(sender, b"")
-                if self.chance.random() < 0.5 or not data:
-                    data = self.chance.bytes(int(self.chance.integers(1, 257)))
+                if self.rng.random() < FLOOD_NOISE_FRACTION or not data:
+                    data = self.rng.bytes(int(self.rng.integers(1, MAX_NOISE_BYTES + 1)))
                 for receiver in receivers:
                     self._deliver(sender, receiver, data)
 
     def _deliver(self, sender: int, receiver: int, data: bytes) -> None:
-        with contextlib.suppress(OSError):  # nobody listens there now, or its queue is full
-            self.fronts[sender].sendto(data, self.behind[receiver])
+        with contextlib.suppress(OSError):  # Nobody listens there, or the queue is full.
+            self.relay_sockets[sender].sendto(data, self.member_addresses[receiver])
             self.delivered += 1
             self.bytes += len(data)
 
     def close(self) -> None:
-        for sock in (self.everyone, *self.fronts):
+        """Close all sockets."""
+        for sock in (self.broadcast_socket, *self.relay_sockets):
             self.loop.remove_reader(sock.fileno())
             sock.close()
 
 
-class Inner(Protocol):
-    """What is behind a link; `came_s` tells it when what it reads now had come, if that was under a cut."""
+class ServerConnection(Protocol):
+    """The server's protocol behind a link.
+
+    Attributes:
+        came_s: Time of arrival of the bytes that are passed on now, if they waited for the end of a cut.
+    """
 
     came_s: float | None
 
-    def connection_made(self, transport: asyncio.BaseTransport) -> None: ...
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take the transport."""
 
-    def data_received(self, data: bytes) -> None: ...
+    def data_received(self, data: bytes) -> None:
+        """Take received bytes."""
 
-    def connection_lost(self, exc: Exception | None) -> None: ...
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Take the end of the connection."""
 
 
-class Line(asyncio.Protocol):
-    """A connection to one of the rig's servers, that can be cut on either way."""
+class CuttableConnection(asyncio.Protocol):
+    """A connection to one of the rig's servers that can be cut in either direction.
 
-    def __init__(self, link: Link, inner: Inner) -> None:
+    Args:
+        link: Link on which it was accepted; its cuts apply.
+        inner: The server's protocol.
+    """
+
+    def __init__(self, link: Link, inner: ServerConnection) -> None:
         self.link = link
         self.inner = inner
-        self.came: list[tuple[float, bytes]] = []  # while nothing passes, with its time
-        self.ended: list[Exception | None] = []
+        self.received: list[tuple[float, bytes]] = []  # During a cut, with the times of arrival.
+        self.lost: list[Exception | None] = []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register the connection, and pass a transport on that can be cut."""
         self.transport = transport
-        self.link.lines[self] = None
-        self.inner.connection_made(Held(self, transport))  # type: ignore[arg-type]
+        self.link.connections[self] = None
+        self.inner.connection_made(CuttableTransport(self, transport))  # type: ignore[arg-type]
 
     def data_received(self, data: bytes) -> None:
+        """Pass received bytes on, or store them during a cut."""
         if self.link.inward:
-            self.came.append((self.link.loop.time(), data))
+            self.received.append((self.link.loop.time(), data))
         else:
             self.inner.data_received(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        # Under a cut neither side hears of the other's end.
+        """Pass the end of the connection on; during a cut neither side notices the other's end."""
         if self.link.inward:
-            self.ended.append(exc)
+            self.lost.append(exc)
         else:
-            self._over(exc)
+            self._lose(exc)
 
-    def _over(self, exc: Exception | None) -> None:
-        self.link.lines.pop(self, None)
+    def _lose(self, exc: Exception | None) -> None:
+        self.link.connections.pop(self, None)
         self.inner.connection_lost(exc)
 
-    def pass_on(self) -> None:
-        """The cut is over: what came meanwhile arrives, in its order."""
-        came, self.came = self.came, []
-        for self.inner.came_s, data in came:
+    def deliver(self) -> None:
+        """Pass on what was received during a cut, in order."""
+        received, self.received = self.received, []
+        for self.inner.came_s, data in received:
             self.inner.data_received(data)
         self.inner.came_s = None
-        if self.ended:
-            self._over(self.ended.pop())
+        if self.lost:
+            self._lose(self.lost.pop())
+
 
+class CuttableTransport:
+    """The server's transport of a connection; during an outward cut its calls wait.
 
-class Held:
-    """The transport as the server sees it: what it writes waits while nothing passes outward."""
+    Args:
+        connection: The connection.
+        transport: The real transport.
+    """
 
-    def __init__(self, line: Line, transport: asyncio.BaseTransport) -> None:
-        self.line = line
+    def __init__(self, connection: CuttableConnection, transport: asyncio.BaseTransport) -> None:
+        self.connection = connection
         self.transport: asyncio.Transport = transport  # type: ignore[assignment]
         self.waiting: list[Callable[[], None]] = []
-        line.link.held[self] = None
+        connection.link.transports[self] = None
 
-    def _do(self, act: Callable[[], None]) -> None:
-        if self.line.link.outward:
-            self.waiting.append(act)
+    def _do(self, action: Callable[[], None]) -> None:
+        if self.connection.link.outward:
+            self.waiting.append(action)
         else:
-            act()
+            action()
 
     def write(self, data: bytes) -> None:
+        """Write bytes."""
         self._do(lambda: self.transport.write(data))
 
     def close(self) -> None:
+        """Close after what was written."""
         self._do(self.transport.close)
 
     def abort(self) -> None:
+        """Close at once."""
         self._do(self.transport.abort)
 
     def is_closing(self) -> bool:
+        """Return whether the real transport is closing."""
         return self.transport.is_closing()
 
     def get_extra_info(self, name: str) -> object:
+        """Return information on the real transport."""
         return self.transport.get_extra_info(name)
 
     def release(self) -> None:
+        """Carry out the calls that waited during a cut."""
         waiting, self.waiting = self.waiting, []
-        for act in waiting:
+        for action in waiting:
             if not self.transport.is_closing():
-                act()
+                action()
 
 
 class Link:
-    """A listener for those of one group, before one server."""
+    """A listener in front of one server, for one group of callers. It listens at once.
+
+    Args:
+        host: Address; the system picks the port.
+        make: Returns the server's protocol of a new connection.
+
+    Attributes:
+        inward: Number of cuts that hold now on what callers send.
+        outward: Number of cuts that hold now on what the server sends.
+        connections: Open connections, in order.
+        transports: Transports that may have waiting calls.
+        accepted: Number of accepted connections by second of the event loop's time.
+        sock: Listening socket; None while the link is shut.
+    """
 
-    def __init__(self, host: str, make: Callable[[], Inner]) -> None:
-        """Listen at once, on a port that the system picks."""
+    def __init__(self, host: str, make: Callable[[], ServerConnection]) -> None:
         self.loop = asyncio.get_running_loop()
         self.make = make
         self.host, self.port = host, 0
-        self.inward = self.outward = 0  # cuts that hold now
-        self.lines: dict[Line, None] = {}
-        self.held: dict[Held, None] = {}
+        self.inward = self.outward = 0
+        self.connections: dict[CuttableConnection, None] = {}
+        self.transports: dict[CuttableTransport, None] = {}
         self.fillers: list[socket.socket] = []
-        self.accepted: Counter[int] = Counter()  # connections by second of the loop's time
+        self.accepted: Counter[int] = Counter()
         self.sock: socket.socket | None = None
         self.starting: set[asyncio.Task[None]] = set()
         self.open()
 
     @property
     def address(self) -> str:
+        """Address and port as text."""
         return f"{self.host}:{self.port}"
 
     def open(self) -> None:
-        """Listen, at the same port as before."""
+        """Listen, at the same port as before if there was one."""
         self.sock = socket.create_server((self.host, self.port), backlog=BACKLOG)
         self.port = self.sock.getsockname()[1]
         self.sock.setblocking(False)
@@ -311,21 +378,21 @@
 
     async def _begin(self, sock: socket.socket) -> None:
         try:
-            await self.loop.connect_accepted_socket(lambda: Line(self, self.make()), sock)
+            await self.loop.connect_accepted_socket(lambda: CuttableConnection(self, self.make()), sock)
         except OSError:
             sock.close()
 
     def _fill(self) -> None:
         assert self.sock is not None
         self.sock.listen(0)
-        for _ in range(FILLERS):
+        for _ in range(QUEUE_FILLERS):
             filler = socket.socket()
             filler.setblocking(False)
             filler.connect_ex((self.host, self.port))
             self.fillers.append(filler)
 
     def cut(self, inward: bool, outward: bool) -> None:
-        """Let nothing pass, on one way or both, until as many `heal`s have come."""
+        """Cut one or both directions, until as many calls of `heal`."""
         if inward and not self.inward and self.sock is not None:
             self.loop.remove_reader(self.sock.fileno())
             self._fill()
@@ -333,7 +400,7 @@
         self.outward += outward
 
     def heal(self, inward: bool, outward: bool) -> None:
-        """End a cut: what waited goes on, in order."""
+        """End a cut; what waited is passed on in order."""
         self.inward -= inward
         self.outward -= outward
         if inward and not self.inward:
@@ -343,16 +410,16 @@
             if self.sock is not None:
                 self.sock.listen(BACKLOG)
                 self.loop.add_reader(self.sock.fileno(), self._accept)
-            for line in list(self.lines):
-                line.pass_on()
+            for connection in list(self.connections):
+                connection.deliver()
         if outward and not self.outward:
-            for held in list(self.held):
-                held.release()
-                if held.transport.is_closing():
-                    del self.held[held]
+            for transport in list(self.transports):
+                transport.release()
+                if transport.transport.is_closing():
+                    del self.transports[transport]
 
     def shut(self) -> None:
-        """Listen no more: new connections are refused."""
+        """Stop listening; new connections are refused."""
         if self.sock is not None:
             self.loop.remove_reader(self.sock.fileno())
             self.sock.close()
@@ -362,7 +429,7 @@
         self.fillers.clear()
 
     def close(self) -> None:
-        """Listen no more, and end what is open."""
+        """Stop listening, and abort all connections."""
         self.shut()
-        for line in list(self.lines):
-            line.transport.abort()  # type: ignore[attr-defined]
+        for connection in list(self.connections):
+            connection.transport.abort()  # type: ignore[attr-defined]
--- a/dykefold/lab/judge.py
+++ b/dykefold/lab/judge.py
@@ -1,4 +1,4 @@
-"""What a run shows: service by class, and the rules judged from the servers' truth. No I/O."""
+"""Result of a run: service by class, and the rules judged from the servers' records. No I/O."""
 
 from __future__ import annotations
 
@@ -9,34 +9,40 @@
 
 from .scenario import Scenario
 
-MAX_LAG_US = (
-    20_000  # of the load tool at its 99th percentile; beyond it a run says nothing of what it measured
-)
+MAX_LAG_US = 20_000  # At the 99th percentile of the load tool; a run with more is void.
 PERCENTILES = (50.0, 99.0, 99.9)
 ENDS = ("in_aim", "late", "refused", "failed", "unanswered", "unsent")
 
 
 @dataclass(slots=True)
 class ClassResult:
-    """Of one class; `counts` by how its requests ended."""
+    """Result of one class.
+
+    Attributes:
+        counts: Number of requests by how they ended.
+        latency: Latencies of served requests in microseconds.
+        by_second: Number of requests by second of the intended start and by how they ended.
+    """
 
     counts: Counter[str]
     latency: HdrHistogram
     by_second: dict[int, Counter[str]]
 
     def percentiles_ms(self) -> dict[str, float]:
+        """Return the latencies in milliseconds at `PERCENTILES`."""
         return {f"p{at:g}": self.latency.get_value_at_percentile(at) / 1000 for at in PERCENTILES}
 
 
 @dataclass(slots=True)
 class RunResult:
-    """Of one run.
+    """Result of one run.
 
     Attributes:
-        lag_ms: 99th percentile of the load tool's own lateness.
-        valid: whether that is within its bound, and the tool has sent all that it should have.
-        violations: of the rules, a line each.
-        shares: attempts by server.
+        classes: Result of each class, by name.
+        lag_ms: 99th percentile of the load tool's own lateness, in milliseconds.
+        violations: Violations of the rules, one line each.
+        attempts: Number of attempts that reached a server.
+        shares: Number of attempts by server.
     """
 
     classes: dict[str, ClassResult]
@@ -47,42 +53,44 @@
 
     @property
     def valid(self) -> bool:
-        unsent = sum(one.counts["unsent"] for one in self.classes.values())
+        """Whether the tool was late by at most `MAX_LAG_US` and has sent every request."""
+        unsent = sum(result.counts["unsent"] for result in self.classes.values())
         return self.lag_ms * 1000 <= MAX_LAG_US and not unsent
 
 
-def judge(scenario: Scenario, seen: list[dict], truth: dict[str, list[dict]]) -> RunResult:
-    """Put together what the load processes saw and what the servers know.
+def judge(scenario: Scenario, reports: list[dict], truth: dict[str, list[dict]]) -> RunResult:
+    """Combine the results of the load processes with the records of the servers.
 
     Args:
-        seen: what each load process has printed.
-        truth: the arrivals at each server, by its name.
+        scenario: The scenario.
+        reports: Report of each load process, as it has printed it.
+        truth: Attempts that reached each server, by its name.
     """
     classes = {}
     for name in scenario.classes:
         latency = HdrHistogram(1, 120_000_000, 3)
         counts: Counter[str] = Counter()
         by_second: dict[int, Counter[str]] = {}
-        for one in seen:
-            told = one["classes"][name]
-            latency.decode_and_add(told["latency"])
-            counts.update(told["counts"])
-            for second, ends in told["by_second"].items():
+        for report in reports:
+            entry = report["classes"][name]
+            latency.decode_and_add(entry["latency"])
+            counts.update(entry["counts"])
+            for second, ends in entry["by_second"].items():
                 by_second.setdefault(int(second), Counter()).update(ends)
         classes[name] = ClassResult(counts, latency, by_second)
     lag = HdrHistogram(1, 120_000_000, 3)
-    for one in seen:
-        lag.decode_and_add(one["lag"])
+    for report in reports:
+        lag.decode_and_add(report["lag"])
     return RunResult(
         classes,
         lag.get_value_at_percentile(99.0) / 1000,
-        _violations(scenario, seen, truth),
+        _violations(scenario, reports, truth),
         sum(map(len, truth.values())),
         {server: len(arrivals) for server, arrivals in truth.items()},
     )
 
 
-def _violations(scenario: Scenario, seen: list[dict], truth: dict[str, list[dict]]) -> list[str]:
+def _violations(scenario: Scenario, reports: list[dict], truth: dict[str, list[dict]]) -> list[str]:
     runs: dict[str, list[tuple[float, str]]] = {}
     classes = {}
     for server, arrivals in truth.items():
@@ -93,14 +101,14 @@
     found = []
     for ident, places in runs.items():
         effect, window_s = classes[ident].effect, classes[ident].window_ms / 1000
-        if len(places) < 2 or effect == "safe":
+        if len(places) == 1 or effect == "safe":
             continue
         if effect == "unsafe" or max(places)[0] - min(places)[0] > window_s:
             where = ", ".join(f"{server} at {at:.3f} s" for at, server in sorted(places))
             found.append(f"{ident} ({effect}) ran {len(places)} times: {where}")
-    for one in seen:
-        for name, told in one["classes"].items():
-            found += [f"{ident} was served and never ran" for ident in told["served"] if ident not in runs]
+    for report in reports:
+        for name, entry in report["classes"].items():
+            found += [f"{ident} was served and never ran" for ident in entry["served"] if ident not in runs]
             if scenario.classes[name].effect == "unsafe":
-                found += [f"{ident} was refused and ran" for ident in told["refused"] if ident in runs]
+                found += [f"{ident} was refused and ran" for ident in entry["refused"] if ident in runs]
     return found
--- a/dykefold/lab/load/__main__.py
+++ b/dykefold/lab/load/__main__.py
@@ -1,6 +1,6 @@
 """`python -m dykefold.lab.load SCENARIO PORT INDEX OF`: one of `OF` load processes.
 
-It says `ready`, begins when a line comes on standard input, and prints what it saw as JSON.
+It prints `ready`, begins after a line on standard input, and prints its results as JSON.
 """
 
 from __future__ import annotations
@@ -17,26 +17,27 @@
 
 
 async def main(path: str, port: int, index: int, of: int) -> None:
+    """Play the share `index` of `of` of a scenario file against a port on loopback."""
     load = Load(read_scenario(path), port, index, of)
     print("ready", flush=True)
     await asyncio.get_running_loop().run_in_executor(None, sys.stdin.readline)
     gc.freeze()
-    gc.disable()  # a collection would be a lag of the tool's own
+    gc.disable()  # A collection would make the tool itself late.
     await load.play()
-    told = {
+    report = {
         "lag": load.lag.encode().decode(),
         "classes": {
             name: {
-                "latency": seen.latency.encode().decode(),
-                "counts": seen.counts,
-                "by_second": seen.by_second,
-                "served": seen.served,
-                "refused": seen.refused,
+                "latency": counts.latency.encode().decode(),
+                "counts": counts.counts,
+                "by_second": counts.by_second,
+                "served": counts.served,
+                "refused": counts.refused,
             }
-            for name, seen in load.seen.items()
+            for name, counts in load.results.items()
         },
     }
-    print(json.dumps(told), flush=True)
+    print(json.dumps(report), flush=True)
 
 
 if __name__ == "__main__":
--- a/dykefold/lab/run.py
+++ b/dykefold/lab/run.py
@@ -16,22 +16,30 @@
 from .scenario import Scenario, read_scenario
 
 DESCRIPTORS = 4096
-DIRECT = "direct"  # the load goes to the first server itself: what the platform does without a sidecar
+DIRECT = "direct"  # The load goes to the first server itself, without a sidecar.
 
 
 class RunError(Exception):
-    """A process of the run has failed; the text says which, and what it said last."""
+    """A process of the run has ended before its time.
+
+    Args:
+        problem: Which process, and its exit code or last output.
+    """
+
+    def __init__(self, problem: str) -> None:
+        super().__init__(problem)
 
 
 def play(path: Path, through: str = "dykefold") -> RunResult:
     """Play a scenario file once.
 
     Args:
+        path: Path of the scenario file.
         through: `dykefold`, or `direct` for no sidecar.
 
     Raises:
-        ServiceError: the file is wrong.
-        RunError: a process has ended before its time.
+        ServiceError: The file is invalid.
+        RunError: A process has ended before its time.
     """
     scenario = read_scenario(str(path))
     with contextlib.ExitStack() as stack:
@@ -54,11 +62,11 @@
             assert process.stdin is not None
             process.stdin.write(b"go\n")
             process.stdin.flush()
-        seen = [json.loads(_line(load, "load")) for load in loads]
+        reports = [json.loads(_line(load, "load")) for load in loads]
         assert emulator.stdin is not None
         emulator.stdin.close()
         truth = json.loads(_line(emulator, "emulator"))["arrivals"]
-    return judge(scenario, seen, truth)
+    return judge(scenario, reports, truth)
 
 
 @contextlib.contextmanager
@@ -79,13 +87,14 @@
     assert process.stdout is not None
     line = process.stdout.readline()
     if not line:
-        raise RunError(f"the {name} ended with exit code {process.wait()}")
+        problem = f"the {name} ended with exit code {process.wait()}"
+        raise RunError(problem)
     return line
 
 
 @contextlib.contextmanager
 def _sidecar(scenario: Scenario, ports: list[int]) -> Iterator[int]:
-    """The real sidecar before these ports; its own port."""
+    """Start a sidecar in front of servers at these ports, and yield its own port."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "service.toml"
         path.write_text(service_file(scenario, ports))
@@ -98,7 +107,7 @@
 
 
 def service_file(scenario: Scenario, ports: list[int]) -> str:
-    """The operator's file for a scenario: one pool, the platform's dialect."""
+    """Return the operator's file for a scenario: one pool, the platform's dialect."""
     servers = json.dumps([f"127.0.0.1:{port}" for port in ports])
     lines = ["[node]", 'listen = "127.0.0.1:0"', f"descriptors = {DESCRIPTORS}", "[pools.lab]"]
     lines.append(f"servers = {servers}")
--- a/dykefold/lab/scenario.py
+++ b/dykefold/lab/scenario.py
@@ -1,4 +1,4 @@
-"""A scenario file: servers, classes of work, load, and what goes wrong when. Typed, checked whole."""
+"""A scenario file: servers, classes of requests, load and faults. All errors are reported at once."""
 
 from __future__ import annotations
 
@@ -20,18 +20,33 @@
 
 
 class ServiceTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`service` of a class: how long its work takes on a core of speed 1."""
+    """`service` of a class: the distribution of its work.
+
+    Attributes:
+        kind: Kind of the distribution.
+        mean_ms: Mean work in milliseconds on a core of speed 1.
+        shape: Sigma of a lognormal distribution; exponent of a Pareto distribution, above 1.
+    """
 
     kind: Literal["constant", "exponential", "lognormal", "pareto"] = "exponential"
     mean_ms: Above = 40.0
-    shape: Above = 1.0  # lognormal: sigma; Pareto: the exponent, which must be over 1
+    shape: Above = 1.0
 
 
 class ClassTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[classes.NAME]`."""
+    """`[classes.NAME]`.
+
+    Attributes:
+        effect: Whether a request may run more than once.
+        share: Share of the requests, relative to the other classes.
+        aim_ms: Latency objective in milliseconds.
+        deadline_ms: Deadline in milliseconds.
+        window_ms: Milliseconds for which servers remember an idempotency key.
+        service: Distribution of the work.
+    """
 
     effect: Literal["safe", "keyed", "unsafe"] = "safe"
-    share: Above = 1.0  # of the requests, relative to the other classes'
+    share: Above = 1.0
     aim_ms: Positive = 500
     deadline_ms: Positive = 2000
     window_ms: Annotated[int, Meta(ge=0)] = 0
@@ -39,45 +54,86 @@
 
 
 class ServerTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[[servers]]`: so many of one kind."""
+    """`[[servers]]`: servers of one kind.
+
+    Attributes:
+        name: Name of the kind; servers are called NAME-NUMBER.
+        count: Number of servers.
+        cores: Cores of a server.
+        speed: Speed of a core.
+        discipline: Order in which waiting requests are served.
+        queue_most: Maximum number of waiting requests; a further one is rejected.
+        cold_share: Fraction of its speed that a server has right after a restart.
+        warm_s: Seconds until a server has its full speed.
+    """
 
     name: Annotated[str, Meta(pattern="^[a-z0-9-]{1,32}$")]
     count: Positive = 1
     cores: Positive = 1
     speed: Above = 1.0
     discipline: Literal["fifo", "lifo"] = "fifo"
-    queue_most: Annotated[int, Meta(ge=0)] = 100  # that wait; beyond it a request is turned away unseen
-    cold_share: Annotated[float, Meta(gt=0, le=1)] = 1.0  # of its speed right after a restart
+    queue_most: Annotated[int, Meta(ge=0)] = 100
+    cold_share: Annotated[float, Meta(gt=0, le=1)] = 1.0
     warm_s: NotBelow = 0.0
 
 
 class FaultTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[[faults]]`: what goes wrong, from when, for how long, at which servers."""
+    """`[[faults]]`: one fault.
+
+    Attributes:
+        kind: Kind of the fault.
+        at_s: Seconds from the start until the fault begins.
+        for_s: Duration in seconds.
+        servers: Affected servers, as NAME-NUMBER, or NAME for all servers of a kind.
+        factor: Factor on the service time, for `slow`.
+        share: Affected fraction of the answers, for `garbage`, `reset` and `lost`.
+    """
 
     kind: Literal["crash", "silence", "slow", "garbage", "reset", "lost", "full"]
     at_s: NotBelow
     for_s: Above
-    servers: list[str]  # names as NAME-NUMBER, or NAME for all of them
-    factor: Above = 4.0  # slow: times as long
-    share: Share = 1.0  # of the answers, for garbage, reset and lost
+    servers: list[str]
+    factor: Above = 4.0
+    share: Share = 1.0
 
 
 class LoadTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[load]`: arrivals do not wait for answers."""
+    """`[load]`: an open loop, in which arrivals do not wait for answers.
+
+    Attributes:
+        kind: Kind of the arrival process.
+        rate: Requests per second: the mean of `bursty` and `sine`, the start of `step` and `ramp`.
+        peak: Requests per second at the end of `step` and `ramp`, in a burst, or at the height of `sine`.
+        period_s: Seconds of a period of `sine`, or mean seconds between bursts.
+        at_s: Seconds from the start until the step.
+        processes: Number of load processes.
+        retries: Maximum number of retries of a refused request, each under a new id.
+        heeds_retry_after: Whether clients wait as Retry-After states.
+        connections_most: Maximum number of connections of a load process.
+    """
 
     kind: Literal["poisson", "bursty", "step", "ramp", "sine"] = "poisson"
-    rate: Above = 50.0  # requests a second; the mean of bursty and sine, the start of step and ramp
-    peak: Above = 100.0  # step, ramp: at the end; bursty: in a burst; sine: at its height
-    period_s: Above = 10.0  # sine: of a swing; bursty: on average from burst to burst
-    at_s: NotBelow = 0.0  # step: when
+    rate: Above = 50.0
+    peak: Above = 100.0
+    period_s: Above = 10.0
+    at_s: NotBelow = 0.0
     processes: Annotated[int, Meta(ge=1, le=MAX_LOAD_PROCESSES)] = 1
-    retries: Annotated[int, Meta(ge=0, le=10)] = 0  # of a refused request, each under a new id
+    retries: Annotated[int, Meta(ge=0, le=10)] = 0
     heeds_retry_after: bool = True
     connections_most: Positive = 512
 
 
 class Scenario(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """The whole file."""
+    """A scenario.
+
+    Attributes:
+        servers: Servers by kind.
+        classes: Request classes by name.
+        load: The load.
+        faults: Faults, in any order.
+        seed: Seed of all random streams.
+        span_s: Duration of the load in seconds.
+    """
 
     servers: list[ServerTable]
     classes: dict[str, ClassTable]
@@ -87,10 +143,11 @@
     span_s: Annotated[float, Meta(gt=0, le=86_400)] = 10.0
 
     def server_names(self) -> list[str]:
+        """Return the names of all servers."""
         return [f"{table.name}-{number}" for table in self.servers for number in range(table.count)]
 
     def table_of(self, name: str) -> ServerTable:
-        """The table that a server is made by."""
+        """Return the table of a server's kind."""
         return next(table for table in self.servers if name.rpartition("-")[0] == table.name)
 
 
@@ -99,7 +156,11 @@
 
 
 def read_scenario(path: str) -> Scenario:
-    """Read a scenario file. Raises ServiceError with all that is wrong at once."""
+    """Read a scenario file.
+
+    Raises:
+        ServiceError: The file is invalid; the error lists every problem.
+    """
     data = read_toml(path)
     problems = _problems(data)
     if problems:
@@ -112,18 +173,7 @@
 
 
 def _problems(data: dict[str, Any]) -> list[str]:
-    top = {key: value for key, value in data.items() if key not in (*NESTED, *LISTS, "classes")}
-    fields = {field.encode_name for field in msgspec.structs.fields(Scenario)}
-    problems = [
-        f"{key}: unknown; expected one of {', '.join(sorted(fields))}" for key in top if key not in fields
-    ]
-    for key in ("seed", "span_s"):
-        if key in top:
-            kind = next(field.type for field in msgspec.structs.fields(Scenario) if field.name == key)
-            try:
-                msgspec.convert(top[key], kind)
-            except msgspec.ValidationError as error:
-                problems.append(f"{key} = {top[key]!r}: {error}")
+    problems = _value_problems(data)
     for key, struct in NESTED.items():
         problems += struct_problems(key, data.get(key, {}), struct)
     for key, struct in LISTS.items():
@@ -143,6 +193,21 @@
     return problems
 
 
+def _value_problems(data: dict[str, Any]) -> list[str]:
+    """Return what is wrong with the keys of the file that are not tables."""
+    values = {key: value for key, value in data.items() if key not in (*NESTED, *LISTS, "classes")}
+    kinds = {field.encode_name: field.type for field in msgspec.structs.fields(Scenario)}
+    expected = ", ".join(sorted(kinds))
+    problems = [f"{key}: unknown; expected one of {expected}" for key in values if key not in kinds]
+    for key in ("seed", "span_s"):
+        if key in values:
+            try:
+                msgspec.convert(values[key], kinds[key])
+            except msgspec.ValidationError as error:
+                problems.append(f"{key} = {values[key]!r}: {error}")
+    return problems
+
+
 def _across(scenario: Scenario) -> list[str]:
     names = scenario.server_names()
     kinds = [table.name for table in scenario.servers]
--- a/tests/lab/test_fleet_rig.py
+++ b/tests/lab/test_fleet_rig.py
@@ -81,7 +81,7 @@
             sock.bind(("127.0.0.1", 0))
             sock.setblocking(False)
             relay.add(sock.getsockname())
-        addresses = [front.getsockname() for front in relay.fronts]
+        addresses = [front.getsockname() for front in relay.relay_sockets]
 
         async def got(number):
             await asyncio.sleep(0.05)
@@ -95,19 +95,19 @@
 
         socks[0].sendto(b"a", addresses[1])
         assert await got(1) == [(b"a", 0)]
-        relay.way(0, 1).cuts += 1
+        relay.path(0, 1).cuts += 1
         socks[0].sendto(b"b", addresses[1])
         socks[1].sendto(b"c", addresses[0])
-        socks[0].sendto(b"d", relay.everyone.getsockname())
+        socks[0].sendto(b"d", relay.broadcast_socket.getsockname())
         assert await got(1) == [] and await got(0) == [(b"c", 1)] and await got(2) == [(b"d", 0)]
-        relay.way(0, 1).cuts -= 1
-        relay.way(0, 1).loss.append(0.5)
+        relay.path(0, 1).cuts -= 1
+        relay.path(0, 1).loss.append(0.5)
         for _ in range(200):
             socks[0].sendto(b"e", addresses[1])
         assert 60 < len(await got(1)) < 140
-        relay.way(0, 1).loss.clear()
-        relay.way(0, 1).doubled.append(1.0)
-        relay.way(0, 1).spoilt.append(1.0)
+        relay.path(0, 1).loss.clear()
+        relay.path(0, 1).doubled.append(1.0)
+        relay.path(0, 1).corrupted.append(1.0)
         socks[0].sendto(b"ffff", addresses[1])
         first, second = await got(1)
         assert first == second and first[0] != b"ffff" and len(first[0]) == 4
--- a/tests/lab/test_run.py
+++ b/tests/lab/test_run.py
@@ -82,10 +82,10 @@
 
     stalled = [None]
     load = run(measured())
-    lookups = load.seen["lookup"]
+    lookups = load.results["lookup"]
     assert lookups.latency.get_value_at_percentile(75) > 300_000  # half of the span stood still
     assert load.lag.get_value_at_percentile(50) < 100_000
-    assert sum(lookups.counts.values()) + sum(load.seen["order"].counts.values()) == len(load.asks)
+    assert sum(lookups.counts.values()) + sum(load.results["order"].counts.values()) == len(load.requests)
 
 
 def test_the_judge_finds_what_ran_twice_never_or_was_refused(tmp_path):
