--- a/benchmarks/coldstart.py
+++ b/benchmarks/coldstart.py
@@ -27,17 +27,17 @@
 
     Attributes:
         spread: whether the calls are spread over time.
-        told: whether the sidecars tell each other of what they saw.
+        reported: Whether the sidecars report to each other what they observed.
     """
 
     spread: bool
-    told: bool
+    reported: bool
 
 
 WAYS = {
-    "each by itself": Way(spread=False, told=False),
-    "spread": Way(spread=True, told=False),
-    "spread, told": Way(spread=True, told=True),
+    "each by itself": Way(spread=False, reported=False),
+    "spread": Way(spread=True, reported=False),
+    "spread, told": Way(spread=True, reported=True),
 }
 
 
@@ -65,7 +65,7 @@
     figures = Figures()
     waiting_most = max(int(rate / RATE_PER_WAITING), 1)
     for seed in range(SEEDS):
-        seen = Callers(size, rate, waiting_most, way.spread, seed, way.told).run(SPAN_NS)
+        seen = Callers(size, rate, waiting_most, way.spread, seed, way.reported).run(SPAN_NS)
         listed_ns = sorted(seen.listed_ns.values())
         assert len(listed_ns) == size
         figures.worst_second = max(figures.worst_second, max(seen.calls.values()) / rate)
--- a/dykefold/sim/callers.py
+++ b/dykefold/sim/callers.py
@@ -13,13 +13,13 @@
 from .kernel import MS
 
 MUST_POLL_NS = 10 * SECOND
-FIRST_POLL_NS = SECOND // 2  # the balancer spreads its first call over this, a twentieth of the time to poll
+FIRST_POLL_NS = SECOND // 2  # The balancer spreads its first call over this time.
 MIN_BACKOFF, MAX_BACKOFF = 0.05, 0.4  # of the time to poll, after one call that failed and after many
-MIN_JITTER = 0.1  # of a backoff, at least
-CALLS_PER_S = 125.0  # that a fleet may make of discovery
-TOLD_SPREADS = 5  # of the longest, that sidecars tell each other
-READY_NS = 300 * MS  # over which processes that start together come to call
-GOSSIP_NS = 300 * MS  # until what one sidecar tells has come to the others
+MIN_JITTER = 0.1  # Of a backoff.
+CALLS_PER_S = 125.0  # Calls that a fleet may make of discovery.
+REPORTED_SPREADS = 5  # Number of the longest spreads that sidecars report to each other.
+READY_NS = 300 * MS  # Processes that start together begin to call within this time.
+GOSSIP_NS = 300 * MS  # Until a report of one sidecar has reached the others.
 
 
 @dataclass(slots=True)
@@ -27,8 +27,8 @@
     """What was seen of the calls.
 
     Attributes:
-        calls: by second.
-        listed_ns: when each sidecar was first answered.
+        calls: Number of calls by second.
+        listed_ns: Time in nanoseconds at which each sidecar was first answered.
     """
 
     calls: Counter[int] = field(default_factory=Counter)
@@ -40,18 +40,24 @@
     """Sidecars that all start at time 0, with a service that works through calls in turn.
 
     Args:
-        size: sidecars.
-        service_per_s: calls that the service works through.
-        max_waiting: calls that wait there; one more is rejected.
-        spread: whether they spread their calls, or each goes by itself as the balancer has it.
-        seed: of all that is drawn.
-        told: whether they tell each other the durations over which they spread.
+        size: Number of sidecars.
+        service_per_s: Calls per second that the service can serve.
+        max_waiting: Maximum number of waiting calls; a further one is rejected.
+        spread: Whether sidecars spread their calls; otherwise each polls as its balancer decides.
+        seed: Seed of the random generator.
+        reported: Whether sidecars report to each other the durations over which they spread.
     """
 
     def __init__(
-        self, size: int, service_per_s: float, max_waiting: int, spread: bool, seed: int, told: bool = False
+        self,
+        size: int,
+        service_per_s: float,
+        max_waiting: int,
+        spread: bool,
+        seed: int,
+        reported: bool = False,
     ) -> None:
-        self.size, self.told = size, told
+        self.size, self.reported = size, reported
         self.work_ns, self.max_waiting = int(SECOND / service_per_s), max_waiting
         self.random = random.Random(seed)
         self.queue: list[tuple[int, int, Callable[[], None]]] = []
@@ -106,7 +112,7 @@
         first = number not in self.seen.listed_ns
         self.seen.listed_ns.setdefault(number, self.now_ns)
         self.failures[number] = 0
-        if self.schedules and self.schedules[number].on_answer(self.now_ns) and self.told:
+        if self.schedules and self.schedules[number].on_answer(self.now_ns) and self.reported:
             self._at(self.now_ns + GOSSIP_NS, self._tell)
         if first:  # its next call waits at the service
             wait_ns = (
@@ -117,7 +123,7 @@
     def _fail(self, number: int) -> None:
         backoff_ns = int(MUST_POLL_NS * min(MAX_BACKOFF, MIN_BACKOFF * 2.0 ** self.failures[number]))
         self.failures[number] += 1
-        if self.schedules and self.schedules[number].on_failure(self.now_ns) and self.told:
+        if self.schedules and self.schedules[number].on_failure(self.now_ns) and self.reported:
             self._at(self.now_ns + GOSSIP_NS, self._tell)
         self._at(
             self.now_ns + int(backoff_ns * self.random.uniform(MIN_JITTER, 1.0)) + 1,
@@ -128,6 +134,6 @@
         """Let all know over which durations the others spread their calls."""
         assert self.schedules is not None
         spreads_ns = (schedule.spread_ns(self.now_ns) for schedule in self.schedules)
-        longest_ns = sorted(spreads_ns, reverse=True)[:TOLD_SPREADS]
+        longest_ns = sorted(spreads_ns, reverse=True)[:REPORTED_SPREADS]
         for schedule in self.schedules:
             schedule.set_peer_spreads(longest_ns)
--- a/dykefold/sim/clients.py
+++ b/dykefold/sim/clients.py
@@ -4,79 +4,38 @@
 
 import asyncio
 from collections import deque
-from dataclasses import dataclass
-from typing import Protocol
 
-from .kernel import MS, SECOND, Kernel, stream
+from .kernel import MS, SECOND, stream
 from .loop import SimLoop
 from .messages import Message, Messages
-from .network import Network, network_of
-from .observer import WireObserver
+from .network import network_of
+from .open_requests import ClientWorld, OpenRequest
 from .requests import encode_request
-from .rules import ANSWER_SLACK_NS, HTTP_REFUSED, Rules
+from .rules import ANSWER_SLACK_NS, HTTP_REFUSED
 from .schedule import Arrival
-from .sockets import Address, ProcessLoop, SimSocket
+from .sockets import SimSocket
 from .transport import SimTransport
 
-RECONNECT_NS = 60 * MS  # until a connect that was refused is tried again: the sidecar may be starting
-RETRIED = 0.5  # of refused requests a client sends once more
-DEFAULT_RETRY_AFTER_S = 0.02  # until then, where the answer says nothing of it
+RECONNECT_NS = 60 * MS  # After a refused connect: the sidecar may be starting.
+RETRIED = 0.5  # Fraction of the refused requests that a client sends again.
+DEFAULT_RETRY_AFTER_S = 0.02  # If the answer has no Retry-After.
 MAX_RETRY_AFTER_S = 1.0
 MAX_CONNECTIONS = 64
-PIECE_S = 0.001  # between two pieces of a request
+PIECE_S = 0.001  # Between two pieces of a request.
 HTTP_CONTINUE = 100
 HEAD_END = b"\r\n\r\n"
-RETRY_MARK = "r"  # behind the id of a request that a client has sent again
-
-
-class ClientWorld(Protocol):
-    """What clients need of their world (`world.Running`)."""
-
-    kernel: Kernel
-    network: Network
-    rules: Rules
-    observer: WireObserver
-
-    def front_address(self, number: int) -> Address:
-        """Return the address at which a sidecar takes clients."""
-        ...
-
-    def close_means_left(self, number: int) -> bool:
-        """Return whether for this sidecar a client whose connection ends has left."""
-        ...
-
-
-@dataclass(slots=True)
-class OpenRequest:
-    """A request that waits for its answer.
-
-    Attributes:
-        paused_ns: for which the sidecar's process had stood still when it was sent.
-        end_bytes: of the connection, with its last one.
-        process: of the sidecar, that it was sent to.
-    """
-
-    ident: str
-    arrival: Arrival
-    due_ns: int
-    sent_ns: int
-    paused_ns: int
-    end_bytes: int
-    process: ProcessLoop
-
-    def wait_from(self, now_ns: int) -> None:
-        """Have its whole time from now on, if that is later."""
-        self.due_ns = max(self.due_ns, now_ns + self.arrival.deadline_ms * MS)
+RETRY_MARK = "r"  # Appended to the id of a request that is sent again.
 
 
 class ClientConnection(asyncio.Protocol):
     """A connection to the sidecar, with the requests that are open on it.
 
     Attributes:
-        ending: the sidecar has said that it closes.
-        left: the client has gone away by itself.
-        writing: a request goes out in pieces, or the connection was made for one that is still to go.
-        sent: requests.
+        ending: Whether the sidecar has announced that it closes the connection.
+        left: Whether the client has closed the connection itself.
+        writing: Whether a request is being written in pieces, or the connection was made for one not sent
+            yet.
+        sent: Number of requests sent.
     """
 
     transport: SimTransport
@@ -163,8 +122,8 @@
     """The clients of one sidecar, in a process of their own.
 
     Attributes:
-        number: of the sidecar.
-        silent: sockets of connections on which nothing is sent.
+        number: Number of the sidecar.
+        silent: Sockets of connections on which nothing is sent.
     """
 
     def __init__(self, world: ClientWorld, number: int, arrivals: list[Arrival]) -> None:
@@ -355,8 +314,9 @@
         """A connection has ended with this request open.
 
         Args:
-            request: it.
-            read: whether its answer was due: it was read whole, and no answer ahead of it has broken off.
+            request: The request.
+            read: Whether an answer was due: the request was read completely, and no answer before it broke
+                off.
         """
         rules, now_ns, lives = self.world.rules, self.world.kernel.now_ns, request.process.alive
         if read and lives:
--- a/dykefold/sim/discovery_faults.py
+++ b/dykefold/sim/discovery_faults.py
@@ -6,7 +6,7 @@
 from .kernel import MS
 from .schedule import Fault, Kind
 
-CLOSE_FORMER_NS = 1_500 * MS  # after a move, until the former address closes its connections
+CLOSE_FORMER_NS = 1_500 * MS  # After a move, until the former address closes its connections.
 
 
 class DiscoveryFaults(FaultGroup):
--- a/dykefold/sim/explore.py
+++ b/dykefold/sim/explore.py
@@ -12,7 +12,7 @@
 from typing import Generic, TypeVar
 
 ModelState = TypeVar("ModelState", bound=Hashable)
-MAX_STATES = 5_000_000  # some GB; a model that has more is not small
+MAX_STATES = 5_000_000  # These take some GB.
 
 
 @dataclass(slots=True)
@@ -20,11 +20,11 @@
     """The result of a search.
 
     Attributes:
-        states: different ones that were reached.
-        moves: taken from one to another: each order of events that the model tells apart.
-        wrong: what is wrong with the first state that is; None if none is.
-        path: the moves that lead there.
-        whole: every state that can be reached was looked at.
+        states: Number of different states that were reached.
+        moves: Number of moves between states.
+        wrong: Problem of the first wrong state; None if there is none.
+        path: Moves that lead to it.
+        whole: Whether every reachable state was checked.
     """
 
     states: int = 0
@@ -43,10 +43,10 @@
     """Look at every state that can be reached, until one is wrong.
 
     Args:
-        first: the state that the model begins in.
-        moves: yields what may happen in a state, and the state that it leads to.
-        wrong: returns what is wrong with a state; None if nothing is.
-        max_states: after which the search is broken off.
+        first: Initial state of the model.
+        moves: Yields the moves that are possible in a state, with the states that they lead to.
+        wrong: Returns the problem of a state; None if there is none.
+        max_states: Number of states after which the search stops.
     """
     found: Found[ModelState] = Found()
     reached_by: dict[ModelState, tuple[ModelState, str] | None] = {first: None}
--- a/dykefold/sim/fault_world.py
+++ b/dykefold/sim/fault_world.py
@@ -16,7 +16,7 @@
 from .schedule import Fault, Scenario
 from .state_directory import SharedFolder
 
-DISCOVERY_HOST = "discovery"  # the machine whose clock discovery goes by, wherever it moves
+DISCOVERY_HOST = "discovery"  # Host whose clock discovery uses, whatever its address.
 
 FaultHandler = Callable[[Fault], None]
 
@@ -25,11 +25,11 @@
     """A world in which faults happen (`world.Running`).
 
     Attributes:
-        nodes: the servers, of which each may be replaced.
-        sidecars: the first process of each sidecar.
-        clients: of each sidecar.
-        folders: the state directory of each sidecar.
-        plan: the services of a world with several; else None.
+        nodes: Servers by number; each may be replaced.
+        sidecars: First process of each sidecar.
+        clients: Clients of each sidecar.
+        folders: State directory of each sidecar.
+        plan: Services of a world with several; None for a world with one.
     """
 
     scenario: Scenario
--- a/dykefold/sim/kernel.py
+++ b/dykefold/sim/kernel.py
@@ -20,7 +20,7 @@
 MAX_TRACE_LINES = (
     20_000  # lines that are kept to be shown: the last seconds before a failure; the digest has all
 )
-EPOCH_NS = 1_700_000_000 * SECOND  # Unix time at which every world begins
+EPOCH_NS = 1_700_000_000 * SECOND  # Unix time at the start of every world.
 
 
 def stream(seed: int, *names: int | str) -> random.Random:
@@ -38,10 +38,10 @@
     """The clock and the events of a world.
 
     Attributes:
-        steps: callbacks of processes that were run.
-        ties: draws the order of events at one time.
-        lines: the last lines of what happened.
-        digest: of all lines.
+        steps: Number of callbacks that processes have run.
+        ties: Random generator of the order of simultaneous events.
+        lines: Latest lines of the trace.
+        digest: Digest of all lines of the trace.
     """
 
     def __init__(self, seed: int) -> None:
--- a/dykefold/sim/loop.py
+++ b/dykefold/sim/loop.py
@@ -23,12 +23,13 @@
 from .sockets import Address, SimSocket
 from .transport import SimTransport
 
-TURN_NS = 4_000  # of a turn itself
-CALLBACK_NS = 9_000  # ... and of each callback, on average: a request is some ten of them
-LONG_TURN = 0.01  # of the turns take longer, as with a collection or a core that was taken, ...
-LONG_EDGE = 0.2  # ... and of those in which a connection is ended or made, ...
-LONG_TURN_MS = (2.0, 15.0)  # ... so that what was due in the meantime meets in the next one
-PHASES = 3  # of a turn: timers, callbacks, I/O
+TURN_NS = 4_000  # Cost of a turn of the loop.
+CALLBACK_NS = 9_000  # Mean cost of a callback; a request takes some ten of them.
+LONG_TURN = 0.01  # Fraction of turns that take `LONG_TURN_MS`, as with a garbage collection.
+LONG_EDGE = 0.2  # The same fraction for turns in which a connection is made or closed.
+# Range of the duration of a long turn; events due meanwhile meet in the next turn.
+LONG_TURN_MS = (2.0, 15.0)
+PHASES = 3  # Timers, callbacks and I/O.
 
 Result = TypeVar("Result")
 AnyProtocol = TypeVar("AnyProtocol", bound=asyncio.Protocol)
@@ -40,21 +41,21 @@
     It has those methods of `asyncio.AbstractEventLoop` that the program calls, and no others.
 
     Args:
-        kernel: the clock and the events of the world.
-        name: of the process.
-        network: of the world.
+        kernel: Clock and event queue of the world.
+        name: Name of the process.
+        network: Network of the world.
 
     Attributes:
-        host: the machine, where several processes share one.
-        waiting_io: what is ready for the process, to be called in its next turn.
-        pauses_ns: for which it was told to stand still, in all.
-        stalled_ns: that long turns have taken, in all.
-        free_at_ns: until when the turn before takes.
-        turn_at_ns: when the next turn is planned; negative for none.
-        local_ns: of the present turn that has passed.
-        ms: the loop's own time, in milliseconds.
-        at_edge: something has begun in this turn that a later one completes.
-        failures: exceptions that nobody caught.
+        host: Host of the process; several processes may share one.
+        waiting_io: Callbacks of ready I/O, for the next turn.
+        pauses_ns: Total nanoseconds of the pauses that faults have caused.
+        stalled_ns: Total nanoseconds of long turns.
+        free_at_ns: Time in nanoseconds at which the previous turn ends.
+        turn_at_ns: Time in nanoseconds of the next turn; negative if none is scheduled.
+        local_ns: Nanoseconds of the present turn that have passed.
+        ms: Time of the loop in milliseconds.
+        at_edge: Whether something has begun in this turn that a later turn completes.
+        failures: Uncaught exceptions.
     """
 
     def __init__(self, kernel: Kernel, name: str, network: Network, host: str = "") -> None:
--- a/dykefold/sim/machine.py
+++ b/dykefold/sim/machine.py
@@ -55,8 +55,8 @@
     """The machine of one virtual process, as the program sees it.
 
     Args:
-        loop: of the process.
-        boot_ns: what its monotonic clock shows when the world begins.
+        loop: Event loop of the process.
+        boot_ns: Value of the monotonic clock at the start of the world, in nanoseconds.
     """
 
     def __init__(self, loop: SimLoop, boot_ns: int) -> None:
--- a/dykefold/sim/membership.py
+++ b/dykefold/sim/membership.py
@@ -13,7 +13,7 @@
 from ..fleet.member_state import LIVE, State, conclude, encode_state, is_trusted, refutation, state_of
 
 States = tuple[int, ...]  # as one member has them encoded, by the number of whom they are of
-MAX_INCARNATION = 5  # a model that goes on doubting and denying would have no end
+MAX_INCARNATION = 5  # Without it suspicions and refutations would make the model infinite.
 MAX_ROUNDS = 24
 
 
@@ -21,9 +21,9 @@
     """All members, each with its states.
 
     Attributes:
-        states: by member; None for one that does not run.
-        cut: pairs between which nothing passes that way.
-        faults: that may still come.
+        states: State of each member; None for a member that does not run.
+        cut: Pairs of sender and receiver between which nothing passes.
+        faults: Number of faults that may still occur.
     """
 
     states: tuple[States | None, ...]
--- a/dykefold/sim/membership_rules.py
+++ b/dykefold/sim/membership_rules.py
@@ -10,16 +10,16 @@
 from .kernel import SECOND
 from .rules import Rules
 
-START_NS = 2 * SECOND  # in which a process that has begun is heard
+START_NS = 2 * SECOND  # Within this time a process that has started is heard.
 
 
 class MembershipRules:
     """Three rules: who lives is not gone for all, who is dead is not live, and all come to agree.
 
     Attributes:
-        bound_ns: in which memberships settle after a disturbance.
-        since: the membership of each sidecar, None while it does not run, and since when.
-        disturbed_ns: when a process last came or went, or the network last changed.
+        bound_ns: Nanoseconds within which memberships settle after a disturbance.
+        since: Membership of each sidecar, None while it does not run, and the time of its start.
+        disturbed_ns: Time in nanoseconds of the latest start or end of a process, or change of the network.
     """
 
     def __init__(self, size: int, rules: Rules) -> None:
--- a/dykefold/sim/messages.py
+++ b/dykefold/sim/messages.py
@@ -24,7 +24,7 @@
         """Take more bytes; returns the messages that are complete with them.
 
         Raises:
-            ValueError: the bytes are no message.
+            ValueError: The bytes are not a message.
         """
         self.buffer += data
         found = []
--- a/dykefold/sim/minimise.py
+++ b/dykefold/sim/minimise.py
@@ -17,7 +17,7 @@
 
 Item = TypeVar("Item")
 
-MAX_PLAYS = 400  # plays of some tenths of a second each
+MAX_PLAYS = 400  # Each takes some tenths of a second.
 
 
 @dataclass(slots=True)
@@ -31,9 +31,9 @@
     """Return the smallest scenario found that still fails.
 
     Args:
-        scenario: one that fails.
-        fails: plays a scenario and tells whether it fails in the same way.
-        max_plays: plays at most.
+        scenario: A scenario that fails.
+        fails: Plays a scenario and returns whether it fails in the same way.
+        max_plays: Maximum number of plays.
     """
     budget = DescriptorBudget(max_plays)
     last_ns = max((arrival.at_ns for arrival in scenario.arrivals), default=0)
--- a/dykefold/sim/network.py
+++ b/dykefold/sim/network.py
@@ -25,13 +25,13 @@
 )
 from .syscalls import FailingCalls, SystemCall
 
-BACKLOG = 128  # connections that a listener holds until they are accepted
-SYN_RETRY_NS = 1_000 * MS  # until a connect that found the backlog full is tried again (RFC 6298)
+BACKLOG = 128  # Connections that a listener holds until they are accepted.
+SYN_RETRY_NS = 1_000 * MS  # After a connect that found the backlog full (RFC 6298).
 MAX_DATAGRAM_BYTES = 1500
-MAX_ROUTE_FAILURE_MS = 400.0  # until a connect that no server answers has failed
-LOCAL_LATENCY_NS = 20_000  # within a host, at least; the draw is up to twice as much
-LATENCY_NS = 150_000  # between two hosts
-SPLIT_SHARE = 0.1  # of the transmissions that arrive in two pieces
+MAX_ROUTE_FAILURE_MS = 400.0  # Until a connect that no host answers fails.
+LOCAL_LATENCY_NS = 20_000  # Minimum latency within a host; the draw is up to twice as much.
+LATENCY_NS = 150_000  # Minimum latency between two hosts.
+SPLIT_SHARE = 0.1  # Fraction of the transmissions that arrive in two pieces.
 DATAGRAM_LOSS = 0.05
 FIRST_PORT = 20_000
 SIDECARS_PER_OCTET = 250
@@ -46,18 +46,18 @@
     """All hosts and what lies between them.
 
     Attributes:
-        partial_write_share: of the writes that are taken in part.
-        observer: who sees what passes.
-        hosts: the address of each host, by its name.
-        owners: the host at each address.
-        listeners: the reuseport group at each address, in the kernel's order.
-        filters: the position in the group that a reuseport filter picks.
-        open: the sockets of each process, by descriptor.
-        descriptors: that a process may hold, by its name; no entry, no limit.
-        cut: pairs of hosts between which nothing passes; what is sent waits in `stuck`.
-        extra_latency_ns: added to the way between two hosts.
-        passes: whether a datagram from one host gets to another.
-        clock_steps_ns: by which the wall clock of a host is wrong.
+        partial_write_share: Fraction of the writes of which the kernel takes only a part.
+        observer: Observer of the traffic.
+        hosts: Address of each host, by name.
+        owners: Name of the host at each address.
+        listeners: Reuseport group at each address, in the kernel's order.
+        filters: Position in the group that a reuseport filter picks, by address.
+        open: Sockets of each process, by descriptor.
+        descriptors: Maximum number of descriptors by name of the process; no limit without an entry.
+        cut: Pairs of hosts between which nothing passes; sent bytes wait in `stuck`.
+        extra_latency_ns: Added latency between two hosts in nanoseconds.
+        passes: Returns whether a datagram from one host reaches another.
+        clock_steps_ns: Nanoseconds by which the wall clock of a host is wrong.
     """
 
     def __init__(self, kernel: Kernel, partial_write_share: float = 0.02) -> None:
--- a/dykefold/sim/network_faults.py
+++ b/dykefold/sim/network_faults.py
@@ -11,8 +11,8 @@
 
 EXTRA_LATENCY_NS = 30 * MS
 SILENT_CONNECTIONS = 80
-SPARED_DESCRIPTORS = 4  # fewer than are open may be held while descriptors are scarce, ...
-MIN_DESCRIPTORS = 24  # ... but so many at least
+SPARED_DESCRIPTORS = 4  # A process may hold this number fewer than it has open while descriptors are scarce.
+MIN_DESCRIPTORS = 24  # A process may always hold this number.
 
 
 class NetworkFaults(FaultGroup):
--- a/dykefold/sim/nodes.py
+++ b/dykefold/sim/nodes.py
@@ -12,29 +12,30 @@
 from .network import Network
 from .observer import WireObserver
 from .requests import class_of, pool_of
-from .rules import Rules, WarmUp
+from .rule_records import WarmUp
+from .rules import Rules
 from .schedule import Kind, Scenario
 from .transport import SimTransport
 
 PORT = 7070
-WORK_MS = (25.0, 40.0, 55.0)  # by class, on average
-MAX_WORK_FACTOR = 4.0  # of that, for one request
-SLOW_FACTOR = 6  # ... while a server is slow
-LARGE = bytes(100_000)  # behind the first line of an answer that is too long to be held
-MAX_QUEUED = 24  # requests that wait or are worked on
+WORK_MS = (25.0, 40.0, 55.0)  # Mean work by class.
+MAX_WORK_FACTOR = 4.0  # Largest work of one request, relative to the mean.
+SLOW_FACTOR = 6  # Factor on the work while a server is slow.
+LARGE = bytes(100_000)  # Appended to the first line of an answer that is too long to be buffered.
+MAX_QUEUED = 24  # Requests that wait or run.
 CORES = 2
 IDLE_NS = 15 * SECOND
-SHORT_IDLE_NS = 150 * MS  # ... while a server closes idle connections early
-SWEEP_S = 0.05  # between two looks for idle connections
-RUNS_SILENTLY = 0.5  # of the requests that a silent server gets
-MUTE_SHARE = 0.5  # of the answers that a mute server does not send
-SPOILT_BELOW = 0.4  # draws of a server that spoils answers: up to here it sends what can't be read, ...
-COPIED_BELOW = 0.7  # ... from there up to here a good answer with a copy right behind
-BREAK_SHARE = 0.5  # of the answers that a breaking server breaks off
-ERROR_SHARE = 0.01  # of the answers say that the server has failed
-INTERIM_SHARE = 0.02  # of the answers have an interim one ahead
-LOAD_PER_REQUEST = 10  # of the load report's `qps`
-LOAD_REQUESTS = 4  # in progress, at which the load report's `util` is 1
+SHORT_IDLE_NS = 150 * MS  # Idle timeout while a server closes idle connections early.
+SWEEP_S = 0.05  # Between two checks for idle connections.
+RUNS_SILENTLY = 0.5  # Fraction of the requests that a silent server runs.
+MUTE_SHARE = 0.5  # Fraction of the answers that a mute server does not send.
+SPOILT_BELOW = 0.4  # Draws below this give an unreadable answer, at a server with spoilt answers.
+COPIED_BELOW = 0.7  # Draws between SPOILT_BELOW and this give a good answer followed by a copy.
+BREAK_SHARE = 0.5  # Fraction of the answers that a breaking server breaks off.
+ERROR_SHARE = 0.01  # Fraction of the answers with a server error.
+INTERIM_SHARE = 0.02  # Fraction of the answers that follow an interim one.
+LOAD_PER_REQUEST = 10  # Contribution of a request to `qps` of the load report.
+LOAD_REQUESTS = 4  # Requests in progress at which `util` of the load report is 1.
 SPOILT = (
     b"HTTP/1.1 200 OK\r\nContent-Length: many\r\n\r\nno",
     b"\x00\x01garbage\r\n\r\n",
@@ -63,9 +64,9 @@
     """An answer that a server writes.
 
     Attributes:
-        header_lines: further ones, each with its line end.
-        proves_not_run: it says that the request never ran.
-        copies: how often it is written.
+        header_lines: Further header lines, each with its line end.
+        proves_not_run: Whether the answer states that the request never ran.
+        copies: Number of times that the answer is written.
     """
 
     code: int
@@ -112,14 +113,14 @@
     """One server.
 
     Attributes:
-        group: within which a keyed request may be repeated.
-        pool: the service that it belongs to; empty where there is one alone.
-        faults: how many of each kind hold now.
-        since_ms: its start as discovery tells it.
-        warm_up: since its last cold start; None if it had none.
-        core_free_ns: when each core will have done all that it was given.
-        in_progress: requests that wait or are worked on.
-        handshakes: connections that were ever made to it.
+        group: Group of servers that share idempotency keys.
+        pool: Name of its service; empty in a world with one service.
+        faults: Number of present faults by kind.
+        since_ms: Its start in Unix milliseconds, as discovery reports it.
+        warm_up: Warm-up since its latest cold start; None if it had none.
+        core_free_ns: Time in nanoseconds at which each core becomes free.
+        in_progress: Number of requests that wait or run.
+        handshakes: Number of connections made to it so far.
     """
 
     loop: SimLoop
--- a/dykefold/sim/notified_lists.py
+++ b/dykefold/sim/notified_lists.py
@@ -10,8 +10,8 @@
 from .rules import Rules
 
 ListVersion = tuple[int, int]  # the registry's number, and its version of the list
-FAILED_FACTOR = 4  # as long after a call that failed, a sidecar may go by the list that it has
-POLL_SLACK_NS = 500 * MS  # on the way, and until a check sees it
+FAILED_FACTOR = 4  # After a failed call a sidecar may use its list for this many poll intervals.
+POLL_SLACK_NS = 500 * MS  # For the way of a call, and until a check notices it.
 
 
 @dataclass(slots=True)
@@ -27,8 +27,8 @@
     """A list, or a change of it, that has arrived at a sidecar.
 
     Attributes:
-        current: it comes from discovery as it is now, not from where it was before a move.
-        whole: it is the list, not a change.
+        current: Whether the list comes from discovery's present address, not from one before a move.
+        whole: Whether it is a complete list; otherwise it is a change.
     """
 
     at_ns: int
@@ -97,9 +97,9 @@
     """The rule that a sidecar watches discovery, or has called it lately enough.
 
     Attributes:
-        must_poll_in_ns: within which a sidecar is to call again.
-        called_ns: when each sidecar called last; later for a call that failed.
-        changed_ns: when discovery last came, went or moved.
+        must_poll_in_ns: Nanoseconds within which a sidecar must call again.
+        called_ns: Time in nanoseconds of each sidecar's latest call; later for a failed call.
+        changed_ns: Time in nanoseconds of the latest outage, return or move of discovery.
     """
 
     rules: Rules
--- a/dykefold/sim/observer.py
+++ b/dykefold/sim/observer.py
@@ -8,11 +8,12 @@
 
 from ..net.downstream.request_parser import MAX_BUFFERED_BODY_BYTES
 from .kernel import MS, Kernel
-from .rules import Attempt, AttemptStart, Rules
+from .rule_records import Attempt, AttemptStart
+from .rules import Rules
 from .sockets import SimSocket
 
 HEAD_END = b"\r\n\r\n"
-HEALTH_CHECK = "get /-/"  # how the sidecar's own questions to a server begin, in lower case
+HEALTH_CHECK = "get /-/"  # Beginning of a health check, in lower case.
 US = 1_000
 
 PlaceOf = Callable[[str], tuple[str, int] | None]
@@ -24,11 +25,11 @@
     """A connection from a sidecar to a server.
 
     Attributes:
-        group: of the server.
-        head: what has gone of the head of the request that is being sent.
-        streamed: its body is too long to be held.
+        group: Group of the server, whose members share idempotency keys.
+        head: Bytes of the request's head sent so far.
+        streamed: Whether its body is too long to be buffered.
         body_left: bytes of its body that are still to come.
-        attempt: the last one on the connection; None for a health check or an unknown request.
+        attempt: Latest attempt on the connection; None for a health check or an unknown request.
     """
 
     server: str
@@ -55,9 +56,9 @@
     """Watches what sidecars send to servers and what arrives at them: a `SocketObserver`.
 
     Args:
-        kernel: the clock, and the record of what happened.
-        rules: are notified of what is seen.
-        place_of: returns the server and its group at an address; None where there is no server.
+        kernel: Clock and trace.
+        rules: Judge that is notified of the traffic.
+        place_of: Returns the server at an address and its group; None if there is no server.
     """
 
     def __init__(self, kernel: Kernel, rules: Rules, place_of: PlaceOf) -> None:
@@ -139,9 +140,9 @@
         """Have the present attempt end when so many bytes of a server's answers have arrived.
 
         Args:
-            sock: the server's side of the connection.
-            end_bytes: of the connection, with the answer's last one.
-            proves_not_run: the answer says that the request never ran.
+            sock: Server's side of the connection.
+            end_bytes: Number of bytes on the connection up to the end of the answer.
+            proves_not_run: Whether the answer states that the request never ran.
         """
         peer = sock.peer
         connection = self.connections.get(peer) if peer is not None else None
--- a/dykefold/sim/process.py
+++ b/dykefold/sim/process.py
@@ -36,19 +36,19 @@
 PEER_PORT = 7946
 MAX_DESCRIPTORS = 256
 MEMORY_BYTES = 64 * MB
-KILL_AFTER_NS = 1_950 * MS  # after SIGTERM: the longest deadline and 0.7 s more (PROTOCOL, figures)
+KILL_AFTER_NS = 1_950 * MS  # After SIGTERM: the longest deadline and 0.7 s (PROTOCOL, figures).
 IDLE_NS = 15 * SECOND
 MAX_PENDING = 10_000
-MAX_BOOT_S = 10**6  # for which a machine has been up when the world begins
+MAX_BOOT_S = 10**6  # Uptime of a machine at the start of the world.
 
 
 class SidecarWorld(Protocol):
     """What a sidecar needs of its world (`world.Running`).
 
     Attributes:
-        plan: the services of a world with several; else None.
-        sidecars: the first process of each sidecar.
-        folders: the state directory of each sidecar.
+        plan: Services of a world with several; None for a world with one.
+        sidecars: First process of each sidecar.
+        folders: State directory of each sidecar.
     """
 
     kernel: Kernel
@@ -85,14 +85,14 @@
     """One process of a sidecar, which may be started again after its end.
 
     Args:
-        world: that it is part of.
+        world: World of the process.
 
     Attributes:
-        number: of the sidecar.
+        number: Number of the sidecar.
         process_number: 0, or what tells this process from others of the same sidecar.
-        process: the name of the process.
-        incarnation: counts its starts.
-        ending: it was told to end.
+        process: Name of the process.
+        incarnation: Number of its starts.
+        ending: Whether it has been sent SIGTERM.
     """
 
     loop: SimLoop
--- a/dykefold/sim/registry.py
+++ b/dykefold/sim/registry.py
@@ -16,14 +16,14 @@
 from .transport import SimTransport
 
 PORT = 8500
-DELAY_MS = (50.0, 900.0)  # from a change of a server to the list that tells it
-STALE_RETRY_NS = 100 * MS  # between two attempts to change a list that is stale
+DELAY_MS = (50.0, 900.0)  # From a change of a server to the list that contains it.
+STALE_RETRY_NS = 100 * MS  # Between two attempts to change a stale list.
 KEPT_CHANGES = 50
-WHOLE_LIST_SHARE = 0.1  # of the answers are the whole list where the changes would do
-ABORT_SHARE = 0.5  # of the calls of a registry that is down are reset; the others get no answer
-ANSWERED_ABOVE = 0.8  # draws of an overbooked registry: above this a call is answered as usual, ...
-REJECTED_BELOW = 0.4  # ... up to here it is rejected, ...
-BROKEN_BELOW = 0.6  # ... from there up to here its answer breaks off, and else it can't be read
+WHOLE_LIST_SHARE = 0.1  # Fraction of the answers that are complete lists although the changes would do.
+ABORT_SHARE = 0.5  # Fraction of the calls that are reset during an outage; the others get no answer.
+ANSWERED_ABOVE = 0.8  # Draws above this are answered, at an overbooked registry.
+REJECTED_BELOW = 0.4  # Draws below this are rejected.
+BROKEN_BELOW = 0.6  # Draws between REJECTED_BELOW and this break off; the others cannot be read.
 
 
 class Entry(TypedDict):
@@ -99,13 +99,13 @@
     """The list of servers and those who watch it. A move begins a new index at a new address.
 
     Attributes:
-        number: of moves before it.
-        changes: the last ones, with the version that each has made.
-        watchers: connections that wait for a change, with the version that they have.
-        down: faults that hold, of those in which it does not answer.
-        stale: ... in which changes wait.
-        overbooked: ... in which most calls fail.
-        calls: that were answered or rejected.
+        number: Number of moves of discovery before this service.
+        changes: Latest changes, with the version of each.
+        watchers: Connections that wait for a change, with the version that each has.
+        down: Number of present faults in which it does not answer.
+        stale: Number of present faults in which changes are delayed.
+        overbooked: Number of present faults in which most calls fail.
+        calls: Number of calls answered or rejected.
     """
 
     def __init__(self, world: RegistryWorld, number: int, entries: dict[str, Entry]) -> None:
--- a/dykefold/sim/requests.py
+++ b/dykefold/sim/requests.py
@@ -5,11 +5,11 @@
 from .schedule import Arrival
 
 CLASSES = ("lookup", "hold", "order")
-POOLS = ("catalogue", "stock", "orders")  # the services, by class
+POOLS = ("catalogue", "stock", "orders")  # Names of the services, by class.
 LOOKUP, HOLD, ORDER = range(len(CLASSES))
 BODY_PART = b"hull"
-LARGE_PARTS = 25_000  # in a body that can't be held: 100 KB, more than a window
-BODY_SIZES = 3  # of the other bodies: one to so many parts
+LARGE_PARTS = 25_000  # Of a body that cannot be buffered: 100 KB, more than a window.
+BODY_SIZES = 3  # Other bodies have one to this number of parts.
 
 
 def class_of(first_line: str) -> int:
@@ -26,9 +26,9 @@
     """Return a client's request as bytes.
 
     Args:
-        arrival: what is asked.
-        ident: the request's id.
-        left_ms: how long the client waits.
+        arrival: Arrival of the request.
+        ident: Id of the request.
+        left_ms: Milliseconds for which the client waits.
     """
     name = CLASSES[arrival.class_number]
     method = "POST"
--- a/dykefold/sim/rules.py
+++ b/dykefold/sim/rules.py
@@ -1,27 +1,25 @@
-"""The four rules, judged by what the network and the servers saw. No I/O: what happened comes in.
+"""Judges the four rules from the events of the network and the servers. No I/O; events are arguments.
 
-The truth is taken where it arises: an attempt begins when its first byte is handed to the kernel, may have
-run from its last byte on, and is over when a proper answer has arrived, when its side was closed, or when the
-other side's end has arrived. What the program believes plays no part.
+Events are observed where they occur: an attempt begins when its first byte is passed to the kernel, may have
+run from its last byte on, and is over when a valid answer has arrived, when its side was closed, or when the
+peer's close has arrived. The program's own beliefs are not used.
 """
 
 from __future__ import annotations
 
 from collections import deque
-from dataclasses import dataclass, field
 
 from ..balancer.settings import Effect, RequestClass, Scope
+from .rule_records import Attempt, AttemptStart, RequestTrace, Violation, WarmUp
 
 MS = 1_000_000
 SECOND = 1_000 * MS
-ANSWER_SLACK_NS = 50 * MS  # beyond a client's time, as PROTOCOL says of each limit on sockets
-LEFT_SLACK_NS = 100 * MS  # after a client's close an attempt may still begin; later it is a lost request
-ANNOUNCED_SLACK_NS = 150 * MS  # more than the client has left, that a server may be told (PROTOCOL)
+ANSWER_SLACK_NS = 50 * MS  # Added to a client's time, as PROTOCOL says of each limit on sockets.
+LEFT_SLACK_NS = 100 * MS  # After a client's close; an attempt that begins later breaks a rule (STANDING).
+ANNOUNCED_SLACK_NS = 150 * MS  # Added to the time that the client has left (STANDING).
 DRAIN_SLACK_NS = 50 * MS
-WARM_UP_SLACK = (
-    3.0  # requests beyond the budget of a cold server: for random bursts, since each is a whole one
-)
-KEPT_NS = 20 * SECOND  # traces are kept this long: longer than any deadline, window or grace period
+WARM_UP_SLACK_REQUESTS = 3.0  # Beyond the budget of a cold server, for random bursts.
+TRACE_LIFETIME_NS = 20 * SECOND  # Longer than any deadline, window or grace time.
 HTTP_OK = 200
 HTTP_REFUSED = frozenset((429, 503))
 COUNTS = (
@@ -30,118 +28,16 @@
 )
 
 
-@dataclass(frozen=True, slots=True)
-class Violation:
-    """A broken rule: when, which one, and what happened."""
-
-    at_ns: int
-    rule: str
-    text: str
-
-
-@dataclass(slots=True)
-class Attempt:
-    """An attempt, as it was on the wire.
-
-    Attributes:
-        group: of the server, within which a keyed request may be repeated.
-        written: its last byte was handed to the kernel, so it may have run.
-        in_flight: neither an answer nor the end of its connection has come.
-        streamed: its body is too long to be held.
-        body_begun: some of a streamed body has gone to the server.
-        proved_not_run: the server's answer that it never ran has arrived.
-        server_ended: the server's end or reset arrived before its answer was whole.
-    """
-
-    server: str
-    group: int
-    began_ns: int
-    written: bool = False
-    in_flight: bool = True
-    streamed: bool = False
-    body_begun: bool = False
-    proved_not_run: bool = False
-    server_ended: bool = False
-
-    @property
-    def may_have_run(self) -> bool:
-        """Whether the server may have begun its work."""
-        return self.written and not self.proved_not_run
-
-
-@dataclass(slots=True)
-class RequestTrace:
-    """What has happened to a request that one sidecar was given.
-
-    Attributes:
-        class_number: its class, as in the settings.
-        effects: the server and the time of each run.
-        left_ns: when its client closed its connection; negative: it waits.
-        allowed_ns: how long its client waits in all; negative: not known.
-        due_ns: the end of that time.
-        awaited_events: that its time still waits for: its head is read, the answer ahead of it has come.
-    """
-
-    class_number: int
-    attempts: list[Attempt] = field(default_factory=list)
-    effects: list[tuple[str, int]] = field(default_factory=list)
-    answers: int = 0
-    left_ns: int = -1
-    allowed_ns: int = -1
-    due_ns: int = -1
-    awaited_events: int = 0
-
-
-@dataclass(frozen=True, slots=True)
-class WarmUp:
-    """A server that has just started, and what it can do.
-
-    Attributes:
-        full_per_s: requests that it can do in a second once it is warm.
-        start_share: of that at its start.
-        warm_ns: from its start until it is warm.
-        since_ms: its start as discovery tells it: by wall clocks, which may be wrong.
-    """
-
-    started_ns: int
-    full_per_s: float
-    start_share: float
-    warm_ns: int
-    since_ms: int = 0
-
-    def capacity(self, at_ns: int) -> float:
-        """Return the requests a second that it can do at a time."""
-        progress = min(max((at_ns - self.started_ns) / self.warm_ns, 0.0), 1.0)
-        return self.full_per_s * (self.start_share + (1.0 - self.start_share) * progress)
-
-
-@dataclass(frozen=True, slots=True)
-class AttemptStart:
-    """The first byte of an attempt has gone to a server.
-
-    Attributes:
-        group: of the server.
-        announced_ns: the time that the server is told; 0 where it is told none.
-    """
-
-    at_ns: int
-    sidecar: str
-    ident: str
-    server: str
-    group: int
-    announced_ns: int = 0
-
-
 class Rules:
     """Judges a world while it runs.
 
     Attributes:
-        traces: of the requests, by the id that a client gave.
+        traces: Traces of the requests, by the id that a client gave.
         told_to_leave: (sidecar, server) -> since when a list says that it gets nothing new.
-        taken_out: the same, since when by the operators, whatever the list says.
-        known_starts: the same -> the server's `since_ms` as the sidecar was last notified.
-        cold_most: the largest part of a cold server's budget that was spent by those who knew of its start.
-        arrivals: server -> when a request reached it, and whether its sender knew of its start.
+        taken_out: Time since when operators have taken a server out, by sidecar and server.
+        known_starts: The `since_ms` of which a sidecar was last notified, by sidecar and server.
+        cold_most: Largest fraction of a cold server's budget used by sidecars that knew of its start.
+        arrivals: Time of each request at a server, and whether its sender knew of the start, by server.
     """
 
     def __init__(
@@ -179,7 +75,7 @@
         if ident not in self.traces:
             self.traces[ident] = RequestTrace(class_number)
             self.idents_by_age.append((at_ns, ident))
-        while self.idents_by_age and self.idents_by_age[0][0] < at_ns - KEPT_NS:
+        while self.idents_by_age and self.idents_by_age[0][0] < at_ns - TRACE_LIFETIME_NS:
             self.traces.pop(self.idents_by_age.popleft()[1], None)
 
     def answered(self, at_ns: int, ident: str, code: int, body: str, due_ns: int) -> None:
@@ -395,7 +291,7 @@
         if knowing * 3 < len(arrivals) * 2:
             return  # less than two thirds of it can be held against the sidecars
         duration_s = self.overload_ns / SECOND
-        budget = self.overload_factor * warm_up.capacity(at_ns) * duration_s + WARM_UP_SLACK
+        budget = self.overload_factor * warm_up.capacity(at_ns) * duration_s + WARM_UP_SLACK_REQUESTS
         self.cold_most = max(self.cold_most, len(arrivals) / budget)
         if len(arrivals) > budget:
             what = f"{server} was sent {len(arrivals)} requests in {duration_s:.1f} s, {budget:.1f} at most"
--- a/dykefold/sim/run.py
+++ b/dykefold/sim/run.py
@@ -10,12 +10,12 @@
 from dataclasses import dataclass, field
 
 from .kernel import SECOND
-from .rules import Violation
+from .rule_records import Violation
 from .schedule import Scenario, draw
 from .world import Running
 
-SPAN_S = 10.0  # of load in a usual run; what follows it comes on top
-QUEUED_PER_JOB = 3  # seeds handed out for each process, so that none waits
+SPAN_S = 10.0  # Duration of the load in a default run.
+QUEUED_PER_JOB = 3  # Seeds handed out for each process, so that none waits.
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,9 +23,9 @@
     """The result of one run.
 
     Attributes:
-        digest: of all that happened; the same for each run of a seed by the same program.
-        counts: of requests, attempts and their ends, by name.
-        trace: the last lines of what happened, kept where a rule was broken.
+        digest: Digest of the trace; each run of a seed by the same program has the same digest.
+        counts: Counts of requests, attempts and their ends, by name.
+        trace: Latest lines of the trace, if a rule was broken.
     """
 
     world: str
--- a/dykefold/sim/scenario_player.py
+++ b/dykefold/sim/scenario_player.py
@@ -12,23 +12,23 @@
 from .notified_lists import PollRules
 from .process import Sidecar
 from .process_checks import ProcessChecks
-from .rules import Violation
+from .rule_records import Violation
 from .schedule import Fault
 from .server_faults import ServerFaults
 from .sidecar_faults import SidecarFaults
 
-QUIET_NS = 9 * SECOND  # after the last request: every fault ends, every deadline and idle connection passes
-BEFORE_CLOSE_NS = QUIET_NS - 3 * SECOND  # of these, until clients close their connections
-CHECK_NS = 250 * MS  # between two checks
+QUIET_NS = 9 * SECOND  # After the last request: every fault ends, every deadline and idle timeout passes.
+BEFORE_CLOSE_NS = QUIET_NS - 3 * SECOND  # Until clients close their connections.
+CHECK_NS = 250 * MS  # Between two checks.
 
 
 class PlayedWorld(FaultWorld, Protocol):
     """A world that is played (`world.Running`).
 
     Attributes:
-        membership_rules: where sidecars keep a membership; else None.
-        poll_rules: judged where sidecars coordinate their polls.
-        checks: of what processes promise of themselves.
+        membership_rules: Judge of the memberships; None if sidecars keep none.
+        poll_rules: Judge of polls; None if sidecars do not coordinate them.
+        checks: Checks of the bounds that processes state.
     """
 
     membership_rules: MembershipRules | None
@@ -87,7 +87,7 @@
         """Run to the end, the quiet after it included; returns what was broken.
 
         Args:
-            max_steps: after which the run is broken off; None for no limit.
+            max_steps: Number of steps after which the run stops; None for no limit.
         """
         world, kernel = self.world, self.kernel
         until_ns = world.scenario.span_ns
--- a/dykefold/sim/schedule.py
+++ b/dykefold/sim/schedule.py
@@ -87,16 +87,17 @@
     Kind.HERD: (300, 1500),
     Kind.REPLACE: (3000, 7000),
 }
-USUAL_DURATION_MS = (300, 6000)  # of the others
+USUAL_DURATION_MS = (300, 6000)  # Of all other kinds.
 LOAD_BEGINS_NS = 200 * MS
-EDGE_SHARE = 0.35  # of the faults begin at an edge of one of the last ones, ...
-RECENT_EDGES = 6  # ... of which so many beginnings and ends count
-BURST_SHARE = 0.15  # of the gaps between two requests are those of a burst, at ...
-BURST_RATE = 4.0  # ... so many times the rate of the world; the others at ...
-USUAL_RATE = 0.8  # ... so many times
-FULL_TIME_SHARE = 0.6  # of the clients wait as long as their class allows; the others at least a third of it
-PIECES = (1, 1, 1, 1, 2, 5)  # in which a request is written
-SIDECAR_SHIFT = 24  # bits of a request's number below its sidecar's
+EDGE_SHARE = 0.35  # Fraction of the faults that begin at the beginning or end of a recent fault.
+RECENT_EDGES = 6  # Number of recent beginnings and ends.
+BURST_SHARE = 0.15  # Fraction of the gaps between two requests that belong to a burst.
+BURST_RATE = 4.0  # Rate within a burst, relative to the world's.
+USUAL_RATE = 0.8  # Rate outside of bursts, relative to the world's.
+# Fraction of the clients that wait for the whole deadline; others wait for a third or more.
+FULL_TIME_SHARE = 0.6
+PIECES = (1, 1, 1, 1, 2, 5)  # Numbers of writes of a request, with equal probability.
+SIDECAR_SHIFT = 24  # Bits of a request's number below the number of its sidecar.
 CLOCK_STEPS_NS = tuple(seconds * SECOND for seconds in (3600, -3600, 3, -3))
 
 
@@ -105,9 +106,9 @@
     """Something that goes wrong at a time.
 
     Attributes:
-        server: the number of the server that it is for, where it is for one.
-        sidecar: the same of a sidecar.
-        span_ns: how long it lasts.
+        server: Number of the affected server, if the fault affects one.
+        sidecar: Number of the affected sidecar, if the fault affects one.
+        span_ns: Duration in nanoseconds.
     """
 
     at_ns: int
@@ -122,12 +123,12 @@
     """A request that a client of a sidecar makes.
 
     Attributes:
-        class_number: as in the settings.
-        deadline_ms: how long the client waits.
-        leaves_ms: after which the client goes away; 0: it does not.
-        pipelined: it is sent behind an open one on the same connection, if there is one.
-        pieces: in how many writes it is sent.
-        large: its body, or its answer where it has none, is too long to be held whole.
+        class_number: Number of the class in the settings.
+        deadline_ms: Milliseconds for which the client waits.
+        leaves_ms: Milliseconds after which the client closes; 0 if it does not.
+        pipelined: Whether it is sent behind an open request on the same connection, if there is one.
+        pieces: Number of writes in which it is sent.
+        large: Whether its body, or without a body its answer, is too long to be buffered.
     """
 
     number: int
@@ -146,8 +147,8 @@
     """A whole run, as a value.
 
     Attributes:
-        world: the name of its world in `WORLDS`.
-        span_ns: how long load and faults last.
+        world: Name of its world in `WORLDS`.
+        span_ns: Duration of load and faults in nanoseconds.
     """
 
     world: str
@@ -169,22 +170,22 @@
     """What scenarios of a world are drawn from.
 
     Attributes:
-        rate: requests a second to each sidecar.
-        faults_per_s: on average.
-        fault_kinds: drawn alike.
-        deadlines_ms: by class.
-        class_shares: of the classes in the requests.
-        pipelined_share: of the requests, that are sent ahead of an answer.
-        leaving_share: of the clients, that go away before their answer.
-        large_every: one in so many requests has a body or an answer that is streamed; 0: none.
-        zones: their names, a letter each; servers stand in them in turn.
-        spread_zones: sidecars stand in them in turn too, not all in the first.
-        membership: sidecars keep a membership, and the run goes on until it must have settled.
-        coordinated_polls: they spread their calls of discovery.
-        failover: they may work away from their zone.
-        wrong_clocks: wall clocks are wrong from the start, by `CLOCK_STEPS_NS`.
-        start_capacity: the part of its capacity that a server has at its start.
-        warm_ns: until it has all of it.
+        rate: Requests per second to each sidecar.
+        faults_per_s: Mean number of faults per second.
+        fault_kinds: Kinds of faults, with equal probability.
+        deadlines_ms: Deadlines in milliseconds by class.
+        class_shares: Fraction of the requests by class.
+        pipelined_share: Fraction of the requests sent before the answer to an earlier one.
+        leaving_share: Fraction of the clients that close before their answer.
+        large_every: One request of this number has a streamed body or answer; 0 for none.
+        zones: Names of the zones, one letter each; servers are assigned to them in turn.
+        spread_zones: Whether sidecars are assigned to the zones in turn too; otherwise all are in the first.
+        membership: Whether sidecars keep a membership; the run then lasts until it must have settled.
+        coordinated_polls: Whether sidecars spread their calls of discovery.
+        failover: Whether sidecars may work in other zones.
+        wrong_clocks: Whether wall clocks are wrong from the start, by `CLOCK_STEPS_NS`.
+        start_capacity: Fraction of its capacity that a server has at its start.
+        warm_ns: Nanoseconds until a server has its full capacity.
     """
 
     servers: int
@@ -275,12 +276,12 @@
     """Draw the scenario of a seed.
 
     Args:
-        name: of a world in `WORLDS`.
-        seed: of all that is drawn.
-        span_ns: how long load and faults last.
+        name: Name of a world in `WORLDS`.
+        seed: Seed of the random generator.
+        span_ns: Duration of load and faults in nanoseconds.
 
     Raises:
-        KeyError: there is no such world.
+        KeyError: There is no world of this name.
     """
     spec = WORLDS[name]
     return Scenario(
--- a/dykefold/sim/server_faults.py
+++ b/dykefold/sim/server_faults.py
@@ -7,7 +7,7 @@
 from .nodes import Node
 from .schedule import Fault, Kind
 
-GRACE_NS = 500 * MS  # after the news of a drain in which new requests may still come
+GRACE_NS = 500 * MS  # After the notice of a drain; until then new requests are allowed.
 REPLACED_OF_TEN = 6
 
 
--- a/dykefold/sim/service_plans.py
+++ b/dykefold/sim/service_plans.py
@@ -12,9 +12,9 @@
 from .nodes import PORT, Node
 from .requests import CLASSES, LOOKUP, POOLS
 
-CYCLE = 4  # plans, until they come again
-SHORT_PLAN = 1  # of these, which leaves a server out of each service, ...
-SLOW_PLAN = 2  # ... and which gives all more time
+CYCLE = 4  # Number of different plans.
+SHORT_PLAN = 1  # Plan that leaves a server out of each service.
+SLOW_PLAN = 2  # Plan with longer deadlines.
 MORE_TIME_MS = 100
 MIN_OPEN = 10
 EFFECT_NAMES = {Effect.SAFE: "safe", Effect.KEYED: "keyed", Effect.UNSAFE: "unsafe"}
@@ -24,9 +24,9 @@
     """Return one of the plans.
 
     Args:
-        number: of the plan; they repeat after a few.
-        classes: one for each service.
-        nodes: all servers; each stands in one service.
+        number: Number of the plan; the plans repeat after `CYCLE`.
+        classes: Request classes, one for each service.
+        nodes: All servers; each belongs to one service.
     """
     nodes = list(nodes)
     lines = ["[node]", 'listen = "127.0.0.1:7070"']
--- a/dykefold/sim/sidecar_faults.py
+++ b/dykefold/sim/sidecar_faults.py
@@ -10,9 +10,9 @@
 from .process import Sidecar
 from .schedule import Fault, Kind
 
-TAKE_OVER_NS = 6 * SECOND  # within which a newer process is to take clients (DAYS)
-LOOK_NS = 50 * MS  # between two questions whether it does
-RESTART_NS = 2 * SECOND  # after a graceful shutdown began, at the earliest
+TAKE_OVER_NS = 6 * SECOND  # Within this time a newer process accepts clients (DAYS).
+LOOK_NS = 50 * MS  # Between two checks whether it does.
+RESTART_NS = 2 * SECOND  # Minimum time after the beginning of a graceful shutdown.
 KILLED_OF_TEN = 7
 HTTP_OK = 200
 
--- a/dykefold/sim/sockets.py
+++ b/dykefold/sim/sockets.py
@@ -23,9 +23,9 @@
 Address = tuple[str, int]
 ConnectDone = Callable[[OSError | None], None]
 
-WINDOW_BYTES = 96 * 1024  # sent and not yet read: both sides' kernel buffers
+WINDOW_BYTES = 96 * 1024  # Bytes sent and not yet read: the kernel buffers of both sides.
 UNBOUND: Address = ("0.0.0.0", 0)
-BPF_INSTRUCTION = "=HBBI"  # the struct sock_filter of Linux: code, two jump offsets, the constant
+BPF_INSTRUCTION = "=HBBI"  # struct sock_filter of Linux: code, two jump offsets, constant.
 
 
 class ProcessLoop(Protocol):
@@ -160,19 +160,19 @@
     """One end of a connection, or a listener.
 
     Attributes:
-        number: the descriptor; 0 while a connection waits to be accepted.
-        backlog: connections that wait to be accepted.
-        unread_bytes: that have arrived and wait in `received`.
-        in_flight_bytes: sent and not yet arrived.
-        eof_received: the end of the other side has arrived.
-        error: the errno that has ended the connection; 0 for none.
-        write_closed: nothing more can be sent.
-        read_closed: nothing more is read.
-        graceful_close: a close sends an end; otherwise it resets.
-        earliest_arrival_ns: before which nothing that is sent now may arrive.
-        on_connected: called at the end of a connect; None if none is under way.
-        write_blocked: a write found no room since the last that did.
-        failed_by_peer: an error of a system call of the other side has ended the connection.
+        number: Descriptor; 0 while a connection waits to be accepted.
+        backlog: Connections that wait to be accepted.
+        unread_bytes: Number of bytes that have arrived and wait in `received`.
+        in_flight_bytes: Number of bytes sent that have not arrived.
+        eof_received: Whether the peer's end of file has arrived.
+        error: Errno that has ended the connection; 0 for none.
+        write_closed: Whether sending has been shut down.
+        read_closed: Whether reading has been shut down.
+        graceful_close: Whether a close sends an end of file; otherwise it resets the connection.
+        earliest_arrival_ns: Earliest time in nanoseconds at which bytes sent now may arrive.
+        on_connected: Called at the end of a connect; None if no connect is in progress.
+        write_blocked: Whether the latest write found no room.
+        failed_by_peer: Whether a failed system call of the peer has ended the connection.
     """
 
     def __init__(self, network: SocketNetwork, loop: ProcessLoop, number: int) -> None:
--- a/dykefold/sim/state_directory.py
+++ b/dykefold/sim/state_directory.py
@@ -13,10 +13,10 @@
     """What is in the directory.
 
     Attributes:
-        records: as text, by name.
-        holders: of the locks, by name.
-        changes: so far.
-        full: faults that hold, of those in which nothing can be written.
+        records: Records as text, by name.
+        holders: Holders of the locks, by name.
+        changes: Number of changes so far.
+        full: Number of present faults in which nothing can be written.
     """
 
     def __init__(self) -> None:
--- a/dykefold/sim/syscalls.py
+++ b/dykefold/sim/syscalls.py
@@ -16,7 +16,7 @@
     0.5,
     1.0,
 )  # of the calls fail while a fault lasts, one of these for each fault
-BREAKING_SHARES = (0.01, 0.03, 0.1)  # ... of those that end a connection
+BREAKING_SHARES = (0.01, 0.03, 0.1)  # Of calls whose failure ends a connection.
 
 
 class SystemCall(StrEnum):
@@ -56,8 +56,8 @@
     """Which calls fail, of which hosts.
 
     Attributes:
-        shares: of the calls that fail, for each fault that holds, by host and call.
-        count: calls that have failed.
+        shares: Fractions of the calls that fail, one for each present fault, by host and call.
+        count: Number of calls that have failed.
     """
 
     def __init__(self, seed: int) -> None:
--- a/dykefold/sim/transport.py
+++ b/dykefold/sim/transport.py
@@ -13,15 +13,15 @@
 
 from .sockets import SimSocket
 
-MAX_READ_BYTES = 256 * 1024  # as uvloop's
-HIGH_WATER_BYTES = 64 * 1024  # above which a protocol is told to pause, unless it sets another limit
+MAX_READ_BYTES = 256 * 1024  # As uvloop's.
+HIGH_WATER_BYTES = 64 * 1024  # Above this a protocol is requested to pause, unless it sets another limit.
 
 
 class TransportLoop(Protocol):
     """What a transport needs of its event loop (`loop.SimLoop`).
 
     Attributes:
-        at_edge: something has begun in this turn that a later one completes.
+        at_edge: Whether something has begun in this turn that a later turn completes.
     """
 
     at_edge: bool
@@ -48,10 +48,10 @@
 
     Attributes:
         buffer: bytes that the kernel has not taken yet.
-        writing_paused: the protocol was told to pause.
-        queued: a read is due in a later turn.
-        eof_pending: the own side ends once the buffer is empty.
-        ended: the end is on its way to the protocol.
+        writing_paused: Whether the protocol was requested to pause.
+        queued: Whether a read is due in a later turn.
+        eof_pending: Whether an end of file is sent once the buffer is empty.
+        ended: Whether the protocol is about to be notified of the end.
     """
 
     def __init__(self, loop: TransportLoop, sock: SimSocket, protocol: asyncio.Protocol) -> None:
@@ -127,7 +127,7 @@
         """Write bytes, now or as soon as the kernel takes them.
 
         Raises:
-            WriteAfterEofError: the own side was ended.
+            WriteAfterEofError: An end of file was written before.
         """
         if self.ended or self.closing:
             return
--- a/dykefold/sim/upgrades.py
+++ b/dykefold/sim/upgrades.py
@@ -22,9 +22,9 @@
 )
 
 UNIT_NS = 750_000_000
-STALE = -(-STALE_NS // UNIT_NS)  # units until a heartbeat is stale
-CAPACITY_WAIT = -(-ROOM_WAIT_NS // UNIT_NS)  # units for which a process waits for capacity
-SETTLE = STALE + 4  # units after the last event in which heartbeats go stale, and claims are seen and taken
+STALE = -(-STALE_NS // UNIT_NS)  # Units until a heartbeat is stale.
+CAPACITY_WAIT = -(-ROOM_WAIT_NS // UNIT_NS)  # Units for which a process waits for capacity.
+SETTLE = STALE + 4  # Units after the latest event until heartbeats are stale and claims are handled.
 NOW_NS = 100 * UNIT_NS
 ALL_DESCRIPTORS = 100
 
@@ -53,10 +53,10 @@
     """A process; the attributes that are not described are those of `HotRestartMachine`.
 
     Attributes:
-        age: in units, `CAPACITY_WAIT` at most.
-        looked: in the present unit.
-        told_to_end: it got SIGTERM.
-        heartbeat: the last one that it has written.
+        age: Age in units, at most `CAPACITY_WAIT`.
+        looked: Whether it has read the records in the present unit.
+        terminated: Whether it has been sent SIGTERM.
+        heartbeat: Latest heartbeat that it has written.
     """
 
     status: Status = Status.NOT_STARTED
@@ -66,7 +66,7 @@
     claimed: int = 0
     age: int = 0
     looked: bool = False
-    told_to_end: bool = False
+    terminated: bool = False
     heartbeat: Heartbeat | None = None
 
     def with_heartbeat(self) -> Process:
@@ -96,8 +96,8 @@
     """All processes, by age.
 
     Attributes:
-        faults: that have come so far.
-        quiet: units that have passed since the last event, `SETTLE` at most.
+        faults: Number of faults so far.
+        quiet: Units since the latest event, at most `SETTLE`.
     """
 
     processes: tuple[Process, ...]
@@ -125,26 +125,26 @@
     """What may happen, and what must hold.
 
     Args:
-        processes: the first one and those that may start later.
-        faults: deaths and stops, at most.
-        held: descriptors that a process can't do without.
-        locks: the system tells who lives.
-        stops: whether processes may stand still.
-        kind: the decisions that are judged.
+        processes: Maximum number of processes, the first included.
+        faults: Maximum number of deaths and pauses.
+        needed_descriptors: Number of descriptors that a process cannot release.
+        locks: Whether locks of the system show which processes live.
+        stops: Whether processes may be paused.
+        kind: Class of the decisions that are checked.
     """
 
     def __init__(
         self,
         processes: int,
         faults: int,
-        held: int,
+        needed_descriptors: int,
         locks: bool = True,
         stops: bool = True,
         kind: type[HotRestartMachine] = HotRestartMachine,
     ) -> None:
         self.processes = processes
         self.faults = faults
-        self.held = held
+        self.needed_descriptors = needed_descriptors
         self.locks = locks
         self.stops = stops
         self.kind = kind
@@ -180,9 +180,9 @@
         name = _name(number)
         if process.is_running and not process.looked:
             yield f"{name} looks", self._look(sidecar, number)
-        if process.is_running and not process.told_to_end:
+        if process.is_running and not process.terminated:
             yield f"{name} is to end", self._tell_to_end(sidecar, number)
-        if process.is_running and process.told_to_end:
+        if process.is_running and process.terminated:
             yield f"{name} exits", sidecar.after_event(number, replace(process, status=Status.GONE))
         if process.is_living and sidecar.faults < self.faults:
             yield f"{name} dies", sidecar.after_fault(number, replace(process, status=Status.GONE))
@@ -207,7 +207,7 @@
             state=machine.state,
             max_descriptors=machine.max_descriptors,
             claimed=machine.claimed_descriptors,
-            told_to_end=True,
+            terminated=True,
         )
         return sidecar.after_event(number, ending.with_heartbeat())
 
@@ -217,7 +217,7 @@
         heartbeats = list(self._heartbeats(sidecar))
         living = [heartbeat.name for heartbeat in heartbeats] if self.locks else []
         machine = self._machine(number, process)
-        view = machine.look(NOW_NS, heartbeats, ALL_DESCRIPTORS, self.held, living)
+        view = machine.look(NOW_NS, heartbeats, ALL_DESCRIPTORS, self.needed_descriptors, living)
         starting = machine.state is HotRestartState.STARTING
         if starting and view.may_serve:
             machine.on_serving()
@@ -301,7 +301,7 @@
 
 def _check_ends(sidecar: Sidecar) -> str | None:
     ending = HotRestartState.ENDING
-    if any(process.told_to_end and process.state is not ending for process in sidecar.processes):
+    if any(process.terminated and process.state is not ending for process in sidecar.processes):
         return "one that was told to end serves"
     return None
 
--- a/dykefold/sim/views.py
+++ b/dykefold/sim/views.py
@@ -15,19 +15,19 @@
 from ..fleet.rate_limits import SECOND, RateLimits
 
 MS = 1_000_000
-EPOCH_MS = 1_700_000_000_000  # of the clock on the wall, when a world begins
+EPOCH_MS = 1_700_000_000_000  # Wall clock at the start of a world.
 
 
 class Views:
     """Members 0 to `size` - 1 of a fleet; those that run are in `living`.
 
     Args:
-        size: members of the fleet.
-        seed: of all that is drawn.
-        loss: share of the datagrams that get lost.
-        delay_ns: least and most time that one takes.
-        pace: the bounds on datagrams; None for the usual ones.
-        zones: in which the members stand in turn.
+        size: Number of members of the fleet.
+        seed: Seed of the random generator.
+        loss: Fraction of the datagrams that are lost.
+        delay_ns: Minimum and maximum delay of a datagram in nanoseconds.
+        pace: Rate limits of datagrams; None for the default ones.
+        zones: Number of zones, to which members are assigned in turn.
     """
 
     def __init__(
--- a/dykefold/sim/world.py
+++ b/dykefold/sim/world.py
@@ -20,7 +20,8 @@
 from .process_checks import ProcessChecks
 from .registry import Entry, Registry
 from .requests import POOLS
-from .rules import Rules, Violation
+from .rule_records import Violation
+from .rules import Rules
 from .scenario_player import ScenarioPlayer
 from .schedule import CLOCK_STEPS_NS, Arrival, Fault, Scenario
 from .server_faults import GRACE_NS
@@ -28,7 +29,7 @@
 from .sockets import Address
 from .state_directory import SharedFolder
 
-WRONG_CLOCK_SHARE = 0.5  # of the machines, in a world of wrong clocks
+WRONG_CLOCK_SHARE = 0.5  # Fraction of the machines with a wrong clock, in a world of wrong clocks.
 
 
 def settings_of(scenario: Scenario) -> Settings:
@@ -64,13 +65,13 @@
     """One scenario while it is played.
 
     Attributes:
-        node_at: the server at each address.
-        nodes: the servers that there are now, by number.
-        sidecars: the first process of each sidecar.
-        added_processes: those that were started beside the first ones.
-        true_start_of: a start as discovery tells it, by server and Unix milliseconds -> when it truly was.
-        folders: the state directory of each sidecar.
-        plan: the services of a world with several; else None.
+        node_at: Server at each address.
+        nodes: Present servers by number.
+        sidecars: First process of each sidecar.
+        added_processes: Processes that were started beside the first ones.
+        true_start_of: True time of a start, by server and by the Unix milliseconds that discovery reports.
+        folders: State directory of each sidecar.
+        plan: Services of a world with several; None for a world with one.
     """
 
     def __init__(self, scenario: Scenario) -> None:
--- a/tests/sim/test_rule_violations.py
+++ b/tests/sim/test_rule_violations.py
@@ -3,7 +3,8 @@
 import pytest
 
 from dykefold.balancer.settings import Effect, RequestClass, Scope
-from dykefold.sim.rules import AttemptStart, Rules, WarmUp
+from dykefold.sim.rule_records import AttemptStart, WarmUp
+from dykefold.sim.rules import Rules
 
 MS = 1_000_000
 SECOND = 1000 * MS
