--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -100,7 +100,7 @@
     assert admission.connect("10.0.0.2", 2.2)[2] is idle
 
 
-def test_the_youngest_message_of_the_address_with_most_is_evicted_last():
+def test_youngest_message_of_the_largest_address_is_evicted_last():
     admission = make(connections=4)
     enter(admission, "10.0.0.9", 0.0, ClientState.READING)
     greedy = [enter(admission, "10.0.0.1", 0.1 * n, ClientState.READING) for n in range(3)]
@@ -237,7 +237,7 @@
     assert make_limited(5, reserve=100).connect("10.0.0.1", 0.0)[0] is not None
 
 
-def test_a_learned_address_that_floods_is_unknown_again():
+def test_learned_address_that_floods_becomes_unknown():
     admission = make_limited(
         40, learn_requests=50, learn_after_s=60.0, connections=8, known_connections=8, reserve=8
     )
@@ -268,7 +268,7 @@
     assert admission.reserve_unfinished(two, 600, 0.0)
 
 
-def test_an_address_whose_request_outlives_its_connection_is_kept_until_it_ends():
+def test_address_is_remembered_until_its_last_request_ends():
     admission = make(open_requests=1)
     client = enter(admission)
     admission.open_request(client, 0.0)
--- a/tests/admission/test_listener.py
+++ b/tests/admission/test_listener.py
@@ -170,7 +170,7 @@
     run(play())
 
 
-def test_a_request_beyond_the_limit_of_its_address_is_rejected_at_once_and_may_be_sent_again(tmp_path):
+def test_request_beyond_its_address_limit_is_rejected_at_once_and_can_be_retried(tmp_path):
     async def play():
         go, act = gated()
         fake = await Fake(act).start()
--- a/tests/balancer/test_attempt_rules.py
+++ b/tests/balancer/test_attempt_rules.py
@@ -78,7 +78,9 @@
         (State.READY, True, True, False),
     ],
 )
-def test_nothing_goes_to_a_draining_or_gone_endpoint_or_once_a_body_flows(state, listed, streaming, allowed):
+def test_no_attempt_goes_to_a_draining_or_removed_endpoint_or_after_a_body_has_begun(
+    state, listed, streaming, allowed
+):
     rules, req = set_up(SAFE)
     target = EndpointState(endpoint(2, state=state), 0.5)
     target.listed, req.streaming = listed, streaming
--- a/tests/balancer/test_concurrency_limit.py
+++ b/tests/balancer/test_concurrency_limit.py
@@ -79,7 +79,7 @@
     assert kept["one"] * 5 < kept["all"]
 
 
-def test_ten_times_the_load_within_one_flight_is_held_to_what_comes_back():
+def test_tenfold_load_within_one_flight_is_limited_to_the_answered_rate():
     """Each server takes as long as it has requests out; the flight that brings the load is not doubled."""
     balancer, feed = fleet()
     feed.run(3.0, OFFERED, lambda server: IN_TIME)
--- a/tests/balancer/test_overload.py
+++ b/tests/balancer/test_overload.py
@@ -87,7 +87,7 @@
     assert share(feed.run(10, 100, fast), Refuse) == 0
 
 
-def test_work_is_refused_when_all_answers_are_late_and_again_taken_when_they_are_not(feed):
+def test_load_is_shed_while_all_answers_are_late_and_admitted_afterwards(feed):
     feed.run(5, 100, fast)
     feed.run(3, 100, late)
     assert share(feed.run(3, 100, late), Refuse) > 0.3
@@ -125,7 +125,7 @@
     assert feed.balancer.limit.limit < 0.4 * before  # more servers show by their answers
 
 
-def test_a_pool_of_one_server_opens_to_several_desks_at_once():
+def test_pool_of_one_endpoint_admits_several_clients_at_once():
     """A pool that a reload had replaced refused half of its desks in its first millisecond."""
     balancer, now = make(servers=1)
     for ident in range(16):
@@ -147,7 +147,7 @@
     assert not feed.balancer.endpoints.ejected
 
 
-def test_most_servers_silent_at_once_is_load_and_ejects_few(feed):
+def test_silence_of_most_endpoints_at_once_ejects_few(feed):
     feed.run(5, 100, fast)
     feed.run(4, 100, lambda server: None)
     assert len(feed.balancer.endpoints.ejected) <= 2
@@ -230,7 +230,7 @@
     assert refused.count(True) > refused.count(False) / 3 > 0
 
 
-def test_a_refused_client_is_asked_back_within_its_aim_unless_that_has_passed():
+def test_retry_after_lies_within_the_latency_objective_unless_that_has_passed():
     """Later, and its next try could only be late: much of what was served in i8cc3a0 was."""
     feed = Feed(*make(servers=6, effect=Effect.UNSAFE, max_retry_after_ns=10 * SECOND))
     old = {"left": lambda n: 1500 * MS if n % 3 else 1400 * MS}  # of 2 s, so these are 0.6 s old
@@ -257,7 +257,7 @@
     assert rate[True] / asked[True] > rate[False] / asked[False]
 
 
-def test_peers_rates_are_told_and_taken_and_corrupt_ones_skipped():
+def test_tenant_rates_are_exchanged_with_peers_and_corrupt_ones_are_ignored():
     tenants = [Tenant("a", 0.5, 10.0), Tenant("b", 0.5, 10.0)]
     config = settings(effect=Effect.UNSAFE, tenants=tenants, can_message_peers=True, fleet_size=2, index=0)
     balancer = Balancer(config, 1)
@@ -284,7 +284,7 @@
 
 
 @pytest.mark.parametrize("effect", list(Effect))
-def test_an_ejected_server_is_tried_again_one_request_at_a_time_by_any_class_where_none_is_safe(effect):
+def test_ejected_endpoint_is_probed_by_one_request_at_a_time_of_any_class_if_no_class_is_safe(effect):
     """Incident ifc0f20: no class of the site was safe, so what had recovered stayed ejected for good."""
     balancer, now = make(servers=6, effect=effect)
     lost = balancer.endpoints.all[100]
@@ -302,7 +302,7 @@
     assert tried[0] - START > SECOND
 
 
-def test_only_a_safe_class_is_the_trial_where_there_is_one():
+def test_probation_probe_is_a_request_of_a_safe_class_if_there_is_one():
     classes = [
         RequestClass("safe", 500 * MS, 2 * SECOND, 1.0, 0.2, Effect.SAFE),
         RequestClass("unsafe", 500 * MS, 2 * SECOND, 1.0, 0.2, Effect.UNSAFE),
--- a/tests/balancer/test_rejections.py
+++ b/tests/balancer/test_rejections.py
@@ -56,7 +56,7 @@
     assert len(balancer.endpoints.ejected) == 2
 
 
-def test_it_is_tried_again_and_taken_back_with_its_first_answer():
+def test_rejecting_endpoint_is_probed_and_readmitted_with_its_first_answer():
     balancer, now = make(servers=6)
     now, _ = serve(balancer, now, range(10_000, 10_200), 40 * MS)
     now = full(balancer, now, 100, 2) + 5 * SECOND
--- a/tests/balancer/test_rules.py
+++ b/tests/balancer/test_rules.py
@@ -27,7 +27,7 @@
     assert kinds(actions, Fail, Refuse) == [Fail(1)]
 
 
-def test_without_servers_a_request_is_held_and_refused_before_the_client_gives_up():
+def test_request_without_endpoints_waits_and_is_rejected_before_its_deadline():
     balancer, now = make(entries=[])
     actions = balancer.handle(now, request(1, now, SECOND))
     assert not kinds(actions, Send, Refuse, Fail)
@@ -37,7 +37,7 @@
     assert answers[0][0] < now + SECOND
 
 
-def test_a_held_request_is_sent_when_a_server_appears():
+def test_waiting_request_is_sent_when_an_endpoint_appears():
     balancer, now = make(entries=[])
     actions = balancer.handle(now, request(1, now))
     actions += balancer.handle(now, Membership(ListKind.DELTA, 2, [endpoint(7)]))
@@ -55,7 +55,7 @@
     assert not [a for _, a in done if isinstance(a, Send | Refuse | Fail)]
 
 
-def test_draining_and_gone_servers_get_nothing_not_even_planned_repeats():
+def test_draining_and_removed_endpoints_get_no_attempt_and_no_planned_retry():
     entries = [endpoint(1), endpoint(2)]
     balancer, now = make(entries=entries, effect=Effect.SAFE)
     first = send_one(balancer, now, 1)
@@ -236,7 +236,7 @@
         assert [a.endpoint_number for _, a in done if isinstance(a, Send)] == [first + 1 - 2 * (first % 2)]
 
 
-def test_asking_discovery_is_jittered_and_repeated_after_a_failure():
+def test_polls_of_discovery_are_jittered_and_retried_after_a_failure():
     starts = set()
     for seed in range(10):
         balancer, now = Balancer(settings(poll_required=True, max_poll_interval_ns=10 * SECOND), seed), START
@@ -274,7 +274,7 @@
     assert not [a for _, a in done if isinstance(a, Send)]
 
 
-def test_when_all_servers_drain_a_request_is_held_and_refused_in_time():
+def test_request_while_all_endpoints_drain_waits_and_is_rejected_in_time():
     balancer, now = make(entries=[endpoint(1, state=State.DRAINING), endpoint(2, state=State.DRAINING)])
     actions = balancer.handle(now, request(1, now, SECOND))
     done = [(now, a) for a in actions] + play_timers(balancer, now, actions, now + 3 * SECOND)
--- a/tests/balancer/test_sparse_traffic.py
+++ b/tests/balancer/test_sparse_traffic.py
@@ -147,7 +147,7 @@
     return balancer, now, kinds(actions, Probe), kinds(actions, Send)
 
 
-def test_a_crowded_sidecar_asks_two_servers_and_takes_the_one_that_holds_less():
+def test_crowded_sidecar_probes_two_endpoints_and_picks_the_less_loaded_one():
     """At full size the queue that a request met was of now, what was known of it of seconds ago."""
     balancer, now, probes, sends = crowded()
     assert len({probe.endpoint_number for probe in probes}) == 2 and not sends
@@ -171,7 +171,7 @@
     assert len(kinds(done, Send)) == 1
 
 
-def test_nothing_is_asked_where_it_may_not_be_or_does_not_pay():
+def test_no_load_probe_is_sent_if_it_is_not_allowed_or_does_not_pay():
     assert not crowded(can_probe=False)[2]
     assert not crowded(report_columns=())[2]
     assert not crowded(price_probe=1000.0)[2]
@@ -180,7 +180,7 @@
     assert not kinds(quick.handle(now + SECOND, request(100, now + SECOND)), Probe)
 
 
-def test_a_request_dropped_while_it_asks_stays_dropped():
+def test_request_cancelled_during_its_load_probes_is_not_sent():
     balancer, now, probes, _ = crowded()
     balancer.handle(now + MS, ClientDisconnected(99))
     done = [
--- a/tests/cli/test_control.py
+++ b/tests/cli/test_control.py
@@ -42,6 +42,6 @@
     assert play("control", *arguments).exit_code == 2
 
 
-def test_the_environment_names_the_door(monkeypatch):
+def test_environment_variable_names_the_admin_api(monkeypatch):
     monkeypatch.setenv("GW_CONTROL", "127.0.0.1:1")
     assert play("control", "health").exit_code == 1
--- a/tests/control/test_admin_server.py
+++ b/tests/control/test_admin_server.py
@@ -222,7 +222,7 @@
     run(play())
 
 
-def test_a_fault_behind_the_door_is_a_no_and_not_silence(tmp_path):
+def test_exception_in_an_admin_request_is_answered_with_an_error(tmp_path):
     async def play():
         fakes = await two(answer_ok)
         async with Operated(tmp_path / "c", config(listed(*fakes))) as sidecar:
--- a/tests/control/test_background_writes.py
+++ b/tests/control/test_background_writes.py
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize("first", ["maint", "ready"])
-def test_orders_are_carried_out_and_kept_in_their_order(tmp_path, first):
+def test_maintenance_orders_are_applied_and_recorded_in_order(tmp_path, first):
     second = {"maint": "ready", "ready": "maint"}[first]
 
     async def play():
--- a/tests/control/test_directory_retry.py
+++ b/tests/control/test_directory_retry.py
@@ -101,7 +101,9 @@
 
 
 @pytest.mark.parametrize("error", ERRORS, ids=errno.errorcode.get)
-def test_orders_are_kept_once_the_folder_can_be_used(tmp_path, monkeypatch, machine, caplog, error):
+def test_maintenance_orders_are_recorded_once_the_state_directory_is_usable(
+    tmp_path, monkeypatch, machine, caplog, error
+):
     caplog.set_level(logging.INFO)
     one = Served(tmp_path, monkeypatch, machine, error)
     one.loop.passes(20)
--- a/tests/control/test_hot_restart.py
+++ b/tests/control/test_hot_restart.py
@@ -157,7 +157,7 @@
     run(play())
 
 
-def test_without_a_folder_there_is_a_door_and_no_hand_over(tmp_path):
+def test_without_a_state_directory_the_admin_api_works_and_hot_restart_is_off(tmp_path):
     async def play():
         fake = await Fake(answer_ok).start()
         sidecars = Sidecars(tmp_path, fake)
@@ -221,7 +221,7 @@
     run(play())
 
 
-def test_steering_is_refused_for_what_is_no_listener():
+def test_reuseport_filter_is_rejected_for_a_socket_that_does_not_listen():
     import socket
 
     with socket.socket(socket.AF_UNIX) as sock, pytest.raises(OSError):
--- a/tests/control/test_hot_restart_faults.py
+++ b/tests/control/test_hot_restart_faults.py
@@ -63,7 +63,7 @@
     run(play())
 
 
-def test_a_new_process_that_is_told_to_end_before_its_yes_never_listens(tmp_path):
+def test_new_process_terminated_before_it_is_ready_never_listens(tmp_path):
     async def play():
         async with world(tmp_path) as it:
             (old,) = it.member.living
--- a/tests/control/test_hot_restart_orders.py
+++ b/tests/control/test_hot_restart_orders.py
@@ -113,7 +113,7 @@
                 assert waiting(sock) == 8, (order, going, number)
 
 
-def test_who_can_not_tell_its_place_lets_chance_decide():
+def test_process_without_a_known_listener_index_uses_no_filter():
     places = ReuseportGroup()
     places.join({"a": 0, "b": 1, "c": 2})
     assert places.update({"a": 0, "b": 1, "c": 2}) == 3
--- a/tests/control/test_hot_restart_records.py
+++ b/tests/control/test_hot_restart_records.py
@@ -67,7 +67,7 @@
     assert last.out == ["s0"]
 
 
-def test_the_record_of_a_process_that_is_gone_stays_until_another_one_has_it(tmp_path, machine):
+def test_record_of_a_dead_process_stays_until_another_process_has_it(tmp_path, machine):
     old = running(tmp_path, machine)
     assert old.call("maint").code == 200
     old.ends(killed=True)
@@ -84,7 +84,7 @@
     assert last.out == ["s0"]
 
 
-def test_an_order_that_was_not_written_is_said_to_be_so_and_is_written_later(tmp_path, machine):
+def test_unrecorded_maintenance_order_is_reported_and_recorded_later(tmp_path, machine):
     one = running(tmp_path, machine)
     one.board.failing = ("maintenance-", "sign-")
     reply = one.call("maint")
@@ -97,7 +97,7 @@
     assert last.out == ["s0"]
 
 
-def test_a_folder_that_was_emptied_or_taken_away_is_written_again_by_one_that_is_alone(tmp_path, machine):
+def test_single_process_rewrites_an_emptied_or_removed_state_directory(tmp_path, machine):
     one = running(tmp_path, machine)
     assert one.call("maint").code == 200
     for path in (tmp_path / "dykefold").iterdir():
@@ -172,7 +172,7 @@
 
 @pytest.mark.parametrize("boot", ["a", "b"])
 @pytest.mark.parametrize("step_ns", [HOUR_NS, -HOUR_NS])
-def test_a_start_is_told_from_one_before_the_order_on_the_clock_of_the_process_that_asks(
+def test_start_is_compared_with_an_order_on_the_clock_of_the_reading_process(
     tmp_path, machine, step_ns, boot
 ):
     """An order of another process, given before a step of the wall clock; in the same boot, or before it."""
--- a/tests/control/test_hot_restart_state.py
+++ b/tests/control/test_hot_restart_state.py
@@ -166,7 +166,7 @@
     )
 
 
-def test_one_that_ends_never_takes_again():
+def test_process_that_shuts_down_never_accepts_clients_later():
     assert all(
         TABLE.get((HotRestartState.ENDING, event), HotRestartState.ENDING) is HotRestartState.ENDING
         for event in HotRestartEvent
@@ -278,7 +278,7 @@
     assert list(board.read_all("sign-")) == ["sign-b"] and board.read("sign-a") is None
 
 
-def test_a_change_is_noticed_and_a_write_that_fails_is_told(tmp_path):
+def test_directory_change_is_detected_and_failed_write_is_reported(tmp_path):
     now_ns = [0]
     board = FileStateDirectory(str(tmp_path), monotonic_ns=lambda: now_ns[0])
 
--- a/tests/control/test_state_directory.py
+++ b/tests/control/test_state_directory.py
@@ -91,7 +91,7 @@
 
 @pytest.mark.parametrize("span", [1, 5])
 @pytest.mark.parametrize("fault", [errno.ENOSPC, errno.EIO, "short"])
-def test_whichever_file_call_fails_no_order_that_was_said_to_hold_is_lost(tmp_path, fault, span, monkeypatch):
+def test_no_confirmed_order_is_lost_whichever_file_call_fails(tmp_path, fault, span, monkeypatch):
     monkeypatch.setattr("dykefold.control.hot_restart.LOOK_S", 0.004)
     monkeypatch.setattr("hot_restart_rig.LOOK_S", 0.004)
     for at in range(1, CALLS_MOST, span):
@@ -152,7 +152,7 @@
     assert said == [0, 1] and at > 15
 
 
-def test_only_what_processes_that_are_gone_left_is_swept(tmp_path):
+def test_only_records_of_dead_processes_are_removed(tmp_path):
     one = FileStateDirectory(str(tmp_path))
     assert one.lock("sign-1-a")
     folder = tmp_path / "dykefold"
@@ -191,7 +191,7 @@
     assert board.changed() and board.read_all("sign-")["sign-a"]["n"] == 2
 
 
-def test_an_order_where_the_folder_can_not_be_used_from_the_start_is_not_said_to_be_kept(tmp_path):
+def test_order_is_not_confirmed_as_recorded_if_the_state_directory_is_unusable_from_the_start(tmp_path):
     sidecar_server = Engine(Machine())
     (tmp_path / "dykefold").touch()
     lifecycle = ProcessLifecycle(None, sidecar_server, ("127.0.0.1", 0), str(tmp_path))
--- a/tests/fleet/test_membership_protocol.py
+++ b/tests/fleet/test_membership_protocol.py
@@ -60,7 +60,7 @@
     assert world.run(settling_ns(world), lambda: world.right() and world.equal())
 
 
-def test_a_one_way_cut_makes_nobody_gone() -> None:
+def test_one_way_cut_makes_no_member_gone() -> None:
     world = settled_fleet(12, 4)
     world.changes.clear()
     world.cut = lambda sender, peer: sender < 3 and 3 <= peer < 9
@@ -68,7 +68,7 @@
     assert not concluded_gone(world)
 
 
-def test_halves_with_a_one_way_cut_keep_their_own_members_and_merge_again() -> None:
+def test_halves_with_a_one_way_cut_retain_their_members_and_merge_afterwards() -> None:
     world = settled_fleet(12, 4)
     world.changes.clear()
     world.cut = lambda sender, peer: sender < 6 <= peer
@@ -93,7 +93,7 @@
     assert world.run(settling_ns(world), world.right)
 
 
-def test_a_process_that_stops_for_3_s_is_never_gone_and_suspects_nobody() -> None:
+def test_process_paused_for_3_s_is_never_declared_dead_and_suspects_nobody() -> None:
     world = settled_fleet(12, 6)
     world.changes.clear()
     for _ in range(10):
@@ -190,7 +190,7 @@
     assert not any(change.after not in (State.ALIVE, State.SUSPECT) for _, change in world.changes)
 
 
-def test_a_member_held_gone_is_notified_and_not_trusted_about_others() -> None:
+def test_member_declared_dead_is_notified_and_not_trusted_about_others() -> None:
     world = settled_fleet(4, 13)
     protocol, other = world.living[0], world.living[1]
     protocol.membership.update(
@@ -229,7 +229,7 @@
     assert [datagrams.decode(data).kind for _, data in protocol.take_datagrams()] == [Kind.ACK]  # type: ignore[union-attr]
 
 
-def test_a_process_without_membership_is_live_while_it_is_heard() -> None:
+def test_process_without_membership_is_live_while_its_messages_arrive() -> None:
     world = Views(3, 15)
     world.start(0)
     world.start(1)
@@ -241,7 +241,7 @@
     assert world.living[1].membership.live_members(world.now_ns) == [0, 1]
 
 
-def test_records_reach_most_members_and_expire() -> None:
+def test_records_reach_a_majority_of_members_and_expire() -> None:
     world = settled_fleet(20, 16)
     protocol = world.living[3]
     protocol.membership.publish(world.now_ns, Topic.ENDPOINT_FAILED, 77, 0)
@@ -260,7 +260,7 @@
     )
 
 
-def test_records_of_more_origins_than_the_limit_are_kept_and_not_gossiped() -> None:
+def test_records_of_origins_beyond_the_limit_are_stored_and_not_gossiped() -> None:
     world = Views(2, 17)
     knowledge = world.start(0).membership.records
     for origin in range(1, 12):
@@ -351,7 +351,7 @@
     assert protocol.membership.health.score > 1
 
 
-def test_a_suspect_is_probed_once_more_before_it_is_gone() -> None:
+def test_suspect_is_probed_once_more_before_it_is_declared_dead() -> None:
     """Guards against a denial that does not come through here; of 2,000 at 0.3 of loss three were gone so."""
     world = Views(100, 21)
     world.start_settled()
--- a/tests/fleet/test_record_store.py
+++ b/tests/fleet/test_record_store.py
@@ -58,7 +58,7 @@
     assert all(one == other == {(Topic.LIST_VERSION, 1, 3)} for one, other in pairwise(kept))
 
 
-def test_expired_records_are_neither_taken_nor_kept() -> None:
+def test_expired_records_are_neither_merged_nor_stored() -> None:
     lasts = LIMITS[Topic.ENDPOINT_FAILED].lifetime_ns
     store = RecordStore(9)
     assert not store.merge(SECOND, Record(Topic.ENDPOINT_FAILED, 1, 5, 1, 1, 0, lasts))
@@ -73,7 +73,7 @@
     assert not store.subjects
 
 
-def test_gossip_is_sent_the_least_sent_first_and_a_limited_number_of_times() -> None:
+def test_gossip_sends_rarely_sent_items_first_and_each_a_limited_number_of_times() -> None:
     queue: GossipQueue[str] = GossipQueue()
     queue.add("a")
     queue.add("b")
--- a/tests/fleet/test_subsetting.py
+++ b/tests/fleet/test_subsetting.py
@@ -46,7 +46,7 @@
 
 
 @given(st.lists(st.tuples(st.sets(st.integers(0, 9)), st.sets(st.integers(0, 12))), max_size=6))
-def test_ranks_kept_up_to_date_equal_ranks_computed_anew(steps: list[tuple[set[int], set[int]]]) -> None:
+def test_incrementally_updated_ranks_equal_recomputed_ranks(steps: list[tuple[set[int], set[int]]]) -> None:
     kept = EndpointRanking(3)
     for servers, members in steps:
         live = [PlacedMember(member, member % 2) for member in members]
--- a/tests/lab/test_in_time.py
+++ b/tests/lab/test_in_time.py
@@ -5,7 +5,7 @@
 
 
 @pytest.mark.parametrize("late", range(PLAYS_MOST + 1))
-def test_a_void_play_is_played_again_and_never_passes(late):
+def test_void_play_is_repeated_and_never_passes(late):
     plays = []
 
     def play_once():
--- a/tests/lab/test_queueing.py
+++ b/tests/lab/test_queueing.py
@@ -48,13 +48,13 @@
         (ServiceTable("exponential", 10.0), 1.0),
     ],
 )
-def test_other_work_waits_as_pollaczek_and_khinchine_say(service, variance):
+def test_mean_wait_of_general_work_follows_pollaczek_khinchine(service, variance):
     found, _ = played(60.0, 1, service)
     wanted = 0.6 / (1 - 0.6) * (1 + variance) / 2 * 0.01
     assert found.mean() == pytest.approx(wanted, rel=0.07)
 
 
-def test_a_station_with_no_waiting_room_loses_what_erlang_says():
+def test_queue_without_waiting_room_loses_jobs_by_the_erlang_formula():
     cores, load = 5, 4.0
     _, lost = played(load / 0.01, cores, ServiceTable("exponential", 10.0), queue_most=0)
     terms = [load**k / math.factorial(k) for k in range(cores + 1)]
@@ -91,7 +91,7 @@
 
 
 @given(st.lists(st.booleans(), max_size=60), st.integers(1, 4), st.integers(0, 5), st.booleans())
-def test_a_station_never_holds_more_than_it_says(moves, cores, queue_most, lifo):
+def test_queue_never_exceeds_its_cores_and_length(moves, cores, queue_most, lifo):
     station = QueueingModel(cores, queue_most, lifo)
     came, begun, done = [], [], 0
     for number, arrives in enumerate(moves):
--- a/tests/lab/test_run.py
+++ b/tests/lab/test_run.py
@@ -150,7 +150,7 @@
     assert got.exit_code == 2 and len(got.stderr.splitlines()) == 6
 
 
-def test_what_does_not_fit_together_is_told(tmp_path):
+def test_contradictory_values_are_reported(tmp_path):
     more = '[[faults]]\nkind = "slow"\nat_s = 1.0\nfor_s = 1.0\nservers = ["big"]\n'
     with pytest.raises(ServiceError, match=r"faults\[0\].servers: big: expected std or NAME-NUMBER"):
         read_scenario(str(scenario_file(tmp_path, more=more)))
--- a/tests/net/test_aborted_attempts.py
+++ b/tests/net/test_aborted_attempts.py
@@ -201,7 +201,7 @@
         assert "late" not in server.arrivals
 
 
-def test_a_descriptor_number_that_is_used_again_at_once_is_a_connection_of_its_own():
+def test_reused_descriptor_number_is_a_separate_connection():
     """Guards the next connection under the same number from the end of the one before it."""
     with truth(1, lambda arrival, earlier: GOOD if arrival.ident == "b" else SILENCE) as server:
 
--- a/tests/net/test_client_closes.py
+++ b/tests/net/test_client_closes.py
@@ -92,7 +92,7 @@
 
 @pytest.mark.parametrize("limit", ["places", "descriptors", "settings"])
 @on_loop
-async def test_when_all_have_sent_again_no_connection_gives_way(tmp_path, limit):
+async def test_no_connection_is_evicted_when_every_client_has_sent_a_further_request(tmp_path, limit):
     async with one_server(tmp_path, answer_ok) as (sidecar, fake):
         few_places(sidecar)
         clients = sidecar.server.clients
--- a/tests/net/test_client_connections.py
+++ b/tests/net/test_client_connections.py
@@ -259,7 +259,7 @@
     run(play())
 
 
-def test_datagrams_are_heard_from_known_peers_only():
+def test_datagrams_are_accepted_from_known_peers_only():
     async def play():
         loop = asyncio.get_running_loop()
         heard = []
@@ -389,7 +389,7 @@
     run(play())
 
 
-def test_an_id_that_is_open_or_has_just_been_is_not_sent_again(tmp_path):
+def test_request_with_an_open_or_recent_id_is_not_forwarded(tmp_path):
     """A duplicate is rejected, and the first request is not affected by it."""
 
     async def play():
@@ -411,7 +411,7 @@
     run(play())
 
 
-def test_the_ids_that_are_kept_are_bounded(tmp_path, monkeypatch):
+def test_number_of_remembered_request_ids_is_bounded(tmp_path, monkeypatch):
     monkeypatch.setattr(sidecar_module, "MAX_RECENT_IDS", 100)
 
     async def play():
--- a/tests/net/test_client_disconnects.py
+++ b/tests/net/test_client_disconnects.py
@@ -172,7 +172,7 @@
 
 
 @on_loop
-async def test_what_a_slow_socket_kept_back_gets_whole_while_its_client_waits(tmp_path):
+async def test_request_delayed_by_a_slow_socket_is_completed_while_its_client_waits(tmp_path):
     """The other side of the table above: all kinds are served where the client stays."""
     for kind in HELD_BACK.values():
         server = SlowServer()
--- a/tests/net/test_client_races.py
+++ b/tests/net/test_client_races.py
@@ -495,9 +495,7 @@
 
 
 @on_loop
-async def test_a_server_whose_answer_waits_unread_in_a_late_loop_is_not_held_for_silent(
-    tmp_path, monkeypatch
-):
+async def test_endpoint_with_an_unread_answer_in_a_late_loop_is_not_considered_silent(tmp_path, monkeypatch):
     """The module's timer for an overdue attempt fires before the answer is read."""
     async with asked_of_a_raw_server(tmp_path, message("lookup", "ab")) as (pool, asked, server):
         strikes = noted_strikes(pool, monkeypatch)
@@ -574,7 +572,7 @@
 
 
 @on_loop
-async def test_a_server_is_told_the_time_that_is_left_when_its_connection_has_come_up(tmp_path):
+async def test_announced_deadline_is_the_time_left_when_the_connection_is_established(tmp_path):
     """Connections come up late; the time that passed meanwhile is not the server's any more."""
     sock, fill = full_listener()
     data = config(news(1, entry("s1", f"{HOST}:{sock.getsockname()[1]}")))
--- a/tests/net/test_deadline_propagation.py
+++ b/tests/net/test_deadline_propagation.py
@@ -103,7 +103,7 @@
 @pytest.mark.parametrize("warm", [True, False], ids=["reused", "new"])
 @pytest.mark.parametrize("where", HELD_UP)
 @on_loop
-async def test_a_loop_held_up_on_the_way_to_the_write(tmp_path, monkeypatch, where, warm, effect):
+async def test_loop_delay_before_the_write_is_allowed_for(tmp_path, monkeypatch, where, warm, effect):
     """A run in which the machine itself was late on top says nothing, and is played again a few times."""
     owner, name, before = HELD_UP[where]
     monkeypatch.setattr(owner, name, late(getattr(owner, name), HELD_UP_S, before))
@@ -143,7 +143,7 @@
 
 @pytest.mark.parametrize("deadline", ["15.4m", "16m", "15999u", "17m"])
 @on_loop
-async def test_with_less_than_a_millisecond_left_a_server_is_told_no_more_than_that(tmp_path, deadline):
+async def test_announced_deadline_never_exceeds_less_than_a_millisecond_left(tmp_path, deadline):
     """The client's last 15 ms are no server's: what is told is at least 1 ms, and never beyond these."""
     told = Told()
     fake = await Fake(told.noting()).start()
@@ -223,7 +223,9 @@
 @pytest.mark.parametrize("kind", KEPT_BACK)
 @pytest.mark.parametrize("after_s", [0.05, 0.6])
 @on_loop
-async def test_what_a_slow_socket_keeps_back_is_not_ended_beyond_what_it_was_told(tmp_path, kind, after_s):
+async def test_request_delayed_by_a_slow_socket_is_not_completed_after_its_announced_deadline(
+    tmp_path, kind, after_s
+):
     """The head has gone: a server that would begin so late that it was told too much never gets it whole."""
     server = SlowServer()
     async with Sidecar(tmp_path / "c", config(news(1, entry("s1", f"{HOST}:{server.port}")))) as sidecar:
@@ -356,7 +358,7 @@
 @given(
     some.lists(some.tuples(some.sampled_from(("come", "count", "read")), some.integers(1, 9)), max_size=300)
 )
-def test_no_byte_is_held_to_have_come_later_than_it_did(steps):
+def test_arrival_time_of_a_byte_is_never_estimated_too_late(steps):
     """While nothing is read as it comes; each step takes a nanosecond."""
     arrivals, came_ns = Arrivals(), []
     for now_ns, (step, size) in enumerate([("count", 1), *steps], 1):
--- a/tests/net/test_discovery_client.py
+++ b/tests/net/test_discovery_client.py
@@ -75,7 +75,7 @@
     ],
     ids=["503", "bad-json", "deep-json", "bad-entry", "bad-list", "cut-off", "reset", "hang"],
 )
-def test_a_broken_call_is_told_as_failed_and_the_next_watch_works(trouble, monkeypatch):
+def test_broken_call_is_reported_as_failed_and_the_next_watch_works(trouble, monkeypatch):
     monkeypatch.setattr(discovery, "WATCH_POLLED_MS", 200)
     monkeypatch.setattr(discovery, "ANSWER_TIMEOUT_S", 0.3)
 
@@ -146,7 +146,7 @@
     run(play())
 
 
-def test_a_fetch_asks_for_the_whole_list():
+def test_fetch_requests_the_complete_list():
     async def play():
         fake = await Fake(say(listing(7))).start()
         heard = []
@@ -161,7 +161,7 @@
     run(play())
 
 
-def test_pushed_lists_are_watched_again_after_a_failure_unasked(tmp_path, monkeypatch):
+def test_watch_of_pushed_lists_is_reopened_after_a_failure_without_a_request(tmp_path, monkeypatch):
     monkeypatch.setattr(discovery, "RETRY_PUSHED_S", 0.01)
 
     async def play():
@@ -286,7 +286,7 @@
     run(play())
 
 
-def test_an_index_that_goes_back_asks_for_the_whole_list():
+def test_decreasing_index_requests_the_complete_list():
     async def play():
         async def act(message, reader, writer):
             writer.write(listing(3, entry("s1", f"{HOST}:7"), snapshot="after" not in message.first))
--- a/tests/net/test_endpoint_list_races.py
+++ b/tests/net/test_endpoint_list_races.py
@@ -111,7 +111,7 @@
 
 
 @on_loop
-async def test_a_silent_agent_is_asked_again_and_again_with_a_bound(monkeypatch):
+async def test_silent_agent_is_called_repeatedly_with_a_bound(monkeypatch):
     """An agent cut off from discovery holds its answers; what it gets at the return counts at once."""
     monkeypatch.setattr(discovery, "WATCH_PUSHED_MS", 100)
     monkeypatch.setattr(discovery, "OVERDUE_PUSHED_S", 0.05)
@@ -220,7 +220,7 @@
 
 
 @on_loop
-async def test_what_the_old_discovery_tells_after_a_move_counts_until_the_new_one_has_told_its_list():
+async def test_updates_of_the_previous_discovery_count_until_the_new_one_has_sent_its_list():
     """SIGHUP crosses a change: the old one has written it, the new one is slow."""
 
     async def old_act(message, reader, writer):
--- a/tests/net/test_idle_timeouts.py
+++ b/tests/net/test_idle_timeouts.py
@@ -39,7 +39,7 @@
     assert ages.limit(0.0) == MOST
 
 
-def test_one_dead_connection_is_chance():
+def test_single_dead_connection_does_not_lower_the_idle_timeout():
     ages = IdleAgeStats(MOST)
     uses(ages, 1, 0.3, 1)
     assert ages.limit(0.0) == MOST
@@ -54,7 +54,7 @@
     assert good.limit(0.0) == MOST and known.limit(0.0) == 0.2
 
 
-def test_what_was_learned_is_tried_again_after_a_while():
+def test_learned_idle_timeout_is_relaxed_after_its_half_life():
     ages = IdleAgeStats(MOST)
     uses(ages, 20, 0.3, 10)
     assert ages.limit(0.0) == 0.2
@@ -83,7 +83,7 @@
     assert ages.limit(0.0) == MOST
 
 
-def test_where_places_run_short_idle_connections_are_given_back_sooner():
+def test_idle_connections_are_closed_sooner_while_endpoints_reject_new_ones():
     """Guards servers whose few places stand taken by connections that nobody uses."""
     scarcity = ScarcityLimit(MOST)
     assert scarcity.limit(100.0) == MOST
--- a/tests/net/test_maintenance.py
+++ b/tests/net/test_maintenance.py
@@ -48,7 +48,7 @@
     assert keeper.apply_order("s0", False, 210) == []
 
 
-def test_one_that_is_put_back_is_cold_from_then_until_it_starts_again():
+def test_endpoint_returned_to_service_is_cold_until_it_restarts():
     keeper = make()
     keeper.apply_update([listed("s0", started=50)], True)
     keeper.apply_order("s0", True, 100)
--- a/tests/net/test_process_races.py
+++ b/tests/net/test_process_races.py
@@ -83,7 +83,7 @@
 
 
 @on_loop
-async def test_no_process_asks_a_drained_server_when_all_watches_have_fallen_silent(tmp_path):
+async def test_no_process_sends_to_a_drained_endpoint_when_all_watches_are_silent(tmp_path):
     """calm+brink, which no operator's bench has to play: by six processes and their agents."""
     came = []
 
--- a/tests/net/test_request_outcomes.py
+++ b/tests/net/test_request_outcomes.py
@@ -95,7 +95,7 @@
     run(play())
 
 
-def test_connections_are_used_again(tmp_path):
+def test_connections_are_reused(tmp_path):
     """Asked too late whether a connection stays open, the parser always says no."""
 
     async def play():
@@ -329,7 +329,7 @@
     run(play())
 
 
-def test_a_probe_asks_for_the_load_and_reports_the_result(tmp_path):
+def test_probe_requests_the_load_report_and_returns_its_result(tmp_path):
     async def play():
         act = first_then_ok(say(reply(200, b"rps=7,cpu=0.5")))
 
--- a/tests/net/test_start_times.py
+++ b/tests/net/test_start_times.py
@@ -55,7 +55,7 @@
 
 @pytest.mark.parametrize("kind", [ListKind.DELTA, ListKind.FULL])
 @pytest.mark.parametrize("apart", APART.values(), ids=APART)
-def test_a_start_told_on_a_live_watch_begins_cold_and_ends_warm_whatever_the_clocks(apart, kind):
+def test_start_reported_on_a_live_watch_begins_cold_and_ends_warm_with_any_clocks(apart, kind):
     told = Told()
     told.hear(UNIX, ListKind.FULL)
     now = UNIX + SECOND
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize("apart", [-HOUR, -5 * SECOND, 0, 5 * SECOND, HOUR])
-def test_after_a_broken_watch_a_start_is_at_most_as_old_as_the_break(apart):
+def test_start_after_a_broken_watch_is_no_older_than_the_break(apart):
     """With right clocks all of its age counts; what no start in that break can have is not believed."""
     told = Told()
     told.hear(UNIX, ListKind.FULL)
@@ -128,7 +128,7 @@
 
 
 @pytest.mark.parametrize("apart, believed", [(0, 3 * SECOND), (HOUR, 0), (-HOUR, 0), (5 * SECOND, 0)])
-def test_what_a_pause_between_two_calls_has_held_up_is_as_old_as_it_says_within_the_pause(apart, believed):
+def test_start_delayed_by_a_pause_between_calls_has_its_reported_age_within_the_pause(apart, believed):
     told = Told()
     told.hear(UNIX, ListKind.FULL)
     now = UNIX + 4 * SECOND
@@ -152,7 +152,7 @@
     assert told.ramp(now, told.hear(now, ListKind.DELTA, since=UNIX - HOUR)) == 1.0
 
 
-def test_the_age_of_a_start_runs_on_from_when_it_was_first_told():
+def test_age_of_a_start_counts_from_its_first_report():
     """Told again and again, by changes and whole lists, it is one start."""
     told = Told()
     told.hear(UNIX, ListKind.FULL)
--- a/tests/net/test_upstream_connections.py
+++ b/tests/net/test_upstream_connections.py
@@ -108,7 +108,7 @@
     run(play())
 
 
-def test_an_answer_followed_by_more_is_whole_but_its_connection_is_not_kept():
+def test_answer_followed_by_surplus_bytes_is_complete_but_its_connection_is_closed():
     async def play():
         async def act(message, reader, writer):
             writer.write(reply() + reply(200, b"of whom?"))
@@ -517,7 +517,7 @@
     run(play())
 
 
-def test_a_tick_whose_limits_are_over_is_kept_once():
+def test_tick_of_expired_timers_is_stored_once():
     """Guards the memory: each request makes and empties the bucket of its tick."""
 
     async def play():
--- a/tests/net/test_upstream_syscalls.py
+++ b/tests/net/test_upstream_syscalls.py
@@ -203,7 +203,7 @@
 
 
 @pytest.mark.parametrize("late", [False, True])
-def test_a_refused_connect_counts_as_refused_however_late_it_is_heard(late):
+def test_refused_connect_counts_as_refused_however_late_it_is_noticed(late):
     async def play():
         server, system = listener(), FaultySystem()
         address = server.getsockname()
@@ -224,7 +224,7 @@
 
 
 @pytest.mark.parametrize("number", [errno.ECONNREFUSED, errno.ETIMEDOUT, errno.EHOSTUNREACH])
-def test_a_failed_connect_that_is_told_late_is_no_time_out_of_this_machine(number):
+def test_failed_connect_noticed_late_is_not_a_timeout_of_this_machine(number):
     async def play():
         system = FaultySystem()
         pool = make((HOST, 9), system, 0.03)
@@ -560,7 +560,7 @@
 
 @pytest.mark.parametrize("pushed", [False, True])
 @pytest.mark.parametrize("call", ["socket", "connect", "setsockopt", "send"])
-def test_discovery_goes_on_asking_when_its_calls_fail_by_this_machine(call, pushed):
+def test_discovery_continues_to_poll_when_its_calls_fail_on_this_machine(call, pushed):
     async def play():
         async def act(asked, reader, writer):
             writer.write(reply(200, b'{"index": 7, "snapshot": true, "endpoints": []}', "Connection: close"))
--- a/tests/routing/test_config.py
+++ b/tests/routing/test_config.py
@@ -109,7 +109,7 @@
         ),
     ],
 )
-def test_what_does_not_fit_together_is_told(old, new, problem):
+def test_contradictory_values_are_reported(old, new, problem):
     plan, problems = plan_of(GOOD.replace(old, new))
     if problem:
         assert plan is None
--- a/tests/routing/test_requests.py
+++ b/tests/routing/test_requests.py
@@ -149,7 +149,7 @@
     assert caught.value.code == 405
 
 
-def test_a_route_may_say_which_header_names_the_tenant():
+def test_route_configures_the_tenant_header():
     pool = Pool()
     pool.settings.tenants = [Tenant("north", 0.5, 10.0), Tenant("south", 0.5, 10.0)]
     reader = RouteRequestReader("a", pool, RouteOptions(tenant_header="x-yard"), lambda: "made")
--- a/tests/routing/test_services.py
+++ b/tests/routing/test_services.py
@@ -175,7 +175,7 @@
     run(play())
 
 
-def test_a_pool_removed_and_added_again_under_its_name_inherits_nothing():
+def test_pool_removed_and_re_added_under_its_name_inherits_nothing():
     async def play():
         go, act = gated()
         old, new, rest = await Fake(act).start(), await Fake(answer_ok).start(), await Fake(answer_ok).start()
--- a/tests/routing/test_streams.py
+++ b/tests/routing/test_streams.py
@@ -131,7 +131,7 @@
         BIG = small
 
 
-def test_a_body_that_has_begun_to_flow_is_never_sent_again():
+def test_body_that_has_begun_to_stream_is_never_retried():
     """Red when the pool leaves the end of such an attempt to the module, which repeats a PUT."""
 
     async def play():
@@ -161,7 +161,7 @@
     run(play())
 
 
-def test_a_response_that_breaks_off_ends_the_connection_and_is_not_begun_again():
+def test_truncated_response_closes_the_connection_and_is_not_restarted():
     async def play():
         async with served(breaks, breaks) as (node, servers):
             reader, writer = await opened(node)
@@ -266,7 +266,7 @@
             self.connection.block(True)
 
 
-def test_a_connection_whose_last_piece_was_held_up_serves_the_next_request():
+def test_connection_with_a_delayed_last_piece_serves_the_next_request():
     """Red when it is kept with its reading stopped: the next answer on it would never be read."""
 
     async def play():
--- a/tests/sim/test_network.py
+++ b/tests/sim/test_network.py
@@ -187,7 +187,7 @@
     assert other.recv(1) == b""
 
 
-def test_a_writer_is_paused_while_its_bytes_wait_and_resumed_when_they_are_gone():
+def test_writer_is_paused_while_its_bytes_wait_and_resumed_when_they_are_sent():
     pair = Pair()
     one, other = pair.connected()
     protocol = Recorder()
--- a/tests/sim/test_rule_violations.py
+++ b/tests/sim/test_rule_violations.py
@@ -111,7 +111,7 @@
         (False, True, True, "one answer"),
     ],
 )
-def test_of_a_request_not_read_whole_only_a_stream_may_have_gone_when_its_process_died(
+def test_incompletely_read_request_may_have_been_forwarded_only_as_a_stream_when_its_process_died(
     process_lives, streamed, written, rule
 ):
     rules = make()
--- a/tests/sim/test_view_world.py
+++ b/tests/sim/test_view_world.py
@@ -19,7 +19,7 @@
     assert result.counts["served"] > 300
 
 
-def test_a_view_that_never_asks_those_who_are_gone_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_membership_that_never_contacts_departed_members_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     def choose_live_partner(self: AntiEntropy, joining: bool) -> int | None:
         return next(iter(self.membership.random_live_members(1)), None)
 
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -40,7 +40,7 @@
 READY = b"GET /-/ready HTTP/1.1\r\n\r\n"
 
 
-def test_a_planned_end_answers_what_is_held_and_what_still_comes(tmp_path):
+def test_graceful_shutdown_answers_pending_and_late_requests(tmp_path):
     async def play():
         async def act(message, reader, writer):
             if message.headers["x-request-id"] == "held":
