--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -21,7 +21,7 @@
 
 import uvloop
 
-from standins.load import Tally, desks
+from standins.load import Tally, run_clients
 from standins.sidecar import Running, parts_nodes, sidecar
 
 from . import arguments, trees
@@ -69,8 +69,8 @@
         rows = []
         for _ in range(START_RUNS):
             with parts_nodes(NODES) as ports, sidecar(ports, tree=tree) as running:
-                first = uvloop.run(desks(running.port, START_CONNECTIONS, 1.0))
-                second = uvloop.run(desks(running.port, START_CONNECTIONS, 1.0))
+                first = uvloop.run(run_clients(running.port, START_CONNECTIONS, 1.0))
+                second = uvloop.run(run_clients(running.port, START_CONNECTIONS, 1.0))
                 rows.append((first.refused, second.refused))
         print(f"  {name:8} {rows}")
 
@@ -78,7 +78,7 @@
 def refusal(service: Path) -> None:
     """Print what refusals cost the sidecar that has the settings of this file."""
     with parts_nodes(NODES) as ports, sidecar(ports, service=service) as running:
-        uvloop.run(desks(running.port, WARM_CLIENTS, WARM_S))
+        uvloop.run(run_clients(running.port, WARM_CLIENTS, WARM_S))
         served_us = served_cost_us(running)
         admitted = socket.create_connection(("127.0.0.1", running.port), source_address=(FLOOD_ADDRESS, 0))
         admitted.close()  # the burst of this address is used up
@@ -97,7 +97,7 @@
 def served_cost_us(running: Running) -> float:
     """The sidecar's processor time for a served request, in microseconds."""
     before_s = running.cpu_s()
-    served = uvloop.run(desks(running.port, WARM_CLIENTS, REFUSAL_S)).served
+    served = uvloop.run(run_clients(running.port, WARM_CLIENTS, REFUSAL_S)).served
     return (running.cpu_s() - before_s) / served * 1e6
 
 
@@ -140,7 +140,7 @@
 async def serve_steadily(port: int, seconds: float, flooded: bool) -> Tally:
     """What steady clients get, with a flood from one other address or without."""
     flooders = [asyncio.create_task(flooder(port, seconds)) for _ in range(FLOODERS if flooded else 0)]
-    tally = await desks(port, STEADY_CLIENTS, seconds, pause_s=REQUEST_GAP_S)
+    tally = await run_clients(port, STEADY_CLIENTS, seconds, pause_s=REQUEST_GAP_S)
     for task in flooders:
         task.cancel()
     await asyncio.gather(*flooders, return_exceptions=True)
@@ -195,7 +195,7 @@
 def memory() -> None:
     """Print the sidecar's resident memory for an idle connection."""
     with parts_nodes(1) as ports, sidecar(ports) as running:
-        uvloop.run(desks(running.port, WARM_CLIENTS, SETTLE_S))
+        uvloop.run(run_clients(running.port, WARM_CLIENTS, SETTLE_S))
         before_bytes = running.rss_bytes()
         idle = [socket.create_connection(("127.0.0.1", running.port)) for _ in range(IDLE_CONNECTIONS)]
         time.sleep(SETTLE_S)
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,4 +1,4 @@
-"""Three services behind the real sidecar, one of them killed halfway: `python -m standins.demo`.
+"""Three services behind the real sidecar, of which one is killed halfway: `python -m standins.demo`.
 
 Catalogue (slow), stock (dies and comes back) and orders (a few of its answers are lost) run as processes of
 their own. Lookups, holds and orders are driven for some 20 s while a table shows what becomes of them; the
@@ -26,11 +26,16 @@
 from .sidecar import ROOT, services
 
 SECONDS = 20.0
-DOWN_FROM, DOWN_TO = 0.4, 0.7  # of that time, stock is down
-DESKS = 8  # for each service
+# Fractions of the time between which stock is down.
+DOWN_FROM = 0.4
+DOWN_TO = 0.7
+CLIENTS_PER_SERVICE = 8
 PAUSE_S = 0.02
-UNHARMED = 0.99  # of the requests that the other services must answer in every phase
-NOISE_MS = 100.0  # by which their 99th percentile may be higher meanwhile: some hundred answers a phase
+MIN_SERVED_FRACTION = 0.99  # Of the requests to the other services, in every phase.
+MAX_P99_INCREASE_MS = 100.0  # Of the other services while stock is down.
+MIN_RECOVERED_FRACTION = 0.5  # Of the requests to stock after its return.
+HTTP_OK = 200
+REJECTION_CODES = frozenset((429, 503))
 PHASES = ("before", "down", "after")
 FILE = """\
 [node]
@@ -74,7 +79,7 @@
 
 @dataclass
 class Tally:
-    """What one service's desks were answered, by phase."""
+    """Results of the clients of one service, by phase."""
 
     method: str
     asked: dict[str, int] = field(default_factory=lambda: dict.fromkeys(PHASES, 0))
@@ -84,15 +89,22 @@
     latencies_s: dict[str, list[float]] = field(default_factory=lambda: {phase: [] for phase in PHASES})
 
     def quantile_ms(self, part: float, phases: tuple[str, ...] = PHASES) -> float:
+        """Return a quantile of the latencies in milliseconds; 0 without any."""
         ordered = sorted(latency for phase in phases for latency in self.latencies_s[phase])
         return ordered[min(int(len(ordered) * part), len(ordered) - 1)] * 1000 if ordered else 0.0
 
     def share(self, phase: str) -> float:
+        """Return the fraction of the requests of a phase that were served."""
         return self.served[phase] / max(self.asked[phase], 1)
 
 
 class Shop:
-    """One service's servers as a process."""
+    """The servers of one service, as a process of `standins.shop`.
+
+    Args:
+        name: Name of the service.
+        options: Options of `standins.shop`.
+    """
 
     def __init__(self, name: str, *options: str) -> None:
         self.process = subprocess.Popen(
@@ -106,25 +118,28 @@
         self.ports = [int(port) for port in self.process.stdout.readline().split()]
 
     def tell(self, line: str) -> None:
+        """Send a line to the process."""
         assert self.process.stdin is not None
         self.process.stdin.write(line + "\n")
         self.process.stdin.flush()
 
     def report(self) -> dict:
+        """Return the counts of the servers."""
         self.tell("report")
         assert self.process.stdout is not None
         return json.loads(self.process.stdout.readline())
 
     def close(self) -> None:
+        """End the process."""
         assert self.process.stdin is not None
         self.process.stdin.close()
         self.process.wait()
 
 
-async def desk(
+async def run_client(
     port: int, name: str, tally: Tally, phase: list[str], until: float, ids: Iterator[int]
 ) -> None:
-    """Ask one request after another; a connection that ended is replaced."""
+    """Send one request after the other; a closed connection is replaced."""
     while time.monotonic() < until:
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -139,10 +154,10 @@
                 length = head.partition(b"content-length: ")[2].partition(b"\r")[0]
                 await reader.readexactly(int(length))
                 code = int(head.split()[1])
-                if code == 200:
+                if code == HTTP_OK:
                     tally.served[at] += 1
                     tally.latencies_s[at].append(time.monotonic() - began)
-                elif code in (429, 503):
+                elif code in REJECTION_CODES:
                     tally.refused += 1
                 else:
                     tally.failed += 1
@@ -151,6 +166,7 @@
 
 
 def table_of(tallies: dict[str, Tally], shops: dict[str, Shop], phase: str) -> Table:
+    """Return a table of the results so far."""
     table = Table(title=f"three services, one sidecar: {phase}")
     for column in ("service", "asked", "served", "refused", "failed", "retries", "p50 ms", "p99 ms"):
         table.add_column(column, justify="left" if column == "service" else "right")
@@ -164,15 +180,15 @@
 
 
 async def play(port: int, shops: dict[str, Shop], console: Console, seconds: float) -> dict[str, Tally]:
-    """Drive the load, kill stock halfway and bring it back."""
+    """Run the clients, kill stock halfway and start it again."""
     tallies = {"catalogue": Tally("GET"), "stock": Tally("PUT"), "orders": Tally("POST")}
     phase = [PHASES[0]]
     began = time.monotonic()
     ids = itertools.count(1)
-    desks = [
-        asyncio.create_task(desk(port, name, tally, phase, began + seconds, ids))
+    clients = [
+        asyncio.create_task(run_client(port, name, tally, phase, began + seconds, ids))
         for name, tally in tallies.items()
-        for _ in range(DESKS)
+        for _ in range(CLIENTS_PER_SERVICE)
     ]
     with Live(console=console, refresh_per_second=4, transient=not console.is_terminal) as live:
         while (passed := (time.monotonic() - began) / seconds) < 1.0:
@@ -182,13 +198,13 @@
                 shops["stock"].tell("down" if due == "down" else "up")
             live.update(table_of(tallies, shops, f"stock {'is down' if due == 'down' else 'is up'}"))
             await asyncio.sleep(0.25)
-        await asyncio.gather(*desks)
+        await asyncio.gather(*clients)
     console.print(table_of(tallies, shops, "the end"))
     return tallies
 
 
 def verdict(tallies: dict[str, Tally], reports: dict[str, dict]) -> list[tuple[bool, str]]:
-    """What the servers' own counts prove."""
+    """Return what the servers' counts prove: whether each promise was kept, and a text."""
     twice = sum(report["orders_twice"] for report in reports.values())
     strays = sum(report["strays"] for report in reports.values())
     orders = reports["orders"]["orders"]
@@ -200,19 +216,25 @@
         shares = {phase: tallies[name].share(phase) for phase in PHASES}
         text = ", ".join(f"{phase} {share:.1%}" for phase, share in shares.items())
         lost = shares["before"] - shares["down"]
-        found.append((lost < 1 - UNHARMED, f"{name} served while stock was down as before: {text}"))
+        found.append(
+            (lost < 1 - MIN_SERVED_FRACTION, f"{name} served while stock was down as before: {text}")
+        )
         p99 = {phase: tallies[name].quantile_ms(0.99, (phase,)) for phase in PHASES}
         text = ", ".join(f"{phase} {value:.0f} ms" for phase, value in p99.items())
         slower = p99["down"] - p99["before"]
-        found.append((slower < NOISE_MS, f"{name} was as fast while stock was down, p99: {text}"))
+        found.append((slower < MAX_P99_INCREASE_MS, f"{name} was as fast while stock was down, p99: {text}"))
     stock = tallies["stock"]
     found.append(
-        (stock.share("after") > 0.5, f"stock served again after its return: {stock.share('after'):.1%}")
+        (
+            stock.share("after") > MIN_RECOVERED_FRACTION,
+            f"stock served again after its return: {stock.share('after'):.1%}",
+        )
     )
     return found
 
 
 def main(seconds: float = SECONDS) -> int:
+    """Run the demonstration; return the exit code."""
     console = Console()
     shops = {
         "catalogue": Shop("catalogue", "--work-ms", "40"),
--- a/standins/load.py
+++ b/standins/load.py
@@ -1,4 +1,4 @@
-"""Desks that ask one lookup after another on connections of their own, each from an address of its own."""
+"""Closed-loop clients for benchmarks and tests, each with a connection and a loopback address of its own."""
 
 from __future__ import annotations
 
@@ -18,17 +18,27 @@
 
 @dataclass(slots=True)
 class Tally:
+    """Results of all clients.
+
+    Attributes:
+        served: Number of requests answered with 200.
+        refused: Number of requests with another answer.
+        lost: Number of connections that ended without an answer.
+        latencies_s: Latencies of served requests in seconds.
+    """
+
     served: int = 0
     refused: int = 0
-    lost: int = 0  # connections that ended with no answer
+    lost: int = 0
     latencies_s: list[float] = field(default_factory=list)
 
     def quantile_ms(self, part: float) -> float:
+        """Return a quantile of the latencies in milliseconds; NaN without any."""
         ordered = sorted(self.latencies_s)
         return ordered[min(int(len(ordered) * part), len(ordered) - 1)] * 1000 if ordered else float("nan")
 
 
-async def desk(
+async def run_client(
     port: int,
     tally: Tally,
     until: float,
@@ -36,7 +46,16 @@
     pause_s: float = 0.0,
     orders: float = 0.0,
 ) -> None:
-    """Ask until the time on the monotonic clock has come, on a new connection whenever the old one ends."""
+    """Send one request after the other, on a new connection whenever the old one ends.
+
+    Args:
+        port: Port of the sidecar on loopback.
+        tally: Counts of the results.
+        until: Monotonic time in seconds at which the client stops.
+        address: Address of the client.
+        pause_s: Seconds between an answer and the next request.
+        orders: Fraction of the requests that are orders.
+    """
     while time.monotonic() < until:
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             reader, writer = await asyncio.open_connection("127.0.0.1", port, local_addr=(address, 0))
@@ -44,7 +63,7 @@
                 while time.monotonic() < until:
                     began = time.monotonic()
                     ident = next(IDS)
-                    # Every nth is an order; which one does not hang on chance.
+                    # Orders are spread evenly, not at random.
                     order = orders and int(ident * orders) > int((ident - 1) * orders)
                     writer.write((ORDER if order else LOOKUP) % ident)
                     head = await reader.readuntil(b"\r\n\r\n")
@@ -65,10 +84,12 @@
                 writer.close()
 
 
-async def desks(port: int, count: int, seconds: float, pause_s: float = 0.0, orders: float = 0.0) -> Tally:
-    """So many desks at once; 127.1.0.0/16 gives their addresses."""
+async def run_clients(
+    port: int, count: int, seconds: float, pause_s: float = 0.0, orders: float = 0.0
+) -> Tally:
+    """Run `count` clients at once for some seconds; their addresses are in 127.1.0.0/16."""
     tally = Tally()
     until = time.monotonic() + seconds
     names = (f"127.1.{number // 250}.{number % 250 + 1}" for number in range(count))
-    await asyncio.gather(*(desk(port, tally, until, name, pause_s, orders) for name in names))
+    await asyncio.gather(*(run_client(port, tally, until, name, pause_s, orders) for name in names))
     return tally
--- a/standins/shop.py
+++ b/standins/shop.py
@@ -1,8 +1,8 @@
-"""Stand-in servers of one service that count what reaches them: `python -m standins.shop NAME [options]`.
+"""Servers of one service that count the requests they get: `python -m standins.shop NAME [options]`.
 
-They print their ports in one line. Lines on standard input: `down` ends all listening and breaks all
-connections, `up` listens again at the same ports, `report` prints the counts as one line of JSON. They
-run until standard input ends, so that they never outlive who started them.
+The protocol is plain HTTP/1.1; the demonstration uses them. The process prints its ports in one line. Lines
+on standard input: `down` stops listening and resets all connections, `up` listens again at the same ports, and
+`report` prints the counts as one line of JSON. It runs until standard input ends.
 
 The truth about effects is counted here: an effect is a request whose last byte has come, whatever becomes
 of its answer.
@@ -21,27 +21,33 @@
 
 import httptools
 
-LINGER_NONE = struct.pack("ii", 1, 0)  # a close resets, as a process that dies does
+LINGER_NONE = struct.pack("ii", 1, 0)  # A close then resets the connection.
 
 
 class Service:
-    """The servers of one service and what they were asked."""
+    """The servers of one service, and counts of their requests.
+
+    Args:
+        name: Name of the service. Requests must begin with `/name`; others are counted as strays.
+        work_ms: Mean of the exponentially distributed work, in milliseconds.
+        fail: Fraction of the requests answered with 500 after their work.
+        reset: Fraction of the requests whose connection is reset after their work.
+        seed: Seed of the random generator.
+
+    Attributes:
+        effects: Number of runs by method and request id.
+        strays: Number of requests of other services.
+        attempts: Number of requests.
+        ports: Ports of the servers.
+    """
 
     def __init__(self, name: str, work_ms: float, fail: float, reset: float, seed: int) -> None:
-        """Describe a service.
-
-        Args:
-            name: requests must begin with `/name`; others are counted as strays.
-            work_ms: mean of an exponential distribution.
-            fail: part of the requests that are answered 500 after their work.
-            reset: part whose connection breaks after their work.
-        """
         self.name = name
         self.work_s = work_ms / 1000
         self.fail = fail
         self.reset = reset
         self.random = random.Random(seed)
-        self.effects: Counter[str] = Counter()  # by method and id
+        self.effects: Counter[str] = Counter()
         self.strays = 0
         self.attempts = 0
         self.nodes: list[asyncio.Server] = []
@@ -49,6 +55,7 @@
         self.ports: list[int] = []
 
     async def up(self, count: int) -> None:
+        """Listen with `count` servers, at the same ports as before."""
         loop = asyncio.get_running_loop()
         for number in range(count):
             port = self.ports[number] if number < len(self.ports) else 0
@@ -60,6 +67,7 @@
                 self.ports.append(sock.getsockname()[1])
 
     def down(self) -> None:
+        """Stop listening, and reset all connections."""
         for node in self.nodes:
             node.close()
         self.nodes.clear()
@@ -67,6 +75,7 @@
             connection.reset()
 
     def report(self) -> str:
+        """Return the counts as a line of JSON."""
         unsafe = [count for key, count in self.effects.items() if key.startswith("POST ")]
         return json.dumps(
             {
@@ -80,6 +89,8 @@
 
 
 class Connection(asyncio.Protocol):
+    """A connection to one of the servers, with one request at a time."""
+
     def __init__(self, service: Service) -> None:
         self.service = service
         self.work: asyncio.TimerHandle | None = None
@@ -91,23 +102,29 @@
         self.path = ""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register the connection."""
         self.transport = transport
         self.service.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Forget the connection."""
         self.service.connections.discard(self)
 
     def data_received(self, data: bytes) -> None:
+        """Parse received bytes."""
         self.parser.feed_data(data)
 
     def on_url(self, url: bytes) -> None:
+        """Collect the path."""
         self.path += url.decode("latin-1")
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Take the request id."""
         if name.lower() == b"x-request-id":
             self.ident = value.decode("latin-1")
 
     def on_message_complete(self) -> None:
+        """Count a complete request, and begin its work."""
         service = self.service
         service.attempts += 1
         method = self.parser.get_method().decode("latin-1")
@@ -117,13 +134,13 @@
         work = service.random.expovariate(1.0) * service.work_s
         asyncio.get_running_loop().call_later(work, self._end, service.random.random())
 
-    def _end(self, chance: float) -> None:
+    def _end(self, draw: float) -> None:
         if self.transport.is_closing():
             return
-        if chance < self.service.reset:
+        if draw < self.service.reset:
             self.reset()
             return
-        failed = chance < self.service.reset + self.service.fail
+        failed = draw < self.service.reset + self.service.fail
         head = b"HTTP/1.1 500 Internal Server Error" if failed else b"HTTP/1.1 200 OK"
         body = b"failed\n" if failed else b"done\n"
         self._begin()
@@ -132,12 +149,14 @@
         )
 
     def reset(self) -> None:
+        """Reset the connection."""
         sock = self.transport.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NONE)
         self.transport.abort()  # type: ignore[attr-defined]
 
 
 async def serve(arguments: argparse.Namespace) -> None:
+    """Serve until standard input ends, and carry out its lines."""
     service = Service(arguments.name, arguments.work_ms, arguments.fail, arguments.reset, arguments.seed)
     await service.up(arguments.nodes)
     print(*service.ports, flush=True)
@@ -153,6 +172,7 @@
 
 
 def main() -> None:
+    """Parse the command line and serve."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("name")
     parser.add_argument("--nodes", type=int, default=3)
--- a/standins/sidecar.py
+++ b/standins/sidecar.py
@@ -1,4 +1,4 @@
-"""Processes for benchmarks: parts nodes and the real sidecar before them, from this tree or another one."""
+"""Processes for benchmarks: servers and the real sidecar in front of them, from this tree or another one."""
 
 from __future__ import annotations
 
@@ -21,26 +21,30 @@
 
 @dataclass(slots=True)
 class Running:
+    """A running sidecar and the port at which it accepts clients."""
+
     port: int
     process: subprocess.Popen[bytes]
 
     def rss_bytes(self) -> int:
+        """Return the resident memory of the process."""
         pages = int(Path(f"/proc/{self.process.pid}/statm").read_text().split()[1])
         return pages * resource.getpagesize()
 
     def cpu_s(self) -> float:
+        """Return the processor time of the process so far."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rsplit(")", 1)[1].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 def pinned(core: int | None) -> Callable[[], None] | None:
-    """What a new process does first to keep to one core, for `preexec_fn`."""
+    """Return a `preexec_fn` that pins a new process to a core; None for no core."""
     return None if core is None else lambda: os.sched_setaffinity(0, {core})
 
 
 @contextlib.contextmanager
 def parts_nodes(count: int, core: int | None = None) -> Iterator[list[int]]:
-    """So many parts nodes in one process; their ports."""
+    """Start `count` servers in one process, and yield their ports."""
     command = [sys.executable, "-m", "standins.parts", str(count)]
     with subprocess.Popen(
         command, cwd=ROOT, stdin=subprocess.PIPE, stdout=subprocess.PIPE, preexec_fn=pinned(core)
@@ -59,7 +63,7 @@
     service: Path | None = None,
     core: int | None = None,
 ) -> Iterator[Running]:
-    """The sidecar of a source tree in front of these ports of 127.0.0.1."""
+    """Start the sidecar of a source tree in front of these ports of 127.0.0.1."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
         path.write_text(json.dumps(config(ports, sockets)))
@@ -72,14 +76,14 @@
 
 @contextlib.contextmanager
 def services(path: Path, core: int | None = None) -> Iterator[Running]:
-    """This tree's sidecar with the pools and routes of an operator's file."""
+    """Start this tree's sidecar with the pools and routes of an operator's file."""
     environment = {name: value for name, value in os.environ.items() if name != "GW_CONFIG"}
     with listening(["serve", str(path)], environment, ROOT, pinned(core)) as started:
         yield Running(started.port, started.process)
 
 
 def config(ports: list[int], sockets: int) -> dict:
-    """What the platform would tell it: three classes, one zone, no discovery."""
+    """Return the platform's configuration: three classes, one zone, no discovery."""
     deadlines = {
         "lookup": (3000, 750, "pure"),
         "hold": (2000, 600, "token"),
--- a/standins/truth.py
+++ b/standins/truth.py
@@ -1,12 +1,13 @@
-"""Parts nodes that keep the truth: which request ran how often, and what still stood when a repeat came.
+"""Servers that record how often each request ran, and which attempts were open when a retry arrived.
 
-A repeat overlaps if an earlier attempt of its id still has its connection when the repeat's last byte has
-come, judged by reading, without waiting, on the earlier descriptor. Plain sockets and a selector: what
-counts is what the kernel knows, not what an event loop has got round to.
+A retry overlaps if an earlier attempt of its id still has an open connection when the retry's last byte has
+arrived. This is checked by a read without waiting on the earlier descriptor. Plain sockets and a selector are
+used, since the kernel's knowledge counts, not that of an event loop. The protocol is the platform's HTTP/1.1;
+tests of aborted attempts and `benchmarks.relay` use them.
 
-As a process, `python -m standins.truth PORTS PHASE_S`, one node after the other misbehaves for a phase, in
-each of the ways of `TROUBLES` in turn; the ports are printed at the start, the tally as JSON at the end
-of standard input.
+As a process, `python -m standins.truth PORTS PHASE_S`, one server after the other misbehaves for a phase, in
+each of the ways of `TROUBLES` in turn. The ports are printed at the start, the tally as JSON at the end of
+standard input.
 """
 
 from __future__ import annotations
@@ -24,15 +25,16 @@
 GOOD = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 SPOILT = b"HTTP/1.1 200 OK\r\nContent-Length: many\r\n\r\n"
 NEVER = b"HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
+HEAD_END = b"\r\n\r\n"
 CLOSE = b""
 SILENCE = None
-STORIES_MOST = 10
+MAX_STORIES = 10
 TROUBLES: tuple[bytes | None, ...] = (SILENCE, SPOILT, CLOSE, NEVER)
 
 
 @dataclass(slots=True)
 class Arrival:
-    """A request whose last byte has come."""
+    """A request whose last byte has arrived."""
 
     ident: str
     method: str
@@ -46,29 +48,47 @@
 
 @dataclass(slots=True)
 class Tally:
+    """Counts of the requests of all servers.
+
+    Attributes:
+        requests: Number of requests.
+        repeats: Number of requests with an id that had arrived before.
+        overlaps: Number of retries that overlapped an open attempt.
+        orders_twice: Number of unsafe requests that ran more than once.
+        stories: Descriptions of the first overlaps.
+    """
+
     requests: int = 0
     repeats: int = 0
     overlaps: int = 0
     orders_twice: int = 0
-    stories: list[str] = field(default_factory=list)  # of the first overlaps
+    stories: list[str] = field(default_factory=list)
 
 
-Act = Callable[[Arrival, int], bytes | None]  # with the number of earlier arrivals of this id
+# Returns the answer to an arrival, given the number of earlier arrivals of its id.
+Act = Callable[[Arrival, int], bytes | None]
 
 
 @dataclass
 class Truth:
-    """Nodes on ports of their own; `act` says what is answered, CLOSE and SILENCE included."""
+    """The servers.
+
+    Attributes:
+        ports: Number of servers, each with a port of its own.
+        act: Returns the answer to a request, CLOSE and SILENCE included.
+        tally: Counts so far.
+    """
 
     ports: int
     act: Act
     tally: Tally = field(default_factory=Tally)
 
     def __post_init__(self) -> None:
+        """Open the listening sockets."""
         self.selector = selectors.DefaultSelector()
         self.arrivals: dict[str, list[Arrival]] = {}
         self.ran: Counter[str] = Counter()
-        self.held: dict[socket.socket, bytes] = {}
+        self.received: dict[socket.socket, bytes] = {}
         self.listeners = [socket.create_server(("127.0.0.1", 0), backlog=512) for _ in range(self.ports)]
         for listener in self.listeners:
             listener.setblocking(False)
@@ -78,6 +98,7 @@
 
     @property
     def numbers(self) -> list[int]:
+        """Port numbers of the servers."""
         return [listener.getsockname()[1] for listener in self.listeners]
 
     def run(self) -> None:
@@ -94,6 +115,7 @@
                     self._read(sock)
 
     def stop(self) -> None:
+        """Stop `run` from another thread."""
         self.wake.send(b"x")
 
     def _accept(self, listener: socket.socket) -> None:
@@ -102,7 +124,7 @@
         except BlockingIOError:
             return
         sock.setblocking(False)
-        self.held[sock] = b""
+        self.received[sock] = b""
         self.selector.register(sock, selectors.EVENT_READ)
 
     def _read(self, sock: socket.socket) -> None:
@@ -113,20 +135,20 @@
         if not data:
             self._close(sock)
             return
-        data = self.held[sock] + data
-        while sock in self.held and (end := _message_end(data)):
+        data = self.received[sock] + data
+        while sock in self.received and (end := _message_end(data)):
             message, data = data[:end], data[end:]
-            self._arrived(sock, message)
-        if sock in self.held:
-            self.held[sock] = data
+            self._on_request(sock, message)
+        if sock in self.received:
+            self.received[sock] = data
 
-    def _arrived(self, sock: socket.socket, message: bytes) -> None:
+    def _on_request(self, sock: socket.socket, message: bytes) -> None:
         head = message.split(b"\r\n\r\n", 1)[0].decode("latin-1").split("\r\n")
         lines = dict(line.lower().split(": ", 1) for line in head[1:])
         ident = lines.get("x-request-id", "")
         earlier = self.arrivals.setdefault(ident, [])
-        standing = [other for other in earlier if _stands(other.sock)]
-        overlaps = bool(standing)
+        open_attempts = [other for other in earlier if _is_open(other.sock)]
+        overlaps = bool(open_attempts)
         arrival = Arrival(
             ident,
             head[0].split()[0],
@@ -136,8 +158,8 @@
             "idempotency-key" in lines,
             time.monotonic(),
         )
-        if standing and len(self.tally.stories) < STORIES_MOST:
-            other = standing[0]
+        if open_attempts and len(self.tally.stories) < MAX_STORIES:
+            other = open_attempts[0]
             self.tally.stories.append(
                 f"{ident}: {(arrival.at_s - other.at_s) * 1000:.1f} ms after one that was answered"
                 f" with {other.answer!r}, state {_tcp_state(other.sock)}"
@@ -157,7 +179,7 @@
             earlier.remove(arrival)  # over, and its connection may go on to others
 
     def _send(self, sock: socket.socket, answer: bytes) -> bool:
-        """Send an answer; False to a client that has reset its connection meanwhile."""
+        """Send an answer; return False if the client has reset its connection."""
         try:
             sock.send(answer)
         except OSError:
@@ -167,27 +189,28 @@
 
     def _close(self, sock: socket.socket) -> None:
         self.selector.unregister(sock)
-        self.held.pop(sock, None)
+        self.received.pop(sock, None)
         sock.close()
 
 
 def _message_end(data: bytes) -> int:
-    """Where the first whole message ends; 0 if none is whole."""
-    end = data.find(b"\r\n\r\n") + 4
-    if end < 4:
+    """Return the end of the first complete message; 0 if none is complete."""
+    head_bytes = data.find(HEAD_END)
+    if head_bytes < 0:
         return 0
+    end = head_bytes + len(HEAD_END)
     _, found, value = data[:end].lower().partition(b"content-length: ")
     end += int(value.split(b"\r\n", 1)[0]) if found else 0
     return end if len(data) >= end else 0
 
 
 def _tcp_state(sock: socket.socket) -> int:
-    """The kernel's own word, as in tcp_states.h: 1 is established, 8 has had the other side's end."""
+    """Return the TCP state as in tcp_states.h: 1 is established, 8 is CLOSE_WAIT."""
     return sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0]
 
 
-def _stands(sock: socket.socket) -> bool:
-    """Whether a connection has not ended, as far as the kernel of its server knows."""
+def _is_open(sock: socket.socket) -> bool:
+    """Return whether a connection is open, as far as the kernel of its server knows."""
     try:
         return bool(sock.recv(1, socket.MSG_PEEK))
     except BlockingIOError:
@@ -197,6 +220,7 @@
 
 
 def main(ports: int, phase_s: float) -> None:
+    """Serve until standard input ends; one server misbehaves in each phase."""
     began = time.monotonic()
 
     def act(arrival: Arrival, earlier: int) -> bytes | None:
--- a/tests/net/test_aborted_attempts.py
+++ b/tests/net/test_aborted_attempts.py
@@ -18,7 +18,7 @@
 
 from dykefold.balancer.events import State, Status
 from dykefold.net.upstream.exchange import Exchange
-from standins.load import desks
+from standins.load import run_clients
 from standins.sidecar import ROOT, sidecar
 from standins.truth import CLOSE, GOOD, NEVER, SILENCE, SPOILT, Truth
 
@@ -266,7 +266,7 @@
     ):
 
         async def play():
-            load = asyncio.create_task(desks(running.port, 32, seconds, orders=0.2))
+            load = asyncio.create_task(run_clients(running.port, 32, seconds, orders=0.2))
             while not load.done():
                 os.kill(running.process.pid, signal.SIGSTOP)
                 await asyncio.sleep(0.06)
