--- a/standins/shop.py
+++ b/standins/shop.py
@@ -1,11 +1,10 @@
 """Servers of one service that count the requests they get: `python -m standins.shop NAME [options]`.
 
 The protocol is plain HTTP/1.1; the demonstration uses them. The process prints its ports in one line. Lines
-on standard input: `down` stops listening and resets all connections, `up` listens again at the same ports, and
-`report` prints the counts as one line of JSON. It runs until standard input ends.
+on standard input: `down` stops listening and resets all connections, `up` listens again at the same ports,
+and `report` prints the counts as one line of JSON. It runs until standard input ends.
 
-The truth about effects is counted here: an effect is a request whose last byte has come, whatever becomes
-of its answer.
+Effects are counted here: an effect is a request whose last byte has arrived, whatever becomes of its answer.
 """
 
 from __future__ import annotations
