--- a/dykefold/__main__.py
+++ b/dykefold/__main__.py
@@ -21,6 +21,7 @@
 from .fleet.options import FailoverOptions
 from .fleet_wiring import FleetFeatures
 from .net.peers import Address
+from .net.service.pool_config import PoolConfig
 from .net.sidecar import SidecarServer
 from .sidecar_config import (
     Config,
@@ -50,7 +51,9 @@
     set_aside = ADMIN_DESCRIPTORS * sum(address is not None for address in admin_addresses)
     sidecar = SidecarServer(loop, config.sockets, config.memory, config.caps, set_aside=set_aside)
     sidecar.serve_one(
-        config.settings, config.transport, config.seed, config.discovery, config.names, config.known
+        PoolConfig(
+            config.settings, config.transport, config.seed, config.discovery, config.names, config.known
+        )
     )
     return sidecar
 
--- /dev/null
+++ b/dykefold/net/service/attempt.py
@@ -0,0 +1,233 @@
+"""One attempt of a pending request: the deadline announced to the endpoint, its streams and its time limit.
+
+An attempt is written once and ends once.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterator
+
+from ...balancer.events import BodySent, Status, StreamStarted
+from ..clock import MS, SECOND
+from ..downstream.request_parser import MAX_BUFFERED_BODY_BYTES, ParsedRequest
+from ..upstream.classify import HttpProfile, Response
+from ..upstream.exchange import Exchange
+from .http_encoding import header_lines
+from .pending_request import PendingRequest
+from .protocols import AttemptHost
+
+# A streamed body or answer must progress within this time, where the endpoint is the one to act.
+STALL_S = 3.0
+# The announced time may exceed the client's remaining time by at most this when the last byte is written.
+MAX_OVERSTATED_NS = 50 * MS
+# An attempt with less time left is not written: this is the shortest time that can be announced.
+MIN_WRITE_NS = MS
+# For a streamed body, one part in this many of the client's time is not announced.
+STREAM_MARGIN_DIVISOR = 4
+
+
+class Attempt(Exchange):
+    """One transmission of a pending request to one endpoint.
+
+    Args:
+        request: Pending request that the attempt belongs to; the attempt may outlive it.
+        host: What the attempt uses of its pool.
+        endpoint_number: Number of the endpoint.
+        sent_ns: Time at which the balancer sent the attempt, nanoseconds on the clock.
+        on_end: Callback for the one end; its arguments are the attempt, its status, and the endpoint's
+            complete response if one came.
+
+    Attributes:
+        number: Number of the attempt within its request, from 0.
+        announced_ns: Nanoseconds left, as announced to the endpoint.
+        answer_began_ns: Time at which a streamed answer began, nanoseconds on the clock.
+        expires_ns: Time at which the attempt is given up, nanoseconds on the clock; 0 while its body arrives.
+        write_by_ns: Latest time at which the attempt may be written, nanoseconds on the clock.
+        last_progress: Bytes streamed when progress was last checked; None before the first check.
+    """
+
+    __slots__ = (
+        "announced_ns",
+        "answer_began_ns",
+        "endpoint_number",
+        "expires_ns",
+        "host",
+        "last_progress",
+        "number",
+        "request",
+        "sent_ns",
+        "write_by_ns",
+    )
+
+    def __init__(
+        self,
+        request: PendingRequest,
+        host: AttemptHost,
+        endpoint_number: int,
+        sent_ns: int,
+        on_end: Callable[[Attempt, Status, Response | None], None],
+    ) -> None:
+        super().__init__(b"", on_end, MAX_BUFFERED_BODY_BYTES)  # type: ignore[arg-type]  # it passes itself
+        self.profile = request.parsed.profile
+        self.max_streamed_bytes = request.parsed.max_response_bytes
+        self.upload = request.parsed.upload
+        self.request = request
+        self.host = host
+        self.number = request.attempt_count
+        self.endpoint_number = endpoint_number
+        self.sent_ns = sent_ns
+        # Moments on the path of each request: 0 stands for "none".
+        self.answer_began_ns = 0
+        self.announced_ns = 0
+        self.expires_ns = 0
+        self.write_by_ns = 0
+        self.last_progress: int | None = None
+
+    def stall_ns(self) -> int:
+        """Return the nanoseconds within which a body that still arrives must progress."""
+        return int(STALL_S * SECOND)
+
+    def expire(self) -> None:
+        """Give the attempt up, unless its body or answer is being streamed and has progressed.
+
+        A long stream may outlast any deadline. Only one that stalls is given up, since its client
+        would wait for the rest for ever.
+        """
+        if not self._streaming() or not self._has_progressed():
+            super().expire()
+        elif self.timer_wheel is not None:
+            self.timer_wheel.start(self, STALL_S, self.host.monotonic())
+
+    def _streaming(self) -> bool:
+        return self.answer_began_ns > 0 or (self.upload is not None and not self.upload.ended)
+
+    def _has_progressed(self) -> bool:
+        """Return whether bytes were streamed since the last check, or the client is the one to act."""
+        if self.connection is None:
+            return False  # nothing is written yet, and the time allowed for connecting is over
+        before, self.last_progress = self.last_progress, self.connection.moved()
+        if self.answer_began_ns:
+            return self.connection.blocked or self.last_progress != before
+        return not self.connection.unwritten or self.last_progress != before
+
+    def wanted(self) -> bool:
+        """Return whether the attempt may still be written."""
+        now = self.host.now()
+        if self.write_by_ns and now >= self.write_by_ns:
+            # The endpoint no longer remembers the idempotency key, so this would be a second effect.
+            return False
+        if self.expires_ns and now > self.expires_ns - MIN_WRITE_NS:
+            return False  # an answer would come too late, and the request may have an effect
+        return not self._announced_too_much(now) and not self.request.sink.client_has_closed()
+
+    def _announced_too_much(self, now: int) -> bool:
+        """Return whether the head, which is written, announced more time than the client has left now.
+
+        The platform's endpoints begin with a request when its last byte has arrived (PROTOCOL, sidecars to
+        servers), and a slow socket can delay that byte.
+        """
+        if self.connection is None or self.profile is not HttpProfile.PLATFORM:
+            return False
+        return now + self.announced_ns > self.request.parsed.deadline_ns + MAX_OVERSTATED_NS
+
+    def compose(self) -> bytes:
+        """Return the message to write; if connecting took long, it announces the time that is left now."""
+        now = self.host.now()
+        if now - self.sent_ns >= MS:
+            self.announce(
+                self.expires_ns - now if self.expires_ns else stream_time_ns(self.request.parsed, now)
+            )
+        return self.payload
+
+    def announce(self, left_ns: int) -> None:
+        """Encode the message with `left_ns`, the nanoseconds that the endpoint has for its response."""
+        self.announced_ns = left_ns
+        self.payload = self.host.message(self.request.parsed, left_ns)
+
+    def restart_timer(self, after_s: float) -> None:
+        """Replace the time limit of an attempt in flight, in seconds from now."""
+        if self.timer_wheel is not None and not self.ended:
+            self.timer_wheel.stop(self)
+            self.timer_wheel.start(self, after_s, self.host.monotonic())
+
+    def upload_begins(self) -> None:
+        """Notify the balancer that the body is being streamed: the request can't be retried any more."""
+        request = self.request
+        self.host.post(StreamStarted(request.id, self.number, self.endpoint_number, 0, Status.NOT_ATTEMPTED))
+        if request.parsed.upload is not None and request.parsed.upload.ended:
+            self.body_sent()
+
+    def body_sent(self) -> None:
+        """Notify the balancer that the streamed body is complete: the endpoint is the one to act."""
+        self.host.post(BodySent(self.request.id, self.number, self.endpoint_number))
+
+    def begin_response(
+        self, code: int, headers: list[tuple[bytes, bytes]], length: int | None, load: bytes
+    ) -> bool:
+        """Begin to stream the answer to the client.
+
+        Args:
+            code: HTTP status code.
+            headers: Header fields to pass on.
+            length: Bytes of the body; None if unknown.
+            load: Load report of the endpoint; empty without one.
+
+        Returns:
+            Whether the answer is passed on.
+        """
+        request = self.request
+        if not request.awaiting_answer or request.streaming_answer:
+            return False
+        request.streaming_answer = request.sink.begin_response(
+            request.parsed, code, header_lines(headers), length, self
+        )
+        if request.streaming_answer:
+            host, self.answer_began_ns = self.host, self.host.now()
+            host.timer_wheel.stop(request)  # its final answer has begun in time
+            took_ns = self.answer_began_ns - max(
+                self.sent_ns, self.upload.whole_ns if self.upload is not None else 0
+            )
+            report = host.reports.read(load) if load and host.reports.columns else ()
+            host.post(
+                StreamStarted(
+                    request.id, self.number, self.endpoint_number, max(took_ns, 0), Status.OK, report
+                )
+            )
+        return request.streaming_answer
+
+    def send_response_piece(self, data: bytes) -> None:
+        """Pass on the next bytes of a streamed answer."""
+        self.request.sink.send_response_piece(self.request.parsed, data)
+
+    def block(self, on: bool) -> None:
+        """Pause or resume reading from the endpoint, as the client can take bytes."""
+        if self.connection is not None:
+            self.connection.block(on)
+
+
+class AttemptsInFlight:
+    """The attempts of one pool that have not ended; an attempt may outlive its request.
+
+    Attributes:
+        by_number: Attempts by the id of their request and their own number.
+    """
+
+    def __init__(self) -> None:
+        self.by_number: dict[tuple[int, int], Attempt] = {}
+
+    def of(self, request: PendingRequest) -> Iterator[Attempt]:
+        """Iterate over the attempts of a request that are in flight when their turn comes."""
+        for number in range(request.attempt_count):
+            attempt = self.by_number.get((request.id, number))
+            if attempt is not None:
+                yield attempt
+
+
+def stream_time_ns(request: ParsedRequest, now: int) -> int:
+    """Return the nanoseconds to announce for a streamed body, at most what is left since its head was read.
+
+    The client's time starts with its last byte, which may have arrived already and wait to be read. Part of
+    the time is not announced, since a slow socket may delay the last byte.
+    """
+    announced_ns = request.wait_ns - request.wait_ns // STREAM_MARGIN_DIVISOR
+    return max(min(announced_ns, request.deadline_ns - now), MS)
--- a/dykefold/net/service/endpoint_registry.py
+++ b/dykefold/net/service/endpoint_registry.py
@@ -10,9 +10,10 @@
 from collections import Counter
 from collections.abc import Mapping
 from dataclasses import replace
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from ...balancer.actions import Probe
+from ...balancer.endpoints import EndpointState
 from ...balancer.events import ListKind, Membership, ProbeResult, State, Status
 from ..discovery.codec import (
     EndpointRecord,
@@ -26,9 +27,7 @@
 from ..upstream.classify import Response
 from ..upstream.exchange import Exchange
 from .maintenance import Maintenance, MaintenanceOrder
-
-if TYPE_CHECKING:
-    from .pool import Pool
+from .protocols import EndpointHost, PoolHost
 
 log = logging.getLogger("dykefold")
 
@@ -39,17 +38,32 @@
     """Knows the endpoints of one pool, and keeps the balancer and the connections up to date with them.
 
     Args:
-        pool: Whose endpoints these are.
+        host: What the registry uses of its pool.
+        process: What all pools of the process share.
         names: Numbers of endpoints and zones by name.
+        known: Endpoints as the balancer knows them, by number.
 
     Attributes:
         maintenance: Operators' maintenance orders on top of what discovery says.
-        start_times: When endpoints started, as far as that is known.
+        start_times: Start times of the endpoints, as far as they are known.
     """
 
-    def __init__(self, pool: Pool, names: NameTable) -> None:
-        self.pool = pool
+    def __init__(
+        self,
+        host: EndpointHost,
+        process: PoolHost,
+        names: NameTable,
+        known: Mapping[int, EndpointState],
+    ) -> None:
+        self.host = host
+        self.upstreams = host.upstreams
+        self.discovery = host.discovery
+        self.loop = process.loop
+        self.clock = process.clock
+        self.monotonic = process.system.monotonic
+        self.lag = process.lag
         self.names = names
+        self.known = known
         self.maintenance: Maintenance[EndpointRecord] = Maintenance(
             lambda entry, endpoint: replace(entry, endpoint=endpoint)
         )
@@ -59,11 +73,11 @@
 
     def on_update(self, update: EndpointUpdate | None) -> None:
         """Apply an endpoint list or a change of it; None if discovery failed."""
-        if self.pool.closed:
+        if self.host.closed:
             return
         if update is None:
             self.start_times.broke()
-            self.pool.post(Membership(ListKind.FAILED, 0, []))
+            self.host.post(Membership(ListKind.FAILED, 0, []))
         else:
             self.apply_list(update)
 
@@ -72,9 +86,9 @@
 
         Args:
             update: An endpoint list, or a change of it.
-            kind: Where it comes from; None for the pool's own discovery client.
+            kind: Source of the update; None for the pool's own discovery client.
         """
-        self.pool.version = update.version
+        self.host.version = update.version
         complete = update.complete or kind is ListKind.CACHED
         entries = self.maintenance.apply_update(update.entries, complete)
         self._apply(EndpointUpdate(update.version, update.complete, entries), kind)
@@ -84,74 +98,75 @@
 
         The key `discovery` names the discovery service by which its version counts.
         """
-        discovery = self.pool.discovery
+        discovery = self.discovery
         return {
             "discovery": discovery.listed_by if discovery is not None else "",
-            **endpoint_update_record(self.pool.version, self.maintenance.listed.values(), self.names),
+            **endpoint_update_record(self.host.version, self.maintenance.listed.values(), self.names),
         }
 
     def adopt(self, record: Mapping[str, Any]) -> None:
         """Apply an endpoint list that another process of this sidecar received, if it is newer.
 
         Args:
-            record: As `record` returns it.
+            record: Endpoint list in the form that `record` returns.
 
         Raises:
-            ListError: The record can't be read.
+            EndpointListError: The record can't be read.
         """
-        discovery = self.pool.discovery
+        discovery = self.discovery
         if discovery is None or record.get("discovery") != discovery.host:
             return  # its version counts at another discovery service
         version = record.get("index")
-        if not isinstance(version, int) or version <= self.pool.version or discovery.version is None:
+        if not isinstance(version, int) or version <= self.host.version or discovery.version is None:
             return
         update = parse_endpoint_update(record, self.names)
         discovery.adopt(version)
-        self.apply_list(update, ListKind.CACHED)  # it does not show that the own watch works
+        # A cached list is no sign that this process's own watch works.
+        self.apply_list(update, ListKind.CACHED)
 
     def _apply(self, update: EndpointUpdate, kind: ListKind | None = None) -> None:
-        pool = self.pool
-        began_s = pool.monotonic()
+        began_s = self.monotonic()
         membership = update.membership(kind)
         starts = ((entry.name, entry.endpoint) for entry in update.entries)
         source, called_ns = "", 0
-        if pool.discovery is not None:
-            source, called_ns = pool.discovery.listed_by, pool.host.clock.at(pool.discovery.called)
-        self.start_times.place(pool.now(), membership.kind, source, starts, called_ns)
-        pool.post(membership)
-        upstreams = pool.upstreams
+        if self.discovery is not None:
+            source, called_ns = self.discovery.listed_by, self.clock.at(self.discovery.called)
+        self.start_times.place(self.clock.now(), membership.kind, source, starts, called_ns)
+        self.host.post(membership)
+        upstreams = self.upstreams
         if update.complete:
             listed = {entry.endpoint.number for entry in update.entries}
-            for server in [server for server in upstreams.endpoints if server not in listed]:
-                self._remove(server)
+            for number in [number for number in upstreams.endpoints if number not in listed]:
+                self._remove(number)
         for entry in update.entries:
             self._apply_entry(entry)
         # After changes too: where endpoints are replaced all day no complete list may ever come.
-        self.names.keep(set(pool.balancer.servers) | set(upstreams.endpoints))
-        pool.host.lag.took(began_s, f"an endpoint list update of {len(update.entries)} endpoints")
+        self.names.keep(set(self.known) | set(upstreams.endpoints))
+        self.lag.took(began_s, f"an endpoint list update of {len(update.entries)} endpoints")
 
     def _apply_entry(self, entry: EndpointRecord) -> None:
-        endpoint, upstreams = entry.endpoint, self.pool.upstreams
+        endpoint, upstreams = entry.endpoint, self.upstreams
         target = upstreams.endpoints.get(endpoint.number)
         if target is not None and (target.takes_new != (endpoint.state is State.READY)):
             state = endpoint.state.name.lower()
-            log.info("endpoint %s (%d) changed state to %s", entry.name, endpoint.number, state)
+            log.info("endpoint changed state: name=%s number=%d state=%s", entry.name, endpoint.number, state)
         if target is None:
             if endpoint.state is State.GONE:
                 return
-            log.info("endpoint %s (%d) added at %s:%d", entry.name, endpoint.number, *entry.address)
+            log.info(
+                "endpoint added: name=%s number=%d address=%s:%d", entry.name, endpoint.number, *entry.address
+            )
         elif target.since_ms != entry.since_ms:
-            log.info("endpoint %s (%d) restarted", entry.name, endpoint.number)
+            log.info("endpoint restarted: name=%s number=%d", entry.name, endpoint.number)
         upstreams.update(endpoint.number, entry.address, entry.since_ms, endpoint.state, endpoint.kind)
         if endpoint.state is State.GONE:
             upstreams.forget(endpoint.number)
 
-    def _remove(self, server: int) -> None:
-        upstreams = self.pool.upstreams
-        target = upstreams.endpoints[server]
-        log.info("endpoint %d removed: not in the endpoint list", server)
-        upstreams.update(server, target.address, target.since_ms, State.GONE)
-        upstreams.forget(server)
+    def _remove(self, endpoint_number: int) -> None:
+        target = self.upstreams.endpoints[endpoint_number]
+        log.info("endpoint removed: number=%d cause=not_in_complete_list", endpoint_number)
+        self.upstreams.update(endpoint_number, target.address, target.since_ms, State.GONE)
+        self.upstreams.forget(endpoint_number)
 
     # Maintenance orders
 
@@ -162,65 +177,64 @@
             Whether that changed anything.
         """
         before = self.maintenance.is_out(name)
-        entries = self.maintenance.apply_order(name, out, self.pool.now())
+        entries = self.maintenance.apply_order(name, out, self.clock.now())
         if entries:
-            self._apply(EndpointUpdate(self.pool.version, False, entries), ListKind.LOCAL)
+            self._apply(EndpointUpdate(self.host.version, False, entries), ListKind.LOCAL)
         return before is not out
 
     def merge_maintenance(self, orders: Mapping[str, MaintenanceOrder]) -> None:
         """Apply maintenance orders, by endpoint name, that another process of this sidecar was given."""
         entries = self.maintenance.merge(orders)
         if entries:
-            self._apply(EndpointUpdate(self.pool.version, False, entries), ListKind.LOCAL)
+            self._apply(EndpointUpdate(self.host.version, False, entries), ListKind.LOCAL)
 
     # Health probes
 
     def probe(self, action: Probe) -> None:
         """Send a health check to an endpoint; its result is posted to the balancer."""
-        pool, server = self.pool, action.endpoint_number
-        started_ns = pool.now()
-        if not pool.budget.reserve():
-            pool.loop.call_soon(pool.post, ProbeResult(server, Status.NOT_ATTEMPTED, 0, ()))
+        host, now, number = self.host, self.clock.now, action.endpoint_number
+        started_ns = now()
+        if not host.budget.reserve():
+            self.loop.call_soon(host.post, ProbeResult(number, Status.NOT_ATTEMPTED, 0, ()))
             return
 
-        def done(_: Exchange, status: Status, response: Response | None) -> None:
-            pool.budget.release()
+        def on_end(_: Exchange, status: Status, response: Response | None) -> None:
+            host.budget.release()
             report: tuple[float, ...] = ()
-            if response is not None and pool.reports.columns:
-                report = pool.reports.read(response.load or response.body.strip())
-            pool.post(ProbeResult(server, status, pool.now() - started_ns, report))
+            if response is not None and host.reports.columns:
+                report = host.reports.read(response.load or response.body.strip())
+            host.post(ProbeResult(number, status, now() - started_ns, report))
 
-        path = b"/-/load" if pool.reports.columns else b"/-/healthy"
+        path = b"/-/load" if host.reports.columns else b"/-/healthy"
         payload = b"GET %s HTTP/1.1\r\nHost: probe\r\n\r\n" % path
-        pool.upstreams.start(server, Exchange(payload, done, MAX_BUFFERED_BODY_BYTES), PROBE_TIMEOUT_S)
+        self.upstreams.start(number, Exchange(payload, on_end, MAX_BUFFERED_BODY_BYTES), PROBE_TIMEOUT_S)
 
     # What the balancer knows of endpoints
 
     def numbers_by_name(self) -> dict[str, int]:
         """Return the numbers of the balancer's endpoints, by name."""
-        known = self.pool.balancer.servers
-        return {name: number for name, number in self.names.servers.items() if number in known}
+        return {name: number for name, number in self.names.servers.items() if number in self.known}
 
     def ready_by_zone(self) -> dict[int, int]:
         """Count the ready endpoints by zone."""
-        servers = self.pool.balancer.servers.values()
-        return Counter(server.zone for server in servers if server.ready and server.listed)
+        known = self.known.values()
+        return Counter(endpoint.zone for endpoint in known if endpoint.ready and endpoint.listed)
 
     def tried_and_ejected_by_zone(self) -> dict[int, tuple[int, int]]:
         """Count by zone the ready endpoints that had attempts, and those of them that are ejected."""
-        found: dict[int, tuple[int, int]] = {}
-        for server in self.pool.balancer.servers.values():
-            if server.ready and server.listed and (server.samples or server.ejected):
-                tried, ejected = found.get(server.zone, (0, 0))
-                found[server.zone] = tried + 1, ejected + server.ejected
-        return found
-
-    def zone_of(self, server: int) -> int | None:
+        counts: dict[int, tuple[int, int]] = {}
+        for endpoint in self.known.values():
+            if endpoint.ready and endpoint.listed and (endpoint.samples or endpoint.ejected):
+                tried, ejected = counts.get(endpoint.zone, (0, 0))
+                counts[endpoint.zone] = tried + 1, ejected + endpoint.ejected
+        return counts
+
+    def zone_of(self, endpoint_number: int) -> int | None:
         """Return the zone of an endpoint; None if it is unknown."""
-        known = self.pool.balancer.servers.get(server)
-        return known.zone if known is not None else None
+        endpoint = self.known.get(endpoint_number)
+        return endpoint.zone if endpoint is not None else None
 
-    def answered_since(self, server: int, took_ns: int) -> bool:
+    def answered_since(self, endpoint_number: int, took_ns: int) -> bool:
         """Return whether an endpoint has answered anything in the last `took_ns` nanoseconds."""
-        known = self.pool.balancer.servers.get(server)
-        return known is not None and known.last_alive_ns > self.pool.now() - took_ns
+        endpoint = self.known.get(endpoint_number)
+        return endpoint is not None and endpoint.last_alive_ns > self.clock.now() - took_ns
--- /dev/null
+++ b/dykefold/net/service/pending_request.py
@@ -0,0 +1,91 @@
+"""One pending request: what it was accepted with, and what is known of its attempts."""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+from ..downstream.request_parser import ParsedRequest
+from ..timer_wheel import Timed
+from ..upstream.classify import Response
+from .protocols import ResponseSink
+
+
+class RequestTimeLimits(Protocol):
+    """Acts on the time limits of pending requests."""
+
+    def answer_now(self, request: PendingRequest) -> None:
+        """Give the final answer: the deadline is near."""
+        ...
+
+    def start_deadline(self, request: PendingRequest) -> None:
+        """Start the deadline of a request whose streamed body is complete."""
+        ...
+
+
+class PendingRequest(Timed):
+    """An accepted request. Its timer is the last guard on its final answer.
+
+    Args:
+        request_id: Number of the request, unique in its pool.
+        parsed: Request as its client sent it.
+        sink: Client connection that gets the final answer.
+        time_limits: Collaborator that is notified of the request's time limits.
+        max_attempts: Number of attempts that the settings allow at the moment of acceptance.
+
+    Attributes:
+        attempt_count: Number of attempts so far, in flight or ended.
+        attempts_in_flight: Number of attempts that have not ended.
+        reservations: Number of descriptors that are reserved for the request.
+        may_have_run: Whether an attempt has ended without proof that its endpoint did not run it.
+        first_run_ns: Time of the first such attempt, nanoseconds on the clock; 0 without one.
+        awaiting_answer: Whether the final answer is still to be given.
+        streaming_answer: Whether a part of the final answer has been passed on.
+        error_response: Error of an endpoint that may be passed on as the final answer.
+    """
+
+    __slots__ = (
+        "attempt_count",
+        "attempts_in_flight",
+        "awaiting_answer",
+        "error_response",
+        "first_run_ns",
+        "id",
+        "max_attempts",
+        "may_have_run",
+        "parsed",
+        "reservations",
+        "sink",
+        "streaming_answer",
+        "time_limits",
+    )
+
+    def __init__(
+        self,
+        request_id: int,
+        parsed: ParsedRequest,
+        sink: ResponseSink,
+        time_limits: RequestTimeLimits,
+        max_attempts: int,
+    ) -> None:
+        self.tick = 0
+        self.id = request_id
+        self.parsed = parsed
+        self.sink = sink
+        self.time_limits = time_limits
+        self.attempt_count = 0
+        self.max_attempts = max_attempts
+        self.attempts_in_flight = 0
+        self.reservations = 1
+        self.may_have_run = False
+        self.first_run_ns = 0
+        self.awaiting_answer = True
+        self.streaming_answer = False
+        self.error_response: Response | None = None
+
+    def expire(self) -> None:
+        """Give the final answer now: the deadline is near."""
+        self.time_limits.answer_now(self)
+
+    def on_body_complete(self) -> None:
+        """Start the deadline: it counts from the last byte of the body (PROTOCOL, figures)."""
+        self.time_limits.start_deadline(self)
--- a/dykefold/net/service/pending_requests.py
+++ b/dykefold/net/service/pending_requests.py
@@ -6,134 +6,105 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from collections.abc import Callable
 
 from ...balancer.actions import Fail, Refuse
 from ...balancer.events import ClientDisconnected, Request, Status
 from ..clock import MS, SECOND
 from ..downstream.request_parser import ParsedRequest
-from ..timer_wheel import Timed
 from ..upstream.classify import Response
 from ..upstream.exchange import READ_WITHIN, Exchange
+from .attempt import AttemptsInFlight
 from .http_encoding import header_lines, retry_after
-from .protocols import ResponseSink
+from .pending_request import PendingRequest
+from .protocols import DescriptorReservations, PoolHost, RequestHost, ResponseSink
 
-if TYPE_CHECKING:
-    from .pool import Pool
-
-ATTEMPT_MARGIN_NS = 15 * MS  # before the client's deadline the last attempt is given up
-GUARD_MARGIN_NS = 8 * MS  # before the deadline a request that still has no final answer gets one
+# The last attempt is given up at this time before the client's deadline.
+ATTEMPT_MARGIN_NS = 15 * MS
+# A request that still has no final answer gets one at this time before its deadline.
+GUARD_MARGIN_NS = 8 * MS
 FIRST_ERROR_CODE = 400  # HTTP status codes from here on do not count as served
 
 
-class PendingRequest(Timed):
-    """An accepted request. Its timer is the last guard on its final answer.
+class PendingRequests:
+    """The pending requests of one pool.
 
     Args:
-        request_id: Unique in the pool.
-        call: As the client sent it.
-        sink: Takes the final answer.
-        pool: Serves it.
+        host: What the requests use of their pool.
+        process: What all pools of the process share.
+        budget: Descriptors that the pool may reserve.
+        attempts: Attempts of the pool that are in flight.
+        abandon: Withdraws an attempt that is not written whole yet; its arguments are the endpoint's number
+            and the attempt.
+
+    Attributes:
+        by_id: Pending requests by their id.
+        next_id: Id of the next request.
     """
 
-    __slots__ = (
-        "attempt_count",
-        "attempts_in_flight",
-        "awaiting_answer",
-        "error_response",
-        "first_run_ns",
-        "id",
-        "max_attempts",
-        "may_have_run",
-        "parsed",
-        "pool",
-        "reservations",
-        "sink",
-        "streaming_answer",
-    )
-
-    def __init__(self, request_id: int, call: ParsedRequest, sink: ResponseSink, pool: Pool) -> None:
-        self.tick = 0
-        self.id = request_id
-        self.parsed = call
-        self.sink = sink
-        self.pool = pool
-        self.attempt_count = 0
-        self.max_attempts = pool.settings.max_attempts  # as when accepted, whatever settings say later
-        self.attempts_in_flight = 0  # attempts in flight
-        self.reservations = 1  # descriptors reserved for it
-        self.may_have_run = False  # an attempt has ended without proof that the endpoint did not run it
-        self.first_run_ns = 0  # when the first such attempt began
-        self.awaiting_answer = True
-        self.streaming_answer = False  # the final answer has begun to be passed on
-        self.error_response: Response | None = None  # the endpoint's own error, where it may be passed on
-
-    def expire(self) -> None:
-        """Give the final answer now: the deadline is near."""
-        self.pool.requests.answer_now(self)
-
-    def on_body_complete(self) -> None:
-        """Start the deadline: it counts from the last byte of the body (PROTOCOL, figures)."""
-        self.pool.requests.start_deadline(self)
-
-    def ended(self, attempt: Exchange, status: Status, answer: Response | None) -> None:
-        """Pass on that one of its attempts has ended."""
-        self.pool.end_attempt(self, attempt, status, answer)  # type: ignore[arg-type]
-
-
-class PendingRequests:
-    """The pending requests of one pool."""
-
-    def __init__(self, pool: Pool) -> None:
-        self.pool = pool
+    def __init__(
+        self,
+        host: RequestHost,
+        process: PoolHost,
+        budget: DescriptorReservations,
+        attempts: AttemptsInFlight,
+        abandon: Callable[[int, Exchange], None],
+    ) -> None:
+        self.host = host
+        self.post = host.post
+        self.monotonic = process.system.monotonic
+        self.clock = process.clock
+        self.timer_wheel = process.timer_wheel
+        self.on_request_end = process.on_request_end
+        self.budget = budget
+        self.attempts = attempts
+        self.abandon = abandon
         self.by_id: dict[int, PendingRequest] = {}
         self.next_id = 1
 
-    def accept(self, sink: ResponseSink, call: ParsedRequest) -> None:
+    def accept(self, sink: ResponseSink, parsed: ParsedRequest) -> None:
         """Accept an admitted request: from here on it gets one final answer."""
-        pool = self.pool
-        request = PendingRequest(self.next_id, call, sink, pool)
-        call.ticket = request.id
+        request = PendingRequest(self.next_id, parsed, sink, self, self.host.settings.max_attempts)
+        parsed.ticket = request.id
         self.next_id += 1
         self.by_id[request.id] = request
-        if call.upload is not None and not call.upload.ended:
-            call.upload.on_whole = request.on_body_complete
+        if parsed.upload is not None and not parsed.upload.ended:
+            parsed.upload.on_whole = request.on_body_complete
         else:
-            if call.upload is not None:
-                call.deadline_ns = call.upload.whole_ns + call.wait_ns
+            if parsed.upload is not None:
+                parsed.deadline_ns = parsed.upload.whole_ns + parsed.wait_ns
             self._start_guard(request)
-        pool.post(
+        self.post(
             Request(
                 request.id,
-                call.class_number,
-                call.tenant,
-                call.deadline_ns,
-                call.key,
-                call.cost_ns,
-                call.is_retry,
-                call.method == b"POST",
+                parsed.class_number,
+                parsed.tenant,
+                parsed.deadline_ns,
+                parsed.key,
+                parsed.cost_ns,
+                parsed.is_retry,
+                parsed.method == b"POST",
             )
         )
 
     def _start_guard(self, request: PendingRequest) -> None:
-        pool = self.pool
-        now_s = pool.monotonic()
-        left_ns = max(request.parsed.deadline_ns - GUARD_MARGIN_NS - pool.host.clock.at(now_s), 0)
-        pool.host.timer_wheel.start(request, left_ns / SECOND, now_s)
+        now_s = self.monotonic()
+        left_ns = max(request.parsed.deadline_ns - GUARD_MARGIN_NS - self.clock.at(now_s), 0)
+        self.timer_wheel.start(request, left_ns / SECOND, now_s)
 
     def start_deadline(self, request: PendingRequest) -> None:
         """Give a request whose streamed body is complete the time that its client stated."""
         if not request.awaiting_answer or request.streaming_answer:
             return
-        call = request.parsed
-        assert call.upload is not None
-        call.deadline_ns = call.upload.whole_ns + call.wait_ns
+        parsed = request.parsed
+        assert parsed.upload is not None
+        parsed.deadline_ns = parsed.upload.whole_ns + parsed.wait_ns
         self._start_guard(request)
-        left_ns = call.deadline_ns - self.pool.now()
-        for attempt in self.pool.attempt_runner.of(request):
-            attempt.expires_ns = call.deadline_ns - ATTEMPT_MARGIN_NS
+        left_ns = parsed.deadline_ns - self.clock.now()
+        for attempt in self.attempts.of(request):
+            attempt.expires_ns = parsed.deadline_ns - ATTEMPT_MARGIN_NS
             attempt.restart_timer(max(left_ns - ATTEMPT_MARGIN_NS, MS) / SECOND)
-            if call.upload.begun:
+            if parsed.upload.begun:
                 attempt.body_sent()
 
     # Final answers
@@ -142,18 +113,17 @@
         """Give the final answer now, unless an endpoint's answer only waits to be read."""
         if not request.awaiting_answer:
             return
-        pool = self.pool
-        attempts = list(pool.attempt_runner.of(request))
+        attempts = list(self.attempts.of(request))
         answers_waiting = [attempt.read_first() for attempt in attempts]
         if any(answers_waiting):
-            pool.host.timer_wheel.stop(request)
-            pool.host.timer_wheel.start(request, READ_WITHIN, pool.monotonic())
+            self.timer_wheel.stop(request)
+            self.timer_wheel.start(request, READ_WITHIN, self.monotonic())
             return
         for attempt in attempts:
             attempt.give_up(Status.TIMEOUT)
         if request.awaiting_answer:
             self._answer_out_of_time(request)
-            pool.post(ClientDisconnected(request.id))
+            self.post(ClientDisconnected(request.id))
 
     def answer_all(self) -> None:
         """Give every pending request its final answer now."""
@@ -215,21 +185,20 @@
 
     def _settle(self, request: PendingRequest, served: bool = False) -> None:
         """Take a request off the pending ones, before its final answer is written."""
-        pool = self.pool
         request.awaiting_answer = False
         self.release_descriptors(request)
         self.by_id.pop(request.id, None)
-        pool.host.timer_wheel.stop(request)
-        pool.host.on_request_end(request.sink, request.parsed, served)
-        if pool.on_retired is not None:
-            pool.loop.call_soon(pool.close_if_finished)
+        self.timer_wheel.stop(request)
+        self.on_request_end(request.sink, request.parsed, served)
+        if self.host.retiring:
+            self.host.close_soon_if_finished()
 
     # Descriptors
 
     def reserve_descriptor(self, request: PendingRequest) -> bool:
         """Reserve a descriptor for one more attempt where it needs one; False if none is left."""
         if request.reservations < request.attempts_in_flight:
-            if not self.pool.budget.reserve():
+            if not self.budget.reserve():
                 return False
             request.reservations += 1
         return True
@@ -239,28 +208,27 @@
         needed = request.attempts_in_flight or request.awaiting_answer
         while request.reservations > needed:
             request.reservations -= 1
-            self.pool.budget.release()
+            self.budget.release()
 
     # Disconnected clients
 
-    def drop(self, call: ParsedRequest) -> bool:
+    def drop(self, parsed: ParsedRequest) -> bool:
         """End a request whose client has disconnected; the balancer may cancel its attempts.
 
         Returns:
             Whether the request was pending.
         """
-        request = self.by_id.get(call.ticket)
+        request = self.by_id.get(parsed.ticket)
         if request is None:
             return False
-        pool = self.pool
-        streamed = call.upload is not None or request.streaming_answer
+        streamed = parsed.upload is not None or request.streaming_answer
         self._settle(request)
         # Attempts not written whole yet are withdrawn first, so that the balancer learns their true end.
-        for attempt in pool.attempt_runner.of(request):
-            pool.upstreams.abandon(attempt.endpoint_number, attempt)
-        pool.post(ClientDisconnected(request.id))
+        for attempt in self.attempts.of(request):
+            self.abandon(attempt.endpoint_number, attempt)
+        self.post(ClientDisconnected(request.id))
         if streamed:
-            # Nobody sends the body or reads the answer any more, so the attempt would never end by itself.
-            for attempt in pool.attempt_runner.of(request):
+            # Nobody sends the body or reads the answer any more, so the attempt would not end by itself.
+            for attempt in self.attempts.of(request):
                 attempt.give_up(Status.CANCELLED)
         return True
--- a/dykefold/net/service/pool.py
+++ b/dykefold/net/service/pool.py
@@ -37,23 +37,27 @@
 from ...settings import Transport
 from ..clock import MS, SECOND
 from ..discovery.client import DiscoveryClient
-from ..discovery.codec import EndpointRecord, EndpointUpdate, NameTable
+from ..discovery.codec import EndpointRecord, EndpointUpdate
 from ..downstream.request_parser import ParsedRequest
 from ..peers import Address
 from ..start_times import StartTimes
 from ..upstream.connection_pool import ConnectionPool
 from ..upstream.connector import LATE_S
-from .attempts import Attempt, AttemptRunner
+from .attempt import Attempt, AttemptsInFlight
+from .attempts import AttemptRunner
 from .endpoint_registry import EndpointRegistry
 from .http_encoding import encode_request
 from .load_reports import LoadReportParser
 from .maintenance import Maintenance, MaintenanceOrder
-from .pending_requests import PendingRequest, PendingRequests
+from .pending_request import PendingRequest
+from .pending_requests import PendingRequests
+from .pool_config import PoolConfig
 from .protocols import DescriptorReservations, PoolHost
 
 log = logging.getLogger("dykefold")
 
-NEXT_TURN_S = 0.001  # the shortest timer that uvloop runs after reading sockets; 0 would run before
+# The shortest timer that uvloop runs after reading sockets; one of 0 s would run before.
+NEXT_TURN_S = 0.001
 DEFAULT_CONNECT_TIMEOUT_S = 1.0
 
 
@@ -61,22 +65,23 @@
     """The endpoints, connections and pending requests of one service, and the balancer that decides on them.
 
     Args:
-        host: What the process shares.
-        settings: Of the balancer.
-        transport: Limits and times of sockets.
-        seed: Of the balancer's random draws.
-        discovery: Address of the discovery service; None if the endpoint list is only ever given.
-        names: Numbers of endpoints and zones by name.
-        known: The endpoint list to begin with.
+        host: What all pools of the process share.
+        config: Settings, endpoints and random seed to begin with.
         budget: Descriptors that the pool may reserve; None for all of the process's.
-        close_in_other_pools: Closes a connection that another pool does not need; tells whether it could.
-        label: Identifies the pool in the process, and in the next one after a hot restart.
+        close_in_other_pools: Closes a connection that another pool does not need, and returns whether there
+            was one.
 
     Attributes:
-        version: Of the latest endpoint list, as discovery counts.
-        on_attempt_end: Called with each attempt's endpoint, status, duration and latency objective (ns).
-        on_health_hint: Called with an endpoint and whether it answers, to tell other sidecars.
-        retired: Numbers of classes that no new request is of.
+        label: Name of the pool in the process, and in the next one after a hot restart.
+        version: Version of the latest endpoint list, as discovery counts.
+        closed: Whether the pool has closed its sockets.
+        retiring: Whether the pool closes once nothing is pending or in flight.
+        max_open: Number of requests that may be pending at once.
+        on_attempt_end: Callback for the end of each attempt. Its arguments are the endpoint's number, the
+            status, the duration and the latency objective in nanoseconds.
+        on_health_hint: Callback that notifies other sidecars of an endpoint's health. Its arguments are the
+            endpoint's number and whether it answers.
+        retired: Numbers of classes that no new request belongs to.
     """
 
     message = staticmethod(encode_request)
@@ -84,46 +89,40 @@
     def __init__(
         self,
         host: PoolHost,
-        settings: Settings,
-        transport: Transport,
-        seed: int,
-        discovery: Address | None,
-        names: NameTable,
-        known: EndpointUpdate,
+        config: PoolConfig,
         budget: DescriptorReservations | None = None,
         close_in_other_pools: Callable[[], bool] | None = None,
-        label: str = "",
     ) -> None:
-        """Begin with the known endpoints, and watch the endpoint list. The class describes the arguments."""
         # At most 30 attributes: instances with more do not share their keys, and look-ups cost more.
         self.host = host
-        self.label = label
+        self.label = config.label
         self.loop = host.loop
         self.monotonic = host.system.monotonic
         self.now = host.clock.now
+        self.timer_wheel = host.timer_wheel
         self.budget: DescriptorReservations = budget if budget is not None else host.budget
         self.closed = False
-        self.on_retired: Callable[[Pool], None] | None = None  # set while the pool retires
+        self.retiring = False
+        self.on_retired: Callable[[Pool], None] | None = None  # None unless the pool retires
         self.on_attempt_end: Callable[[int, Status, int, int], None] | None = None
-        self.on_health_hint: Callable[[int, bool], None] = lambda _server, _answers: None
+        self.on_health_hint: Callable[[int, bool], None] = lambda _endpoint_number, _answers: None
         self.events: deque[Event] = deque()
         self.handling = False
-        self.max_open = transport.max_open
-        self.names = names
-        self.version = known.version
-        self._use_settings(settings, frozenset())
-        self.balancer = Balancer(settings, seed)
-        self.upstreams = self._connection_pool(transport, close_in_other_pools)
-        self.discovery = self._discovery_client(discovery, known.version) if discovery is not None else None
-        self.requests = PendingRequests(self)
-        self.attempt_runner = AttemptRunner(self)
-        # On the path of each request: bound here, so that they cost no forwarding call.
-        self.accept = self.requests.accept
-        self.end_attempt = self.attempt_runner.end
-        self.endpoints = EndpointRegistry(self, names)
+        self.max_open = config.transport.max_open
+        self.names = config.names
+        self.version = config.known.version
+        self._use_settings(config.settings, frozenset())
+        self.balancer = Balancer(config.settings, config.seed)
+        self.upstreams = self._connection_pool(config.transport, close_in_other_pools)
+        self.discovery = self._discovery_client(config.discovery) if config.discovery is not None else None
+        attempts = AttemptsInFlight()
+        self.requests = PendingRequests(self, host, self.budget, attempts, self.upstreams.abandon)
+        self.attempt_runner = AttemptRunner(self, self.requests, attempts, self.upstreams)
+        self.accept = self.requests.accept  # bound here, so that a request costs no forwarding call
+        self.endpoints = EndpointRegistry(self, host, config.names, self.balancer.servers)
         self.carry_out = self._actions()
-        self.endpoints.apply_list(known, ListKind.CACHED)
-        if not settings.poll_required:
+        self.endpoints.apply_list(config.known, ListKind.CACHED)
+        if not config.settings.poll_required:
             self._watch(True)
 
     def _use_settings(self, settings: Settings, retired: frozenset[int]) -> None:
@@ -149,12 +148,12 @@
             host.system,
         )
 
-    def _discovery_client(self, address: Address, version: int) -> DiscoveryClient:
+    def _discovery_client(self, address: Address) -> DiscoveryClient:
         return DiscoveryClient(
             self.loop,
             address,
             self.names,
-            version,
+            self.version,
             self.on_update,
             pushed=not self.settings.poll_required,
             system=self.host.system,
@@ -175,13 +174,13 @@
                 try:
                     actions = self.balancer.handle(self.now(), event)
                 except Exception:
-                    # A fault on one event must not stop the other requests; the deadline answers this one's.
+                    # Any fault on one event: the other requests go on, and this one's deadline answers it.
                     self.host.log_exception("balancer failed on an event")
                     actions = self.balancer.actions
                 for action in actions:
                     try:
                         carry_out[type(action)](action)
-                    except Exception:
+                    except Exception:  # any fault on one action: the others are still carried out
                         self.host.log_exception("action of the balancer failed")
         finally:
             self.handling = False
@@ -244,9 +243,9 @@
         """Attempts in flight by request id and number, also those of requests that are over."""
         return self.attempt_runner.in_flight
 
-    def drop_disconnected(self, call: ParsedRequest) -> bool:
+    def drop_disconnected(self, parsed: ParsedRequest) -> bool:
         """End a request whose client has disconnected; return whether it was pending."""
-        return self.requests.drop(call)
+        return self.requests.drop(parsed)
 
     def answer_all_pending(self) -> None:
         """Give every pending request its final answer now."""
@@ -263,9 +262,9 @@
         """Change the settings; pending requests go on as accepted.
 
         Args:
-            settings: With the classes by number, as `ClassGeneration` has them.
-            transport: Limits and times of sockets.
-            retired: Numbers of classes that no new request is of.
+            settings: New settings, with the classes by the numbers of `ClassGeneration`.
+            transport: Limits and idle timeout of sockets.
+            retired: Numbers of classes that no new request belongs to.
         """
         self._use_settings(settings, retired)
         self.change_transport(transport)
@@ -274,7 +273,7 @@
             self.discovery.change_settings(pushed=not settings.poll_required)
 
     def change_transport(self, transport: Transport) -> None:
-        """Change the limits and times of sockets."""
+        """Change the limits and the idle timeout of sockets."""
         self.max_open = transport.max_open
         self.upstreams.change_settings(self._connect_timeout_s(), transport.conn_idle_ns / SECOND)
 
@@ -293,7 +292,9 @@
         """Return the numbers of the balancer's classes, by name."""
         balancer = self.balancer
         return {
-            stats.spec.name: n for n, stats in enumerate(balancer.classes) if stats in balancer.live_classes
+            stats.spec.name: number
+            for number, stats in enumerate(balancer.classes)
+            if stats in balancer.live_classes
         }
 
     def typical_latencies(self) -> dict[str, float]:
@@ -345,30 +346,35 @@
         """Count by zone the ready endpoints that had attempts, and those of them that are ejected."""
         return self.endpoints.tried_and_ejected_by_zone()
 
-    def zone_of(self, server: int) -> int | None:
+    def zone_of(self, endpoint_number: int) -> int | None:
         """Return the zone of an endpoint; None if it is unknown."""
-        return self.endpoints.zone_of(server)
+        return self.endpoints.zone_of(endpoint_number)
 
-    def answered_since(self, server: int, took_ns: int) -> bool:
+    def answered_since(self, endpoint_number: int, took_ns: int) -> bool:
         """Return whether an endpoint has answered anything in the last `took_ns` nanoseconds."""
-        return self.endpoints.answered_since(server, took_ns)
+        return self.endpoints.answered_since(endpoint_number, took_ns)
 
     # The end
 
-    def retire(self, gone: Callable[[Pool], None]) -> None:
+    def retire(self, on_retired: Callable[[Pool], None]) -> None:
         """Finish what is pending and in flight, then close.
 
         Args:
-            gone: Called once, when no request, attempt or connection of the pool is left.
+            on_retired: Callback for the moment when no request, attempt or connection of the pool is left.
         """
-        self.on_retired = gone
+        self.on_retired = on_retired
+        self.retiring = True
         self.close_if_finished()
 
+    def close_soon_if_finished(self) -> None:
+        """Close a retiring pool in the next turn of the loop if nothing is pending or in flight then."""
+        self.loop.call_soon(self.close_if_finished)
+
     def close_if_finished(self) -> None:
         """Close a retiring pool that has no request and no attempt left."""
         if self.on_retired is None or self.requests.by_id or self.attempt_runner.in_flight:
             return
-        on_retired, self.on_retired = self.on_retired, None
+        on_retired, self.on_retired, self.retiring = self.on_retired, None, False
         self.close()
         on_retired(self)
 
--- a/dykefold/net/service/protocols.py
+++ b/dykefold/net/service/protocols.py
@@ -1,14 +1,22 @@
-"""What a pool needs from its surroundings: who asked, what the process shares, and its descriptors."""
+"""What a pool uses of its surroundings, and what its parts use of the pool.
+
+Surroundings are the client connection, the process and its descriptors. A part names exactly what it uses, so
+that it can be made without a pool.
+"""
 
 from __future__ import annotations
 
 import asyncio
+from collections.abc import Callable
 from typing import Protocol
 
 from ...admission.budget import DescriptorAllowance, DescriptorBudget
 from ...admission.client import Client
+from ...balancer.events import Event, Status
+from ...balancer.settings import Settings
 from ...system import System
 from ..clock import Clock
+from ..discovery.client import DiscoveryClient
 from ..downstream.protocols import FlowControlled
 from ..downstream.request_parser import ParsedRequest
 from ..loop_lag import LoopLagMonitor
@@ -16,6 +24,8 @@
 from ..peers import PeerChannel
 from ..read_scheduler import ReadScheduler
 from ..timer_wheel import TimerWheel
+from ..upstream.connection_pool import ConnectionPool
+from .load_reports import LoadReportParser
 
 
 class ResponseSink(Protocol):
@@ -41,7 +51,7 @@
             code: HTTP status code.
             headers: Complete header lines, each ended by CRLF.
             length: Bytes of the body; None if it is not known.
-            paced: Is blocked while the client takes no more bytes.
+            paced: Source of the answer; it is blocked while the client takes no more bytes.
 
         Returns:
             Whether this client can be given a streamed answer; if not, nothing was written.
@@ -91,3 +101,94 @@
     def release(self) -> None:
         """Release one reserved descriptor."""
         ...
+
+
+class AttemptHost(Protocol):
+    """What an attempt uses of its pool.
+
+    Attributes:
+        timer_wheel: Time limits of requests and attempts.
+        reports: Parser of load reports, by the current settings.
+    """
+
+    timer_wheel: TimerWheel
+    reports: LoadReportParser
+
+    def now(self) -> int:
+        """Return the time on the clock, in nanoseconds."""
+        ...
+
+    def monotonic(self) -> float:
+        """Return the time of the monotonic clock, in seconds."""
+        ...
+
+    def message(self, request: ParsedRequest, time_left_ns: int, /) -> bytes:
+        """Encode a request that has this much time left for an endpoint."""
+        ...
+
+    def post(self, event: Event) -> None:
+        """Give the balancer an event, and carry out its actions."""
+        ...
+
+
+class AttemptRunnerHost(AttemptHost, Protocol):
+    """What starting and ending attempts uses of the pool.
+
+    Attributes:
+        settings: Current settings of the balancer.
+        on_attempt_end: Callback for the end of each attempt. Its arguments are the endpoint's number, the
+            status, the duration and the latency objective in nanoseconds.
+        retiring: Whether the pool closes once nothing is pending or in flight.
+    """
+
+    settings: Settings
+    on_attempt_end: Callable[[int, Status, int, int], None] | None
+    retiring: bool
+
+    def close_soon_if_finished(self) -> None:
+        """Close the pool in the next turn of the loop if nothing is pending or in flight then."""
+        ...
+
+
+class RequestHost(Protocol):
+    """What pending requests use of their pool.
+
+    Attributes:
+        settings: Current settings of the balancer.
+        retiring: Whether the pool closes once nothing is pending or in flight.
+    """
+
+    settings: Settings
+    retiring: bool
+
+    def post(self, event: Event) -> None:
+        """Give the balancer an event, and carry out its actions."""
+        ...
+
+    def close_soon_if_finished(self) -> None:
+        """Close the pool in the next turn of the loop if nothing is pending or in flight then."""
+        ...
+
+
+class EndpointHost(Protocol):
+    """What the endpoint registry uses of its pool.
+
+    Attributes:
+        version: Version of the latest endpoint list, as discovery counts.
+        closed: Whether the pool has closed its sockets.
+        reports: Parser of load reports, by the current settings.
+        budget: Descriptors that the pool may reserve.
+        upstreams: Connections to the endpoints.
+        discovery: Calls of discovery; None if the endpoint list is only ever given.
+    """
+
+    version: int
+    closed: bool
+    reports: LoadReportParser
+    budget: DescriptorReservations
+    upstreams: ConnectionPool
+    discovery: DiscoveryClient | None
+
+    def post(self, event: Event) -> None:
+        """Give the balancer an event, and carry out its actions."""
+        ...
--- a/dykefold/net/sidecar.py
+++ b/dykefold/net/sidecar.py
@@ -23,16 +23,16 @@
 from ..system import SYSTEM, System
 from .class_generations import LINGER_NS, ClassGeneration
 from .clock import MS, Clock
-from .discovery.codec import EndpointUpdate, NameTable
 from .downstream.connection import ClientConnection
 from .downstream.protocols import MessageReader
 from .downstream.request_parser import ParsedRequest, RequestParser
 from .loop_lag import LoopLagMonitor
 from .memory_budget import MemoryBudget
-from .peers import Address, PeerChannel
+from .peers import PeerChannel
 from .read_scheduler import ReadScheduler
 from .service.http_encoding import retry_after
 from .service.pool import Pool
+from .service.pool_config import PoolConfig
 from .service.protocols import ResponseSink
 from .shutdown import GracefulShutdown
 from .timer_wheel import TimerWheel
@@ -117,29 +117,16 @@
         self.fault_logged_at = -math.inf  # when an exception was last logged
         self._sweep(self.monotonic())
 
-    def serve_one(
-        self,
-        settings: Settings,
-        transport: Transport,
-        seed: int,
-        discovery: Address,
-        names: NameTable,
-        known: EndpointUpdate,
-    ) -> None:
+    def serve_one(self, config: PoolConfig) -> None:
         """Give all requests to one pool, as on the platform.
 
         Args:
-            settings: what the balancer goes by.
-            transport: what the sockets go by.
-            seed: of the balancer's random draws.
-            discovery: host and port of discovery.
-            names: numbers the endpoints of `known`.
-            known: the endpoint list to begin with.
+            config: Settings, endpoints and random seed that the pool begins with.
         """
-        self.pool = Pool(self, settings, transport, seed, discovery, names, known)
+        self.pool = Pool(self, config)
         self.pools[self.pool] = None
-        self.generation = ClassGeneration(settings)
-        self.parser = RequestParser(settings, self.pool)
+        self.generation = ClassGeneration(config.settings)
+        self.parser = RequestParser(config.settings, self.pool)
 
     def change_settings(self, settings: Settings, transport: Transport) -> None:
         """Have the one pool go by other settings, from the next request that is read on.
--- a/dykefold/routing/services.py
+++ b/dykefold/routing/services.py
@@ -17,6 +17,7 @@
 from ..balancer.events import Endpoint, State
 from ..net.discovery.codec import EndpointRecord, EndpointUpdate, NameTable
 from ..net.service.pool import Pool
+from ..net.service.pool_config import PoolConfig
 from ..net.sidecar import SidecarServer
 from ..settings import Transport
 from .plan import Plan, PoolPlan
@@ -155,18 +156,16 @@
     def _make(self, plan: PoolPlan) -> Service:
         names = NameTable(plan.settings.zones, [])
         budget = PoolBudget(self._sidecar.budget, self.reservations)
-        pool = Pool(
-            self._sidecar,
-            plan.settings,
-            Transport([], plan.idle_ns, plan.limits.max),
-            self._seed(),
-            plan.discovery,
-            names,
-            _endpoint_list(plan, names, 1),
-            budget,
-            self._sidecar.close_unneeded_upstream,
-            plan.name,
+        config = PoolConfig(
+            settings=plan.settings,
+            transport=Transport([], plan.idle_ns, plan.limits.max),
+            seed=self._seed(),
+            discovery=plan.discovery,
+            names=names,
+            known=_endpoint_list(plan, names, 1),
+            label=plan.name,
         )
+        pool = Pool(self._sidecar, config, budget, self._sidecar.close_unneeded_upstream)
         self._sidecar.pools[pool] = None
         return Service(plan, pool, budget)
 
--- a/dykefold/sim/process.py
+++ b/dykefold/sim/process.py
@@ -19,6 +19,7 @@
 from ..net.discovery.codec import NameTable, parse_endpoint_update
 from ..net.memory_budget import MB
 from ..net.peers import PeerChannel
+from ..net.service.pool_config import PoolConfig
 from ..net.sidecar import SidecarServer
 from ..routing.plan import Plan
 from ..routing.services import Services
@@ -183,7 +184,8 @@
             ready, now_ns = entry.endpoint.state.name == "READY", self.world.kernel.now_ns
             self.world.rules.endpoint_notified(now_ns, self.name, entry.name, ready, entry.since_ms)
         transport = Transport(["std"], IDLE_NS, MAX_PENDING)
-        server.serve_one(settings, transport, self.seed, self.world.registry.address, names, known)
+        discovery = self.world.registry.address
+        server.serve_one(PoolConfig(settings, transport, self.seed, discovery, names, known))
         if settings.can_message_peers:
             self._join_peers(server, settings)
         spec = self.world.scenario.spec
--- a/tests/net/test_client_races.py
+++ b/tests/net/test_client_races.py
@@ -135,7 +135,7 @@
 
     async with one_server(tmp_path, turn_away) as (sidecar, fake):
         pool = sidecar.server.pool
-        end_attempt, ends = pool.end_attempt, []
+        end_attempt, ends = pool.attempt_runner.end, []
 
         def end_and_stand_still(*ended):
             end_attempt(*ended)  # in the midst of reading the server's answer
@@ -144,7 +144,7 @@
                 time.sleep(STILL)  # past the pause before the repeat
             ends.append(ended)
 
-        monkeypatch.setattr(pool, "end_attempt", end_and_stand_still)
+        monkeypatch.setattr(pool.attempt_runner, "end", end_and_stand_still)
         sock = socket.create_connection((HOST, sidecar.port))
         sock.sendall(message("lookup", "ab"))
         await until(lambda: ends and left(sidecar))
--- a/tests/net/test_deadline_propagation.py
+++ b/tests/net/test_deadline_propagation.py
@@ -35,7 +35,7 @@
 from dykefold.balancer.events import Status
 from dykefold.net.downstream.arrivals import MAX_MARKS, Arrivals
 from dykefold.net.downstream.request_reader import MAX_WAITING_REQUESTS
-from dykefold.net.service.attempts import Attempt
+from dykefold.net.service.attempt import Attempt
 from dykefold.net.upstream.connection_pool import ConnectionPool
 
 SLACK_S = 0.15
--- a/tests/net/test_pool.py
+++ b/tests/net/test_pool.py
@@ -16,6 +16,7 @@
 from dykefold.net.memory_budget import MB, MemoryBudget
 from dykefold.net.read_scheduler import ReadScheduler
 from dykefold.net.service.pool import Pool
+from dykefold.net.service.pool_config import PoolConfig
 from dykefold.net.timer_wheel import TimerWheel
 from dykefold.settings import nested_settings, nested_transport
 from dykefold.system import SYSTEM
@@ -63,9 +64,8 @@
     data = config(news(1, *entries))
     settings, transport = nested_settings(data["settings"]), nested_transport(data["settings"])
     names = NameTable(settings.zones, transport.kinds)
-    return Pool(
-        home, settings, transport, 1, ("127.0.0.1", 9), names, parse_endpoint_update(data["known"], names)
-    )
+    known = parse_endpoint_update(data["known"], names)
+    return Pool(home, PoolConfig(settings, transport, 1, ("127.0.0.1", 9), names, known))
 
 
 def call(home, ident, within_ms, method=b"GET"):
--- a/tests/sim/mutants.py
+++ b/tests/sim/mutants.py
@@ -89,7 +89,7 @@
     Mutant(
         "a descriptor is not given back",
         "net/service/pending_requests.py",
-        "            self.pool.budget.release()\n",
+        "            self.budget.release()\n",
         "",
         "parts",
     ),
@@ -109,7 +109,7 @@
     Mutant(
         "a body that has begun to flow is left to the module's repeats",
         "net/service/attempts.py",
-        "            pool.requests.end_streamed(request, status)\n",
+        "            self.requests.end_streamed(request, status)\n",
         "            pass\n",
         "services",
     ),
@@ -122,7 +122,7 @@
     ),
     Mutant(
         "a sidecar breaks off an answer that it streams",
-        "net/service/attempts.py",
+        "net/service/attempt.py",
         "        self.request.sink.send_response_piece(self.request.parsed, data)\n",
         "        self.request.sink.send_response_piece(self.request.parsed, data)\n"
         "        if self.connection is not None:\n"
--- a/tests/sim/test_reality.py
+++ b/tests/sim/test_reality.py
@@ -12,6 +12,7 @@
 from dykefold.net.discovery.codec import NameTable, parse_endpoint_update
 from dykefold.net.loop_lag import MIN_LOGGED_S
 from dykefold.net.memory_budget import MB
+from dykefold.net.service.pool_config import PoolConfig
 from dykefold.net.sidecar import SidecarServer
 from dykefold.settings import Transport
 from dykefold.sim import clients, nodes
@@ -76,14 +77,9 @@
     settings = settings_of(scenario)
     names = NameTable(settings.zones, ["std"])
     known = news(10, *(entry(f"n{n}", fake.address, group=n % 2) for n, fake in enumerate(fakes)))
-    sidecar_server.serve_one(
-        settings,
-        Transport(["std"], 15 * SECOND, 10_000),
-        7,
-        (HOST, 9),
-        names,
-        parse_endpoint_update(known, names),
-    )
+    transport = Transport(["std"], 15 * SECOND, 10_000)
+    known_update = parse_endpoint_update(known, names)
+    sidecar_server.serve_one(PoolConfig(settings, transport, 7, (HOST, 9), names, known_update))
     _, port = sidecar_server.listen(socket.create_server((HOST, 0))).address
     counts = Counter()
 
