--- a/dykefold/__main__.py
+++ b/dykefold/__main__.py
@@ -22,7 +22,7 @@
 from .fleet_wiring import FleetFeatures
 from .net.peers import Address
 from .net.service.pool_config import PoolConfig
-from .net.sidecar import SidecarServer
+from .net.sidecar import SidecarLimits, SidecarServer
 from .sidecar_config import (
     Config,
     ConfigError,
@@ -49,7 +49,7 @@
     """Make the server of the platform's sidecar, with its one pool; it does not listen yet."""
     admin_addresses = [config.control, config.fleet.listen if config.fleet.view else None]
     set_aside = ADMIN_DESCRIPTORS * sum(address is not None for address in admin_addresses)
-    sidecar = SidecarServer(loop, config.sockets, config.memory, config.caps, set_aside=set_aside)
+    sidecar = SidecarServer(loop, SidecarLimits(config.sockets, config.memory, config.caps, set_aside))
     sidecar.serve_one(
         PoolConfig(
             config.settings, config.transport, config.seed, config.discovery, config.names, config.known
@@ -162,7 +162,7 @@
     loop = asyncio.get_running_loop()
     sockets = min(plan.sockets, system_limit())
     set_aside = ADMIN_DESCRIPTORS if service.control is not None else 0
-    sidecar = SidecarServer(loop, sockets, plan.memory_bytes, service.caps, set_aside=set_aside)
+    sidecar = SidecarServer(loop, SidecarLimits(sockets, plan.memory_bytes, service.caps, set_aside))
     lifecycle = ProcessLifecycle(loop, sidecar, service.control, service.folder)
     services = Services(sidecar, lambda: random.getrandbits(63))
     try:
--- a/dykefold/net/shutdown.py
+++ b/dykefold/net/shutdown.py
@@ -1,7 +1,7 @@
 """The graceful shutdown of a sidecar: its steps, and when each is due.
 
-Every accepted request gets its response before the platform may kill the process, and clients have somebody
-to send requests to for as long as that leaves room.
+Every accepted request gets its response before the platform may kill the process. Until then, requests are
+accepted for as long as there is time to answer them.
 """
 
 from __future__ import annotations
@@ -9,33 +9,42 @@
 import asyncio
 import logging
 import math
-from typing import TYPE_CHECKING, NamedTuple
+from typing import Any, NamedTuple, Protocol
 
+from ..admission.clients import ClientConnections
+from ..admission.listener import Listener
 from .clock import SECOND
-
-if TYPE_CHECKING:
-    from .sidecar import SidecarServer
+from .service.pool import Pool
 
 log = logging.getLogger("dykefold")
 
-ACCEPT_AFTER_TERM_S = 0.5  # for which new connections are still accepted
-QUIET_AFTER_TERM_S = 0.3  # without a request, after which no more is awaited
-KILL_AFTER_DEADLINE_S = 0.7  # beyond the longest deadline, after which the platform may kill, and ...
-MAX_DEADLINE_S = 3.0  # ... as which a longer deadline counts for that (PROTOCOL, figures)
-ANSWER_BEFORE_KILL_S = 0.4  # before the kill, when every pending request is answered
-LAST_ANSWERS_S = 1.0  # that are left for the responses to what was accepted last
-MIN_LISTENER_CLOSE_S = 0.1  # for which a closing listener goes on accepting clients that wait already
-FLUSH_S = 0.2  # for clients to read the last responses; the rest is for a loop that is late by 0.15 s
-REJECT_INTERVAL_S = 0.05  # from then on, between looks at clients that have begun a message
+# Times after the beginning of the graceful shutdown.
+ACCEPT_AFTER_TERM_S = 0.5  # end of accepting new connections
+# Requests are accepted until none has come for this time.
+QUIET_AFTER_TERM_S = 0.3
+# The platform may kill the process at this time after the longest deadline, of which at most `MAX_DEADLINE_S`
+# counts (PROTOCOL, figures).
+KILL_AFTER_DEADLINE_S = 0.7
+MAX_DEADLINE_S = 3.0
+# Every pending request is answered at this time before the platform may kill the process.
+ANSWER_BEFORE_KILL_S = 0.4
+# Requests are no longer accepted from this time before every pending request is answered.
+LAST_ANSWERS_S = 1.0
+# A closing listener accepts clients that wait already for at least this time.
+MIN_LISTENER_CLOSE_S = 0.1
+# Clients have this time to read the last responses. The rest, until the kill, is for a loop that is late.
+FLUSH_S = 0.2
+# Time between two checks for clients that have sent a part of a message, once every request is answered.
+REJECT_INTERVAL_S = 0.05
 
 
 class ShutdownTimes(NamedTuple):
     """When a graceful shutdown takes its steps, in seconds after its beginning.
 
     Attributes:
-        stop_requests_s: no more requests are accepted.
-        answer_s: every request that is still pending is answered.
-        stop_s: the process ends.
+        stop_requests_s: Time from which no more requests are accepted.
+        answer_s: Time at which every request that is still pending is answered.
+        stop_s: Time at which the process ends.
     """
 
     stop_requests_s: float
@@ -49,7 +58,7 @@
     All are due before the platform may kill the process, since requests pending then would be lost.
 
     Args:
-        longest_s: the longest deadline of a request class, in seconds.
+        longest_s: Longest deadline of a request class, in seconds.
 
     Returns:
         The times, in seconds after the beginning.
@@ -59,21 +68,53 @@
     return ShutdownTimes(stop_requests_s, answer_s, answer_s + FLUSH_S)
 
 
+class DrainedServer(Protocol):
+    """What the graceful shutdown uses of the server.
+
+    Attributes:
+        draining: Whether the graceful shutdown has begun.
+        handing_over: Whether clients have a newer process to go to.
+        accepting_requests: Whether requests are still accepted.
+        all_answered: Whether every pending request has been answered, and each new one is rejected.
+        listener: Listening socket; None without one.
+        clients: Connections of clients.
+        pools: Pools that serve or retire.
+        stopped: Future that is done when the process may end.
+    """
+
+    draining: bool
+    handing_over: bool
+    accepting_requests: bool
+    all_answered: bool
+    listener: Listener | None
+    clients: ClientConnections
+    pools: dict[Pool, None]
+    stopped: asyncio.Future[Any]
+
+    def monotonic(self) -> float:
+        """Return the time of the monotonic clock, in seconds."""
+        ...
+
+
 class GracefulShutdown:
-    """Takes the steps of one server's shutdown; how far it is stands in the server's `draining` and so on.
+    """Takes the steps of one server's shutdown, and records its progress in the server's attributes.
+
+    Args:
+        loop: Event loop on which the steps are scheduled.
+        server: Server that shuts down.
 
     Attributes:
-        answer_at: when every pending request is answered, in seconds of the monotonic clock; infinity
+        answer_at: Time at which every pending request is answered, seconds of the monotonic clock; infinity
             before the shutdown begins.
     """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, server: SidecarServer) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, server: DrainedServer) -> None:
         self.loop = loop
         self.server = server
         self.answer_at = math.inf
 
     def begin(self) -> None:
-        """Begin, once: answer what is pending and what still comes for a moment, then stop."""
+        """Begin the graceful shutdown; a second call has no effect."""
         server = self.server
         if server.draining:
             return
@@ -93,26 +134,26 @@
     def stop_accepting(self) -> None:
         """Accept no more connections, but still requests on those that clients have.
 
-        The application has no other sidecar, and the next process comes at the platform's time, not when
-        this one ends; so its requests are served for as long as the platform lets this process live.
+        The client has no other sidecar, and the platform decides when the next process starts. So requests
+        are served for as long as the platform lets this process live.
         """
         self.close_listener()
         self.end_if_done()
-        # With a newer process to go to, clients leave by themselves, each behind its next response.
+        # Clients that have a newer process to go to disconnect by themselves, each after its next response.
         if not self.server.handing_over:
             self.loop.call_later(QUIET_AFTER_TERM_S, self._await_quiet, self._accepted_requests())
 
-    def _await_quiet(self, before: int) -> None:
+    def _await_quiet(self, accepted_before: int) -> None:
         if not self.server.accepting_requests:
             return
         accepted = self._accepted_requests()
-        if accepted == before:
+        if accepted == accepted_before:
             self.stop_requests()
         else:
             self.loop.call_later(QUIET_AFTER_TERM_S, self._await_quiet, accepted)
 
     def _accepted_requests(self) -> int:
-        """Return how many requests the pools have accepted so far."""
+        """Return a number that grows with each request that a pool accepts."""
         return sum(pool.next_id for pool in self.server.pools)
 
     def stop_requests(self) -> None:
@@ -123,27 +164,27 @@
         server.accepting_requests = False
         self.close_listener()
         for connection in list(server.clients.all.values()):
-            # One that has begun a request is answered; so is one whose request is there and was not read.
+            # A client that has begun a message is answered, also if the message has not been read yet.
             if connection.idle and not connection.message_unfinished:
                 connection.close_when_idle()
         self.end_if_done()
 
     def answer_all(self) -> None:
-        """Answer every pending request now; from here on each new one is rejected."""
+        """Answer every pending request now, and reject each later one."""
         self.server.all_answered = True
         for pool in self.server.pools:
             pool.answer_all_pending()
         self._reject_unfinished()
 
     def _reject_unfinished(self) -> None:
-        """Reject messages that have come in part: their clients may wait for a response to what they sent."""
+        """Reject incomplete messages, since their clients may wait for a response."""
         for connection in list(self.server.clients.all.values()):
-            if not connection.has_unread_input():  # what has come of it is read first
+            if not connection.has_unread_input():  # unread input may complete the message
                 connection.reject_unfinished("this sidecar ends")
         self.loop.call_later(REJECT_INTERVAL_S, self._reject_unfinished)
 
     def close_listener(self) -> None:
-        """Close the listener once the clients that wait already have been accepted."""
+        """Close the listener after the clients that wait already have been accepted."""
         server = self.server
         if server.listener is not None and not server.listener.closing:
             left_s = min(self.answer_at, server.monotonic() + MAX_DEADLINE_S) - server.monotonic()
@@ -155,7 +196,7 @@
             self.end_if_done()
 
     def end_if_done(self) -> None:
-        """Stop if nobody is connected any more: then every response has been flushed."""
+        """Stop if no client is connected any more: then every response has been flushed."""
         if self.server.listener is None and not self.server.clients.all:
             self._stop()
 
--- a/dykefold/net/sidecar.py
+++ b/dykefold/net/sidecar.py
@@ -10,6 +10,7 @@
 import math
 import socket
 from collections import deque
+from dataclasses import dataclass, field
 
 from ..admission.addresses import AddressLimits
 from ..admission.budget import DescriptorBudget
@@ -40,49 +41,65 @@
 log = logging.getLogger("dykefold")
 
 SWEEP_INTERVAL_S = 0.25
-RECENT_ID_S = 4.0  # for which the id of a request that is over can't be used again, but of ...
-MAX_RECENT_IDS = 8192  # ... so many of them at most
-RETRY_AFTER_NS = 500 * MS  # the advice with a rejection for lack of capacity here
-FAULT_LOG_INTERVAL_S = 1.0  # between two logged exceptions
+# The id of a finished request can't be used again for this time, as long as it is among the latest ones.
+RECENT_ID_S = 4.0
+MAX_RECENT_IDS = 8192
+RETRY_AFTER_NS = 500 * MS  # Retry-After of a rejection for lack of capacity in this process
+FAULT_LOG_INTERVAL_S = 1.0  # shortest time between two logged exceptions
+
+
+@dataclass(frozen=True, slots=True)
+class SidecarLimits:
+    """Limits that a process begins with.
+
+    Attributes:
+        sockets: Number of descriptors that all processes of the sidecar may hold together.
+        memory_bytes: Bytes of messages that all processes of the sidecar may hold together.
+        addresses: Limits on the clients of each address.
+        set_aside: Number of descriptors that are neither clients' nor endpoints', such as the admin API's.
+    """
+
+    sockets: int
+    memory_bytes: int
+    addresses: AddressLimits = field(default_factory=AddressLimits)
+    set_aside: int = 0
 
 
 class SidecarServer:
     """Accepts clients' connections and requests for the pools of this process, within its limits.
 
     Args:
-        loop: runs everything.
-        memory: bytes that it may take.
-        caps: limits on clients by address.
-        system: the clocks and sockets.
-        set_aside: descriptors that are neither clients' nor servers', such as the admin API's.
+        loop: Event loop that runs everything.
+        limits: Limits of the process to begin with; it may be the only one of its sidecar.
+        system: Clocks and sockets of the machine.
 
     Attributes:
-        pools: those that serve, and those that retire.
-        sockets: descriptors that all processes of the sidecar may hold together.
-        memory_limit: bytes of memory that all processes of the sidecar may take together.
-        parts: how many processes of the sidecar live; this one takes one part of the memory.
-        most: descriptors that this process may hold.
-        lag: how late the loop runs.
-        read_scheduler: connections whose input waits to be parsed.
-        timer_wheel: the time limits of requests and attempts.
-        draining: the graceful shutdown has begun.
-        handing_over: clients have a newer process to go to.
-        accepting_requests: requests are still accepted.
-        ended: every pending request has been answered, and each new one is rejected.
-        stopped: done when the process may end.
-        shutdown: the steps of the graceful shutdown.
+        parser: Reader that makes requests of messages; set by `serve_one`, or by the routing of pools.
+        pools: Pools that serve or retire.
+        half_close: Whether a client that has closed its sending side may still wait for responses.
+        sockets: Number of descriptors that all processes of the sidecar may hold together.
+        memory_limit: Bytes of messages that all processes of the sidecar may hold together.
+        process_count: Number of live processes of the sidecar, among which the memory is divided equally.
+        max_descriptors: Number of descriptors that this process may hold.
+        lag: Monitor of the event loop's delay.
+        read_scheduler: Connections whose input waits to be parsed.
+        timer_wheel: Time limits of requests and attempts.
+        peers: Datagram channel to other sidecars; None without one.
+        ids: Ids of requests that are pending or have finished recently, by their clients' naming.
+        finished_ids: Ids of recently finished requests, each with its end in seconds of the monotonic clock.
+        draining: Whether the graceful shutdown has begun.
+        handing_over: Whether clients have a newer process to go to.
+        accepting_requests: Whether requests are still accepted.
+        all_answered: Whether every pending request has been answered, and each new one is rejected.
+        stopped: Future that is done when the process may end.
+        listener: Listening socket; None before the process accepts clients and after it has closed it.
+        shutdown: Steps of the graceful shutdown.
+        fault_logged_at: Time of the latest logged exception, seconds of the monotonic clock.
     """
 
     def __init__(
-        self,
-        loop: asyncio.AbstractEventLoop,
-        sockets: int,
-        memory: int,
-        caps: AddressLimits | None = None,
-        system: System = SYSTEM,
-        set_aside: int = 0,
+        self, loop: asyncio.AbstractEventLoop, limits: SidecarLimits, system: System = SYSTEM
     ) -> None:
-        """Make a server with no pool."""
         self.loop = loop
         self.system = system
         self.monotonic = system.monotonic
@@ -91,22 +108,20 @@
         self.parser: MessageReader
         self.pools: dict[Pool, None] = {}
         self.half_close = False
-        self.sockets, self.memory_limit = sockets, memory
+        self.sockets, self.memory_limit = limits.sockets, limits.memory_bytes
         self.process_count = 1
-        self.max_descriptors = sockets
-        self.budget = DescriptorBudget(sockets, set_aside)
-        self.memory = MemoryBudget(memory)
+        self.max_descriptors = limits.sockets
+        self.budget = DescriptorBudget(limits.sockets, limits.set_aside)
+        self.memory = MemoryBudget(limits.memory_bytes)
         self.clients = ClientConnections(
-            AdmissionController(self._connection_limits(), caps or AddressLimits()), system
+            AdmissionController(self._connection_limits(), limits.addresses), system
         )
         self.lag = LoopLagMonitor(loop, system)
         self.read_scheduler = ReadScheduler(loop, self.lag, system)
         self.timer_wheel = TimerWheel(loop, system)
         self.peers: PeerChannel | None = None
-        self.ids: set[bytes] = (
-            set()
-        )  # of requests that are pending or have just been answered, by their clients
-        self.old_ids: deque[tuple[float, bytes]] = deque()
+        self.ids: set[bytes] = set()
+        self.finished_ids: deque[tuple[float, bytes]] = deque()
         self.draining = False
         self.handing_over = False
         self.accepting_requests = True
@@ -114,7 +129,7 @@
         self.stopped = loop.create_future()
         self.listener: Listener | None = None
         self.shutdown = GracefulShutdown(loop, self)
-        self.fault_logged_at = -math.inf  # when an exception was last logged
+        self.fault_logged_at = -math.inf
         self._sweep(self.monotonic())
 
     def serve_one(self, config: PoolConfig) -> None:
@@ -129,25 +144,26 @@
         self.parser = RequestParser(config.settings, self.pool)
 
     def change_settings(self, settings: Settings, transport: Transport) -> None:
-        """Have the one pool go by other settings, from the next request that is read on.
+        """Change the settings of the one pool, from the next request that is read on.
 
         Args:
-            settings: what the balancer goes by from now on.
-            transport: what the sockets go by from now on.
+            settings: New settings of the balancer.
+            transport: New limits and idle timeout of sockets.
 
         Raises:
-            ValueError: the settings can't be applied; nothing has changed then.
+            TooManyClassesError: More request classes would be in use at once than there are numbers;
+                nothing has changed then.
         """
         pool, now_ns = self.pool, self.now()
         settings = pool.renumber_zones(settings)
-        waiting = [
+        unaccepted = [
             request.class_number
             for connection in self.clients.all.values()
             for request in connection.pending_requests()
         ]
-        accepted = [request.parsed.class_number for request in pool.pending.values()]
-        attempts = [attempt.request.parsed.class_number for attempt in pool.attempts.values()]
-        generation = self.generation.next(settings, {*waiting, *accepted, *attempts}, now_ns)
+        pending = [request.parsed.class_number for request in pool.pending.values()]
+        in_flight = [attempt.request.parsed.class_number for attempt in pool.attempts.values()]
+        generation = self.generation.next(settings, {*unaccepted, *pending, *in_flight}, now_ns)
         if generation == self.generation:
             pool.change_transport(transport)
             return
@@ -159,11 +175,11 @@
         self.parser = RequestParser(generation.settings, pool, generation.retired, before)
 
     def forget(self, pool: Pool) -> None:
-        """Forget a pool that has retired: nothing of it is left."""
+        """Forget a pool that has retired."""
         self.pools.pop(pool, None)
 
     def close_unneeded_upstream(self) -> bool:
-        """Close a connection to a server that no pool needs; return whether there was one."""
+        """Close a connection to an endpoint that no pool needs; return whether there was one."""
         return any(pool.upstreams.close_unneeded() for pool in self.pools)
 
     def log_exception(self, text: str) -> None:
@@ -177,20 +193,20 @@
     def admit(self, connection: ClientConnection, request: ParsedRequest) -> tuple[int, bytes, bytes] | None:
         """Reserve what a request will need.
 
-        Its id must be new: a server would take another request under the id of a pending one for a hedged
-        copy of it, and one that has just been answered would run again.
+        Its id must be new. Under the id of a pending request, an endpoint would take it for a hedged request;
+        under the id of a finished request, an endpoint may run it again.
 
         Returns:
-            None; or the code, headers and text with which the request is rejected.
+            Code, headers and text with which the request is rejected; None if it is admitted.
         """
-        old = self.old_ids
-        if old:
+        finished = self.finished_ids
+        if finished:
             before = self.monotonic() - RECENT_ID_S
-            while old and (old[0][0] < before or len(old) > MAX_RECENT_IDS):
-                self.ids.discard(old.popleft()[1])
+            while finished and (finished[0][0] < before or len(finished) > MAX_RECENT_IDS):
+                self.ids.discard(finished.popleft()[1])
         if self.all_answered:
-            # Clients may send ahead on a connection that is never idle. Every pending request has had its
-            # response by now, and one accepted from here on would be pending when the process stops.
+            # Clients may send requests ahead on a connection that is never idle. A request that is accepted
+            # now would still be pending when the process stops.
             return 503, _retry_after_header(request.pool), b"this sidecar ends\n"
         if request.ident in self.ids:
             return 409, b"", b"a request with this id is open or has just been\n"
@@ -211,14 +227,14 @@
     def on_request_end(self, sink: ResponseSink, request: ParsedRequest, served: bool) -> None:
         """Release what a finished request had reserved of the process."""
         self.clients.close_request(sink.client, served)
-        self.old_ids.append((self.monotonic(), request.ident))
+        self.finished_ids.append((self.monotonic(), request.ident))
         if self.draining:
             self.shutdown.end_if_done()
 
     # Clients
 
     def disconnected(self, connection: ClientConnection, request: ParsedRequest | None) -> None:
-        """Release what a client had that has gone, and drop its pending request."""
+        """Release what a disconnected client had, and drop its pending request."""
         self.clients.remove(connection.client)
         if self.listener is not None:
             self.listener.on_descriptor_released()
@@ -242,52 +258,53 @@
         )
         return self.listener
 
-    def change_limits(self, sockets: int, caps: AddressLimits) -> None:
+    def change_limits(self, sockets: int, addresses: AddressLimits) -> None:
         """Apply other limits while running: what is open beyond them is closed, except what a request needs.
 
         Args:
-            sockets: descriptors that all processes of the sidecar may hold together.
-            caps: limits on clients by address.
+            sockets: Number of descriptors that all processes of the sidecar may hold together.
+            addresses: Limits on the clients of each address.
         """
-        if self.max_descriptors >= self.sockets:  # this process has them all, and keeps them all
+        if self.max_descriptors >= self.sockets:  # the only process uses all descriptors
             self.max_descriptors = sockets
         self.sockets = sockets
-        kept = self.clients.admission.count if self.process_count > 1 else 0
-        self.budget.resize(min(self.max_descriptors, sockets), sockets, kept)
+        min_clients = self.clients.admission.count if self.process_count > 1 else 0
+        self.budget.resize(min(self.max_descriptors, sockets), sockets, min_clients)
         self.memory.resize(self.memory_limit // self.process_count)
-        self.clients.resize(self._connection_limits(), caps)
+        self.clients.resize(self._connection_limits(), addresses)
         for pool in self.pools:
             pool.upstreams.shrink()
 
     def needed_descriptors(self) -> int:
-        """Return how many descriptors this process can't give away just now."""
+        """Return the number of descriptors that this process can't release now."""
         return self.budget.required(self.clients.admission.count)
 
-    def share_capacity(self, parts: int, most: int) -> None:
+    def share_capacity(self, process_count: int, max_descriptors: int) -> None:
         """Leave capacity to other processes of this sidecar.
 
         Args:
-            parts: how many processes live; this one takes one part in so many of the memory of messages.
-            most: descriptors that this process may hold.
+            process_count: Number of live processes, among which the memory of messages is divided equally.
+            max_descriptors: Number of descriptors that this process may hold.
         """
-        if (parts, most) != (self.process_count, self.max_descriptors):
-            self.process_count, self.max_descriptors = parts, most
+        if (process_count, max_descriptors) != (self.process_count, self.max_descriptors):
+            self.process_count, self.max_descriptors = process_count, max_descriptors
             self.change_limits(self.sockets, self.clients.admission.caps)
 
     # Housekeeping and shutdown
 
-    def _sweep(self, due: float) -> None:
+    def _sweep(self, due_s: float) -> None:
         """Close connections that have been idle for too long.
 
-        A process that was stopped, or whose loop is late, skips one sweep: what came meanwhile has not been
-        read yet, and a connection with a request on it would be closed as idle. The next sweep comes soon,
-        and is done however late the loop is.
+        A late sweep is skipped, since the process was stopped or its loop is late: requests that arrived
+        meanwhile have not been read yet, and their connections would be closed as idle. The sweep after it
+        is never skipped.
 
         Args:
-            due: when this sweep was due, in seconds of the monotonic clock; infinity: whenever it comes.
+            due_s: Time at which this sweep was due, seconds of the monotonic clock; infinity for a sweep
+                that is not skipped.
         """
         now = self.monotonic()
-        late = now - due >= SWEEP_INTERVAL_S
+        late = now - due_s >= SWEEP_INTERVAL_S
         if not late:
             for pool in self.pools:
                 pool.upstreams.sweep()
@@ -295,7 +312,7 @@
         self.loop.call_later(SWEEP_INTERVAL_S, self._sweep, math.inf if late else now + SWEEP_INTERVAL_S)
 
     def drain(self) -> None:
-        """Begin the graceful shutdown; once it has begun, do nothing."""
+        """Begin the graceful shutdown; a second call has no effect."""
         self.shutdown.begin()
 
     def close(self) -> None:
--- a/dykefold/sim/process.py
+++ b/dykefold/sim/process.py
@@ -20,7 +20,7 @@
 from ..net.memory_budget import MB
 from ..net.peers import PeerChannel
 from ..net.service.pool_config import PoolConfig
-from ..net.sidecar import SidecarServer
+from ..net.sidecar import SidecarLimits, SidecarServer
 from ..routing.plan import Plan
 from ..routing.services import Services
 from ..settings import Transport
@@ -141,9 +141,8 @@
         self.loop.wake(self._boot)
 
     def _boot(self) -> None:
-        server = SidecarServer(
-            self.loop.for_asyncio, MAX_DESCRIPTORS, MEMORY_BYTES, AddressLimits(), self.system
-        )
+        limits = SidecarLimits(MAX_DESCRIPTORS, MEMORY_BYTES)
+        server = SidecarServer(self.loop.for_asyncio, limits, self.system)
         self.server = server
         if self.world.plan is not None:
             self.services = Services(server, lambda: self.seed)
--- a/tests/net/test_client_connections.py
+++ b/tests/net/test_client_connections.py
@@ -422,7 +422,7 @@
                 writer.write(message("lookup", f"id{number}"))
                 await read_message(reader)
             writer.close()
-            assert len(sidecar.server.ids) <= 102 and len(sidecar.server.old_ids) <= 102
+            assert len(sidecar.server.ids) <= 102 and len(sidecar.server.finished_ids) <= 102
             assert not sidecar.server.pool.pending and not sidecar.server.pool.attempts
 
     run(play())
--- a/tests/routing/services_rig.py
+++ b/tests/routing/services_rig.py
@@ -8,7 +8,7 @@
 from net_helpers import HOST
 
 from dykefold.admission.addresses import AddressLimits
-from dykefold.net.sidecar import SidecarServer
+from dykefold.net.sidecar import SidecarLimits, SidecarServer
 from dykefold.routing.config import read_plan
 from dykefold.routing.services import Services
 
@@ -32,7 +32,7 @@
     """A node with services in the test's own loop."""
 
     def __init__(self, text, sockets=512):
-        self.server = SidecarServer(asyncio.get_running_loop(), sockets, 192 * MB)
+        self.server = SidecarServer(asyncio.get_running_loop(), SidecarLimits(sockets, 192 * MB))
         self.services = Services(self.server, lambda: 7)
         self.apply(text, sockets)
 
--- a/tests/sim/test_reality.py
+++ b/tests/sim/test_reality.py
@@ -13,7 +13,7 @@
 from dykefold.net.loop_lag import MIN_LOGGED_S
 from dykefold.net.memory_budget import MB
 from dykefold.net.service.pool_config import PoolConfig
-from dykefold.net.sidecar import SidecarServer
+from dykefold.net.sidecar import SidecarLimits, SidecarServer
 from dykefold.settings import Transport
 from dykefold.sim import clients, nodes
 from dykefold.sim.kernel import MS, SECOND
@@ -73,7 +73,7 @@
         await Fake(RealNode(number, wrong if number == 0 else None).act).start()
         for number in range(scenario.servers)
     ]
-    sidecar_server = SidecarServer(loop, 256, 64 * MB)
+    sidecar_server = SidecarServer(loop, SidecarLimits(256, 64 * MB))
     settings = settings_of(scenario)
     names = NameTable(settings.zones, ["std"])
     known = news(10, *(entry(f"n{n}", fake.address, group=n % 2) for n, fake in enumerate(fakes)))
