--- a/dykefold/net/class_generations.py
+++ b/dykefold/net/class_generations.py
@@ -1,15 +1,15 @@
 """Numbers request classes across changes of the settings. No I/O.
 
-The balancer knows classes by number, and a request keeps the number that it was read under. So a number never
-comes to mean another class while a request may hold it:
+The balancer knows classes by number, and a request keeps the number that it was parsed with. So a number does
+not come to mean another class while a request may use it:
 
 1. A class that is unchanged keeps its number.
-2. A class that changed in any way, or is new, gets a number that no request holds.
-3. The number of a class that was dropped or changed keeps what it meant: pending requests of it go on by it,
-   and until `LINGER_NS` have passed new ones are still read as it (clients turn to new settings later
-   than their sidecar does).
-4. Such a number is free again when it is out of that time and no request holds it.
-5. There are at most `MAX_CLASS_NUMBERS`.
+2. A class that changed in any way, or is new, gets a number that no request uses.
+3. The number of a class that was dropped or changed is retired, and keeps its meaning for pending requests.
+   For `LINGER_NS`, new requests may still belong to it, since clients change their settings later than their
+   sidecar does.
+4. A retired number is free again when that time is over and no request uses it.
+5. There are at most `MAX_CLASS_NUMBERS` numbers.
 """
 
 from __future__ import annotations
@@ -19,7 +19,9 @@
 
 from ..balancer.settings import RequestClass, Settings
 
-LINGER_NS = 4_000_000_000  # clients turn to new settings some time after SIGHUP: 1.2 s on the platform
+# New requests may still belong to a retired class for this time: the platform's clients change their settings
+# 1.2 s after SIGHUP.
+LINGER_NS = 4_000_000_000
 MAX_CLASS_NUMBERS = 256
 
 
@@ -27,22 +29,21 @@
     """New settings would need more class numbers at once than there are.
 
     Attributes:
-        limit: how many there are.
+        limit: Number of class numbers.
     """
 
     def __init__(self, limit: int) -> None:
-        """Make the error; `limit` as in the attribute."""
         super().__init__(f"classes: more than {limit} would be in use at once")
         self.limit = limit
 
 
 @dataclass(frozen=True, slots=True)
 class ClassGeneration:
-    """The settings as they are now.
+    """Settings with numbered request classes.
 
     Attributes:
-        settings: with the classes by number, those that are retired at theirs.
-        retired: numbers that new settings don't name, and when that began, on the clock (nanoseconds).
+        settings: Settings whose list of classes is indexed by class number, retired classes included.
+        retired: Time at which each retired number was retired, nanoseconds on the clock, by number.
     """
 
     settings: Settings
@@ -53,25 +54,25 @@
         named = enumerate(self.settings.classes)
         return {spec.name: number for number, spec in named if number not in self.retired}
 
-    def next(self, wanted: Settings, held: Collection[int], now_ns: int) -> ClassGeneration:
-        """Return the settings after a change.
+    def next(self, wanted: Settings, in_use: Collection[int], now_ns: int) -> ClassGeneration:
+        """Return the generation after a change of the settings.
 
         Args:
-            wanted: new settings, their classes in any order.
-            held: numbers that some pending request holds.
-            now_ns: on the clock.
+            wanted: New settings, with their classes in any order.
+            in_use: Class numbers that pending requests use.
+            now_ns: Current time, nanoseconds on the clock.
 
         Raises:
-            TooManyClassesError: more classes would be in use at once than there are numbers.
+            TooManyClassesError: More classes would be in use at once than there are numbers.
         """
         classes = list(self.settings.classes)
         retired = dict(self.retired)
-        added, kept = self._compare(wanted)
+        added, unchanged = self._compare(wanted)
         for number in self.numbers().values():
-            if number not in kept:
+            if number not in unchanged:
                 retired[number] = now_ns
         expired = (number for number, since_ns in retired.items() if now_ns - since_ns >= LINGER_NS)
-        free = sorted(number for number in expired if number not in held)
+        free = sorted(number for number in expired if number not in in_use)
         for spec in added:
             if free:
                 number = free.pop(0)
@@ -84,14 +85,14 @@
         return ClassGeneration(replace(wanted, classes=classes), retired)
 
     def _compare(self, wanted: Settings) -> tuple[list[RequestClass], set[int]]:
-        """Return the classes that are new or changed, and the numbers of those that stay as they are."""
+        """Return the classes that are new or changed, and the numbers of the unchanged ones."""
         numbers = self.numbers()
         added: list[RequestClass] = []
-        kept: set[int] = set()
+        unchanged: set[int] = set()
         for spec in wanted.classes:
             number = numbers.get(spec.name)
             if number is not None and self.settings.classes[number] == spec:
-                kept.add(number)
+                unchanged.add(number)
             else:
                 added.append(spec)
-        return added, kept
+        return added, unchanged
--- a/dykefold/net/service/endpoint_registry.py
+++ b/dykefold/net/service/endpoint_registry.py
@@ -1,7 +1,7 @@
 """The endpoints of one service: endpoint lists, maintenance orders, start times, names and health probes.
 
-A change reaches the balancer before the connections, so that what a closed connection gives up is not sent
-to the same endpoint again.
+The balancer is notified of a change before connections are closed for it, so that a request of a closed
+connection is not retried at the same endpoint.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class EndpointRegistry:
-    """Knows the endpoints of one pool, and keeps the balancer and the connections up to date with them.
+    """The endpoints of one pool: keeps the balancer and the connections up to date with them.
 
     Args:
         host: What the registry uses of its pool.
@@ -44,7 +44,7 @@
         known: Endpoints as the balancer knows them, by number.
 
     Attributes:
-        maintenance: Operators' maintenance orders on top of what discovery says.
+        maintenance: Endpoints as discovery lists them, with operators' maintenance orders on top.
         start_times: Start times of the endpoints, as far as they are known.
     """
 
@@ -82,10 +82,10 @@
             self.apply_list(update)
 
     def apply_list(self, update: EndpointUpdate, kind: ListKind | None = None) -> None:
-        """Apply what discovery says, with the maintenance orders on top.
+        """Apply an endpoint list or a change of it, with the maintenance orders on top.
 
         Args:
-            update: An endpoint list, or a change of it.
+            update: Endpoint list, or a change of it.
             kind: Source of the update; None for the pool's own discovery client.
         """
         self.host.version = update.version
@@ -96,7 +96,7 @@
     def record(self) -> dict[str, Any]:
         """Return the endpoint list as discovery reported it, for the state directory.
 
-        The key `discovery` names the discovery service by which its version counts.
+        The key `discovery` names the discovery service that counts the version.
         """
         discovery = self.discovery
         return {
@@ -115,7 +115,7 @@
         """
         discovery = self.discovery
         if discovery is None or record.get("discovery") != discovery.host:
-            return  # its version counts at another discovery service
+            return  # another discovery service counts its version
         version = record.get("index")
         if not isinstance(version, int) or version <= self.host.version or discovery.version is None:
             return
@@ -140,7 +140,7 @@
                 self._remove(number)
         for entry in update.entries:
             self._apply_entry(entry)
-        # After changes too: where endpoints are replaced all day no complete list may ever come.
+        # Names are dropped after changes too, since a complete list may never come.
         self.names.keep(set(self.known) | set(upstreams.endpoints))
         self.lag.took(began_s, f"an endpoint list update of {len(update.entries)} endpoints")
 
@@ -183,7 +183,7 @@
         return before is not out
 
     def merge_maintenance(self, orders: Mapping[str, MaintenanceOrder]) -> None:
-        """Apply maintenance orders, by endpoint name, that another process of this sidecar was given."""
+        """Apply maintenance orders, by endpoint name, that another process of this sidecar has received."""
         entries = self.maintenance.merge(orders)
         if entries:
             self._apply(EndpointUpdate(self.host.version, False, entries), ListKind.LOCAL)
--- a/dykefold/net/service/http_encoding.py
+++ b/dykefold/net/service/http_encoding.py
@@ -5,31 +5,33 @@
 from ..clock import MS, SECOND
 from ..downstream.request_parser import ParsedRequest
 
-METHODS_WITH_BODY = frozenset((b"POST", b"PUT", b"PATCH"))  # these state a Content-Length of 0 as well
+# Requests with these methods have a Content-Length even if their body is empty.
+METHODS_WITH_BODY = frozenset((b"POST", b"PUT", b"PATCH"))
 
 
-def encode_request(call: ParsedRequest, time_left_ns: int) -> bytes:
+def encode_request(request: ParsedRequest, time_left_ns: int) -> bytes:
     """Encode a request for an endpoint.
 
     Args:
-        call: The request; of a streamed one only the head is encoded.
-        time_left_ns: Announced to the endpoint as its deadline, in whole milliseconds and at least one.
+        request: Request of a client; of one with a streamed body only the head is encoded.
+        time_left_ns: Nanoseconds that the endpoint has for its response, announced in whole milliseconds and
+            as at least one.
     """
-    if call.upload is not None:
-        announced = call.upload.length
+    if request.upload is not None:
+        announced = request.upload.length
         length = b"Transfer-Encoding: chunked\r\n"
         if announced is not None:
             length = b"Content-Length: %d\r\n" % announced
     else:
-        states_length = call.body or call.method in METHODS_WITH_BODY
-        length = b"Content-Length: %d\r\n" % len(call.body) if states_length else b""
+        states_length = request.body or request.method in METHODS_WITH_BODY
+        length = b"Content-Length: %d\r\n" % len(request.body) if states_length else b""
     return b"%s %s HTTP/1.1\r\n%sX-Deadline: %dm\r\n%s\r\n%s" % (
-        call.method,
-        call.target,
-        b"".join(call.headers),
+        request.method,
+        request.target,
+        b"".join(request.headers),
         max(time_left_ns // MS, 1),
         length,
-        call.body,
+        request.body,
     )
 
 
@@ -42,6 +44,6 @@
     """Encode a Retry-After header line.
 
     Args:
-        after_ns: Time to wait, nanoseconds; written in seconds with three decimals.
+        after_ns: Nanoseconds to wait, written in seconds with three decimals.
     """
     return b"Retry-After: %.3f\r\n" % (after_ns / SECOND)
--- a/dykefold/net/service/load_reports.py
+++ b/dykefold/net/service/load_reports.py
@@ -6,15 +6,19 @@
 
 from ...settings import canonical_column
 
-MAX_REPORT_BYTES = 1024  # four figures need a hundred bytes, and each pair costs a look-up
+# Four figures need a hundred bytes, and each pair costs a look-up.
+MAX_REPORT_BYTES = 1024
 FIGURE = re.compile(rb"\d{1,9}(?:\.\d{1,9})?")  # a plain number: no sign, exponent, infinity or NaN
 
 
 class LoadReportParser:
-    """Parses load reports by field name, in the order of the configured columns."""
+    """Parses load reports by field name, in the order of the configured columns.
+
+    Args:
+        columns: Canonical names of the expected columns.
+    """
 
     def __init__(self, columns: tuple[str, ...]) -> None:
-        """Expect these columns, by their canonical names."""
         self.columns = columns
         self.positions = {column.encode(): position for position, column in enumerate(columns)}
 
@@ -22,7 +26,7 @@
         """Parse `name=figure` pairs that are separated by commas.
 
         Returns:
-            One figure a column; empty if a column is missing, comes twice or is unreadable.
+            One figure for each column; empty if a column is missing, comes twice or is unreadable.
         """
         if len(text) > MAX_REPORT_BYTES:
             return ()
--- a/dykefold/net/service/maintenance.py
+++ b/dykefold/net/service/maintenance.py
@@ -1,14 +1,14 @@
-"""Which endpoints are out for maintenance, and what the balancer is notified of each. No I/O.
+"""Maintenance orders: endpoints that are out of service, and what the balancer is notified of them. No I/O.
 
 The rules that this file keeps:
-1. An endpoint that is out counts as draining, whatever discovery lists, until an order puts it back. It is a
-   set: two orders out need one order back.
-2. An endpoint that is put back is what discovery says of it now, and in slow start from that moment:
-   operators restart what they take out, and the endpoint list may not show that yet.
+1. An endpoint that is out of service counts as draining, whatever discovery lists, until an order puts it
+   back. Orders do not add up: two orders out need one order back.
+2. An endpoint that is put back has the state that discovery lists, and is in slow start from that moment:
+   operators restart endpoints that are out, and the endpoint list may not show that yet.
 3. Only a known endpoint can be taken out: one that is listed, or that is out already.
-4. Of two orders on one endpoint the later holds, whichever process took it (`merge`).
-5. What is remembered has a bound: `MAX_OUT_OF_SERVICE` endpoints, and orders back only while another process
-   may not know of them yet.
+4. The later of two orders on one endpoint holds, whichever process received it (`merge`).
+5. The number of remembered orders is limited: `MAX_OUT_OF_SERVICE` endpoints that are out, and
+   `MAX_REMEMBERED_RETURNS` orders back, which another process may not know of yet.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 
 from ...balancer.events import Endpoint, State
 
-MAX_OUT_OF_SERVICE = 1024  # endpoints out at once: far more than are restarted together
-MAX_REMEMBERED_RETURNS = 1024  # orders back that are remembered, the latest
+MAX_OUT_OF_SERVICE = 1024  # endpoints that are out at once
+MAX_REMEMBERED_RETURNS = 1024  # latest orders back
 
 
 class Entry(Protocol):
@@ -39,9 +39,9 @@
     """The latest order on one endpoint.
 
     Attributes:
-        ordered_ns: when it was given, on the clock of this process (`net.clock.Clock`): what another process
-            stored is moved to it before it is merged.
-        out: taken out, or else put back.
+        ordered_ns: Time of the order, nanoseconds on the clock of this process (`net.clock.Clock`). The time
+            of another process's order is converted to this clock before the order is merged.
+        out: Whether the endpoint was taken out of service; otherwise it was put back.
     """
 
     ordered_ns: int
@@ -49,39 +49,43 @@
 
 
 class Maintenance(Generic[E]):
-    """What discovery says of each endpoint, with operators' orders on top.
+    """The endpoints as discovery lists them, with operators' orders on top.
 
     Args:
-        copy: the same entry with another endpoint.
+        copy: Function that returns a copy of an entry with another endpoint.
+
+    Attributes:
+        listed: Entries as discovery lists them now, by endpoint name.
+        orders: Latest order on each endpoint by its name, the earliest order first.
     """
 
     def __init__(self, copy: Callable[[E, Endpoint], E]) -> None:
         self.copy = copy
-        self.listed: dict[str, E] = {}  # by name, as discovery has it now
-        self.orders: dict[str, MaintenanceOrder] = {}  # by name, the oldest first
+        self.listed: dict[str, E] = {}
+        self.orders: dict[str, MaintenanceOrder] = {}
 
     def out_of_service(self) -> list[str]:
-        """Return the names of the endpoints that are out."""
+        """Return the names of the endpoints that are out of service."""
         return [name for name, order in self.orders.items() if order.out]
 
     def is_out(self, name: str) -> bool:
-        """Whether an endpoint is out."""
+        """Return whether an endpoint is out of service."""
         order = self.orders.get(name)
         return order is not None and order.out
 
     def knows(self, name: str) -> bool:
-        """Whether an order may name this endpoint."""
+        """Return whether an order may name this endpoint."""
         return name in self.listed or self.is_out(name)
 
     def apply_update(self, entries: Iterable[E], complete: bool) -> list[E]:
-        """Take an update of the endpoint list.
+        """Apply an update of the endpoint list.
 
         Args:
-            entries: the endpoints that it names.
-            complete: whether it is the whole list, or else changes.
+            entries: Entries of the update.
+            complete: Whether the update is the whole list; otherwise it contains changes only.
 
         Returns:
-            The entries as the balancer is to be notified of them.
+            Entries of the update as the balancer must be notified of them.
         """
         if complete:
             self.listed = {}
@@ -95,7 +99,7 @@
         return notified
 
     def _with_order(self, entry: E) -> E:
-        """Return an entry as the balancer is to be notified of it."""
+        """Return an entry as the balancer must be notified of it."""
         order = self.orders.get(entry.name)
         if order is None or entry.endpoint.state is State.GONE:
             return entry
@@ -104,41 +108,41 @@
                 return entry
             return self.copy(entry, replace(entry.endpoint, state=State.DRAINING))
         if entry.endpoint.started_ns >= order.ordered_ns:
-            return entry  # it has started again since, and discovery knows
+            return entry  # discovery lists a restart after the order
         return self.copy(entry, replace(entry.endpoint, started_ns=order.ordered_ns))
 
     def is_full(self, name: str) -> bool:
-        """Whether this endpoint can't be taken out, since too many are."""
+        """Return whether this endpoint can't be taken out because too many are."""
         return not self.is_out(name) and len(self.out_of_service()) >= MAX_OUT_OF_SERVICE
 
     def apply_order(self, name: str, out: bool, ordered_ns: int) -> list[E]:
-        """Take an order on a known endpoint.
+        """Apply an order on a known endpoint.
 
         Args:
-            name: of the endpoint.
-            out: take it out, or else put it back.
-            ordered_ns: now, on the clock of this process.
+            name: Name of the endpoint.
+            out: Whether the order takes the endpoint out of service; otherwise it puts it back.
+            ordered_ns: Current time, nanoseconds on the clock of this process.
 
         Returns:
-            The entries that the balancer is to be notified of.
+            Entries that the balancer must be notified of.
         """
         if out is self.is_out(name):
-            return []  # so it is already
+            return []
         return self._set(name, MaintenanceOrder(self.order_time(name, ordered_ns), out))
 
     def order_time(self, name: str, now_ns: int) -> int:
-        """Return the time that an order given now has: later than that of the one before it.
+        """Return the time for an order that is given now, later than the previous order's time.
 
-        On one clock that is now. An order of another version of the program may have any time.
+        The previous order may have any time if another version of the program stored it.
         """
         before = self.orders.get(name)
         return now_ns if before is None else max(now_ns, before.ordered_ns + 1)
 
     def merge(self, orders: Mapping[str, MaintenanceOrder]) -> list[E]:
-        """Take the orders of another process, by endpoint name, their times on the clock of this one.
+        """Apply another process's orders, by endpoint name, with their times on the clock of this process.
 
         Returns:
-            The entries that the balancer is to be notified of.
+            Entries that the balancer must be notified of.
         """
         notified = []
         for name, theirs in orders.items():
--- a/dykefold/net/service/pending_requests.py
+++ b/dykefold/net/service/pending_requests.py
@@ -1,7 +1,7 @@
 """Pending requests: accepted, and answered exactly once.
 
-Each request gets its one final answer from an attempt, from the balancer (refused or failed), or from the
-last guard shortly before its deadline, whatever the balancer still plans.
+Each request gets its one final answer from an attempt, from the balancer (refused or failed), or from its
+last guard: shortly before the deadline the request is answered even if the balancer plans another attempt.
 """
 
 from __future__ import annotations
@@ -110,7 +110,7 @@
     # Final answers
 
     def answer_now(self, request: PendingRequest) -> None:
-        """Give the final answer now, unless an endpoint's answer only waits to be read."""
+        """Give the final answer now, unless an endpoint's response waits in its socket to be read."""
         if not request.awaiting_answer:
             return
         attempts = list(self.attempts.of(request))
@@ -141,7 +141,7 @@
         self._answer(request, 503, headers, b"refused\n")
 
     def fail(self, action: Fail) -> None:
-        """Answer a request that the balancer gives up."""
+        """Answer a request for which the balancer sends no more attempts."""
         request = self.by_id.get(action.id)
         if request is None:
             return
@@ -151,7 +151,7 @@
             self._answer(request, 502, b"", b"failed\n")
 
     def forward(self, request: PendingRequest, response: Response) -> None:
-        """Answer with what an endpoint has answered."""
+        """Answer a request with the response of an endpoint."""
         self._answer(request, response.code, header_lines(response.headers), response.body)
 
     def end_streamed(self, request: PendingRequest, status: Status) -> None:
@@ -184,7 +184,7 @@
         request.sink.respond(request.parsed, code, headers, body)
 
     def _settle(self, request: PendingRequest, served: bool = False) -> None:
-        """Take a request off the pending ones, before its final answer is written."""
+        """Remove a request from the pending ones, before its final answer is written."""
         request.awaiting_answer = False
         self.release_descriptors(request)
         self.by_id.pop(request.id, None)
@@ -204,7 +204,7 @@
         return True
 
     def release_descriptors(self, request: PendingRequest) -> None:
-        """Release what no attempt can need any more; an attempt in flight keeps its own."""
+        """Release the descriptors that no attempt can need any more; an attempt in flight needs one."""
         needed = request.attempts_in_flight or request.awaiting_answer
         while request.reservations > needed:
             request.reservations -= 1
--- a/dykefold/net/service/pool.py
+++ b/dykefold/net/service/pool.py
@@ -1,9 +1,9 @@
 """One balanced service: wires its parts, gives the balancer its events, and carries out its actions.
 
-A pool knows no listener and no client's socket. Who asks is a `ResponseSink`; what the process shares comes
-from a `PoolHost`. So a pool can be made and driven without a server, and a process can have several.
+A pool knows no listener and no client's socket. The client's connection is a `ResponseSink`, and a `PoolHost`
+has what the process shares. So a pool can be made without a server, and a process can have several pools.
 
-The way of a request: `PendingRequests.accept` -> `Balancer` -> `AttemptRunner.start` -> `ConnectionPool` ->
+The path of a request: `PendingRequests.accept` -> `Balancer` -> `AttemptRunner.start` -> `ConnectionPool` ->
 `AttemptRunner.end` -> `PendingRequests.forward`, and the balancer is notified of each end.
 """
 
@@ -159,7 +159,7 @@
             system=self.host.system,
         )
 
-    # Events to the balancer, its actions
+    # Events and actions of the balancer
 
     def post(self, event: Event) -> None:
         """Give the balancer an event after those that came before it, and carry out its actions."""
@@ -186,7 +186,7 @@
             self.handling = False
 
     def _actions(self) -> dict[type, Callable[[Any], None]]:
-        """Return what carries out each kind of action."""
+        """Return the handler of each kind of action."""
         return {
             Send: self.attempt_runner.start,
             SetTimer: self._set_timer,
@@ -203,14 +203,14 @@
         }
 
     def _set_timer(self, action: SetTimer) -> None:
-        # Whole milliseconds, rounded up: the loop counts in these, and a timer that fires early is useless.
+        # The loop counts in whole milliseconds; rounded up, since a timer that fires early is useless.
         after_s = -(-action.after_ns // MS) / 1000
         self.loop.call_later(after_s, self._on_timer, action.token, self.monotonic() + after_s)
 
     def _on_timer(self, token: int, due_s: float) -> None:
-        """Post a timer event; if the loop is late, one turn later, when the sockets have been read.
+        """Post a timer event; if the loop is late, post it one turn later, when the sockets have been read.
 
-        Answers that wait in the sockets of a late loop would otherwise make their endpoints look silent.
+        Responses that wait in the sockets of a late loop would otherwise make their endpoints look silent.
         """
         if self.closed:
             return
@@ -253,7 +253,7 @@
 
     @property
     def next_id(self) -> int:
-        """The id of the next request: one more than have been accepted."""
+        """Id of the next request: the number of accepted requests, plus one."""
         return self.requests.next_id
 
     # Settings
@@ -278,14 +278,14 @@
         self.upstreams.change_settings(self._connect_timeout_s(), transport.conn_idle_ns / SECOND)
 
     def renumber_zones(self, settings: Settings) -> Settings:
-        """Return settings that may list zones in another order, with the own zone by its number here."""
+        """Return settings whose own zone has the number that this pool knows it by."""
         if not settings.zones:
             return settings
         numbers = [self.names.zone(name) for name in settings.zones]
         return replace(settings, zone=numbers[settings.zone])
 
     def set_home_zone(self, zone: int) -> None:
-        """Have the balancer treat this zone as its own, until another is named or the settings change."""
+        """Set the zone that the balancer treats as its own, until another call or a change of settings."""
         self.post(SettingsChanged(replace(self.settings, zone=zone), self.retired))
 
     def class_numbers(self) -> dict[str, int]:
@@ -302,16 +302,16 @@
         known = (stats for stats in self.balancer.live_classes if stats.answers >= LEARNING_ANSWERS)
         return {stats.spec.name: stats.typical_latency_ns for stats in known}
 
-    # Endpoints: names that other packages call
+    # Endpoints, as other packages use them
 
     @property
     def maintenance(self) -> Maintenance[EndpointRecord]:
-        """Operators' maintenance orders on top of what discovery says."""
+        """Endpoints as discovery lists them, with operators' maintenance orders on top."""
         return self.endpoints.maintenance
 
     @property
     def starts(self) -> StartTimes:
-        """When endpoints started, as far as that is known."""
+        """Start times of the endpoints, as far as they are known."""
         return self.endpoints.start_times
 
     def on_update(self, update: EndpointUpdate | None) -> None:
@@ -323,7 +323,11 @@
         return self.endpoints.record()
 
     def adopt_list_record(self, record: Mapping[str, Any]) -> None:
-        """Apply another process's endpoint list if it is newer. Raises ListError if it can't be read."""
+        """Apply another process's endpoint list if it is newer.
+
+        Raises:
+            EndpointListError: The record can't be read.
+        """
         self.endpoints.adopt(record)
 
     def apply_order(self, name: str, out: bool) -> bool:
@@ -331,7 +335,7 @@
         return self.endpoints.maintain(name, out)
 
     def merge_maintenance(self, orders: Mapping[str, MaintenanceOrder]) -> None:
-        """Apply maintenance orders that another process of this sidecar was given."""
+        """Apply maintenance orders, by endpoint name, that another process of this sidecar has received."""
         self.endpoints.merge_maintenance(orders)
 
     def endpoint_numbers(self) -> dict[str, int]:
--- a/dykefold/net/service/protocols.py
+++ b/dykefold/net/service/protocols.py
@@ -29,7 +29,11 @@
 
 
 class ResponseSink(Protocol):
-    """Receives the one final answer of each of a client's requests."""
+    """Receives the one final answer of each of a client's requests.
+
+    Attributes:
+        client: Client whose requests are answered.
+    """
 
     client: Client
 
@@ -38,7 +42,7 @@
         ...
 
     def respond(self, request: ParsedRequest, code: int, headers: bytes, body: bytes) -> None:
-        """Give the complete final answer; a second one for the same request has no effect."""
+        """Give the complete final answer; a second answer to the same request has no effect."""
         ...
 
     def begin_response(
@@ -63,12 +67,24 @@
         ...
 
     def end_response(self, request: ParsedRequest, whole: bool) -> None:
-        """End a streamed answer; the client is shown that it broke off unless it is complete."""
+        """End a streamed answer; if it is incomplete, its end shows that to the client."""
         ...
 
 
 class PoolHost(Protocol):
-    """What all pools of one process share."""
+    """What all pools of one process share.
+
+    Attributes:
+        loop: Event loop of the process.
+        system: Clocks and sockets of the machine.
+        clock: Clock in nanoseconds.
+        budget: Descriptors of the process.
+        memory: Bytes of messages that the process may hold.
+        read_scheduler: Connections whose input waits to be parsed.
+        timer_wheel: Time limits of requests and attempts.
+        lag: Monitor of the event loop's delay.
+        peers: Datagram channel to other sidecars; None without one.
+    """
 
     loop: asyncio.AbstractEventLoop
     system: System
@@ -85,12 +101,16 @@
         ...
 
     def on_request_end(self, sink: ResponseSink, request: ParsedRequest, served: bool) -> None:
-        """Note that a request is no longer pending; its final answer, if any, follows this call."""
+        """Account for a request that is no longer pending; its final answer, if any, follows this call."""
         ...
 
 
 class DescriptorReservations(Protocol):
-    """The file descriptors that a pool may reserve for its connections."""
+    """The file descriptors that a pool may reserve for its connections.
+
+    Attributes:
+        upstreams: Allowance of connections to endpoints.
+    """
 
     upstreams: DescriptorAllowance
 
--- a/dykefold/net/shutdown.py
+++ b/dykefold/net/shutdown.py
@@ -18,14 +18,13 @@
 
 log = logging.getLogger("dykefold")
 
-# Times after the beginning of the graceful shutdown.
-ACCEPT_AFTER_TERM_S = 0.5  # end of accepting new connections
-# Requests are accepted until none has come for this time.
+# New connections are accepted for this time after the beginning.
+ACCEPT_AFTER_TERM_S = 0.5
+# Later requests, on the connections that are left, are accepted until none has come for this time.
 QUIET_AFTER_TERM_S = 0.3
-# The platform may kill the process at this time after the longest deadline, of which at most `MAX_DEADLINE_S`
-# counts (PROTOCOL, figures).
+# The platform may kill the process when the longest deadline and this time are over (PROTOCOL, figures).
 KILL_AFTER_DEADLINE_S = 0.7
-MAX_DEADLINE_S = 3.0
+MAX_DEADLINE_S = 3.0  # a longer deadline counts as this one
 # Every pending request is answered at this time before the platform may kill the process.
 ANSWER_BEFORE_KILL_S = 0.4
 # Requests are no longer accepted from this time before every pending request is answered.
@@ -39,7 +38,7 @@
 
 
 class ShutdownTimes(NamedTuple):
-    """When a graceful shutdown takes its steps, in seconds after its beginning.
+    """Times of the steps of a graceful shutdown, in seconds after its beginning.
 
     Attributes:
         stop_requests_s: Time from which no more requests are accepted.
@@ -55,13 +54,13 @@
 def shutdown_times(longest_s: float) -> ShutdownTimes:
     """Compute when a graceful shutdown takes its steps.
 
-    All are due before the platform may kill the process, since requests pending then would be lost.
+    All steps are due before the platform may kill the process, since requests that are pending then are lost.
 
     Args:
         longest_s: Longest deadline of a request class, in seconds.
 
     Returns:
-        The times, in seconds after the beginning.
+        Times in seconds after the beginning.
     """
     answer_s = min(longest_s, MAX_DEADLINE_S) + KILL_AFTER_DEADLINE_S - ANSWER_BEFORE_KILL_S
     stop_requests_s = max(answer_s - LAST_ANSWERS_S, ACCEPT_AFTER_TERM_S)
--- a/dykefold/net/sidecar.py
+++ b/dykefold/net/sidecar.py
@@ -1,6 +1,6 @@
-"""The sidecar's server: what a process has once, however many pools it serves. Listener, clients, budgets.
+"""The sidecar's server: listener, clients and budgets, which a process has once for all its pools.
 
-The platform's sidecar has one pool (`serve_one`). Several come by routes: see `routing/`.
+The platform's sidecar has one pool (`SidecarServer.serve_one`). `routing/` makes several, with a route table.
 """
 
 from __future__ import annotations
@@ -70,12 +70,14 @@
 
     Args:
         loop: Event loop that runs everything.
-        limits: Limits of the process to begin with; it may be the only one of its sidecar.
+        limits: Limits to begin with; the process may use all of them until `share_capacity` is called.
         system: Clocks and sockets of the machine.
 
     Attributes:
         parser: Reader that makes requests of messages; set by `serve_one`, or by the routing of pools.
         pools: Pools that serve or retire.
+        pool: Pool of the platform's sidecar; set by `serve_one`.
+        generation: Settings of that pool with numbered request classes; set by `serve_one`.
         half_close: Whether a client that has closed its sending side may still wait for responses.
         sockets: Number of descriptors that all processes of the sidecar may hold together.
         memory_limit: Bytes of messages that all processes of the sidecar may hold together.
@@ -85,7 +87,7 @@
         read_scheduler: Connections whose input waits to be parsed.
         timer_wheel: Time limits of requests and attempts.
         peers: Datagram channel to other sidecars; None without one.
-        ids: Ids of requests that are pending or have finished recently, by their clients' naming.
+        ids: Ids of requests that are pending or have finished recently, as their clients named them.
         finished_ids: Ids of recently finished requests, each with its end in seconds of the monotonic clock.
         draining: Whether the graceful shutdown has begun.
         handing_over: Whether clients have a newer process to go to.
@@ -144,7 +146,7 @@
         self.parser = RequestParser(config.settings, self.pool)
 
     def change_settings(self, settings: Settings, transport: Transport) -> None:
-        """Change the settings of the one pool, from the next request that is read on.
+        """Change the settings of the one pool; they apply to requests that are read from now on.
 
         Args:
             settings: New settings of the balancer.
@@ -259,13 +261,13 @@
         return self.listener
 
     def change_limits(self, sockets: int, addresses: AddressLimits) -> None:
-        """Apply other limits while running: what is open beyond them is closed, except what a request needs.
+        """Apply other limits: connections beyond them are closed, except those that a request needs.
 
         Args:
             sockets: Number of descriptors that all processes of the sidecar may hold together.
             addresses: Limits on the clients of each address.
         """
-        if self.max_descriptors >= self.sockets:  # the only process uses all descriptors
+        if self.max_descriptors >= self.sockets:  # a process that may hold all descriptors still may
             self.max_descriptors = sockets
         self.sockets = sockets
         min_clients = self.clients.admission.count if self.process_count > 1 else 0
--- a/dykefold/net/streaming.py
+++ b/dykefold/net/streaming.py
@@ -1,8 +1,8 @@
-"""Request bodies too large to be buffered: they are forwarded piece by piece as they come, and never twice.
+"""Request bodies that are too large to be buffered: they are forwarded piece by piece, and only once.
 
-A buffered body can be sent with a retry; one that streams through can't, so a request whose body has begun
-to flow gets no second attempt, whatever its class allows. Both directions follow the slower side (flow
-control): who can't write on stops the one who reads, and the bytes between the two are bounded.
+A buffered body can be sent again with a retry; a streamed one can't. So a request whose body has begun to
+flow gets no second attempt, whatever its class allows. Flow control bounds the bytes in between: reading from
+one side pauses while the other side can't be written to.
 """
 
 from __future__ import annotations
@@ -10,16 +10,19 @@
 from collections.abc import Callable
 from typing import Protocol
 
-BUFFER_BYTES = 64 * 1024  # of an upload that wait for its server; a buffered body may be as long
-SOCKET_READ_NS = 50_000_000  # in which the kernel's part of a body is read, once reading resumes
-MAX_FRAMING_FACTOR = 8  # times the body's own bytes that chunks may take, as for buffered bodies
+# Reading of an upload pauses while more bytes than this wait for its endpoint.
+BUFFER_BYTES = 64 * 1024
+# Within this time after reading resumes, what the kernel has buffered of the body is read.
+SOCKET_READ_NS = 50_000_000
+# A chunked body may take this many bytes on the wire for each byte of its own, as a buffered body may.
+MAX_FRAMING_FACTOR = 8
 
 
 class Sink(Protocol):
-    """Where an upload's bytes go: a connection to a server.
+    """The connection to an endpoint that an upload is written to.
 
     Attributes:
-        unwritten: bytes wait for its socket.
+        unwritten: Whether bytes wait for the socket.
     """
 
     unwritten: bool
@@ -29,26 +32,31 @@
         ...
 
     def may_end(self) -> bool:
-        """Return whether the last byte may still be sent; if not, this call has ended the attempt."""
+        """Return whether the last byte may still be sent; if not, the attempt has been ended."""
         ...
 
 
 class Upload:
-    """The body of one request between its client's connection and the one to its server.
+    """The body of one request between the client's connection and the endpoint's.
 
     Args:
-        prefix: what has come of the body already.
-        on_drain: called when less than `BUFFER_BYTES` waits again.
+        length: Bytes of the body as announced; None for a chunked body.
+        prefix: Bytes of the body that have been read already.
+        on_drain: Callback for the moment when less than `BUFFER_BYTES` waits again.
 
     Attributes:
-        length: bytes that were announced; None where the body comes in chunks.
-        begun: bytes of it have gone to a server, so it can't be sent again.
-        sent: its last byte has gone to the server's connection.
-        passed: bytes that went to a server's connection so far.
-        whole_ns: when its last byte had come, in nanoseconds of `Clock`; 0 before.
-        stopped_ns, resumed_ns: when reading it was last stopped and resumed; 0 if it never was.
-        on_whole: called once, when its last byte has come.
-        problem: code and text with which the request is to be answered, if the body can't be read on.
+        buffered: Pieces of the body that wait for the endpoint.
+        size: Bytes of the body that wait for the endpoint.
+        begun: Whether the body has begun to flow to an endpoint, so that it can't be sent again.
+        sent: Whether the last byte has been written to the endpoint's connection.
+        passed: Bytes of the body that have been written to the endpoint's connection.
+        whole_ns: Time at which the last byte came from the client, nanoseconds of `Clock`; 0 before.
+        stopped_ns: Time at which reading was last paused, nanoseconds of `Clock`; 0 if it never was.
+        resumed_ns: Time at which reading was last resumed, nanoseconds of `Clock`; 0 if it never was.
+        on_whole: Callback for the moment when the last byte has come from the client.
+        problem: Code and text of the response if the rest of the body can't be read.
+        sink: Connection that the body flows to; None while there is none.
+        stop: Callback that cancels the attempt that the body flows to.
     """
 
     __slots__ = (
@@ -79,15 +87,15 @@
         self.whole_ns = self.stopped_ns = self.resumed_ns = 0
         self.problem: tuple[int, bytes] | None = None
         self.sink: Sink | None = None
-        self.stop: Callable[[], None] | None = None  # cancels the attempt that it flows to
+        self.stop: Callable[[], None] | None = None
 
     @property
     def full(self) -> bool:
-        """Whether the client must wait."""
+        """Whether reading from the client must pause."""
         return self.size >= BUFFER_BYTES
 
     def feed(self, data: bytes) -> None:
-        """Take the next bytes of the body."""
+        """Accept the next bytes of the body, and forward what the endpoint can take."""
         self.buffered.append(data)
         self.size += len(data)
         self.flow()
@@ -98,41 +106,41 @@
         return self.whole_ns > 0
 
     def finish(self, now_ns: int) -> None:
-        """Record that the body is complete, and send its last byte when it may go.
+        """Record that the body is complete, and forward its last byte if possible.
 
-        The client's deadline counts from its last byte. What was read right after a stop had come before the
-        stop began, since less than `BUFFER_BYTES` of it fit any socket; so the time of the stop counts then.
+        The client's deadline counts from its last byte. Bytes that are read soon after a pause came before
+        the pause, since they fitted the kernel's buffer; then the beginning of the pause counts.
 
         Args:
-            now_ns: the time in nanoseconds of `Clock`.
+            now_ns: Current time, nanoseconds of `Clock`.
         """
-        stopped = self.resumed_ns < self.stopped_ns
-        came_before = self.stopped_ns and (stopped or now_ns - self.resumed_ns < SOCKET_READ_NS)
-        self.whole_ns = self.stopped_ns if came_before else now_ns
-        if self.on_whole is not None:  # before the last byte goes, as its deadline is checked then
+        paused = self.resumed_ns < self.stopped_ns
+        came_before_pause = self.stopped_ns and (paused or now_ns - self.resumed_ns < SOCKET_READ_NS)
+        self.whole_ns = self.stopped_ns if came_before_pause else now_ns
+        if self.on_whole is not None:  # sets the deadline, which is checked before the last byte is written
             self.on_whole()
         self.flow()
 
     def spoil(self, code: int, text: str) -> None:
-        """Record that the body can't be read on: end its attempt.
+        """Record that the rest of the body can't be read, and cancel the attempt.
 
         Args:
-            code: of the response to its request.
-            text: of that response.
+            code: HTTP status code of the response to the request.
+            text: Text of the response, without a line end.
         """
         self.problem = (code, f"{text}\n".encode())
         if self.stop is not None:
             self.stop()
 
     def attach(self, sink: Sink, stop: Callable[[], None]) -> bool:
-        """Flow to a connection on which the request's head has been written.
+        """Let the body flow to a connection on which the request's head has been written.
 
         Args:
-            sink: the connection.
-            stop: cancels the attempt.
+            sink: Connection to the endpoint.
+            stop: Callback that cancels the attempt.
 
         Returns:
-            False if the body can't be read on; the attempt has been cancelled then.
+            Whether the body flows; if not, it can't be read, and the attempt has been cancelled.
         """
         self.sink, self.stop = sink, stop
         if self.problem is not None:
@@ -143,14 +151,15 @@
         return True
 
     def detach(self) -> None:
-        """Flow no more to the attempt, which is over."""
+        """Stop the flow to an attempt that has ended."""
         self.sink = self.stop = None
 
     def flow(self) -> None:
-        """Forward what waits, as far as the server reads it; the last byte only after all others.
+        """Forward what waits, as far as the endpoint reads it; the last byte only after all others.
 
-        A server begins with a request when its last byte has come. So that byte is kept back until the body
-        is complete and the kernel has accepted the rest, and `Sink.may_end` has confirmed the deadline.
+        An endpoint begins with a request when its last byte has arrived (PROTOCOL, sidecars to servers). So
+        that byte is not written until the body is complete, the kernel has accepted the rest, and
+        `Sink.may_end` has confirmed the deadline.
         """
         sink = self.sink
         if sink is None or sink.unwritten or self.sent:
@@ -166,7 +175,7 @@
             self.on_drain()
 
     def _forward(self, sink: Sink) -> None:
-        """Write what has come, without the last byte of a body whose length is known."""
+        """Write what waits, without the last byte of a body whose length is known."""
         data, last = b"".join(self.buffered), b""
         if self.length is not None and self.passed + len(data) >= self.length:
             data, last = data[:-1], data[-1:]
