--- a/dykefold/net/service/attempt.py
+++ b/dykefold/net/service/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a pending request: the deadline announced to the endpoint, its streams and its time limit.
+"""One attempt of a pending request: its announced deadline, its streams and its time limit.
 
 An attempt is written once and ends once.
 """
@@ -17,11 +17,11 @@
 from .protocols import AttemptHost
 
 # A streamed body or answer must progress within this time, where the endpoint is the one to act.
-STALL_S = 3.0
+STREAM_STALL_S = 3.0
 # The announced time may exceed the client's remaining time by at most this when the last byte is written.
 MAX_OVERSTATED_NS = 50 * MS
 # An attempt with less time left is not written: this is the shortest time that can be announced.
-MIN_WRITE_NS = MS
+MIN_ANNOUNCED_NS = MS
 # For a streamed body, one part in this many of the client's time is not announced.
 STREAM_MARGIN_DIVISOR = 4
 
@@ -85,18 +85,18 @@
 
     def stall_ns(self) -> int:
         """Return the nanoseconds within which a body that still arrives must progress."""
-        return int(STALL_S * SECOND)
+        return int(STREAM_STALL_S * SECOND)
 
     def expire(self) -> None:
         """Give the attempt up, unless its body or answer is being streamed and has progressed.
 
-        A long stream may outlast any deadline. Only one that stalls is given up, since its client
-        would wait for the rest for ever.
+        A long stream may outlast any deadline. Only a stream that stalls is given up, since its client
+        would wait for ever.
         """
         if not self._streaming() or not self._has_progressed():
             super().expire()
         elif self.timer_wheel is not None:
-            self.timer_wheel.start(self, STALL_S, self.host.monotonic())
+            self.timer_wheel.start(self, STREAM_STALL_S, self.host.monotonic())
 
     def _streaming(self) -> bool:
         return self.answer_began_ns > 0 or (self.upload is not None and not self.upload.ended)
@@ -104,7 +104,7 @@
     def _has_progressed(self) -> bool:
         """Return whether bytes were streamed since the last check, or the client is the one to act."""
         if self.connection is None:
-            return False  # nothing is written yet, and the time allowed for connecting is over
+            return False  # nothing is written yet, and the time for connecting is over
         before, self.last_progress = self.last_progress, self.connection.moved()
         if self.answer_began_ns:
             return self.connection.blocked or self.last_progress != before
@@ -112,15 +112,15 @@
 
     def wanted(self) -> bool:
         """Return whether the attempt may still be written."""
-        now = self.host.now()
-        if self.write_by_ns and now >= self.write_by_ns:
+        now_ns = self.host.now()
+        if self.write_by_ns and now_ns >= self.write_by_ns:
             # The endpoint no longer remembers the idempotency key, so this would be a second effect.
             return False
-        if self.expires_ns and now > self.expires_ns - MIN_WRITE_NS:
+        if self.expires_ns and now_ns > self.expires_ns - MIN_ANNOUNCED_NS:
             return False  # an answer would come too late, and the request may have an effect
-        return not self._announced_too_much(now) and not self.request.sink.client_has_closed()
+        return not self._announced_too_much(now_ns) and not self.request.sink.client_has_closed()
 
-    def _announced_too_much(self, now: int) -> bool:
+    def _announced_too_much(self, now_ns: int) -> bool:
         """Return whether the head, which is written, announced more time than the client has left now.
 
         The platform's endpoints begin with a request when its last byte has arrived (PROTOCOL, sidecars to
@@ -128,14 +128,14 @@
         """
         if self.connection is None or self.profile is not HttpProfile.PLATFORM:
             return False
-        return now + self.announced_ns > self.request.parsed.deadline_ns + MAX_OVERSTATED_NS
+        return now_ns + self.announced_ns > self.request.parsed.deadline_ns + MAX_OVERSTATED_NS
 
     def compose(self) -> bytes:
         """Return the message to write; if connecting took long, it announces the time that is left now."""
-        now = self.host.now()
-        if now - self.sent_ns >= MS:
+        now_ns = self.host.now()
+        if now_ns - self.sent_ns >= MS:
             self.announce(
-                self.expires_ns - now if self.expires_ns else stream_time_ns(self.request.parsed, now)
+                self.expires_ns - now_ns if self.expires_ns else stream_time_ns(self.request.parsed, now_ns)
             )
         return self.payload
 
@@ -223,11 +223,11 @@
                 yield attempt
 
 
-def stream_time_ns(request: ParsedRequest, now: int) -> int:
+def stream_time_ns(request: ParsedRequest, now_ns: int) -> int:
     """Return the nanoseconds to announce for a streamed body, at most what is left since its head was read.
 
     The client's time starts with its last byte, which may have arrived already and wait to be read. Part of
     the time is not announced, since a slow socket may delay the last byte.
     """
     announced_ns = request.wait_ns - request.wait_ns // STREAM_MARGIN_DIVISOR
-    return max(min(announced_ns, request.deadline_ns - now), MS)
+    return max(min(announced_ns, request.deadline_ns - now_ns), MS)
--- a/dykefold/net/service/attempts.py
+++ b/dykefold/net/service/attempts.py
@@ -18,7 +18,7 @@
 from .pending_requests import ATTEMPT_MARGIN_NS, PendingRequests
 from .protocols import AttemptRunnerHost
 
-# Where the endpoint may act on a part of a body, an end that else proves that a request never ran means this.
+# An endpoint that acts on a part of a body may have run the request in spite of these statuses.
 MAY_HAVE_ACTED = {Status.CONNECT_FAILED: Status.RESET, Status.NOT_ATTEMPTED: Status.CANCELLED}
 
 
@@ -52,38 +52,38 @@
         request = self.pending.get(action.id)
         if request is None:
             return  # no longer pending: the balancer was notified, or will be by an event in the queue
-        now = self.now()
-        attempt = Attempt(request, self.host, action.endpoint_number, now, self.end)
+        now_ns = self.now()
+        attempt = Attempt(request, self.host, action.endpoint_number, now_ns, self.end)
         request.attempt_count += 1
         self.in_flight[request.id, attempt.number] = attempt
         request.attempts_in_flight += 1
         parsed = request.parsed
         upload = parsed.upload
         body_arriving = upload is not None and not upload.ended  # the deadline starts when it is complete
-        last = attempt.stall_ns() if body_arriving else parsed.deadline_ns - ATTEMPT_MARGIN_NS - now
-        # The balancer's time-out does not allow for a body that is still arriving.
-        bounded = action.timeout_ns > 0 and upload is None
-        wait = min(action.timeout_ns, last) if bounded else last
+        left_ns = attempt.stall_ns() if body_arriving else parsed.deadline_ns - ATTEMPT_MARGIN_NS - now_ns
+        # The balancer's timeout does not allow for a body that is still arriving.
+        has_timeout = action.timeout_ns > 0 and upload is None
+        timeout_ns = min(action.timeout_ns, left_ns) if has_timeout else left_ns
         if request.may_have_run or request.attempts_in_flight > 1:
             attempt.write_by_ns = self._idempotency_window_end(request, attempt)
         if (
             request.attempt_count > request.max_attempts
-            or wait <= 0
+            or timeout_ns <= 0
             or not attempt.wanted()
             or not self.requests.reserve_descriptor(request)
         ):
             attempt.end(Status.NOT_ATTEMPTED)
             return
-        attempt.expires_ns = 0 if body_arriving else now + wait
-        # The time of a streamed body counts from its last byte, which the endpoint gets later than this.
-        attempt.announce(stream_time_ns(parsed, now) if body_arriving else wait)
-        self.upstreams.start(action.endpoint_number, attempt, wait / SECOND)
+        attempt.expires_ns = 0 if body_arriving else now_ns + timeout_ns
+        # The deadline of a streamed body counts from its last byte, which the endpoint gets later.
+        attempt.announce(stream_time_ns(parsed, now_ns) if body_arriving else timeout_ns)
+        self.upstreams.start(action.endpoint_number, attempt, timeout_ns / SECOND)
 
     def _idempotency_window_end(self, request: PendingRequest, attempt: Attempt) -> int:
-        """Return when the request's idempotency key may be forgotten; 0 if it has none.
+        """Return the time from which endpoints may have forgotten the idempotency key; 0 without a key.
 
-        The window counts from the first attempt that may have run. A retry that is decided on in time could
-        otherwise be written after it, when its connection comes up late.
+        The window counts from the first attempt that may have run. A retry that is decided on within the
+        window could be written after it, if connecting takes long.
         """
         settings = self.host.settings
         request_class = settings.classes[request.parsed.class_number]
@@ -96,7 +96,7 @@
         return first_ns + request_class.window_ns - settings.tick_ns
 
     def cancel(self, action: Cancel) -> None:
-        """Cancel an attempt, unless it streams the final answer's or the request's only body."""
+        """Cancel an attempt, unless it streams the body of the request or of the final answer."""
         attempt = self.in_flight.get((action.id, action.attempt))
         if attempt is None:
             return
@@ -129,7 +129,7 @@
         report = self._take_response(request, status, response) if response is not None else ()
         if request.awaiting_answer and (request.streaming_answer or (upload is not None and upload.begun)):
             self.requests.end_streamed(request, status)
-        # While a body was streamed its client set the pace, so the endpoint's time counts from its end.
+        # The client sets the pace of a streamed body, so the endpoint's time counts from the body's end.
         took_ns = self.now() - max(attempt.sent_ns, upload.whole_ns if upload is not None else 0)
         if host.on_attempt_end is not None:
             objective_ns = host.settings.classes[request.parsed.class_number].objective_ns
--- a/dykefold/net/service/endpoint_registry.py
+++ b/dykefold/net/service/endpoint_registry.py
@@ -170,17 +170,17 @@
 
     # Maintenance orders
 
-    def maintain(self, name: str, out: bool) -> bool:
+    def maintain(self, name: str, take_out: bool) -> bool:
         """Take a known endpoint out of service, or put it back.
 
         Returns:
-            Whether that changed anything.
+            Whether the order changed anything.
         """
-        before = self.maintenance.is_out(name)
-        entries = self.maintenance.apply_order(name, out, self.clock.now())
+        was_out = self.maintenance.is_out(name)
+        entries = self.maintenance.apply_order(name, take_out, self.clock.now())
         if entries:
             self._apply(EndpointUpdate(self.host.version, False, entries), ListKind.LOCAL)
-        return before is not out
+        return was_out is not take_out
 
     def merge_maintenance(self, orders: Mapping[str, MaintenanceOrder]) -> None:
         """Apply maintenance orders, by endpoint name, that another process of this sidecar has received."""
--- a/dykefold/net/service/maintenance.py
+++ b/dykefold/net/service/maintenance.py
@@ -115,28 +115,28 @@
         """Return whether this endpoint can't be taken out because too many are."""
         return not self.is_out(name) and len(self.out_of_service()) >= MAX_OUT_OF_SERVICE
 
-    def apply_order(self, name: str, out: bool, ordered_ns: int) -> list[E]:
+    def apply_order(self, name: str, take_out: bool, ordered_ns: int) -> list[E]:
         """Apply an order on a known endpoint.
 
         Args:
             name: Name of the endpoint.
-            out: Whether the order takes the endpoint out of service; otherwise it puts it back.
+            take_out: Whether the order takes the endpoint out of service; otherwise it puts it back.
             ordered_ns: Current time, nanoseconds on the clock of this process.
 
         Returns:
             Entries that the balancer must be notified of.
         """
-        if out is self.is_out(name):
+        if take_out is self.is_out(name):
             return []
-        return self._set(name, MaintenanceOrder(self.order_time(name, ordered_ns), out))
+        return self._set(name, MaintenanceOrder(self.order_time(name, ordered_ns), take_out))
 
     def order_time(self, name: str, now_ns: int) -> int:
         """Return the time for an order that is given now, later than the previous order's time.
 
         The previous order may have any time if another version of the program stored it.
         """
-        before = self.orders.get(name)
-        return now_ns if before is None else max(now_ns, before.ordered_ns + 1)
+        previous = self.orders.get(name)
+        return now_ns if previous is None else max(now_ns, previous.ordered_ns + 1)
 
     def merge(self, orders: Mapping[str, MaintenanceOrder]) -> list[E]:
         """Apply another process's orders, by endpoint name, with their times on the clock of this process.
@@ -145,23 +145,23 @@
             Entries that the balancer must be notified of.
         """
         notified = []
-        for name, theirs in orders.items():
+        for name, order in orders.items():
             own = self.orders.get(name)
-            if own is None or theirs.ordered_ns > own.ordered_ns:
-                if theirs.out and self.is_full(name):
+            if own is None or order.ordered_ns > own.ordered_ns:
+                if order.out and self.is_full(name):
                     continue
-                notified += self._set(name, theirs)
+                notified += self._set(name, order)
         return notified
 
     def _set(self, name: str, order: MaintenanceOrder) -> list[E]:
         self.orders.pop(name, None)
         self.orders[name] = order
         if not order.out:
-            self._forget_old_returns()
+            self._forget_earliest_returns()
         entry = self.listed.get(name)
         return [] if entry is None else [self._with_order(entry)]
 
-    def _forget_old_returns(self) -> None:
-        back = [name for name, order in self.orders.items() if not order.out]
-        for name in back[: max(len(back) - MAX_REMEMBERED_RETURNS, 0)]:
+    def _forget_earliest_returns(self) -> None:
+        returns = [name for name, order in self.orders.items() if not order.out]
+        for name in returns[: max(len(returns) - MAX_REMEMBERED_RETURNS, 0)]:
             del self.orders[name]
--- a/dykefold/net/service/pool.py
+++ b/dykefold/net/service/pool.py
@@ -65,7 +65,7 @@
     """The endpoints, connections and pending requests of one service, and the balancer that decides on them.
 
     Args:
-        host: What all pools of the process share.
+        process: What all pools of the process share.
         config: Settings, endpoints and random seed to begin with.
         budget: Descriptors that the pool may reserve; None for all of the process's.
         close_in_other_pools: Closes a connection that another pool does not need, and returns whether there
@@ -88,19 +88,19 @@
 
     def __init__(
         self,
-        host: PoolHost,
+        process: PoolHost,
         config: PoolConfig,
         budget: DescriptorReservations | None = None,
         close_in_other_pools: Callable[[], bool] | None = None,
     ) -> None:
         # At most 30 attributes: instances with more do not share their keys, and look-ups cost more.
-        self.host = host
+        self.process = process
         self.label = config.label
-        self.loop = host.loop
-        self.monotonic = host.system.monotonic
-        self.now = host.clock.now
-        self.timer_wheel = host.timer_wheel
-        self.budget: DescriptorReservations = budget if budget is not None else host.budget
+        self.loop = process.loop
+        self.monotonic = process.system.monotonic
+        self.now = process.clock.now
+        self.timer_wheel = process.timer_wheel
+        self.budget: DescriptorReservations = budget if budget is not None else process.budget
         self.closed = False
         self.retiring = False
         self.on_retired: Callable[[Pool], None] | None = None  # None unless the pool retires
@@ -116,10 +116,10 @@
         self.upstreams = self._connection_pool(config.transport, close_in_other_pools)
         self.discovery = self._discovery_client(config.discovery) if config.discovery is not None else None
         attempts = AttemptsInFlight()
-        self.requests = PendingRequests(self, host, self.budget, attempts, self.upstreams.abandon)
+        self.requests = PendingRequests(self, process, self.budget, attempts, self.upstreams.abandon)
         self.attempt_runner = AttemptRunner(self, self.requests, attempts, self.upstreams)
         self.accept = self.requests.accept  # bound here, so that a request costs no forwarding call
-        self.endpoints = EndpointRegistry(self, host, config.names, self.balancer.servers)
+        self.endpoints = EndpointRegistry(self, process, config.names, self.balancer.servers)
         self.carry_out = self._actions()
         self.endpoints.apply_list(config.known, ListKind.CACHED)
         if not config.settings.poll_required:
@@ -135,17 +135,17 @@
     def _connection_pool(
         self, transport: Transport, close_in_other_pools: Callable[[], bool] | None
     ) -> ConnectionPool:
-        host = self.host
+        process = self.process
         return ConnectionPool(
-            host.loop,
-            host.budget.upstreams,
-            host.memory,
+            process.loop,
+            process.budget.upstreams,
+            process.memory,
             self._connect_timeout_s(),
             transport.conn_idle_ns / SECOND,
-            host.read_scheduler,
-            host.timer_wheel,
+            process.read_scheduler,
+            process.timer_wheel,
             close_in_other_pools,
-            host.system,
+            process.system,
         )
 
     def _discovery_client(self, address: Address) -> DiscoveryClient:
@@ -156,7 +156,7 @@
             self.version,
             self.on_update,
             pushed=not self.settings.poll_required,
-            system=self.host.system,
+            system=self.process.system,
         )
 
     # Events and actions of the balancer
@@ -175,13 +175,13 @@
                     actions = self.balancer.handle(self.now(), event)
                 except Exception:
                     # Any fault on one event: the other requests go on, and this one's deadline answers it.
-                    self.host.log_exception("balancer failed on an event")
+                    self.process.log_exception("balancer failed on an event")
                     actions = self.balancer.actions
                 for action in actions:
                     try:
                         carry_out[type(action)](action)
                     except Exception:  # any fault on one action: the others are still carried out
-                        self.host.log_exception("action of the balancer failed")
+                        self.process.log_exception("action of the balancer failed")
         finally:
             self.handling = False
 
@@ -224,8 +224,8 @@
             self.discovery.watch(on)
 
     def _send_to_peer(self, action: SendToPeer) -> None:
-        if self.host.peers is not None:
-            self.host.peers.send(action.data, action.peer)
+        if self.process.peers is not None:
+            self.process.peers.send(action.data, action.peer)
 
     def on_peer(self, sender: int, data: bytes) -> None:
         """Give the balancer a message of another sidecar."""
@@ -330,9 +330,9 @@
         """
         self.endpoints.adopt(record)
 
-    def apply_order(self, name: str, out: bool) -> bool:
-        """Take a known endpoint out of service, or put it back; return whether that changed anything."""
-        return self.endpoints.maintain(name, out)
+    def apply_order(self, name: str, take_out: bool) -> bool:
+        """Take a known endpoint out of service, or put it back; return whether the order changed anything."""
+        return self.endpoints.maintain(name, take_out)
 
     def merge_maintenance(self, orders: Mapping[str, MaintenanceOrder]) -> None:
         """Apply maintenance orders, by endpoint name, that another process of this sidecar has received."""
--- a/dykefold/net/sidecar.py
+++ b/dykefold/net/sidecar.py
@@ -173,8 +173,8 @@
         self.generation = generation
         pool.change_settings(generation.settings, transport, frozenset(generation.retired))
         assert isinstance(self.parser, RequestParser)
-        before = self.parser.lingers(now_ns, now_ns + LINGER_NS)
-        self.parser = RequestParser(generation.settings, pool, generation.retired, before)
+        previous = self.parser.lingers(now_ns, now_ns + LINGER_NS)
+        self.parser = RequestParser(generation.settings, pool, generation.retired, previous)
 
     def forget(self, pool: Pool) -> None:
         """Forget a pool that has retired."""
@@ -203,8 +203,8 @@
         """
         finished = self.finished_ids
         if finished:
-            before = self.monotonic() - RECENT_ID_S
-            while finished and (finished[0][0] < before or len(finished) > MAX_RECENT_IDS):
+            oldest_s = self.monotonic() - RECENT_ID_S
+            while finished and (finished[0][0] < oldest_s or len(finished) > MAX_RECENT_IDS):
                 self.ids.discard(finished.popleft()[1])
         if self.all_answered:
             # Clients may send requests ahead on a connection that is never idle. A request that is accepted
@@ -305,13 +305,13 @@
             due_s: Time at which this sweep was due, seconds of the monotonic clock; infinity for a sweep
                 that is not skipped.
         """
-        now = self.monotonic()
-        late = now - due_s >= SWEEP_INTERVAL_S
+        now_s = self.monotonic()
+        late = now_s - due_s >= SWEEP_INTERVAL_S
         if not late:
             for pool in self.pools:
                 pool.upstreams.sweep()
             self.clients.sweep()
-        self.loop.call_later(SWEEP_INTERVAL_S, self._sweep, math.inf if late else now + SWEEP_INTERVAL_S)
+        self.loop.call_later(SWEEP_INTERVAL_S, self._sweep, math.inf if late else now_s + SWEEP_INTERVAL_S)
 
     def drain(self) -> None:
         """Begin the graceful shutdown; a second call has no effect."""
