--- a/dykefold/net/service/attempt.py
+++ b/dykefold/net/service/attempt.py
@@ -40,9 +40,9 @@
     Attributes:
         number: Number of the attempt within its request, from 0.
         announced_ns: Nanoseconds left, as announced to the endpoint.
-        answer_began_ns: Time at which a streamed answer began, nanoseconds on the clock.
+        answer_began_ns: Time at which a streamed answer began, nanoseconds on the clock; 0 before.
         expires_ns: Time at which the attempt is given up, nanoseconds on the clock; 0 while its body arrives.
-        write_by_ns: Latest time at which the attempt may be written, nanoseconds on the clock.
+        write_by_ns: Time from which the attempt must not be written, nanoseconds on the clock; 0 without one.
         last_progress: Bytes streamed when progress was last checked; None before the first check.
     """
 
--- a/dykefold/net/streaming.py
+++ b/dykefold/net/streaming.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-# Reading of an upload pauses while more bytes than this wait for its endpoint.
+# Reading of an upload pauses while this many bytes or more wait for its endpoint.
 BUFFER_BYTES = 64 * 1024
 # Within this time after reading resumes, what the kernel has buffered of the body is read.
 SOCKET_READ_NS = 50_000_000
