--- a/dykefold/net/service/pool.py
+++ b/dykefold/net/service/pool.py
@@ -1,9 +1,9 @@
 """One balanced service: wires its parts, gives the balancer its events, and carries out its actions.
 
-A pool knows no listener and no client's socket. Who asks is a `ResponseSink`; what the process shares comes
-from a `PoolHost`. So a pool can be made and driven without a server, and a process can have several.
+A pool knows no listener and no client's socket. The client's connection is a `ResponseSink`, and a `PoolHost`
+has what the process shares. So a pool can be made without a server, and a process can have several pools.
 
-The way of a request: `PendingRequests.accept` -> `Balancer` -> `AttemptRunner.start` -> `ConnectionPool` ->
+The path of a request: `PendingRequests.accept` -> `Balancer` -> `AttemptRunner.start` -> `ConnectionPool` ->
 `AttemptRunner.end` -> `PendingRequests.forward`, and the balancer is notified of each end.
 """
 
@@ -37,23 +37,27 @@
 from ...settings import Transport
 from ..clock import MS, SECOND
 from ..discovery.client import DiscoveryClient
-from ..discovery.codec import EndpointRecord, EndpointUpdate, NameTable
+from ..discovery.codec import EndpointRecord, EndpointUpdate
 from ..downstream.request_parser import ParsedRequest
 from ..peers import Address
 from ..start_times import StartTimes
 from ..upstream.connection_pool import ConnectionPool
 from ..upstream.connector import LATE_S
-from .attempts import Attempt, AttemptRunner
+from .attempt import Attempt, AttemptsInFlight
+from .attempts import AttemptRunner
 from .endpoint_registry import EndpointRegistry
 from .http_encoding import encode_request
 from .load_reports import LoadReportParser
 from .maintenance import Maintenance, MaintenanceOrder
-from .pending_requests import PendingRequest, PendingRequests
+from .pending_request import PendingRequest
+from .pending_requests import PendingRequests
+from .pool_config import PoolConfig
 from .protocols import DescriptorReservations, PoolHost
 
 log = logging.getLogger("dykefold")
 
-NEXT_TURN_S = 0.001  # the shortest timer that uvloop runs after reading sockets; 0 would run before
+# The shortest timer that uvloop runs after reading sockets; one of 0 s would run before.
+NEXT_TURN_S = 0.001
 DEFAULT_CONNECT_TIMEOUT_S = 1.0
 
 
@@ -61,69 +65,64 @@
     """The endpoints, connections and pending requests of one service, and the balancer that decides on them.
 
     Args:
-        host: What the process shares.
-        settings: Of the balancer.
-        transport: Limits and times of sockets.
-        seed: Of the balancer's random draws.
-        discovery: Address of the discovery service; None if the endpoint list is only ever given.
-        names: Numbers of endpoints and zones by name.
-        known: The endpoint list to begin with.
+        process: What all pools of the process share.
+        config: Settings, endpoints and random seed to begin with.
         budget: Descriptors that the pool may reserve; None for all of the process's.
-        close_in_other_pools: Closes a connection that another pool does not need; tells whether it could.
-        label: Identifies the pool in the process, and in the next one after a hot restart.
+        close_in_other_pools: Closes a connection that another pool does not need, and returns whether there
+            was one.
 
     Attributes:
-        version: Of the latest endpoint list, as discovery counts.
-        on_attempt_end: Called with each attempt's endpoint, status, duration and latency objective (ns).
-        on_health_hint: Called with an endpoint and whether it answers, to tell other sidecars.
-        retired: Numbers of classes that no new request is of.
+        label: Name of the pool in the process, and in the next one after a hot restart.
+        version: Version of the latest endpoint list, as discovery counts.
+        closed: Whether the pool has closed its sockets.
+        retiring: Whether the pool closes once nothing is pending or in flight.
+        max_open: Number of requests that may be pending at once.
+        on_attempt_end: Callback for the end of each attempt. Its arguments are the endpoint's number, the
+            status, the duration and the latency objective in nanoseconds.
+        on_health_hint: Callback that notifies other sidecars of an endpoint's health. Its arguments are the
+            endpoint's number and whether it answers.
+        retired: Numbers of classes that no new request belongs to.
     """
 
     message = staticmethod(encode_request)
 
     def __init__(
         self,
-        host: PoolHost,
-        settings: Settings,
-        transport: Transport,
-        seed: int,
-        discovery: Address | None,
-        names: NameTable,
-        known: EndpointUpdate,
+        process: PoolHost,
+        config: PoolConfig,
         budget: DescriptorReservations | None = None,
         close_in_other_pools: Callable[[], bool] | None = None,
-        label: str = "",
     ) -> None:
-        """Begin with the known endpoints, and watch the endpoint list. The class describes the arguments."""
         # At most 30 attributes: instances with more do not share their keys, and look-ups cost more.
-        self.host = host
-        self.label = label
-        self.loop = host.loop
-        self.monotonic = host.system.monotonic
-        self.now = host.clock.now
-        self.budget: DescriptorReservations = budget if budget is not None else host.budget
+        self.process = process
+        self.label = config.label
+        self.loop = process.loop
+        self.monotonic = process.system.monotonic
+        self.now = process.clock.now
+        self.timer_wheel = process.timer_wheel
+        self.budget: DescriptorReservations = budget if budget is not None else process.budget
         self.closed = False
-        self.on_retired: Callable[[Pool], None] | None = None  # set while the pool retires
+        self.retiring = False
+        self.on_retired: Callable[[Pool], None] | None = None  # None unless the pool retires
         self.on_attempt_end: Callable[[int, Status, int, int], None] | None = None
-        self.on_health_hint: Callable[[int, bool], None] = lambda _server, _answers: None
+        self.on_health_hint: Callable[[int, bool], None] = lambda _endpoint_number, _answers: None
         self.events: deque[Event] = deque()
         self.handling = False
-        self.max_open = transport.max_open
-        self.names = names
-        self.version = known.version
-        self._use_settings(settings, frozenset())
-        self.balancer = Balancer(settings, seed)
-        self.upstreams = self._connection_pool(transport, close_in_other_pools)
-        self.discovery = self._discovery_client(discovery, known.version) if discovery is not None else None
-        self.requests = PendingRequests(self)
-        self.attempt_runner = AttemptRunner(self)
-        # On the path of each request: bound here, so that they cost no forwarding call.
-        self.accept = self.requests.accept
-        self.end_attempt = self.attempt_runner.end
-        self.endpoints = EndpointRegistry(self, names)
+        self.max_open = config.transport.max_open
+        self.names = config.names
+        self.version = config.known.version
+        self._use_settings(config.settings, frozenset())
+        self.balancer = Balancer(config.settings, config.seed)
+        self.upstreams = self._connection_pool(config.transport, close_in_other_pools)
+        self.discovery = self._discovery_client(config.discovery) if config.discovery is not None else None
+        attempts = AttemptsInFlight()
+        self.requests = PendingRequests(self, process, self.budget, attempts, self.upstreams.abandon)
+        self.attempt_runner = AttemptRunner(self, self.requests, attempts, self.upstreams)
+        self.accept = self.requests.accept  # bound here, so that a request costs no forwarding call
+        self.endpoints = EndpointRegistry(self, process, config.names, self.balancer.servers)
         self.carry_out = self._actions()
-        self.endpoints.apply_list(known, ListKind.CACHED)
-        if not settings.poll_required:
+        self.endpoints.apply_list(config.known, ListKind.CACHED)
+        if not config.settings.poll_required:
             self._watch(True)
 
     def _use_settings(self, settings: Settings, retired: frozenset[int]) -> None:
@@ -136,31 +135,31 @@
     def _connection_pool(
         self, transport: Transport, close_in_other_pools: Callable[[], bool] | None
     ) -> ConnectionPool:
-        host = self.host
+        process = self.process
         return ConnectionPool(
-            host.loop,
-            host.budget.upstreams,
-            host.memory,
+            process.loop,
+            process.budget.upstreams,
+            process.memory,
             self._connect_timeout_s(),
             transport.conn_idle_ns / SECOND,
-            host.read_scheduler,
-            host.timer_wheel,
+            process.read_scheduler,
+            process.timer_wheel,
             close_in_other_pools,
-            host.system,
+            process.system,
         )
 
-    def _discovery_client(self, address: Address, version: int) -> DiscoveryClient:
+    def _discovery_client(self, address: Address) -> DiscoveryClient:
         return DiscoveryClient(
             self.loop,
             address,
             self.names,
-            version,
+            self.version,
             self.on_update,
             pushed=not self.settings.poll_required,
-            system=self.host.system,
+            system=self.process.system,
         )
 
-    # Events to the balancer, its actions
+    # Events and actions of the balancer
 
     def post(self, event: Event) -> None:
         """Give the balancer an event after those that came before it, and carry out its actions."""
@@ -175,19 +174,19 @@
                 try:
                     actions = self.balancer.handle(self.now(), event)
                 except Exception:
-                    # A fault on one event must not stop the other requests; the deadline answers this one's.
-                    self.host.log_exception("balancer failed on an event")
+                    # Any fault on one event: the other requests go on, and this one's deadline answers it.
+                    self.process.log_exception("balancer failed on an event")
                     actions = self.balancer.actions
                 for action in actions:
                     try:
                         carry_out[type(action)](action)
-                    except Exception:
-                        self.host.log_exception("action of the balancer failed")
+                    except Exception:  # any fault on one action: the others are still carried out
+                        self.process.log_exception("action of the balancer failed")
         finally:
             self.handling = False
 
     def _actions(self) -> dict[type, Callable[[Any], None]]:
-        """Return what carries out each kind of action."""
+        """Return the handler of each kind of action."""
         return {
             Send: self.attempt_runner.start,
             SetTimer: self._set_timer,
@@ -204,14 +203,14 @@
         }
 
     def _set_timer(self, action: SetTimer) -> None:
-        # Whole milliseconds, rounded up: the loop counts in these, and a timer that fires early is useless.
+        # The loop counts in whole milliseconds; rounded up, since a timer that fires early is useless.
         after_s = -(-action.after_ns // MS) / 1000
         self.loop.call_later(after_s, self._on_timer, action.token, self.monotonic() + after_s)
 
     def _on_timer(self, token: int, due_s: float) -> None:
-        """Post a timer event; if the loop is late, one turn later, when the sockets have been read.
+        """Post a timer event; if the loop is late, post it one turn later, when the sockets have been read.
 
-        Answers that wait in the sockets of a late loop would otherwise make their endpoints look silent.
+        Responses that wait in the sockets of a late loop would otherwise make their endpoints look silent.
         """
         if self.closed:
             return
@@ -225,8 +224,8 @@
             self.discovery.watch(on)
 
     def _send_to_peer(self, action: SendToPeer) -> None:
-        if self.host.peers is not None:
-            self.host.peers.send(action.data, action.peer)
+        if self.process.peers is not None:
+            self.process.peers.send(action.data, action.peer)
 
     def on_peer(self, sender: int, data: bytes) -> None:
         """Give the balancer a message of another sidecar."""
@@ -244,9 +243,9 @@
         """Attempts in flight by request id and number, also those of requests that are over."""
         return self.attempt_runner.in_flight
 
-    def drop_disconnected(self, call: ParsedRequest) -> bool:
+    def drop_disconnected(self, parsed: ParsedRequest) -> bool:
         """End a request whose client has disconnected; return whether it was pending."""
-        return self.requests.drop(call)
+        return self.requests.drop(parsed)
 
     def answer_all_pending(self) -> None:
         """Give every pending request its final answer now."""
@@ -254,7 +253,7 @@
 
     @property
     def next_id(self) -> int:
-        """The id of the next request: one more than have been accepted."""
+        """Id of the next request: the number of accepted requests, plus one."""
         return self.requests.next_id
 
     # Settings
@@ -263,9 +262,9 @@
         """Change the settings; pending requests go on as accepted.
 
         Args:
-            settings: With the classes by number, as `ClassGeneration` has them.
-            transport: Limits and times of sockets.
-            retired: Numbers of classes that no new request is of.
+            settings: New settings, with the classes by the numbers of `ClassGeneration`.
+            transport: Limits and idle timeout of sockets.
+            retired: Numbers of classes that no new request belongs to.
         """
         self._use_settings(settings, retired)
         self.change_transport(transport)
@@ -274,26 +273,28 @@
             self.discovery.change_settings(pushed=not settings.poll_required)
 
     def change_transport(self, transport: Transport) -> None:
-        """Change the limits and times of sockets."""
+        """Change the limits and the idle timeout of sockets."""
         self.max_open = transport.max_open
         self.upstreams.change_settings(self._connect_timeout_s(), transport.conn_idle_ns / SECOND)
 
     def renumber_zones(self, settings: Settings) -> Settings:
-        """Return settings that may list zones in another order, with the own zone by its number here."""
+        """Return settings whose own zone has the number that this pool knows it by."""
         if not settings.zones:
             return settings
         numbers = [self.names.zone(name) for name in settings.zones]
         return replace(settings, zone=numbers[settings.zone])
 
     def set_home_zone(self, zone: int) -> None:
-        """Have the balancer treat this zone as its own, until another is named or the settings change."""
+        """Set the zone that the balancer treats as its own, until another call or a change of settings."""
         self.post(SettingsChanged(replace(self.settings, zone=zone), self.retired))
 
     def class_numbers(self) -> dict[str, int]:
         """Return the numbers of the balancer's classes, by name."""
         balancer = self.balancer
         return {
-            stats.spec.name: n for n, stats in enumerate(balancer.classes) if stats in balancer.live_classes
+            stats.spec.name: number
+            for number, stats in enumerate(balancer.classes)
+            if stats in balancer.live_classes
         }
 
     def typical_latencies(self) -> dict[str, float]:
@@ -301,16 +302,16 @@
         known = (stats for stats in self.balancer.live_classes if stats.answers >= LEARNING_ANSWERS)
         return {stats.spec.name: stats.typical_latency_ns for stats in known}
 
-    # Endpoints: names that other packages call
+    # Endpoints, as other packages use them
 
     @property
     def maintenance(self) -> Maintenance[EndpointRecord]:
-        """Operators' maintenance orders on top of what discovery says."""
+        """Endpoints as discovery lists them, with operators' maintenance orders on top."""
         return self.endpoints.maintenance
 
     @property
     def starts(self) -> StartTimes:
-        """When endpoints started, as far as that is known."""
+        """Start times of the endpoints, as far as they are known."""
         return self.endpoints.start_times
 
     def on_update(self, update: EndpointUpdate | None) -> None:
@@ -322,15 +323,19 @@
         return self.endpoints.record()
 
     def adopt_list_record(self, record: Mapping[str, Any]) -> None:
-        """Apply another process's endpoint list if it is newer. Raises ListError if it can't be read."""
+        """Apply another process's endpoint list if it is newer.
+
+        Raises:
+            EndpointListError: The record can't be read.
+        """
         self.endpoints.adopt(record)
 
-    def apply_order(self, name: str, out: bool) -> bool:
-        """Take a known endpoint out of service, or put it back; return whether that changed anything."""
-        return self.endpoints.maintain(name, out)
+    def apply_order(self, name: str, take_out: bool) -> bool:
+        """Take a known endpoint out of service, or put it back; return whether the order changed anything."""
+        return self.endpoints.maintain(name, take_out)
 
     def merge_maintenance(self, orders: Mapping[str, MaintenanceOrder]) -> None:
-        """Apply maintenance orders that another process of this sidecar was given."""
+        """Apply maintenance orders, by endpoint name, that another process of this sidecar has received."""
         self.endpoints.merge_maintenance(orders)
 
     def endpoint_numbers(self) -> dict[str, int]:
@@ -345,30 +350,35 @@
         """Count by zone the ready endpoints that had attempts, and those of them that are ejected."""
         return self.endpoints.tried_and_ejected_by_zone()
 
-    def zone_of(self, server: int) -> int | None:
+    def zone_of(self, endpoint_number: int) -> int | None:
         """Return the zone of an endpoint; None if it is unknown."""
-        return self.endpoints.zone_of(server)
+        return self.endpoints.zone_of(endpoint_number)
 
-    def answered_since(self, server: int, took_ns: int) -> bool:
+    def answered_since(self, endpoint_number: int, took_ns: int) -> bool:
         """Return whether an endpoint has answered anything in the last `took_ns` nanoseconds."""
-        return self.endpoints.answered_since(server, took_ns)
+        return self.endpoints.answered_since(endpoint_number, took_ns)
 
     # The end
 
-    def retire(self, gone: Callable[[Pool], None]) -> None:
+    def retire(self, on_retired: Callable[[Pool], None]) -> None:
         """Finish what is pending and in flight, then close.
 
         Args:
-            gone: Called once, when no request, attempt or connection of the pool is left.
+            on_retired: Callback for the moment when no request, attempt or connection of the pool is left.
         """
-        self.on_retired = gone
+        self.on_retired = on_retired
+        self.retiring = True
         self.close_if_finished()
 
+    def close_soon_if_finished(self) -> None:
+        """Close a retiring pool in the next turn of the loop if nothing is pending or in flight then."""
+        self.loop.call_soon(self.close_if_finished)
+
     def close_if_finished(self) -> None:
         """Close a retiring pool that has no request and no attempt left."""
         if self.on_retired is None or self.requests.by_id or self.attempt_runner.in_flight:
             return
-        on_retired, self.on_retired = self.on_retired, None
+        on_retired, self.on_retired, self.retiring = self.on_retired, None, False
         self.close()
         on_retired(self)
 
--- a/dykefold/sim/process.py
+++ b/dykefold/sim/process.py
@@ -19,7 +19,8 @@
 from ..net.discovery.codec import NameTable, parse_endpoint_update
 from ..net.memory_budget import MB
 from ..net.peers import PeerChannel
-from ..net.sidecar import SidecarServer
+from ..net.service.pool_config import PoolConfig
+from ..net.sidecar import SidecarLimits, SidecarServer
 from ..routing.plan import Plan
 from ..routing.services import Services
 from ..settings import Transport
@@ -140,9 +141,8 @@
         self.loop.wake(self._boot)
 
     def _boot(self) -> None:
-        server = SidecarServer(
-            self.loop.for_asyncio, MAX_DESCRIPTORS, MEMORY_BYTES, AddressLimits(), self.system
-        )
+        limits = SidecarLimits(MAX_DESCRIPTORS, MEMORY_BYTES)
+        server = SidecarServer(self.loop.for_asyncio, limits, self.system)
         self.server = server
         if self.world.plan is not None:
             self.services = Services(server, lambda: self.seed)
@@ -183,7 +183,8 @@
             ready, now_ns = entry.endpoint.state.name == "READY", self.world.kernel.now_ns
             self.world.rules.endpoint_notified(now_ns, self.name, entry.name, ready, entry.since_ms)
         transport = Transport(["std"], IDLE_NS, MAX_PENDING)
-        server.serve_one(settings, transport, self.seed, self.world.registry.address, names, known)
+        discovery = self.world.registry.address
+        server.serve_one(PoolConfig(settings, transport, self.seed, discovery, names, known))
         if settings.can_message_peers:
             self._join_peers(server, settings)
         spec = self.world.scenario.spec
