--- a/dykefold/balancer/attempt_results.py
+++ b/dykefold/balancer/attempt_results.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from .concurrency_limit import ConcurrencyLimit
-from .congestion import REJECTION, WANTED_LATENCY, WANTED_WAIT, CongestionSignal
+from .congestion import REJECTION_VALUE, WANTED_LATENCY_OBJECTIVES, WANTED_WAIT_OBJECTIVES, CongestionSignal
 from .context import BalancerContext
 from .endpoints import EndpointState
 from .events import BodySent, Outcome, Status, StreamStarted
@@ -12,17 +12,19 @@
 from .lost_attempts import LostAttempts
 from .outlier_detection import (
     EJECTION_SCORE,
-    MAX_EJECTED,
-    MAX_EJECTED_ON_SILENCE,
-    MAX_REJECTIONS,
+    MAX_CONSECUTIVE_REJECTIONS,
+    MAX_EJECTED_FRACTION,
+    MAX_EJECTED_ON_SILENCE_FRACTION,
     OutlierDetector,
 )
 from .requests import InFlightAttempt, PendingRequest
 from .slow_start import SlowStart
 from .subsetting import EndpointSet
 
-FAILURE_SAMPLE = 4.0  # relative latency that a failure counts at least: a fast error is no fast endpoint
-REJECTION_SAMPLE = 3.0  # a full endpoint is alive, but to be left alone for a while
+# A fast error does not make an endpoint look fast.
+MIN_FAILURE_RELATIVE_LATENCY = 4.0
+# A full endpoint is alive, but it should get fewer requests for a while.
+MIN_REJECTION_RELATIVE_LATENCY = 3.0
 
 
 class AttemptResults:
@@ -51,12 +53,12 @@
         self.outliers = outliers
         self.lost = lost
 
-    def on_body_sent(self, event: BodySent, req: PendingRequest) -> None:
+    def on_body_sent(self, event: BodySent, request: PendingRequest) -> None:
         """A request's body has reached its endpoint: from now on the endpoint works on it."""
         endpoint = self.endpoints.all.get(event.endpoint_number)
         if endpoint is not None:
             now = self.context.now_ns
-            endpoint.in_flight[event.id, event.attempt] = InFlightAttempt(now, req.stats)
+            endpoint.in_flight[event.id, event.attempt] = InFlightAttempt(now, request.stats)
             self.limit.in_flight += not endpoint.ejected
 
     def on_end(self, event: Outcome | StreamStarted) -> None:
@@ -115,7 +117,7 @@
         if endpoint.slow_start_ns:
             self.slow_start.credit(endpoint, stats)
         self.limit.on_answer(stats)
-        self.congestion.add_latency(endpoint, stats, attempt.sent_ns, took, WANTED_LATENCY)
+        self.congestion.add_latency(endpoint, stats, attempt.sent_ns, took, WANTED_LATENCY_OBJECTIVES)
         self.latency.add_answer(stats, took)
         local = endpoint.zone == self.context.settings.zone
         self.latency.throughput.count_answer(self.endpoints.ready_count, local=local)
@@ -127,13 +129,13 @@
             self.lost.on_answer(endpoint, attempt.sent_ns)
 
     def _learn_rejection(self, endpoint: EndpointState, attempt: InFlightAttempt) -> None:
-        self.latency.add_sample(endpoint, max(REJECTION_SAMPLE, endpoint.relative_latency))
+        self.latency.add_sample(endpoint, max(MIN_REJECTION_RELATIVE_LATENCY, endpoint.relative_latency))
         endpoint.last_alive_ns = self.context.now_ns  # busy, but alive
         endpoint.consecutive_rejections += 1
-        if endpoint.consecutive_rejections < MAX_REJECTIONS:
-            self.congestion.add(REJECTION, attempt.sent_ns)
+        if endpoint.consecutive_rejections < MAX_CONSECUTIVE_REJECTIONS:
+            self.congestion.add(REJECTION_VALUE, attempt.sent_ns)
         else:  # a full queue lets some in: this one is closing, and that is no load of the fleet's
-            self.outliers.record_failure(endpoint, EJECTION_SCORE, MAX_EJECTED_ON_SILENCE)
+            self.outliers.record_failure(endpoint, EJECTION_SCORE, MAX_EJECTED_ON_SILENCE_FRACTION)
 
     def _learn_failure(
         self,
@@ -144,13 +146,15 @@
     ) -> None:
         stats, took, sent = attempt.stats, event.duration_ns, attempt.sent_ns
         relative = took / stats.mean_latency_ns
-        self.latency.add_sample(endpoint, max(relative, FAILURE_SAMPLE, endpoint.relative_latency))
+        self.latency.add_sample(
+            endpoint, max(relative, MIN_FAILURE_RELATIVE_LATENCY, endpoint.relative_latency)
+        )
         if event.status is not Status.TIMEOUT:
-            self.outliers.record_failure(endpoint, 1.0, MAX_EJECTED)
+            self.outliers.record_failure(endpoint, 1.0, MAX_EJECTED_FRACTION)
         elif endpoint.last_alive_ns <= sent:
-            self.outliers.record_failure(endpoint, 1.0, MAX_EJECTED_ON_SILENCE)
+            self.outliers.record_failure(endpoint, 1.0, MAX_EJECTED_ON_SILENCE_FRACTION)
         else:
             # The endpoint lives, so all may be slow.
             if not counted:
-                self.congestion.add_latency(endpoint, stats, sent, took, WANTED_WAIT)
+                self.congestion.add_latency(endpoint, stats, sent, took, WANTED_WAIT_OBJECTIVES)
             self.latency.add_timeout(stats, took)
--- a/dykefold/balancer/attempt_rules.py
+++ b/dykefold/balancer/attempt_rules.py
@@ -17,20 +17,20 @@
         self.context = context
         self.slow_start = slow_start
 
-    def may_send(self, req: PendingRequest, endpoint: EndpointState) -> bool:
+    def may_send(self, request: PendingRequest, endpoint: EndpointState) -> bool:
         """Tell whether this request may be sent to this endpoint now, by the rules and by slow start."""
-        if not endpoint.ready or not endpoint.listed or req.streaming:
+        if not endpoint.ready or not endpoint.listed or request.streaming:
             return False
-        if req.attempts and not self._may_repeat(req, endpoint):
+        if request.attempts and not self._may_repeat(request, endpoint):
             return False
-        return not endpoint.started_ns or self.slow_start.allows(endpoint, req.stats)
+        return not endpoint.started_ns or self.slow_start.allows(endpoint, request.stats)
 
-    def _may_repeat(self, req: PendingRequest, endpoint: EndpointState) -> bool:
+    def _may_repeat(self, request: PendingRequest, endpoint: EndpointState) -> bool:
         """Tell whether a further attempt may go to this endpoint beside the earlier ones."""
-        if not self.may_retry(req, self.context.now_ns):
+        if not self.may_retry(request, self.context.now_ns):
             return False
-        spec = req.spec
-        for attempt in req.attempts:
+        spec = request.spec
+        for attempt in request.attempts:
             if attempt.state is NEVER_RAN:
                 continue
             if attempt.state is IN_FLIGHT and not self.context.settings.can_hedge:
@@ -42,19 +42,21 @@
                     return False
         return True
 
-    def may_retry(self, req: PendingRequest, at_ns: int) -> bool:
+    def may_retry(self, request: PendingRequest, at_ns: int) -> bool:
         """Tell whether the rules allow any further attempt at that time, wherever it went."""
-        spec = req.spec
-        if len(req.attempts) >= req.max_attempts:
+        spec = request.spec
+        if len(request.attempts) >= request.max_attempts:
             return False
         if spec.effect is Effect.SAFE:
             return True
         # For so long an effect's key is known; an effect without a key is never repeated.
         window = spec.window_ns - self.context.settings.tick_ns if spec.effect is Effect.KEYED else 0
-        return all(attempt.state is NEVER_RAN or at_ns < attempt.sent_ns + window for attempt in req.attempts)
+        return all(
+            attempt.state is NEVER_RAN or at_ns < attempt.sent_ns + window for attempt in request.attempts
+        )
 
-    def may_reject(self, req: PendingRequest) -> bool:
+    def may_reject(self, request: PendingRequest) -> bool:
         """Tell whether a rejection, which invites the client to try again, does no harm."""
-        spec = req.spec
+        spec = request.spec
         harmless = spec.effect is Effect.SAFE or (spec.effect is Effect.KEYED and spec.scope is Scope.ALL)
-        return harmless or req.never_ran()
+        return harmless or request.never_ran()
--- a/dykefold/balancer/attempts.py
+++ b/dykefold/balancer/attempts.py
@@ -30,15 +30,15 @@
         self.limit = limit
         self.slow_start = slow_start
 
-    def send(self, req: PendingRequest, endpoint: EndpointState) -> None:
+    def send(self, request: PendingRequest, endpoint: EndpointState) -> None:
         """Send the next attempt of a request."""
         now = self.context.now_ns
-        stats = req.stats
-        number = len(req.attempts)
-        req.attempts.append(Attempt(endpoint, now))
-        req.retry_paid = False
-        overdue = self.latency.overdue_after(endpoint, stats, req.deadline_ns - now)
-        endpoint.in_flight[req.id, number] = InFlightAttempt(now, stats)
+        stats = request.stats
+        number = len(request.attempts)
+        request.attempts.append(Attempt(endpoint, now))
+        request.retry_paid = False
+        overdue = self.latency.overdue_after(endpoint, stats, request.deadline_ns - now)
+        endpoint.in_flight[request.id, number] = InFlightAttempt(now, stats)
         if endpoint.ejected:
             endpoint.probation_pending = True
         else:
@@ -46,5 +46,5 @@
         if endpoint.started_ns:
             self.slow_start.charge(endpoint, stats)
         # No time-out of its own: an overdue attempt is judged by what its endpoint did meanwhile.
-        self.context.actions.append(Send(req.id, endpoint.id))
-        self.timers.add(now + overdue, OVERDUE, req.id, number)
+        self.context.actions.append(Send(request.id, endpoint.id))
+        self.timers.add(now + overdue, OVERDUE, request.id, number)
--- a/dykefold/balancer/balancer.py
+++ b/dykefold/balancer/balancer.py
@@ -126,75 +126,75 @@
         """A client sends a request: send it on, hold it for a moment, or reject it."""
         context = self.context
         stats = context.classes[event.class_number]
-        req = PendingRequest(event, stats, context.settings.max_attempts, context.now_ns)
-        self.answers.pending[req.id] = req
+        request = PendingRequest(event, stats, context.settings.max_attempts, context.now_ns)
+        self.answers.pending[request.id] = request
         self.retries.count_request()
         if self.quotas.rates and not event.is_retry:
-            self.quotas.count_request(req.tenant)
+            self.quotas.count_request(request.tenant)
         self.endpoints.count_request()
         if event.deadline_ns <= context.now_ns:
-            self.answers.end(req)
+            self.answers.end(request)
             return
         chance = self.load_reports.probe_probability(stats) if self.endpoints.sees_little else 0.0
         probes = chance > 0.0 and context.random.random() < chance
-        endpoint = None if probes else self.picker.pick(req)
+        endpoint = None if probes else self.picker.pick(request)
         if endpoint is None and not probes:
-            self.retries.plan(req)
-        elif not self.limit.admit(req, self.request_value.of(event, req)):
-            self.answers.end(req)
+            self.retries.plan(request)
+        elif not self.limit.admit(request, self.request_value.of(event, request)):
+            self.answers.end(request)
         elif endpoint is not None:
-            self.sender.send(req, endpoint)
+            self.sender.send(request, endpoint)
         else:
-            self._probe(req)
+            self._probe(request)
 
-    def _probe(self, req: PendingRequest) -> None:
+    def _probe(self, request: PendingRequest) -> None:
         """Ask two endpoints for their load before the request is sent to one of them."""
-        candidates = [endpoint for endpoint, _ in self.picker.candidates(req, ())]
+        candidates = [endpoint for endpoint, _ in self.picker.candidates(request, ())]
         if len(candidates) < CANDIDATES:
-            self.retries.retry(req)
+            self.retries.retry(request)
             return
-        wait = self.load_reports.ask(req, candidates)
-        self.timers.add(self.context.now_ns + wait, RETRY, req.id)
+        wait = self.load_reports.ask(request, candidates)
+        self.timers.add(self.context.now_ns + wait, RETRY, request.id)
 
-    def _send_probed(self, req: PendingRequest) -> None:
+    def _send_probed(self, request: PendingRequest) -> None:
         """Send to the better one of those that told their load; to a silent one only if none did."""
-        candidates = req.probed
-        fit = [one for one in candidates if not one.ejected and self.rules.may_send(req, one)]
-        fit = [one for one in fit if one.load_reported_ns >= req.probed_ns] or fit
-        req.probed = []
-        req.retry_planned = False
+        candidates = request.probed
+        fit = [one for one in candidates if not one.ejected and self.rules.may_send(request, one)]
+        fit = [one for one in fit if one.load_reported_ns >= request.probed_ns] or fit
+        request.probed = []
+        request.retry_planned = False
         if fit:
-            stats, expected_delay = req.stats, self.latency.expected_delay
-            self.sender.send(req, min(fit, key=lambda one: expected_delay(one, stats)))
+            stats, expected_delay = request.stats, self.latency.expected_delay
+            self.sender.send(request, min(fit, key=lambda one: expected_delay(one, stats)))
         else:
-            self.retries.retry(req)
+            self.retries.retry(request)
 
     def on_outcome(self, event: events.Outcome) -> None:
         """An attempt has ended: learn from it, and retry where that is wanted."""
         self.results.on_end(event)
-        req = self.answers.pending.get(event.id)
-        if req is None:
+        request = self.answers.pending.get(event.id)
+        if request is None:
             return
         status = event.status
         not_attempted = status is Status.NOT_ATTEMPTED
-        if event.attempt < len(req.attempts):
-            req.attempts[event.attempt].state = NEVER_RAN if status in PROVES_NOT_RUN else MAY_HAVE_RUN
-            req.written |= status not in UNWRITTEN
+        if event.attempt < len(request.attempts):
+            request.attempts[event.attempt].state = NEVER_RAN if status in PROVES_NOT_RUN else MAY_HAVE_RUN
+            request.written |= status not in UNWRITTEN
             if not_attempted:  # this machine could not send: it counts neither as an attempt nor as a retry
-                req.max_attempts += 1
-                req.retry_paid = True
+                request.max_attempts += 1
+                request.retry_paid = True
         if event.final:
-            self.answers.forget(req)
+            self.answers.forget(request)
         elif status is Status.ERROR:
-            self.answers.end(req)  # a plain error is an answer: the design does not retry it
-        elif not req.retry_planned:
-            self.retries.plan(req, not_attempted)
+            self.answers.end(request)  # a plain error is an answer: the design does not retry it
+        elif not request.retry_planned:
+            self.retries.plan(request, not_attempted)
 
     def on_client_disconnected(self, event: events.ClientDisconnected) -> None:
         """The client of a request has gone."""
-        req = self.answers.pending.get(event.id)
-        if req is not None:
-            self.answers.forget(req)
+        request = self.answers.pending.get(event.id)
+        if request is not None:
+            self.answers.forget(request)
 
     def on_stream_started(self, event: events.StreamStarted) -> None:
         """A body flows: nothing more may be sent, and how long it takes says nothing of its endpoint.
@@ -202,16 +202,16 @@
         Guards the limit and the estimates against a client that takes a minute for a long message.
         """
         self.results.on_end(event)
-        req = self.answers.pending.get(event.id)
-        if req is not None:
-            req.streaming = True
-            self.answers.cancel_others(req, event.attempt)
+        request = self.answers.pending.get(event.id)
+        if request is not None:
+            request.streaming = True
+            self.answers.cancel_others(request, event.attempt)
 
     def on_body_sent(self, event: events.BodySent) -> None:
         """A request's body that flowed has reached its endpoint whole."""
-        req = self.answers.pending.get(event.id)
-        if req is not None:
-            self.results.on_body_sent(event, req)
+        request = self.answers.pending.get(event.id)
+        if request is not None:
+            self.results.on_body_sent(event, request)
 
     def on_probe_result(self, event: events.ProbeResult) -> None:
         """A health check has ended; requests that waited for the loads of their endpoints go out."""
@@ -221,11 +221,11 @@
             return  # the requests that waited go elsewhere when their wait is over
         self.load_reports.record(endpoint, event.report)
         for ident in waiting:
-            req = self.answers.pending.get(ident)
-            if req is None or not req.probed:
+            request = self.answers.pending.get(ident)
+            if request is None or not request.probed:
                 continue
-            if all(one.load_reported_ns >= req.probed_ns for one in req.probed):
-                self._send_probed(req)
+            if all(one.load_reported_ns >= request.probed_ns for one in request.probed):
+                self._send_probed(request)
 
     def on_timer(self, event: events.Timer) -> None:
         """A timer rang: carry out all that is due."""
@@ -235,16 +235,16 @@
             if kind == POLL:
                 self.polls.on_timer()
                 continue
-            req = self.answers.pending.get(ident)
-            if req is None or req.streaming:
+            request = self.answers.pending.get(ident)
+            if request is None or request.streaming:
                 continue
             if kind == OVERDUE:
-                self.hedging.on_overdue(req, attempt)
-            elif req.probed:
-                self._send_probed(req)
-            elif req.retry_planned:
-                req.retry_planned = False
-                self.retries.retry(req)
+                self.hedging.on_overdue(request, attempt)
+            elif request.probed:
+                self._send_probed(request)
+            elif request.retry_planned:
+                request.retry_planned = False
+                self.retries.retry(request)
 
     def on_settings_changed(self, event: events.SettingsChanged) -> None:
         """Go by other settings. Estimates of a class go on under its name, pending requests by their own."""
--- a/dykefold/balancer/concurrency_limit.py
+++ b/dykefold/balancer/concurrency_limit.py
@@ -9,22 +9,37 @@
 from .requests import PendingRequest
 from .subsetting import EndpointSet
 
-UNLIMITED = 1e9  # until the first correction
-CORRECT_EVERY = 0.1  # shortest deadlines between corrections
-GROWTH = 1.3  # for each correction, up to what is known good, or when nothing was rejected lately
-CREEP = 0.1  # and for each unit of congestion to spare, beyond that
-KNOWN_GOOD = 0.8  # of the limit after the first of the latest cuts counts as known good
-CAUTIOUS_AFTER_REJECTION = 8  # shortest deadlines
-INITIAL_SLACK = 4.0  # times what is in flight and a request for each endpoint, for the first deadline
-MIN_INITIAL_ENDPOINTS = 8  # that it counts with then: a pool of one opens to all its clients at once
-SURGE = 2.0  # times what the answers of late would keep in flight at the wanted latency, then
-SMALL = 4.0  # and so many requests, for sidecars that rarely send
-IDLE = 2.0  # and so many for each ready endpoint, all sidecars together
-MIN_PER_ENDPOINT = 0.5  # requests for each ready endpoint, all sidecars together: enough to notice recovery
-PEAK_FADE = 0.95  # for each correction, of the highest number lately in flight
-LEVEL_FACTOR = 4.0  # times the goal's weight of the worst-served class: at a quarter, all are shed alike
-MIN_RARE = 0.2  # of the requests that find none in flight are admitted: enough to notice recovery
-CHEAP_FRACTION = 0.5  # of the limit is open to the work of least worth for its cost, all of it to the dearest
+# Stands for no limit until the first correction.
+INITIAL_LIMIT = 1e9
+CORRECTION_INTERVAL_DEADLINES = 0.1
+# Factor per correction. It applies up to the known good limit, and beyond it if nothing was rejected lately.
+GROWTH_FACTOR = 1.3
+# Beyond the known good limit growth is slow, since overload shows only after a deadline.
+PROBING_INCREASE_PER_CONGESTION_UNIT = 0.1
+# Fraction of the limit after the first of consecutive cuts that counts as known good.
+KNOWN_GOOD_FRACTION = 0.8
+CAUTION_AFTER_REJECTION_DEADLINES = 8
+# Factor on the requests in flight plus one request per endpoint; it gives the ceiling in the first deadline.
+INITIAL_CEILING_FACTOR = 4.0
+# The clients of a pool of one endpoint may all start at once.
+MIN_INITIAL_ENDPOINTS = 8
+# After the first deadline the ceiling is this factor times the requests that the answers would keep in flight
+# at the wanted latency, plus the two summands below.
+CEILING_FACTOR = 2.0
+# A sidecar that rarely sends needs room for a few requests.
+CEILING_EXTRA_REQUESTS = 4.0
+# All sidecars together may add this for each ready endpoint.
+CEILING_EXTRA_PER_READY_ENDPOINT = 2.0
+# All sidecars together keep this minimum, so that the recovery of an endpoint is noticed.
+MIN_LIMIT_PER_READY_ENDPOINT = 0.5
+# Factor per correction by which the highest number of requests in flight fades.
+PEAK_FADE_FACTOR = 0.95
+# If the goal gives the worst-served class a weight of a quarter or more, all classes are shed alike.
+EQUAL_SHEDDING_FACTOR = 4.0
+# A few requests are always admitted, so that recovery is noticed.
+MIN_RARE_ADMISSION_PROBABILITY = 0.2
+# Fraction of the limit that is open to the class of the lowest priority weight for its cost.
+MIN_LIMIT_FRACTION = 0.5
 
 
 class ConcurrencyLimit:
@@ -55,7 +70,7 @@
         self.endpoints = endpoints
         self.congestion = congestion
         self.quotas = quotas
-        self.limit = UNLIMITED
+        self.limit = INITIAL_LIMIT
         self.corrected_ns = 0
         self.in_flight = 0
         self.peak_in_flight = 0.0
@@ -69,46 +84,46 @@
 
     def apply_settings(self) -> None:
         """Take the deadlines of the settings."""
-        self.interval_ns = int(self.context.shortest_ns * CORRECT_EVERY)
+        self.interval_ns = int(self.context.shortest_ns * CORRECTION_INTERVAL_DEADLINES)
 
-    def admit(self, req: PendingRequest, value: float) -> bool:
+    def admit(self, request: PendingRequest, value: float) -> bool:
         """Shed early what would make the requests in flight outgrow what is answered in time.
 
         Guards against queues in which everything is answered too late, against endpoints that turn slow
         when crowded, and against clients that come back at once, whom no fraction shed could outrun.
 
         Args:
-            req: the request; its class and tenant decide how much of the limit is open to it.
+            request: the request; its class and tenant decide how much of the limit is open to it.
             value: part of its worth that it can still be expected to earn.
         """
         now = self.context.now_ns
         if now - self.corrected_ns >= self.interval_ns:
             self.correct()
-        limit = self.limit * self._fraction(req) * value
+        limit = self.limit * self._fraction(request) * value
         if self.endpoints.sees_little and limit < 1.0 and not self.in_flight:
-            if self._admit_rare(req, limit):
+            if self._admit_rare(request, limit):
                 return True
         elif self.in_flight + 1 <= max(limit, 1.0):
             return True
         self.rejected_ns = now
         return False
 
-    def _fraction(self, req: PendingRequest) -> float:
+    def _fraction(self, request: PendingRequest) -> float:
         """The part of the limit that is open to the request's class and tenant."""
-        fraction = req.stats.limit_fraction
+        fraction = request.stats.limit_fraction
         over_quota = self.quotas.over_quota
-        if over_quota and self.context.random.random() < over_quota[req.tenant]:
+        if over_quota and self.context.random.random() < over_quota[request.tenant]:
             worth = self.context.settings.over_quota_weight_fraction
-            return CHEAP_FRACTION + (fraction - CHEAP_FRACTION) * worth
+            return MIN_LIMIT_FRACTION + (fraction - MIN_LIMIT_FRACTION) * worth
         return fraction
 
-    def _admit_rare(self, req: PendingRequest, limit: float) -> bool:
+    def _admit_rare(self, request: PendingRequest, limit: float) -> bool:
         """Admit a part of what a sidecar with little traffic would keep in flight at the wanted latency.
 
         Guards against a thousand sidecars with a request each now and then, whom no limit of one holds back.
         """
-        natural = self.endpoints.demand * self.congestion.wanted_latency(req.stats) / SECOND_NS
-        chance = max(limit / natural, 2.0 - self.congestion.level, MIN_RARE)
+        natural = self.endpoints.demand * self.congestion.wanted_latency(request.stats) / SECOND_NS
+        chance = max(limit / natural, 2.0 - self.congestion.level, MIN_RARE_ADMISSION_PROBABILITY)
         return self.context.random.random() < chance
 
     def on_answer(self, stats: ClassStats) -> None:
@@ -140,11 +155,11 @@
         weight = min(elapsed / age, 1.0)
         self.wanted_in_flight += weight * (self.answered_units / elapsed - self.wanted_in_flight)
         self.answered_units = 0.0
-        self.peak_in_flight = max(self.in_flight, self.peak_in_flight * PEAK_FADE)
+        self.peak_in_flight = max(self.in_flight, self.peak_in_flight * PEAK_FADE_FACTOR)
         self.congestion.fade()
         limit = self._next_limit(first)
         # Every sidecar keeps its part of a floor, so that all together leave a tired fleet nearly idle.
-        floor = MIN_PER_ENDPOINT * self.endpoints.ready_count / self.context.sidecar_count()
+        floor = MIN_LIMIT_PER_READY_ENDPOINT * self.endpoints.ready_count / self.context.sidecar_count()
         self.limit = max(limit, floor, 0.0 if self.endpoints.sees_little else 1.0)
         self._divide()
 
@@ -169,27 +184,30 @@
         """The most that the limit may grow to: one that follows what is in flight lets a surge in."""
         ready = self.endpoints.ready_count
         if self.corrected_ns - self.started_ns >= self.context.shortest_ns:
-            spread = IDLE * ready / self.context.sidecar_count()
-            return SURGE * self.wanted_in_flight + SMALL + spread
+            spread = CEILING_EXTRA_PER_READY_ENDPOINT * ready / self.context.sidecar_count()
+            return CEILING_FACTOR * self.wanted_in_flight + CEILING_EXTRA_REQUESTS + spread
         # No answers to go by yet.
-        ceiling = INITIAL_SLACK * (self.peak_in_flight + max(ready, MIN_INITIAL_ENDPOINTS))
+        ceiling = INITIAL_CEILING_FACTOR * (self.peak_in_flight + max(ready, MIN_INITIAL_ENDPOINTS))
         return ceiling if first else max(ceiling, self.limit)
 
     def _growth(self) -> float:
         """The factor by which the limit grows: a leap over what is known good overshoots."""
-        known = max(self.wanted_in_flight, KNOWN_GOOD * self.good)
-        cautious = self.corrected_ns - self.rejected_ns < CAUTIOUS_AFTER_REJECTION * self.context.shortest_ns
+        known = max(self.wanted_in_flight, KNOWN_GOOD_FRACTION * self.good)
+        cautious = (
+            self.corrected_ns - self.rejected_ns
+            < CAUTION_AFTER_REJECTION_DEADLINES * self.context.shortest_ns
+        )
         if cautious and self.limit >= known:
-            return 1.0 + CREEP * (1.0 - self.congestion.level)
-        return GROWTH
+            return 1.0 + PROBING_INCREASE_PER_CONGESTION_UNIT * (1.0 - self.congestion.level)
+        return GROWTH_FACTOR
 
     def _divide(self) -> None:
         """Work out how much of the limit is open to each class."""
         live, settings = self.context.live_classes, self.context.settings
         top = max(self._density(stats) for stats in live) or 1.0  # classes may all be worth nothing
         # What is shed first is soon the worst-served class, which the goal may weigh by itself.
-        level = min(LEVEL_FACTOR * settings.goal_worst_class, 1.0)
-        cheap = CHEAP_FRACTION + (1.0 - CHEAP_FRACTION) * level
+        level = min(EQUAL_SHEDDING_FACTOR * settings.goal_worst_class, 1.0)
+        cheap = MIN_LIMIT_FRACTION + (1.0 - MIN_LIMIT_FRACTION) * level
         for stats in live:
             stats.limit_fraction = cheap + (1.0 - cheap) * self._density(stats) / top
 
--- a/dykefold/balancer/congestion.py
+++ b/dykefold/balancer/congestion.py
@@ -6,16 +6,23 @@
 from .endpoints import ClassStats, EndpointState
 from .throughput import Throughput
 
-WANTED_LATENCY = 0.35  # of the objective, for answers: at half of it crowds stay and wear endpoints
-WANTED_WAIT = 0.45  # and for attempts with no answer yet: that tells of loss as much as of waiting
-TYPICAL_FACTOR = 2.0  # times the typical latency, where the objective is hardly more than that
-MAX_WANTED = 0.6  # of the objective, however long the typical latency: nothing is learned from collapse
-REJECTION = 2.0  # what a rejection counts: short queues are full before latency shows it
-MAX_VALUE = 4.0  # what one attempt counts at most
-FADE_INTERVAL = 0.12  # shortest deadlines in which what was seen fades to half
-FADE_SAMPLES = 10  # or the time of so many answers: fewer are noise, which would shed for nothing
-PRIOR = 0.7  # what nothing seen means: let the limit grow, carefully
-PRIOR_WEIGHT = 2.0  # attempts
+# At half of the objective, queues persist and wear out the endpoints.
+WANTED_LATENCY_OBJECTIVES = 0.35
+# For attempts without a response: a long wait may also come from a lost response.
+WANTED_WAIT_OBJECTIVES = 0.45
+# A class whose objective is close to its typical latency has a wanted latency of this many typical ones.
+WANTED_TYPICAL_LATENCIES = 2.0
+# A typical latency that was learnt during a collapse must not hide it.
+MAX_WANTED_LATENCY_OBJECTIVES = 0.6
+# A rejection counts more than a late answer, because short queues are full before latency rises.
+REJECTION_VALUE = 2.0
+MAX_ATTEMPT_VALUE = 4.0
+HALF_LIFE_DEADLINES = 0.12
+# The half-life is at least the time of this many answers, because fewer answers are noise.
+HALF_LIFE_ANSWERS = 10
+# Level without any sample; it lets the limit grow slowly.
+PRIOR_LEVEL = 0.7
+PRIOR_WEIGHT_ATTEMPTS = 2.0
 
 
 class CongestionSignal:
@@ -30,15 +37,20 @@
     def __init__(self, context: BalancerContext, throughput: Throughput) -> None:
         self.context = context
         self.throughput = throughput
-        self.level = PRIOR
+        self.level = PRIOR_LEVEL
         self.total = self.weight = 0.0
         self.updated_ns = 0
         self.cut_ns = 0
 
-    def wanted_latency(self, stats: ClassStats, part: float = WANTED_LATENCY) -> float:
+    def wanted_latency(self, stats: ClassStats, part: float = WANTED_LATENCY_OBJECTIVES) -> float:
         """The latency of a class at which the signal is 1, nanoseconds."""
         objective = stats.spec.objective_ns
-        return max(part * objective, min(TYPICAL_FACTOR * stats.typical_latency_ns, MAX_WANTED * objective))
+        return max(
+            part * objective,
+            min(
+                WANTED_TYPICAL_LATENCIES * stats.typical_latency_ns, MAX_WANTED_LATENCY_OBJECTIVES * objective
+            ),
+        )
 
     def add_latency(
         self, endpoint: EndpointState, stats: ClassStats, sent_ns: int, latency_ns: float, part: float
@@ -55,7 +67,7 @@
         if sent_ns < self.cut_ns:
             return
         self.fade()
-        self.total += min(value, MAX_VALUE)
+        self.total += min(value, MAX_ATTEMPT_VALUE)
         self.weight += 1.0
 
     def fade(self) -> None:
@@ -63,13 +75,15 @@
         now = self.context.now_ns
         if now > self.updated_ns:
             shortest = self.context.shortest_ns
-            samples = FADE_SAMPLES * SECOND_NS / max(self.throughput.answers_per_s, 1.0)
-            interval = max(FADE_INTERVAL * shortest, samples)
+            samples = HALF_LIFE_ANSWERS * SECOND_NS / max(self.throughput.answers_per_s, 1.0)
+            interval = max(HALF_LIFE_DEADLINES * shortest, samples)
             fade = 0.5 ** ((now - self.updated_ns) / min(interval, shortest))
             self.updated_ns = now
             self.total *= fade
             self.weight *= fade
-        self.level = (self.total + PRIOR * PRIOR_WEIGHT) / (self.weight + PRIOR_WEIGHT)
+        self.level = (self.total + PRIOR_LEVEL * PRIOR_WEIGHT_ATTEMPTS) / (
+            self.weight + PRIOR_WEIGHT_ATTEMPTS
+        )
 
     def restart(self) -> None:
         """The limit is cut now: what was seen before says nothing of what follows."""
--- a/dykefold/balancer/endpoints.py
+++ b/dykefold/balancer/endpoints.py
@@ -10,7 +10,8 @@
 from .requests import InFlightAttempt
 from .settings import RequestClass
 
-UNKNOWN_LATENCY = 0.25  # of the latency objective: the mean latency of a class before any answer
+# The initial guess of a class's mean latency.
+INITIAL_LATENCY_OBJECTIVES = 0.25
 
 AttemptKey = tuple[int, int]  # request and number of the attempt
 
@@ -171,7 +172,7 @@
     def __init__(self, spec: RequestClass) -> None:
         """Begin with a guess by the latency objective."""
         self.spec = spec
-        self.mean_latency_ns = spec.objective_ns * UNKNOWN_LATENCY
+        self.mean_latency_ns = spec.objective_ns * INITIAL_LATENCY_OBJECTIVES
         self.latency_deviation_ns = self.mean_latency_ns / 2
         self.answers = 0
         self.typical_latency_ns = self.mean_latency_ns
--- a/dykefold/balancer/group_weights.py
+++ b/dykefold/balancer/group_weights.py
@@ -6,13 +6,17 @@
 from .endpoints import EndpointState
 from .subsetting import EndpointSet
 
-GROUP_SMOOTHING = 0.1  # of a group's mean latency, after as many answers
-STEP = 0.2  # of a group's weight for each class mean that an answer differs by: ten answers turn it
-FADE = 0.01  # of it forgotten with each answer, lest chance walks it away
-MAX_EXCESS = 3.0  # class means that one late answer counts at most
-MAX_LOG_WEIGHT = 3.0  # e^3 either way: a group is never shut out, or nothing would tell of its recovery
-# Latency objectives for each point of price of a crossing: it is paid where zones are level.
-CROSSING_OBJECTIVES = 3.0
+# Weight of a new answer in the smoothed values of a group.
+GROUP_SMOOTHING = 0.1
+# Change of the log weight for each class mean by which an answer is later than the mean.
+LOG_WEIGHT_STEP_PER_CLASS_MEAN = 0.2
+# Fraction of the log weight that each answer removes, so that noise does not add up.
+LOG_WEIGHT_FADE_FRACTION = 0.01
+MAX_EXCESS_CLASS_MEANS = 3.0
+# A group always keeps some requests; otherwise its recovery would not be noticed.
+MAX_LOG_WEIGHT = 3.0
+# Latency objectives that a request to another zone adds, for each unit of its price.
+CROSSING_EXCESS_OBJECTIVES_PER_PRICE = 3.0
 
 
 class GroupWeights:
@@ -41,9 +45,11 @@
         self.mean_latency += GROUP_SMOOTHING * excess
         settings = self.context.settings
         if endpoint.zone != settings.zone:
-            excess += CROSSING_OBJECTIVES * settings.price_cross_zone * self._objective_in_means()
-        step = STEP * min(max(excess, -1.0), MAX_EXCESS)
-        log_weight = group.log_weight * (1.0 - FADE) - step
+            excess += (
+                CROSSING_EXCESS_OBJECTIVES_PER_PRICE * settings.price_cross_zone * self._objective_in_means()
+            )
+        step = LOG_WEIGHT_STEP_PER_CLASS_MEAN * min(max(excess, -1.0), MAX_EXCESS_CLASS_MEANS)
+        log_weight = group.log_weight * (1.0 - LOG_WEIGHT_FADE_FRACTION) - step
         group.log_weight = min(max(log_weight, -MAX_LOG_WEIGHT), MAX_LOG_WEIGHT)
 
     def _objective_in_means(self) -> float:
--- a/dykefold/balancer/latency.py
+++ b/dykefold/balancer/latency.py
@@ -8,20 +8,30 @@
 from .subsetting import EndpointSet
 from .throughput import Throughput
 
-SMOOTHING = 0.08  # weight of a new sample of one endpoint: work varies far more than endpoints do
-SMOOTHING_INTERVAL = 3.0  # shortest deadlines after which an old estimate counts half against a new sample
-CLASS_SMOOTHING = 0.03  # the class mean moves slower than any endpoint, being the common yardstick
-MAX_SAMPLE = 10.0  # one long-tailed request must not condemn an endpoint
-STALE_AFTER = 4.0  # shortest deadlines after which a latency says half as much of the queue others made
-STALE_SHARPNESS = 2.0  # how much better than in proportion to speed: one of two drawn wins by its square
-REPORT_FRESH = 0.5  # shortest deadlines in which a load report comes to say half as much, and is of use
-OVERDUE_DEVIATIONS = 4.0  # as TCP's retransmission time-out (RFC 6298): mean and four mean deviations
-MIN_OVERDUE = 2.0  # class means
-MAX_OVERDUE = 0.5  # of the time left: a retry needs as much as the first attempt had
-LEARNING_ANSWERS = 30  # answers of a class that are simply averaged into its typical latency
-TYPICAL_INTERVAL = 25.0  # shortest deadlines over which it moves then, slower than any fault lasts
-TYPICAL_DRIFT = 0.1  # and this part of that while congested, lest it never forgives a wrong start
-MAX_TYPICAL_STEP = 0.1  # weight of one answer
+# Weight of a new sample of one endpoint; it is small, because work varies far more than endpoints do.
+ENDPOINT_SMOOTHING = 0.08
+ESTIMATE_HALF_LIFE_DEADLINES = 3.0
+# The class mean is the unit of all endpoints, so it changes more slowly than the estimate of any of them.
+CLASS_SMOOTHING = 0.03
+# One request that takes very long must not mark an endpoint as slow.
+MAX_SAMPLE_CLASS_MEANS = 10.0
+# Knowledge of an endpoint's queue loses half of its weight in this time: other sidecars fill the queue.
+KNOWLEDGE_HALF_LIFE_DEADLINES = 4.0
+# With stale knowledge, the probability of an endpoint is in proportion to its speed to this power.
+STALE_SHARPNESS = 2.0
+REPORT_HALF_LIFE_DEADLINES = 0.5
+# As in TCP's retransmission timeout (RFC 6298): the mean and four mean deviations.
+OVERDUE_DEVIATIONS = 4.0
+MIN_OVERDUE_CLASS_MEANS = 2.0
+# Fraction of the remaining time; a retry needs as much time as the first attempt had.
+MAX_OVERDUE_FRACTION = 0.5
+# The first answers of a class are averaged into its typical latency with equal weights.
+LEARNING_ANSWERS = 30
+# Time over which the typical latency follows later answers; it is longer than a fault lasts.
+TYPICAL_INTERVAL_DEADLINES = 25.0
+# The typical latency changes slowly even during congestion, so that a wrong initial value is corrected.
+CONGESTED_DRIFT_FACTOR = 0.1
+MAX_TYPICAL_WEIGHT = 0.1
 
 
 class LatencyEstimator:
@@ -52,13 +62,13 @@
         context = self.context
         now, shortest = context.now_ns, context.shortest_ns
         known_ns = endpoint.last_sample_ns
-        if now - endpoint.load_reported_ns < REPORT_FRESH * shortest:
+        if now - endpoint.load_reported_ns < REPORT_HALF_LIFE_DEADLINES * shortest:
             delay = self._delay_by_report(endpoint, stats)
             known_ns = endpoint.load_reported_ns
         else:
             load = len(endpoint.in_flight) + 1
             delay = load * self.relative_latency(endpoint) * stats.mean_latency_ns
-        stale = 1.0 - 0.5 ** ((now - known_ns) / (STALE_AFTER * shortest))
+        stale = 1.0 - 0.5 ** ((now - known_ns) / (KNOWLEDGE_HALF_LIFE_DEADLINES * shortest))
         factor: float = context.random.expovariate(1.0) ** (stale / STALE_SHARPNESS)
         return delay * factor
 
@@ -66,7 +76,7 @@
         """Estimate the delay by the load that the endpoint reported, aged towards its group's mean."""
         group = self.endpoints.group(endpoint)
         age = self.context.now_ns - endpoint.load_reported_ns
-        known: float = 0.5 ** (age / (REPORT_FRESH * self.context.shortest_ns))
+        known: float = 0.5 ** (age / (REPORT_HALF_LIFE_DEADLINES * self.context.shortest_ns))
         load = group.mean_load + (endpoint.reported_load - group.mean_load) * known
         load = max(load, len(endpoint.in_flight))
         unit = endpoint.latency_per_request or group.latency_per_request
@@ -96,10 +106,12 @@
     def add_sample(self, endpoint: EndpointState, relative: float) -> None:
         """Take a result into the estimate of an endpoint, in class means."""
         context = self.context
-        age = (context.now_ns - endpoint.last_sample_ns) / (SMOOTHING_INTERVAL * context.shortest_ns)
+        age = (context.now_ns - endpoint.last_sample_ns) / (
+            ESTIMATE_HALF_LIFE_DEADLINES * context.shortest_ns
+        )
         fresh = 1.0 - 0.5**age if self.endpoints.sees_little else 0.0
-        weight = max(SMOOTHING, 1.0 / (endpoint.samples + 2), fresh)
-        relative = min(relative, MAX_SAMPLE)
+        weight = max(ENDPOINT_SMOOTHING, 1.0 / (endpoint.samples + 2), fresh)
+        relative = min(relative, MAX_SAMPLE_CLASS_MEANS)
         endpoint.relative_latency += weight * (relative - endpoint.relative_latency)
         if self.endpoints.crowded:
             self.group_weights.learn(endpoint, relative)
@@ -124,9 +136,9 @@
             step = 1.0 / (stats.answers + 1)
         else:
             elapsed = self.context.now_ns - stats.typical_updated_ns
-            step = min(elapsed / (TYPICAL_INTERVAL * self.context.shortest_ns), MAX_TYPICAL_STEP)
+            step = min(elapsed / (TYPICAL_INTERVAL_DEADLINES * self.context.shortest_ns), MAX_TYPICAL_WEIGHT)
             if congested:
-                step *= TYPICAL_DRIFT
+                step *= CONGESTED_DRIFT_FACTOR
         stats.typical_updated_ns = self.context.now_ns
         stats.typical_latency_ns += step * (took_ns - stats.typical_latency_ns)
 
@@ -142,7 +154,7 @@
         A slow endpoint is given its time, lest load looks like loss.
         """
         mean = stats.mean_latency_ns
-        expected = max(mean + OVERDUE_DEVIATIONS * stats.latency_deviation_ns, MIN_OVERDUE * mean)
+        expected = max(mean + OVERDUE_DEVIATIONS * stats.latency_deviation_ns, MIN_OVERDUE_CLASS_MEANS * mean)
         if endpoint.relative_latency > 1.0:
             expected *= endpoint.relative_latency
-        return int(min(expected, MAX_OVERDUE * left_ns)) + 1
+        return int(min(expected, MAX_OVERDUE_FRACTION * left_ns)) + 1
--- a/dykefold/balancer/load_reports.py
+++ b/dykefold/balancer/load_reports.py
@@ -8,15 +8,19 @@
 from .context import BalancerContext
 from .endpoints import ClassStats, EndpointState
 from .group_weights import GROUP_SMOOTHING
-from .latency import SMOOTHING
+from .latency import ENDPOINT_SMOOTHING
 from .requests import PendingRequest
 from .subsetting import EndpointSet
 
-PROBE_GAIN = 0.25  # asking saves about half of what is late, and costs two health checks
-PROBE_WAIT = 0.03  # of the objective: some round trips; an endpoint silent until then is passed over
-MAX_PROBE_WAIT = 0.25  # of the time left
+# Two health checks avoid about half of the late answers; this is the fraction for one of them.
+PROBE_GAIN_FRACTION = 0.25
+# A few round trips; an endpoint that has not answered by then is passed over.
+PROBE_WAIT_OBJECTIVES = 0.03
+# Fraction of the remaining time.
+MAX_PROBE_WAIT_FRACTION = 0.25
 MIN_PROBE_PRICE = 1e-6
-LOAD_COLUMNS = ("inflight", "queue")  # of a report, in order of preference
+# Columns of a load report that can serve as the load, in order of preference.
+LOAD_COLUMNS = ("inflight", "queue")
 
 
 class LoadReports:
@@ -61,7 +65,7 @@
             unit = relative / (load + 1.0)
             group.latency_per_request += weight * (unit - group.latency_per_request)
             known = endpoint.latency_per_request or group.latency_per_request
-            endpoint.latency_per_request = known + SMOOTHING * (unit - known)
+            endpoint.latency_per_request = known + ENDPOINT_SMOOTHING * (unit - known)
 
     def probe_probability(self, stats: ClassStats) -> float:
         """How often two health checks pay: what they save of late answers, against their price."""
@@ -69,21 +73,26 @@
         if not (settings.can_probe and self.column is not None):
             return 0.0
         late = math.exp(-stats.spec.objective_ns / stats.mean_latency_ns)  # latencies are near that
-        return late * PROBE_GAIN / max(settings.price_probe, MIN_PROBE_PRICE)
+        return late * PROBE_GAIN_FRACTION / max(settings.price_probe, MIN_PROBE_PRICE)
 
-    def ask(self, req: PendingRequest, candidates: list[EndpointState]) -> int:
+    def ask(self, request: PendingRequest, candidates: list[EndpointState]) -> int:
         """Ask endpoints for their load on behalf of a request; the time to wait for it, nanoseconds.
 
         Guards against picking blindly: what is known of an endpoint is of a deadline ago, its queue of now.
         """
         now = self.context.now_ns
-        req.probed = candidates
+        request.probed = candidates
         for endpoint in candidates:
-            self.waiting.setdefault(endpoint.id, []).append(req.id)
+            self.waiting.setdefault(endpoint.id, []).append(request.id)
             self.context.actions.append(Probe(endpoint.id))
-        req.retry_planned = True
-        req.probed_ns = now
-        return int(min(PROBE_WAIT * req.spec.objective_ns, MAX_PROBE_WAIT * (req.deadline_ns - now)))
+        request.retry_planned = True
+        request.probed_ns = now
+        return int(
+            min(
+                PROBE_WAIT_OBJECTIVES * request.spec.objective_ns,
+                MAX_PROBE_WAIT_FRACTION * (request.deadline_ns - now),
+            )
+        )
 
     def stop_waiting(self, server: int) -> list[int]:
         """Take the requests that waited for this endpoint's report."""
--- a/dykefold/balancer/lost_attempts.py
+++ b/dykefold/balancer/lost_attempts.py
@@ -6,8 +6,10 @@
 from .context import BalancerContext
 from .endpoints import AttemptKey, EndpointState
 
-MIN_OVERTAKEN = 3  # answers to attempts sent later, as duplicate acknowledgements tell TCP (RFC 5681, 3.2)
-MIN_WAIT = 2.0  # class means: on two cores short work overtakes long work that is not lost
+# As three duplicate acknowledgements show TCP a lost segment (RFC 5681, 3.2).
+MIN_OVERTAKING_ANSWERS = 3
+# An endpoint with two cores answers short work before long work, although nothing is lost.
+MIN_WAIT_CLASS_MEANS = 2.0
 
 
 class LostAttempts:
@@ -35,8 +37,8 @@
                 break
             attempt.overtaken += 1
             expected = attempt.stats.mean_latency_ns * max(endpoint.relative_latency, 1.0)
-            late = now - attempt.sent_ns >= MIN_WAIT * expected
-            if late and attempt.overtaken >= MIN_OVERTAKEN and key not in endpoint.lost:
+            late = now - attempt.sent_ns >= MIN_WAIT_CLASS_MEANS * expected
+            if late and attempt.overtaken >= MIN_OVERTAKING_ANSWERS and key not in endpoint.lost:
                 gone.append(key)
         for key in gone:
             self.write_off(endpoint, key)
--- a/dykefold/balancer/outlier_detection.py
+++ b/dykefold/balancer/outlier_detection.py
@@ -13,16 +13,22 @@
 from .settings import Effect
 from .subsetting import EndpointSet
 
-EJECTION_SCORE = 2.0  # consecutive failures without a sign of life in between
-OVERDUE_SCORE = 0.5  # an overdue attempt counts so much: four of them eject
-MAX_REJECTIONS = 2  # attempts in a row that an endpoint rejected: it drains, which the list tells late
-EJECTION_TIME = 1.0  # times the shortest deadline, for the first ejection
-EJECTION_GROWTH = 2.0
-MAX_EJECTION_TIME = 8.0  # times the first
-EJECTION_JITTER = 0.3  # either way: sidecars must not probe an endpoint together
-MAX_EJECTED = 0.7  # of the ready endpoints, on broken connections; beyond it, suspect oneself and spread
-MAX_EJECTED_ON_SILENCE = 0.34  # on missing answers alone: if a third is silent, it is load
-MAX_READMITTED_LATENCY = 3.0  # relative latency that an endpoint comes back with at most
+# Consecutive failures without an answer in between.
+EJECTION_SCORE = 2.0
+# An overdue attempt counts as half a failure.
+OVERDUE_SCORE = 0.5
+# An endpoint that rejects this many attempts in a row is draining; the endpoint list says so later.
+MAX_CONSECUTIVE_REJECTIONS = 2
+EJECTION_DEADLINES = 1.0
+EJECTION_GROWTH_FACTOR = 2.0
+MAX_EJECTION_DEADLINES = 8.0
+# The ejection time varies at random in both directions, so that sidecars do not probe an endpoint together.
+EJECTION_JITTER_FRACTION = 0.3
+# Fraction of the ready endpoints. If more of them break connections, the cause is likely the own network.
+MAX_EJECTED_FRACTION = 0.7
+# The same for missing answers alone: if a third of the endpoints is silent, the cause is load.
+MAX_EJECTED_ON_SILENCE_FRACTION = 0.34
+MAX_READMITTED_RELATIVE_LATENCY = 3.0
 
 
 class OutlierDetector:
@@ -90,23 +96,23 @@
         if context.fleet:
             context.actions.append(ReportEndpointHealth(endpoint.id, False))
         wait = context.shortest_ns * min(
-            EJECTION_TIME * EJECTION_GROWTH**endpoint.ejections, MAX_EJECTION_TIME
+            EJECTION_DEADLINES * EJECTION_GROWTH_FACTOR**endpoint.ejections, MAX_EJECTION_DEADLINES
         )
         endpoint.ejections += 1
-        jitter = context.random.uniform(1.0 - EJECTION_JITTER, 1.0 + EJECTION_JITTER)
+        jitter = context.random.uniform(1.0 - EJECTION_JITTER_FRACTION, 1.0 + EJECTION_JITTER_FRACTION)
         endpoint.probation_ns = context.now_ns + int(wait * jitter)
 
-    def probation_endpoint(self, req: PendingRequest) -> EndpointState | None:
+    def probation_endpoint(self, request: PendingRequest) -> EndpointState | None:
         """An ejected endpoint that is due for one request: of an idempotent class, if there is any.
 
         Guards against sites without a safe class, where an endpoint that recovered was never tried again.
         """
-        if req.attempts or (self.context.has_safe_class and req.spec.effect is not Effect.SAFE):
+        if request.attempts or (self.context.has_safe_class and request.spec.effect is not Effect.SAFE):
             return None
         now = self.context.now_ns
         for endpoint in self.endpoints.ejected:
             due = endpoint.probation_ns <= now and not endpoint.probation_pending
-            if due and self.rules.may_send(req, endpoint):
+            if due and self.rules.may_send(request, endpoint):
                 return endpoint
         return None
 
@@ -115,5 +121,5 @@
             self.context.actions.append(ReportEndpointHealth(endpoint.id, True))
         endpoint.ejected = False
         self.limit.in_flight += endpoint.expected_responses()
-        endpoint.relative_latency = min(endpoint.relative_latency, MAX_READMITTED_LATENCY)
+        endpoint.relative_latency = min(endpoint.relative_latency, MAX_READMITTED_RELATIVE_LATENCY)
         self.endpoints.rebuild()
--- a/dykefold/balancer/picker.py
+++ b/dykefold/balancer/picker.py
@@ -14,8 +14,10 @@
 from .requests import PendingRequest
 from .subsetting import EndpointSet
 
-CANDIDATES = 2  # the power of two choices
-CROSSING_OBJECTIVES = 4.0  # latency objectives of delay for each point of price for a crossing of zones
+# The power of two choices.
+CANDIDATES = 2
+# Latency objectives of delay that a request to another zone adds, for each unit of its price.
+CROSSING_DELAY_OBJECTIVES_PER_PRICE = 4.0
 
 
 def random_below(source: random.Random, count: int) -> int:
@@ -47,58 +49,58 @@
 
     def apply_settings(self) -> None:
         """Take the price of a crossing."""
-        self.crossing = self.context.settings.price_cross_zone * CROSSING_OBJECTIVES
+        self.crossing = self.context.settings.price_cross_zone * CROSSING_DELAY_OBJECTIVES_PER_PRICE
 
-    def pick(self, req: PendingRequest) -> EndpointState | None:
+    def pick(self, request: PendingRequest) -> EndpointState | None:
         """Two sampled of the own zone against two sampled of the others, which pay for the crossing."""
         ejected = self.endpoints.ejected
-        if ejected and (probed := self.outliers.probation_endpoint(req)):
+        if ejected and (probed := self.outliers.probation_endpoint(request)):
             return probed
-        tried = {attempt.endpoint for attempt in req.attempts} if req.attempts else ()
-        best = self._best(req, tried)
+        tried = {attempt.endpoint for attempt in request.attempts} if request.attempts else ()
+        best = self._best(request, tried)
         if best is None and tried:
-            best = self._best(req, ())
+            best = self._best(request, ())
         if best is not None:
             return best
         for endpoint in ejected:  # nothing better: an ejected one may have recovered
-            if not endpoint.probation_pending and self.rules.may_send(req, endpoint):
+            if not endpoint.probation_pending and self.rules.may_send(request, endpoint):
                 return endpoint
         return None
 
-    def _best(self, req: PendingRequest, tried: Container[EndpointState]) -> EndpointState | None:
+    def _best(self, request: PendingRequest, tried: Container[EndpointState]) -> EndpointState | None:
         """The candidate of the lowest expected delay."""
         best = None
         lowest = 0.0
-        expected_delay, stats = self.latency.expected_delay, req.stats
-        for endpoint, extra in self.candidates(req, tried):
+        expected_delay, stats = self.latency.expected_delay, request.stats
+        for endpoint, extra in self.candidates(request, tried):
             delay = expected_delay(endpoint, stats) + extra
             if best is None or delay < lowest:
                 best, lowest = endpoint, delay
         return best
 
     def candidates(
-        self, req: PendingRequest, tried: Container[EndpointState]
+        self, request: PendingRequest, tried: Container[EndpointState]
     ) -> list[tuple[EndpointState, float]]:
         """Sample endpoints, with what is added to their delay for crossing zones, nanoseconds."""
         endpoints = self.endpoints
         if endpoints.sees_little:
-            return [(endpoint, 0.0) for endpoint in self._two_by_weight(req, tried)]
-        pairs = [(endpoint, 0.0) for endpoint in self._two(endpoints.near, req, tried)]
+            return [(endpoint, 0.0) for endpoint in self._two_by_weight(request, tried)]
+        pairs = [(endpoint, 0.0) for endpoint in self._two(endpoints.near, request, tried)]
         if endpoints.far:
-            crossing = self.crossing * req.spec.objective_ns
-            pairs += [(endpoint, crossing) for endpoint in self._two(endpoints.far, req, tried)]
-        return pairs or [(endpoint, 0.0) for endpoint in self._two(endpoints.rest, req, tried)]
+            crossing = self.crossing * request.spec.objective_ns
+            pairs += [(endpoint, crossing) for endpoint in self._two(endpoints.far, request, tried)]
+        return pairs or [(endpoint, 0.0) for endpoint in self._two(endpoints.rest, request, tried)]
 
-    def _two_by_weight(self, req: PendingRequest, tried: Container[EndpointState]) -> list[EndpointState]:
+    def _two_by_weight(self, request: PendingRequest, tried: Container[EndpointState]) -> list[EndpointState]:
         """Two of the subset, by weights that follow what each group's answers took.
 
         A sidecar that sees little has too few own answers to know a zone or kind as overrun by its endpoints.
         The price of a crossing is in the weights.
         """
         endpoints, may_send = self.endpoints, self.rules.may_send
-        fit = [one for one in endpoints.near + endpoints.far if one not in tried and may_send(req, one)]
+        fit = [one for one in endpoints.near + endpoints.far if one not in tried and may_send(request, one)]
         if not fit:
-            fit = [one for one in endpoints.rest if one not in tried and may_send(req, one)]
+            fit = [one for one in endpoints.rest if one not in tried and may_send(request, one)]
         if len(fit) <= CANDIDATES:
             return fit
         own, represented = self.context.settings.zone, endpoints.represented
@@ -109,7 +111,7 @@
         return [fit[first], fit[choices(range(len(fit)), weights)[0]]]
 
     def _two(
-        self, group: list[EndpointState], req: PendingRequest, tried: Container[EndpointState]
+        self, group: list[EndpointState], request: PendingRequest, tried: Container[EndpointState]
     ) -> list[EndpointState]:
         """Up to two different endpoints of the group that may take this request now."""
         found: list[EndpointState] = []
@@ -122,7 +124,7 @@
         for turn in range(size + 1):
             # The first two are a uniform pair; the walk over all beyond them only replaces unfit ones.
             endpoint = group[(at + (turn * step if turn < CANDIDATES else turn - 1)) % size]
-            if endpoint in found or endpoint in tried or not may_send(req, endpoint):
+            if endpoint in found or endpoint in tried or not may_send(request, endpoint):
                 continue
             found.append(endpoint)
             if len(found) == CANDIDATES:
--- a/dykefold/balancer/poll_schedule.py
+++ b/dykefold/balancer/poll_schedule.py
@@ -6,11 +6,15 @@
 from .context import SECOND_NS, BalancerContext
 from .timers import POLL, TimerQueue
 
-# Parts of the time within which a sidecar must poll.
-BACKOFF_BASE = 0.05  # the first poll and the first retry of it are spread over this
-MAX_BACKOFF = 0.4  # doubling up to this, so that two polls fit
-MIN_JITTER = 0.1  # of the delay at the least, to leave a failing registry alone
-MAX_DELAY_S = 1.5  # after a failure a change counts as told 6 s later, whatever that time is
+# Fractions are of `Settings.max_poll_interval_ns`.
+# The first poll is spread over this time; the first retry of a poll is too.
+BACKOFF_BASE_FRACTION = 0.05
+# Two polls fit into the interval.
+MAX_BACKOFF_FRACTION = 0.4
+# Smallest fraction of a backoff after jitter; it spares a registry that fails.
+MIN_JITTER_FRACTION = 0.1
+# After a failure, a sidecar counts as notified of a change 6 s later, whatever the poll interval is.
+MAX_DELAY_S = 1.5
 
 
 class PollSchedule:
@@ -26,7 +30,7 @@
         """Poll soon, but restarted sidecars must not all poll at once."""
         settings = self.context.settings
         if settings.poll_required:
-            spread = settings.max_poll_interval_ns * BACKOFF_BASE
+            spread = settings.max_poll_interval_ns * BACKOFF_BASE_FRACTION
             delay = int(spread * self.context.random.random())
             self.timers.add(self.context.now_ns + delay, POLL)
 
@@ -41,10 +45,12 @@
         settings = self.context.settings
         if not settings.poll_required:
             return
-        backoff = settings.max_poll_interval_ns * min(MAX_BACKOFF, BACKOFF_BASE * 2**self.failures)
+        backoff = settings.max_poll_interval_ns * min(
+            MAX_BACKOFF_FRACTION, BACKOFF_BASE_FRACTION * 2**self.failures
+        )
         backoff = min(backoff, MAX_DELAY_S * SECOND_NS)
         self.failures += 1
-        delay = int(backoff * self.context.random.uniform(MIN_JITTER, 1.0)) + 1
+        delay = int(backoff * self.context.random.uniform(MIN_JITTER_FRACTION, 1.0)) + 1
         self.timers.add(self.context.now_ns + delay, POLL)
 
     def on_timer(self) -> None:
--- a/dykefold/balancer/quotas.py
+++ b/dykefold/balancer/quotas.py
@@ -8,12 +8,17 @@
 from .context import SECOND_NS, BalancerContext
 from .events import PeerMessage
 
-JUDGE_INTERVAL = 0.5  # shortest deadlines between judgements: bursts rise within seconds
-RATE_SMOOTHING = 0.5  # weight of the latest such interval
-TYPICAL_USE = 1.3  # times the middle tenant's use of its quota, where peers are not heard, is within quota
-PEER_TIMEOUT = 6.0  # such intervals until a peer's message no longer counts
-RATE_UNIT = 64  # steps of a request a second in the peers' message
-MAX_RATE = 0xFFFFFFFF
+# Bursts rise within seconds.
+CHECK_INTERVAL_DEADLINES = 0.5
+# Weight of the latest interval in the smoothed rates.
+RATE_SMOOTHING = 0.5
+# Without messages of all peers, a tenant is within its quota up to this factor on the median tenant's use.
+TYPICAL_USE_FACTOR = 1.3
+# A peer's message counts for this many check intervals.
+PEER_TIMEOUT_INTERVALS = 6.0
+# Resolution of the rates in a message to peers.
+STEPS_PER_REQUEST_PER_S = 64
+MAX_RATE_STEPS = 0xFFFFFFFF
 
 
 class Quotas:
@@ -44,7 +49,7 @@
         self.counts[tenant] += 1.0
         context = self.context
         elapsed = context.now_ns - self.judged_ns
-        if elapsed < JUDGE_INTERVAL * context.shortest_ns:
+        if elapsed < CHECK_INTERVAL_DEADLINES * context.shortest_ns:
             return
         known, self.judged_ns = self.judged_ns, context.now_ns
         if known:  # the first interval has no beginning
@@ -53,7 +58,7 @@
                 self.rates[number] += RATE_SMOOTHING * (rate - self.rates[number])
         self.counts = [0.0] * len(self.counts)
         if context.settings.can_message_peers and context.settings.fleet_size > 1:
-            steps = [min(int(rate * RATE_UNIT), MAX_RATE) for rate in self.rates]
+            steps = [min(int(rate * STEPS_PER_REQUEST_PER_S), MAX_RATE_STEPS) for rate in self.rates]
             context.actions.append(SendToPeer(self.message.pack(*steps)))
         self._judge()
 
@@ -61,12 +66,14 @@
         """Take a peer's rates by tenant; a message of another length is not ours and skipped."""
         context = self.context
         if len(event.data) == self.message.size and event.sender < context.settings.fleet_size:
-            rates = [value / RATE_UNIT for value in self.message.unpack(event.data)]
+            rates = [value / STEPS_PER_REQUEST_PER_S for value in self.message.unpack(event.data)]
             self.peer_rates[event.sender] = (context.now_ns, rates)
 
     def _judge(self) -> None:
         tenants = self.context.settings.tenants
-        fresh = self.context.now_ns - PEER_TIMEOUT * JUDGE_INTERVAL * self.context.shortest_ns
+        fresh = (
+            self.context.now_ns - PEER_TIMEOUT_INTERVALS * CHECK_INTERVAL_DEADLINES * self.context.shortest_ns
+        )
         peers = [rates for when, rates in self.peer_rates.values() if when >= fresh]
         if len(peers) + 1 >= self.context.sidecar_count():
             # All are heard: the quotas are known as they are stated, over all sidecars together.
@@ -77,7 +84,7 @@
             asked = self.rates
             pairs = zip(asked, tenants, strict=True)
             used = sorted(rate / tenant.quota_per_s for rate, tenant in pairs if tenant.quota_per_s > 0.0)
-            part = used[(len(used) - 1) // 2] * TYPICAL_USE if used else 0.0
+            part = used[(len(used) - 1) // 2] * TYPICAL_USE_FACTOR if used else 0.0
         self.over_quota = [
             1.0 - tenant.quota_per_s * part / rate if rate > tenant.quota_per_s * part > 0.0 else 0.0
             for rate, tenant in zip(asked, tenants, strict=True)
--- a/dykefold/balancer/request_value.py
+++ b/dykefold/balancer/request_value.py
@@ -7,16 +7,28 @@
 from .events import Request
 from .requests import PendingRequest
 
-SURE_VOTES = 5  # votes more for the timeout of a first attempt than for others, to tell an age by it
-MAX_VOTES = 20  # that are remembered, so that another timeout is learnt within as many
-SURE_TIME = 1.5  # typical latencies before the objective: the answer comes in time
-LOST_TIME = 0.5  # and it hardly ever does
-MIN_VALUE = 0.2  # part of the limit that is open to work that comes too late: done where there is room
+# Votes by which the timeout of first attempts must lead before ages are derived from it.
+MIN_DECIDING_VOTES = 5
+# Limits the votes, so that a changed timeout is learnt after as many requests.
+MAX_VOTES = 20
+# With this many typical latencies left, an answer in time is certain.
+CERTAIN_TYPICAL_LATENCIES = 1.5
+# With this many typical latencies left or fewer, no answer in time is expected.
+HOPELESS_TYPICAL_LATENCIES = 0.5
+# Fraction of the limit that stays open to work that comes too late; it is done where there is capacity.
+MIN_VALUE_FRACTION = 0.2
 
 
 def _chance(time_ns: float, typical_ns: float) -> float:
     """How likely so much time is enough, from 0 to 1."""
-    return min(max((time_ns / typical_ns - LOST_TIME) / (SURE_TIME - LOST_TIME), 0.0), 1.0)
+    return min(
+        max(
+            (time_ns / typical_ns - HOPELESS_TYPICAL_LATENCIES)
+            / (CERTAIN_TYPICAL_LATENCIES - HOPELESS_TYPICAL_LATENCIES),
+            0.0,
+        ),
+        1.0,
+    )
 
 
 class RequestValue:
@@ -26,30 +38,31 @@
         """Go by the settings of the context."""
         self.context = context
 
-    def of(self, event: Request, req: PendingRequest) -> float:
+    def of(self, event: Request, request: PendingRequest) -> float:
         """The part of its worth that a request can still be expected to earn; sets its age.
 
         Objective and deadline of a class run from the client's first attempt, and a retry of the client's is
         cut short at that deadline: so a short timeout tells its age. Guards against overload in which the
         work that is admitted is mostly such that it comes too late anyway.
         """
-        spec, stats = req.spec, req.stats
+        spec, stats = request.spec, request.stats
         left = event.deadline_ns - self.context.now_ns
         typical = stats.typical_latency_ns
         if not event.is_retry:
             self._vote(stats, left)
         first = stats.first_timeout_ns
         tolerance = 2 * self.context.settings.tick_ns
-        if left < first - tolerance and stats.first_timeout_votes >= SURE_VOTES:
-            req.age_ns = spec.deadline_ns - left
-            in_time = _chance(spec.objective_ns - req.age_ns, typical)
+        if left < first - tolerance and stats.first_timeout_votes >= MIN_DECIDING_VOTES:
+            request.age_ns = spec.deadline_ns - left
+            in_time = _chance(spec.objective_ns - request.age_ns, typical)
         elif event.is_retry and spec.deadline_ns > first:
             # Not cut short: it may be of any age up to this.
             in_time = min(max(spec.objective_ns - typical, 0.0) / (spec.deadline_ns - first), 1.0)
         else:
             in_time = 1.0
         return max(
-            (in_time + (1.0 - in_time) * spec.late_weight_fraction) * _chance(left, typical), MIN_VALUE
+            (in_time + (1.0 - in_time) * spec.late_weight_fraction) * _chance(left, typical),
+            MIN_VALUE_FRACTION,
         )
 
     def _vote(self, stats: ClassStats, left_ns: int) -> None:
--- a/dykefold/balancer/requests.py
+++ b/dykefold/balancer/requests.py
@@ -11,7 +11,9 @@
 if TYPE_CHECKING:
     from .endpoints import ClassStats, EndpointState
 
-MAX_UNSENT = 0.45  # of a request's time may pass unsent: then it is rejected, while a retry is of use
+# Fraction of the time until the deadline. A request that no endpoint has got by then is rejected, so that a
+# retry of its client can still succeed.
+MAX_UNSENT_FRACTION = 0.45
 
 
 class AttemptState(Enum):
@@ -108,7 +110,7 @@
         self.tenant = request.tenant
         self.spec = stats.spec
         self.deadline_ns = request.deadline_ns
-        self.send_by_ns = now_ns + int(MAX_UNSENT * (self.deadline_ns - now_ns))
+        self.send_by_ns = now_ns + int(MAX_UNSENT_FRACTION * (self.deadline_ns - now_ns))
         self.written = False
         self.age_ns = 0
         self.attempts: list[Attempt] = []
--- a/dykefold/balancer/slow_start.py
+++ b/dykefold/balancer/slow_start.py
@@ -9,25 +9,33 @@
 from .subsetting import EndpointSet
 from .throughput import Throughput
 
-RATE_FACTOR = 1.2  # times the fair fraction of the own answers, times the ramp
-TOKENS_PER_ANSWER = 1.5  # requests allowed for each one answered: many warm by work, sooner than stated
-BUDGET_PART = 0.9  # but no more than this part of the budget by the ceilings of all sidecars together ...
-MAX_CEILING = 1.6  # ... nor than so many times the overload factor, in place of RATE_FACTOR
-SMALL_ALLOWANCE = 30.0  # requests; the slack for chance is larger below
-DEMAND_PART = 0.3  # of the overload factor, times the fair fraction of the demand, times the ramp
-MAX_UNANSWERED = 3  # requests that failed, up to which an endpoint is sent more by the demand
-CROWD_FACTOR = 1.5  # times both where many sidecars see little: most requests come to others than have tokens
-CROWD_BURST = 2.0  # requests that may come at once there, by the ceiling
-BURST_PER_ANSWER = 0.1  # requests more that may come at once for each one answered since the start
-MAX_BURST_BY_ANSWERS = 3.0
-BURST_S = 0.25  # seconds of that rate may come at once
-MIN_RAMP = 0.01
+# Factor on the fair fraction of the own answers.
+RATE_FACTOR = 1.2
+# Above 1, because many endpoints warm up by their work and sooner than stated.
+TOKENS_PER_ANSWER = 1.5
+# Fraction of the slow-start budget that the ceilings of all sidecars together may use.
+BUDGET_FRACTION = 0.9
+# Limits the ceiling to this many times the rate that the overload factor allows.
+MAX_CEILING_FACTOR = 1.6
+# Below this allowance the slack for random bursts is larger.
+SMALL_ALLOWANCE_REQUESTS = 30.0
+# Fraction of the overload factor that an endpoint may be sent by the demand alone.
+DEMAND_FRACTION = 0.3
+# With this many unanswered requests, an endpoint gets none by the demand alone.
+MAX_UNANSWERED_REQUESTS = 3
+# Factor on rate and ceiling where many sidecars see little: most requests come to sidecars without tokens.
+CROWD_FACTOR = 1.5
+CROWD_BURST_REQUESTS = 2.0
+BURST_REQUESTS_PER_ANSWER = 0.1
+MAX_BURST_REQUESTS_BY_ANSWERS = 3.0
+BURST_S = 0.25
+MIN_CAPACITY_FRACTION = 0.01
 
 
 def slow_start_budget(allowed: float) -> float:
     """Requests of mean work in an overload interval that push an endpoint over, by what it is allowed."""
     root = math.sqrt(allowed)
-    return allowed + 3.0 * root + 3.0 if allowed < SMALL_ALLOWANCE else allowed + 2.0 * root + 2.0
+    return allowed + 3.0 * root + 3.0 if allowed < SMALL_ALLOWANCE_REQUESTS else allowed + 2.0 * root + 2.0
 
 
 class SlowStart:
@@ -46,7 +54,7 @@
         age = self.context.now_ns - endpoint.ramp_from_ns
         if not endpoint.started_ns or age >= warm:
             return 1.0
-        return max(start + (1.0 - start) * max(age, 0) / warm, MIN_RAMP)
+        return max(start + (1.0 - start) * max(age, 0) / warm, MIN_CAPACITY_FRACTION)
 
     def allows(self, endpoint: EndpointState, stats: ClassStats) -> bool:
         """Tell whether a request of this class may be sent to the endpoint now."""
@@ -87,8 +95,10 @@
             return None
         context, now = self.context, self.context.now_ns
         rate, ceiling = self._rates(endpoint, ramp)
-        ceiling_burst = CROWD_BURST if self._in_crowd() else 1.0
-        limit = max(1.0, rate * BURST_S) + min(endpoint.samples * BURST_PER_ANSWER, MAX_BURST_BY_ANSWERS)
+        ceiling_burst = CROWD_BURST_REQUESTS if self._in_crowd() else 1.0
+        limit = max(1.0, rate * BURST_S) + min(
+            endpoint.samples * BURST_REQUESTS_PER_ANSWER, MAX_BURST_REQUESTS_BY_ANSWERS
+        )
         ceiling_limit = max(ceiling_burst, ceiling * BURST_S)
         if not endpoint.slow_start_ns:
             # Part of a first token each: from none at all, hundreds of sidecars with little traffic would
@@ -136,7 +146,7 @@
         budget = slow_start_budget(allowed * span_s * sharing) / sharing
         # Those of its zone share it among them; beside them each of the others takes the fleet's share.
         shares = 1.0 + (fleet - local) / fleet
-        return min(MAX_CEILING * allowed, BUDGET_PART / shares * budget / (span_s + BURST_S))
+        return min(MAX_CEILING_FACTOR * allowed, BUDGET_FRACTION / shares * budget / (span_s + BURST_S))
 
     def _fair_rate(self, endpoint: EndpointState, fade: float) -> float:
         """The endpoint's fair fraction of the own answers a second.
@@ -166,18 +176,20 @@
     def _may_go_by_demand(self, endpoint: EndpointState) -> bool:
         """Tell whether no endpoint is warm, and this one has answered nearly all that it was sent."""
         unanswered = endpoint.slow_start_sent - endpoint.samples
-        return not endpoint.in_flight and unanswered < MAX_UNANSWERED and self.endpoints.all_warm_up()
+        return (
+            not endpoint.in_flight and unanswered < MAX_UNANSWERED_REQUESTS and self.endpoints.all_warm_up()
+        )
 
     def _rate_by_demand(self, endpoint: EndpointState, ramp: float) -> float:
         """Requests a second that it may be sent while no endpoint is warm.
 
         Answers tell nothing of capacity then: a fleet that has just begun has none, and as each endpoint is
         sent a part of them only, fewer would follow from few. The sum over all sidecars stays within what the
-        overload factor allows as long as the demand is no more than 1 / DEMAND_PART times what the endpoints
-        can do when warm.
+        overload factor allows as long as the demand is at most 1 / DEMAND_FRACTION times the capacity of the
+        endpoints when warm.
         """
         fair = self.endpoints.demand / self._shared_by(endpoint)
-        return DEMAND_PART * self.context.settings.overload_factor * ramp * fair
+        return DEMAND_FRACTION * self.context.settings.overload_factor * ramp * fair
 
     def _shared_by(self, endpoint: EndpointState) -> int:
         """Count the endpoints that share the own requests with this one."""
--- a/dykefold/balancer/subsetting.py
+++ b/dykefold/balancer/subsetting.py
@@ -10,17 +10,26 @@
 from .endpoints import EndpointGroup, EndpointState
 from .throughput import Throughput
 
-MIN_SUBSET = 2  # endpoints of each side (own zone, others): a pick of two needs two
-SUBSET_INTERVAL = 1.0  # or as many as requests in a shortest deadline: each is heard from once in it
-REMOTE_SAMPLERS = 5  # sidecars of other zones, about, for an endpoint: its load must not hang on one or two
-REMOTE_SUBSET = 0.25  # or this part of a subset: each costs a connection, and most requests stay in the zone
-FAR_MORE = 4.0  # endpoints for each sidecar from which on the own zone is sampled in part too ...
-FAR_MORE_KEPT = 3.0  # ... and down to which that stays so
-LOCAL_SAMPLERS = 10.0  # sidecars, about, for an endpoint of the own zone then: shares differ by a third or so
-FOR_EACH_IN_FLIGHT = 4.0  # or so many endpoints for each own request in flight: none is busy with it for long
-LOCAL_GROWTH = 1.5  # times its size that must be wanted before that part grows ...
-LOCAL_SHRINKAGE = 0.5  # ... or at most this: each change costs connections
-DEMAND_INTERVAL = 5.0  # shortest deadlines over which the own requests are counted
+# A pick of two needs two endpoints of each side (own zone, other zones).
+MIN_SUBSET_SIZE = 2
+# The subset has as many endpoints as requests arrive in this time, so that each answers about once in it.
+SUBSET_INTERVAL_DEADLINES = 1.0
+# An endpoint's load must not depend on one or two sidecars of other zones.
+REMOTE_SIDECARS_PER_ENDPOINT = 5
+# Fraction of a subset that is in other zones. Each endpoint costs a connection, and most requests stay local.
+REMOTE_SUBSET_FRACTION = 0.25
+# With this many endpoints per sidecar, a sidecar begins to sample only a part of its own zone.
+LOCAL_SUBSET_START_RATIO = 4.0
+# With fewer endpoints per sidecar, it samples the whole zone again.
+LOCAL_SUBSET_STOP_RATIO = 3.0
+# About this many sidecars sample each endpoint of the own zone; loads of endpoints then differ by a third.
+LOCAL_SIDECARS_PER_ENDPOINT = 10.0
+# A local subset has at least this many endpoints for each own request in flight, so most of them are idle.
+LOCAL_ENDPOINTS_PER_REQUEST_IN_FLIGHT = 4.0
+# The local subset changes its size only by large steps, because each change costs connections.
+MIN_LOCAL_GROWTH_FACTOR = 1.5
+MAX_LOCAL_SHRINK_FACTOR = 0.5
+DEMAND_INTERVAL_DEADLINES = 5.0
 
 by_rank = attrgetter("rank")
 
@@ -106,7 +115,9 @@
             near_size = self.local_size or self.ready_count
             if near_size < len(near):
                 near.sort(key=by_rank)
-            far_size = max(MIN_SUBSET, int(REMOTE_SUBSET * self.subset_size), self._remote_part(far))
+            far_size = max(
+                MIN_SUBSET_SIZE, int(REMOTE_SUBSET_FRACTION * self.subset_size), self._remote_part(far)
+            )
             if far_size < len(far):
                 far.sort(key=by_rank)
         self.near, self.far = near[:near_size], far[:far_size]
@@ -117,7 +128,7 @@
         fleet = self.context.fleet
         if fleet and fleet.ranks:
             return sum(endpoint.rank < fleet.max_remote_rank for endpoint in far)
-        return math.ceil(REMOTE_SAMPLERS * len(far) / self.context.sidecar_count())
+        return math.ceil(REMOTE_SIDECARS_PER_ENDPOINT * len(far) / self.context.sidecar_count())
 
     def _wanted_local_size(self, near_count: int) -> int:
         """Count the endpoints of the own zone to sample; 0 for all of them.
@@ -127,13 +138,18 @@
         times, and few sidecars sample all of them: a subset is never smaller than the fleet's share.
         """
         sidecars = max(self.context.sidecar_count(), 1)
-        if self.ready_count < (FAR_MORE_KEPT if self.local_size else FAR_MORE) * sidecars:
+        if (
+            self.ready_count
+            < (LOCAL_SUBSET_STOP_RATIO if self.local_size else LOCAL_SUBSET_START_RATIO) * sidecars
+        ):
             return 0
-        share = math.ceil(LOCAL_SAMPLERS * self.ready_count / sidecars)
+        share = math.ceil(LOCAL_SIDECARS_PER_ENDPOINT * self.ready_count / sidecars)
         live = self.context.live_classes
         typical_s = sum(stats.typical_latency_ns for stats in live) / len(live) / SECOND_NS
-        wanted = max(share, math.ceil(FOR_EACH_IN_FLIGHT * self.demand * typical_s))  # Little's law
-        if LOCAL_SHRINKAGE * self.local_size < wanted < LOCAL_GROWTH * self.local_size:
+        wanted = max(
+            share, math.ceil(LOCAL_ENDPOINTS_PER_REQUEST_IN_FLIGHT * self.demand * typical_s)
+        )  # Little's law
+        if MAX_LOCAL_SHRINK_FACTOR * self.local_size < wanted < MIN_LOCAL_GROWTH_FACTOR * self.local_size:
             wanted = self.local_size
         return wanted if wanted < near_count else 0
 
@@ -143,7 +159,10 @@
         Guards against hundreds of sidecars that each meet an endpoint once in half a minute and so never
         learn which ones are slow, crowded or hung.
         """
-        return max(MIN_SUBSET, int(self.demand * SUBSET_INTERVAL * self.context.shortest_ns / SECOND_NS))
+        return max(
+            MIN_SUBSET_SIZE,
+            int(self.demand * SUBSET_INTERVAL_DEADLINES * self.context.shortest_ns / SECOND_NS),
+        )
 
     def all_warm_up(self) -> bool:
         """Tell whether every ready endpoint that is not ejected still warms up."""
@@ -156,7 +175,7 @@
         now, shortest = context.now_ns, context.shortest_ns
         if not self.first_request_ns:
             self.first_request_ns = self.demand_ns = now
-        interval = min(now - self.first_request_ns + shortest, DEMAND_INTERVAL * shortest)
+        interval = min(now - self.first_request_ns + shortest, DEMAND_INTERVAL_DEADLINES * shortest)
         kept = max(0.0, 1.0 - (now - self.demand_ns) / interval)
         self.demand = self.demand * kept + SECOND_NS / interval
         self.demand_ns = now
--- a/dykefold/balancer/throughput.py
+++ b/dykefold/balancer/throughput.py
@@ -4,7 +4,8 @@
 
 from .context import SECOND_NS, BalancerContext
 
-HALF_LIFE_GAPS = 20.0  # estimates halve their distance to the mean in so many typical gaps between answers
+# An estimate of an endpoint halves its distance to the mean in the time of this many answers of it.
+HALF_LIFE_ANSWER_INTERVALS = 20.0
 
 
 class Throughput:
@@ -35,5 +36,5 @@
 
     def update_half_life(self, ready_count: int) -> None:
         """Work out how fast estimates age with so many ready endpoints."""
-        gaps = HALF_LIFE_GAPS * max(ready_count, 1)
+        gaps = HALF_LIFE_ANSWER_INTERVALS * max(ready_count, 1)
         self.half_life_ns = gaps / max(self.answers_per_s, 1.0) * SECOND_NS
--- a/tests/balancer/test_concerns.py
+++ b/tests/balancer/test_concerns.py
@@ -41,7 +41,7 @@
 def test_the_ramp_never_starts_at_nothing():
     balancer = fresh(start_capacity=0.0)
     cold = EndpointState(endpoint(1, started=START), 0.5)
-    assert balancer.slow_start.ramp(cold) == slow_start.MIN_RAMP == 0.01
+    assert balancer.slow_start.ramp(cold) == slow_start.MIN_CAPACITY_FRACTION == 0.01
 
 
 @pytest.mark.parametrize(("samples", "tokens"), [(0, 6.0), (20, 8.0), (30, 9.0), (1000, 9.0)])
@@ -69,7 +69,7 @@
 
 @pytest.mark.parametrize("retries", [0, 1, 3, 6, 20])
 def test_backoff_is_a_drawn_part_of_the_time_left_that_doubles_up_to_a_quarter(retries):
-    ceiling = min(retry_policy.MAX_BACKOFF, retry_policy.BACKOFF_BASE * 2**retries)
+    ceiling = min(retry_policy.MAX_BACKOFF_FRACTION, retry_policy.BACKOFF_BASE_FRACTION * 2**retries)
     delays = []
     for seed in range(200):
         balancer = Balancer(settings(tick_ns=0), seed)
@@ -81,7 +81,9 @@
         (due, kind, ident, _) = balancer.timers.heap[0]
         assert (kind, ident, req.retries, req.retry_planned) == (RETRY, 1, retries + 1, True)
         delays.append((due - START) / (2 * SECOND))
-    assert retry_policy.MIN_BACKOFF <= min(delays) < retry_policy.MIN_BACKOFF + 0.1 * ceiling
+    assert (
+        retry_policy.MIN_BACKOFF_FRACTION <= min(delays) < retry_policy.MIN_BACKOFF_FRACTION + 0.1 * ceiling
+    )
     assert 0.8 * ceiling < max(delays) <= ceiling
 
 
@@ -125,14 +127,20 @@
     one = balancer.endpoints.all[100]
     for _ in range(failures):
         balancer.outliers.record_failure(one, 2.0, 1.0)
-    factor = min(outlier_detection.EJECTION_GROWTH ** (failures - 1), outlier_detection.MAX_EJECTION_TIME)
+    factor = min(
+        outlier_detection.EJECTION_GROWTH_FACTOR ** (failures - 1), outlier_detection.MAX_EJECTION_DEADLINES
+    )
     wait = (one.probation_ns - now) / (2 * SECOND) / factor
-    assert 1.0 - outlier_detection.EJECTION_JITTER <= wait <= 1.0 + outlier_detection.EJECTION_JITTER
+    assert (
+        1.0 - outlier_detection.EJECTION_JITTER_FRACTION
+        <= wait
+        <= 1.0 + outlier_detection.EJECTION_JITTER_FRACTION
+    )
 
 
 @pytest.mark.parametrize(
     ("values", "level"),
-    [([], congestion.PRIOR), ([1.0], 0.8), ([100.0], 1.8), ([2.0] * 98, 1.974)],
+    [([], congestion.PRIOR_LEVEL), ([1.0], 0.8), ([100.0], 1.8), ([2.0] * 98, 1.974)],
 )
 def test_the_congestion_signal_is_a_mean_with_its_prior(values, level):
     balancer = fresh()
@@ -173,7 +181,7 @@
     balancer = fresh(tenants=TENANTS, fleet_size=2, can_message_peers=True)
     state = balancer.quotas
     for rates in peers:
-        steps = [int(rate * quotas.RATE_UNIT) for rate in rates]
+        steps = [int(rate * quotas.STEPS_PER_REQUEST_PER_S) for rate in rates]
         state.on_peer(PeerMessage(1, state.message.pack(*steps)))
     state.rates, state.judged_ns = own, START - 10 * SECOND
     state.counts = [rate * 10 for rate in own]
@@ -181,7 +189,9 @@
     state.count_request(0)
     assert state.over_quota == pytest.approx(over)
     (message,) = [action for action in balancer.context.actions if isinstance(action, SendToPeer)]
-    assert state.message.unpack(message.data) == tuple(int(rate * quotas.RATE_UNIT) for rate in state.rates)
+    assert state.message.unpack(message.data) == tuple(
+        int(rate * quotas.STEPS_PER_REQUEST_PER_S) for rate in state.rates
+    )
 
 
 @pytest.mark.parametrize(("sender", "size"), [(1, 11), (1, 13), (1, 0), (7, 12)])
