--- a/dykefold/balancer/attempt_results.py
+++ b/dykefold/balancer/attempt_results.py
@@ -7,6 +7,7 @@
 from .context import BalancerContext
 from .endpoints import EndpointState
 from .events import BodySent, Outcome, Status, StreamStarted
+from .in_flight import InFlightAttempt
 from .latency import LatencyEstimator
 from .load_reports import LoadReports
 from .lost_attempts import LostAttempts
@@ -17,7 +18,7 @@
     MAX_EJECTED_ON_SILENCE_FRACTION,
     OutlierDetector,
 )
-from .requests import InFlightAttempt, PendingRequest
+from .requests import PendingRequest
 from .slow_start import SlowStart
 from .subsetting import EndpointSet
 
--- a/dykefold/balancer/attempts.py
+++ b/dykefold/balancer/attempts.py
@@ -6,8 +6,9 @@
 from .concurrency_limit import ConcurrencyLimit
 from .context import BalancerContext
 from .endpoints import EndpointState
+from .in_flight import InFlightAttempt
 from .latency import LatencyEstimator
-from .requests import Attempt, InFlightAttempt, PendingRequest
+from .requests import Attempt, PendingRequest
 from .slow_start import SlowStart
 from .timers import OVERDUE, TimerQueue
 
--- a/dykefold/balancer/balancer.py
+++ b/dykefold/balancer/balancer.py
@@ -15,10 +15,11 @@
 from .attempt_results import AttemptResults
 from .attempt_rules import AttemptRules
 from .attempts import AttemptSender
+from .class_stats import ClassStats
 from .concurrency_limit import ConcurrencyLimit
 from .congestion import CongestionSignal
 from .context import BalancerContext
-from .endpoints import ClassStats, EndpointState
+from .endpoints import EndpointState
 from .final_answers import FinalAnswers
 from .group_weights import GroupWeights
 from .hedging import Hedging
--- a/dykefold/balancer/concurrency_limit.py
+++ b/dykefold/balancer/concurrency_limit.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
+from .class_stats import ClassStats
 from .congestion import CongestionSignal
 from .context import SECOND_NS, BalancerContext
-from .endpoints import ClassStats
 from .quotas import Quotas
 from .requests import PendingRequest
 from .subsetting import EndpointSet
--- a/dykefold/balancer/congestion.py
+++ b/dykefold/balancer/congestion.py
@@ -2,8 +2,9 @@
 
 from __future__ import annotations
 
+from .class_stats import ClassStats
 from .context import SECOND_NS, BalancerContext
-from .endpoints import ClassStats, EndpointState
+from .endpoints import EndpointState
 from .throughput import Throughput
 
 # At half of the objective, queues persist and wear out the endpoints.
--- a/dykefold/balancer/context.py
+++ b/dykefold/balancer/context.py
@@ -5,7 +5,7 @@
 import random
 
 from .actions import Action, Log
-from .endpoints import ClassStats
+from .class_stats import ClassStats
 from .events import MembershipChanged
 from .settings import Effect, Settings
 
--- /dev/null
+++ b/dykefold/balancer/in_flight.py
@@ -0,0 +1,28 @@
+"""Attempts in flight, as the endpoint that they were sent to accounts for them."""
+
+from __future__ import annotations
+
+from .class_stats import ClassStats
+
+AttemptKey = tuple[int, int]  # number of the request, number of the attempt
+
+
+class InFlightAttempt:
+    """One attempt that is awaiting its response.
+
+    Args:
+        sent_ns: Time at which it was sent.
+        stats: Statistics of the class of its request.
+
+    Attributes:
+        sent_ns: Time at which it was sent, or at which a streamed request body had reached the endpoint.
+        stats: Statistics of the class of its request.
+        overtaken: Number of responses to attempts that were sent later to the same endpoint.
+    """
+
+    __slots__ = ("overtaken", "sent_ns", "stats")
+
+    def __init__(self, sent_ns: int, stats: ClassStats) -> None:
+        self.sent_ns = sent_ns
+        self.stats = stats
+        self.overtaken = 0
--- a/dykefold/balancer/latency.py
+++ b/dykefold/balancer/latency.py
@@ -2,8 +2,9 @@
 
 from __future__ import annotations
 
+from .class_stats import ClassStats
 from .context import BalancerContext
-from .endpoints import ClassStats, EndpointState
+from .endpoints import EndpointState
 from .group_weights import GroupWeights
 from .subsetting import EndpointSet
 from .throughput import Throughput
--- a/dykefold/balancer/load_reports.py
+++ b/dykefold/balancer/load_reports.py
@@ -5,8 +5,9 @@
 import math
 
 from .actions import Probe
+from .class_stats import ClassStats
 from .context import BalancerContext
-from .endpoints import ClassStats, EndpointState
+from .endpoints import EndpointState
 from .group_weights import GROUP_SMOOTHING
 from .latency import ENDPOINT_SMOOTHING
 from .requests import PendingRequest
--- a/dykefold/balancer/lost_attempts.py
+++ b/dykefold/balancer/lost_attempts.py
@@ -4,7 +4,8 @@
 
 from .concurrency_limit import ConcurrencyLimit
 from .context import BalancerContext
-from .endpoints import AttemptKey, EndpointState
+from .endpoints import EndpointState
+from .in_flight import AttemptKey
 
 # As three duplicate acknowledgements show TCP a lost segment (RFC 5681, 3.2).
 MIN_OVERTAKING_ANSWERS = 3
--- a/dykefold/balancer/request_value.py
+++ b/dykefold/balancer/request_value.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from .class_stats import ClassStats
 from .context import BalancerContext
-from .endpoints import ClassStats
 from .events import Request
 from .requests import PendingRequest
 
--- a/dykefold/balancer/requests.py
+++ b/dykefold/balancer/requests.py
@@ -1,16 +1,14 @@
-"""State of the requests that wait for a response, and of their attempts. Times are integer nanoseconds."""
+"""State of pending requests and of their attempts. Times are integer nanoseconds."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import Enum
-from typing import TYPE_CHECKING
 
+from .class_stats import ClassStats
+from .endpoints import EndpointState
 from .events import Request
 
-if TYPE_CHECKING:
-    from .endpoints import ClassStats, EndpointState
-
 # Fraction of the time until the deadline. A request that no endpoint has got by then is rejected, so that a
 # retry of its client can still succeed.
 MAX_UNSENT_FRACTION = 0.45
@@ -20,11 +18,11 @@
     """What is known of an attempt."""
 
     IN_FLIGHT = 0
-    NEVER_RAN = 1  # proven
+    NEVER_RAN = 1  # It is proven that no endpoint worked on it.
     MAY_HAVE_RUN = 2
 
 
-# Names of the module: on the path of every request, reading an enum's member costs ten times as much.
+# Reading a name of the module takes a tenth of the time of an enum's member, which counts for every request.
 IN_FLIGHT = AttemptState.IN_FLIGHT
 NEVER_RAN = AttemptState.NEVER_RAN
 MAY_HAVE_RUN = AttemptState.MAY_HAVE_RUN
@@ -32,12 +30,12 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt of a request, by the request's account.
+    """One attempt, as its request accounts for it.
 
     Attributes:
-        endpoint: where it was sent.
-        sent_ns: when.
-        state: whether it is in flight, and if not, whether it may have run.
+        endpoint: Endpoint to which it was sent.
+        sent_ns: Time at which it was sent.
+        state: Whether it is in flight, and whether it may have run after its end.
     """
 
     endpoint: EndpointState
@@ -45,43 +43,32 @@
     state: AttemptState = IN_FLIGHT
 
 
-class InFlightAttempt:
-    """One attempt that waits for a response, by its endpoint's account.
-
-    Attributes:
-        sent_ns: when it was sent, or when its body had reached the endpoint whole.
-        stats: the class of its request.
-        overtaken: responses so far to attempts sent later.
-    """
-
-    __slots__ = ("overtaken", "sent_ns", "stats")
-
-    def __init__(self, sent_ns: int, stats: ClassStats) -> None:
-        """Begin with an attempt that nothing has overtaken."""
-        self.sent_ns = sent_ns
-        self.stats = stats
-        self.overtaken = 0
-
-
 class PendingRequest:
-    """A request that waits for its final answer, by the settings under which it was accepted.
+    """A request without a final answer, by the settings under which it was accepted.
+
+    Args:
+        request: Event of the request.
+        stats: Statistics of its class.
+        max_attempts: Number of attempts that it may have.
+        now_ns: Time of the event.
 
     Attributes:
-        id: number of the request.
-        stats: its class.
-        spec: its class by the settings.
-        max_attempts: how many attempts it may have.
-        tenant: number of the tenant.
-        deadline_ns: when its client gives up.
-        send_by_ns: when it is rejected if nothing of it has reached an endpoint.
-        written: whether some attempt has reached an endpoint.
-        age_ns: since the client's first attempt, as far as is known.
-        attempts: by number.
-        retries: backoff delays waited so far.
-        retry_paid: whether the next retry has been taken from the retry budget.
-        retry_planned: whether a retry waits for its timer.
-        streaming: whether a body flows, after which nothing more may be sent.
-        probed: endpoints whose load is being asked for, since `probed_ns`.
+        id: Number of the request.
+        stats: Statistics of its class.
+        spec: Its class by the settings.
+        max_attempts: Number of attempts that it may have.
+        tenant: Number of its tenant.
+        deadline_ns: Time at which its client gives up.
+        send_by_ns: Time at which it is rejected unless it has reached an endpoint.
+        written: True once an attempt has reached an endpoint.
+        age_ns: Time since the client's first attempt, as far as it is known.
+        attempts: Attempts by number.
+        retries: Number of backoff delays so far.
+        retry_paid: True once the next retry has been taken from the retry budget.
+        retry_planned: True while a retry is awaiting its timer.
+        streaming: True once a body is transferred; no attempt may be sent after that.
+        probed: Endpoints whose load reports it is awaiting.
+        probed_ns: Time at which these load reports were requested.
     """
 
     __slots__ = (
@@ -122,9 +109,9 @@
         self.probed_ns = 0
 
     def any_in_flight(self) -> bool:
-        """Tell whether an attempt may still be answered."""
+        """Return whether an attempt may still be answered."""
         return any(attempt.state is IN_FLIGHT for attempt in self.attempts)
 
     def never_ran(self) -> bool:
-        """Tell whether each attempt is proven not to have run; one in flight may have."""
+        """Return whether each attempt is proven not to have run; one in flight may have."""
         return all(attempt.state is NEVER_RAN for attempt in self.attempts)
--- a/dykefold/balancer/slow_start.py
+++ b/dykefold/balancer/slow_start.py
@@ -4,8 +4,9 @@
 
 import math
 
+from .class_stats import ClassStats
 from .context import SECOND_NS, BalancerContext
-from .endpoints import ClassStats, EndpointState
+from .endpoints import EndpointState
 from .subsetting import EndpointSet
 from .throughput import Throughput
 
--- a/tests/balancer/test_rejections.py
+++ b/tests/balancer/test_rejections.py
@@ -3,7 +3,7 @@
 from helpers import MS, SECOND, make, send_one, serve
 
 from dykefold.balancer.events import Outcome, Status
-from dykefold.balancer.requests import InFlightAttempt
+from dykefold.balancer.in_flight import InFlightAttempt
 
 
 def hear(balancer, now, server, status):
