--- a/dykefold/balancer/attempt_results.py
+++ b/dykefold/balancer/attempt_results.py
@@ -1,9 +1,16 @@
-"""The end of an attempt: out of what is in flight, and into the estimates."""
+"""The end of an attempt: it leaves the attempts in flight, and its result goes into the estimates."""
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+
 from .concurrency_limit import ConcurrencyLimit
-from .congestion import REJECTION_VALUE, WANTED_LATENCY_OBJECTIVES, WANTED_WAIT_OBJECTIVES, CongestionSignal
+from .congestion import (
+    REJECTION_VALUE,
+    WANTED_LATENCY_OBJECTIVES,
+    WANTED_WAIT_OBJECTIVES,
+    CongestionSignal,
+)
 from .context import BalancerContext
 from .endpoints import EndpointState
 from .events import BodySent, Outcome, Status, StreamStarted
@@ -28,34 +35,56 @@
 MIN_REJECTION_RELATIVE_LATENCY = 3.0
 
 
+@dataclass(frozen=True, slots=True)
+class AttemptLearners:
+    """Parts of a balancer that learn from attempts.
+
+    Attributes:
+        latency: Latency estimates of endpoints and classes.
+        congestion: Congestion signal of the concurrency limit.
+        slow_start: Token buckets of endpoints that are warming up.
+        load_reports: Loads that endpoints report.
+        outliers: Failure scores and ejections.
+        lost_attempts: Attempts whose response is not expected any more.
+    """
+
+    latency: LatencyEstimator
+    congestion: CongestionSignal
+    slow_start: SlowStart
+    load_reports: LoadReports
+    outliers: OutlierDetector
+    lost_attempts: LostAttempts
+
+
 class AttemptResults:
-    """Learns from how attempts end."""
+    """Takes ended attempts out of those in flight, and their results into the estimates.
+
+    Args:
+        context: State that all parts share.
+        endpoints: Known endpoints.
+        limit: Concurrency limit, which counts the attempts in flight.
+        learners: Parts that learn from the results.
+    """
 
     def __init__(
         self,
         context: BalancerContext,
         endpoints: EndpointSet,
-        latency: LatencyEstimator,
-        congestion: CongestionSignal,
         limit: ConcurrencyLimit,
-        slow_start: SlowStart,
-        reports: LoadReports,
-        outliers: OutlierDetector,
-        lost: LostAttempts,
+        learners: AttemptLearners,
     ) -> None:
-        """Learn into the state of these parts."""
         self.context = context
         self.endpoints = endpoints
-        self.latency = latency
-        self.congestion = congestion
         self.limit = limit
-        self.slow_start = slow_start
-        self.reports = reports
-        self.outliers = outliers
-        self.lost = lost
+        self.latency = learners.latency
+        self.congestion = learners.congestion
+        self.slow_start = learners.slow_start
+        self.load_reports = learners.load_reports
+        self.outliers = learners.outliers
+        self.lost_attempts = learners.lost_attempts
 
     def on_body_sent(self, event: BodySent, request: PendingRequest) -> None:
-        """A request's body has reached its endpoint: from now on the endpoint works on it."""
+        """Count an attempt as in flight from the moment at which its endpoint has the whole request body."""
         endpoint = self.endpoints.all.get(event.endpoint_number)
         if endpoint is not None:
             now = self.context.now_ns
@@ -63,14 +92,14 @@
             self.limit.in_flight += not endpoint.ejected
 
     def on_end(self, event: Outcome | StreamStarted) -> None:
-        """Take an attempt out of what is in flight, and its end into the estimates."""
+        """Take an attempt out of those in flight, and its result into the estimates."""
         endpoint = self.endpoints.all.get(event.endpoint_number)
         if endpoint is None:
             return
         key = (event.id, event.attempt)
         attempt = endpoint.in_flight.pop(key, None)
         if attempt is None:
-            return  # of a stream that began long ago
+            return  # The attempt left the attempts in flight when its body began.
         lost, counted_late = key in endpoint.lost, key in endpoint.counted_late
         endpoint.lost.discard(key)
         endpoint.counted_late.discard(key)
@@ -85,15 +114,15 @@
         event: Outcome | StreamStarted,
         counted: bool,
     ) -> None:
-        """Take an attempt's end into the estimates of its endpoint and class.
+        """Take the result of an attempt into the estimates of its endpoint and class.
 
         Args:
-            endpoint: where it ran.
-            attempt: what is known of it.
-            event: how it ended.
-            counted: whether it counted as late or lost before.
+            endpoint: Endpoint that worked on it.
+            attempt: Attempt as its endpoint accounted for it.
+            event: End of the attempt.
+            counted: True if the attempt counted as late or lost before.
         """
-        status, took = event.status, event.duration_ns
+        status = event.status
         if endpoint.ejected:
             endpoint.probation_pending = False
         if status is Status.OK:
@@ -103,7 +132,7 @@
         elif status is Status.FULL:
             self._learn_rejection(endpoint, attempt)
         elif status is Status.CANCELLED:
-            relative = took / attempt.stats.mean_latency_ns
+            relative = event.duration_ns / attempt.stats.mean_latency_ns
             if relative > endpoint.relative_latency:
                 self.latency.add_sample(endpoint, relative)
         else:
@@ -112,30 +141,30 @@
     def _learn_success(
         self, endpoint: EndpointState, attempt: InFlightAttempt, event: Outcome | StreamStarted
     ) -> None:
-        stats, took = attempt.stats, event.duration_ns
-        relative = took / stats.mean_latency_ns
-        self.latency.learn_typical(stats, took, self.limit.congested())
+        stats, duration_ns = attempt.stats, event.duration_ns
+        relative = duration_ns / stats.mean_latency_ns
+        self.latency.learn_typical(stats, duration_ns, self.limit.congested())
         if endpoint.slow_start_ns:
             self.slow_start.credit(endpoint, stats)
         self.limit.on_answer(stats)
-        self.congestion.add_latency(endpoint, stats, attempt.sent_ns, took, WANTED_LATENCY_OBJECTIVES)
-        self.latency.add_answer(stats, took)
+        self.congestion.add_latency(endpoint, stats, attempt.sent_ns, duration_ns, WANTED_LATENCY_OBJECTIVES)
+        self.latency.add_answer(stats, duration_ns)
         local = endpoint.zone == self.context.settings.zone
         self.latency.throughput.count_answer(self.endpoints.ready_count, local=local)
         self.outliers.record_success(endpoint)
         self.latency.add_sample(endpoint, relative)
         if event.report:
-            self.reports.record(endpoint, event.report, relative)
+            self.load_reports.record(endpoint, event.report, relative)
         if endpoint.in_flight:
-            self.lost.on_answer(endpoint, attempt.sent_ns)
+            self.lost_attempts.on_answer(endpoint, attempt.sent_ns)
 
     def _learn_rejection(self, endpoint: EndpointState, attempt: InFlightAttempt) -> None:
         self.latency.add_sample(endpoint, max(MIN_REJECTION_RELATIVE_LATENCY, endpoint.relative_latency))
-        endpoint.last_alive_ns = self.context.now_ns  # busy, but alive
+        endpoint.last_alive_ns = self.context.now_ns
         endpoint.consecutive_rejections += 1
         if endpoint.consecutive_rejections < MAX_CONSECUTIVE_REJECTIONS:
             self.congestion.add(REJECTION_VALUE, attempt.sent_ns)
-        else:  # a full queue lets some in: this one is closing, and that is no load of the fleet's
+        else:  # A full queue still accepts some requests; this endpoint is draining, which is no congestion.
             self.outliers.record_failure(endpoint, EJECTION_SCORE, MAX_EJECTED_ON_SILENCE_FRACTION)
 
     def _learn_failure(
@@ -145,17 +174,15 @@
         event: Outcome | StreamStarted,
         counted: bool,
     ) -> None:
-        stats, took, sent = attempt.stats, event.duration_ns, attempt.sent_ns
-        relative = took / stats.mean_latency_ns
-        self.latency.add_sample(
-            endpoint, max(relative, MIN_FAILURE_RELATIVE_LATENCY, endpoint.relative_latency)
-        )
+        stats, duration_ns, sent_ns = attempt.stats, event.duration_ns, attempt.sent_ns
+        relative = duration_ns / stats.mean_latency_ns
+        sample = max(relative, MIN_FAILURE_RELATIVE_LATENCY, endpoint.relative_latency)
+        self.latency.add_sample(endpoint, sample)
         if event.status is not Status.TIMEOUT:
             self.outliers.record_failure(endpoint, 1.0, MAX_EJECTED_FRACTION)
-        elif endpoint.last_alive_ns <= sent:
+        elif endpoint.last_alive_ns <= sent_ns:
             self.outliers.record_failure(endpoint, 1.0, MAX_EJECTED_ON_SILENCE_FRACTION)
-        else:
-            # The endpoint lives, so all may be slow.
+        else:  # The endpoint has answered other attempts meanwhile, so all endpoints may be slow.
             if not counted:
-                self.congestion.add_latency(endpoint, stats, sent, took, WANTED_WAIT_OBJECTIVES)
-            self.latency.add_timeout(stats, took)
+                self.congestion.add_latency(endpoint, stats, sent_ns, duration_ns, WANTED_WAIT_OBJECTIVES)
+            self.latency.add_timeout(stats, duration_ns)
--- a/dykefold/balancer/attempts.py
+++ b/dykefold/balancer/attempts.py
@@ -8,13 +8,23 @@
 from .endpoints import EndpointState
 from .in_flight import InFlightAttempt
 from .latency import LatencyEstimator
+from .picker import Picker
 from .requests import Attempt, PendingRequest
+from .retry_policy import RetryPolicy
 from .slow_start import SlowStart
 from .timers import OVERDUE, TimerQueue
 
 
 class AttemptSender:
-    """Sends attempts and accounts for them."""
+    """Sends attempts, and accounts for them as in flight.
+
+    Args:
+        context: State that all parts share.
+        timers: Timers, by which overdue attempts are found.
+        latency: Latency estimates, by which an attempt is overdue.
+        limit: Concurrency limit, which counts the attempts in flight.
+        slow_start: Token buckets of endpoints that are warming up.
+    """
 
     def __init__(
         self,
@@ -24,7 +34,6 @@
         limit: ConcurrencyLimit,
         slow_start: SlowStart,
     ) -> None:
-        """Account in these parts for what is sent."""
         self.context = context
         self.timers = timers
         self.latency = latency
@@ -38,7 +47,7 @@
         number = len(request.attempts)
         request.attempts.append(Attempt(endpoint, now))
         request.retry_paid = False
-        overdue = self.latency.overdue_after(endpoint, stats, request.deadline_ns - now)
+        overdue_ns = self.latency.overdue_after(endpoint, stats, request.deadline_ns - now)
         endpoint.in_flight[request.id, number] = InFlightAttempt(now, stats)
         if endpoint.ejected:
             endpoint.probation_pending = True
@@ -46,6 +55,29 @@
             self.limit.in_flight += 1
         if endpoint.started_ns:
             self.slow_start.charge(endpoint, stats)
-        # No time-out of its own: an overdue attempt is judged by what its endpoint did meanwhile.
+        # The attempt has no timeout of its own: once overdue, it is judged by the endpoint's other answers.
         self.context.actions.append(Send(request.id, endpoint.id))
-        self.timers.add(now + overdue, OVERDUE, request.id, number)
+        self.timers.add(now + overdue_ns, OVERDUE, request.id, number)
+
+
+class RetrySender:
+    """Sends planned retries.
+
+    Args:
+        picker: Choice of the endpoint.
+        sender: Sender of the attempt.
+        retries: Policy that plans another retry where no endpoint is available.
+    """
+
+    def __init__(self, picker: Picker, sender: AttemptSender, retries: RetryPolicy) -> None:
+        self.picker = picker
+        self.sender = sender
+        self.retries = retries
+
+    def send(self, request: PendingRequest) -> None:
+        """Send the next attempt now, or plan a retry if no endpoint is available."""
+        endpoint = self.picker.pick(request)
+        if endpoint is not None:
+            self.sender.send(request, endpoint)
+        elif not request.any_in_flight():
+            self.retries.plan(request)
--- a/dykefold/balancer/balancer.py
+++ b/dykefold/balancer/balancer.py
@@ -1,7 +1,7 @@
 """The balancer: one event in, actions out. It only dispatches; each decision has a module of its own.
 
 The usual path of a request is `on_request` -> `Picker.pick` -> `RequestValue.of` and `ConcurrencyLimit.admit`
--> `AttemptSender.send` -> `on_outcome`, and for a failed attempt `RetryPolicy.plan` -> `RetryPolicy.retry`.
+-> `AttemptSender.send` -> `on_outcome`, and after a failed attempt `RetryPolicy.plan` -> `RetrySender.send`.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 
 from . import events
 from .actions import Action
-from .attempt_results import AttemptResults
+from .attempt_results import AttemptLearners, AttemptResults
 from .attempt_rules import AttemptRules
-from .attempts import AttemptSender
+from .attempts import AttemptSender, RetrySender
 from .class_stats import ClassStats
 from .concurrency_limit import ConcurrencyLimit
 from .congestion import CongestionSignal
@@ -36,6 +36,7 @@
 from .retry_policy import RetryPolicy
 from .settings import Settings
 from .slow_start import SlowStart
+from .stuck_attempts import StuckAttempts
 from .subsetting import EndpointSet
 from .throughput import Throughput
 from .timers import OVERDUE, POLL, RETRY, TimerQueue
@@ -49,8 +50,8 @@
     """All decisions of one sidecar for one service.
 
     Args:
-        settings: in force until a `Retune` event brings others.
-        seed: of all random draws; the same seed and events give the same actions.
+        settings: Settings that hold until a `SettingsChanged` event brings others.
+        seed: Seed of the random generator; the same seed and events give the same actions.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -70,36 +71,29 @@
         self.outliers = OutlierDetector(context, endpoints, limit, rules, self._on_ejected)
         self.picker = Picker(context, endpoints, self.latency, rules, self.outliers)
         self.answers = FinalAnswers(context, rules)
+        self.retries = RetryPolicy(context, timers, throughput, rules, self.answers)
         self.sender = AttemptSender(context, timers, self.latency, limit, self.slow_start)
-        self.retries = RetryPolicy(context, timers, throughput, rules, self.picker, self.sender, self.answers)
-        self.lost_attempts = LostAttempts(context, limit)
-        self.hedging = Hedging(
-            context,
-            timers,
-            self.congestion,
-            rules,
-            self.answers,
-            self.outliers,
-            self.retries,
-            self.lost_attempts,
-        )
-        self.results = AttemptResults(
-            context,
-            endpoints,
+        self.retry_sender = RetrySender(self.picker, self.sender, self.retries)
+        self.stuck_attempts = StuckAttempts(context, rules, self.answers, self.retries)
+        learners = self._learners()
+        self.hedging = Hedging(context, timers, learners, self.stuck_attempts)
+        self.results = AttemptResults(context, endpoints, limit, learners)
+        self.polls = PollSchedule(context, timers)
+        self.list_updater = EndpointListUpdater(context, endpoints, limit, self.polls)
+        self.handlers = self._handlers()
+
+    def _learners(self) -> AttemptLearners:
+        return AttemptLearners(
             self.latency,
             self.congestion,
-            limit,
             self.slow_start,
             self.load_reports,
             self.outliers,
-            self.lost_attempts,
+            LostAttempts(self.context, self.limit),
         )
-        self.polls = PollSchedule(context, timers)
-        self.list_updater = EndpointListUpdater(context, endpoints, limit, self.polls)
-        self.handlers = self._handlers()
 
     def _handlers(self) -> dict[type, Callable[[Any], None]]:
-        """Who takes which event."""
+        """Return the handler of each type of event."""
         return {
             events.Request: self.on_request,
             events.Outcome: self.on_outcome,
@@ -115,7 +109,7 @@
         }
 
     def handle(self, now_ns: int, event: events.Event) -> list[Action]:
-        """Take one event at the given time; return what to do, in order."""
+        """Handle one event at the given time; return the actions to carry out, in order."""
         context = self.context
         context.now_ns = now_ns
         context.actions = []
@@ -124,7 +118,7 @@
         return context.actions
 
     def on_request(self, event: events.Request) -> None:
-        """A client sends a request: send it on, hold it for a moment, or reject it."""
+        """Send a client's request to an endpoint, delay it for a moment, or reject it."""
         context = self.context
         stats = context.classes[event.class_number]
         request = PendingRequest(event, stats, context.settings.max_attempts, context.now_ns)
@@ -136,8 +130,8 @@
         if event.deadline_ns <= context.now_ns:
             self.answers.end(request)
             return
-        chance = self.load_reports.probe_probability(stats) if self.endpoints.sees_little else 0.0
-        probes = chance > 0.0 and context.random.random() < chance
+        probability = self.load_reports.probe_probability(stats) if self.endpoints.sees_little else 0.0
+        probes = probability > 0.0 and context.random.random() < probability
         endpoint = None if probes else self.picker.pick(request)
         if endpoint is None and not probes:
             self.retries.plan(request)
@@ -149,29 +143,28 @@
             self._probe(request)
 
     def _probe(self, request: PendingRequest) -> None:
-        """Ask two endpoints for their load before the request is sent to one of them."""
+        """Request the load reports of two endpoints before the request is sent to one of them."""
         candidates = [endpoint for endpoint, _ in self.picker.candidates(request, ())]
         if len(candidates) < CANDIDATES:
-            self.retries.retry(request)
+            self.retry_sender.send(request)
             return
-        wait = self.load_reports.ask(request, candidates)
-        self.timers.add(self.context.now_ns + wait, RETRY, request.id)
+        wait_ns = self.load_reports.probe(request, candidates)
+        self.timers.add(self.context.now_ns + wait_ns, RETRY, request.id)
 
     def _send_probed(self, request: PendingRequest) -> None:
-        """Send to the better one of those that told their load; to a silent one only if none did."""
-        candidates = request.probed
-        fit = [one for one in candidates if not one.ejected and self.rules.may_send(request, one)]
-        fit = [one for one in fit if one.load_reported_ns >= request.probed_ns] or fit
+        """Send to the better endpoint of those that reported their load; to another one only if none did."""
+        eligible = [one for one in request.probed if not one.ejected and self.rules.may_send(request, one)]
+        eligible = [one for one in eligible if one.load_reported_ns >= request.probed_ns] or eligible
         request.probed = []
         request.retry_planned = False
-        if fit:
+        if eligible:
             stats, expected_delay = request.stats, self.latency.expected_delay
-            self.sender.send(request, min(fit, key=lambda one: expected_delay(one, stats)))
+            self.sender.send(request, min(eligible, key=lambda one: expected_delay(one, stats)))
         else:
-            self.retries.retry(request)
+            self.retry_sender.send(request)
 
     def on_outcome(self, event: events.Outcome) -> None:
-        """An attempt has ended: learn from it, and retry where that is wanted."""
+        """Learn from an attempt that has ended, and retry it where that is allowed and useful."""
         self.results.on_end(event)
         request = self.answers.pending.get(event.id)
         if request is None:
@@ -181,26 +174,29 @@
         if event.attempt < len(request.attempts):
             request.attempts[event.attempt].state = NEVER_RAN if status in PROVES_NOT_RUN else MAY_HAVE_RUN
             request.written |= status not in UNWRITTEN
-            if not_attempted:  # this machine could not send: it counts neither as an attempt nor as a retry
+            if (
+                not_attempted
+            ):  # This machine could not send it, so it counts neither as an attempt nor as a retry.
                 request.max_attempts += 1
                 request.retry_paid = True
         if event.final:
             self.answers.forget(request)
         elif status is Status.ERROR:
-            self.answers.end(request)  # a plain error is an answer: the design does not retry it
+            self.answers.end(request)  # A plain error is an answer, which the design does not retry.
         elif not request.retry_planned:
             self.retries.plan(request, not_attempted)
 
     def on_client_disconnected(self, event: events.ClientDisconnected) -> None:
-        """The client of a request has gone."""
+        """Cancel a request whose client has disconnected."""
         request = self.answers.pending.get(event.id)
         if request is not None:
             self.answers.forget(request)
 
     def on_stream_started(self, event: events.StreamStarted) -> None:
-        """A body flows: nothing more may be sent, and how long it takes says nothing of its endpoint.
+        """End an attempt whose body has begun to be transferred, and send no other one for the request.
 
-        Guards the limit and the estimates against a client that takes a minute for a long message.
+        The duration of the transfer depends on the client. Guards the limit and the estimates against a
+        client that takes a minute for a long message.
         """
         self.results.on_end(event)
         request = self.answers.pending.get(event.id)
@@ -209,46 +205,46 @@
             self.answers.cancel_others(request, event.attempt)
 
     def on_body_sent(self, event: events.BodySent) -> None:
-        """A request's body that flowed has reached its endpoint whole."""
+        """Count an attempt as in flight once its endpoint has the whole streamed request body."""
         request = self.answers.pending.get(event.id)
         if request is not None:
             self.results.on_body_sent(event, request)
 
     def on_probe_result(self, event: events.ProbeResult) -> None:
-        """A health check has ended; requests that waited for the loads of their endpoints go out."""
+        """Record the load report of a health check, and send the requests that were awaiting it."""
         endpoint = self.endpoints.all.get(event.endpoint_number)
-        waiting = self.load_reports.stop_waiting(event.endpoint_number)
+        request_ids = self.load_reports.stop_waiting(event.endpoint_number)
         if endpoint is None or event.status is not Status.OK:
-            return  # the requests that waited go elsewhere when their wait is over
+            return  # The timers of the requests send them to other endpoints.
         self.load_reports.record(endpoint, event.report)
-        for ident in waiting:
-            request = self.answers.pending.get(ident)
+        for request_id in request_ids:
+            request = self.answers.pending.get(request_id)
             if request is None or not request.probed:
                 continue
             if all(one.load_reported_ns >= request.probed_ns for one in request.probed):
                 self._send_probed(request)
 
     def on_timer(self, event: events.Timer) -> None:
-        """A timer rang: carry out all that is due."""
+        """Carry out all that is due."""
         self.timers.rang(event.token)
         while due := self.timers.next_due():
-            _, kind, ident, attempt = due
+            _, kind, request_id, attempt_number = due
             if kind == POLL:
                 self.polls.on_timer()
                 continue
-            request = self.answers.pending.get(ident)
+            request = self.answers.pending.get(request_id)
             if request is None or request.streaming:
                 continue
             if kind == OVERDUE:
-                self.hedging.on_overdue(request, attempt)
+                self.hedging.on_overdue(request, attempt_number)
             elif request.probed:
                 self._send_probed(request)
             elif request.retry_planned:
                 request.retry_planned = False
-                self.retries.retry(request)
+                self.retry_sender.send(request)
 
     def on_settings_changed(self, event: events.SettingsChanged) -> None:
-        """Go by other settings. Estimates of a class go on under its name, pending requests by their own."""
+        """Apply other settings: classes keep their estimates by name, pending requests their settings."""
         context = self.context
         classes = context.classes
         known = {stats.spec.name: stats for stats in context.live_classes}
@@ -256,7 +252,7 @@
             if number < len(classes) and classes[number].spec == spec:
                 continue
             stats = copy(known[spec.name]) if spec.name in known else ClassStats(spec)
-            stats.spec, stats.first_timeout_votes = spec, 0  # clients may wait otherwise now
+            stats.spec, stats.first_timeout_votes = spec, 0  # The timeouts of clients may change as well.
             classes[number : number + 1] = [stats]
         live = [stats for number, stats in enumerate(classes) if number not in event.retired]
         context.apply(event.settings, live)
@@ -267,7 +263,7 @@
         self.endpoints.rebuild()
 
     def on_membership_changed(self, event: events.MembershipChanged) -> None:
-        """Who is there, and what several sidecars found."""
+        """Take over who the live sidecars are, and what several of them observed."""
         context = self.context
         context.fleet = event
         for number, typical_ns in event.typical_latency_ns.items():
@@ -283,18 +279,18 @@
         self.endpoints.rebuild()
 
     def _on_ejected(self, endpoint: EndpointState) -> None:
-        self.hedging.retry_stuck_at(endpoint)
+        self.stuck_attempts.retry_all_at(endpoint)
 
-    # What callers outside the package read, by the names that they use.
+    # These names are the interface to callers outside of the package.
 
     @property
     def settings(self) -> Settings:
-        """The settings in force."""
+        """Return the settings that hold now."""
         return self.context.settings
 
     @property
     def actions(self) -> list[Action]:
-        """The actions of the event that is being handled; after an error, those until then."""
+        """Return the actions of the current event; after an error, those up to it."""
         return self.context.actions
 
     @actions.setter
@@ -303,29 +299,29 @@
 
     @property
     def servers(self) -> dict[int, EndpointState]:
-        """All known endpoints, by number."""
+        """Return all known endpoints, by number."""
         return self.endpoints.all
 
     @property
     def pending(self) -> dict[int, PendingRequest]:
-        """Requests without a final answer, by number."""
+        """Return the requests without a final answer, by number."""
         return self.answers.pending
 
     @property
     def classes(self) -> list[ClassStats]:
-        """All classes by number, retired ones too."""
+        """Return all classes by number, retired ones too."""
         return self.context.classes
 
     @property
     def live_classes(self) -> list[ClassStats]:
-        """The classes that new requests may be of."""
+        """Return the classes of new requests."""
         return self.context.live_classes
 
     @property
     def in_flight(self) -> int:
-        """Own attempts that wait for a response, but for those at ejected endpoints."""
+        """Return the number of own attempts in flight, without those at ejected endpoints."""
         return self.limit.in_flight
 
     def regroup(self) -> None:
-        """Rebuild the lists of endpoints after their state was set from outside."""
+        """Rebuild the lists of endpoints after a caller has set their state."""
         self.endpoints.rebuild()
--- a/dykefold/balancer/hedging.py
+++ b/dykefold/balancer/hedging.py
@@ -1,18 +1,13 @@
-"""Overdue attempts: when one is taken for stuck, and retried or hedged."""
+"""Overdue attempts: they count against silent endpoints or as congestion, and may be retried or hedged."""
 
 from __future__ import annotations
 
-from .actions import Cancel
-from .attempt_rules import AttemptRules
-from .congestion import WANTED_WAIT_OBJECTIVES, CongestionSignal
+from .attempt_results import AttemptLearners
+from .congestion import WANTED_WAIT_OBJECTIVES
 from .context import BalancerContext
-from .endpoints import EndpointState
-from .final_answers import FinalAnswers
-from .lost_attempts import LostAttempts
-from .outlier_detection import MAX_EJECTED_ON_SILENCE_FRACTION, OVERDUE_SCORE, OutlierDetector
+from .outlier_detection import MAX_EJECTED_ON_SILENCE_FRACTION, OVERDUE_SCORE
 from .requests import IN_FLIGHT, PendingRequest
-from .retry_policy import RetryPolicy
-from .settings import Effect
+from .stuck_attempts import StuckAttempts
 from .timers import OVERDUE, TimerQueue
 
 # This bit of the attempt number in a timer marks an attempt that has been overdue before.
@@ -20,82 +15,65 @@
 
 
 class Hedging:
-    """Judges attempts whose response is late."""
+    """Decides what follows from an attempt whose response is late.
+
+    Args:
+        context: State that all parts share.
+        timers: Timers, by which an overdue attempt is checked again.
+        learners: Parts that learn from overdue attempts.
+        stuck_attempts: Retries of attempts at ejected endpoints.
+    """
 
     def __init__(
         self,
         context: BalancerContext,
         timers: TimerQueue,
-        congestion: CongestionSignal,
-        rules: AttemptRules,
-        answers: FinalAnswers,
-        outliers: OutlierDetector,
-        retries: RetryPolicy,
-        lost: LostAttempts,
+        learners: AttemptLearners,
+        stuck_attempts: StuckAttempts,
     ) -> None:
         self.context = context
         self.timers = timers
-        self.congestion = congestion
-        self.rules = rules
-        self.answers = answers
-        self.outliers = outliers
-        self.retries = retries
-        self.lost = lost
+        self.congestion = learners.congestion
+        self.outliers = learners.outliers
+        self.lost_attempts = learners.lost_attempts
+        self.stuck_attempts = stuck_attempts
+
+    def on_overdue(self, request: PendingRequest, attempt_number: int) -> None:
+        """Count an overdue attempt against a silent endpoint, and retry it if its endpoint is ejected.
 
-    def on_overdue(self, request: PendingRequest, number: int) -> None:
-        """An attempt is late: evidence against a silent endpoint, and a retry if that one is ejected.
+        Guards against retry storms. At an endpoint that is not ejected, either the work is long, which a
+        retry would not shorten, or all endpoints are slow, which a retry would make worse. A sidecar with
+        little traffic finds nearly every endpoint silent, so silence alone is no reason to retry.
 
-        Guards against retry storms: at an endpoint not known to be bad either the work is long, which a
-        retry would not shorten, or all is slow, which a retry would make worse. A sidecar with little
-        traffic finds nearly every endpoint silent, so silence alone is no reason to retry.
+        Args:
+            request: Pending request.
+            attempt_number: Number of the attempt, plus `RECHECK_FLAG` if it has been overdue before.
         """
-        first, number = number < RECHECK_FLAG, number % RECHECK_FLAG
-        attempt = request.attempts[number]
+        first, attempt_number = attempt_number < RECHECK_FLAG, attempt_number % RECHECK_FLAG
+        attempt = request.attempts[attempt_number]
         if attempt.state is not IN_FLIGHT:
             return
-        now, sent, endpoint = self.context.now_ns, attempt.sent_ns, attempt.endpoint
-        silent = endpoint.last_alive_ns <= sent
-        if first and silent:  # one long piece of work must not condemn an endpoint by itself
+        sent_ns, endpoint = attempt.sent_ns, attempt.endpoint
+        silent = endpoint.last_alive_ns <= sent_ns
+        if first and silent:  # The score is below that of an ejection, because the work may just be long.
             self.outliers.record_failure(endpoint, OVERDUE_SCORE, MAX_EJECTED_ON_SILENCE_FRACTION)
         elif first:
-            self._count_late(request, number)
+            self._count_late(request, attempt_number)
         elif not silent:
-            self.lost.write_off(endpoint, (request.id, number))
+            self.lost_attempts.write_off(endpoint, (request.id, attempt_number))
         if endpoint.ejected:
-            self.retry_stuck(request, number)
-        again = 2 * now - sent
-        if again < request.deadline_ns:
-            self.timers.add(again, OVERDUE, request.id, number + RECHECK_FLAG)
+            self.stuck_attempts.retry(request, attempt_number)
+        next_check_ns = 2 * self.context.now_ns - sent_ns
+        if next_check_ns < request.deadline_ns:
+            self.timers.add(next_check_ns, OVERDUE, request.id, attempt_number + RECHECK_FLAG)
 
-    def _count_late(self, request: PendingRequest, number: int) -> None:
-        """Count an attempt at an endpoint that lives as congestion while it waits: late news is no use."""
-        attempt = request.attempts[number]
-        endpoint, key = attempt.endpoint, (request.id, number)
+    def _count_late(self, request: PendingRequest, attempt_number: int) -> None:
+        """Count a late attempt at a live endpoint as congestion before it ends, so that the limit reacts."""
+        attempt = request.attempts[attempt_number]
+        endpoint, key = attempt.endpoint, (request.id, attempt_number)
         if key not in endpoint.lost:
-            waited = self.context.now_ns - attempt.sent_ns
+            waited_ns = self.context.now_ns - attempt.sent_ns
             self.congestion.add_latency(
-                endpoint, request.stats, attempt.sent_ns, waited, WANTED_WAIT_OBJECTIVES
+                endpoint, request.stats, attempt.sent_ns, waited_ns, WANTED_WAIT_OBJECTIVES
             )
             endpoint.counted_late.add(key)
-
-    def retry_stuck(self, request: PendingRequest, number: int) -> None:
-        """Retry an attempt that its endpoint seems to have lost, where the class and the site allow it.
-
-        With hedged requests allowed the attempt may still be answered; else it is cancelled first.
-        """
-        if request.retry_planned or request.streaming or request.spec.effect is Effect.UNSAFE:
-            return
-        if self.retries.budget < 1.0 or not self.rules.may_retry(request, self.context.now_ns):
-            return
-        settings = self.context.settings
-        if settings.can_hedge:
-            self.retries.plan(request)
-        elif settings.can_cancel:
-            self.context.actions.append(Cancel(request.id, number))  # its end plans the retry
-
-    def retry_stuck_at(self, endpoint: EndpointState) -> None:
-        """An endpoint has been ejected: what waits there is likely lost, so do not wait it out."""
-        for ident, number in list(endpoint.in_flight):
-            request = self.answers.pending.get(ident)
-            if request is not None:
-                self.retry_stuck(request, number)
--- a/dykefold/balancer/load_reports.py
+++ b/dykefold/balancer/load_reports.py
@@ -76,7 +76,7 @@
         late = math.exp(-stats.spec.objective_ns / stats.mean_latency_ns)  # latencies are near that
         return late * PROBE_GAIN_FRACTION / max(settings.price_probe, MIN_PROBE_PRICE)
 
-    def ask(self, request: PendingRequest, candidates: list[EndpointState]) -> int:
+    def probe(self, request: PendingRequest, candidates: list[EndpointState]) -> int:
         """Ask endpoints for their load on behalf of a request; the time to wait for it, nanoseconds.
 
         Guards against picking blindly: what is known of an endpoint is of a deadline ago, its queue of now.
--- a/dykefold/balancer/retry_policy.py
+++ b/dykefold/balancer/retry_policy.py
@@ -1,12 +1,10 @@
-"""Retries: full-jitter backoff in proportion to the time left, and one bounded budget."""
+"""Planning retries: full-jitter backoff in proportion to the remaining time, and one bounded budget."""
 
 from __future__ import annotations
 
 from .attempt_rules import AttemptRules
-from .attempts import AttemptSender
 from .context import BalancerContext
 from .final_answers import FinalAnswers
-from .picker import Picker
 from .requests import PendingRequest
 from .throughput import Throughput
 from .timers import RETRY, TimerQueue
@@ -28,10 +26,17 @@
 
 
 class RetryPolicy:
-    """Plans retries and carries them out.
+    """Plans retries, within a budget.
+
+    Args:
+        context: State that all parts share.
+        timers: Timers, by which planned retries are sent.
+        throughput: Rate of the own answers, which limits the budget.
+        rules: Rules that each attempt follows.
+        answers: Final answers of requests that are not retried.
 
     Attributes:
-        budget: retries that may be planned.
+        budget: Number of retries that may be planned.
     """
 
     def __init__(
@@ -40,69 +45,55 @@
         timers: TimerQueue,
         throughput: Throughput,
         rules: AttemptRules,
-        picker: Picker,
-        sender: AttemptSender,
         answers: FinalAnswers,
     ) -> None:
-        """Begin with the reserve of one request a second."""
         self.context = context
         self.timers = timers
         self.throughput = throughput
         self.rules = rules
-        self.picker = picker
-        self.sender = sender
         self.answers = answers
-        self.budget = BUDGET_PER_REQUEST * BUDGET_RESERVE_S
+        self.budget = BUDGET_PER_REQUEST * BUDGET_RESERVE_S  # the maximum at one request a second
 
     def count_request(self) -> None:
-        """Let the budget grow with a request."""
+        """Add the part of a new request to the budget."""
         reserve = BUDGET_PER_REQUEST * BUDGET_RESERVE_S * max(self.throughput.answers_per_s, 1.0)
         self.budget = min(self.budget + BUDGET_PER_REQUEST, reserve)
 
     def plan(self, request: PendingRequest, not_attempted: bool = False) -> None:
-        """Wait a jittered part of the time left, then retry; or end the request.
+        """Plan a retry after a random part of the remaining time, or end the request.
 
         Args:
-            request: the request, whose latest attempt has ended or which had none.
-            not_attempted: this machine could not send that attempt. One more at the latest time for sending
-                costs nobody.
+            request: Pending request whose latest attempt has ended, or that has had none.
+            not_attempted: True if this machine could not send that attempt. One more attempt at the latest
+                time for sending then costs nobody anything.
         """
         now = self.context.now_ns
-        left = request.deadline_ns - now - self.context.settings.tick_ns
-        ceiling = min(
-            MAX_BACKOFF_FRACTION, BACKOFF_BASE_FRACTION * 2 ** min(request.retries, MAX_BACKOFF_EXPONENT)
-        )
-        delay = int(self.context.random.uniform(MIN_BACKOFF_FRACTION, ceiling) * left)
+        remaining_ns = request.deadline_ns - now - self.context.settings.tick_ns
+        exponent = min(request.retries, MAX_BACKOFF_EXPONENT)
+        ceiling = min(MAX_BACKOFF_FRACTION, BACKOFF_BASE_FRACTION * 2**exponent)
+        delay_ns = int(self.context.random.uniform(MIN_BACKOFF_FRACTION, ceiling) * remaining_ns)
         if not_attempted and not request.written and now < request.send_by_ns:
-            delay = min(delay, request.send_by_ns - now)
+            delay_ns = min(delay_ns, request.send_by_ns - now)
         request.retries += 1
-        if not self._useful(request, left, delay):
-            if not request.any_in_flight():  # one in flight may yet be answered
+        if not self._is_useful(request, remaining_ns, delay_ns):
+            if not request.any_in_flight():
                 self.answers.end(request)
             return
         if request.attempts and not request.retry_paid:
-            # When planned, or a lost endpoint's attempts would all spend the last one.
+            # It is paid when planned; otherwise the attempts of a lost endpoint would all use the same token.
             self.budget -= 1.0
             request.retry_paid = True
         request.retry_planned = True
-        self.timers.add(now + max(delay, 1), RETRY, request.id)
+        self.timers.add(now + max(delay_ns, 1), RETRY, request.id)
 
-    def _useful(self, request: PendingRequest, left: int, delay: int) -> bool:
-        """Tell whether a retry after this delay is in time, paid for and allowed."""
-        at = self.context.now_ns + delay
-        if left <= 0 or (not request.written and at > request.send_by_ns):
+    def _is_useful(self, request: PendingRequest, remaining_ns: int, delay_ns: int) -> bool:
+        """Return whether a retry after this delay is in time, within the budget and allowed."""
+        retry_at_ns = self.context.now_ns + delay_ns
+        if remaining_ns <= 0 or (not request.written and retry_at_ns > request.send_by_ns):
             return False
-        if delay + MIN_REMAINING_CLASS_MEANS * request.stats.mean_latency_ns > left:
+        if delay_ns + MIN_REMAINING_CLASS_MEANS * request.stats.mean_latency_ns > remaining_ns:
             return False
-        # Without an attempt yet it was held for want of any endpoint, which is no retry.
+        # The first attempt of a request for which there was no endpoint is no retry.
         if request.attempts and self.budget < 1.0 and not request.retry_paid:
             return False
-        return self.rules.may_retry(request, at)
-
-    def retry(self, request: PendingRequest) -> None:
-        """Send the next attempt now, or plan again if there is no endpoint for it."""
-        endpoint = self.picker.pick(request)
-        if endpoint is not None:
-            self.sender.send(request, endpoint)
-        elif not request.any_in_flight():
-            self.plan(request)
+        return self.rules.may_retry(request, retry_at_ns)
--- /dev/null
+++ b/dykefold/balancer/stuck_attempts.py
@@ -0,0 +1,51 @@
+"""Attempts that are likely stuck at their endpoint: they are retried or cancelled."""
+
+from __future__ import annotations
+
+from .actions import Cancel
+from .attempt_rules import AttemptRules
+from .context import BalancerContext
+from .endpoints import EndpointState
+from .final_answers import FinalAnswers
+from .requests import PendingRequest
+from .retry_policy import RetryPolicy
+from .settings import Effect
+
+
+class StuckAttempts:
+    """Retries stuck attempts where the class of the request and the site allow it.
+
+    Args:
+        context: State that all parts share.
+        rules: Rules that each attempt follows.
+        answers: Final answers, with the pending requests.
+        retries: Policy that plans retries, with their budget.
+    """
+
+    def __init__(
+        self, context: BalancerContext, rules: AttemptRules, answers: FinalAnswers, retries: RetryPolicy
+    ) -> None:
+        self.context = context
+        self.rules = rules
+        self.answers = answers
+        self.retries = retries
+
+    def retry(self, request: PendingRequest, attempt_number: int) -> None:
+        """Plan a hedged request where the site allows that, else cancel the stuck attempt."""
+        if request.retry_planned or request.streaming or request.spec.effect is Effect.UNSAFE:
+            return
+        if self.retries.budget < 1.0 or not self.rules.may_retry(request, self.context.now_ns):
+            return
+        settings = self.context.settings
+        if settings.can_hedge:
+            self.retries.plan(request)
+        elif settings.can_cancel:
+            # The end of the cancelled attempt plans the retry.
+            self.context.actions.append(Cancel(request.id, attempt_number))
+
+    def retry_all_at(self, endpoint: EndpointState) -> None:
+        """Retry all attempts in flight at an ejected endpoint, since their responses are likely lost."""
+        for request_id, attempt_number in list(endpoint.in_flight):
+            request = self.answers.pending.get(request_id)
+            if request is not None:
+                self.retry(request, attempt_number)
