--- a/dykefold/balancer/actions.py
+++ b/dykefold/balancer/actions.py
@@ -10,9 +10,9 @@
     """Send the next attempt of a request.
 
     Attributes:
-        id: request.
-        endpoint_number: endpoint.
-        timeout_ns: of the attempt; 0: until the client gives up.
+        id: Number of the request.
+        endpoint_number: Number of the endpoint.
+        timeout_ns: Time limit of the attempt; 0 for the deadline of the request.
     """
 
     id: int
@@ -22,11 +22,11 @@
 
 @dataclass(slots=True)
 class Refuse:
-    """Reject a request, as its final answer: it surely had no harmful effect, a retry does no harm.
+    """Reject a request as its final answer. It has had no harmful effect, so a retry does no harm.
 
     Attributes:
-        id: request.
-        retry_after_ns: advice when to retry; 0: none.
+        id: Number of the request.
+        retry_after_ns: Advice how long to wait before a retry; 0 for none.
     """
 
     id: int
@@ -35,14 +35,23 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Fail a request, as its final answer, which promises nothing of its effect."""
+    """Fail a request as its final answer, which says nothing of its effect.
+
+    Attributes:
+        id: Number of the request.
+    """
 
     id: int
 
 
 @dataclass(slots=True)
 class Cancel:
-    """Cancel an attempt in flight; its end is still reported."""
+    """Cancel an attempt in flight; its end is still reported.
+
+    Attributes:
+        id: Number of the request.
+        attempt: Number of the attempt, from 0.
+    """
 
     id: int
     attempt: int
@@ -67,8 +76,8 @@
     """Send a message to other sidecars.
 
     Attributes:
-        data: for their balancers.
-        peer: number of the sidecar; None: every peer.
+        data: Content for their balancers.
+        peer: Number of the sidecar; None for every peer.
     """
 
     data: bytes
@@ -77,7 +86,12 @@
 
 @dataclass(slots=True)
 class ReportEndpointHealth:
-    """Tell the fleet that an endpoint is given up on, or that it answers again."""
+    """Report to other sidecars that an endpoint has been ejected, or that it has answered again.
+
+    Attributes:
+        endpoint_number: Number of the endpoint.
+        answers: True if it has answered again.
+    """
 
     endpoint_number: int
     answers: bool
@@ -85,7 +99,11 @@
 
 @dataclass(slots=True)
 class Watch:
-    """Begin to watch the endpoint list, or stop."""
+    """Begin or end the watch of the endpoint list.
+
+    Attributes:
+        on: True to begin.
+    """
 
     on: bool = True
 
@@ -97,7 +115,12 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ring a timer after some time, with the token of the latest one."""
+    """Set the one timer, in place of the timer set before.
+
+    Attributes:
+        after_ns: Time until it is due.
+        token: Token that the `Timer` event returns.
+    """
 
     after_ns: int
     token: int
--- a/dykefold/balancer/context.py
+++ b/dykefold/balancer/context.py
@@ -1,4 +1,4 @@
-"""What all parts of a balancer share: settings, the time of the event, random source, actions to return."""
+"""State that all parts of a balancer share: settings, time of the event, random generator, actions."""
 
 from __future__ import annotations
 
@@ -13,18 +13,23 @@
 
 
 class BalancerContext:
-    """The state that every part reads; only `Balancer` writes it, but for `actions`, which all append to.
+    """State that every part reads. Only `Balancer` writes it, but all parts append to `actions`.
+
+    Args:
+        settings: Initial settings.
+        seed: Seed of the random generator.
 
     Attributes:
-        settings: in force.
-        random: the one source of randomness, from the balancer's seed.
-        now_ns: time of the event that is being handled.
-        actions: what to do about it, in order.
-        classes: all classes by number, retired ones too.
-        live_classes: those that new requests may be of.
-        has_safe_class: whether one of them may run any number of times.
-        shortest_ns: the shortest deadline of them: the unit of most time constants.
-        fleet: what is known of the other sidecars; None without a fleet view.
+        settings: Settings that hold now.
+        random: Only source of randomness.
+        now_ns: Time of the current event.
+        actions: Actions of the current event, in order.
+        classes: Statistics of all classes by number, retired ones too.
+        live_classes: Statistics of the classes of new requests.
+        has_safe_class: True if requests of one of the live classes may run any number of times.
+        shortest_ns: Shortest deadline of the live classes, the unit of constants that end in `_DEADLINES`.
+        fleet: Membership of the sidecars; None without one.
+        log_due_ns: Time from which the next line may be logged.
     """
 
     __slots__ = (
@@ -41,7 +46,6 @@
     )
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Begin at time 0 with nothing known of any class."""
         self.random = random.Random(seed)
         self.now_ns = 0
         self.actions: list[Action] = []
@@ -51,18 +55,18 @@
         self.apply(settings, self.classes)
 
     def apply(self, settings: Settings, live_classes: list[ClassStats]) -> None:
-        """Take settings, with the classes that new requests may be of."""
+        """Apply settings, with the statistics of the classes of new requests."""
         self.settings = settings
         self.live_classes = live_classes
         self.has_safe_class = any(stats.spec.effect is Effect.SAFE for stats in live_classes)
         self.shortest_ns = min(stats.spec.deadline_ns for stats in live_classes)
 
     def sidecar_count(self) -> int:
-        """Count the sidecars that carry traffic, this one among them."""
+        """Return the number of sidecars that carry traffic, this one included."""
         return self.fleet.live_sidecars if self.fleet else self.settings.fleet_size
 
     def log(self, text: str) -> None:
-        """Add a log action, one line a second at most: the report keeps only a few hundred."""
+        """Add a log action; at most one a second, because reports keep only a few hundred lines."""
         if self.now_ns >= self.log_due_ns:
             self.log_due_ns = self.now_ns + SECOND_NS
             self.actions.append(Log(text))
--- a/dykefold/balancer/events.py
+++ b/dykefold/balancer/events.py
@@ -1,4 +1,4 @@
-"""Events that a balancer takes, with the endpoint records they carry.
+"""Events that a balancer handles, with the endpoint records they carry.
 
 All times are integer nanoseconds of the caller's monotonic clock. Class, tenant, zone and kind are positions
 in the lists of `Settings`.
@@ -17,13 +17,13 @@
     """How an attempt or a health check ended."""
 
     OK = 0
-    ERROR = 1  # the endpoint answered with an error; may have run
-    FULL = 2  # rejected before it ran
-    TIMEOUT = 3  # no answer in time; may have run, or run still
-    CONNECT_FAILED = 4  # no connection was made
-    RESET = 5  # the connection broke; may have run
-    CANCELLED = 6  # cancelled; may have run
-    NOT_ATTEMPTED = 7  # never sent
+    ERROR = 1  # The endpoint answered with an error; the attempt may have run.
+    FULL = 2  # The endpoint rejected the attempt before it ran.
+    TIMEOUT = 3  # No answer came in time; the attempt may have run, or may be running.
+    CONNECT_FAILED = 4  # No connection was made.
+    RESET = 5  # The connection broke; the attempt may have run.
+    CANCELLED = 6  # This sidecar cancelled the attempt; it may have run.
+    NOT_ATTEMPTED = 7  # The attempt was never sent.
 
 
 class State(IntEnum):
@@ -37,11 +37,11 @@
 class ListKind(IntEnum):
     """What an update of the endpoint list holds."""
 
-    DELTA = 0  # only what changed
-    FULL = 1  # complete
-    CACHED = 2  # complete, as last known; may be old
-    FAILED = 3  # a poll failed or the watch broke; no entries
-    LOCAL = 4  # only what changed, by operators: it says nothing of the watch
+    DELTA = 0  # The changed entries alone.
+    FULL = 1  # The complete list.
+    CACHED = 2  # The complete list as last known, which may be outdated.
+    FAILED = 3  # No entries, because a poll failed or the watch broke.
+    LOCAL = 4  # The entries that operators changed; they do not come from the watch.
 
 
 @dataclass(slots=True)
@@ -49,14 +49,14 @@
     """An entry of the endpoint list.
 
     Attributes:
-        number: number of the endpoint.
-        zone: where it is.
-        kind: which kind of machine it is.
-        cell: group of endpoints that know each other's idempotency keys.
-        state: whether it takes requests.
-        weight: capacity against others, where settings say that weights mean anything.
-        started_ns: when it started; 0: long ago. Another value is another start.
-        ramp_from_ns: from when its slow start counts; 0: from `started_ns`, which is of the same clock.
+        number: Number of the endpoint.
+        zone: Number of its zone.
+        kind: Number of its kind of machine.
+        cell: Number of the group of endpoints that know each other's idempotency keys.
+        state: State of the endpoint.
+        weight: Capacity relative to other endpoints, where the settings say that weights mean anything.
+        started_ns: Time of its start; 0 for long ago. Another value means another start.
+        ramp_from_ns: Time at which its slow start began; 0 for `started_ns`, which is on the same clock.
     """
 
     number: int
@@ -74,9 +74,9 @@
     """An update of the endpoint list.
 
     Attributes:
-        kind: what it holds.
-        version: of the list.
-        entries: all endpoints, or those that changed.
+        kind: Kind of the update.
+        version: Version of the list.
+        entries: All endpoints, or the changed ones, by `kind`.
     """
 
     kind: ListKind
@@ -89,14 +89,14 @@
     """A request of a client.
 
     Attributes:
-        id: unique among pending requests.
-        class_number: number of its class.
-        tenant: number of its tenant.
-        deadline_ns: when the client gives up.
-        key: idempotency key; 0: none.
-        cost_ns: expected work; 0: unknown.
-        is_retry: whether the client marks it as a retry.
-        is_write: whether it changes anything.
+        id: Number of the request, unique among pending requests.
+        class_number: Number of its class.
+        tenant: Number of its tenant.
+        deadline_ns: Time at which the client gives up.
+        key: Idempotency key; 0 for none.
+        cost_ns: Expected work in nanoseconds; 0 while unknown.
+        is_retry: True if the client marks it as a retry.
+        is_write: True if it changes anything.
     """
 
     id: int
@@ -114,13 +114,13 @@
     """The end of an attempt.
 
     Attributes:
-        id: request.
-        attempt: number of the attempt, from 0.
-        endpoint_number: endpoint.
-        status: how it ended.
-        duration_ns: from its sending.
-        final: whether the request has ended with it or before.
-        report: load report that came with it, by column.
+        id: Number of the request.
+        attempt: Number of the attempt, from 0.
+        endpoint_number: Number of the endpoint.
+        status: Result of the attempt.
+        duration_ns: Time from its sending to its end.
+        final: True if the request has its final answer by this attempt, or had it before.
+        report: Load report of the response, by column.
     """
 
     id: int
@@ -134,9 +134,15 @@
 
 @dataclass(slots=True)
 class StreamStarted:
-    """A body has begun to flow: a response, which ends the attempt, or (NOT_ATTEMPTED) a request.
+    """A body has begun to be transferred: a response, which ends the attempt, or (NOT_ATTEMPTED) a request.
 
-    Attributes: as those of `Outcome`.
+    Attributes:
+        id: Number of the request.
+        attempt: Number of the attempt, from 0.
+        endpoint_number: Number of the endpoint.
+        duration_ns: Time from the sending of the attempt to the begin of the body.
+        status: Result of the attempt.
+        report: Load report of the response, by column.
     """
 
     id: int
@@ -149,7 +155,13 @@
 
 @dataclass(slots=True)
 class BodySent:
-    """A request's body that flowed has reached its endpoint whole: from now on that works on it."""
+    """An endpoint has received a streamed request body completely, and is working on the request from now on.
+
+    Attributes:
+        id: Number of the request.
+        attempt: Number of the attempt, from 0.
+        endpoint_number: Number of the endpoint.
+    """
 
     id: int
     attempt: int
@@ -158,7 +170,11 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client of a request has gone."""
+    """The client of a request has disconnected.
+
+    Attributes:
+        id: Number of the request.
+    """
 
     id: int
 
@@ -168,10 +184,10 @@
     """The end of a health check.
 
     Attributes:
-        endpoint_number: endpoint.
-        status: how it ended.
-        duration_ns: from its sending.
-        report: load report that came with it, by column.
+        endpoint_number: Number of the endpoint.
+        status: Result of the health check.
+        duration_ns: Time from its sending to its end.
+        report: Load report of the response, by column.
     """
 
     endpoint_number: int
@@ -185,8 +201,8 @@
     """A message of another sidecar.
 
     Attributes:
-        sender: number of the sidecar.
-        data: as its balancer gave it to be sent.
+        sender: Number of that sidecar.
+        data: Content of the `SendToPeer` action of its balancer.
     """
 
     sender: int
@@ -195,15 +211,15 @@
 
 @dataclass(slots=True)
 class MembershipChanged:
-    """What the membership of the sidecars tells; see docs/design/view.md.
+    """The membership of the sidecars, and what several of them observed; see docs/design/view.md.
 
     Attributes:
-        live_sidecars: sidecars that carry traffic, or may be about to again, this one among them.
-        ranks: by endpoint, the own place among sidecars of the own zone, from 0, below 1; each has another.
-        max_remote_rank: ranks of endpoints of other zones below this are to be sampled.
-        failing_endpoints: endpoints that several others gave up on lately.
-        answering_endpoints: endpoints that several others had an answer of after that.
-        typical_latency_ns: by class, the typical latency that others tell one that starts anew, nanoseconds.
+        live_sidecars: Number of sidecars that carry traffic, or may do so again soon, this one included.
+        ranks: Place of this sidecar among those of its zone, by endpoint, from 0, below 1; no two are equal.
+        max_remote_rank: Rank below which endpoints of other zones are to be sampled.
+        failing_endpoints: Endpoints that several other sidecars have ejected recently.
+        answering_endpoints: Endpoints that answered several other sidecars after that.
+        typical_latency_ns: Typical latency by class that others report to a sidecar that has just started.
     """
 
     live_sidecars: int
@@ -216,18 +232,22 @@
 
 @dataclass(slots=True)
 class Timer:
-    """The timer of a `SetTimer` action rang."""
+    """The timer of a `SetTimer` action is due.
+
+    Attributes:
+        token: Token of that action.
+    """
 
     token: int
 
 
 @dataclass(slots=True)
 class SettingsChanged:
-    """Other settings from now on.
+    """Other settings hold from now on.
 
     Attributes:
-        settings: with the classes by number: a number that a request may still hold has its class as before.
-        retired: numbers that no new request is of.
+        settings: Settings with the classes by number; the number of a pending request keeps its class.
+        retired: Numbers of classes that no new request has.
     """
 
     settings: Settings
--- a/dykefold/balancer/picker.py
+++ b/dykefold/balancer/picker.py
@@ -1,4 +1,4 @@
-"""Picking an endpoint: the lower expected delay of two sampled."""
+"""Choice of an endpoint: the one with the lower expected delay of two that are sampled."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def random_below(source: random.Random, count: int) -> int:
-    """A number from 0 to count - 1, as `randrange` draws it, without its checks."""
+    """Return a random number from 0 to count - 1, as `randrange` draws it, without its checks."""
     bits = count.bit_length()
     number = source.getrandbits(bits)
     while number >= count:
@@ -30,7 +30,15 @@
 
 
 class Picker:
-    """Picks endpoints for requests."""
+    """Picks endpoints for requests.
+
+    Args:
+        context: State that all parts share.
+        endpoints: Endpoints to sample from.
+        latency: Latency estimates, for expected delays.
+        rules: Rules that each attempt follows.
+        outliers: Outlier detection, for probation probes.
+    """
 
     def __init__(
         self,
@@ -48,11 +56,16 @@
         self.apply_settings()
 
     def apply_settings(self) -> None:
-        """Take the price of a crossing."""
-        self.crossing = self.context.settings.price_cross_zone * CROSSING_DELAY_OBJECTIVES_PER_PRICE
+        """Apply the price of a request to another zone."""
+        self.crossing_objectives = (
+            self.context.settings.price_cross_zone * CROSSING_DELAY_OBJECTIVES_PER_PRICE
+        )
 
     def pick(self, request: PendingRequest) -> EndpointState | None:
-        """Two sampled of the own zone against two sampled of the others, which pay for the crossing."""
+        """Return the best of two endpoints of the own zone and two of others, or None if there is none.
+
+        Endpoints of other zones have the price of the crossing added to their delay.
+        """
         ejected = self.endpoints.ejected
         if ejected and (probed := self.outliers.probation_endpoint(request)):
             return probed
@@ -62,18 +75,18 @@
             best = self._best(request, ())
         if best is not None:
             return best
-        for endpoint in ejected:  # nothing better: an ejected one may have recovered
+        for endpoint in ejected:  # Without any other endpoint, an ejected one may have recovered.
             if not endpoint.probation_pending and self.rules.may_send(request, endpoint):
                 return endpoint
         return None
 
     def _best(self, request: PendingRequest, tried: Container[EndpointState]) -> EndpointState | None:
-        """The candidate of the lowest expected delay."""
+        """Return the candidate with the lowest expected delay."""
         best = None
         lowest = 0.0
         expected_delay, stats = self.latency.expected_delay, request.stats
-        for endpoint, extra in self.candidates(request, tried):
-            delay = expected_delay(endpoint, stats) + extra
+        for endpoint, crossing_ns in self.candidates(request, tried):
+            delay = expected_delay(endpoint, stats) + crossing_ns
             if best is None or delay < lowest:
                 best, lowest = endpoint, delay
         return best
@@ -81,49 +94,53 @@
     def candidates(
         self, request: PendingRequest, tried: Container[EndpointState]
     ) -> list[tuple[EndpointState, float]]:
-        """Sample endpoints, with what is added to their delay for crossing zones, nanoseconds."""
+        """Sample endpoints, each with the delay that stands for the price of crossing zones, nanoseconds."""
         endpoints = self.endpoints
         if endpoints.sees_little:
             return [(endpoint, 0.0) for endpoint in self._two_by_weight(request, tried)]
         pairs = [(endpoint, 0.0) for endpoint in self._two(endpoints.near, request, tried)]
         if endpoints.far:
-            crossing = self.crossing * request.spec.objective_ns
-            pairs += [(endpoint, crossing) for endpoint in self._two(endpoints.far, request, tried)]
+            crossing_ns = self.crossing_objectives * request.spec.objective_ns
+            pairs += [(endpoint, crossing_ns) for endpoint in self._two(endpoints.far, request, tried)]
         return pairs or [(endpoint, 0.0) for endpoint in self._two(endpoints.rest, request, tried)]
 
     def _two_by_weight(self, request: PendingRequest, tried: Container[EndpointState]) -> list[EndpointState]:
-        """Two of the subset, by weights that follow what each group's answers took.
+        """Sample two endpoints of the subset by the weights of their groups, the price of crossing included.
 
-        A sidecar that sees little has too few own answers to know a zone or kind as overrun by its endpoints.
-        The price of a crossing is in the weights.
+        A sidecar that sees little has too few answers of each endpoint to notice an overloaded zone or kind
+        of machine, so it learns about groups of endpoints.
         """
         endpoints, may_send = self.endpoints, self.rules.may_send
-        fit = [one for one in endpoints.near + endpoints.far if one not in tried and may_send(request, one)]
-        if not fit:
-            fit = [one for one in endpoints.rest if one not in tried and may_send(request, one)]
-        if len(fit) <= CANDIDATES:
-            return fit
+        eligible = [
+            one for one in endpoints.near + endpoints.far if one not in tried and may_send(request, one)
+        ]
+        if not eligible:
+            eligible = [one for one in endpoints.rest if one not in tried and may_send(request, one)]
+        if len(eligible) <= CANDIDATES:
+            return eligible
         own, represented = self.context.settings.zone, endpoints.represented
-        weights = [math.exp(endpoints.group(one).log_weight) * represented[one.zone != own] for one in fit]
+        weights = [
+            math.exp(endpoints.group(one).log_weight) * represented[one.zone != own] for one in eligible
+        ]
         choices = self.context.random.choices
-        first = choices(range(len(fit)), weights)[0]
+        first = choices(range(len(eligible)), weights)[0]
         weights[first] = 0.0
-        return [fit[first], fit[choices(range(len(fit)), weights)[0]]]
+        return [eligible[first], eligible[choices(range(len(eligible)), weights)[0]]]
 
     def _two(
         self, group: list[EndpointState], request: PendingRequest, tried: Container[EndpointState]
     ) -> list[EndpointState]:
-        """Up to two different endpoints of the group that may take this request now."""
+        """Sample up to two different endpoints of the list that may get this request now."""
         found: list[EndpointState] = []
         size = len(group)
         if not size:
             return found
         source, may_send = self.context.random, self.rules.may_send
-        at = random_below(source, size)
+        start = random_below(source, size)
         step = 1 + random_below(source, size - 1) if size > CANDIDATES else 1
         for turn in range(size + 1):
-            # The first two are a uniform pair; the walk over all beyond them only replaces unfit ones.
-            endpoint = group[(at + (turn * step if turn < CANDIDATES else turn - 1)) % size]
+            # The first two are a uniform pair; the others are tried in order to replace those not allowed.
+            endpoint = group[(start + (turn * step if turn < CANDIDATES else turn - 1)) % size]
             if endpoint in found or endpoint in tried or not may_send(request, endpoint):
                 continue
             found.append(endpoint)
--- a/dykefold/balancer/settings.py
+++ b/dykefold/balancer/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a balancer: request classes, tenants, and what the site allows and charges.
+"""Settings of a balancer: request classes, tenants, and the capabilities and prices of the site.
 
 Durations are integer nanoseconds. Class, tenant, zone and kind are positions in the lists of `Settings`.
 """
@@ -10,11 +10,11 @@
 
 
 class Effect(IntEnum):
-    """Whether a request is idempotent."""
+    """How often a request may run."""
 
-    SAFE = 0  # any number of times
-    KEYED = 1  # by an idempotency key, within a group of endpoints and for a while
-    UNSAFE = 2  # never twice
+    SAFE = 0  # Any number of times.
+    KEYED = 1  # Any number of times within the scope and window of its idempotency key.
+    UNSAFE = 2  # At most once.
 
 
 class Scope(IntEnum):
@@ -30,15 +30,15 @@
     """A class of requests.
 
     Attributes:
-        name: unique; estimates go on under it when settings change.
-        objective_ns: latency objective, from the client's first attempt.
-        deadline_ns: when the client gives up, from its first attempt.
-        priority_weight: priority weight of an answer within the objective.
-        late_weight_fraction: part of it that a later answer is worth.
-        effect: whether a request may run more than once.
-        scope: which endpoints drop a repeated key.
-        window_ns: how long they know a key.
-        stream: whether answers flow for long.
+        name: Unique name; estimates are kept under it when settings change.
+        objective_ns: Latency objective, counted from the client's first attempt.
+        deadline_ns: Time that a client waits, counted from its first attempt.
+        priority_weight: Weight of an answer within the objective.
+        late_weight_fraction: Fraction of that weight that a later answer still has.
+        effect: How often a request of the class may run.
+        scope: Endpoints that drop a repeated idempotency key.
+        window_ns: Time for which they know a key.
+        stream: True if responses may take long to be transferred.
     """
 
     name: str
@@ -57,9 +57,9 @@
     """A tenant and its quota.
 
     Attributes:
-        name: unique.
-        share: part of the whole.
-        quota_per_s: first attempts a second over all sidecars together; 0: no quota.
+        name: Unique name.
+        share: Fraction of the whole, as the site states it.
+        quota_per_s: First attempts per second over all sidecars together; 0 for no quota.
     """
 
     name: str
@@ -69,41 +69,41 @@
 
 @dataclass(slots=True)
 class Settings:
-    """What holds for a balancer until a `Retune` event.
+    """Settings of a balancer until a `SettingsChanged` event.
 
     Attributes:
-        classes: request classes, by number.
-        zones: names of zones, by number.
-        zone: the own one.
-        tenants: by number.
-        over_quota_weight_fraction: part of its worth that a request over quota counts.
-        weight_per_work: whether worth is meant for each unit of work rather than each request.
-        index: number of this sidecar.
-        fleet_size: sidecars, where there is no fleet view.
-        tick_ns: resolution of the caller's time.
-        poll_required: whether discovery answers only when polled.
-        max_poll_interval_ns: time within which a sidecar must poll.
-        drain_grace_ns: time in which a draining endpoint may still get requests.
-        answer_slack_ns: time after a deadline in which an answer still counts.
-        start_capacity: part of its capacity that an endpoint has when it starts.
-        warm_within_ns: time until it has all of it.
-        overload_factor: load, in capacities, that is fatal to a cold endpoint.
-        overload_for_ns: how long that load has to last.
-        max_attempts: of one request.
-        can_hedge: whether hedged requests are allowed.
-        can_cancel: whether an attempt can be cancelled.
-        can_probe: whether health checks can be sent.
-        can_message_peers: whether messages to peers can be sent.
-        retry_after: whether a rejection may carry advice when to retry.
-        max_retry_after_ns: the longest such advice.
-        connect_timeout_ns: of a connection attempt; 0: none.
-        report_columns: names of the columns of load reports.
-        weighted: whether listed weights mean anything.
-        goal_worst_class: weight of the worst-served class in what the service is judged by.
-        price_cross_zone: of a request to another zone, against the worth of one request.
-        price_waste: of work done for nothing.
-        price_probe: of a health check.
-        price_peer: of a message to a peer.
+        classes: Request classes, by number.
+        zones: Names of zones, by number.
+        zone: Number of the own zone.
+        tenants: Tenants, by number.
+        over_quota_weight_fraction: Fraction of its priority weight that a request over quota has.
+        weight_per_work: True if priority weights apply to each unit of work rather than to each request.
+        index: Number of this sidecar.
+        fleet_size: Number of sidecars; it counts where there is no membership.
+        tick_ns: Resolution of the caller's time.
+        poll_required: True if discovery answers only when polled.
+        max_poll_interval_ns: Longest time allowed between two polls of a sidecar.
+        drain_grace_ns: Grace period in which a draining endpoint may still get requests.
+        answer_slack_ns: Time after a deadline in which an answer still counts.
+        start_capacity: Fraction of its capacity that an endpoint has when it starts.
+        warm_within_ns: Time from its start until it has all of its capacity.
+        overload_factor: Load, in capacities, that is fatal to an endpoint that is warming up.
+        overload_for_ns: Time for which that load has to last.
+        max_attempts: Number of attempts that a request may have.
+        can_hedge: True if hedged requests are allowed.
+        can_cancel: True if attempts can be cancelled.
+        can_probe: True if health checks can be sent.
+        can_message_peers: True if messages to peers can be sent.
+        retry_after: True if a rejection may carry advice when to retry.
+        max_retry_after_ns: Longest time that such advice may name.
+        connect_timeout_ns: Time limit of a connection attempt; 0 for none.
+        report_columns: Names of the columns of load reports.
+        weighted: True if listed weights mean anything.
+        goal_worst_class: Weight of the worst-served class in the goal of the service.
+        price_cross_zone: Price of a request to another zone, relative to the priority weight of one request.
+        price_waste: Price of work that is done for nothing.
+        price_probe: Price of a health check.
+        price_peer: Price of a message to a peer.
     """
 
     classes: list[RequestClass]
