--- a/dykefold/balancer/attempt_rules.py
+++ b/dykefold/balancer/attempt_rules.py
@@ -1,4 +1,4 @@
-"""The rules that no attempt and no rejection may break: no effect twice, nothing to a draining endpoint."""
+"""Rules for every attempt and rejection: no effect occurs twice, and a draining endpoint gets no requests."""
 
 from __future__ import annotations
 
@@ -10,23 +10,27 @@
 
 
 class AttemptRules:
-    """Every attempt passes `may_send`, every rejection `may_reject`."""
+    """Checks every attempt by `may_send`, every rejection by `may_reject`.
+
+    Args:
+        context: State that all parts share.
+        slow_start: Token buckets of endpoints that are warming up.
+    """
 
     def __init__(self, context: BalancerContext, slow_start: SlowStart) -> None:
-        """Go by the settings of the context, and by slow start."""
         self.context = context
         self.slow_start = slow_start
 
     def may_send(self, request: PendingRequest, endpoint: EndpointState) -> bool:
-        """Tell whether this request may be sent to this endpoint now, by the rules and by slow start."""
+        """Return whether this request may be sent to this endpoint now, by the rules and by slow start."""
         if not endpoint.ready or not endpoint.listed or request.streaming:
             return False
-        if request.attempts and not self._may_repeat(request, endpoint):
+        if request.attempts and not self._may_retry_at(request, endpoint):
             return False
         return not endpoint.started_ns or self.slow_start.allows(endpoint, request.stats)
 
-    def _may_repeat(self, request: PendingRequest, endpoint: EndpointState) -> bool:
-        """Tell whether a further attempt may go to this endpoint beside the earlier ones."""
+    def _may_retry_at(self, request: PendingRequest, endpoint: EndpointState) -> bool:
+        """Return whether another attempt may be sent to this endpoint beside the earlier ones."""
         if not self.may_retry(request, self.context.now_ns):
             return False
         spec = request.spec
@@ -43,20 +47,20 @@
         return True
 
     def may_retry(self, request: PendingRequest, at_ns: int) -> bool:
-        """Tell whether the rules allow any further attempt at that time, wherever it went."""
+        """Return whether the rules allow another attempt at that time, to whichever endpoint."""
         spec = request.spec
         if len(request.attempts) >= request.max_attempts:
             return False
         if spec.effect is Effect.SAFE:
             return True
-        # For so long an effect's key is known; an effect without a key is never repeated.
-        window = spec.window_ns - self.context.settings.tick_ns if spec.effect is Effect.KEYED else 0
+        # An endpoint knows an idempotency key for this time; a request without a key is never repeated.
+        window_ns = spec.window_ns - self.context.settings.tick_ns if spec.effect is Effect.KEYED else 0
         return all(
-            attempt.state is NEVER_RAN or at_ns < attempt.sent_ns + window for attempt in request.attempts
+            attempt.state is NEVER_RAN or at_ns < attempt.sent_ns + window_ns for attempt in request.attempts
         )
 
     def may_reject(self, request: PendingRequest) -> bool:
-        """Tell whether a rejection, which invites the client to try again, does no harm."""
+        """Return whether a rejection does no harm, although the client may send the request again."""
         spec = request.spec
         harmless = spec.effect is Effect.SAFE or (spec.effect is Effect.KEYED and spec.scope is Scope.ALL)
         return harmless or request.never_ran()
--- a/dykefold/balancer/concurrency_limit.py
+++ b/dykefold/balancer/concurrency_limit.py
@@ -1,4 +1,4 @@
-"""Admission: an adaptive concurrency limit (Little's law) on the own requests in flight."""
+"""An adaptive concurrency limit on the own requests in flight, by Little's law."""
 
 from __future__ import annotations
 
@@ -43,19 +43,26 @@
 
 
 class ConcurrencyLimit:
-    """Counts the own attempts in flight, and decides how many may be.
+    """Counts the own attempts in flight, and limits their number.
+
+    Args:
+        context: State that all parts share.
+        endpoints: Known endpoints, with the demand of the own clients.
+        congestion: Signal by which the limit is corrected.
+        quotas: Quotas of tenants, which restrict how much of the limit is open to a request.
 
     Attributes:
-        limit: on `in_flight`, as corrected at `corrected_ns`.
-        in_flight: own attempts that wait for a response, but for those at ejected endpoints.
-        peak_in_flight: the highest number of late, faded.
-        rejected_ns: when the limit last rejected a request.
-        answered_units: wanted latencies of what was answered since the last correction.
-        wanted_in_flight: requests in flight that the answers would keep at the wanted latency.
-        started_ns: time of the first correction; 0 before.
-        good: the limit after the first of the latest cuts.
-        cutting: whether the latest correction was a cut.
-        interval_ns: between corrections.
+        limit: Limit on `in_flight`, by the latest correction.
+        corrected_ns: Time of the latest correction.
+        in_flight: Number of own attempts in flight, without those at ejected endpoints.
+        peak_in_flight: Highest number of attempts in flight, which fades with each correction.
+        rejected_ns: Time of the latest rejection by the limit.
+        answered_units: Sum of the wanted latencies of all answers since the latest correction, nanoseconds.
+        wanted_in_flight: Requests that the rate of answers would keep in flight at the wanted latency.
+        started_ns: Time of the first correction; 0 before.
+        good: Limit after the first of the latest consecutive cuts.
+        cutting: True if the latest change of the limit was a cut.
+        interval_ns: Time between two corrections.
     """
 
     def __init__(
@@ -65,7 +72,6 @@
         congestion: CongestionSignal,
         quotas: Quotas,
     ) -> None:
-        """Begin without a limit, until the first correction."""
         self.context = context
         self.endpoints = endpoints
         self.congestion = congestion
@@ -83,18 +89,18 @@
         self.apply_settings()
 
     def apply_settings(self) -> None:
-        """Take the deadlines of the settings."""
+        """Apply the deadlines of the settings."""
         self.interval_ns = int(self.context.shortest_ns * CORRECTION_INTERVAL_DEADLINES)
 
     def admit(self, request: PendingRequest, value: float) -> bool:
-        """Shed early what would make the requests in flight outgrow what is answered in time.
+        """Return whether a request is admitted; it is shed if too many in flight would make answers late.
 
-        Guards against queues in which everything is answered too late, against endpoints that turn slow
-        when crowded, and against clients that come back at once, whom no fraction shed could outrun.
+        Guards against queues in which every answer is late, against endpoints that become slow under load,
+        and against clients that retry at once, for which shedding a fixed fraction is never enough.
 
         Args:
-            request: the request; its class and tenant decide how much of the limit is open to it.
-            value: part of its worth that it can still be expected to earn.
+            request: Pending request; its class and tenant decide how much of the limit is open to it.
+            value: Fraction of its priority weight that it is still expected to have.
         """
         now = self.context.now_ns
         if now - self.corrected_ns >= self.interval_ns:
@@ -109,48 +115,48 @@
         return False
 
     def _fraction(self, request: PendingRequest) -> float:
-        """The part of the limit that is open to the request's class and tenant."""
+        """Return the fraction of the limit that is open to the request's class and tenant."""
         fraction = request.stats.limit_fraction
         over_quota = self.quotas.over_quota
         if over_quota and self.context.random.random() < over_quota[request.tenant]:
-            worth = self.context.settings.over_quota_weight_fraction
-            return MIN_LIMIT_FRACTION + (fraction - MIN_LIMIT_FRACTION) * worth
+            weight_fraction = self.context.settings.over_quota_weight_fraction
+            return MIN_LIMIT_FRACTION + (fraction - MIN_LIMIT_FRACTION) * weight_fraction
         return fraction
 
     def _admit_rare(self, request: PendingRequest, limit: float) -> bool:
-        """Admit a part of what a sidecar with little traffic would keep in flight at the wanted latency.
+        """Return whether a sidecar with little traffic admits a request, at random by its limit.
 
-        Guards against a thousand sidecars with a request each now and then, whom no limit of one holds back.
+        Guards against a thousand sidecars that rarely send a request: a limit of one would stop none of them.
         """
         natural = self.endpoints.demand * self.congestion.wanted_latency(request.stats) / SECOND_NS
-        chance = max(limit / natural, 2.0 - self.congestion.level, MIN_RARE_ADMISSION_PROBABILITY)
-        return self.context.random.random() < chance
+        probability = max(limit / natural, 2.0 - self.congestion.level, MIN_RARE_ADMISSION_PROBABILITY)
+        return self.context.random.random() < probability
 
     def on_answer(self, stats: ClassStats) -> None:
-        """Count a successful attempt; in the first deadline the limit grows by it."""
+        """Count a successful attempt; during the first deadline it raises the limit."""
         self.answered_units += self.congestion.wanted_latency(stats)
         if self.context.now_ns - self.started_ns < self.context.shortest_ns and self.congestion.level <= 1.0:
-            self.limit += 1.0  # slow start (RFC 5681, 3.1): twice as much with each round trip
+            self.limit += 1.0  # Doubles with each round trip, as in slow start of TCP (RFC 5681, 3.1).
 
     def congested(self) -> bool:
-        """Whether latencies are now, or were within a shortest deadline, those of congestion."""
+        """Return whether there is congestion, or the limit was cut within a shortest deadline."""
         signal, context = self.congestion, self.context
         return signal.level >= 1.0 or context.now_ns - signal.cut_ns < context.shortest_ns
 
     def scale(self, factor: float) -> None:
-        """The fleet has shrunk to this part: do not wait for late answers to learn it."""
+        """Scale the limit with the number of endpoints, before late answers show the change."""
         self.limit *= factor
         self.wanted_in_flight *= factor
         self.good *= factor
 
     def correct(self) -> None:
-        """Bring the limit up to date by what was answered and how late."""
+        """Correct the limit by the rate and the latencies of answers."""
         first = not self.started_ns
         now = self.context.now_ns
         self.started_ns = self.started_ns or now
         elapsed = max(now - self.corrected_ns, 1)
         self.corrected_ns = now
-        # A mean over a whole deadline would tell a restarted sidecar that hardly anything is answered.
+        # After a restart, a mean over a whole deadline would be too low.
         age = max(min(now - self.started_ns, self.context.shortest_ns), 1)
         weight = min(elapsed / age, 1.0)
         self.wanted_in_flight += weight * (self.answered_units / elapsed - self.wanted_in_flight)
@@ -158,40 +164,40 @@
         self.peak_in_flight = max(self.in_flight, self.peak_in_flight * PEAK_FADE_FACTOR)
         self.congestion.fade()
         limit = self._next_limit(first)
-        # Every sidecar keeps its part of a floor, so that all together leave a tired fleet nearly idle.
+        # All sidecars share one minimum, so that an overloaded fleet of endpoints can become nearly idle.
         floor = MIN_LIMIT_PER_READY_ENDPOINT * self.endpoints.ready_count / self.context.sidecar_count()
         self.limit = max(limit, floor, 0.0 if self.endpoints.sees_little else 1.0)
         self._divide()
 
     def _next_limit(self, first: bool) -> float:
-        """The limit by the congestion signal: cut, kept or grown."""
+        """Return the next limit by the congestion signal: lower, equal or higher."""
         congestion = self.congestion
         if congestion.level > 1.0:
-            # Little's law: at the rate of answers seen, so many in flight make the wanted latency. Unlike
-            # repeated cuts it does not overshoot while the answers to an earlier crowd come in late.
+            # Little's law: at the present rate of answers, this number in flight makes the wanted latency.
+            # Unlike repeated cuts, it does not go too low while late answers of earlier requests arrive.
             limit = min(self.limit, self.wanted_in_flight / congestion.level)
             congestion.restart()
-            if not self.cutting:  # later ones follow the few answers that this one leaves
+            if not self.cutting:  # Later cuts follow from the few answers that the first one leaves.
                 self.cutting = True
                 self.good = limit
             return limit
         if congestion.cut_ns and not congestion.weight:
-            return self.limit  # nothing that was sent since the cut has come back or is due
+            return self.limit  # No attempt that was sent since the cut has an answer or is overdue.
         self.cutting = False
         return min(self.limit * self._growth(), self._ceiling(first))
 
     def _ceiling(self, first: bool) -> float:
-        """The most that the limit may grow to: one that follows what is in flight lets a surge in."""
+        """Return the highest value that the limit may grow to, so that it does not admit a surge."""
         ready = self.endpoints.ready_count
         if self.corrected_ns - self.started_ns >= self.context.shortest_ns:
-            spread = CEILING_EXTRA_PER_READY_ENDPOINT * ready / self.context.sidecar_count()
-            return CEILING_FACTOR * self.wanted_in_flight + CEILING_EXTRA_REQUESTS + spread
-        # No answers to go by yet.
+            extra = CEILING_EXTRA_PER_READY_ENDPOINT * ready / self.context.sidecar_count()
+            return CEILING_FACTOR * self.wanted_in_flight + CEILING_EXTRA_REQUESTS + extra
+        # There are not enough answers yet.
         ceiling = INITIAL_CEILING_FACTOR * (self.peak_in_flight + max(ready, MIN_INITIAL_ENDPOINTS))
         return ceiling if first else max(ceiling, self.limit)
 
     def _growth(self) -> float:
-        """The factor by which the limit grows: a leap over what is known good overshoots."""
+        """Return the factor by which the limit grows; it is small beyond the known good limit."""
         known = max(self.wanted_in_flight, KNOWN_GOOD_FRACTION * self.good)
         cautious = (
             self.corrected_ns - self.rejected_ns
@@ -202,16 +208,18 @@
         return GROWTH_FACTOR
 
     def _divide(self) -> None:
-        """Work out how much of the limit is open to each class."""
+        """Set the fraction of the limit that is open to each class."""
         live, settings = self.context.live_classes, self.context.settings
-        top = max(self._density(stats) for stats in live) or 1.0  # classes may all be worth nothing
-        # What is shed first is soon the worst-served class, which the goal may weigh by itself.
-        level = min(EQUAL_SHEDDING_FACTOR * settings.goal_worst_class, 1.0)
-        cheap = MIN_LIMIT_FRACTION + (1.0 - MIN_LIMIT_FRACTION) * level
+        top = (
+            max(self._density(stats) for stats in live) or 1.0
+        )  # All classes may have the priority weight 0.
+        # The class that is shed first becomes the worst-served one, which may have a weight in the goal.
+        equality = min(EQUAL_SHEDDING_FACTOR * settings.goal_worst_class, 1.0)
+        lowest = MIN_LIMIT_FRACTION + (1.0 - MIN_LIMIT_FRACTION) * equality
         for stats in live:
-            stats.limit_fraction = cheap + (1.0 - cheap) * self._density(stats) / top
+            stats.limit_fraction = lowest + (1.0 - lowest) * self._density(stats) / top
 
     def _density(self, stats: ClassStats) -> float:
-        """Worth for the endpoints' time that it takes."""
-        worth = stats.spec.priority_weight
-        return worth if self.context.settings.weight_per_work else worth / stats.typical_latency_ns
+        """Return the priority weight for each unit of the endpoints' work."""
+        weight = stats.spec.priority_weight
+        return weight if self.context.settings.weight_per_work else weight / stats.typical_latency_ns
--- a/dykefold/balancer/congestion.py
+++ b/dykefold/balancer/congestion.py
@@ -1,4 +1,4 @@
-"""The congestion signal: how much later than wanted the own attempts are answered."""
+"""The congestion signal: the ratio of the latencies of the own attempts to the wanted latencies."""
 
 from __future__ import annotations
 
@@ -27,12 +27,18 @@
 
 
 class CongestionSignal:
-    """A mean over the own attempts that fades with time to its prior; 1.0 is the wanted latency.
+    """A mean over the own attempts that returns to its prior with time; 1.0 stands for the wanted latency.
+
+    Args:
+        context: State that all parts share.
+        throughput: Rate of the own answers, by which the mean fades.
 
     Attributes:
-        level: the signal, as of `updated_ns`.
-        total: what attempts counted, faded; `weight` is their number, faded.
-        cut_ns: when the limit was last cut: attempts sent before tell nothing of what that did.
+        level: Value of the signal at `updated_ns`.
+        total: Faded sum of the values of attempts.
+        weight: Faded number of these attempts.
+        updated_ns: Time of the latest update of the three.
+        cut_ns: Time of the latest cut of the limit; attempts sent before it do not count any more.
     """
 
     def __init__(self, context: BalancerContext, throughput: Throughput) -> None:
@@ -43,27 +49,33 @@
         self.updated_ns = 0
         self.cut_ns = 0
 
-    def wanted_latency(self, stats: ClassStats, part: float = WANTED_LATENCY_OBJECTIVES) -> float:
-        """The latency of a class at which the signal is 1, nanoseconds."""
-        objective = stats.spec.objective_ns
+    def wanted_latency(self, stats: ClassStats, objectives: float = WANTED_LATENCY_OBJECTIVES) -> float:
+        """Return the latency of a class at which the signal is 1.0, nanoseconds.
+
+        Args:
+            stats: Statistics of the class.
+            objectives: Wanted latency as a fraction of the latency objective.
+        """
+        objective_ns = stats.spec.objective_ns
         return max(
-            part * objective,
+            objectives * objective_ns,
             min(
-                WANTED_TYPICAL_LATENCIES * stats.typical_latency_ns, MAX_WANTED_LATENCY_OBJECTIVES * objective
+                WANTED_TYPICAL_LATENCIES * stats.typical_latency_ns,
+                MAX_WANTED_LATENCY_OBJECTIVES * objective_ns,
             ),
         )
 
     def add_latency(
-        self, endpoint: EndpointState, stats: ClassStats, sent_ns: int, latency_ns: float, part: float
+        self, endpoint: EndpointState, stats: ClassStats, sent_ns: int, latency_ns: float, objectives: float
     ) -> None:
-        """Take one attempt's latency into the signal, but for attempts at ejected endpoints."""
+        """Take the latency of an attempt into the signal, unless its endpoint is ejected."""
         if not endpoint.ejected:
-            self.add(latency_ns / self.wanted_latency(stats, part), sent_ns)
+            self.add(latency_ns / self.wanted_latency(stats, objectives), sent_ns)
 
     def add(self, value: float, sent_ns: int) -> None:
-        """Take one attempt into the signal.
+        """Take the value of an attempt into the signal.
 
-        Guards the limit against being cut again for requests in flight that it has been cut for already.
+        Guards the limit against a second cut for attempts that have caused the first one.
         """
         if sent_ns < self.cut_ns:
             return
@@ -72,7 +84,7 @@
         self.weight += 1.0
 
     def fade(self) -> None:
-        """Bring the signal up to date."""
+        """Update the signal to the time of the event."""
         now = self.context.now_ns
         if now > self.updated_ns:
             shortest = self.context.shortest_ns
@@ -87,6 +99,6 @@
         )
 
     def restart(self) -> None:
-        """The limit is cut now: what was seen before says nothing of what follows."""
+        """Discard all values, because the limit is cut now and earlier attempts do not show the effect."""
         self.cut_ns = self.context.now_ns
         self.total = self.weight = 0.0
--- a/dykefold/balancer/final_answers.py
+++ b/dykefold/balancer/final_answers.py
@@ -1,4 +1,4 @@
-"""The final answer of a request, and what follows from it for its attempts."""
+"""The final answer of a request, and the cancelling of its attempts."""
 
 from __future__ import annotations
 
@@ -15,10 +15,14 @@
 
 
 class FinalAnswers:
-    """Ends requests.
+    """Gives the final answers of requests.
+
+    Args:
+        context: State that all parts share.
+        rules: Rules that each rejection follows.
 
     Attributes:
-        pending: requests without a final answer, by number.
+        pending: Requests without a final answer, by number.
     """
 
     def __init__(self, context: BalancerContext, rules: AttemptRules) -> None:
@@ -35,26 +39,26 @@
         self.forget(request)
 
     def _retry_after(self, request: PendingRequest) -> int:
-        """How long a rejected client should wait, nanoseconds; 0: no advice."""
+        """Return the time that a rejected client should wait, nanoseconds; 0 for no advice."""
         context = self.context
         if not context.settings.retry_after:
             return 0
-        left = float(max(request.deadline_ns - context.now_ns, 0))
-        spare = request.spec.objective_ns - request.age_ns - request.stats.typical_latency_ns
-        if spare > 0.0:
-            left = min(left, spare)  # a retry may still be in time; a later one hardly earns
-        wait = min(context.settings.max_retry_after_ns, int(left * RETRY_AFTER_FRACTION))
-        return int(wait * context.random.uniform(MIN_RETRY_AFTER_JITTER_FRACTION, 1.0))
+        remaining_ns = float(max(request.deadline_ns - context.now_ns, 0))
+        until_objective_ns = request.spec.objective_ns - request.age_ns - request.stats.typical_latency_ns
+        if until_objective_ns > 0.0:
+            remaining_ns = min(remaining_ns, until_objective_ns)  # A retry can still meet the objective.
+        wait_ns = min(context.settings.max_retry_after_ns, int(remaining_ns * RETRY_AFTER_FRACTION))
+        return int(wait_ns * context.random.uniform(MIN_RETRY_AFTER_JITTER_FRACTION, 1.0))
 
     def forget(self, request: PendingRequest) -> None:
-        """The request has ended: cancel what is in flight of it."""
+        """Remove a request that has ended, and cancel its attempts in flight."""
         del self.pending[request.id]
         self.cancel_others(request, NO_ATTEMPT)
 
-    def cancel_others(self, request: PendingRequest, keep: int) -> None:
-        """Cancel the attempts in flight but for one, where the site allows it."""
+    def cancel_others(self, request: PendingRequest, attempt_number: int) -> None:
+        """Cancel the attempts in flight except for one, where the site allows it."""
         if not self.context.settings.can_cancel:
             return
         for number, attempt in enumerate(request.attempts):
-            if attempt.state is IN_FLIGHT and number != keep:
+            if attempt.state is IN_FLIGHT and number != attempt_number:
                 self.context.actions.append(Cancel(request.id, number))
--- a/dykefold/balancer/group_weights.py
+++ b/dykefold/balancer/group_weights.py
@@ -1,4 +1,4 @@
-"""How much a sidecar in a crowd prefers some groups of endpoints over others."""
+"""Sampling weights of groups of endpoints, where there are more sidecars than endpoints."""
 
 from __future__ import annotations
 
@@ -22,8 +22,12 @@
 class GroupWeights:
     """Learns the sampling weights of the groups from answers.
 
+    Args:
+        context: State that all parts share.
+        endpoints: Known endpoints, with their groups.
+
     Attributes:
-        mean_latency: smoothed relative latency of all answers.
+        mean_latency: Smoothed relative latency of all answers.
     """
 
     def __init__(self, context: BalancerContext, endpoints: EndpointSet) -> None:
@@ -32,10 +36,14 @@
         self.mean_latency = 1.0
 
     def learn(self, endpoint: EndpointState, relative: float) -> None:
-        """Shift weight to the groups that answer sooner than the mean, as integral control does.
+        """Increase the weight of groups that answer sooner than the mean, by integral control.
+
+        Guards against the overload of a slow kind of machine, or of a zone with too few endpoints, within
+        seconds. The steps of one sidecar are noise, but the steps of all sidecars add up.
 
-        Guards against a zone with more traffic than its endpoints carry, and a slow kind, being overrun in
-        the first seconds: one sidecar's steps are noise, those of the whole fleet together are not.
+        Args:
+            endpoint: Endpoint that answered.
+            relative: Latency of the answer in class means.
         """
         group = self.endpoints.group(endpoint)
         group.samples += 1
@@ -53,7 +61,7 @@
         group.log_weight = min(max(log_weight, -MAX_LOG_WEIGHT), MAX_LOG_WEIGHT)
 
     def _objective_in_means(self) -> float:
-        """The latency objectives of all classes against their mean latencies."""
+        """Return the ratio of the latency objectives of all classes to their mean latencies."""
         live = self.context.live_classes
         objectives = sum(stats.spec.objective_ns for stats in live)
         return objectives / sum(stats.mean_latency_ns for stats in live)
--- a/dykefold/balancer/latency.py
+++ b/dykefold/balancer/latency.py
@@ -1,4 +1,4 @@
-"""Latency estimates of endpoints and classes, and the delay to expect of an endpoint."""
+"""Latency estimates of endpoints and classes, and the expected delay of an endpoint."""
 
 from __future__ import annotations
 
@@ -36,7 +36,14 @@
 
 
 class LatencyEstimator:
-    """Keeps the latency estimates in `EndpointState` and `ClassStats`."""
+    """Updates the latency estimates in `EndpointState` and `ClassStats`.
+
+    Args:
+        context: State that all parts share.
+        endpoints: Known endpoints, with their groups.
+        throughput: Rate of the own answers, by which estimates age.
+        group_weights: Sampling weights of groups, which learn from each result.
+    """
 
     def __init__(
         self,
@@ -45,7 +52,6 @@
         throughput: Throughput,
         group_weights: GroupWeights,
     ) -> None:
-        """Keep the estimates of these endpoints."""
         self.context = context
         self.endpoints = endpoints
         self.throughput = throughput
@@ -54,8 +60,9 @@
     def expected_delay(self, endpoint: EndpointState, stats: ClassStats) -> float:
         """Estimate the delay of a request, in nanoseconds: (in flight + 1) x smoothed latency.
 
-        A sidecar that sees little draws it about the estimate, the wider the older its knowledge is: most
-        of what is in flight there is of others. Guards against all of them crowding the faster kind.
+        A sidecar that sees little multiplies the estimate by a random factor, which varies the more the older
+        its knowledge is, because other sidecars have most requests in flight there. Guards against all
+        sidecars choosing the faster kind of machine together.
         """
         if not self.endpoints.sees_little:
             load = len(endpoint.in_flight) + 1
@@ -74,17 +81,20 @@
         return delay * factor
 
     def _delay_by_report(self, endpoint: EndpointState, stats: ClassStats) -> float:
-        """Estimate the delay by the load that the endpoint reported, aged towards its group's mean."""
+        """Estimate the delay by the endpoint's reported load, which ages towards the mean of its group."""
         group = self.endpoints.group(endpoint)
         age = self.context.now_ns - endpoint.load_reported_ns
         known: float = 0.5 ** (age / (REPORT_HALF_LIFE_DEADLINES * self.context.shortest_ns))
         load = group.mean_load + (endpoint.reported_load - group.mean_load) * known
         load = max(load, len(endpoint.in_flight))
-        unit = endpoint.latency_per_request or group.latency_per_request
-        return max((load + 1.0) * unit * stats.mean_latency_ns, self._silence(endpoint))
+        latency_per_request = endpoint.latency_per_request or group.latency_per_request
+        return max((load + 1.0) * latency_per_request * stats.mean_latency_ns, self._silence_ns(endpoint))
 
     def relative_latency(self, endpoint: EndpointState) -> float:
-        """Smoothed latency in class means, aged towards the mean, raised by an attempt without a response."""
+        """Return the smoothed latency in class means.
+
+        It ages towards the mean, and is at least the time that the oldest attempt is awaiting its response.
+        """
         now = self.context.now_ns
         mean = self.endpoints.group(endpoint).relative_latency if self.endpoints.sees_little else 1.0
         known = endpoint.relative_latency if endpoint.samples else mean
@@ -97,15 +107,20 @@
             latency = max(latency, waited / first.stats.mean_latency_ns)
         return latency
 
-    def _silence(self, endpoint: EndpointState) -> float:
-        """Silence with work in flight is evidence of a hung endpoint before any time-out."""
+    def _silence_ns(self, endpoint: EndpointState) -> float:
+        """Return the time without an answer while attempts are in flight, which shows a hung endpoint."""
         if not endpoint.in_flight:
             return 0.0
         first = next(iter(endpoint.in_flight.values()))
         return self.context.now_ns - max(first.sent_ns, endpoint.last_alive_ns)
 
     def add_sample(self, endpoint: EndpointState, relative: float) -> None:
-        """Take a result into the estimate of an endpoint, in class means."""
+        """Take a result into the estimate of an endpoint.
+
+        Args:
+            endpoint: Endpoint of the attempt.
+            relative: Latency in class means.
+        """
         context = self.context
         age = (context.now_ns - endpoint.last_sample_ns) / (
             ESTIMATE_HALF_LIFE_DEADLINES * context.shortest_ns
@@ -119,19 +134,19 @@
         endpoint.samples += 1
         endpoint.last_sample_ns = context.now_ns
 
-    def add_answer(self, stats: ClassStats, took_ns: int) -> None:
+    def add_answer(self, stats: ClassStats, duration_ns: int) -> None:
         """Take a successful attempt into the mean latency of its class."""
         mean = stats.mean_latency_ns
         weight = max(CLASS_SMOOTHING, 1.0 / (stats.answers + 1))
         stats.answers += 1
-        stats.latency_deviation_ns += weight * (abs(took_ns - mean) - stats.latency_deviation_ns)
-        stats.mean_latency_ns = mean + weight * (took_ns - mean)
+        stats.latency_deviation_ns += weight * (abs(duration_ns - mean) - stats.latency_deviation_ns)
+        stats.mean_latency_ns = mean + weight * (duration_ns - mean)
 
-    def add_timeout(self, stats: ClassStats, took_ns: int) -> None:
-        """Let the class mean follow a time-out at an endpoint that lives, or time-outs multiply."""
-        stats.mean_latency_ns += CLASS_SMOOTHING * max(0.0, took_ns - stats.mean_latency_ns)
+    def add_timeout(self, stats: ClassStats, duration_ns: int) -> None:
+        """Raise the class mean by a timeout at a live endpoint; otherwise more attempts would time out."""
+        stats.mean_latency_ns += CLASS_SMOOTHING * max(0.0, duration_ns - stats.mean_latency_ns)
 
-    def learn_typical(self, stats: ClassStats, took_ns: int, congested: bool) -> None:
+    def learn_typical(self, stats: ClassStats, duration_ns: int, congested: bool) -> None:
         """Take a successful attempt into the typical latency of its class."""
         if stats.answers < LEARNING_ANSWERS:
             step = 1.0 / (stats.answers + 1)
@@ -141,21 +156,21 @@
             if congested:
                 step *= CONGESTED_DRIFT_FACTOR
         stats.typical_updated_ns = self.context.now_ns
-        stats.typical_latency_ns += step * (took_ns - stats.typical_latency_ns)
+        stats.typical_latency_ns += step * (duration_ns - stats.typical_latency_ns)
 
     def adopt_typical(self, stats: ClassStats, typical_ns: float) -> None:
-        """Begin a class that has no answers yet with what other sidecars found."""
+        """Give a class without answers the typical latency that other sidecars report."""
         stats.mean_latency_ns = stats.typical_latency_ns = typical_ns
         stats.latency_deviation_ns = typical_ns / 2
         stats.answers = LEARNING_ANSWERS // 3
 
-    def overdue_after(self, endpoint: EndpointState, stats: ClassStats, left_ns: int) -> int:
-        """When to doubt an attempt, nanoseconds.
+    def overdue_after(self, endpoint: EndpointState, stats: ClassStats, remaining_ns: int) -> int:
+        """Return the time after which an attempt is overdue, nanoseconds.
 
-        A slow endpoint is given its time, lest load looks like loss.
+        A slow endpoint gets more time, so that load is not taken for loss.
         """
         mean = stats.mean_latency_ns
         expected = max(mean + OVERDUE_DEVIATIONS * stats.latency_deviation_ns, MIN_OVERDUE_CLASS_MEANS * mean)
         if endpoint.relative_latency > 1.0:
             expected *= endpoint.relative_latency
-        return int(min(expected, MAX_OVERDUE_FRACTION * left_ns)) + 1
+        return int(min(expected, MAX_OVERDUE_FRACTION * remaining_ns)) + 1
--- a/dykefold/balancer/load_reports.py
+++ b/dykefold/balancer/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports of endpoints, and the health checks by which a sidecar that sees little asks for them."""
+"""Load reports of endpoints, and the health checks by which a sidecar that sees little requests them."""
 
 from __future__ import annotations
 
@@ -25,11 +25,15 @@
 
 
 class LoadReports:
-    """Takes load reports into `EndpointState` and `EndpointGroup`, and asks for them where that pays.
+    """Takes load reports into `EndpointState` and `EndpointGroup`, and requests them where that pays.
+
+    Args:
+        context: State that all parts share.
+        endpoints: Known endpoints, with their groups.
 
     Attributes:
-        column: which column of a report is the load; None if there is none.
-        waiting: requests that wait for the report of an endpoint, by its number.
+        column: Column of a report that is the load; None if there is none.
+        waiting: Numbers of the requests that are awaiting a report, by the number of the endpoint.
     """
 
     def __init__(self, context: BalancerContext, endpoints: EndpointSet) -> None:
@@ -40,17 +44,17 @@
         self.apply_settings()
 
     def apply_settings(self) -> None:
-        """Take the columns of the settings."""
+        """Apply the columns of the settings."""
         columns = self.context.settings.report_columns
         self.column = next((columns.index(name) for name in LOAD_COLUMNS if name in columns), None)
 
     def record(self, endpoint: EndpointState, report: tuple[float, ...], relative: float = 0.0) -> None:
-        """Take a load report, and what the answer that it came with took for each request held.
+        """Take a load report, and the latency per request of the answer that contained it.
 
         Args:
-            endpoint: whose report it is.
-            report: by column; one that is too short or no load is ignored.
-            relative: latency of the answer in class means; 0: it came with none.
+            endpoint: Endpoint that sent the report.
+            report: Values by column; a report without a valid load is ignored.
+            relative: Latency of the answer in class means; 0 for a report of a health check.
         """
         if self.column is None or len(report) <= self.column:
             return
@@ -63,23 +67,24 @@
         weight = max(GROUP_SMOOTHING, 1.0 / group.reports)
         group.mean_load += weight * (load - group.mean_load)
         if relative:
-            unit = relative / (load + 1.0)
-            group.latency_per_request += weight * (unit - group.latency_per_request)
+            latency_per_request = relative / (load + 1.0)
+            group.latency_per_request += weight * (latency_per_request - group.latency_per_request)
             known = endpoint.latency_per_request or group.latency_per_request
-            endpoint.latency_per_request = known + ENDPOINT_SMOOTHING * (unit - known)
+            endpoint.latency_per_request = known + ENDPOINT_SMOOTHING * (latency_per_request - known)
 
     def probe_probability(self, stats: ClassStats) -> float:
-        """How often two health checks pay: what they save of late answers, against their price."""
+        """Return the probability of health checks before a request, by their use and their price."""
         settings = self.context.settings
         if not (settings.can_probe and self.column is not None):
             return 0.0
-        late = math.exp(-stats.spec.objective_ns / stats.mean_latency_ns)  # latencies are near that
+        # Latencies are about exponentially distributed.
+        late = math.exp(-stats.spec.objective_ns / stats.mean_latency_ns)
         return late * PROBE_GAIN_FRACTION / max(settings.price_probe, MIN_PROBE_PRICE)
 
     def probe(self, request: PendingRequest, candidates: list[EndpointState]) -> int:
-        """Ask endpoints for their load on behalf of a request; the time to wait for it, nanoseconds.
+        """Request load reports for a request; return the time to wait for them, nanoseconds.
 
-        Guards against picking blindly: what is known of an endpoint is of a deadline ago, its queue of now.
+        Guards against a choice by old knowledge, since the queue of an endpoint changes within a deadline.
         """
         now = self.context.now_ns
         request.probed = candidates
@@ -95,6 +100,6 @@
             )
         )
 
-    def stop_waiting(self, server: int) -> list[int]:
-        """Take the requests that waited for this endpoint's report."""
-        return self.waiting.pop(server, [])
+    def stop_waiting(self, endpoint_number: int) -> list[int]:
+        """Remove and return the numbers of the requests that are awaiting this endpoint's report."""
+        return self.waiting.pop(endpoint_number, [])
--- a/dykefold/balancer/lost_attempts.py
+++ b/dykefold/balancer/lost_attempts.py
@@ -1,4 +1,4 @@
-"""Lost attempts: the endpoint did the work, or not, but no response will come."""
+"""Lost attempts: whether or not the endpoint did the work, no response is expected."""
 
 from __future__ import annotations
 
@@ -14,25 +14,28 @@
 
 
 class LostAttempts:
-    """Takes attempts whose response is most likely lost out of what is in flight.
+    """Takes attempts whose response is most likely lost out of those in flight.
 
-    Guards against a network that drops answers: Little's law holds for what comes back. Attempts that never
-    do filled a shrinking limit until their deadlines, and all requests were rejected.
+    Guards against a network that drops answers. Little's law holds for attempts that are answered; lost ones
+    would fill a falling limit until their deadlines, and all requests would be rejected.
+
+    Args:
+        context: State that all parts share.
+        limit: Concurrency limit, which counts the attempts in flight.
     """
 
     def __init__(self, context: BalancerContext, limit: ConcurrencyLimit) -> None:
-        """Take lost attempts out of what this limit counts."""
         self.context = context
         self.limit = limit
 
     def on_answer(self, endpoint: EndpointState, sent_ns: int) -> None:
-        """An answer has overtaken the attempts sent before its own; after a few, theirs count as lost.
+        """Count an answer against the attempts that were sent earlier; after a few answers they are lost.
 
-        Guards against a network or endpoints that drop some answers and give the others in time: taken for
-        late ones, a tenth of lost answers halved the limit. It is no reason to cancel one and retry it.
+        Guards against a network or endpoints that drop some answers and send the others in time. Lost answers
+        must not count as late ones, which would cut the limit. The attempts are not retried for this reason.
         """
         now = self.context.now_ns
-        gone: list[AttemptKey] = []
+        overtaken: list[AttemptKey] = []
         for key, attempt in endpoint.in_flight.items():
             if attempt.sent_ns >= sent_ns:
                 break
@@ -40,12 +43,12 @@
             expected = attempt.stats.mean_latency_ns * max(endpoint.relative_latency, 1.0)
             late = now - attempt.sent_ns >= MIN_WAIT_CLASS_MEANS * expected
             if late and attempt.overtaken >= MIN_OVERTAKING_ANSWERS and key not in endpoint.lost:
-                gone.append(key)
-        for key in gone:
+                overtaken.append(key)
+        for key in overtaken:
             self.write_off(endpoint, key)
 
     def write_off(self, endpoint: EndpointState, attempt: AttemptKey) -> None:
-        """Expect no response to an attempt any more."""
+        """Count an attempt as lost, so that no response is expected any more."""
         if attempt not in endpoint.lost:
             endpoint.lost.add(attempt)
             if not endpoint.ejected:
--- a/dykefold/balancer/membership.py
+++ b/dykefold/balancer/membership.py
@@ -1,4 +1,4 @@
-"""Changes of the endpoint list."""
+"""Updates of the endpoint list."""
 
 from __future__ import annotations
 
@@ -13,7 +13,14 @@
 
 
 class EndpointListUpdater:
-    """Takes the endpoint list into the set of known endpoints."""
+    """Applies updates of the endpoint list to the known endpoints.
+
+    Args:
+        context: State that all parts share.
+        endpoints: Known endpoints.
+        limit: Concurrency limit, which follows the number of endpoints.
+        polls: Poll schedule, which follows the kind of each update.
+    """
 
     def __init__(
         self,
@@ -22,14 +29,13 @@
         limit: ConcurrencyLimit,
         polls: PollSchedule,
     ) -> None:
-        """Update this set of endpoints."""
         self.context = context
         self.endpoints = endpoints
         self.limit = limit
         self.polls = polls
 
     def on_membership(self, event: Membership) -> None:
-        """Take a list or a change of it, or that there is none."""
+        """Apply a complete list, a change, or the failure of a poll."""
         if event.kind is ListKind.FAILED:
             self.polls.on_failure()
             return
@@ -46,18 +52,18 @@
         endpoints.rebuild()
         after = len(endpoints.near) + len(endpoints.far)
         if 0 < after < before:
-            # What so many endpoints carried the fewer cannot.
+            # Fewer endpoints have less capacity.
             self.limit.scale(after / before)
 
     def _unlist_absent(self, entries: list[Endpoint]) -> None:
-        """What is absent from a complete list is gone."""
+        """Mark endpoints that a complete list does not contain as not listed."""
         present = {entry.number for entry in entries}
         for endpoint in self.endpoints.all.values():
             if endpoint.id not in present:
                 endpoint.listed = False
 
     def _apply(self, entry: Endpoint) -> None:
-        """Take one entry of the list."""
+        """Apply one entry of the list."""
         endpoint = self.endpoints.all.get(entry.number)
         ready = entry.state is State.READY
         if endpoint is None:
--- a/dykefold/balancer/outlier_detection.py
+++ b/dykefold/balancer/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: endpoints that fail are ejected for a while, and probed before they are readmitted."""
+"""Outlier detection: failing endpoints are ejected for a while, and probed before they are readmitted."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
 
 
 class OutlierDetector:
-    """Scores failures in `EndpointState`, ejects and readmits.
+    """Scores failures in `EndpointState`, and ejects and readmits endpoints.
 
     Args:
-        context: shared by all parts.
-        endpoints: whose state holds the scores.
-        limit: which does not count attempts at ejected endpoints.
-        rules: by which an ejected endpoint may be probed.
-        on_ejected: called with each endpoint that is ejected, after the lists are rebuilt.
+        context: State that all parts share.
+        endpoints: Known endpoints, with their failure scores.
+        limit: Concurrency limit, which does not count attempts at ejected endpoints.
+        rules: Rules that a probation probe follows.
+        on_ejected: Callback for each ejected endpoint, after the lists of endpoints have been rebuilt.
     """
 
     def __init__(
@@ -50,7 +50,6 @@
         rules: AttemptRules,
         on_ejected: Callable[[EndpointState], None],
     ) -> None:
-        """Begin with no endpoint ejected."""
         self.context = context
         self.endpoints = endpoints
         self.limit = limit
@@ -58,7 +57,13 @@
         self.on_ejected = on_ejected
 
     def record_failure(self, endpoint: EndpointState, score: float, max_ejected: float) -> None:
-        """Count a failure or an overdue attempt, and eject while at most this fraction would be ejected."""
+        """Count a failure or an overdue attempt, and eject the endpoint by its score.
+
+        Args:
+            endpoint: Endpoint of the attempt.
+            score: Weight of the failure.
+            max_ejected: Fraction of the ready endpoints that may be ejected, this one included.
+        """
         endpoint.failure_score += score
         if endpoint.ejected:
             self._schedule_probation(endpoint)
@@ -68,7 +73,7 @@
             self.eject(endpoint)
 
     def record_success(self, endpoint: EndpointState) -> None:
-        """Note an answer; an ejected endpoint is readmitted by it."""
+        """Record an answer, which readmits an ejected endpoint."""
         endpoint.failure_score = 0.0
         endpoint.consecutive_rejections = 0
         endpoint.last_alive_ns = self.context.now_ns
@@ -76,12 +81,15 @@
             self._readmit(endpoint)
 
     def suspect(self, endpoint: EndpointState) -> None:
-        """Other sidecars gave up on it. A hint is a prior: it takes a failure of one's own to eject."""
+        """Raise the failure score of an endpoint that other sidecars ejected.
+
+        One own failure is still needed to eject it.
+        """
         if not endpoint.ejected:
             endpoint.failure_score = max(endpoint.failure_score, EJECTION_SCORE - 1.0)
 
     def eject(self, endpoint: EndpointState) -> None:
-        """Send no more requests there for a while, and retry what waits there where that is allowed."""
+        """Eject an endpoint for a while, and retry its attempts in flight where that is allowed."""
         endpoint.ejected = True
         self.limit.in_flight -= endpoint.expected_responses()
         endpoint.ejections = 0
@@ -91,21 +99,22 @@
         self.on_ejected(endpoint)
 
     def _schedule_probation(self, endpoint: EndpointState) -> None:
-        """Set when the endpoint is probed next, and tell the fleet that it is given up on."""
+        """Set the time of the next probation probe, and report the ejection to other sidecars."""
         context = self.context
         if context.fleet:
             context.actions.append(ReportEndpointHealth(endpoint.id, False))
-        wait = context.shortest_ns * min(
+        wait_ns = context.shortest_ns * min(
             EJECTION_DEADLINES * EJECTION_GROWTH_FACTOR**endpoint.ejections, MAX_EJECTION_DEADLINES
         )
         endpoint.ejections += 1
         jitter = context.random.uniform(1.0 - EJECTION_JITTER_FRACTION, 1.0 + EJECTION_JITTER_FRACTION)
-        endpoint.probation_ns = context.now_ns + int(wait * jitter)
+        endpoint.probation_ns = context.now_ns + int(wait_ns * jitter)
 
     def probation_endpoint(self, request: PendingRequest) -> EndpointState | None:
-        """An ejected endpoint that is due for one request: of an idempotent class, if there is any.
+        """Return an ejected endpoint that is due for a probation probe by this request, or None.
 
-        Guards against sites without a safe class, where an endpoint that recovered was never tried again.
+        Where there is a safe class, only its requests are probes. Without one, requests of every class are;
+        otherwise a recovered endpoint would never be readmitted.
         """
         if request.attempts or (self.context.has_safe_class and request.spec.effect is not Effect.SAFE):
             return None
--- a/dykefold/balancer/poll_schedule.py
+++ b/dykefold/balancer/poll_schedule.py
@@ -1,4 +1,4 @@
-"""When discovery is polled: at the start, and again with backoff while the watch of the list fails."""
+"""The poll schedule of discovery: at the start, and with backoff while the watch of the list fails."""
 
 from __future__ import annotations
 
@@ -18,7 +18,16 @@
 
 
 class PollSchedule:
-    """Keeps track of the watch; it does nothing where discovery need not be polled."""
+    """Schedules polls; it does nothing where discovery need not be polled.
+
+    Args:
+        context: State that all parts share.
+        timers: Timers, by which polls are sent.
+
+    Attributes:
+        failures: Number of consecutive failures.
+        watching: True while the watch of the endpoint list works.
+    """
 
     def __init__(self, context: BalancerContext, timers: TimerQueue) -> None:
         self.context = context
@@ -27,7 +36,7 @@
         self.watching = False
 
     def on_cached_list(self) -> None:
-        """Poll soon, but restarted sidecars must not all poll at once."""
+        """Poll soon after a start, spread over time so that restarted sidecars do not poll at once."""
         settings = self.context.settings
         if settings.poll_required:
             spread = settings.max_poll_interval_ns * BACKOFF_BASE_FRACTION
@@ -35,12 +44,12 @@
             self.timers.add(self.context.now_ns + delay, POLL)
 
     def on_list(self) -> None:
-        """The registry has answered."""
+        """Record that the registry has answered."""
         self.watching = True
         self.failures = 0
 
     def on_failure(self) -> None:
-        """A poll failed or the watch broke: poll again after a backoff."""
+        """Poll after a backoff, because a poll failed or the watch broke."""
         self.watching = False
         settings = self.context.settings
         if not settings.poll_required:
@@ -54,6 +63,6 @@
         self.timers.add(self.context.now_ns + delay, POLL)
 
     def on_timer(self) -> None:
-        """Poll, unless the registry has answered meanwhile."""
+        """Poll, unless the registry has answered in the meantime."""
         if not self.watching:
             self.context.actions.append(Watch(True))
--- a/dykefold/balancer/quotas.py
+++ b/dykefold/balancer/quotas.py
@@ -1,4 +1,4 @@
-"""Quotas of tenants: what a tenant asks beyond its quota is the first to be shed."""
+"""Quotas of tenants: requests of a tenant beyond its quota are shed first."""
 
 from __future__ import annotations
 
@@ -22,37 +22,43 @@
 
 
 class Quotas:
-    """Counts first attempts by tenant, here and at the peers.
+    """Counts first attempts by tenant, of this sidecar and of its peers.
+
+    Args:
+        context: State that all parts share.
 
     Attributes:
-        over_quota: by tenant, the part of its traffic that is over its quota; empty until judged.
-        rates: first attempts a second by tenant, smoothed.
-        judged_ns: when they were judged last.
+        over_quota: Fraction of its traffic that is over its quota, by tenant; empty until the first check.
+        counts: First attempts since the latest check, by tenant.
+        rates: Smoothed first attempts per second, by tenant.
+        peer_rates: Time of the latest message and the rates in it, by peer.
+        message: Format of a message to peers, with the rates by tenant.
+        checked_ns: Time of the latest check.
     """
 
     def __init__(self, context: BalancerContext) -> None:
         self.context = context
-        self.judged_ns = 0
+        self.checked_ns = 0
         self.apply_settings()
 
     def apply_settings(self) -> None:
-        """Begin anew with the tenants of the settings."""
+        """Apply the tenants of the settings, and discard all rates."""
         tenants = len(self.context.settings.tenants)
-        self.counts = [0.0] * tenants  # since they were judged
+        self.counts = [0.0] * tenants
         self.rates = [0.0] * tenants
         self.over_quota: list[float] = []
-        self.peer_rates: dict[int, tuple[int, list[float]]] = {}  # with the time of the message
-        self.message = struct.Struct(f"<{tenants}I")  # first attempts a second by tenant
+        self.peer_rates: dict[int, tuple[int, list[float]]] = {}
+        self.message = struct.Struct(f"<{tenants}I")
 
     def count_request(self, tenant: int) -> None:
-        """Count a first attempt; now and then work out what of each tenant's traffic is over its quota."""
+        """Count a first attempt; at intervals, compare the rates of all tenants with their quotas."""
         self.counts[tenant] += 1.0
         context = self.context
-        elapsed = context.now_ns - self.judged_ns
+        elapsed = context.now_ns - self.checked_ns
         if elapsed < CHECK_INTERVAL_DEADLINES * context.shortest_ns:
             return
-        known, self.judged_ns = self.judged_ns, context.now_ns
-        if known:  # the first interval has no beginning
+        previous_ns, self.checked_ns = self.checked_ns, context.now_ns
+        if previous_ns:  # The beginning of the first interval is unknown.
             for number, count in enumerate(self.counts):
                 rate = count * SECOND_NS / elapsed
                 self.rates[number] += RATE_SMOOTHING * (rate - self.rates[number])
@@ -60,32 +66,34 @@
         if context.settings.can_message_peers and context.settings.fleet_size > 1:
             steps = [min(int(rate * STEPS_PER_REQUEST_PER_S), MAX_RATE_STEPS) for rate in self.rates]
             context.actions.append(SendToPeer(self.message.pack(*steps)))
-        self._judge()
+        self._update_over_quota()
 
     def on_peer(self, event: PeerMessage) -> None:
-        """Take a peer's rates by tenant; a message of another length is not ours and skipped."""
+        """Record the rates of a peer by tenant; a message of another length is ignored."""
         context = self.context
         if len(event.data) == self.message.size and event.sender < context.settings.fleet_size:
             rates = [value / STEPS_PER_REQUEST_PER_S for value in self.message.unpack(event.data)]
             self.peer_rates[event.sender] = (context.now_ns, rates)
 
-    def _judge(self) -> None:
+    def _update_over_quota(self) -> None:
         tenants = self.context.settings.tenants
-        fresh = (
+        oldest_ns = (
             self.context.now_ns - PEER_TIMEOUT_INTERVALS * CHECK_INTERVAL_DEADLINES * self.context.shortest_ns
         )
-        peers = [rates for when, rates in self.peer_rates.values() if when >= fresh]
+        peers = [rates for received_ns, rates in self.peer_rates.values() if received_ns >= oldest_ns]
         if len(peers) + 1 >= self.context.sidecar_count():
-            # All are heard: the quotas are known as they are stated, over all sidecars together.
-            part = 1.0
-            asked = [sum(rates) for rates in zip(self.rates, *peers, strict=True)]
+            # The rates of all sidecars are known, so the quotas hold as stated.
+            quota_fraction = 1.0
+            total_rates = [sum(rates) for rates in zip(self.rates, *peers, strict=True)]
         else:
-            # Only own traffic is seen: the own part of each quota is guessed from the tenants' middle.
-            asked = self.rates
-            pairs = zip(asked, tenants, strict=True)
+            # Only the own traffic is known, so the median tenant gives the own fraction of each quota.
+            total_rates = self.rates
+            pairs = zip(total_rates, tenants, strict=True)
             used = sorted(rate / tenant.quota_per_s for rate, tenant in pairs if tenant.quota_per_s > 0.0)
-            part = used[(len(used) - 1) // 2] * TYPICAL_USE_FACTOR if used else 0.0
+            quota_fraction = used[(len(used) - 1) // 2] * TYPICAL_USE_FACTOR if used else 0.0
         self.over_quota = [
-            1.0 - tenant.quota_per_s * part / rate if rate > tenant.quota_per_s * part > 0.0 else 0.0
-            for rate, tenant in zip(asked, tenants, strict=True)
+            1.0 - tenant.quota_per_s * quota_fraction / rate
+            if rate > tenant.quota_per_s * quota_fraction > 0.0
+            else 0.0
+            for rate, tenant in zip(total_rates, tenants, strict=True)
         ]
--- a/dykefold/balancer/request_value.py
+++ b/dykefold/balancer/request_value.py
@@ -1,4 +1,4 @@
-"""What part of its worth a request can still be expected to earn."""
+"""The fraction of its priority weight that a request is still expected to have."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 MIN_DECIDING_VOTES = 5
 # Limits the votes, so that a changed timeout is learnt after as many requests.
 MAX_VOTES = 20
-# With this many typical latencies left, an answer in time is certain.
+# With this many typical latencies remaining_ns, an answer in time is certain.
 CERTAIN_TYPICAL_LATENCIES = 1.5
-# With this many typical latencies left or fewer, no answer in time is expected.
+# With this many typical latencies remaining_ns or fewer, no answer in time is expected.
 HOPELESS_TYPICAL_LATENCIES = 0.5
 # Fraction of the limit that stays open to work that comes too late; it is done where there is capacity.
 MIN_VALUE_FRACTION = 0.2
 
 
-def _chance(time_ns: float, typical_ns: float) -> float:
-    """How likely so much time is enough, from 0 to 1."""
+def _success_probability(remaining_ns: float, typical_ns: float) -> float:
+    """Return the probability that the remaining time is enough, from 0 to 1."""
     return min(
         max(
-            (time_ns / typical_ns - HOPELESS_TYPICAL_LATENCIES)
+            (remaining_ns / typical_ns - HOPELESS_TYPICAL_LATENCIES)
             / (CERTAIN_TYPICAL_LATENCIES - HOPELESS_TYPICAL_LATENCIES),
             0.0,
         ),
@@ -32,48 +32,52 @@
 
 
 class RequestValue:
-    """Judges requests by their age, which a client does not state but its timeout tells."""
+    """Estimates the value of requests by their age, which is derived from the timeouts of clients.
+
+    Args:
+        context: State that all parts share.
+    """
 
     def __init__(self, context: BalancerContext) -> None:
-        """Go by the settings of the context."""
         self.context = context
 
     def of(self, event: Request, request: PendingRequest) -> float:
-        """The part of its worth that a request can still be expected to earn; sets its age.
+        """Return the fraction of its priority weight that a request is expected to have, and set its age.
 
-        Objective and deadline of a class run from the client's first attempt, and a retry of the client's is
-        cut short at that deadline: so a short timeout tells its age. Guards against overload in which the
-        work that is admitted is mostly such that it comes too late anyway.
+        Objective and deadline of a class are counted from the client's first attempt, and the timeout of a
+        client's retry ends at that deadline, so a short timeout shows the age. Guards against overload in
+        which most of the admitted requests are answered too late.
         """
         spec, stats = request.spec, request.stats
-        left = event.deadline_ns - self.context.now_ns
+        remaining_ns = event.deadline_ns - self.context.now_ns
         typical = stats.typical_latency_ns
         if not event.is_retry:
-            self._vote(stats, left)
+            self._vote(stats, remaining_ns)
         first = stats.first_timeout_ns
         tolerance = 2 * self.context.settings.tick_ns
-        if left < first - tolerance and stats.first_timeout_votes >= MIN_DECIDING_VOTES:
-            request.age_ns = spec.deadline_ns - left
-            in_time = _chance(spec.objective_ns - request.age_ns, typical)
+        if remaining_ns < first - tolerance and stats.first_timeout_votes >= MIN_DECIDING_VOTES:
+            request.age_ns = spec.deadline_ns - remaining_ns
+            in_time = _success_probability(spec.objective_ns - request.age_ns, typical)
         elif event.is_retry and spec.deadline_ns > first:
-            # Not cut short: it may be of any age up to this.
+            # Its timeout is not shorter, so its age may be anything up to the difference.
             in_time = min(max(spec.objective_ns - typical, 0.0) / (spec.deadline_ns - first), 1.0)
         else:
             in_time = 1.0
         return max(
-            (in_time + (1.0 - in_time) * spec.late_weight_fraction) * _chance(left, typical),
+            (in_time + (1.0 - in_time) * spec.late_weight_fraction)
+            * _success_probability(remaining_ns, typical),
             MIN_VALUE_FRACTION,
         )
 
-    def _vote(self, stats: ClassStats, left_ns: int) -> None:
-        """Learn the timeout that first attempts state as the one of a majority (Boyer and Moore, 1981).
+    def _vote(self, stats: ClassStats, remaining_ns: int) -> None:
+        """Learn the timeout of first attempts as the one of the majority (Boyer and Moore, 1981).
 
-        Guards against clients that don't mark retries and may wait longer for these: by the longest
-        timeout all their first attempts looked old, were rejected, and came again with that longest one.
+        Guards against clients that do not mark their retries and wait longer for them. By the longest
+        timeout, all first attempts would seem old and be rejected.
         """
-        if abs(left_ns - stats.first_timeout_ns) <= 2 * self.context.settings.tick_ns:
+        if abs(remaining_ns - stats.first_timeout_ns) <= 2 * self.context.settings.tick_ns:
             stats.first_timeout_votes = min(stats.first_timeout_votes + 1, MAX_VOTES)
         elif stats.first_timeout_votes:
             stats.first_timeout_votes -= 1
         else:
-            stats.first_timeout_ns = left_ns
+            stats.first_timeout_ns = remaining_ns
--- a/dykefold/balancer/slow_start.py
+++ b/dykefold/balancer/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: the rate at which an endpoint that warms up is sent requests."""
+"""Slow start: a limit on the rate of requests to an endpoint that is warming up."""
 
 from __future__ import annotations
 
@@ -34,22 +34,31 @@
 
 
 def slow_start_budget(allowed: float) -> float:
-    """Requests of mean work in an overload interval that push an endpoint over, by what it is allowed."""
+    """Return the requests of mean work in an overload interval that overload an endpoint.
+
+    Args:
+        allowed: Requests of mean work that the overload factor allows in that interval.
+    """
     root = math.sqrt(allowed)
     return allowed + 3.0 * root + 3.0 if allowed < SMALL_ALLOWANCE_REQUESTS else allowed + 2.0 * root + 2.0
 
 
 class SlowStart:
-    """Keeps a token bucket in the state of each endpoint that warms up."""
+    """Keeps a token bucket in the state of each endpoint that is warming up.
+
+    Args:
+        context: State that all parts share.
+        endpoints: Known endpoints, with the demand of the own clients.
+        throughput: Rate of the own answers, by which endpoints are sent requests.
+    """
 
     def __init__(self, context: BalancerContext, endpoints: EndpointSet, throughput: Throughput) -> None:
-        """Limit what is sent to these endpoints."""
         self.context = context
         self.endpoints = endpoints
         self.throughput = throughput
 
     def ramp(self, endpoint: EndpointState) -> float:
-        """The least part of its capacity that an endpoint has by now, by the settings."""
+        """Return the fraction of its capacity that an endpoint has at least by now, by the settings."""
         settings = self.context.settings
         start, warm = settings.start_capacity, settings.warm_within_ns
         age = self.context.now_ns - endpoint.ramp_from_ns
@@ -58,7 +67,7 @@
         return max(start + (1.0 - start) * max(age, 0) / warm, MIN_CAPACITY_FRACTION)
 
     def allows(self, endpoint: EndpointState, stats: ClassStats) -> bool:
-        """Tell whether a request of this class may be sent to the endpoint now."""
+        """Return whether a request of this class may be sent to the endpoint now."""
         if not endpoint.started_ns:
             return True
         limits = self._refill(endpoint)
@@ -70,7 +79,7 @@
         return enough and endpoint.slow_start_room >= min(cost, ceiling_limit)
 
     def charge(self, endpoint: EndpointState, stats: ClassStats) -> None:
-        """Take the tokens of a request that is sent to the endpoint."""
+        """Take the tokens for a request that is sent to the endpoint."""
         if endpoint.started_ns and self._refill(endpoint) is not None:
             cost = self.cost(stats)
             endpoint.slow_start_sent += 1
@@ -78,18 +87,17 @@
             endpoint.slow_start_room -= cost
 
     def credit(self, endpoint: EndpointState, stats: ClassStats) -> None:
-        """Give tokens for an answer: what the endpoint has answered it can do again."""
+        """Give tokens for an answer, because the endpoint can do the same work again."""
         if endpoint.slow_start_ns:
             endpoint.slow_start_tokens += TOKENS_PER_ANSWER * self.cost(stats)
 
     def _refill(self, endpoint: EndpointState) -> tuple[float, float] | None:
-        """Bring the tokens up to date; the most tokens and room it may have, or None where it has warmed up.
+        """Update the tokens; return the limits on tokens and room, or None if the endpoint has warmed up.
 
-        Guards against pushing over an endpoint that starts: with every sidecar doing so, it gets RATE_FACTOR
-        times the mean load of the fleet times its ramp, whoever carries how much. Its answers let it have
-        more, up to a ceiling: the budget of the fourth rule, as no endpoint's capacity is less than the mean
-        load. Without that bound an answer gave back more than its request had cost, so an endpoint was
-        limited no more from its first answer on.
+        Guards against the overload of an endpoint that starts. From all sidecars together it gets RATE_FACTOR
+        times the mean load of all endpoints times the fraction of its capacity. Its answers raise that, up to
+        a ceiling from `slow_start_budget`, since no endpoint's capacity is less than the mean load. The
+        ceiling is needed because an answer gives back more tokens than its request has cost.
         """
         ramp = self.ramp(endpoint)
         if ramp >= 1.0:
@@ -102,10 +110,10 @@
         )
         ceiling_limit = max(ceiling_burst, ceiling * BURST_S)
         if not endpoint.slow_start_ns:
-            # Part of a first token each: from none at all, hundreds of sidecars with little traffic would
-            # leave a restarted endpoint idle until all of them had saved up for it.
-            least = min(self.cost(other) for other in context.live_classes)
-            endpoint.slow_start_tokens = context.random.random() * least
+            # Each sidecar begins with a random part of the first token. Without it, hundreds of sidecars with
+            # little traffic would leave a restarted endpoint idle until they have collected a token.
+            min_cost = min(self.cost(other) for other in context.live_classes)
+            endpoint.slow_start_tokens = context.random.random() * min_cost
             endpoint.slow_start_room = endpoint.slow_start_tokens
         else:
             elapsed_s = (now - endpoint.slow_start_ns) / SECOND_NS
@@ -116,8 +124,8 @@
         return limit, ceiling_limit
 
     def _rates(self, endpoint: EndpointState, ramp: float) -> tuple[float, float]:
-        """Give the requests a second that it may be sent, and those up to which answers let it have more."""
-        # No answers of late mean no right to send: a rate remembered from better times would not do.
+        """Return the rate of requests per second, and the ceiling up to which answers raise it."""
+        # Without recent answers the rate falls to 0, because an old rate says nothing of the present load.
         since = self.context.now_ns - self.throughput.updated_ns
         fade = max(0.0, 1.0 - since / self.context.settings.overload_for_ns)
         fair = self._fair_rate(endpoint, fade)
@@ -130,30 +138,31 @@
         return rate, ceiling
 
     def _ceiling(self, endpoint: EndpointState, capacity: float) -> float:
-        """Requests a second that no answers raise: the own share of the budget of the fourth rule.
+        """Return the requests per second that answers do not raise: the own part of the slow-start budget.
 
-        The slack of the budget grows with the root of what is allowed, so that a share of it is the smaller
-        the more all sidecars together are allowed. The sum is largest where all shares are equal.
+        The slack of the budget grows with the root of the allowed requests, so the part of a sidecar gets
+        smaller with the requests allowed to all. The sum over all sidecars is highest if all parts are equal.
 
         Args:
-            endpoint: that is limited.
-            capacity: the own fraction of what it can do by now, in requests a second.
+            endpoint: Endpoint that is warming up.
+            capacity: Own part of its present capacity, in requests per second.
         """
         settings = self.context.settings
         fleet, local = self._sidecars(local=False), self._sidecars(local=True)
-        sharing = local if endpoint.zone == settings.zone else fleet
+        sidecars = local if endpoint.zone == settings.zone else fleet
         span_s = settings.overload_for_ns / SECOND_NS
         allowed = settings.overload_factor * capacity
-        budget = slow_start_budget(allowed * span_s * sharing) / sharing
-        # Those of its zone share it among them; beside them each of the others takes the fleet's share.
-        shares = 1.0 + (fleet - local) / fleet
-        return min(MAX_CEILING_FACTOR * allowed, BUDGET_FRACTION / shares * budget / (span_s + BURST_S))
+        budget = slow_start_budget(allowed * span_s * sidecars) / sidecars
+        # The sidecars of its zone divide one budget; each of the others uses the part for all sidecars.
+        parts = 1.0 + (fleet - local) / fleet
+        return min(MAX_CEILING_FACTOR * allowed, BUDGET_FRACTION / parts * budget / (span_s + BURST_S))
 
     def _fair_rate(self, endpoint: EndpointState, fade: float) -> float:
-        """The endpoint's fair fraction of the own answers a second.
+        """Return the endpoint's fair part of the own answers per second.
 
-        Mostly sidecars use endpoints of their own zone, so those of others leave their part of the mean load
-        unused. One of the own zone is given it as well, as far as the own answers did come from there.
+        Sidecars mostly use endpoints of their own zone, so sidecars of other zones leave their part of the
+        mean load unused. An endpoint of the own zone gets that part too, as far as the own answers come from
+        this zone.
         """
         throughput, endpoints = self.throughput, self.endpoints
         fair = throughput.answers_per_s * fade / self._shared_by(endpoint)
@@ -164,42 +173,41 @@
         return max(fair, min(local, fleet_per_zone * fair))
 
     def _in_crowd(self) -> bool:
-        """Tell whether this is one of many sidecars that see little of the endpoints that are listed."""
+        """Return whether this is one of many sidecars that see little, and there are ready endpoints."""
         return self.endpoints.sees_little and self.endpoints.ready_count > 0
 
     def _sidecars(self, *, local: bool) -> int:
-        """Count the sidecars, or about those of the own zone."""
+        """Return the number of sidecars, or the approximate number in the own zone."""
         settings = self.context.settings
-        # Of two counts the larger: those whom the fleet view doesn't hear may use the endpoints as well.
+        # Sidecars that are missing from the membership may still use the endpoints.
         fleet = max(self.context.sidecar_count(), settings.fleet_size, 1)
         return math.ceil(fleet / max(len(settings.zones), 1)) if local else fleet
 
     def _may_go_by_demand(self, endpoint: EndpointState) -> bool:
-        """Tell whether no endpoint is warm, and this one has answered nearly all that it was sent."""
+        """Return whether no endpoint has warmed up, and this one has answered nearly all requests."""
         unanswered = endpoint.slow_start_sent - endpoint.samples
         return (
             not endpoint.in_flight and unanswered < MAX_UNANSWERED_REQUESTS and self.endpoints.all_warm_up()
         )
 
     def _rate_by_demand(self, endpoint: EndpointState, ramp: float) -> float:
-        """Requests a second that it may be sent while no endpoint is warm.
+        """Return the requests per second that an endpoint may be sent while no endpoint has warmed up.
 
-        Answers tell nothing of capacity then: a fleet that has just begun has none, and as each endpoint is
-        sent a part of them only, fewer would follow from few. The sum over all sidecars stays within what the
-        overload factor allows as long as the demand is at most 1 / DEMAND_FRACTION times the capacity of the
-        endpoints when warm.
+        Answers do not show capacity then: there are none at first, and a rate that follows from few answers
+        would stay low. The sum over all sidecars stays within the overload factor as long as the demand is at
+        most 1 / DEMAND_FRACTION times the capacity of the endpoints when warm.
         """
         fair = self.endpoints.demand / self._shared_by(endpoint)
         return DEMAND_FRACTION * self.context.settings.overload_factor * ramp * fair
 
     def _shared_by(self, endpoint: EndpointState) -> int:
-        """Count the endpoints that share the own requests with this one."""
+        """Return the number of endpoints that get the own requests, this one included."""
         endpoints = self.endpoints
-        # Those who do not sample it leave their part to those who do.
-        among = endpoints.ready_count - len(endpoints.rest) if endpoint.sampled else endpoints.ready_count
-        return max(among, 1)
+        # Sidecars that do not sample it leave their part to those that do.
+        count = endpoints.ready_count - len(endpoints.rest) if endpoint.sampled else endpoints.ready_count
+        return max(count, 1)
 
     def cost(self, stats: ClassStats) -> float:
-        """The work of a class against the mean of the classes, by its typical latency."""
+        """Return the work of a class relative to the mean of the classes, by its typical latency."""
         live = self.context.live_classes
         return stats.typical_latency_ns * len(live) / sum(other.typical_latency_ns for other in live)
--- a/dykefold/balancer/subsetting.py
+++ b/dykefold/balancer/subsetting.py
@@ -1,4 +1,4 @@
-"""The endpoints that are known, and the subset of them that this sidecar samples from."""
+"""The known endpoints, and the subset of them that this sidecar samples from."""
 
 from __future__ import annotations
 
@@ -37,23 +37,28 @@
 class EndpointSet:
     """All known endpoints, and the lists to sample from.
 
+    Args:
+        context: State that all parts share.
+        throughput: Rate of the own answers, which follows the number of ready endpoints.
+
     Attributes:
-        all: by number.
-        near: of the subset, those of the own zone; none is ejected.
-        far: of the subset, those of other zones.
-        rest: ready endpoints outside of the subset.
-        ejected: ready endpoints that outlier detection has ejected.
-        ready_count: endpoints that the list gives as ready.
-        oldest_start_ns: from when the slow start of the longest ready of them counts, ejected ones aside;
-            0: one has not started lately, or there is none.
-        crowded: whether there are more sidecars than endpoints.
-        sees_little: whether it has, in a crowd, fewer requests in a deadline than there are endpoints.
-        subset_size: endpoints to sample of each side, by the demand.
-        local_size: endpoints of the own zone to sample where endpoints far outnumber sidecars; 0: all.
-        represented: ready endpoints near and far for each one sampled.
-        groups: by kind, and whether in another zone.
-        demand: own requests a second, as of `demand_ns`.
-        first_request_ns: when counting began; 0 before.
+        all: Known endpoints by number.
+        near: Endpoints of the subset in the own zone; none is ejected.
+        far: Endpoints of the subset in other zones; none is ejected.
+        rest: Ready endpoints outside of the subset.
+        ejected: Ready endpoints that outlier detection has ejected.
+        ready_count: Number of endpoints that the list gives as ready.
+        oldest_start_ns: Earliest begin of a slow start of ready endpoints that are not ejected; 0 if one of
+            them has not started recently, or there is none.
+        crowded: True if there are more sidecars than endpoints.
+        sees_little: True if it is crowded and the own requests in a deadline are fewer than the endpoints.
+        subset_size: Number of endpoints to sample of each side (own zone, other zones), by the demand.
+        local_size: Number of endpoints of the own zone to sample; 0 for all of them.
+        represented: Ready endpoints for each sampled one, of the own zone and of others.
+        groups: Groups by the kind of machine and by whether they are in other zones.
+        demand: Rate of the own requests per second at `demand_ns`.
+        demand_ns: Time of the latest request.
+        first_request_ns: Time of the first request; 0 before.
     """
 
     def __init__(self, context: BalancerContext, throughput: Throughput) -> None:
@@ -77,13 +82,13 @@
         self.first_request_ns = 0
 
     def group(self, endpoint: EndpointState) -> EndpointGroup:
-        """Give the group of an endpoint, a new one if it is the first."""
+        """Return the group of an endpoint, which is created if the endpoint is the first one in it."""
         return self.groups[endpoint.kind, endpoint.zone != self.context.settings.zone]
 
     def rebuild(self) -> None:
-        """Rebuild the lists to sample from; only when an endpoint changes state."""
+        """Rebuild the lists to sample from, after an endpoint has changed its state."""
         for endpoint in [one for one in self.all.values() if not one.listed and not one.in_flight]:
-            del self.all[endpoint.id]  # else memory grows with every endpoint that ever was
+            del self.all[endpoint.id]
         ready = [endpoint for endpoint in self.all.values() if endpoint.ready and endpoint.listed]
         self.ready_count = len(ready)
         self.throughput.update_half_life(self.ready_count)
@@ -94,7 +99,7 @@
         near = [endpoint for endpoint in ready if endpoint.zone == here and not endpoint.ejected]
         far = [endpoint for endpoint in ready if endpoint.zone != here and not endpoint.ejected]
         self.subset_size = self._wanted_size()
-        # Where endpoints outnumber sidecars each makes much of an endpoint's load, whatever it sends now.
+        # With fewer sidecars than endpoints, the own requests are a large part of an endpoint's load.
         self.crowded = self.ready_count < self.context.sidecar_count()
         self.sees_little = self.crowded and self.subset_size < self.ready_count
         self.local_size = self._wanted_local_size(len(near))
@@ -106,7 +111,7 @@
         self.represented = [len(near) / max(len(self.near), 1), len(far) / max(len(self.far), 1)]
 
     def _split(self, near: list[EndpointState], far: list[EndpointState]) -> None:
-        """Choose the subset: by rank, so that it stays the same as long as its endpoints are fit."""
+        """Choose the subset by rank, so that it stays the same while its endpoints are ready."""
         if self.sees_little:
             near.sort(key=by_rank)
             far.sort(key=by_rank)
@@ -116,48 +121,45 @@
             if near_size < len(near):
                 near.sort(key=by_rank)
             far_size = max(
-                MIN_SUBSET_SIZE, int(REMOTE_SUBSET_FRACTION * self.subset_size), self._remote_part(far)
+                MIN_SUBSET_SIZE, int(REMOTE_SUBSET_FRACTION * self.subset_size), self._remote_size(far)
             )
             if far_size < len(far):
                 far.sort(key=by_rank)
         self.near, self.far = near[:near_size], far[:far_size]
         self.rest = near[near_size:] + far[far_size:]
 
-    def _remote_part(self, far: list[EndpointState]) -> int:
-        """Count the endpoints of other zones that this sidecar has to sample for the fleet."""
+    def _remote_size(self, far: list[EndpointState]) -> int:
+        """Return the number of endpoints of other zones that this sidecar has to sample."""
         fleet = self.context.fleet
         if fleet and fleet.ranks:
             return sum(endpoint.rank < fleet.max_remote_rank for endpoint in far)
         return math.ceil(REMOTE_SIDECARS_PER_ENDPOINT * len(far) / self.context.sidecar_count())
 
     def _wanted_local_size(self, near_count: int) -> int:
-        """Count the endpoints of the own zone to sample; 0 for all of them.
+        """Return the number of endpoints of the own zone to sample; 0 for all of them.
 
-        Guards against a new connection for nearly each request where a sidecar could not meet all endpoints
-        again before their connections are closed. All sidecars together still reach each endpoint several
-        times, and few sidecars sample all of them: a subset is never smaller than the fleet's share.
+        Guards against a new connection for nearly each request, where a sidecar would return to an endpoint
+        only after its idle connection has been closed. All sidecars together still sample each endpoint
+        several times.
         """
         sidecars = max(self.context.sidecar_count(), 1)
-        if (
-            self.ready_count
-            < (LOCAL_SUBSET_STOP_RATIO if self.local_size else LOCAL_SUBSET_START_RATIO) * sidecars
-        ):
+        min_ratio = LOCAL_SUBSET_STOP_RATIO if self.local_size else LOCAL_SUBSET_START_RATIO
+        if self.ready_count < min_ratio * sidecars:
             return 0
-        share = math.ceil(LOCAL_SIDECARS_PER_ENDPOINT * self.ready_count / sidecars)
+        min_size = math.ceil(LOCAL_SIDECARS_PER_ENDPOINT * self.ready_count / sidecars)
         live = self.context.live_classes
         typical_s = sum(stats.typical_latency_ns for stats in live) / len(live) / SECOND_NS
-        wanted = max(
-            share, math.ceil(LOCAL_ENDPOINTS_PER_REQUEST_IN_FLIGHT * self.demand * typical_s)
-        )  # Little's law
+        in_flight = self.demand * typical_s  # Little's law
+        wanted = max(min_size, math.ceil(LOCAL_ENDPOINTS_PER_REQUEST_IN_FLIGHT * in_flight))
         if MAX_LOCAL_SHRINK_FACTOR * self.local_size < wanted < MIN_LOCAL_GROWTH_FACTOR * self.local_size:
             wanted = self.local_size
         return wanted if wanted < near_count else 0
 
     def _wanted_size(self) -> int:
-        """Endpoints of a side to sample from: so many that each is heard from about once a deadline.
+        """Return the number of endpoints to sample of a side, so that each answers about once in a deadline.
 
-        Guards against hundreds of sidecars that each meet an endpoint once in half a minute and so never
-        learn which ones are slow, crowded or hung.
+        Guards against hundreds of sidecars that each send to an endpoint once in half a minute, and so do not
+        learn which endpoints are slow, overloaded or hung.
         """
         return max(
             MIN_SUBSET_SIZE,
@@ -165,19 +167,19 @@
         )
 
     def all_warm_up(self) -> bool:
-        """Tell whether every ready endpoint that is not ejected still warms up."""
+        """Return whether every ready endpoint that is not ejected is warming up."""
         context, start = self.context, self.oldest_start_ns
         return bool(start) and context.now_ns - start < context.settings.warm_within_ns
 
     def count_request(self) -> None:
-        """Take one request into the demand, and rebuild where that asks for a subset of another size."""
+        """Take one request into the demand, and rebuild the lists if the size of the subset changes."""
         context = self.context
         now, shortest = context.now_ns, context.shortest_ns
         if not self.first_request_ns:
             self.first_request_ns = self.demand_ns = now
         interval = min(now - self.first_request_ns + shortest, DEMAND_INTERVAL_DEADLINES * shortest)
-        kept = max(0.0, 1.0 - (now - self.demand_ns) / interval)
-        self.demand = self.demand * kept + SECOND_NS / interval
+        remaining = max(0.0, 1.0 - (now - self.demand_ns) / interval)
+        self.demand = self.demand * remaining + SECOND_NS / interval
         self.demand_ns = now
         size = self._wanted_size()
         if size != self.subset_size and min(size, self.subset_size) < self.ready_count:
--- a/dykefold/balancer/throughput.py
+++ b/dykefold/balancer/throughput.py
@@ -1,4 +1,4 @@
-"""The rate of the own answers, and how fast estimates age by it."""
+"""The rate of the own answers, and the speed at which estimates age by it."""
 
 from __future__ import annotations
 
@@ -9,12 +9,16 @@
 
 
 class Throughput:
-    """How many answers this sidecar gets.
+    """Rate of the answers that this sidecar gets.
+
+    Args:
+        context: State that all parts share.
 
     Attributes:
-        answers_per_s: smoothed over the overload interval of the settings, as of `updated_ns`.
-        local_answers_per_s: of these, the answers of endpoints of the own zone.
-        half_life_ns: time in which a latency estimate halves its distance to the mean.
+        answers_per_s: Answers per second, smoothed over the overload interval of the settings.
+        local_answers_per_s: The same for answers of endpoints of the own zone.
+        updated_ns: Time of the latest answer.
+        half_life_ns: Time in which a latency estimate halves its distance to the mean.
     """
 
     def __init__(self, context: BalancerContext) -> None:
@@ -25,16 +29,21 @@
         self.half_life_ns = 1.0
 
     def count_answer(self, ready_count: int, *, local: bool) -> None:
-        """Take one answer into the rate."""
+        """Take one answer into the rates.
+
+        Args:
+            ready_count: Number of ready endpoints.
+            local: True if the endpoint is of the own zone.
+        """
         now = self.context.now_ns
-        tau = self.context.settings.overload_for_ns
-        kept = max(0.0, 1.0 - (now - self.updated_ns) / tau)
-        self.answers_per_s = self.answers_per_s * kept + SECOND_NS / tau
-        self.local_answers_per_s = self.local_answers_per_s * kept + local * SECOND_NS / tau
+        interval_ns = self.context.settings.overload_for_ns
+        remaining = max(0.0, 1.0 - (now - self.updated_ns) / interval_ns)
+        self.answers_per_s = self.answers_per_s * remaining + SECOND_NS / interval_ns
+        self.local_answers_per_s = self.local_answers_per_s * remaining + local * SECOND_NS / interval_ns
         self.updated_ns = now
         self.update_half_life(ready_count)
 
     def update_half_life(self, ready_count: int) -> None:
-        """Work out how fast estimates age with so many ready endpoints."""
-        gaps = HALF_LIFE_ANSWER_INTERVALS * max(ready_count, 1)
-        self.half_life_ns = gaps / max(self.answers_per_s, 1.0) * SECOND_NS
+        """Set the half-life of latency estimates for this number of ready endpoints."""
+        answers = HALF_LIFE_ANSWER_INTERVALS * max(ready_count, 1)
+        self.half_life_ns = answers / max(self.answers_per_s, 1.0) * SECOND_NS
--- a/dykefold/balancer/timers.py
+++ b/dykefold/balancer/timers.py
@@ -1,4 +1,4 @@
-"""The timers of a balancer: one heap, of which only the earliest is armed with the caller."""
+"""The timers of a balancer in one heap; the caller has a timer for the earliest of them."""
 
 from __future__ import annotations
 
@@ -7,40 +7,46 @@
 from .actions import SetTimer
 from .context import BalancerContext
 
-OVERDUE, RETRY, POLL = range(3)  # kinds; for equal times the order in which they ring
+# Kinds of timers; of those due at the same time, the lower kind comes first.
+OVERDUE, RETRY, POLL = range(3)
 TOKEN_MASK = 0xFFFFFFFF
 
 
 class TimerQueue:
-    """What is due when.
+    """Timers of all requests and polls.
+
+    Args:
+        context: State that all parts share.
 
     Attributes:
-        heap: time, kind, request and attempt of each timer.
+        heap: Time, kind, number of the request and number of the attempt of each timer.
+        armed_ns: Time for which the caller's timer is set; 0 for none.
+        token: Token of the latest `SetTimer` action.
     """
 
     def __init__(self, context: BalancerContext) -> None:
         self.context = context
         self.heap: list[tuple[int, int, int, int]] = []
-        self.armed_ns = 0  # 0: none
+        self.armed_ns = 0
         self.token = 0
 
     def add(self, due_ns: int, kind: int, request: int = 0, attempt: int = 0) -> None:
-        """Have a timer ring at that time."""
+        """Add a timer that is due at that time."""
         heapq.heappush(self.heap, (due_ns, kind, request, attempt))
 
     def rang(self, token: int) -> None:
-        """Note that the caller's timer rang; an earlier token is of one that was replaced."""
+        """Record that the caller's timer is due; an earlier token is of a timer that has been replaced."""
         if token == self.token:
             self.armed_ns = 0
 
     def next_due(self) -> tuple[int, int, int, int] | None:
-        """Take the earliest timer that is due; None if there is none."""
+        """Remove and return the earliest timer that is due; None if there is none."""
         if self.heap and self.heap[0][0] <= self.context.now_ns:
             return heapq.heappop(self.heap)
         return None
 
     def arm(self) -> None:
-        """Ask the caller for a timer if the earliest one is not armed."""
+        """Set the caller's timer if it is not set for the earliest timer."""
         heap = self.heap
         if heap and (not self.armed_ns or heap[0][0] < self.armed_ns):
             context = self.context
--- a/tests/balancer/test_concerns.py
+++ b/tests/balancer/test_concerns.py
@@ -183,7 +183,7 @@
     for rates in peers:
         steps = [int(rate * quotas.STEPS_PER_REQUEST_PER_S) for rate in rates]
         state.on_peer(PeerMessage(1, state.message.pack(*steps)))
-    state.rates, state.judged_ns = own, START - 10 * SECOND
+    state.rates, state.checked_ns = own, START - 10 * SECOND
     state.counts = [rate * 10 for rate in own]
     state.counts[0] -= 1.0  # the one that is counted now
     state.count_request(0)
