--- a/dykefold/simulator_adapter.py
+++ b/dykefold/simulator_adapter.py
@@ -1,7 +1,7 @@
-"""The wire: frames in, events to the balancers, actions out. It decides nothing.
+"""The adapter to the simulator: it decodes frames to events for balancers, and encodes their actions.
 
 Input that is no frame of the protocol ends the process with one plain line on standard error and a
-non-zero exit. An exception of the decision module goes out as the wire's internal-error action.
+non-zero exit code. An exception of a balancer is sent as the internal-error action of the protocol.
 """
 
 from __future__ import annotations
@@ -62,13 +62,14 @@
 BELL = struct.Struct("<I")
 FIRST = struct.Struct("<QBIQ")
 INSTANCE = struct.Struct("<xH")
-FIELDS = 3  # where an event's own fields begin, after code and instance
+# The fields of an event begin behind code and instance.
+EVENT_FIELDS_OFFSET = 3
 
 SHARE = struct.Struct("<BHIII9x")
 RETRACT = struct.Struct("<BHQB12x")
 FOLLOW = struct.Struct("<BHB20x")
-TEXT = struct.Struct("<BHII13x")  # INTERNAL_ERROR and TRACE
-ONE_SERVER = struct.Struct("<BHI17x")  # HANG_UP and TOUCH
+TEXT = struct.Struct("<BHII13x")  # of INTERNAL_ERROR and TRACE
+ONE_ENDPOINT = struct.Struct("<BHI17x")  # of HANG_UP and TOUCH
 TURN_AWAY = struct.Struct("<BHQQ5x")
 RESOLVE = struct.Struct("<BH21x")
 DISPATCH = struct.Struct("<BHQQIx")
@@ -101,7 +102,7 @@
 
 
 class EventCode(IntEnum):
-    """Records of the input; the names are the wire's."""
+    """Codes of the records in the input; the names are those of the protocol."""
 
     NEW_INSTANCE = 16
     ENDPOINTS = 17
@@ -117,7 +118,7 @@
 
 
 class ActionCode(IntEnum):
-    """Records of a reply; the names are the wire's."""
+    """Codes of the records in a reply; the names are those of the protocol."""
 
     SHARE = 16
     RETRACT = 17
@@ -134,32 +135,32 @@
 
 
 class FrameError(Exception):
-    """The input is no frame of this protocol."""
+    """The input is no frame of the protocol."""
 
 
 def _outcome(body: bytes, at: int) -> Outcome:
-    request, attempt, server, reason, took, last, columns, *report = SETTLED.unpack_from(body, at)
+    request_id, attempt, endpoint, reason, duration_ns, last, columns, *report = SETTLED.unpack_from(body, at)
     status = STATUS.get(reason, Status.ERROR)
-    return Outcome(request, attempt, server, status, took, last != 0, tuple(report[:columns]))
+    return Outcome(request_id, attempt, endpoint, status, duration_ns, last != 0, tuple(report[:columns]))
 
 
 def _request(body: bytes, at: int) -> Request:
-    request, cls, tenant, key, deadline, cost, bits = INBOUND.unpack_from(body, at)
+    request_id, class_number, tenant, key, deadline_ns, cost_ns, bits = INBOUND.unpack_from(body, at)
     return Request(
-        request,
-        cls,
+        request_id,
+        class_number,
         tenant,
-        deadline,
+        deadline_ns,
         key,
-        cost if bits & HAS_COST else 0,
+        cost_ns if bits & HAS_COST else 0,
         is_retry=bits & IS_RETRY != 0,
         is_write=bits & IS_WRITE != 0,
     )
 
 
 def _probe_result(body: bytes, at: int) -> ProbeResult:
-    server, reason, took, columns, *report = HEALTH.unpack_from(body, at)
-    return ProbeResult(server, STATUS.get(reason, Status.ERROR), took, tuple(report[:columns]))
+    endpoint, reason, duration_ns, columns, *report = HEALTH.unpack_from(body, at)
+    return ProbeResult(endpoint, STATUS.get(reason, Status.ERROR), duration_ns, tuple(report[:columns]))
 
 
 DECODERS: dict[int, Callable[[bytes, int], Event]] = {
@@ -170,36 +171,45 @@
     EventCode.HEALTH: _probe_result,
     EventCode.FIRST: lambda body, at: StreamStarted(*FIRST.unpack_from(body, at)),
 }
-# What each action is in a record; the argument is an action of the type that it is listed under.
+# Encoders of actions to records, by the type of the action; the arguments are the instance and the action.
 ENCODERS: dict[type[Action], Callable[[int, Any], bytes]] = {
     Send: lambda i, act: DISPATCH.pack(ActionCode.DISPATCH, i, act.id, act.timeout_ns, act.endpoint_number),
     SetTimer: lambda i, act: SET_TIMER.pack(ActionCode.SET_TIMER, i, act.after_ns, act.token),
     Refuse: lambda i, act: TURN_AWAY.pack(ActionCode.TURN_AWAY, i, act.id, act.retry_after_ns),
     Fail: lambda i, act: ABORT.pack(ActionCode.ABORT, i, act.id),
     Cancel: lambda i, act: RETRACT.pack(ActionCode.RETRACT, i, act.id, act.attempt),
-    Probe: lambda i, act: ONE_SERVER.pack(ActionCode.TOUCH, i, act.endpoint_number),
-    CloseIdle: lambda i, act: ONE_SERVER.pack(ActionCode.HANG_UP, i, act.endpoint_number),
+    Probe: lambda i, act: ONE_ENDPOINT.pack(ActionCode.TOUCH, i, act.endpoint_number),
+    CloseIdle: lambda i, act: ONE_ENDPOINT.pack(ActionCode.HANG_UP, i, act.endpoint_number),
     Watch: lambda i, act: FOLLOW.pack(ActionCode.FOLLOW, i, act.on),
     Fetch: lambda i, act: RESOLVE.pack(ActionCode.RESOLVE, i),
 }
 
 
 class Host:
-    """Runs any number of balancers behind one pair of streams."""
+    """Runs any number of balancers behind one pair of streams.
+
+    Attributes:
+        balancers: Balancers by the number of their instance.
+        lists: Endpoint lists by the number under which they were sent.
+        records: Records of the reply to the current frame.
+        tail: Bytes behind the records of that reply, to which records refer.
+    """
 
     def __init__(self) -> None:
-        """Begin with no balancer and no endpoint list."""
         self.balancers: dict[int, Balancer] = {}
         self.lists: dict[int, list[Endpoint]] = {}
         self.records: list[bytes] = []
         self.tail = bytearray()
 
     def reply_to(self, body: bytes) -> bytes:
-        """Answer one frame, given without its length field.
+        """Return the reply to one frame.
+
+        Args:
+            body: Frame without its length field.
 
         Raises:
-            FrameError: it is none of this protocol.
-            SettingError: a new instance has settings that can't be.
+            FrameError: The input is no frame of the protocol.
+            SettingError: The settings of a new instance are not valid.
         """
         if len(body) < HEADER.size:
             problem = "frame shorter than its header"
@@ -223,14 +233,14 @@
         (instance,) = INSTANCE.unpack_from(body, at)
         try:
             if code == EventCode.NEW_INSTANCE:
-                self._new_instance(instance, body, at + FIELDS, tail_at)
+                self._new_instance(instance, body, at + EVENT_FIELDS_OFFSET, tail_at)
             elif code == EventCode.END_INSTANCE:
                 self.balancers.pop(instance, None)
             else:
-                self._event(now, instance, self._decode(code, body, at + FIELDS, tail_at))
+                self._event(now, instance, self._decode(code, body, at + EVENT_FIELDS_OFFSET, tail_at))
         except (FrameError, SettingError):
             raise
-        except Exception as error:  # the wire has a word for any failure of the module
+        except Exception as error:  # The protocol has an action for any error of a balancer.
             traceback.print_exc(file=sys.stderr)
             self._text(ActionCode.INTERNAL_ERROR, instance, f"{type(error).__name__}: {error}")
 
@@ -273,11 +283,11 @@
         return Membership(kind, version, self.lists[number])
 
     def _rows(self, body: bytes, at: int, tail_at: int) -> None:
-        number, offset, count = SNAPSHOT_ROWS.unpack_from(body, at)
+        list_number, offset, count = SNAPSHOT_ROWS.unpack_from(body, at)
         rows = _slice(body, tail_at, offset, count * ENTRY.size)
-        self.lists[number] = [
-            Endpoint(server, zone, kind, cell, STATES.get(phase, State.GONE), weight, started)
-            for server, zone, kind, cell, phase, weight, started in ENTRY.iter_unpack(rows)
+        self.lists[list_number] = [
+            Endpoint(number, zone, kind, cell, STATES.get(phase, State.GONE), weight, started_ns)
+            for number, zone, kind, cell, phase, weight, started_ns in ENTRY.iter_unpack(rows)
         ]
 
     def _text(self, code: int, instance: int, text: str) -> None:
@@ -317,7 +327,16 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer frames until the input ends; FrameError if it ends or errs inside one."""
+    """Answer frames until the input ends.
+
+    Args:
+        source: Stream of frames.
+        sink: Stream of replies.
+
+    Raises:
+        FrameError: The input ends inside a frame, or is no frame of the protocol.
+        SettingError: The settings of a new instance are not valid.
+    """
     host = Host()
     while head := _read(source, LENGTH.size):
         size = LENGTH.unpack(head)[0]
@@ -330,7 +349,7 @@
 
 
 def main() -> int:
-    """Answer frames of standard input; return the exit code, 1 where the input is none of this protocol."""
+    """Answer frames of standard input; return the exit code, 1 if the input is no frame of the protocol."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except (FrameError, SettingError) as error:
