--- a/dykefold/balancer/balancer.py
+++ b/dykefold/balancer/balancer.py
@@ -226,7 +226,7 @@
 
     def on_timer(self, event: events.Timer) -> None:
         """Carry out all that is due."""
-        self.timers.rang(event.token)
+        self.timers.on_due(event.token)
         while due := self.timers.next_due():
             _, kind, request_id, attempt_number = due
             if kind == POLL:
--- a/dykefold/balancer/concurrency_limit.py
+++ b/dykefold/balancer/concurrency_limit.py
@@ -26,7 +26,7 @@
 # After the first deadline the ceiling is this factor times the requests that the answers would keep in flight
 # at the wanted latency, plus the two summands below.
 CEILING_FACTOR = 2.0
-# A sidecar that rarely sends needs room for a few requests.
+# A sidecar that rarely sends has hardly any answers to derive a ceiling from.
 CEILING_EXTRA_REQUESTS = 4.0
 # All sidecars together may add this for each ready endpoint.
 CEILING_EXTRA_PER_READY_ENDPOINT = 2.0
@@ -128,8 +128,8 @@
 
         Guards against a thousand sidecars that rarely send a request: a limit of one would stop none of them.
         """
-        natural = self.endpoints.demand * self.congestion.wanted_latency(request.stats) / SECOND_NS
-        probability = max(limit / natural, 2.0 - self.congestion.level, MIN_RARE_ADMISSION_PROBABILITY)
+        unlimited = self.endpoints.demand * self.congestion.wanted_latency(request.stats) / SECOND_NS
+        probability = max(limit / unlimited, 2.0 - self.congestion.level, MIN_RARE_ADMISSION_PROBABILITY)
         return self.context.random.random() < probability
 
     def on_answer(self, stats: ClassStats) -> None:
@@ -198,21 +198,18 @@
 
     def _growth(self) -> float:
         """Return the factor by which the limit grows; it is small beyond the known good limit."""
-        known = max(self.wanted_in_flight, KNOWN_GOOD_FRACTION * self.good)
-        cautious = (
-            self.corrected_ns - self.rejected_ns
-            < CAUTION_AFTER_REJECTION_DEADLINES * self.context.shortest_ns
-        )
-        if cautious and self.limit >= known:
+        known_good = max(self.wanted_in_flight, KNOWN_GOOD_FRACTION * self.good)
+        caution_ns = CAUTION_AFTER_REJECTION_DEADLINES * self.context.shortest_ns
+        cautious = self.corrected_ns - self.rejected_ns < caution_ns
+        if cautious and self.limit >= known_good:
             return 1.0 + PROBING_INCREASE_PER_CONGESTION_UNIT * (1.0 - self.congestion.level)
         return GROWTH_FACTOR
 
     def _divide(self) -> None:
         """Set the fraction of the limit that is open to each class."""
         live, settings = self.context.live_classes, self.context.settings
-        top = (
-            max(self._density(stats) for stats in live) or 1.0
-        )  # All classes may have the priority weight 0.
+        highest = max(self._density(stats) for stats in live)
+        top = highest or 1.0  # All classes may have the priority weight 0.
         # The class that is shed first becomes the worst-served one, which may have a weight in the goal.
         equality = min(EQUAL_SHEDDING_FACTOR * settings.goal_worst_class, 1.0)
         lowest = MIN_LIMIT_FRACTION + (1.0 - MIN_LIMIT_FRACTION) * equality
--- a/dykefold/balancer/congestion.py
+++ b/dykefold/balancer/congestion.py
@@ -57,12 +57,9 @@
             objectives: Wanted latency as a fraction of the latency objective.
         """
         objective_ns = stats.spec.objective_ns
+        by_typical_ns = WANTED_TYPICAL_LATENCIES * stats.typical_latency_ns
         return max(
-            objectives * objective_ns,
-            min(
-                WANTED_TYPICAL_LATENCIES * stats.typical_latency_ns,
-                MAX_WANTED_LATENCY_OBJECTIVES * objective_ns,
-            ),
+            objectives * objective_ns, min(by_typical_ns, MAX_WANTED_LATENCY_OBJECTIVES * objective_ns)
         )
 
     def add_latency(
@@ -87,16 +84,15 @@
         """Update the signal to the time of the event."""
         now = self.context.now_ns
         if now > self.updated_ns:
-            shortest = self.context.shortest_ns
-            samples = HALF_LIFE_ANSWERS * SECOND_NS / max(self.throughput.answers_per_s, 1.0)
-            interval = max(HALF_LIFE_DEADLINES * shortest, samples)
-            fade = 0.5 ** ((now - self.updated_ns) / min(interval, shortest))
+            shortest_ns = self.context.shortest_ns
+            answers_ns = HALF_LIFE_ANSWERS * SECOND_NS / max(self.throughput.answers_per_s, 1.0)
+            half_life_ns = max(HALF_LIFE_DEADLINES * shortest_ns, answers_ns)
+            fade = 0.5 ** ((now - self.updated_ns) / min(half_life_ns, shortest_ns))
             self.updated_ns = now
             self.total *= fade
             self.weight *= fade
-        self.level = (self.total + PRIOR_LEVEL * PRIOR_WEIGHT_ATTEMPTS) / (
-            self.weight + PRIOR_WEIGHT_ATTEMPTS
-        )
+        total = self.total + PRIOR_LEVEL * PRIOR_WEIGHT_ATTEMPTS
+        self.level = total / (self.weight + PRIOR_WEIGHT_ATTEMPTS)
 
     def restart(self) -> None:
         """Discard all values, because the limit is cut now and earlier attempts do not show the effect."""
--- a/dykefold/balancer/endpoints.py
+++ b/dykefold/balancer/endpoints.py
@@ -47,8 +47,8 @@
         probation_pending: True while that request is in flight.
         slow_start_tokens: Work that it may be sent while it warms up, in requests of mean work.
         slow_start_sent: Number of requests sent while it warmed up.
-        slow_start_room: Work up to the ceiling, which answers do not raise, in requests of mean work.
-        slow_start_ns: Time of the latest change of tokens and room.
+        slow_start_ceiling_tokens: Work up to the ceiling, to which answers add nothing, in the same unit.
+        slow_start_ns: Time of the latest change of both numbers of tokens.
     """
 
     __slots__ = (
@@ -76,8 +76,8 @@
         "reported_load",
         "sampled",
         "samples",
+        "slow_start_ceiling_tokens",
         "slow_start_ns",
-        "slow_start_room",
         "slow_start_sent",
         "slow_start_tokens",
         "started_ns",
@@ -117,7 +117,7 @@
         self.probation_pending = False
         self.slow_start_tokens = 0.0
         self.slow_start_sent = 0
-        self.slow_start_room = 0.0
+        self.slow_start_ceiling_tokens = 0.0
         self.slow_start_ns = 0
 
     def expected_responses(self) -> int:
--- a/dykefold/balancer/group_weights.py
+++ b/dykefold/balancer/group_weights.py
@@ -53,9 +53,8 @@
         self.mean_latency += GROUP_SMOOTHING * excess
         settings = self.context.settings
         if endpoint.zone != settings.zone:
-            excess += (
-                CROSSING_EXCESS_OBJECTIVES_PER_PRICE * settings.price_cross_zone * self._objective_in_means()
-            )
+            objectives = CROSSING_EXCESS_OBJECTIVES_PER_PRICE * settings.price_cross_zone
+            excess += objectives * self._objective_in_means()
         step = LOG_WEIGHT_STEP_PER_CLASS_MEAN * min(max(excess, -1.0), MAX_EXCESS_CLASS_MEANS)
         log_weight = group.log_weight * (1.0 - LOG_WEIGHT_FADE_FRACTION) - step
         group.log_weight = min(max(log_weight, -MAX_LOG_WEIGHT), MAX_LOG_WEIGHT)
--- a/dykefold/balancer/latency.py
+++ b/dykefold/balancer/latency.py
@@ -20,6 +20,7 @@
 KNOWLEDGE_HALF_LIFE_DEADLINES = 4.0
 # With stale knowledge, the probability of an endpoint is in proportion to its speed to this power.
 STALE_SHARPNESS = 2.0
+# A load report is used up to this age, at which it counts half.
 REPORT_HALF_LIFE_DEADLINES = 0.5
 # As in TCP's retransmission timeout (RFC 6298): the mean and four mean deviations.
 OVERDUE_DEVIATIONS = 4.0
@@ -122,11 +123,10 @@
             relative: Latency in class means.
         """
         context = self.context
-        age = (context.now_ns - endpoint.last_sample_ns) / (
-            ESTIMATE_HALF_LIFE_DEADLINES * context.shortest_ns
-        )
-        fresh = 1.0 - 0.5**age if self.endpoints.sees_little else 0.0
-        weight = max(ENDPOINT_SMOOTHING, 1.0 / (endpoint.samples + 2), fresh)
+        half_life_ns = ESTIMATE_HALF_LIFE_DEADLINES * context.shortest_ns
+        age = (context.now_ns - endpoint.last_sample_ns) / half_life_ns
+        aged = 1.0 - 0.5**age if self.endpoints.sees_little else 0.0
+        weight = max(ENDPOINT_SMOOTHING, 1.0 / (endpoint.samples + 2), aged)
         relative = min(relative, MAX_SAMPLE_CLASS_MEANS)
         endpoint.relative_latency += weight * (relative - endpoint.relative_latency)
         if self.endpoints.crowded:
--- a/dykefold/balancer/load_reports.py
+++ b/dykefold/balancer/load_reports.py
@@ -93,12 +93,8 @@
             self.context.actions.append(Probe(endpoint.id))
         request.retry_planned = True
         request.probed_ns = now
-        return int(
-            min(
-                PROBE_WAIT_OBJECTIVES * request.spec.objective_ns,
-                MAX_PROBE_WAIT_FRACTION * (request.deadline_ns - now),
-            )
-        )
+        max_wait_ns = MAX_PROBE_WAIT_FRACTION * (request.deadline_ns - now)
+        return int(min(PROBE_WAIT_OBJECTIVES * request.spec.objective_ns, max_wait_ns))
 
     def stop_waiting(self, endpoint_number: int) -> list[int]:
         """Remove and return the numbers of the requests that are awaiting this endpoint's report."""
--- a/dykefold/balancer/picker.py
+++ b/dykefold/balancer/picker.py
@@ -57,9 +57,8 @@
 
     def apply_settings(self) -> None:
         """Apply the price of a request to another zone."""
-        self.crossing_objectives = (
-            self.context.settings.price_cross_zone * CROSSING_DELAY_OBJECTIVES_PER_PRICE
-        )
+        price = self.context.settings.price_cross_zone
+        self.crossing_objectives = price * CROSSING_DELAY_OBJECTIVES_PER_PRICE
 
     def pick(self, request: PendingRequest) -> EndpointState | None:
         """Return the best of two endpoints of the own zone and two of others, or None if there is none.
--- a/dykefold/balancer/quotas.py
+++ b/dykefold/balancer/quotas.py
@@ -77,9 +77,8 @@
 
     def _update_over_quota(self) -> None:
         tenants = self.context.settings.tenants
-        oldest_ns = (
-            self.context.now_ns - PEER_TIMEOUT_INTERVALS * CHECK_INTERVAL_DEADLINES * self.context.shortest_ns
-        )
+        timeout_ns = PEER_TIMEOUT_INTERVALS * CHECK_INTERVAL_DEADLINES * self.context.shortest_ns
+        oldest_ns = self.context.now_ns - timeout_ns
         peers = [rates for received_ns, rates in self.peer_rates.values() if received_ns >= oldest_ns]
         if len(peers) + 1 >= self.context.sidecar_count():
             # The rates of all sidecars are known, so the quotas hold as stated.
--- a/dykefold/balancer/request_value.py
+++ b/dykefold/balancer/request_value.py
@@ -11,9 +11,9 @@
 MIN_DECIDING_VOTES = 5
 # Limits the votes, so that a changed timeout is learnt after as many requests.
 MAX_VOTES = 20
-# With this many typical latencies remaining_ns, an answer in time is certain.
+# With this many typical latencies left, an answer in time is certain.
 CERTAIN_TYPICAL_LATENCIES = 1.5
-# With this many typical latencies remaining_ns or fewer, no answer in time is expected.
+# With this many typical latencies left or fewer, no answer in time is expected.
 HOPELESS_TYPICAL_LATENCIES = 0.5
 # Fraction of the limit that stays open to work that comes too late; it is done where there is capacity.
 MIN_VALUE_FRACTION = 0.2
@@ -21,14 +21,9 @@
 
 def _success_probability(remaining_ns: float, typical_ns: float) -> float:
     """Return the probability that the remaining time is enough, from 0 to 1."""
-    return min(
-        max(
-            (remaining_ns / typical_ns - HOPELESS_TYPICAL_LATENCIES)
-            / (CERTAIN_TYPICAL_LATENCIES - HOPELESS_TYPICAL_LATENCIES),
-            0.0,
-        ),
-        1.0,
-    )
+    above_hopeless = remaining_ns / typical_ns - HOPELESS_TYPICAL_LATENCIES
+    probability = above_hopeless / (CERTAIN_TYPICAL_LATENCIES - HOPELESS_TYPICAL_LATENCIES)
+    return min(max(probability, 0.0), 1.0)
 
 
 class RequestValue:
@@ -63,11 +58,8 @@
             in_time = min(max(spec.objective_ns - typical, 0.0) / (spec.deadline_ns - first), 1.0)
         else:
             in_time = 1.0
-        return max(
-            (in_time + (1.0 - in_time) * spec.late_weight_fraction)
-            * _success_probability(remaining_ns, typical),
-            MIN_VALUE_FRACTION,
-        )
+        weight_fraction = in_time + (1.0 - in_time) * spec.late_weight_fraction
+        return max(weight_fraction * _success_probability(remaining_ns, typical), MIN_VALUE_FRACTION)
 
     def _vote(self, stats: ClassStats, remaining_ns: int) -> None:
         """Learn the timeout of first attempts as the one of the majority (Boyer and Moore, 1981).
--- a/dykefold/balancer/slow_start.py
+++ b/dykefold/balancer/slow_start.py
@@ -57,7 +57,7 @@
         self.endpoints = endpoints
         self.throughput = throughput
 
-    def ramp(self, endpoint: EndpointState) -> float:
+    def capacity_fraction(self, endpoint: EndpointState) -> float:
         """Return the fraction of its capacity that an endpoint has at least by now, by the settings."""
         settings = self.context.settings
         start, warm = settings.start_capacity, settings.warm_within_ns
@@ -76,7 +76,7 @@
         cost = self.cost(stats)
         limit, ceiling_limit = limits
         enough = endpoint.slow_start_tokens >= min(cost, limit)
-        return enough and endpoint.slow_start_room >= min(cost, ceiling_limit)
+        return enough and endpoint.slow_start_ceiling_tokens >= min(cost, ceiling_limit)
 
     def charge(self, endpoint: EndpointState, stats: ClassStats) -> None:
         """Take the tokens for a request that is sent to the endpoint."""
@@ -84,7 +84,7 @@
             cost = self.cost(stats)
             endpoint.slow_start_sent += 1
             endpoint.slow_start_tokens -= cost
-            endpoint.slow_start_room -= cost
+            endpoint.slow_start_ceiling_tokens -= cost
 
     def credit(self, endpoint: EndpointState, stats: ClassStats) -> None:
         """Give tokens for an answer, because the endpoint can do the same work again."""
@@ -92,48 +92,52 @@
             endpoint.slow_start_tokens += TOKENS_PER_ANSWER * self.cost(stats)
 
     def _refill(self, endpoint: EndpointState) -> tuple[float, float] | None:
-        """Update the tokens; return the limits on tokens and room, or None if the endpoint has warmed up.
+        """Update both numbers of tokens; return their limits, or None if the endpoint has warmed up.
 
         Guards against the overload of an endpoint that starts. From all sidecars together it gets RATE_FACTOR
         times the mean load of all endpoints times the fraction of its capacity. Its answers raise that, up to
         a ceiling from `slow_start_budget`, since no endpoint's capacity is less than the mean load. The
         ceiling is needed because an answer gives back more tokens than its request has cost.
         """
-        ramp = self.ramp(endpoint)
-        if ramp >= 1.0:
+        capacity_fraction = self.capacity_fraction(endpoint)
+        if capacity_fraction >= 1.0:
             return None
         context, now = self.context, self.context.now_ns
-        rate, ceiling = self._rates(endpoint, ramp)
+        rate, ceiling = self._rates(endpoint, capacity_fraction)
         ceiling_burst = CROWD_BURST_REQUESTS if self._in_crowd() else 1.0
-        limit = max(1.0, rate * BURST_S) + min(
-            endpoint.samples * BURST_REQUESTS_PER_ANSWER, MAX_BURST_REQUESTS_BY_ANSWERS
-        )
+        burst = min(endpoint.samples * BURST_REQUESTS_PER_ANSWER, MAX_BURST_REQUESTS_BY_ANSWERS)
+        limit = max(1.0, rate * BURST_S) + burst
         ceiling_limit = max(ceiling_burst, ceiling * BURST_S)
         if not endpoint.slow_start_ns:
             # Each sidecar begins with a random part of the first token. Without it, hundreds of sidecars with
             # little traffic would leave a restarted endpoint idle until they have collected a token.
             min_cost = min(self.cost(other) for other in context.live_classes)
             endpoint.slow_start_tokens = context.random.random() * min_cost
-            endpoint.slow_start_room = endpoint.slow_start_tokens
+            endpoint.slow_start_ceiling_tokens = endpoint.slow_start_tokens
         else:
             elapsed_s = (now - endpoint.slow_start_ns) / SECOND_NS
             tokens = endpoint.slow_start_tokens + rate * elapsed_s
             endpoint.slow_start_tokens = min(limit, tokens)
-            endpoint.slow_start_room = min(ceiling_limit, endpoint.slow_start_room + ceiling * elapsed_s)
+            endpoint.slow_start_ceiling_tokens = min(
+                ceiling_limit, endpoint.slow_start_ceiling_tokens + ceiling * elapsed_s
+            )
         endpoint.slow_start_ns = now
         return limit, ceiling_limit
 
-    def _rates(self, endpoint: EndpointState, ramp: float) -> tuple[float, float]:
+    def _rates(self, endpoint: EndpointState, capacity_fraction: float) -> tuple[float, float]:
         """Return the rate of requests per second, and the ceiling up to which answers raise it."""
         # Without recent answers the rate falls to 0, because an old rate says nothing of the present load.
         since = self.context.now_ns - self.throughput.updated_ns
         fade = max(0.0, 1.0 - since / self.context.settings.overload_for_ns)
         fair = self._fair_rate(endpoint, fade)
-        rate, ceiling = RATE_FACTOR * ramp * fair, self._ceiling(endpoint, ramp * fair)
+        rate, ceiling = (
+            RATE_FACTOR * capacity_fraction * fair,
+            self._ceiling(endpoint, capacity_fraction * fair),
+        )
         if self._in_crowd():
             rate, ceiling = rate * CROWD_FACTOR, ceiling * CROWD_FACTOR
         if self._may_go_by_demand(endpoint):
-            rate = max(rate, self._rate_by_demand(endpoint, ramp))
+            rate = max(rate, self._rate_by_demand(endpoint, capacity_fraction))
             ceiling = max(ceiling, rate)
         return rate, ceiling
 
@@ -190,7 +194,7 @@
             not endpoint.in_flight and unanswered < MAX_UNANSWERED_REQUESTS and self.endpoints.all_warm_up()
         )
 
-    def _rate_by_demand(self, endpoint: EndpointState, ramp: float) -> float:
+    def _rate_by_demand(self, endpoint: EndpointState, capacity_fraction: float) -> float:
         """Return the requests per second that an endpoint may be sent while no endpoint has warmed up.
 
         Answers do not show capacity then: there are none at first, and a rate that follows from few answers
@@ -198,7 +202,7 @@
         most 1 / DEMAND_FRACTION times the capacity of the endpoints when warm.
         """
         fair = self.endpoints.demand / self._shared_by(endpoint)
-        return DEMAND_FRACTION * self.context.settings.overload_factor * ramp * fair
+        return DEMAND_FRACTION * self.context.settings.overload_factor * capacity_fraction * fair
 
     def _shared_by(self, endpoint: EndpointState) -> int:
         """Return the number of endpoints that get the own requests, this one included."""
--- a/dykefold/balancer/subsetting.py
+++ b/dykefold/balancer/subsetting.py
@@ -95,9 +95,9 @@
         self.ejected = [endpoint for endpoint in ready if endpoint.ejected]
         starts = (one.ramp_from_ns if one.started_ns else 0 for one in ready if not one.ejected)
         self.oldest_start_ns = min(starts, default=0)
-        here = self.context.settings.zone
-        near = [endpoint for endpoint in ready if endpoint.zone == here and not endpoint.ejected]
-        far = [endpoint for endpoint in ready if endpoint.zone != here and not endpoint.ejected]
+        own_zone = self.context.settings.zone
+        near = [endpoint for endpoint in ready if endpoint.zone == own_zone and not endpoint.ejected]
+        far = [endpoint for endpoint in ready if endpoint.zone != own_zone and not endpoint.ejected]
         self.subset_size = self._wanted_size()
         # With fewer sidecars than endpoints, the own requests are a large part of an endpoint's load.
         self.crowded = self.ready_count < self.context.sidecar_count()
@@ -161,10 +161,8 @@
         Guards against hundreds of sidecars that each send to an endpoint once in half a minute, and so do not
         learn which endpoints are slow, overloaded or hung.
         """
-        return max(
-            MIN_SUBSET_SIZE,
-            int(self.demand * SUBSET_INTERVAL_DEADLINES * self.context.shortest_ns / SECOND_NS),
-        )
+        requests = self.demand * SUBSET_INTERVAL_DEADLINES * self.context.shortest_ns / SECOND_NS
+        return max(MIN_SUBSET_SIZE, int(requests))
 
     def all_warm_up(self) -> bool:
         """Return whether every ready endpoint that is not ejected is warming up."""
@@ -177,9 +175,9 @@
         now, shortest = context.now_ns, context.shortest_ns
         if not self.first_request_ns:
             self.first_request_ns = self.demand_ns = now
-        interval = min(now - self.first_request_ns + shortest, DEMAND_INTERVAL_DEADLINES * shortest)
-        remaining = max(0.0, 1.0 - (now - self.demand_ns) / interval)
-        self.demand = self.demand * remaining + SECOND_NS / interval
+        interval_ns = min(now - self.first_request_ns + shortest, DEMAND_INTERVAL_DEADLINES * shortest)
+        remaining_fraction = max(0.0, 1.0 - (now - self.demand_ns) / interval_ns)
+        self.demand = self.demand * remaining_fraction + SECOND_NS / interval_ns
         self.demand_ns = now
         size = self._wanted_size()
         if size != self.subset_size and min(size, self.subset_size) < self.ready_count:
--- a/dykefold/balancer/throughput.py
+++ b/dykefold/balancer/throughput.py
@@ -37,9 +37,10 @@
         """
         now = self.context.now_ns
         interval_ns = self.context.settings.overload_for_ns
-        remaining = max(0.0, 1.0 - (now - self.updated_ns) / interval_ns)
-        self.answers_per_s = self.answers_per_s * remaining + SECOND_NS / interval_ns
-        self.local_answers_per_s = self.local_answers_per_s * remaining + local * SECOND_NS / interval_ns
+        remaining_fraction = max(0.0, 1.0 - (now - self.updated_ns) / interval_ns)
+        self.answers_per_s = self.answers_per_s * remaining_fraction + SECOND_NS / interval_ns
+        local_per_s = local * SECOND_NS / interval_ns
+        self.local_answers_per_s = self.local_answers_per_s * remaining_fraction + local_per_s
         self.updated_ns = now
         self.update_half_life(ready_count)
 
--- a/dykefold/balancer/timers.py
+++ b/dykefold/balancer/timers.py
@@ -34,7 +34,7 @@
         """Add a timer that is due at that time."""
         heapq.heappush(self.heap, (due_ns, kind, request, attempt))
 
-    def rang(self, token: int) -> None:
+    def on_due(self, token: int) -> None:
         """Record that the caller's timer is due; an earlier token is of a timer that has been replaced."""
         if token == self.token:
             self.armed_ns = 0
--- a/dykefold/control/balancer_snapshot.py
+++ b/dykefold/control/balancer_snapshot.py
@@ -83,7 +83,7 @@
 # Of one endpoint: `EndpointState`.
 ENDPOINT_FIELDS = (
     StoredField("cold_at", "slow_start_ns", is_time=True),
-    StoredField("cold_room", "slow_start_room"),
+    StoredField("cold_room", "slow_start_ceiling_tokens"),
     StoredField("cold_tokens", "slow_start_tokens"),
     StoredField("ejected", "ejected"),
     StoredField("ejections", "ejections"),
--- a/tests/balancer/test_concerns.py
+++ b/tests/balancer/test_concerns.py
@@ -35,13 +35,15 @@
 def test_the_ramp_of_slow_start_is_linear_and_ends(started_ago, ramp):
     balancer = fresh(start_capacity=0.2, warm_within_ns=10 * SECOND)
     started = 0 if started_ago is None else START - started_ago
-    assert balancer.slow_start.ramp(EndpointState(endpoint(1, started=started), 0.5)) == pytest.approx(ramp)
+    assert balancer.slow_start.capacity_fraction(
+        EndpointState(endpoint(1, started=started), 0.5)
+    ) == pytest.approx(ramp)
 
 
 def test_the_ramp_never_starts_at_nothing():
     balancer = fresh(start_capacity=0.0)
     cold = EndpointState(endpoint(1, started=START), 0.5)
-    assert balancer.slow_start.ramp(cold) == slow_start.MIN_CAPACITY_FRACTION == 0.01
+    assert balancer.slow_start.capacity_fraction(cold) == slow_start.MIN_CAPACITY_FRACTION == 0.01
 
 
 @pytest.mark.parametrize(("samples", "tokens"), [(0, 6.0), (20, 8.0), (30, 9.0), (1000, 9.0)])
@@ -272,7 +274,7 @@
         timers.add(due, kind, 1)
         timers.arm()
     assert balancer.context.actions == [SetTimer(30, 1), SetTimer(10, 2)]
-    timers.rang(1)  # of a timer that was replaced
+    timers.on_due(1)  # of a timer that was replaced
     timers.arm()
     assert len(balancer.context.actions) == 2
     balancer.context.now_ns += 20
--- a/tests/net/test_start_times.py
+++ b/tests/net/test_start_times.py
@@ -36,7 +36,7 @@
 
     def ramp_at(self, now):
         self.balancer.context.now_ns = now
-        return self.balancer.slow_start.ramp(self.balancer.servers[7])
+        return self.balancer.slow_start.capacity_fraction(self.balancer.servers[7])
 
 
 # How far the clock that stamped the start is ahead of this sidecar's: negative where it is behind. A step
@@ -115,7 +115,7 @@
     StartTimes().place(now, ListKind.CACHED, "one", [(f"s{one.number}", one) for one in fleet])
     balancer, _ = make(entries=[])
     balancer.handle(now, Membership(ListKind.CACHED, 1, fleet))
-    found = [balancer.slow_start.ramp(balancer.servers[one.number]) for one in fleet]
+    found = [balancer.slow_start.capacity_fraction(balancer.servers[one.number]) for one in fleet]
     assert found == pytest.approx(ramps)
     assert len(caplog.records) == (1 if behind else 0)
 
@@ -242,10 +242,10 @@
         balancer, named = pool.balancer, pool.endpoint_numbers()
         assert pool.settings.warm_within_ns == 22 * SECOND
         old, new = balancer.servers[named["s1"]], balancer.servers[named["s2"]]
-        assert balancer.slow_start.ramp(old) == 1.0
-        assert 0.14 <= balancer.slow_start.ramp(new) < 0.14 + 0.86 * 2 / 22
+        assert balancer.slow_start.capacity_fraction(old) == 1.0
+        assert 0.14 <= balancer.slow_start.capacity_fraction(new) < 0.14 + 0.86 * 2 / 22
         told_ns = balancer.context.now_ns
         balancer.context.now_ns = told_ns + 11 * SECOND
-        assert 0.5 < balancer.slow_start.ramp(new) < 0.7
+        assert 0.5 < balancer.slow_start.capacity_fraction(new) < 0.7
         balancer.context.now_ns = told_ns + 22 * SECOND
-        assert balancer.slow_start.ramp(new) == 1.0
+        assert balancer.slow_start.capacity_fraction(new) == 1.0
--- a/tests/sim/mutants.py
+++ b/tests/sim/mutants.py
@@ -187,7 +187,7 @@
     Mutant(
         "a cold server is not paced",
         "balancer/slow_start.py",
-        "        if ramp >= 1.0:\n            return None\n",
+        "        if capacity_fraction >= 1.0:\n            return None\n",
         "        return None\n",
         "clocks",
         first_seed=8,
