--- a/dykefold/balancer/attempts.py
+++ b/dykefold/balancer/attempts.py
@@ -6,14 +6,25 @@
 from .concurrency_limit import ConcurrencyLimit
 from .context import BalancerContext
 from .endpoints import EndpointState
+from .in_flight import InFlightAttempt
 from .latency import LatencyEstimator
-from .requests import Attempt, InFlightAttempt, PendingRequest
+from .picker import Picker
+from .requests import Attempt, PendingRequest
+from .retry_policy import RetryPolicy
 from .slow_start import SlowStart
 from .timers import OVERDUE, TimerQueue
 
 
 class AttemptSender:
-    """Sends attempts and accounts for them."""
+    """Sends attempts, and accounts for them as in flight.
+
+    Args:
+        context: State that all parts share.
+        timers: Timers, by which overdue attempts are found.
+        latency: Latency estimates, by which an attempt is overdue.
+        limit: Concurrency limit, which counts the attempts in flight.
+        slow_start: Token buckets of endpoints that are warming up.
+    """
 
     def __init__(
         self,
@@ -23,28 +34,50 @@
         limit: ConcurrencyLimit,
         slow_start: SlowStart,
     ) -> None:
-        """Account in these parts for what is sent."""
         self.context = context
         self.timers = timers
         self.latency = latency
         self.limit = limit
         self.slow_start = slow_start
 
-    def send(self, req: PendingRequest, endpoint: EndpointState) -> None:
+    def send(self, request: PendingRequest, endpoint: EndpointState) -> None:
         """Send the next attempt of a request."""
         now = self.context.now_ns
-        stats = req.stats
-        number = len(req.attempts)
-        req.attempts.append(Attempt(endpoint, now))
-        req.retry_paid = False
-        overdue = self.latency.overdue_after(endpoint, stats, req.deadline_ns - now)
-        endpoint.in_flight[req.id, number] = InFlightAttempt(now, stats)
+        stats = request.stats
+        number = len(request.attempts)
+        request.attempts.append(Attempt(endpoint, now))
+        request.retry_paid = False
+        overdue_ns = self.latency.overdue_after(endpoint, stats, request.deadline_ns - now)
+        endpoint.in_flight[request.id, number] = InFlightAttempt(now, stats)
         if endpoint.ejected:
             endpoint.probation_pending = True
         else:
             self.limit.in_flight += 1
         if endpoint.started_ns:
             self.slow_start.charge(endpoint, stats)
-        # No time-out of its own: an overdue attempt is judged by what its endpoint did meanwhile.
-        self.context.actions.append(Send(req.id, endpoint.id))
-        self.timers.add(now + overdue, OVERDUE, req.id, number)
+        # The attempt has no timeout of its own: once overdue, it is judged by the endpoint's other answers.
+        self.context.actions.append(Send(request.id, endpoint.id))
+        self.timers.add(now + overdue_ns, OVERDUE, request.id, number)
+
+
+class RetrySender:
+    """Sends planned retries.
+
+    Args:
+        picker: Choice of the endpoint.
+        sender: Sender of the attempt.
+        retries: Policy that plans another retry where no endpoint is available.
+    """
+
+    def __init__(self, picker: Picker, sender: AttemptSender, retries: RetryPolicy) -> None:
+        self.picker = picker
+        self.sender = sender
+        self.retries = retries
+
+    def send(self, request: PendingRequest) -> None:
+        """Send the next attempt now, or plan a retry if no endpoint is available."""
+        endpoint = self.picker.pick(request)
+        if endpoint is not None:
+            self.sender.send(request, endpoint)
+        elif not request.any_in_flight():
+            self.retries.plan(request)
--- a/dykefold/balancer/final_answers.py
+++ b/dykefold/balancer/final_answers.py
@@ -1,4 +1,4 @@
-"""The final answer of a request, and what follows from it for its attempts."""
+"""The final answer of a request, and the cancelling of its attempts."""
 
 from __future__ import annotations
 
@@ -7,16 +7,22 @@
 from .context import BalancerContext
 from .requests import IN_FLIGHT, PendingRequest
 
-RETRY_AFTER = 0.5  # of the time left or to the objective, as advice with a rejection: a retry has the rest
-MIN_RETRY_AFTER = 0.5  # of it after jitter, lest rejected clients come back together
-NONE = -1  # no attempt
+# Fraction of the remaining time, until the objective or the deadline, that a rejected client should wait.
+RETRY_AFTER_FRACTION = 0.5
+# The advice is reduced at random down to this fraction, so that rejected clients do not return together.
+MIN_RETRY_AFTER_JITTER_FRACTION = 0.5
+NO_ATTEMPT = -1
 
 
 class FinalAnswers:
-    """Ends requests.
+    """Gives the final answers of requests.
+
+    Args:
+        context: State that all parts share.
+        rules: Rules that each rejection follows.
 
     Attributes:
-        pending: requests without a final answer, by number.
+        pending: Requests without a final answer, by number.
     """
 
     def __init__(self, context: BalancerContext, rules: AttemptRules) -> None:
@@ -24,35 +30,35 @@
         self.rules = rules
         self.pending: dict[int, PendingRequest] = {}
 
-    def end(self, req: PendingRequest) -> None:
+    def end(self, request: PendingRequest) -> None:
         """Give the final answer: a rejection if that does no harm, else a failure."""
-        if self.rules.may_reject(req):
-            self.context.actions.append(Refuse(req.id, self._retry_after(req)))
+        if self.rules.may_reject(request):
+            self.context.actions.append(Refuse(request.id, self._retry_after(request)))
         else:
-            self.context.actions.append(Fail(req.id))
-        self.forget(req)
+            self.context.actions.append(Fail(request.id))
+        self.forget(request)
 
-    def _retry_after(self, req: PendingRequest) -> int:
-        """How long a rejected client should wait, nanoseconds; 0: no advice."""
+    def _retry_after(self, request: PendingRequest) -> int:
+        """Return the time that a rejected client should wait, nanoseconds; 0 for no advice."""
         context = self.context
         if not context.settings.retry_after:
             return 0
-        left = float(max(req.deadline_ns - context.now_ns, 0))
-        spare = req.spec.objective_ns - req.age_ns - req.stats.typical_latency_ns
-        if spare > 0.0:
-            left = min(left, spare)  # a retry may still be in time; a later one hardly earns
-        wait = min(context.settings.max_retry_after_ns, int(left * RETRY_AFTER))
-        return int(wait * context.random.uniform(MIN_RETRY_AFTER, 1.0))
-
-    def forget(self, req: PendingRequest) -> None:
-        """The request has ended: cancel what is in flight of it."""
-        del self.pending[req.id]
-        self.cancel_others(req, NONE)
-
-    def cancel_others(self, req: PendingRequest, keep: int) -> None:
-        """Cancel the attempts in flight but for one, where the site allows it."""
+        remaining_ns = float(max(request.deadline_ns - context.now_ns, 0))
+        until_objective_ns = request.spec.objective_ns - request.age_ns - request.stats.typical_latency_ns
+        if until_objective_ns > 0.0:
+            remaining_ns = min(remaining_ns, until_objective_ns)  # A retry can still meet the objective.
+        wait_ns = min(context.settings.max_retry_after_ns, int(remaining_ns * RETRY_AFTER_FRACTION))
+        return int(wait_ns * context.random.uniform(MIN_RETRY_AFTER_JITTER_FRACTION, 1.0))
+
+    def forget(self, request: PendingRequest) -> None:
+        """Remove a request that has ended, and cancel its attempts in flight."""
+        del self.pending[request.id]
+        self.cancel_others(request, NO_ATTEMPT)
+
+    def cancel_others(self, request: PendingRequest, attempt_number: int) -> None:
+        """Cancel the attempts in flight except for one, where the site allows it."""
         if not self.context.settings.can_cancel:
             return
-        for number, attempt in enumerate(req.attempts):
-            if attempt.state is IN_FLIGHT and number != keep:
-                self.context.actions.append(Cancel(req.id, number))
+        for number, attempt in enumerate(request.attempts):
+            if attempt.state is IN_FLIGHT and number != attempt_number:
+                self.context.actions.append(Cancel(request.id, number))
--- a/dykefold/balancer/group_weights.py
+++ b/dykefold/balancer/group_weights.py
@@ -1,4 +1,4 @@
-"""How much a sidecar in a crowd prefers some groups of endpoints over others."""
+"""Sampling weights of groups of endpoints, where there are more sidecars than endpoints."""
 
 from __future__ import annotations
 
@@ -6,20 +6,28 @@
 from .endpoints import EndpointState
 from .subsetting import EndpointSet
 
-GROUP_SMOOTHING = 0.1  # of a group's mean latency, after as many answers
-STEP = 0.2  # of a group's weight for each class mean that an answer differs by: ten answers turn it
-FADE = 0.01  # of it forgotten with each answer, lest chance walks it away
-MAX_EXCESS = 3.0  # class means that one late answer counts at most
-MAX_LOG_WEIGHT = 3.0  # e^3 either way: a group is never shut out, or nothing would tell of its recovery
-# Latency objectives for each point of price of a crossing: it is paid where zones are level.
-CROSSING_OBJECTIVES = 3.0
+# Weight of a new answer in the smoothed values of a group.
+GROUP_SMOOTHING = 0.1
+# Change of the log weight for each class mean by which an answer is later than the mean.
+LOG_WEIGHT_STEP_PER_CLASS_MEAN = 0.2
+# Fraction of the log weight that each answer removes, so that noise does not add up.
+LOG_WEIGHT_FADE_FRACTION = 0.01
+MAX_EXCESS_CLASS_MEANS = 3.0
+# A group always keeps some requests; otherwise its recovery would not be noticed.
+MAX_LOG_WEIGHT = 3.0
+# Latency objectives that a request to another zone adds, for each unit of its price.
+CROSSING_EXCESS_OBJECTIVES_PER_PRICE = 3.0
 
 
 class GroupWeights:
     """Learns the sampling weights of the groups from answers.
 
+    Args:
+        context: State that all parts share.
+        endpoints: Known endpoints, with their groups.
+
     Attributes:
-        mean_latency: smoothed relative latency of all answers.
+        mean_latency: Smoothed relative latency of all answers.
     """
 
     def __init__(self, context: BalancerContext, endpoints: EndpointSet) -> None:
@@ -28,10 +36,14 @@
         self.mean_latency = 1.0
 
     def learn(self, endpoint: EndpointState, relative: float) -> None:
-        """Shift weight to the groups that answer sooner than the mean, as integral control does.
+        """Increase the weight of groups that answer sooner than the mean, by integral control.
+
+        Guards against the overload of a slow kind of machine, or of a zone with too few endpoints, within
+        seconds. The steps of one sidecar are noise, but the steps of all sidecars add up.
 
-        Guards against a zone with more traffic than its endpoints carry, and a slow kind, being overrun in
-        the first seconds: one sidecar's steps are noise, those of the whole fleet together are not.
+        Args:
+            endpoint: Endpoint that answered.
+            relative: Latency of the answer in class means.
         """
         group = self.endpoints.group(endpoint)
         group.samples += 1
@@ -41,13 +53,14 @@
         self.mean_latency += GROUP_SMOOTHING * excess
         settings = self.context.settings
         if endpoint.zone != settings.zone:
-            excess += CROSSING_OBJECTIVES * settings.price_cross_zone * self._objective_in_means()
-        step = STEP * min(max(excess, -1.0), MAX_EXCESS)
-        log_weight = group.log_weight * (1.0 - FADE) - step
+            objectives = CROSSING_EXCESS_OBJECTIVES_PER_PRICE * settings.price_cross_zone
+            excess += objectives * self._objective_in_means()
+        step = LOG_WEIGHT_STEP_PER_CLASS_MEAN * min(max(excess, -1.0), MAX_EXCESS_CLASS_MEANS)
+        log_weight = group.log_weight * (1.0 - LOG_WEIGHT_FADE_FRACTION) - step
         group.log_weight = min(max(log_weight, -MAX_LOG_WEIGHT), MAX_LOG_WEIGHT)
 
     def _objective_in_means(self) -> float:
-        """The latency objectives of all classes against their mean latencies."""
+        """Return the ratio of the latency objectives of all classes to their mean latencies."""
         live = self.context.live_classes
         objectives = sum(stats.spec.objective_ns for stats in live)
         return objectives / sum(stats.mean_latency_ns for stats in live)
--- a/dykefold/balancer/load_reports.py
+++ b/dykefold/balancer/load_reports.py
@@ -1,30 +1,39 @@
-"""Load reports of endpoints, and the health checks by which a sidecar that sees little asks for them."""
+"""Load reports of endpoints, and the health checks by which a sidecar that sees little requests them."""
 
 from __future__ import annotations
 
 import math
 
 from .actions import Probe
+from .class_stats import ClassStats
 from .context import BalancerContext
-from .endpoints import ClassStats, EndpointState
+from .endpoints import EndpointState
 from .group_weights import GROUP_SMOOTHING
-from .latency import SMOOTHING
+from .latency import ENDPOINT_SMOOTHING
 from .requests import PendingRequest
 from .subsetting import EndpointSet
 
-PROBE_GAIN = 0.25  # asking saves about half of what is late, and costs two health checks
-PROBE_WAIT = 0.03  # of the objective: some round trips; an endpoint silent until then is passed over
-MAX_PROBE_WAIT = 0.25  # of the time left
+# Two health checks avoid about half of the late answers; this is the fraction for one of them.
+PROBE_GAIN_FRACTION = 0.25
+# A few round trips; an endpoint that has not answered by then is passed over.
+PROBE_WAIT_OBJECTIVES = 0.03
+# Fraction of the remaining time.
+MAX_PROBE_WAIT_FRACTION = 0.25
 MIN_PROBE_PRICE = 1e-6
-LOAD_COLUMNS = ("inflight", "queue")  # of a report, in order of preference
+# Columns of a load report that can serve as the load, in order of preference.
+LOAD_COLUMNS = ("inflight", "queue")
 
 
 class LoadReports:
-    """Takes load reports into `EndpointState` and `EndpointGroup`, and asks for them where that pays.
+    """Takes load reports into `EndpointState` and `EndpointGroup`, and requests them where that pays.
+
+    Args:
+        context: State that all parts share.
+        endpoints: Known endpoints, with their groups.
 
     Attributes:
-        column: which column of a report is the load; None if there is none.
-        waiting: requests that wait for the report of an endpoint, by its number.
+        column: Column of a report that is the load; None if there is none.
+        waiting: Numbers of the requests that are awaiting a report, by the number of the endpoint.
     """
 
     def __init__(self, context: BalancerContext, endpoints: EndpointSet) -> None:
@@ -35,17 +44,17 @@
         self.apply_settings()
 
     def apply_settings(self) -> None:
-        """Take the columns of the settings."""
+        """Apply the columns of the settings."""
         columns = self.context.settings.report_columns
         self.column = next((columns.index(name) for name in LOAD_COLUMNS if name in columns), None)
 
     def record(self, endpoint: EndpointState, report: tuple[float, ...], relative: float = 0.0) -> None:
-        """Take a load report, and what the answer that it came with took for each request held.
+        """Take a load report, and the latency per request of the answer that contained it.
 
         Args:
-            endpoint: whose report it is.
-            report: by column; one that is too short or no load is ignored.
-            relative: latency of the answer in class means; 0: it came with none.
+            endpoint: Endpoint that sent the report.
+            report: Values by column; a report without a valid load is ignored.
+            relative: Latency of the answer in class means; 0 for a report of a health check.
         """
         if self.column is None or len(report) <= self.column:
             return
@@ -58,33 +67,35 @@
         weight = max(GROUP_SMOOTHING, 1.0 / group.reports)
         group.mean_load += weight * (load - group.mean_load)
         if relative:
-            unit = relative / (load + 1.0)
-            group.latency_per_request += weight * (unit - group.latency_per_request)
+            latency_per_request = relative / (load + 1.0)
+            group.latency_per_request += weight * (latency_per_request - group.latency_per_request)
             known = endpoint.latency_per_request or group.latency_per_request
-            endpoint.latency_per_request = known + SMOOTHING * (unit - known)
+            endpoint.latency_per_request = known + ENDPOINT_SMOOTHING * (latency_per_request - known)
 
     def probe_probability(self, stats: ClassStats) -> float:
-        """How often two health checks pay: what they save of late answers, against their price."""
+        """Return the probability of health checks before a request, by their use and their price."""
         settings = self.context.settings
         if not (settings.can_probe and self.column is not None):
             return 0.0
-        late = math.exp(-stats.spec.objective_ns / stats.mean_latency_ns)  # latencies are near that
-        return late * PROBE_GAIN / max(settings.price_probe, MIN_PROBE_PRICE)
+        # Latencies are about exponentially distributed.
+        late = math.exp(-stats.spec.objective_ns / stats.mean_latency_ns)
+        return late * PROBE_GAIN_FRACTION / max(settings.price_probe, MIN_PROBE_PRICE)
 
-    def ask(self, req: PendingRequest, candidates: list[EndpointState]) -> int:
-        """Ask endpoints for their load on behalf of a request; the time to wait for it, nanoseconds.
+    def probe(self, request: PendingRequest, candidates: list[EndpointState]) -> int:
+        """Request load reports for a request; return the time to wait for them, nanoseconds.
 
-        Guards against picking blindly: what is known of an endpoint is of a deadline ago, its queue of now.
+        Guards against a choice by old knowledge, since the queue of an endpoint changes within a deadline.
         """
         now = self.context.now_ns
-        req.probed = candidates
+        request.probed = candidates
         for endpoint in candidates:
-            self.waiting.setdefault(endpoint.id, []).append(req.id)
+            self.waiting.setdefault(endpoint.id, []).append(request.id)
             self.context.actions.append(Probe(endpoint.id))
-        req.retry_planned = True
-        req.probed_ns = now
-        return int(min(PROBE_WAIT * req.spec.objective_ns, MAX_PROBE_WAIT * (req.deadline_ns - now)))
+        request.retry_planned = True
+        request.probed_ns = now
+        max_wait_ns = MAX_PROBE_WAIT_FRACTION * (request.deadline_ns - now)
+        return int(min(PROBE_WAIT_OBJECTIVES * request.spec.objective_ns, max_wait_ns))
 
-    def stop_waiting(self, server: int) -> list[int]:
-        """Take the requests that waited for this endpoint's report."""
-        return self.waiting.pop(server, [])
+    def stop_waiting(self, endpoint_number: int) -> list[int]:
+        """Remove and return the numbers of the requests that are awaiting this endpoint's report."""
+        return self.waiting.pop(endpoint_number, [])
--- a/dykefold/balancer/outlier_detection.py
+++ b/dykefold/balancer/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: endpoints that fail are ejected for a while, and probed before they are readmitted."""
+"""Outlier detection: failing endpoints are ejected for a while, and probed before they are readmitted."""
 
 from __future__ import annotations
 
@@ -13,27 +13,33 @@
 from .settings import Effect
 from .subsetting import EndpointSet
 
-EJECTION_SCORE = 2.0  # consecutive failures without a sign of life in between
-OVERDUE_SCORE = 0.5  # an overdue attempt counts so much: four of them eject
-MAX_REJECTIONS = 2  # attempts in a row that an endpoint rejected: it drains, which the list tells late
-EJECTION_TIME = 1.0  # times the shortest deadline, for the first ejection
-EJECTION_GROWTH = 2.0
-MAX_EJECTION_TIME = 8.0  # times the first
-EJECTION_JITTER = 0.3  # either way: sidecars must not probe an endpoint together
-MAX_EJECTED = 0.7  # of the ready endpoints, on broken connections; beyond it, suspect oneself and spread
-MAX_EJECTED_ON_SILENCE = 0.34  # on missing answers alone: if a third is silent, it is load
-MAX_READMITTED_LATENCY = 3.0  # relative latency that an endpoint comes back with at most
+# Consecutive failures without an answer in between.
+EJECTION_SCORE = 2.0
+# An overdue attempt counts as half a failure.
+OVERDUE_SCORE = 0.5
+# An endpoint that rejects this many attempts in a row is draining; the endpoint list says so later.
+MAX_CONSECUTIVE_REJECTIONS = 2
+EJECTION_DEADLINES = 1.0
+EJECTION_GROWTH_FACTOR = 2.0
+MAX_EJECTION_DEADLINES = 8.0
+# The ejection time varies at random in both directions, so that sidecars do not probe an endpoint together.
+EJECTION_JITTER_FRACTION = 0.3
+# Fraction of the ready endpoints. If more of them break connections, the cause is likely the own network.
+MAX_EJECTED_FRACTION = 0.7
+# The same for missing answers alone: if a third of the endpoints is silent, the cause is load.
+MAX_EJECTED_ON_SILENCE_FRACTION = 0.34
+MAX_READMITTED_RELATIVE_LATENCY = 3.0
 
 
 class OutlierDetector:
-    """Scores failures in `EndpointState`, ejects and readmits.
+    """Scores failures in `EndpointState`, and ejects and readmits endpoints.
 
     Args:
-        context: shared by all parts.
-        endpoints: whose state holds the scores.
-        limit: which does not count attempts at ejected endpoints.
-        rules: by which an ejected endpoint may be probed.
-        on_ejected: called with each endpoint that is ejected, after the lists are rebuilt.
+        context: State that all parts share.
+        endpoints: Known endpoints, with their failure scores.
+        limit: Concurrency limit, which does not count attempts at ejected endpoints.
+        rules: Rules that a probation probe follows.
+        on_ejected: Callback for each ejected endpoint, after the lists of endpoints have been rebuilt.
     """
 
     def __init__(
@@ -44,7 +50,6 @@
         rules: AttemptRules,
         on_ejected: Callable[[EndpointState], None],
     ) -> None:
-        """Begin with no endpoint ejected."""
         self.context = context
         self.endpoints = endpoints
         self.limit = limit
@@ -52,7 +57,13 @@
         self.on_ejected = on_ejected
 
     def record_failure(self, endpoint: EndpointState, score: float, max_ejected: float) -> None:
-        """Count a failure or an overdue attempt, and eject while at most this fraction would be ejected."""
+        """Count a failure or an overdue attempt, and eject the endpoint by its score.
+
+        Args:
+            endpoint: Endpoint of the attempt.
+            score: Weight of the failure.
+            max_ejected: Fraction of the ready endpoints that may be ejected, this one included.
+        """
         endpoint.failure_score += score
         if endpoint.ejected:
             self._schedule_probation(endpoint)
@@ -62,7 +73,7 @@
             self.eject(endpoint)
 
     def record_success(self, endpoint: EndpointState) -> None:
-        """Note an answer; an ejected endpoint is readmitted by it."""
+        """Record an answer, which readmits an ejected endpoint."""
         endpoint.failure_score = 0.0
         endpoint.consecutive_rejections = 0
         endpoint.last_alive_ns = self.context.now_ns
@@ -70,12 +81,15 @@
             self._readmit(endpoint)
 
     def suspect(self, endpoint: EndpointState) -> None:
-        """Other sidecars gave up on it. A hint is a prior: it takes a failure of one's own to eject."""
+        """Raise the failure score of an endpoint that other sidecars ejected.
+
+        One own failure is still needed to eject it.
+        """
         if not endpoint.ejected:
             endpoint.failure_score = max(endpoint.failure_score, EJECTION_SCORE - 1.0)
 
     def eject(self, endpoint: EndpointState) -> None:
-        """Send no more requests there for a while, and retry what waits there where that is allowed."""
+        """Eject an endpoint for a while, and retry its attempts in flight where that is allowed."""
         endpoint.ejected = True
         self.limit.in_flight -= endpoint.expected_responses()
         endpoint.ejections = 0
@@ -85,28 +99,29 @@
         self.on_ejected(endpoint)
 
     def _schedule_probation(self, endpoint: EndpointState) -> None:
-        """Set when the endpoint is probed next, and tell the fleet that it is given up on."""
+        """Set the time of the next probation probe, and report the ejection to other sidecars."""
         context = self.context
         if context.fleet:
             context.actions.append(ReportEndpointHealth(endpoint.id, False))
-        wait = context.shortest_ns * min(
-            EJECTION_TIME * EJECTION_GROWTH**endpoint.ejections, MAX_EJECTION_TIME
+        wait_ns = context.shortest_ns * min(
+            EJECTION_DEADLINES * EJECTION_GROWTH_FACTOR**endpoint.ejections, MAX_EJECTION_DEADLINES
         )
         endpoint.ejections += 1
-        jitter = context.random.uniform(1.0 - EJECTION_JITTER, 1.0 + EJECTION_JITTER)
-        endpoint.probation_ns = context.now_ns + int(wait * jitter)
+        jitter = context.random.uniform(1.0 - EJECTION_JITTER_FRACTION, 1.0 + EJECTION_JITTER_FRACTION)
+        endpoint.probation_ns = context.now_ns + int(wait_ns * jitter)
 
-    def probation_endpoint(self, req: PendingRequest) -> EndpointState | None:
-        """An ejected endpoint that is due for one request: of an idempotent class, if there is any.
+    def probation_endpoint(self, request: PendingRequest) -> EndpointState | None:
+        """Return an ejected endpoint that is due for a probation probe by this request, or None.
 
-        Guards against sites without a safe class, where an endpoint that recovered was never tried again.
+        Where there is a safe class, only its requests are probes. Without one, requests of every class are;
+        otherwise a recovered endpoint would never be readmitted.
         """
-        if req.attempts or (self.context.has_safe_class and req.spec.effect is not Effect.SAFE):
+        if request.attempts or (self.context.has_safe_class and request.spec.effect is not Effect.SAFE):
             return None
         now = self.context.now_ns
         for endpoint in self.endpoints.ejected:
             due = endpoint.probation_ns <= now and not endpoint.probation_pending
-            if due and self.rules.may_send(req, endpoint):
+            if due and self.rules.may_send(request, endpoint):
                 return endpoint
         return None
 
@@ -115,5 +130,5 @@
             self.context.actions.append(ReportEndpointHealth(endpoint.id, True))
         endpoint.ejected = False
         self.limit.in_flight += endpoint.expected_responses()
-        endpoint.relative_latency = min(endpoint.relative_latency, MAX_READMITTED_LATENCY)
+        endpoint.relative_latency = min(endpoint.relative_latency, MAX_READMITTED_RELATIVE_LATENCY)
         self.endpoints.rebuild()
