--- a/dykefold/control/state_directory.py
+++ b/dykefold/control/state_directory.py
@@ -1,14 +1,15 @@
-"""The state directory: files by which the processes of one sidecar leave records for each other.
+"""The state directory: files in which the processes of one sidecar leave records for each other.
 
-A file is written beside and then renamed, so that no reader meets a part of one. Whatever can't be read (torn
-by a full disk, of another version, too large) counts as not there: no process depends on another's records.
-A record that must outlast the machine is synced before it is renamed, and its folder after that (fsync(2)).
+A record is written to a temporary file that is then renamed, so that no reader sees an incomplete record. A
+record that can't be read (truncated by a full disk, of another version, too large) counts as missing: no
+process depends on the records of another one. A record that must survive a crash of the machine is synced
+before the rename, and its folder after the rename (fsync(2)).
 
-Beside its records each process holds a lock (flock(2)) on a file of its name. The kernel releases it when the
-process ends, in whichever way, and keeps it while the process is stopped: that tells the two apart, and a
-process number that is in use again tells nothing. Nobody ever waits for a lock.
+Each process also holds a lock (flock(2)) on a file with its name. The kernel releases the lock when the
+process ends for any reason, and keeps it while the process is stopped. So the lock tells a dead process from
+a stopped one; a process number can't, since the system reuses it. No process waits for a lock.
 
-What a process that was killed in the middle of a write left behind is removed by the next one that starts.
+A process that starts removes the temporary files of processes that were killed during a write.
 """
 
 from __future__ import annotations
@@ -35,66 +36,82 @@
 FOLDER_NAME = "dykefold"
 RECORD_SUFFIX = ".json"
 LOCK_SUFFIX = ".lock"
-MAX_FILE_BYTES = 4 * 1024 * 1024  # of a file that is read: the largest fleet's estimates take 1 MiB
-MAX_FILES = 64  # that are read, of each kind
-READ_SIZE = 256 * 1024  # bytes that are read at once
-SETTLE_NS = 100_000_000  # far more than a tick of a local file system's clock: 10 ms at most on Linux
-MAX_READ_INTERVAL_NS = 1_000_000_000  # where times of files are coarser still: all is read once in so long
+# Larger files are not read. The snapshot of the largest fleet takes 1 MiB.
+MAX_FILE_BYTES = 4 * 1024 * 1024
+MAX_FILES_PER_PREFIX = 64
+MAX_LOGGED_RECORDS = 64
+READ_CHUNK_BYTES = 256 * 1024
+# The clock of a local file system ticks at least every 10 ms on Linux; this is far longer than a tick.
+MIN_UNCHANGED_NS = 100_000_000
+# Some file systems have coarser times. There a change may go unnoticed until this interval has passed.
+MAX_READ_INTERVAL_NS = 1_000_000_000
 TEMPORARY_FILE = re.compile(r"\.(?P<name>.+)\.(?P<process>\d{1,10})")
 
 
 class StateDirectory(Protocol):
-    """A place for records by name, which every process of the sidecar can read."""
+    """A store of records by name that every process of the sidecar can read."""
 
     def changed(self) -> bool:
         """Whether anything may have been written since the last `read_all`."""
         ...
 
     def write(self, name: str, record: Mapping[str, Any], /, durable: bool = False) -> bool:
-        """Write a record in place of what stood under its name; False if it can't be.
+        """Write a record; it replaces the earlier record of that name.
 
         Args:
-            name: of the record.
-            record: its contents, to be stored as JSON.
-            durable: True is returned only once it outlasts the machine too.
+            name: Name of the record.
+            record: Contents of the record, which are stored as JSON.
+            durable: Whether the record must survive a crash of the machine before this returns.
+
+        Returns:
+            Whether the record was written.
         """
         ...
 
     def read(self, name: str) -> dict[str, Any] | None:
-        """Return the record of a name; None if there is none that can be used."""
+        """Return the record of a name; None if it is missing or can't be read."""
         ...
 
     def read_all(self, *prefixes: str) -> dict[str, dict[str, Any]]:
-        """Return all records that can be used and whose names begin with one of these prefixes."""
+        """Return all readable records whose names begin with one of the prefixes, by name."""
         ...
 
     def remove(self, name: str) -> None:
-        """Remove a record and its lock; that it is gone already is no error."""
+        """Remove a record and its lock; a missing record is no error."""
         ...
 
     def lock(self, name: str) -> bool:
-        """Lock a name to show that this process is alive, until it ends; False if that can't be shown.
+        """Lock a name until this process ends, to show that the process is alive.
+
+        Repeated calls are harmless. A call after the lock file was removed locks a new file.
 
-        It may be called again at any time: a lock whose file was removed is taken anew.
+        Returns:
+            Whether the name is locked.
         """
         ...
 
     def is_alive(self, name: str) -> bool | None:
-        """Whether the process that locked a name is alive; None if nothing tells."""
+        """Whether the process that locked a name is alive; None if that can't be determined."""
         ...
 
     def boot_id(self) -> str:
-        """Return what tells this boot of the machine from any other; empty if nothing does."""
+        """Return the identifier of this boot of the machine; empty if the system has none."""
         ...
 
 
 class FileStateDirectory:
-    """A state directory of files in a folder, as `$TMPDIR` names one.
+    """A state directory whose records are files.
+
+    The constructor creates the directory in an existing folder, and removes the incomplete files of killed
+    processes.
 
     Args:
-        folder: that the processes share.
-        files: the file calls.
-        monotonic_ns: the monotonic clock.
+        folder: Path of the folder that the processes of the sidecar share.
+        files: File system calls.
+        monotonic_ns: Monotonic clock, in nanoseconds.
+
+    Raises:
+        OSError: The directory can't be created, or another kind of file has its name.
     """
 
     def __init__(
@@ -103,24 +120,19 @@
         files: FileSystem = FILE_SYSTEM,
         monotonic_ns: Callable[[], int] = time.monotonic_ns,
     ) -> None:
-        """Make the directory in a folder that exists, and remove what killed processes left half written.
-
-        Raises:
-            OSError: the directory can't be made, or what has its name is none.
-        """
         self.path = Path(folder) / FOLDER_NAME
         self.files = files
         self.monotonic_ns = monotonic_ns
-        self.lock_descriptor = -1
-        self.warned: set[str] = set()  # names of records that have been logged
-        self.folder_state: tuple[int, ...] = ()  # as last seen ...
-        self.folder_state_ns = 0  # ... and since when
-        self.read_ns = 0  # when all was last read
-        self.settled = False  # that was after the last change which that state may stand for
-        self._make()
+        self.lock_descriptor: int | None = None
+        self.logged_records: set[str] = set()  # names of records with a logged failure
+        self.folder_state: tuple[int, ...] = ()
+        self.folder_state_since_ns = 0  # when `folder_state` was first seen
+        self.read_ns = 0  # when all records were last read
+        self.read_is_complete = False  # no change can have followed the last reading unseen
+        self._make_folder()
         self.cleaned_up = self._clean_up()
 
-    def _make(self) -> None:
+    def _make_folder(self) -> None:
         with contextlib.suppress(FileExistsError):
             self.files.mkdir(self.path)
         if not stat.S_ISDIR(self.files.stat(self.path).st_mode):
@@ -130,17 +142,17 @@
 
     def changed(self) -> bool:
         """Whether anything may have been written since the last `read_all`."""
-        # Two changes within one tick of the file system's clock leave the same time. So a state of the folder
-        # counts as read only if that was `SETTLE_NS` after it was first seen, by the own monotonic clock:
-        # whatever has the same time had happened by then. The wall clock has no part in it.
+        # Two changes within one tick of the file system's clock leave the same time. So a reading counts as
+        # complete only if the folder had had the same state for `MIN_UNCHANGED_NS` by the monotonic clock of
+        # this process: all changes with that time had happened by then. The wall clock may be stepped.
         return (
-            not self.settled
+            not self.read_is_complete
             or self._read_folder_state() != self.folder_state
             or self.monotonic_ns() - self.read_ns >= MAX_READ_INTERVAL_NS
         )
 
     def _read_folder_state(self) -> tuple[int, ...]:
-        """Return what changes with the folder; empty if it can't be read."""
+        """Return identity and times of the folder; empty if they can't be read."""
         try:
             found = self.files.stat(self.path)
         except OSError:
@@ -148,11 +160,11 @@
         return (found.st_dev, found.st_ino, found.st_mtime_ns, found.st_ctime_ns)
 
     def _start_reading(self) -> None:
-        # Before anything is read: what is written meanwhile is a change.
+        # The state is taken before the records, so that a write during the reading counts as a change.
         state, now_ns = self._read_folder_state(), self.monotonic_ns()
         if state != self.folder_state:
-            self.folder_state, self.folder_state_ns = state, now_ns
-        self.settled = bool(state) and now_ns - self.folder_state_ns >= SETTLE_NS
+            self.folder_state, self.folder_state_since_ns = state, now_ns
+        self.read_is_complete = bool(state) and now_ns - self.folder_state_since_ns >= MIN_UNCHANGED_NS
         self.read_ns = now_ns
 
     # Records
@@ -169,7 +181,7 @@
         except OSError as error:
             with contextlib.suppress(OSError):
                 self.files.unlink(temporary)
-            self._warn("write", name, error.strerror or str(error))
+            self._log_failure("write", name, error.strerror or str(error))
             return False
         return True
 
@@ -183,22 +195,24 @@
             with contextlib.suppress(OSError):
                 self.files.close(descriptor)
             raise
-        self.files.close(descriptor)  # on a network's file system this is where a write fails
+        # On a network file system a write may fail as late as here, so this error is not suppressed.
+        self.files.close(descriptor)
 
     def _write_all(self, descriptor: int, data: bytes) -> None:
-        left = memoryview(data)
-        while left:
-            written = self.files.write(descriptor, left)
+        remaining = memoryview(data)
+        while remaining:
+            written = self.files.write(descriptor, remaining)
             if written <= 0:
                 raise OSError(errno.EIO, "no bytes were written")
-            left = left[written:]
+            remaining = remaining[written:]
 
     def _sync_folder(self) -> None:
         descriptor = self.files.open(self.path, os.O_RDONLY | os.O_DIRECTORY)
         try:
             self.files.fsync(descriptor)
         except OSError as error:
-            if error.errno != errno.EINVAL:  # a file system that has no sync of folders
+            # EINVAL: this file system can't sync folders.
+            if error.errno != errno.EINVAL:
                 raise
         finally:
             with contextlib.suppress(OSError):
@@ -212,10 +226,10 @@
         except FileNotFoundError:
             return None
         except (OSError, ValueError, RecursionError) as error:
-            self._warn("read", name, " ".join(str(error).split()))
+            self._log_failure("read", name, " ".join(str(error).split()))
             return None
         if not isinstance(record, dict) or record.get("version") != RECORD_VERSION:
-            self._warn("read", name, f"expected version {RECORD_VERSION}")
+            self._log_failure("read", name, f"expected version {RECORD_VERSION}")
             return None
         return record
 
@@ -226,13 +240,13 @@
         return self.path / f"{name}{LOCK_SUFFIX}"
 
     def _read_file(self, path: Path) -> bytes:
-        """Return what a file holds, and no more than shows that it is too long."""
-        # A pipe of that name must not block the process.
+        """Return the contents of a file, cut off soon after `MAX_FILE_BYTES`."""
+        # Without O_NONBLOCK a pipe of that name would block the process.
         descriptor = self.files.open(path, os.O_RDONLY | os.O_NONBLOCK)
         try:
             data = bytearray()
-            while len(data) <= MAX_FILE_BYTES and (more := self.files.read(descriptor, READ_SIZE)):
-                data += more
+            while len(data) <= MAX_FILE_BYTES and (chunk := self.files.read(descriptor, READ_CHUNK_BYTES)):
+                data += chunk
             return bytes(data)
         finally:
             with contextlib.suppress(OSError):
@@ -245,19 +259,19 @@
         try:
             files = self.files.listdir(self.path)
         except OSError:
-            self.settled = False
+            self.read_is_complete = False
             return {}
         names = sorted(file.removesuffix(RECORD_SUFFIX) for file in files if file.endswith(RECORD_SUFFIX))
-        found = {}
+        records = {}
         for prefix in prefixes:
-            for name in [name for name in names if name.startswith(prefix)][-MAX_FILES:]:
+            for name in [name for name in names if name.startswith(prefix)][-MAX_FILES_PER_PREFIX:]:
                 record = self.read(name)
                 if record is not None:
-                    found[name] = record
-        return found
+                    records[name] = record
+        return records
 
     def remove(self, name: str) -> None:
-        """Remove a record and its lock; that it is gone already is no error."""
+        """Remove a record and its lock; a missing record is no error."""
         for path in (self._record_path(name), self._lock_path(name)):
             with contextlib.suppress(OSError):
                 self.files.unlink(path)
@@ -265,25 +279,25 @@
     # Locks
 
     def lock(self, name: str) -> bool:
-        """Lock a name: see `StateDirectory.hold`."""
+        """Lock a name: see `StateDirectory.lock`."""
         path = self._lock_path(name)
         if self._is_current(path):
             return True
         self._release()
-        lock = -1
+        descriptor: int | None = None
         try:
-            lock = self._open_lock(path)
-            self.files.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            descriptor = self._open_lock(path)
+            self.files.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as error:
-            self._warn("lock", name, error.strerror or str(error))
-            # A file that nobody locks would show that this process is gone.
+            self._log_failure("lock", name, error.strerror or str(error))
+            # Other processes would take an unlocked file for the sign of a dead process.
             with contextlib.suppress(OSError):
                 self.files.unlink(path)
-            if lock >= 0:
+            if descriptor is not None:
                 with contextlib.suppress(OSError):
-                    self.files.close(lock)
+                    self.files.close(descriptor)
             return False
-        self.lock_descriptor = lock
+        self.lock_descriptor = descriptor
         # Another process may have removed the file before it was locked.
         return self._is_current(path)
 
@@ -291,84 +305,84 @@
         try:
             return self.files.open(path, os.O_RDWR | os.O_CREAT)
         except FileNotFoundError:
-            self._make()  # the folder was taken away
+            self._make_folder()
             return self.files.open(path, os.O_RDWR | os.O_CREAT)
 
     def _is_current(self, path: Path) -> bool:
-        """Whether the file that this process has locked is the one that others open."""
-        if self.lock_descriptor < 0:
+        """Whether the file that this process has locked is still the file at the path."""
+        if self.lock_descriptor is None:
             return False
         try:
-            locked, found = self.files.fstat(self.lock_descriptor), self.files.stat(path)
+            locked, current = self.files.fstat(self.lock_descriptor), self.files.stat(path)
         except OSError:
             return False
-        return (locked.st_dev, locked.st_ino) == (found.st_dev, found.st_ino)
+        return (locked.st_dev, locked.st_ino) == (current.st_dev, current.st_ino)
 
     def _release(self) -> None:
-        if self.lock_descriptor >= 0:
-            lock, self.lock_descriptor = self.lock_descriptor, -1
+        if self.lock_descriptor is not None:
+            descriptor, self.lock_descriptor = self.lock_descriptor, None
             with contextlib.suppress(OSError):
-                self.files.close(lock)
+                self.files.close(descriptor)
 
     def is_alive(self, name: str) -> bool | None:
-        """Whether a process is alive: see `StateDirectory.held`."""
+        """Whether a process is alive: see `StateDirectory.is_alive`."""
         try:
-            lock = self.files.open(self._lock_path(name), os.O_RDONLY | os.O_NONBLOCK)
+            descriptor = self.files.open(self._lock_path(name), os.O_RDONLY | os.O_NONBLOCK)
         except OSError:
             return None
         try:
-            self.files.flock(lock, fcntl.LOCK_SH | fcntl.LOCK_NB)
+            self.files.flock(descriptor, fcntl.LOCK_SH | fcntl.LOCK_NB)
         except BlockingIOError:
             return True
         except OSError:
             return None
         finally:
             with contextlib.suppress(OSError):
-                self.files.close(lock)
+                self.files.close(descriptor)
         return False
 
     def boot_id(self) -> str:
-        """Return what tells this boot of the machine from any other; empty if nothing does."""
+        """Return the identifier of this boot of the machine; empty if the system has none."""
         return self.files.boot_id()
 
-    # Leftovers of killed processes
+    # Files of killed processes
 
     def _clean_up(self) -> bool:
-        """Remove what processes that are gone left half written; False if the folder can't be read."""
+        """Remove incomplete files of dead processes; return False if the folder can't be read."""
         try:
             files = self.files.listdir(self.path)
         except OSError:
             return False
-        for file in self._leftovers(files):
+        for file in self._abandoned_files(files):
             with contextlib.suppress(OSError):
                 self.files.unlink(self.path / file)
         return True
 
-    def _leftovers(self, files: Collection[str]) -> list[str]:
-        found = []
+    def _abandoned_files(self, files: Collection[str]) -> list[str]:
+        abandoned = []
         for file in files:
             match = TEMPORARY_FILE.fullmatch(file)
             if match is not None and not self._may_be_alive(match["name"], int(match["process"])):
-                found.append(file)
+                abandoned.append(file)
             name = file.removesuffix(LOCK_SUFFIX)
             without_record = name != file and f"{name}{RECORD_SUFFIX}" not in files
             if without_record and self.is_alive(name) is False:
-                found.append(file)
-        return found
+                abandoned.append(file)
+        return abandoned
 
     def _may_be_alive(self, record_name: str, process_number: int) -> bool:
         """Whether the process that writes a record may be alive.
 
-        Its lock tells; where there is none, its number.
+        Its lock decides; without a lock, the process number does.
         """
         _, _, process = record_name.partition("-")
-        held = self.is_alive(RecordKind.HEARTBEAT.of_process(process))
-        if held is not None:
-            return held
+        alive = self.is_alive(RecordKind.HEARTBEAT.of_process(process))
+        if alive is not None:
+            return alive
         return process_number != os.getpid() and self.files.runs(process_number)
 
-    def _warn(self, operation: str, name: str, reason: str) -> None:
-        """Log a failed operation, once for each record: it is retried again and again."""
-        if name not in self.warned and len(self.warned) < MAX_FILES:
-            self.warned.add(name)
+    def _log_failure(self, operation: str, name: str, reason: str) -> None:
+        """Log a failed operation once for each record, since it is retried many times a second."""
+        if name not in self.logged_records and len(self.logged_records) < MAX_LOGGED_RECORDS:
+            self.logged_records.add(name)
             log.warning("process can't %s record: file %s, %s", operation, self._record_path(name), reason)
--- a/tests/control/hot_restart_rig.py
+++ b/tests/control/hot_restart_rig.py
@@ -137,9 +137,9 @@
         if not killed:
             self.upgrade.begin_shutdown()
             self.upgrade.close()
-        if self.files.lock_descriptor >= 0:
+        if self.files.lock_descriptor is not None:
             os.close(self.files.lock_descriptor)
-            self.files.lock_descriptor = -1
+            self.files.lock_descriptor = None
 
 
 class Flaky:
--- a/tests/control/test_hot_restart_state.py
+++ b/tests/control/test_hot_restart_state.py
@@ -23,7 +23,7 @@
 from dykefold.control.state_directory import (
     MAX_FILE_BYTES,
     MAX_READ_INTERVAL_NS,
-    SETTLE_NS,
+    MIN_UNCHANGED_NS,
     FileStateDirectory,
 )
 from dykefold.net.service.maintenance import MaintenanceOrder
@@ -286,7 +286,7 @@
         # A change of the same tick would leave the same time: it is read once more after that.
         board.read_all("sign-")
         assert board.changed()
-        now_ns[0] += SETTLE_NS
+        now_ns[0] += MIN_UNCHANGED_NS
         board.read_all("sign-")
         assert not board.changed()
 
