--- a/dykefold/control/admin_operations.py
+++ b/dykefold/control/admin_operations.py
@@ -1,4 +1,4 @@
-"""Carries operators' requests out on a sidecar."""
+"""Carries out operators' requests on a sidecar."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 from ..net.service.maintenance import MAX_OUT_OF_SERVICE, MaintenanceOrder
 from ..net.service.pool import Pool
-from ..net.sidecar import SidecarServer
 from .admin_requests import FAILED, OK, Action, AdminRequest, AdminResponse
 from .background_writer import OnWritten
+from .protocols import AdminTarget
 
 log = logging.getLogger("dykefold.control")
 
@@ -31,54 +31,57 @@
 
 
 class OrderStore(Protocol):
-    """Where maintenance orders are kept for a newer process."""
+    """A store of maintenance orders that a newer process can read."""
 
     def write_records(self) -> bool:
-        """Write down which endpoints are out; False if they may not stand there yet."""
+        """Record the orders that the pools know; return whether all of them are recorded."""
         ...
 
-    def keep(self, orders: Mapping[str, MaintenanceOrder], on_kept: OnWritten, /) -> None:
-        """Write down which endpoints are out.
+    def record_orders(self, orders: Mapping[str, MaintenanceOrder], on_recorded: OnWritten, /) -> None:
+        """Record all orders.
 
         Args:
-            orders: by endpoint name, in place of those that the pools know.
-            on_kept: is told whether that was done; if not, the order must not be confirmed.
+            orders: New orders by endpoint name, which override those of the pools.
+            on_recorded: Callback that is notified whether all orders are recorded. An order that is not must
+                not be confirmed.
         """
         ...
 
 
 class AdminOperations:
-    """The requests of the admin API, carried out on all pools of a sidecar alike.
+    """Carries out the requests of the admin API, on all pools of a sidecar.
 
     Args:
-        sidecar: the sidecar.
-        order_store: None where nothing is kept.
-        directory_unusable: a state directory is configured and can't be used yet: nothing is kept there
-            until `keep_orders_in`.
+        sidecar: Server whose pools and health the requests concern.
+        order_store: Store of maintenance orders; None where orders are not recorded.
+        directory_unusable: Whether a state directory is configured but can't be used yet. Orders are not
+            recorded until `use_order_store` is called.
     """
 
     def __init__(
-        self, sidecar: SidecarServer, order_store: OrderStore | None = None, directory_unusable: bool = False
+        self, sidecar: AdminTarget, order_store: OrderStore | None = None, directory_unusable: bool = False
     ) -> None:
         self.sidecar = sidecar
         self.order_store = order_store
         self.directory_unusable = directory_unusable
 
-    def keep_orders_in(self, order_store: OrderStore) -> None:
-        """Keep orders from now on: the state directory can be used."""
+    def use_order_store(self, order_store: OrderStore) -> None:
+        """Record orders from now on, since the state directory has become usable."""
         self.order_store = order_store
         self.directory_unusable = False
 
     def carry_out(self, request: AdminRequest) -> AdminResponse:
-        """Do what a request asks for, where the store writes before it returns; return the response."""
+        """Carry out a request and return the response; the store must write before it returns."""
         responses: list[AdminResponse] = []
-        self.begin(request, responses.append)
+        self.start(request, responses.append)
         return responses[0]
 
-    def begin(self, request: AdminRequest, answer: Answer) -> None:
-        """Do what a request asks for; `answer` gets the response once it is done, and written down.
+    def start(self, request: AdminRequest, answer: Answer) -> None:
+        """Start a request; the next order may start only after the response to this one.
 
-        The next order may only begin when this one has been answered.
+        Args:
+            request: Request to carry out.
+            answer: Callback for the response, which comes once the request is done and recorded.
         """
         if request.action is Action.HEALTH:
             answer(self._health())
@@ -99,7 +102,7 @@
             return OK
         return AdminResponse(HTTPStatus.SERVICE_UNAVAILABLE, "this process takes no clients")
 
-    # Written down also where nothing changes: the request may be the retry of one that could not be written.
+    # An order is recorded even if it changes nothing, since it may repeat one that could not be recorded.
 
     def _take_out(self, pools: Iterable[Pool], name: str, answer: Answer) -> None:
         changed = [pool for pool in pools if pool.apply_order(name, True)]
@@ -108,45 +111,44 @@
         if self.order_store is None:
             answer(OUT_HERE_ALONE if self.directory_unusable else OK)
             return
-        self.order_store.keep({}, lambda kept: answer(OK if kept else OUT_HERE_ALONE))
+        self.order_store.record_orders({}, lambda recorded: answer(OK if recorded else OUT_HERE_ALONE))
 
     def _put_back(self, pools: Iterable[Pool], name: str, answer: Answer) -> None:
-        # What is answered with an error must not be used: it stays out until the order has been written.
+        # The endpoint stays out until the order is recorded, since after an error it must not be in use.
         out = [pool for pool in pools if pool.maintenance.is_out(name)]
         if self.order_store is None:
-            self._use_again(out, name)
+            self._return_to_service(out, name)
             answer(OK)
             return
         times = [pool.maintenance.order_time(name, pool.now()) for pool in out]
         order = MaintenanceOrder(max(times, default=0), out=False)
-
-        self.order_store.keep(
+        self.order_store.record_orders(
             {name: order} if out else {},
-            lambda kept: answer(self._finish_putting_back(out, name, order, kept)),
+            lambda recorded: answer(self._finish_putting_back(out, name, order, recorded)),
         )
 
     def _finish_putting_back(
-        self, pools: Iterable[Pool], name: str, order: MaintenanceOrder, kept: bool
+        self, pools: Iterable[Pool], name: str, order: MaintenanceOrder, recorded: bool
     ) -> AdminResponse:
         try:
-            if kept:
-                self._use_again(pools, name)
+            if recorded:
+                self._return_to_service(pools, name)
                 return OK
-            self._keep_out(pools, name, order)
+            self._override_order(pools, name, order)
         except Exception:
-            # The next order waits for the response to this one.
+            # Whatever fails here, there must be a response, since the next order waits for it.
             log.exception("admin request failed: %s %s", Action.BACK.value, name)
             return FAILED
         return STILL_OUT
 
-    def _use_again(self, pools: Iterable[Pool], name: str) -> None:
+    def _return_to_service(self, pools: Iterable[Pool], name: str) -> None:
         changed = [pool for pool in pools if pool.apply_order(name, False)]
         if changed:
             log.info("operator put endpoint %s back from maintenance", name)
             if self.order_store is not None:
                 self.order_store.write_records()
 
-    def _keep_out(self, pools: Iterable[Pool], name: str, back: MaintenanceOrder) -> None:
-        """Have an order back not hold that may stand in a record though it could not be written whole."""
+    def _override_order(self, pools: Iterable[Pool], name: str, order: MaintenanceOrder) -> None:
+        """Override an order back whose write has failed, since the record may have it nevertheless."""
         for pool in pools:
-            pool.merge_maintenance({name: MaintenanceOrder(back.ordered_ns + 1, out=True)})
+            pool.merge_maintenance({name: MaintenanceOrder(order.ordered_ns + 1, out=True)})
--- a/dykefold/control/admin_queue.py
+++ b/dykefold/control/admin_queue.py
@@ -44,7 +44,7 @@
     def _begin_next(self) -> None:
         request, self.current = self.waiting.popleft()
         try:
-            self.operations.begin(request, self._answer)
+            self.operations.start(request, self._answer)
         except Exception:
             log.exception("admin request failed: %s %s", request.action.value, request.server)
             self._answer(FAILED)
--- a/dykefold/control/endpoint_list_sharing.py
+++ b/dykefold/control/endpoint_list_sharing.py
@@ -1,10 +1,14 @@
-"""Shares endpoint lists between the processes of one sidecar: what one was notified of, all were."""
+"""Shares endpoint lists between the processes of one sidecar.
+
+A list that one process was notified of counts as known to all of them.
+"""
 
 from __future__ import annotations
 
 import logging
+from collections.abc import Collection
 
-from ..net.sidecar import SidecarServer
+from ..net.service.pool import Pool
 from .process_records import Record, RecordKind, list_version, nested_table
 from .state_directory import StateDirectory
 
@@ -12,37 +16,45 @@
 
 
 class EndpointListSharing:
-    """Writes the endpoint lists of this process, and takes newer ones of the others."""
+    """Writes the endpoint lists of this process, and adopts newer ones of the others.
+
+    Args:
+        pools: Pools whose endpoint lists are shared; the collection changes with them.
+        directory: State directory that the processes of the sidecar share.
+        name: Name of this process.
+    """
 
-    def __init__(self, sidecar: SidecarServer, directory: StateDirectory, name: str) -> None:
-        """Prepare; `name` is that of this process."""
-        self.sidecar = sidecar
+    def __init__(self, pools: Collection[Pool], directory: StateDirectory, name: str) -> None:
+        self.pools = pools
         self.directory = directory
         self.name = name
-        self.written: dict[str, int] = {}  # versions of the lists that others can read, by pool
+        self.written: dict[str, int] = {}  # versions of the recorded lists, by pool label
 
     def write(self, needed: bool) -> dict[str, int]:
-        """Write the lists if they have changed; returns the versions that others can read, by pool.
+        """Write the lists if they have changed.
 
         Args:
-            needed: whether another process lives that may read them.
+            needed: Whether another live process may read them.
+
+        Returns:
+            The versions of the recorded lists, by pool label.
         """
-        versions = {pool.label: pool.version for pool in self.sidecar.pools}
+        versions = {pool.label: pool.version for pool in self.pools}
         if needed and versions != self.written:
-            lists = {pool.label: pool.list_record() for pool in self.sidecar.pools}
+            lists = {pool.label: pool.list_record() for pool in self.pools}
             if self.directory.write(RecordKind.ENDPOINT_LISTS.of_process(self.name), {"pools": lists}):
                 self.written = versions
         return self.written
 
     def adopt(self, process: str, heartbeat: Record) -> None:
-        """Take the lists of another process that are newer than the own ones.
+        """Adopt the lists of another process that are newer than those of this one.
 
         Args:
-            process: its name.
-            heartbeat: its record, with the versions of its lists.
+            process: Name of the other process.
+            heartbeat: Heartbeat record of that process, with the versions of its lists.
         """
         versions = nested_table(heartbeat, "lists")
-        newer = [pool for pool in self.sidecar.pools if list_version(versions.get(pool.label)) > pool.version]
+        newer = [pool for pool in self.pools if list_version(versions.get(pool.label)) > pool.version]
         if not newer:
             return
         record = self.directory.read(RecordKind.ENDPOINT_LISTS.of_process(process))
--- a/dykefold/control/hot_restart.py
+++ b/dykefold/control/hot_restart.py
@@ -1,4 +1,4 @@
-"""Carries a hot restart out on a sidecar: heartbeats, limits, and what the newer process is to know."""
+"""Carries out a hot restart on a sidecar: heartbeats, limits, and the records for the newer process."""
 
 from __future__ import annotations
 
@@ -9,11 +9,16 @@
 from collections.abc import Mapping
 
 from ..net.service.maintenance import MaintenanceOrder
-from ..net.sidecar import SidecarServer
 from ..system import System
 from .background_writer import OnWritten, Submit
 from .endpoint_list_sharing import EndpointListSharing
-from .hot_restart_state import LOOK_NS, ROOM_WAIT_NS, HotRestartMachine, ProcessHeartbeat, RestartView
+from .hot_restart_state import (
+    MAX_CAPACITY_WAIT_NS,
+    OBSERVATION_INTERVAL_NS,
+    HotRestartMachine,
+    ProcessHeartbeat,
+    RestartObservation,
+)
 from .listener_selection import ListenerSelection
 from .maintenance_records import MaintenanceRecords
 from .process_records import (
@@ -23,36 +28,37 @@
     heartbeat_record,
     parse_heartbeat,
 )
-from .record_cleanup import gone_processes, remove_records
+from .protocols import RestartHost
+from .record_cleanup import dead_processes, remove_records
 from .snapshot_transfer import SnapshotTransfer
 from .state_directory import StateDirectory
 
 log = logging.getLogger("dykefold.control")
 
-LOOK_S = LOOK_NS / 1e9
-CLEANUP_DELAY_NS = 5_000_000_000  # from its start until a process removes what processes before it left
+OBSERVATION_INTERVAL_S = OBSERVATION_INTERVAL_NS / 1e9
+# Time from the start of a process until it removes records of dead processes.
+CLEANUP_DELAY_NS = 5_000_000_000
 
 
 class HotRestart:
-    """The heartbeats of this process and of the others, and what follows from them.
+    """The part of one process in hot restarts; nothing is written before the first call.
 
     Args:
-        loop: that runs the looks.
-        sidecar: what serves clients in this process.
-        directory: that the processes share.
-        system: clocks; None: those of the sidecar.
-        born_ns: when this process started, monotonic; None: now.
+        loop: Event loop on which the periodic observation is scheduled.
+        sidecar: Server that accepts clients in this process.
+        directory: State directory that the processes of the sidecar share.
+        system: Clocks; None for the clock of the sidecar.
+        born_ns: Start of this process on the monotonic clock; None for the present time.
     """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        sidecar: SidecarServer,
+        sidecar: RestartHost,
         directory: StateDirectory,
         system: System | None = None,
         born_ns: int | None = None,
     ) -> None:
-        """Prepare; nothing is written yet."""
         self.loop = loop
         self.sidecar = sidecar
         self.directory = directory
@@ -62,174 +68,179 @@
         self.machine = HotRestartMachine(f"{born_ns:020d}-{os.getpid()}", born_ns)
         name = self.machine.name
         self.heartbeat_name = RecordKind.HEARTBEAT.of_process(name)
-        self.steering = ListenerSelection(sidecar)
-        self.lists = EndpointListSharing(sidecar, directory, name)
-        self.snapshots = SnapshotTransfer(sidecar, directory, name, born_ns, self.read_clock)
-        self.maintenance = MaintenanceRecords(sidecar, directory, name, self.read_clock)
+        self.listener_selection = ListenerSelection(lambda: sidecar.listener is not None)
+        self.endpoint_lists = EndpointListSharing(sidecar.pools, directory, name)
+        self.snapshots = SnapshotTransfer(sidecar.pools, directory, name, born_ns, self.read_clock)
+        self.maintenance = MaintenanceRecords(sidecar.pools, directory, name, self.read_clock)
         self.process_count = 1
-        self.others: dict[str, ProcessHeartbeat] = {}  # of the processes that live, by name
-        self.records_stand = True  # what this process has written was there at the last look
-        self.joining_since_ns: int | None = None  # it serves, and has not taken its part of the limits yet
+        self.others: dict[str, ProcessHeartbeat] = {}  # heartbeats of live processes, by process name
+        self.records_current = True  # the last observation found all records of this process unchanged
+        self.joining_since_ns: int | None = None  # None once this process follows the shared limits
         self.timer: asyncio.TimerHandle | None = None
 
     def write_in_background(self, submit: Submit) -> None:
-        """Have writes that wait for the disk run by `submit` from now on."""
+        """Run writes that wait for the disk by `submit` from now on."""
         self.maintenance.submit = submit
 
     def read_clock(self) -> ClockReading:
-        """Read the clock of this process, on which its records have their times."""
+        """Read the clock of this process; times in its records are on this clock."""
         return ClockReading(self.boot_id, self.now_ns(), self.sidecar.clock.offset)
 
     # The start
 
     async def wait_for_capacity(self) -> None:
-        """Wait until older processes leave this one its part of the limits, or are seen to be gone."""
+        """Wait until older processes have left this one its quota of the limits, or are dead."""
         self.write_records()
         while not self._may_start() and not self.sidecar.draining:
-            self.write_records()  # what it is about to take, before it does
-            await asyncio.sleep(LOOK_S / 4)
+            # Others must see the claim of this process before it takes the claimed descriptors.
+            self.write_records()
+            await asyncio.sleep(OBSERVATION_INTERVAL_S / 4)
         self.snapshots.restore(self.others.values())
 
     def _may_start(self) -> bool:
-        return self._look().may_serve and self.snapshots.is_ready(self.others.values())
+        return self._observe().may_serve and self.snapshots.is_ready(self.others.values())
 
     def take_clients(self, sock: socket.socket) -> None:
-        """Take clients on a listening socket: new ones come to it from now on."""
+        """Accept clients on a listening socket; new connections come to this process from now on."""
         self.machine.on_serving()
-        self.steering.join(sock, self.others.values())
+        self.listener_selection.join(sock, self.others.values())
         if self.others:
             log.info("process takes over clients: from %s", ", ".join(self.others))
-        self.steering.update(True, self.others.values())
+        self.listener_selection.update(True, self.others.values())
         self.write_records()
         self._tick()
 
-    # The start where the state directory could not be used for a while
+    # The start after a time without a usable state directory
 
     def join(self) -> None:
-        """Take part from now on, as a process that has served clients for some time.
+        """Take part from now on, as a process that has already served clients.
 
-        Until the others have made way for it, it keeps the limits that it had without them. Which index its
-        listener has in the reuseport group can't be known, so the kernel selects by hash.
+        Until the others have made way, this process keeps the limits that it had without them. The index of
+        its listener in the reuseport group is unknown, so the kernel selects listeners by hash.
         """
-        self.machine.hold(self.sidecar.needed_descriptors())
+        self.machine.start_with(self.sidecar.needed_descriptors())
         self.joining_since_ns = self.now_ns()
         self._try_to_join()
 
     def _try_to_join(self) -> None:
         self.write_records()
-        self._look()
+        self._observe()
         if self._may_join():
             self._finish_joining()
             self._tick()
         else:
-            self.timer = self.loop.call_later(LOOK_S, self._try_to_join)
+            self.timer = self.loop.call_later(OBSERVATION_INTERVAL_S, self._try_to_join)
 
     def _may_join(self) -> bool:
         since_ns = self.joining_since_ns
-        waited = since_ns is not None and self.now_ns() - since_ns >= ROOM_WAIT_NS
+        waited = since_ns is not None and self.now_ns() - since_ns >= MAX_CAPACITY_WAIT_NS
         return waited or self.machine.max_descriptors >= max(self.machine.claimed_descriptors, 1)
 
     def _finish_joining(self) -> None:
         self.joining_since_ns = None
         self.machine.on_serving()
-        self._look()
+        self._observe()
         self.write_records()
 
     # While it runs
 
     def _tick(self) -> None:
-        # A process that is alone looks at one time of one folder, ten times a second.
+        # Without others only the times of the folder are read, since this runs ten times a second.
         if self.others or self.directory.changed() or not self.machine.heartbeat_written:
             claim = self.machine.claimed_descriptors
-            self._look()
+            self._observe()
             claim_changed = claim != self.machine.claimed_descriptors
-            if self.others or claim_changed or not self.machine.heartbeat_written or not self.records_stand:
+            if self.others or claim_changed or not self.machine.heartbeat_written or not self.records_current:
                 self.write_records()
-        self.timer = self.loop.call_later(LOOK_S, self._tick)
+        self.timer = self.loop.call_later(OBSERVATION_INTERVAL_S, self._tick)
 
-    def _look(self) -> RestartView:
-        """Read what the others show, and follow it."""
+    def _observe(self) -> RestartObservation:
+        """Read the records of the other processes, and follow them."""
         now_ns = self.now_ns()
         records = self.directory.read_all(RecordKind.HEARTBEAT.prefix, RecordKind.MAINTENANCE.prefix)
-        orders_stand = self.maintenance.check(records)
-        self.records_stand = self.heartbeat_name in records and orders_stand
+        orders_recorded = self.maintenance.check(records)
+        self.records_current = self.heartbeat_name in records and orders_recorded
         heartbeats = _heartbeats(records)
         for name, record in records.items():
             if name not in (self.heartbeat_name, self.maintenance.record_name):
                 self.maintenance.merge(record)
-        view = self._look_at_processes(now_ns, heartbeats)
-        self._apply(view)
+        observation = self._observe_processes(now_ns, heartbeats)
+        self._apply(observation)
         for name in self.others:
-            self.lists.adopt(name, records[RecordKind.HEARTBEAT.of_process(name)])
+            self.endpoint_lists.adopt(name, records[RecordKind.HEARTBEAT.of_process(name)])
         if now_ns - self.machine.born_ns > CLEANUP_DELAY_NS:
             self._clean_up(heartbeats)
-        return view
+        return observation
 
-    def _look_at_processes(self, now_ns: int, heartbeats: Mapping[str, ProcessHeartbeat]) -> RestartView:
-        """Tell the decisions who lives and what each process shows."""
+    def _observe_processes(
+        self, now_ns: int, heartbeats: Mapping[str, ProcessHeartbeat]
+    ) -> RestartObservation:
+        """Find the live processes, and have the state machine follow their heartbeats."""
         alive = {
-            beat.name: self.directory.is_alive(name)
-            for name, beat in heartbeats.items()
+            heartbeat.name: self.directory.is_alive(name)
+            for name, heartbeat in heartbeats.items()
             if name != self.heartbeat_name
         }
-        view = self.machine.look(
+        observation = self.machine.observe(
             now_ns,
-            [beat for beat in heartbeats.values() if alive.get(beat.name) is not False],
+            [heartbeat for heartbeat in heartbeats.values() if alive.get(heartbeat.name) is not False],
             self.sidecar.sockets,
             self.sidecar.needed_descriptors(),
-            [name for name, held in alive.items() if held],
+            [name for name, is_alive in alive.items() if is_alive],
         )
-        seen = set(self.machine.acknowledged) - {self.machine.name}
-        self.others = {beat.name: beat for beat in heartbeats.values() if beat.name in seen}
-        return view
+        acknowledged = set(self.machine.acknowledged) - {self.machine.name}
+        self.others = {
+            heartbeat.name: heartbeat for heartbeat in heartbeats.values() if heartbeat.name in acknowledged
+        }
+        return observation
 
-    def _apply(self, view: RestartView) -> None:
-        """Follow what a look has shown: limits, new connections, and the snapshot for a newer process."""
+    def _apply(self, observation: RestartObservation) -> None:
+        """Apply limits, the selection of listeners, and the snapshot for a newer process."""
         if self.joining_since_ns is not None:
             return
-        if view.process_count != self.process_count:
-            log.info("sidecar has %d processes", view.process_count)
-            self.process_count = view.process_count
-        self.sidecar.share_capacity(view.process_count, view.max_descriptors)
-        self.sidecar.handing_over = view.newer_takes
-        self.steering.update(view.leads, self.others.values())
-        if view.arrived or self.snapshots.retry_needed:
+        if observation.process_count != self.process_count:
+            log.info("sidecar has %d processes", observation.process_count)
+            self.process_count = observation.process_count
+        self.sidecar.share_capacity(observation.process_count, observation.max_descriptors)
+        self.sidecar.handing_over = observation.newer_serves
+        self.listener_selection.update(observation.leads, self.others.values())
+        if observation.arrived or self.snapshots.retry_needed:
             self.snapshots.write(self.others.values())
 
     def _clean_up(self, heartbeats: Mapping[str, ProcessHeartbeat]) -> None:
-        """Remove what older processes left, once their orders stand in the record of this one."""
-        gone = gone_processes(heartbeats.values(), self.machine.acknowledged, self.machine.born_ns)
-        if gone and self.maintenance.write():
-            for process in gone:
+        """Remove the records of dead processes, once the record of this one has all of their orders."""
+        dead = dead_processes(heartbeats.values(), self.machine.acknowledged, self.machine.born_ns)
+        if dead and self.maintenance.write():
+            for process in dead:
                 remove_records(self.directory, process)
 
     def write_records(self) -> bool:
-        """Write the heartbeat of this process, and record which endpoints are out.
+        """Write the heartbeat and the maintenance orders of this process.
 
-        The heartbeat is written ten times a second while others live, so it is not synced; the record of
-        maintenance orders is, and only when it differs. What fails is retried at each look.
+        The heartbeat is written ten times a second while others live, so it is not synced. The record of
+        maintenance orders is synced, and written only after a change. Each observation retries failed writes.
 
         Returns:
-            False if either can't be written, or the record may not outlast the machine yet.
+            Whether both are written, and the record of orders would survive a crash of the machine.
         """
         written = self._write_heartbeat()
         return self.maintenance.write() and written
 
-    def keep(self, orders: Mapping[str, MaintenanceOrder], on_kept: OnWritten) -> None:
+    def record_orders(self, orders: Mapping[str, MaintenanceOrder], on_recorded: OnWritten) -> None:
         """Write the heartbeat and all maintenance orders.
 
         Args:
-            orders: by endpoint name, in place of those that the pools know.
-            on_kept: is told whether a newer process will know of all orders.
+            orders: New orders by endpoint name, which override those of the pools.
+            on_recorded: Callback that is notified whether a newer process will know all orders.
         """
-        written = self._write_heartbeat()
-        self.maintenance.keep(orders, lambda kept: on_kept(kept and written))
+        heartbeat_written = self._write_heartbeat()
+        self.maintenance.record(orders, lambda recorded: on_recorded(recorded and heartbeat_written))
 
     def _write_heartbeat(self) -> bool:
         self.directory.lock(self.heartbeat_name)
-        heartbeat = self.machine.heartbeat(self.now_ns(), self.steering.listener_index)
+        heartbeat = self.machine.heartbeat(self.now_ns(), self.listener_selection.listener_index)
         record = heartbeat_record(heartbeat, self.maintenance.orders())
-        versions = self.lists.write(needed=bool(self.others))
+        versions = self.endpoint_lists.write(needed=bool(self.others))
         clock = self.read_clock().to_record()
         written = self.directory.write(self.heartbeat_name, {**record, "lists": versions, "clock": clock})
         self.machine.wrote_heartbeat(self.now_ns(), written)
@@ -241,23 +252,23 @@
         """Begin the graceful shutdown."""
         if self.joining_since_ns is not None:
             self._finish_joining()
-        self._look()
-        self.machine.on_end()
+        self._observe()
+        self.machine.on_shutdown()
         self.write_records()
 
     def close(self) -> None:
-        """End with the process. Its records stay for the next one, unless a newer one has them already."""
+        """Stop with the process; its records stay unless a newer process has recorded the same orders."""
         if self.timer is not None:
             self.timer.cancel()
-        if self.sidecar.handing_over and self.maintenance.stand_with_others(self.others):
+        if self.sidecar.handing_over and self.maintenance.recorded_by_others(self.others):
             remove_records(self.directory, self.machine.name)
 
 
 def _heartbeats(records: Mapping[str, Record]) -> dict[str, ProcessHeartbeat]:
-    """Return the heartbeats among records, by the record's name, which must be that of their process."""
-    found = {}
+    """Return the heartbeats among records, by record name; a heartbeat under another name is left out."""
+    heartbeats = {}
     for name, record in records.items():
         heartbeat = parse_heartbeat(record)
         if heartbeat is not None and name == RecordKind.HEARTBEAT.of_process(heartbeat.name):
-            found[name] = heartbeat
-    return found
+            heartbeats[name] = heartbeat
+    return heartbeats
--- a/dykefold/control/hot_restart_state.py
+++ b/dykefold/control/hot_restart_state.py
@@ -1,35 +1,35 @@
 """Decides the hot restart of a sidecar: an older process makes way for a newer one. No I/O.
 
-Each process shows a `ProcessHeartbeat` where the others can read it and looks at theirs every `LOOK_NS`. Two
-questions are kept apart. Whether a process is *alive*: it is while it holds its lock, which the kernel
-releases however it ends; where there are no locks, while its heartbeat is fresh. What is alive counts against
-the limits, also if it stands still, since it keeps its descriptors. Whether a process is *responsive*: its
-heartbeat is younger than `STALE_NS`. One that is not (stopped, starved, unable to write) is given no clients:
-they go to the newest that is, and come back to it when it responds again.
-
-The rules that this file keeps:
-1. The descriptors of live processes never come to more than the sidecar may have: whoever takes more shows
-   its claim first, and at its next look takes of it what the claims of the others leave. So of two that grow
-   at once each one sees the other's claim before it takes. One that can't show any (a full disk) takes half
-   of the whole at most, which leaves the other half to a second one that can't. One that starts serves when
-   every older one has shown that it has made way, is gone, or was waited for, however little is left. Memory
-   of messages goes in equal parts. Of the descriptors an older process keeps what it uses, since closing a
-   client's connection under a request in flight loses it; it never takes more, and the newest has all that is
-   left.
-2. A process says that it takes clients when it does, and never again once its shutdown has begun.
-3. An older process gives its clients away only in a graceful shutdown, and only while a newer one takes them.
-4. What is remembered of others is bounded: `MAX_OTHERS` heartbeats, the latest.
-
-States and what leads from one to the next:
+Each process writes a `ProcessHeartbeat` that the others can read, and reads theirs every
+`OBSERVATION_INTERVAL_NS`. A process is *alive* while it holds its lock, which the kernel releases when the
+process ends for any reason; without locks, it is alive while its heartbeat is fresh. A live process counts
+against the limits even while it is stopped, since it keeps its descriptors. A process is *responsive* while
+its heartbeat is younger than `MAX_HEARTBEAT_AGE_NS`. An unresponsive process (stopped, starved, unable to
+write) gets no clients: they go to the newest responsive one, and return once the other responds again.
+
+The rules of this file:
+1. The descriptors of live processes never exceed those of the sidecar. A process that takes more first shows
+   its claim, and at its next observation takes what the claims of the others leave of it. So of two processes
+   that grow at once, each sees the claim of the other before it takes. A process that can't show a claim (a
+   full disk) takes at most half of all descriptors; the other half is left to a second such process.
+   A process that starts serves as soon as every older process has made way, is gone, or has been waited for,
+   however few descriptors are left. Memory of messages is shared equally. An older process keeps the
+   descriptors in use, since closing a client's connection would lose its request in flight. It never takes
+   more, and the newest process gets all that remain.
+2. A process shows that it accepts clients while it does, and never after its shutdown has begun.
+3. An older process moves its clients only in a graceful shutdown, and only while a newer one accepts clients.
+4. The number of remembered processes is bounded: the `MAX_OTHER_HEARTBEATS` newest.
+
+States and transitions:
 
     state      | event          | next
-    STARTING   | may serve      | TAKING     every older process has made way, or was waited for long enough
+    STARTING   | may serve      | TAKING     every older process has made way, or the wait for it is over
     TAKING     | newer starts   | SHARING
-    SHARING    | newer takes    | HANDING
-    SHARING    | newer is mute  | TAKING     gone, unresponsive, or it ends
-    HANDING    | newer starts   | SHARING    the one that took is gone, and another one begins
-    HANDING    | newer is mute  | TAKING     it became unresponsive after its yes: its clients come back here
-    any        | is to end      | ENDING
+    SHARING    | newer serves   | HANDING
+    SHARING    | newer is mute  | TAKING     the newer one is gone, unresponsive, or in its shutdown
+    HANDING    | newer starts   | SHARING    the newer one is gone, and another one starts
+    HANDING    | newer is mute  | TAKING     the newer one became unresponsive, so clients return here
+    any        | shutdown       | ENDING
 """
 
 from __future__ import annotations
@@ -39,16 +39,20 @@
 from enum import Enum
 
 MS = 1_000_000
-LOOK_NS = 100 * MS  # between two looks, and between two heartbeats while others live
-STALE_NS = 1_500 * MS  # far more than a loop is ever late; less than the shortest graceful shutdown
-ROOM_WAIT_NS = 800 * MS  # for an older process to make way: the platform gives 6 s until the yes
-UNSEEN_NS = 3 * LOOK_NS  # after which whoever could not write either has shown itself
-MAX_OTHERS = 8
-MAX_OLDER_FRACTION = 0.75  # of the descriptors, whatever it uses
+OBSERVATION_INTERVAL_NS = 100 * MS
+# Far longer than an event loop is ever late, and shorter than the shortest graceful shutdown.
+MAX_HEARTBEAT_AGE_NS = 1_500 * MS
+# The wait for older processes to make way. The platform allows 6 s until a process must serve.
+MAX_CAPACITY_WAIT_NS = 800 * MS
+# After a failed write others may not know this process yet, and it may not know others that failed to write.
+UNSEEN_AFTER_FAILURE_NS = 3 * OBSERVATION_INTERVAL_NS
+MAX_OTHER_HEARTBEATS = 8
+# An older process never keeps more than this fraction, whatever it uses.
+MAX_OLDER_DESCRIPTORS_FRACTION = 0.75
 
 
 class HotRestartState(Enum):
-    """How far a process is in its hot restart; the values are stored."""
+    """Progress of a process in its hot restart; the values are stored in heartbeats."""
 
     STARTING = "starting"
     TAKING = "taking"
@@ -58,44 +62,43 @@
 
 
 class HotRestartEvent(Enum):
-    """What leads from one state to the next."""
+    """Events that change the state of a process."""
 
     MAY_SERVE = "may serve"
     NEWER_STARTS = "newer starts"
-    NEWER_TAKES = "newer takes"
+    NEWER_SERVES = "newer serves"
     NEWER_MUTE = "newer is mute"
-    TO_END = "is to end"
+    SHUTDOWN = "shutdown"
 
 
-TABLE: dict[tuple[HotRestartState, HotRestartEvent], HotRestartState] = {
+TRANSITIONS: dict[tuple[HotRestartState, HotRestartEvent], HotRestartState] = {
     (HotRestartState.STARTING, HotRestartEvent.MAY_SERVE): HotRestartState.TAKING,
     (HotRestartState.TAKING, HotRestartEvent.NEWER_STARTS): HotRestartState.SHARING,
-    (HotRestartState.TAKING, HotRestartEvent.NEWER_TAKES): HotRestartState.HANDING,
-    (HotRestartState.SHARING, HotRestartEvent.NEWER_TAKES): HotRestartState.HANDING,
+    (HotRestartState.TAKING, HotRestartEvent.NEWER_SERVES): HotRestartState.HANDING,
+    (HotRestartState.SHARING, HotRestartEvent.NEWER_SERVES): HotRestartState.HANDING,
     (HotRestartState.SHARING, HotRestartEvent.NEWER_MUTE): HotRestartState.TAKING,
     (HotRestartState.HANDING, HotRestartEvent.NEWER_STARTS): HotRestartState.SHARING,
     (HotRestartState.HANDING, HotRestartEvent.NEWER_MUTE): HotRestartState.TAKING,
-    **{(state, HotRestartEvent.TO_END): HotRestartState.ENDING for state in HotRestartState},
+    **{(state, HotRestartEvent.SHUTDOWN): HotRestartState.ENDING for state in HotRestartState},
 }
-# States in which new clients should come to a process.
-LEADING = frozenset((HotRestartState.TAKING, HotRestartState.SHARING))
-# States in which a process takes clients, and says so.
-SERVING = frozenset((HotRestartState.TAKING, HotRestartState.SHARING, HotRestartState.HANDING))
+# States in which a process should get new clients.
+LEADING_STATES = frozenset((HotRestartState.TAKING, HotRestartState.SHARING))
+# States in which a process accepts clients, and shows it in its heartbeat.
+SERVING_STATES = frozenset((HotRestartState.TAKING, HotRestartState.SHARING, HotRestartState.HANDING))
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessHeartbeat:
-    """What a process shows of itself.
+    """What a process shows to the other processes of its sidecar.
 
     Attributes:
-        name: of the process, unlike any other's.
-        born_ns: when it started, monotonic on the machine: the later one is the newer.
-        beat_ns: when this was written, monotonic.
-        state: of its hot restart.
-        acknowledged: live processes that it has made way for, itself among them; it takes one part in so
-            many.
-        max_descriptors: that it uses at most, or is about to.
-        listener_index: of its listener in the group at the clients' address; None while it has none there.
+        name: Unique name of the process.
+        born_ns: Start of the process on the machine's monotonic clock; a later start makes a newer process.
+        beat_ns: Time of writing on the monotonic clock.
+        state: State of the process in its hot restart.
+        acknowledged: Names of the live processes that the process has made way for, with its own name.
+        max_descriptors: Number of descriptors that the process uses at most, now or soon.
+        listener_index: Index of the listener in the reuseport group; None without a listener there.
     """
 
     name: str
@@ -108,57 +111,56 @@
 
     @property
     def age_order(self) -> tuple[int, str]:
-        """What sorts processes from the oldest to the newest."""
+        """Sort key from the oldest process to the newest."""
         return self.born_ns, self.name
 
 
 @dataclass(frozen=True, slots=True)
-class RestartView:
-    """What a look has shown.
+class RestartObservation:
+    """Consequences for a process of the heartbeats that it has read.
 
     Attributes:
-        parts: live processes, this one among them: it may take one part in so many of the messages' memory.
-        max_descriptors: that it may use.
-        newer_takes: whether clients are better off with a newer process.
-        leads: whether new clients should come to this one.
-        arrived: whether an older or newer process has come into view since the last look.
-        may_serve: whether this one may begin to take clients.
+        process_count: Number of live processes with this one, which share the memory of messages equally.
+        max_descriptors: Number of descriptors that this process may use.
+        newer_serves: Whether clients should move to a newer process.
+        leads: Whether new clients should come to this process.
+        arrived: Whether another process has appeared since the last observation.
+        may_serve: Whether this process may begin to accept clients.
     """
 
     process_count: int
     max_descriptors: int
-    newer_takes: bool
+    newer_serves: bool
     leads: bool
     arrived: bool
     may_serve: bool
 
 
 def is_responsive(heartbeat: ProcessHeartbeat, now_ns: int) -> bool:
-    """Whether a process has shown itself of late; a time to come is of another boot of the machine."""
-    return 0 <= now_ns - heartbeat.beat_ns < STALE_NS
+    """Whether a heartbeat is fresh; one from the future was written before the machine's last boot."""
+    return 0 <= now_ns - heartbeat.beat_ns < MAX_HEARTBEAT_AGE_NS
 
 
 class HotRestartMachine:
     """One process's side of a hot restart.
 
     Args:
-        name: of the process, unlike any other's.
-        born_ns: when it started, monotonic on the machine.
+        name: Unique name of the process.
+        born_ns: Start of the process on the machine's monotonic clock.
     """
 
     def __init__(self, name: str, born_ns: int) -> None:
-        """Begin as a process that starts."""
         self.name = name
         self.born_ns = born_ns
         self.state = HotRestartState.STARTING
         self.acknowledged: tuple[str, ...] = (name,)
-        self.max_descriptors = 0  # descriptors that it may use
-        self.claimed_descriptors = 0  # ... and that its heartbeat shows
+        self.max_descriptors = 0
+        self.claimed_descriptors = 0  # as shown in the heartbeat
         self.heartbeat_written = True
-        self.write_failed_ns: int | None = None  # when its heartbeat last could not be written
+        self.write_failed_ns: int | None = None  # time of the last failed write of the heartbeat
 
     def heartbeat(self, now_ns: int, listener_index: int | None = None) -> ProcessHeartbeat:
-        """Return what to show now; `listener_index` as in `ProcessHeartbeat`."""
+        """Return the heartbeat to write now; `listener_index` as in `ProcessHeartbeat`."""
         return ProcessHeartbeat(
             self.name,
             self.born_ns,
@@ -169,100 +171,106 @@
             listener_index,
         )
 
-    def look(
+    def observe(
         self,
         now_ns: int,
         heartbeats: Iterable[ProcessHeartbeat],
-        whole: int,
-        held: int,
-        living: Collection[str] = (),
-    ) -> RestartView:
-        """Take what the others show.
+        total_descriptors: int,
+        needed_descriptors: int,
+        alive: Collection[str] = (),
+    ) -> RestartObservation:
+        """Follow the heartbeats of the other processes.
 
         Args:
-            now_ns: monotonic.
-            heartbeats: of all but those that are known to be gone.
-            whole: descriptors that the sidecar may use.
-            held: of these, what this process can't do without just now.
-            living: names of processes that are known to be alive, responsive or not.
+            now_ns: Present time on the monotonic clock.
+            heartbeats: Heartbeats of all processes that are not known to be dead.
+            total_descriptors: Number of descriptors that all processes of the sidecar may use together.
+            needed_descriptors: Number of descriptors that this process can't release now.
+            alive: Names of processes that are known to be alive, responsive or not.
 
         Returns:
-            What follows for this process.
+            The consequences for this process.
         """
-        heartbeats = sorted(heartbeats, key=lambda beat: beat.age_order)[-MAX_OTHERS:]
+        heartbeats = sorted(heartbeats, key=lambda heartbeat: heartbeat.age_order)[-MAX_OTHER_HEARTBEATS:]
         own_order = (self.born_ns, self.name)
-        # One that was alone until now has not had to show that it is alive.
-        older = [beat for beat in heartbeats if beat.age_order < own_order]
+        # An older process without others has written no heartbeat since, so here a stale one counts as well.
+        older = [heartbeat for heartbeat in heartbeats if heartbeat.age_order < own_order]
         others = [
-            beat
-            for beat in heartbeats
-            if beat.name != self.name and (beat.name in living or is_responsive(beat, now_ns))
+            heartbeat
+            for heartbeat in heartbeats
+            if heartbeat.name != self.name and (heartbeat.name in alive or is_responsive(heartbeat, now_ns))
         ]
-        newer = [beat for beat in others if beat.age_order > own_order]
-        before, self.acknowledged = self.acknowledged, (self.name, *(beat.name for beat in others))
-        newer_takes = self._follow(newer, now_ns)
-        free = max(whole - sum(beat.max_descriptors for beat in others), 0)
+        newer = [heartbeat for heartbeat in others if heartbeat.age_order > own_order]
+        before = self.acknowledged
+        self.acknowledged = (self.name, *(heartbeat.name for heartbeat in others))
+        newer_serves = self._follow(newer, now_ns)
+        free = max(total_descriptors - sum(heartbeat.max_descriptors for heartbeat in others), 0)
         if newer:
-            self._shrink(whole, held, newer_takes)
+            self._shrink(total_descriptors, needed_descriptors, newer_serves)
         elif self.state is not HotRestartState.ENDING:
-            self._grow(now_ns, whole, free)
-        made_way = all(self.name in beat.acknowledged for beat in older)
-        return RestartView(
+            self._grow(now_ns, total_descriptors, free)
+        made_way = all(self.name in heartbeat.acknowledged for heartbeat in older)
+        waited = now_ns - self.born_ns >= MAX_CAPACITY_WAIT_NS
+        return RestartObservation(
             process_count=len(self.acknowledged),
             max_descriptors=self.max_descriptors,
-            newer_takes=newer_takes,
-            leads=self.state in LEADING,
+            newer_serves=newer_serves,
+            leads=self.state in LEADING_STATES,
             arrived=any(name not in before for name in self.acknowledged),
-            may_serve=(made_way and self.max_descriptors >= free) or now_ns - self.born_ns >= ROOM_WAIT_NS,
+            may_serve=(made_way and self.max_descriptors >= free) or waited,
         )
 
     def _follow(self, newer: Iterable[ProcessHeartbeat], now_ns: int) -> bool:
-        """Change state as newer processes do; returns whether one of them takes clients."""
-        states = {beat.state for beat in newer if is_responsive(beat, now_ns)}
-        newer_takes = not states.isdisjoint(SERVING)
-        if newer_takes:
-            self._go(HotRestartEvent.NEWER_TAKES)
+        """Change state as newer processes do; return whether one of them accepts clients."""
+        states = {heartbeat.state for heartbeat in newer if is_responsive(heartbeat, now_ns)}
+        newer_serves = not states.isdisjoint(SERVING_STATES)
+        if newer_serves:
+            self._apply(HotRestartEvent.NEWER_SERVES)
         elif HotRestartState.STARTING in states:
-            self._go(HotRestartEvent.NEWER_STARTS)
-        else:  # none that is responsive will take clients
-            self._go(HotRestartEvent.NEWER_MUTE)
-        return newer_takes
+            self._apply(HotRestartEvent.NEWER_STARTS)
+        else:
+            self._apply(HotRestartEvent.NEWER_MUTE)
+        return newer_serves
 
-    def _shrink(self, whole: int, held: int, newer_takes: bool) -> None:
+    def _shrink(self, total_descriptors: int, needed_descriptors: int, newer_serves: bool) -> None:
         """Make way for a newer process."""
         self.max_descriptors = min(
-            self.max_descriptors, max(held, whole // 2), int(MAX_OLDER_FRACTION * whole)
+            self.max_descriptors,
+            max(needed_descriptors, total_descriptors // 2),
+            int(MAX_OLDER_DESCRIPTORS_FRACTION * total_descriptors),
         )
-        if newer_takes:
-            self.max_descriptors = min(self.max_descriptors, held)
+        if newer_serves:
+            self.max_descriptors = min(self.max_descriptors, needed_descriptors)
         self.claimed_descriptors = self.max_descriptors
 
-    def _grow(self, now_ns: int, whole: int, free: int) -> None:
-        """Take what was claimed and is still free, and claim all that is free."""
-        unseen = self.write_failed_ns is not None and now_ns - self.write_failed_ns < UNSEEN_NS
-        claimed = min(self.claimed_descriptors, whole // 2) if unseen else self.claimed_descriptors
+    def _grow(self, now_ns: int, total_descriptors: int, free: int) -> None:
+        """Take the claimed descriptors that are still free, and claim all free ones."""
+        failed_ns = self.write_failed_ns
+        claimed = self.claimed_descriptors
+        if failed_ns is not None and now_ns - failed_ns < UNSEEN_AFTER_FAILURE_NS:
+            claimed = min(claimed, total_descriptors // 2)
         self.max_descriptors = min(max(self.max_descriptors, claimed), free)
         self.claimed_descriptors = free
 
     def wrote_heartbeat(self, now_ns: int, written: bool) -> None:
-        """Take whether its heartbeat could be written just now."""
+        """Note whether the heartbeat could be written."""
         self.heartbeat_written = written
         if not written:
             self.write_failed_ns = now_ns
 
-    def hold(self, max_descriptors: int) -> None:
-        """Begin with descriptors in use: this process has served before it could show itself."""
+    def start_with(self, max_descriptors: int) -> None:
+        """Start with descriptors in use, as a process that served before it could write heartbeats."""
         self.max_descriptors = self.claimed_descriptors = max_descriptors
 
     def on_serving(self) -> None:
-        """Take clients from now on."""
-        self._go(HotRestartEvent.MAY_SERVE)
+        """Note that this process accepts clients."""
+        self._apply(HotRestartEvent.MAY_SERVE)
 
-    def on_end(self) -> None:
-        """Begin the graceful shutdown. One that has not served yet never will, and claims nothing."""
+    def on_shutdown(self) -> None:
+        """Note the graceful shutdown. A process that has not served yet never will, and claims nothing."""
         if self.state is HotRestartState.STARTING:
             self.max_descriptors = self.claimed_descriptors = 0
-        self._go(HotRestartEvent.TO_END)
+        self._apply(HotRestartEvent.SHUTDOWN)
 
-    def _go(self, event: HotRestartEvent) -> None:
-        self.state = TABLE.get((self.state, event), self.state)
+    def _apply(self, event: HotRestartEvent) -> None:
+        self.state = TRANSITIONS.get((self.state, event), self.state)
--- a/dykefold/control/listener_selection.py
+++ b/dykefold/control/listener_selection.py
@@ -1,12 +1,11 @@
-"""Has the kernel give new connections to the newest process that shares the clients' address."""
+"""Makes the kernel give new connections to the newest of the processes that share the clients' address."""
 
 from __future__ import annotations
 
 import logging
 import socket
-from collections.abc import Iterable
+from collections.abc import Callable, Iterable
 
-from ..net.sidecar import SidecarServer
 from .hot_restart_state import ProcessHeartbeat
 from .reuseport_group import ReuseportGroup
 
@@ -14,39 +13,42 @@
 
 
 class ListenerSelection:
-    """The listener of this process in its reuseport group."""
+    """The listener of this process in its reuseport group.
 
-    def __init__(self, sidecar: SidecarServer) -> None:
-        """Prepare for a process that does not listen yet."""
-        self.sidecar = sidecar
-        self.sock: socket.socket | None = None  # that clients connect to
+    Args:
+        has_listener: Whether this process listens for clients at the time of the call.
+    """
+
+    def __init__(self, has_listener: Callable[[], bool]) -> None:
+        self.has_listener = has_listener
+        self.sock: socket.socket | None = None  # listening socket for clients
         self.group = ReuseportGroup()
-        self.accepted = True  # the kernel took the last filter; else its refusal has been logged
+        self.filter_accepted = True  # a refusal is logged only after an acceptance
 
     @property
     def listener_index(self) -> int | None:
-        """The index of the own listener in the group; None while it has none, or it is not known."""
-        return self.group.index if self.sidecar.listener is not None else None
+        """Index of this process's listener in the group; None without a listener or with an unknown index."""
+        return self.group.index if self.has_listener() else None
 
     def join(self, sock: socket.socket, others: Iterable[ProcessHeartbeat]) -> None:
-        """Take a socket that has just begun to listen, after those of all these processes."""
+        """Add a socket that has just begun to listen, after the listeners of the other processes."""
         self.sock = sock
         self.group.join(_indexes(others))
 
     def update(self, leads: bool, others: Iterable[ProcessHeartbeat]) -> None:
-        """Have new connections come to this process, while they could come to another one as well.
+        """Direct new connections to this process while others listen at the same address.
 
-        It is done at each look: a process that led meanwhile has turned them to itself.
+        Each observation calls this, since a process that led meanwhile has directed connections to itself.
 
         Args:
-            leads: whether new clients should come to this process.
-            others: the other processes that live.
+            leads: Whether new clients should come to this process.
+            others: Heartbeats of the other live processes.
         """
         indexes = _indexes(others)
         index = self.group.update(indexes)
-        if self.sock is None or self.sidecar.listener is None or not leads or not indexes:
+        if self.sock is None or not self.has_listener() or not leads or not indexes:
             return
-        # Imported here, since a process that takes over from nobody does not need ctypes.
+        # Imported here, since a process without others does not need ctypes.
         from .reuseport_filter import select_by_hash, select_listener
 
         try:
@@ -55,11 +57,11 @@
             else:
                 select_listener(self.sock, index)
         except OSError as error:
-            if self.accepted:
+            if self.filter_accepted:
                 log.warning("kernel refused reuseport filter: %s", error.strerror)
-            self.accepted = False
+            self.filter_accepted = False
         else:
-            self.accepted = True
+            self.filter_accepted = True
 
 
 def _indexes(others: Iterable[ProcessHeartbeat]) -> dict[str, int]:
--- a/dykefold/control/maintenance_records.py
+++ b/dykefold/control/maintenance_records.py
@@ -1,12 +1,12 @@
-"""Keeps maintenance orders in records that outlast this process and the machine."""
+"""Stores maintenance orders in records that survive this process and a crash of the machine."""
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable, Mapping
+from collections.abc import Callable, Collection, Iterable, Mapping
 from dataclasses import dataclass
 
 from ..net.service.maintenance import MaintenanceOrder
-from ..net.sidecar import SidecarServer
+from ..net.service.pool import Pool
 from .background_writer import OnWritten, Submit, write_at_once
 from .process_records import (
     ClockReading,
@@ -20,118 +20,119 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AwaitedOrders:
-    """Orders that are to stand in a record that lasts.
+class PendingOrders:
+    """Orders that are to be recorded.
 
     Attributes:
-        orders: those that the pools do not know yet, by endpoint name.
-        on_kept: is told whether all orders, these among them, stand there.
+        orders: Orders that the pools do not know yet, by endpoint name.
+        on_recorded: Callback that is notified whether all orders, with these, are in a durable record.
     """
 
     orders: Mapping[str, MaintenanceOrder]
-    on_kept: OnWritten
+    on_recorded: OnWritten
 
 
 class MaintenanceRecords:
-    """The record of this process, and what those of others say.
+    """The maintenance orders in the record of this process and in those of the others.
 
     Args:
-        sidecar: whose maintenance orders are kept.
-        directory: that the processes share.
-        name: of this process.
-        read_clock: reads the clock of this process, on which its orders have their times.
+        pools: Pools whose maintenance orders are recorded; the collection changes with them.
+        directory: State directory that the processes of the sidecar share.
+        name: Name of this process.
+        read_clock: Reads the clock of this process; the times of its orders are on this clock.
     """
 
     def __init__(
         self,
-        sidecar: SidecarServer,
+        pools: Collection[Pool],
         directory: StateDirectory,
         name: str,
         read_clock: Callable[[], ClockReading],
     ) -> None:
-        self.sidecar = sidecar
+        self.pools = pools
         self.directory = directory
         self.read_clock = read_clock
         self.record_name = RecordKind.MAINTENANCE.of_process(name)
-        self.recorded: dict[str, MaintenanceOrder] = {}  # the orders that stand in a record that lasts
-        self.submit: Submit = write_at_once  # how what waits for the disk is run
-        self.writing: list[AwaitedOrders] | None = None  # awaited of the write that goes on; None: none does
-        self.awaited: list[AwaitedOrders] = []  # ... and of the next one
+        self.recorded: dict[str, MaintenanceOrder] = {}  # orders in the last durable record
+        self.submit: Submit = write_at_once
+        self.being_written: list[PendingOrders] | None = None  # None while no write is in progress
+        self.pending: list[PendingOrders] = []  # orders for the next write
 
     def orders(self) -> dict[str, MaintenanceOrder]:
         """Return the orders that this process knows, by endpoint name."""
         orders: dict[str, MaintenanceOrder] = {}
-        for pool in self.sidecar.pools:
+        for pool in self.pools:
             orders |= pool.maintenance.orders
         return orders
 
     def write(self) -> bool:
-        """Write all orders to a record that lasts, if it lacks any; False if it may still lack some."""
-        if self.writing is None and self._wanted() != self.recorded:
-            self._begin_writing()
+        """Write all orders to a durable record if it lacks any; return whether it has all of them now."""
+        if self.being_written is None and self._wanted() != self.recorded:
+            self._start_writing()
         return self._wanted() == self.recorded
 
-    def keep(self, orders: Mapping[str, MaintenanceOrder], on_kept: OnWritten) -> None:
-        """Write all orders to a record that lasts.
+    def record(self, orders: Mapping[str, MaintenanceOrder], on_recorded: OnWritten) -> None:
+        """Write all orders to a durable record.
 
         Args:
-            orders: by endpoint name, in place of those that the pools know.
-            on_kept: is told whether all stand there; at once, if they do.
+            orders: New orders by endpoint name, which override those of the pools.
+            on_recorded: Callback that is notified whether all are recorded; at once if they already are.
         """
-        self.awaited.append(AwaitedOrders(orders, on_kept))
-        if self.writing is None:
-            self._begin_writing()
+        self.pending.append(PendingOrders(orders, on_recorded))
+        if self.being_written is None:
+            self._start_writing()
 
     def _wanted(self) -> dict[str, MaintenanceOrder]:
-        """Return what is to stand in the record: the pools' orders, and those that are awaited."""
+        """Return the orders that the record should have: those of the pools, and the pending ones."""
         wanted = self.orders()
-        for awaited in (*(self.writing or ()), *self.awaited):
-            wanted |= awaited.orders
+        for pending in (*(self.being_written or ()), *self.pending):
+            wanted |= pending.orders
         return wanted
 
-    def _begin_writing(self) -> None:
-        # One write at a time: the last one that is begun has the latest orders.
-        self.writing, self.awaited = self.awaited, []
+    def _start_writing(self) -> None:
+        # One write at a time, so that the last write to finish has the latest orders.
+        self.being_written, self.pending = self.pending, []
         orders = self._wanted()
         if orders == self.recorded:
-            self._end_writing(orders, written=True)
+            self._finish_writing(orders, written=True)
             return
         record = {**maintenance_record(orders), "clock": self.read_clock().to_record()}
         self.submit(
             lambda: self.directory.write(self.record_name, record, durable=True),
-            lambda written: self._end_writing(orders, written),
+            lambda written: self._finish_writing(orders, written),
         )
 
-    def _end_writing(self, orders: dict[str, MaintenanceOrder], written: bool) -> None:
-        kept, self.writing = self.writing or [], None
+    def _finish_writing(self, orders: dict[str, MaintenanceOrder], written: bool) -> None:
+        finished, self.being_written = self.being_written or [], None
         if written:
             self.recorded = orders
-        for awaited in kept:
-            awaited.on_kept(written)
-        if self.awaited and self.writing is None:
-            self._begin_writing()
+        for pending in finished:
+            pending.on_recorded(written)
+        # A callback may have started the next write.
+        if self.pending and self.being_written is None:
+            self._start_writing()
 
     def check(self, records: Mapping[str, Record]) -> bool:
-        """Notice that the record was removed or damaged, so that it is written again.
+        """Find out whether the record of this process was removed or damaged, so that it is written anew.
 
         Args:
-            records: all that were just read, by name.
+            records: All records that were just read, by name.
 
         Returns:
-            Whether all orders stand in it.
+            Whether the record has all orders.
         """
         if self.recorded and parse_maintenance_orders(records.get(self.record_name, {})) != self.recorded:
             self.recorded = {}
         return self.recorded == self.orders()
 
     def merge(self, record: Record) -> None:
-        """Take the orders that another process wrote."""
+        """Apply the orders in the record of another process."""
         orders = orders_on_clock(record, self.read_clock())
-        for pool in self.sidecar.pools:
+        for pool in self.pools:
             pool.merge_maintenance(orders)
 
-    def stand_with_others(self, processes: Iterable[str]) -> bool:
-        """Whether all orders that this process knows stand in records of these other processes."""
+    def recorded_by_others(self, processes: Iterable[str]) -> bool:
+        """Whether the records of these other processes have all orders that this process knows."""
         records = self.directory.read_all(RecordKind.MAINTENANCE.prefix)
         clock = self.read_clock()
         latest: dict[str, MaintenanceOrder] = {}
--- a/dykefold/control/process_lifecycle.py
+++ b/dykefold/control/process_lifecycle.py
@@ -118,7 +118,7 @@
         self.hot_restart = self._share(directory)
         self.hot_restart.join()
         if self.admin_operations is not None:
-            self.admin_operations.keep_orders_in(self.hot_restart)
+            self.admin_operations.use_order_store(self.hot_restart)
 
     def drain(self) -> None:
         """Begin the graceful shutdown."""
@@ -133,8 +133,8 @@
         if self.hot_restart is None:
             return
         written: asyncio.Future[bool] = self.loop.create_future()
-        self.hot_restart.maintenance.keep(
-            {}, lambda kept: None if written.done() else written.set_result(kept)
+        self.hot_restart.maintenance.record(
+            {}, lambda recorded: None if written.done() else written.set_result(recorded)
         )
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(written, MAX_LAST_WRITE_S)
--- a/dykefold/control/record_cleanup.py
+++ b/dykefold/control/record_cleanup.py
@@ -1,4 +1,4 @@
-"""Removes the records that processes left which are gone."""
+"""Removes the records of dead processes."""
 
 from __future__ import annotations
 
@@ -9,15 +9,21 @@
 from .state_directory import StateDirectory
 
 
-def gone_processes(heartbeats: Iterable[ProcessHeartbeat], alive: Collection[str], born_ns: int) -> list[str]:
-    """Return the names of processes that are gone and have not shown themselves since a moment.
+def dead_processes(
+    heartbeats: Iterable[ProcessHeartbeat], alive: Collection[str], since_ns: int
+) -> list[str]:
+    """Return the names of dead processes that have written no heartbeat since a given time.
 
     Args:
-        heartbeats: all that stand in the state directory.
-        alive: names of processes that live.
-        born_ns: the moment, monotonic: the start of the process that asks.
+        heartbeats: All heartbeats in the state directory.
+        alive: Names of the live processes.
+        since_ns: Time on the monotonic clock from which a heartbeat protects the records of its process.
     """
-    return [beat.name for beat in heartbeats if beat.name not in alive and beat.beat_ns < born_ns]
+    return [
+        heartbeat.name
+        for heartbeat in heartbeats
+        if heartbeat.name not in alive and heartbeat.beat_ns < since_ns
+    ]
 
 
 def remove_records(directory: StateDirectory, process: str) -> None:
--- a/dykefold/control/snapshot_transfer.py
+++ b/dykefold/control/snapshot_transfer.py
@@ -1,13 +1,13 @@
-"""Hands the balancers' estimates of an older process to the newer one that takes over from it."""
+"""Transfers the estimates of the balancers from an older process to the newer one."""
 
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Collection, Iterable
 
-from ..net.sidecar import SidecarServer
+from ..net.service.pool import Pool
 from .balancer_snapshot import restore, snapshot
-from .hot_restart_state import ROOM_WAIT_NS, HotRestartState, ProcessHeartbeat
+from .hot_restart_state import MAX_CAPACITY_WAIT_NS, HotRestartState, ProcessHeartbeat
 from .process_records import ClockReading, RecordKind, nested_table, shift_between_clocks
 from .state_directory import StateDirectory
 
@@ -15,34 +15,34 @@
 
 
 class SnapshotTransfer:
-    """One process's side of it: it writes its own snapshot and reads that of the process before it.
+    """Writes the snapshot of this process, and restores that of the latest older process.
 
     Args:
-        sidecar: whose balancers are written and restored.
-        directory: that the processes share.
-        name: of this process.
-        born_ns: when this process started, monotonic.
-        read_clock: reads the clock of this process, which times in its snapshot are on.
+        pools: Pools whose balancers are written and restored; the collection changes with them.
+        directory: State directory that the processes of the sidecar share.
+        name: Name of this process.
+        born_ns: Start of this process on the monotonic clock.
+        read_clock: Reads the clock of this process; times in its snapshot are on this clock.
     """
 
     def __init__(
         self,
-        sidecar: SidecarServer,
+        pools: Collection[Pool],
         directory: StateDirectory,
         name: str,
         born_ns: int,
         read_clock: Callable[[], ClockReading],
     ) -> None:
-        self.sidecar = sidecar
+        self.pools = pools
         self.directory = directory
         self.name = name
         self.born_ns = born_ns
         self.read_clock = read_clock
-        self.retry_needed = False  # a newer process waits for the snapshot, which could not be written
+        self.retry_needed = False  # a newer process waits for a snapshot whose write has failed
 
     def write(self, others: Iterable[ProcessHeartbeat]) -> None:
-        """Write what this process believes; if that fails and a newer one waits, it is to be retried."""
-        pools = {pool.label: snapshot(pool.balancer, pool.names) for pool in self.sidecar.pools}
+        """Write the snapshot; `retry_needed` is set if the write fails while a newer process waits for it."""
+        pools = {pool.label: snapshot(pool.balancer, pool.names) for pool in self.pools}
         record = {"pools": pools, "clock": self.read_clock().to_record()}
         written = self.directory.write(RecordKind.SNAPSHOT.of_process(self.name), record)
         awaited = any(
@@ -51,26 +51,26 @@
         self.retry_needed = awaited and not written
 
     def is_ready(self, others: Iterable[ProcessHeartbeat]) -> bool:
-        """Whether there is no snapshot to wait for, or none any longer."""
+        """Whether a starting process need not wait for a snapshot any longer."""
         older = self._latest_older(others)
         return (
             older is None
-            or self.read_clock().monotonic_ns - self.born_ns >= ROOM_WAIT_NS
+            or self.read_clock().monotonic_ns - self.born_ns >= MAX_CAPACITY_WAIT_NS
             or self.directory.read(RecordKind.SNAPSHOT.of_process(older.name)) is not None
         )
 
     def restore(self, others: Iterable[ProcessHeartbeat]) -> None:
-        """Begin with what the latest older process believed, if there is one, so as not to begin blind."""
+        """Restore the snapshot of the latest older process, if there is one."""
         older = self._latest_older(others)
         if older is None:
             return
         record = self.directory.read(RecordKind.SNAPSHOT.of_process(older.name))
-        known = nested_table(record, "pools")
+        snapshots = nested_table(record, "pools")
         shift_ns = shift_between_clocks(record, self.read_clock())
-        for pool in self.sidecar.pools:
-            if pool.label not in known:
+        for pool in self.pools:
+            if pool.label not in snapshots:
                 continue
-            if shift_ns is None or not restore(pool.balancer, pool.names, known[pool.label], shift_ns):
+            if shift_ns is None or not restore(pool.balancer, pool.names, snapshots[pool.label], shift_ns):
                 log.warning("process ignores balancer snapshot: process %s", older.name)
 
     def _latest_older(self, others: Iterable[ProcessHeartbeat]) -> ProcessHeartbeat | None:
--- a/dykefold/sim/upgrades.py
+++ b/dykefold/sim/upgrades.py
@@ -12,18 +12,18 @@
 from enum import IntEnum
 
 from ..control.hot_restart_state import (
-    LEADING,
-    ROOM_WAIT_NS,
-    SERVING,
-    STALE_NS,
+    LEADING_STATES,
+    MAX_CAPACITY_WAIT_NS,
+    MAX_HEARTBEAT_AGE_NS,
+    SERVING_STATES,
     HotRestartMachine,
     HotRestartState,
     ProcessHeartbeat,
 )
 
 UNIT_NS = 750_000_000
-STALE = -(-STALE_NS // UNIT_NS)  # units until a heartbeat is stale
-CAPACITY_WAIT = -(-ROOM_WAIT_NS // UNIT_NS)  # units for which a process waits for capacity
+STALE = -(-MAX_HEARTBEAT_AGE_NS // UNIT_NS)  # units until a heartbeat is stale
+CAPACITY_WAIT = -(-MAX_CAPACITY_WAIT_NS // UNIT_NS)  # units for which a process waits for capacity
 SETTLE = STALE + 4  # units after the last event in which heartbeats go stale, and claims are seen and taken
 NOW_NS = 100 * UNIT_NS
 ALL_DESCRIPTORS = 100
@@ -201,7 +201,7 @@
 
     def _tell_to_end(self, sidecar: Sidecar, number: int) -> Sidecar:
         machine = self._machine(number, sidecar.processes[number])
-        machine.on_end()
+        machine.on_shutdown()
         ending = replace(
             sidecar.processes[number],
             state=machine.state,
@@ -217,7 +217,7 @@
         heartbeats = list(self._heartbeats(sidecar))
         living = [heartbeat.name for heartbeat in heartbeats] if self.locks else []
         machine = self._machine(number, process)
-        view = machine.look(NOW_NS, heartbeats, ALL_DESCRIPTORS, self.held, living)
+        view = machine.observe(NOW_NS, heartbeats, ALL_DESCRIPTORS, self.held, living)
         starting = machine.state is HotRestartState.STARTING
         if starting and view.may_serve:
             machine.on_serving()
@@ -291,7 +291,9 @@
 
 
 def _able_to_serve(sidecar: Sidecar) -> list[Process]:
-    return [process for process in sidecar.processes if process.is_running and process.state in SERVING]
+    return [
+        process for process in sidecar.processes if process.is_running and process.state in SERVING_STATES
+    ]
 
 
 def _check_descriptors(sidecar: Sidecar) -> str | None:
@@ -317,7 +319,7 @@
     if sidecar.quiet < SETTLE:
         return None
     able = _able_to_serve(sidecar)
-    leading = [process for process in able if process.state in LEADING]
+    leading = [process for process in able if process.state in LEADING_STATES]
     if able and not leading:
         return "nobody takes what is new"
     if len(leading) > 1:
@@ -332,7 +334,7 @@
     if sidecar.quiet < SETTLE:
         return None
     living = [process for process in sidecar.processes if process.is_living]
-    leading = [process for process in _able_to_serve(sidecar) if process.state in LEADING]
+    leading = [process for process in _able_to_serve(sidecar) if process.state in LEADING_STATES]
     if not leading or living[-1] is not leading[0] or not all(process.is_running for process in living):
         return None
     count = leading[0].max_descriptors
--- a/tests/control/hot_restart_rig.py
+++ b/tests/control/hot_restart_rig.py
@@ -10,8 +10,8 @@
 from dykefold.control.admin_operations import AdminOperations
 from dykefold.control.admin_requests import Action, AdminRequest
 from dykefold.control.balancer_snapshot import snapshot
-from dykefold.control.hot_restart import LOOK_S, HotRestart
-from dykefold.control.hot_restart_state import LOOK_NS
+from dykefold.control.hot_restart import OBSERVATION_INTERVAL_S, HotRestart
+from dykefold.control.hot_restart_state import OBSERVATION_INTERVAL_NS
 from dykefold.control.state_directory import FileStateDirectory
 from dykefold.net.clock import Clock
 from dykefold.net.discovery.codec import EndpointRecord, NameTable
@@ -32,7 +32,7 @@
     def time_ns(self):
         return self.wall_ns
 
-    def passes(self, span_ns=LOOK_NS):
+    def passes(self, span_ns=OBSERVATION_INTERVAL_NS):
         self.mono_ns += span_ns
         self.wall_ns += span_ns
 
@@ -122,8 +122,8 @@
         async def wait():
             room = asyncio.ensure_future(self.upgrade.wait_for_capacity())
             while not room.done():
-                await asyncio.sleep(LOOK_S / 4)  # as often as it looks itself
-                self.machine.passes(LOOK_NS // 4)
+                await asyncio.sleep(OBSERVATION_INTERVAL_S / 4)  # as often as it looks itself
+                self.machine.passes(OBSERVATION_INTERVAL_NS // 4)
                 for one in older:
                     one.tick()
             await room
--- a/tests/control/test_hot_restart_orders.py
+++ b/tests/control/test_hot_restart_orders.py
@@ -34,9 +34,9 @@
 class Grasping(handover.HotRestartMachine):
     """It makes no room for a newer one."""
 
-    def look(self, now_ns, signs, whole, held, living=()):
+    def observe(self, now_ns, signs, whole, held, living=()):
         most = self.max_descriptors
-        view = super().look(now_ns, signs, whole, held, living)
+        view = super().observe(now_ns, signs, whole, held, living)
         self.max_descriptors = max(self.max_descriptors, most)
         return view
 
@@ -53,7 +53,7 @@
         (
             "one that ends comes back",
             lambda patch: patch.setitem(
-                handover.TABLE,
+                handover.TRANSITIONS,
                 (handover.HotRestartState.ENDING, handover.HotRestartEvent.NEWER_MUTE),
                 handover.HotRestartState.TAKING,
             ),
@@ -61,7 +61,7 @@
         (
             "a newer one that is mute keeps the clients",
             lambda patch: patch.delitem(
-                handover.TABLE, (handover.HotRestartState.HANDING, handover.HotRestartEvent.NEWER_MUTE)
+                handover.TRANSITIONS, (handover.HotRestartState.HANDING, handover.HotRestartEvent.NEWER_MUTE)
             ),
         ),
         (
--- a/tests/control/test_hot_restart_records.py
+++ b/tests/control/test_hot_restart_records.py
@@ -9,7 +9,7 @@
 
 from dykefold.control.balancer_snapshot import restore
 from dykefold.control.file_system import FileSystem
-from dykefold.control.hot_restart_state import LOOK_NS, ROOM_WAIT_NS
+from dykefold.control.hot_restart_state import MAX_CAPACITY_WAIT_NS, OBSERVATION_INTERVAL_NS
 from dykefold.control.process_records import parse_heartbeat, parse_maintenance_orders
 
 HOUR_NS = 3_600 * 10**9
@@ -50,7 +50,7 @@
     new = Member(tmp_path, machine)
     born_ns = machine.mono_ns
     new.start(old)
-    assert machine.mono_ns - born_ns <= ROOM_WAIT_NS + 3 * LOOK_NS
+    assert machine.mono_ns - born_ns <= MAX_CAPACITY_WAIT_NS + 3 * OBSERVATION_INTERVAL_NS
 
 
 def test_an_order_that_came_just_before_the_end_is_not_taken_away_with_the_record_of_it(tmp_path, machine):
--- a/tests/control/test_hot_restart_state.py
+++ b/tests/control/test_hot_restart_state.py
@@ -10,11 +10,11 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from dykefold.control.hot_restart_state import (
-    LOOK_NS,
+    MAX_CAPACITY_WAIT_NS,
+    MAX_HEARTBEAT_AGE_NS,
     MS,
-    ROOM_WAIT_NS,
-    STALE_NS,
-    TABLE,
+    OBSERVATION_INTERVAL_NS,
+    TRANSITIONS,
     HotRestartEvent,
     HotRestartMachine,
     HotRestartState,
@@ -32,7 +32,7 @@
 
 
 class Life:
-    """A process of a sidecar: it looks every `LOOK_NS` and shows itself as the edge does."""
+    """A process of a sidecar: it looks every `OBSERVATION_INTERVAL_NS` and shows itself as the edge does."""
 
     def __init__(self, number, now):
         self.handover = HotRestartMachine(f"p{number}", now)
@@ -53,7 +53,7 @@
             self.handover.claimed_descriptors,
             self.handover.state is HotRestartState.STARTING,
         )
-        self.view = self.handover.look(now, signs, WHOLE, self.held)
+        self.view = self.handover.observe(now, signs, WHOLE, self.held)
         if self.starting and self.view.may_serve:
             self.handover.on_serving()
             self.parts = self.view.process_count
@@ -70,7 +70,7 @@
 
 def play(lives, now, steps):
     for _ in range(steps):
-        now += LOOK_NS
+        now += OBSERVATION_INTERVAL_NS
         for life in lives:
             life.look(now, lives)
     return now
@@ -97,18 +97,18 @@
         WHOLE - 250,
     )  # its clients keep their connections
     now = play(lives, now, 1)
-    assert old.handover.state is HotRestartState.HANDING and old.view.newer_takes
+    assert old.handover.state is HotRestartState.HANDING and old.view.newer_serves
     old.held = 80
     now = play(lives, now, 2)
     assert (old.view.max_descriptors, new.view.max_descriptors) == (80, WHOLE - 80)
     old.held = 200
     now = play(lives, now, 2)
     assert old.view.max_descriptors == 80  # what it gave away it does not take back
-    old.handover.on_end()
+    old.handover.on_shutdown()
     now = play(lives, now, 3)
     assert old.handover.state is HotRestartState.ENDING
     old.alive = False
-    play(lives, now, STALE_NS // LOOK_NS + 2)
+    play(lives, now, MAX_HEARTBEAT_AGE_NS // OBSERVATION_INTERVAL_NS + 2)
     assert new.parts == 1 and new.handover.state is HotRestartState.TAKING
 
 
@@ -117,7 +117,7 @@
     lives[0].look(now, lives)
     assert lives[0].handover.state is HotRestartState.SHARING and lives[0].parts == 2
     lives[1].alive = False
-    play(lives, now, STALE_NS // LOOK_NS + 2)
+    play(lives, now, MAX_HEARTBEAT_AGE_NS // OBSERVATION_INTERVAL_NS + 2)
     assert lives[0].handover.state is HotRestartState.TAKING and lives[0].parts == 1
 
 
@@ -126,14 +126,14 @@
     now = play(lives, now, 3)
     assert lives[0].handover.state is HotRestartState.HANDING
     lives[1].alive = False
-    play(lives, now, STALE_NS // LOOK_NS + 2)
-    assert lives[0].handover.state is HotRestartState.TAKING and not lives[0].view.newer_takes
+    play(lives, now, MAX_HEARTBEAT_AGE_NS // OBSERVATION_INTERVAL_NS + 2)
+    assert lives[0].handover.state is HotRestartState.TAKING and not lives[0].view.newer_serves
 
 
 def test_an_old_one_that_was_killed_is_not_waited_for_long():
     lives, now = upgraded()
     lives[0].alive = False
-    play(lives, now, ROOM_WAIT_NS // LOOK_NS + 1)
+    play(lives, now, MAX_CAPACITY_WAIT_NS // OBSERVATION_INTERVAL_NS + 1)
     assert lives[1].parts == 1 and lives[1].handover.state is HotRestartState.TAKING
 
 
@@ -142,7 +142,7 @@
     lives.append(Life(2, now + 1))
     now = play(lives, now, 4)
     assert [life.parts for life in lives] == [3, 3, 3]
-    assert lives[0].view.newer_takes and lives[1].view.newer_takes and not lives[2].view.newer_takes
+    assert lives[0].view.newer_serves and lives[1].view.newer_serves and not lives[2].view.newer_serves
 
 
 def test_one_that_stands_still_before_it_shows_its_claim_takes_nothing_of_it():
@@ -151,12 +151,12 @@
     one.read(MS, [])  # nobody else is there yet; now it is stopped
     now = MS
     while other.parts is None:
-        now += LOOK_NS
+        now += OBSERVATION_INTERVAL_NS
         other.look(now, [one, other])
     assert other.view.max_descriptors == WHOLE
     one.show(now)
     for _ in range(6):  # it goes on
-        now += LOOK_NS
+        now += OBSERVATION_INTERVAL_NS
         for life in (one, other):
             life.look(now, [one, other])
             assert one.view.max_descriptors + other.view.max_descriptors <= WHOLE
@@ -168,7 +168,7 @@
 
 def test_one_that_ends_never_takes_again():
     assert all(
-        TABLE.get((HotRestartState.ENDING, event), HotRestartState.ENDING) is HotRestartState.ENDING
+        TRANSITIONS.get((HotRestartState.ENDING, event), HotRestartState.ENDING) is HotRestartState.ENDING
         for event in HotRestartEvent
     )
 
@@ -182,12 +182,14 @@
         self.lives = [Life(0, 0)]
         self.number = 1
         play(self.lives, 0, 10)
-        self.now = 10 * LOOK_NS
+        self.now = 10 * OBSERVATION_INTERVAL_NS
 
     @rule()
     def starts(self):
         gone = [
-            life for life in self.lives if not life.alive and self.now - life.shown.beat_ns > 9 * STALE_NS
+            life
+            for life in self.lives
+            if not life.alive and self.now - life.shown.beat_ns > 9 * MAX_HEARTBEAT_AGE_NS
         ]
         self.lives = [life for life in self.lives if life not in gone]
         if len(self.lives) < 6:
@@ -202,7 +204,7 @@
     @rule(which=st.integers(0, 9))
     def ends(self, which):
         if self.lives:
-            self.lives[which % len(self.lives)].handover.on_end()
+            self.lives[which % len(self.lives)].handover.on_shutdown()
 
     @rule(which=st.integers(0, 9), held=st.integers(0, WHOLE))
     def holds(self, which, held):
@@ -306,15 +308,15 @@
 def test_who_can_not_show_its_claim_takes_half_until_it_has_shown_it_for_a_while():
     one, other = HotRestartMachine("a", 0), HotRestartMachine("b", 1)
     views = {}
-    for now in range(0, 2 * ROOM_WAIT_NS, LOOK_NS):
+    for now in range(0, 2 * MAX_CAPACITY_WAIT_NS, OBSERVATION_INTERVAL_NS):
         for handover in (one, other):
-            views[handover.name] = handover.look(now, [], WHOLE, 0)
+            views[handover.name] = handover.observe(now, [], WHOLE, 0)
             handover.wrote_heartbeat(now, False)
     assert [view.max_descriptors for view in views.values()] == [WHOLE // 2] * 2
     last = now
     one.wrote_heartbeat(now + 1, True)
-    assert one.look(last + LOOK_NS, [], WHOLE, 0).max_descriptors == WHOLE // 2
-    assert one.look(last + 5 * LOOK_NS, [], WHOLE, 0).max_descriptors == WHOLE
+    assert one.observe(last + OBSERVATION_INTERVAL_NS, [], WHOLE, 0).max_descriptors == WHOLE // 2
+    assert one.observe(last + 5 * OBSERVATION_INTERVAL_NS, [], WHOLE, 0).max_descriptors == WHOLE
 
 
 def test_locks_tell_who_lives_and_one_that_can_not_be_had_leaves_nothing(tmp_path, monkeypatch):
--- a/tests/control/test_state_directory.py
+++ b/tests/control/test_state_directory.py
@@ -92,8 +92,8 @@
 @pytest.mark.parametrize("span", [1, 5])
 @pytest.mark.parametrize("fault", [errno.ENOSPC, errno.EIO, "short"])
 def test_whichever_file_call_fails_no_order_that_was_said_to_hold_is_lost(tmp_path, fault, span, monkeypatch):
-    monkeypatch.setattr("dykefold.control.hot_restart.LOOK_S", 0.004)
-    monkeypatch.setattr("hot_restart_rig.LOOK_S", 0.004)
+    monkeypatch.setattr("dykefold.control.hot_restart.OBSERVATION_INTERVAL_S", 0.004)
+    monkeypatch.setattr("hot_restart_rig.OBSERVATION_INTERVAL_S", 0.004)
     for at in range(1, CALLS_MOST, span):
         (tmp_path / str(at)).mkdir()
         files = FailingCalls(fault, at, span)
--- a/tests/sim/mutants.py
+++ b/tests/sim/mutants.py
@@ -148,8 +148,8 @@
     Mutant(
         "whoever lives is not asked for its lock",
         "control/hot_restart.py",
-        "beat.name: self.directory.is_alive(name)",
-        "beat.name: None",
+        "heartbeat.name: self.directory.is_alive(name)",
+        "heartbeat.name: None",
         "upgrade",
     ),
     Mutant(
