--- a/dykefold/__main__.py
+++ b/dykefold/__main__.py
@@ -139,7 +139,7 @@
     gc.collect()
     gc.freeze()
     gc.set_threshold(20_000, 20, 50)
-    log.info("%s listens at %s:%d", name, *address)
+    log.info("sidecar accepts clients: name=%s address=%s:%d", name, *address)
     await sidecar.stopped
     if features is not None:
         features.leave()
--- a/dykefold/control/process_lifecycle.py
+++ b/dykefold/control/process_lifecycle.py
@@ -86,7 +86,7 @@
         queue = AdminQueue(self.loop, self.admin_operations)
         self.admin_server = AdminServer(self.loop, sock, queue)
         # The fleet laboratory and tests read the address from this line.
-        log.info("the door is at %s:%d", *self.admin_server.address)
+        log.info("admin API listens: address=%s:%d", *self.admin_server.address)
         if self.hot_restart is not None:
             await self.hot_restart.wait_for_capacity()
         return not self.sidecar.draining
--- a/dykefold/fleet_wiring.py
+++ b/dykefold/fleet_wiring.py
@@ -158,7 +158,7 @@
     sock = socket.create_server(address, backlog=RESERVED_DESCRIPTORS, reuse_port=True)
     plan = failover.report if failover is not None else None
     server = AdminServer(loop, sock, MembershipAdmin(agent, plan), parse_request=parse_membership_request)
-    log.info("fleet membership is served at %s:%d", *server.address)
+    log.info("membership API listens: address=%s:%d", *server.address)
     return server
 
 
--- a/dykefold/lab/fleet/process.py
+++ b/dykefold/lab/fleet/process.py
@@ -14,9 +14,9 @@
 
 from .compiled_tree import compiled_tree
 
-LISTENS = re.compile(r"listens at ([\d.]+):(\d+)")
 # Of earlier versions too: a rig may play one beside the other.
-DOOR = re.compile(r"(?:the door is at|admin API listens on) ([\d.]+):(\d+)")
+LISTENS = re.compile(r"(?:listens at |accepts clients: name=.* address=)([\d.]+):(\d+)")
+DOOR = re.compile(r"(?:the door is at |admin API listens on |admin API listens: address=)([\d.]+):(\d+)")
 LINES_KEPT = 400  # of its log, the last ones
 START_S = 30.0  # until it listens: 200 of them start on few cores
 DESCRIPTORS_APART = 64  # that a process may have beyond what it was told: interpreter, loop, files it reads
--- a/dykefold/lab/fleet/upgrades.py
+++ b/dykefold/lab/fleet/upgrades.py
@@ -15,7 +15,7 @@
 from .desk import Desk, End, all_asked, playing
 from .judge import Ban, Excuse, Verdict, judge
 from .member import LOOPBACK, Member, entry, settings
-from .process import Process, call
+from .process import DOOR, Process, call
 
 QUICK = ServiceTable(kind="exponential", mean_ms=4.0)
 CLASSES = {
@@ -183,7 +183,7 @@
 
 async def new_killed_before_yes(it: World) -> None:
     new = await it.member.start()
-    await new.says("the door is at")
+    await new.says(DOOR.pattern)
     it.kill(new)
 
 
@@ -202,7 +202,7 @@
 
 async def new_stopped_before_yes(it: World) -> None:
     old, new = it.member.living[-1], await it.member.start()
-    await new.says("the door is at")
+    await new.says(DOOR.pattern)
     await it.stop(new)
     await it.says_yes(new)
     await it.end(old)
@@ -231,7 +231,7 @@
 
 async def old_told_to_end_before_yes(it: World) -> None:
     old, new = it.member.living[-1], await it.member.start()
-    await new.says("the door is at")
+    await new.says(DOOR.pattern)
     old.terminate()
     await it.says_yes(new)
     await it.end(old)
--- a/dykefold/lab/process.py
+++ b/dykefold/lab/process.py
@@ -13,7 +13,8 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-LISTENS = re.compile(rb"listens at [\d.]+:(\d+)")
+# The first form is that of earlier versions: `tree` may name a checkout of one.
+LISTENS = re.compile(rb"(?:listens at |accepts clients: name=.* address=)[\d.]+:(\d+)")
 LINES_KEPT = 50  # of its log: what it said last, if it ends before its time
 
 
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -90,7 +90,7 @@
                     return line["event"]
 
         async with asyncio.timeout(30):
-            port = int(re.search(r":(\d+)$", await line_with("listens at"))[1])
+            port = int(re.search(r":(\d+)$", await line_with("sidecar accepts clients: name="))[1])
             assert (await ask(port, b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")).code == 200
             path.write_text(good(first.port).replace('pool = "a"', 'pool = "b"'))
             process.send_signal(signal.SIGHUP)
--- a/tests/control/test_hot_restart_faults.py
+++ b/tests/control/test_hot_restart_faults.py
@@ -45,7 +45,7 @@
             if at == "before the new one starts":
                 await it.ban(old, "std-0")
             new = await it.member.start()
-            await new.says("the door is at")
+            await new.says("admin API listens: address=")
             if at == "before its yes":
                 await it.ban(new, "std-0")  # the door is open before clients are taken
             await it.says_yes(new)
@@ -69,7 +69,7 @@
             (old,) = it.member.living
             old.stop()
             new = await it.member.start()
-            await new.says("the door is at")
+            await new.says("admin API listens: address=")
             new.terminate()
             assert await new.ended() == 0 and new.address is None
             old.go_on()
@@ -230,7 +230,7 @@
     async def play():
         async with world(tmp_path) as it:
             new = await it.member.start()
-            await new.says("the door is at")
+            await new.says("admin API listens: address=")
             new.stop()
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(1.0):
--- a/tests/process_helpers.py
+++ b/tests/process_helpers.py
@@ -83,9 +83,9 @@
         while not self.port:
             line = await self.process.stderr.readline()
             assert line, "it ended before it listened"
-            if match := re.search(rb"listens at 127\.0\.0\.1:(\d+)", line):
+            if match := re.search(rb"sidecar accepts clients: name=.* address=127\.0\.0\.1:(\d+)", line):
                 self.port = int(match[1])
-            elif match := re.search(rb"the door is at 127\.0\.0\.1:(\d+)", line):
+            elif match := re.search(rb"admin API listens: address=127\.0\.0\.1:(\d+)", line):
                 self.door = int(match[1])
         self.log = asyncio.create_task(self.process.stderr.read())
         return self
