--- a/dykefold/__main__.py
+++ b/dykefold/__main__.py
@@ -39,103 +39,121 @@
 
 log = logging.getLogger("dykefold")
 
-FLEET_FEATURES = frozenset(("view", "calls", "failover"))  # of [fleet], on without an operator's file
+# Options of [fleet] and [failover] that the command line can enable without an operator's file.
+FLEET_FEATURES = frozenset(("view", "calls", "failover"))
 USAGE = "usage: python -m dykefold [[view] [calls] [failover] | check FILE | serve FILE]"
 USAGE_EXIT_CODE = 2
 
 
 def start_sidecar(loop: asyncio.AbstractEventLoop, config: Config) -> SidecarServer:
-    """Make the server of the platform's sidecar, with its one pool; it does not listen yet."""
-    admin_addresses = [config.control, config.fleet.listen if config.fleet.view else None]
+    """Make the server of the platform's sidecar with its one pool; the server does not listen yet."""
+    admin_addresses = [config.admin_address, config.fleet.listen if config.fleet.view else None]
     set_aside = ADMIN_DESCRIPTORS * sum(address is not None for address in admin_addresses)
-    sidecar = SidecarServer(loop, config.sockets, config.memory, config.caps, set_aside=set_aside)
+    sidecar = SidecarServer(
+        loop, config.max_descriptors, config.memory_bytes, config.address_limits, set_aside=set_aside
+    )
     sidecar.serve_one(
-        config.settings, config.transport, config.seed, config.discovery, config.names, config.known
+        config.settings,
+        config.transport,
+        config.seed,
+        config.discovery_address,
+        config.names,
+        config.initial_endpoints,
     )
     return sidecar
 
 
 class Reload:
-    """Applies the platform's file again, as a whole or not at all.
+    """Reads the platform's file again, and applies it as a whole or not at all.
 
     Args:
-        sidecar: is to follow the file.
-        config: what the process runs by.
-        path: of the platform's file.
-        service: path of the operator's file; None: there is none.
+        sidecar: Server to which the file is applied.
+        config: Configuration in use.
+        path: Path of the platform's file.
+        service_path: Path of the operator's file; None for no such file.
     """
 
-    def __init__(self, sidecar: SidecarServer, config: Config, path: str | None, service: str | None) -> None:
+    def __init__(
+        self, sidecar: SidecarServer, config: Config, path: str | None, service_path: str | None
+    ) -> None:
         self.sidecar = sidecar
         self.config = config
         self.path = path
-        self.service = service
+        self.service_path = service_path
         self.features: FleetFeatures | None = None
 
     def __call__(self) -> None:
-        """Read and apply the file; log why where it can't be applied."""
+        """Read and apply the file; log the problem if it can't be applied."""
         sidecar = self.sidecar
         try:
-            config = read_config(self.path, self.service, self.config)
-            # First what may be rejected, so that nothing else is half applied.
+            config = read_config(self.path, self.service_path, self.config)
+            # The settings may still be rejected, so they are applied before everything else.
             sidecar.change_settings(config.settings, config.transport)
         except (ConfigError, ValueError) as error:
+            # Operators' pages promise this text.
             log.warning("the configuration stays as it was: %s", error)
             return
         self.config = config
-        sidecar.memory_limit = config.memory
-        sidecar.change_limits(config.sockets, config.caps)
+        sidecar.memory_limit = config.memory_bytes
+        sidecar.change_limits(config.max_descriptors, config.address_limits)
         if sidecar.peers is not None:
-            sidecar.peers.change_addresses(config.settings.index, config.peers, config.peers_all)
+            sidecar.peers.change_addresses(
+                config.settings.index, config.peer_addresses, config.broadcast_address
+            )
         if self.features is not None:
             self.features.apply(config)
         if sidecar.pool.discovery is not None:
-            sidecar.pool.discovery.change_address(config.discovery)
+            sidecar.pool.discovery.change_address(config.discovery_address)
 
 
-async def run(config: Config, path: str | None, service: str | None) -> None:
+async def run(config: Config, path: str | None, service_path: str | None) -> None:
     """Serve as the platform's sidecar until the graceful shutdown is over.
 
+    Args:
+        config: Configuration to begin with.
+        path: Path of the platform's file, which SIGHUP reads again.
+        service_path: Path of the operator's file; None for no such file.
+
     Raises:
-        ConfigError: an address can't be listened on.
+        ConfigError: The process can't listen at an address.
     """
     loop = asyncio.get_running_loop()
     sidecar = start_sidecar(loop, config)
-    # Where the platform gives no admin address there is no hot restart either, and no address is shared.
-    lifecycle = ProcessLifecycle(loop, sidecar, config.control, os.environ.get("TMPDIR"))
+    # Without an admin address there is no hot restart either, and no address is shared.
+    lifecycle = ProcessLifecycle(loop, sidecar, config.admin_address, os.environ.get("TMPDIR"))
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, lifecycle.drain)
-    reload = Reload(sidecar, config, path, service)
+    reload = Reload(sidecar, config, path, service_path)
     loop.add_signal_handler(signal.SIGHUP, reload)
     features = reload.features = FleetFeatures(loop, sidecar, config)
     try:
         if not await lifecycle.begin():
-            await _end_unbegun(sidecar, lifecycle)
+            await _stop_before_serving(sidecar, lifecycle)
             return
         await features.start(config, lifecycle.shared)
-        address = lifecycle.listen(config.listen)
+        address = lifecycle.listen(config.listen_address)
     except OSError as error:
         raise ListenError(error) from None
-    await _until_stopped(sidecar, config.name, address, lifecycle, features)
+    await _serve_until_stopped(sidecar, config.name, address, lifecycle, features)
     features.close()
 
 
-async def _end_unbegun(sidecar: SidecarServer, lifecycle: ProcessLifecycle) -> None:
+async def _stop_before_serving(sidecar: SidecarServer, lifecycle: ProcessLifecycle) -> None:
     log.info("sidecar stopped before it accepted clients")
     await lifecycle.finish_writing()
     lifecycle.close()
     sidecar.close()
 
 
-async def _until_stopped(
+async def _serve_until_stopped(
     sidecar: SidecarServer,
     name: str,
     address: Address,
     lifecycle: ProcessLifecycle,
     features: FleetFeatures | None = None,
 ) -> None:
-    # What exists now lives as long as the process: garbage collections need not scan it again, nor run as
-    # often as for a program that makes cycles.
+    # All present objects live as long as the process, so garbage collections need not scan them. The program
+    # makes few cycles, so collections can be rare.
     gc.collect()
     gc.freeze()
     gc.set_threshold(20_000, 20, 50)
@@ -149,21 +167,29 @@
 
 
 async def serve(service: Service, plan: Plan, path: str) -> None:
-    """Serve the pools of an operator's file until the graceful shutdown is over; SIGHUP reads the file again.
+    """Serve the pools of an operator's file until the graceful shutdown is over.
+
+    Args:
+        service: Configuration in the file.
+        plan: Pools and routes in the file.
+        path: Path of the file, which SIGHUP reads again.
 
     Raises:
-        ConfigError: the file can't be applied, or an address can't be listened on.
+        ConfigError: The file can't be applied, or the process can't listen at an address.
     """
-    from .routing.services import Services  # not part of the platform's sidecar
+    # Imported here, since the platform's sidecar does not need it.
+    from .routing.services import Services
 
     loop = asyncio.get_running_loop()
-    sockets = min(plan.sockets, system_limit())
-    set_aside = ADMIN_DESCRIPTORS if service.control is not None else 0
-    sidecar = SidecarServer(loop, sockets, plan.memory_bytes, service.caps, set_aside=set_aside)
-    lifecycle = ProcessLifecycle(loop, sidecar, service.control, service.folder)
+    max_descriptors = min(plan.sockets, system_limit())
+    set_aside = ADMIN_DESCRIPTORS if service.admin_address is not None else 0
+    sidecar = SidecarServer(
+        loop, max_descriptors, plan.memory_bytes, service.address_limits, set_aside=set_aside
+    )
+    lifecycle = ProcessLifecycle(loop, sidecar, service.admin_address, service.folder)
     services = Services(sidecar, lambda: random.getrandbits(63))
     try:
-        services.apply(plan, sockets, service.caps)
+        services.apply(plan, max_descriptors, service.address_limits)
     except ValueError as error:
         raise FileError(path, [str(error)], code=2) from None
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -171,33 +197,38 @@
     loop.add_signal_handler(signal.SIGHUP, reload_services, services, path)
     try:
         if not await lifecycle.begin():
-            await _end_unbegun(sidecar, lifecycle)
+            await _stop_before_serving(sidecar, lifecycle)
             return
         address = lifecycle.listen(plan.listen)
     except OSError as error:
         raise ListenError(error) from None
-    await _until_stopped(sidecar, plan.name, address, lifecycle)
+    await _serve_until_stopped(sidecar, plan.name, address, lifecycle)
 
 
 def reload_services(services: Services, path: str) -> None:
-    """Read an operator's file again; one that can't be read or applied changes nothing."""
+    """Read and apply an operator's file again; a file that can't be applied changes nothing."""
     try:
         service = read_service_file(path)
         plan = _plan_of(service, path, "pools: missing")
-        services.apply(plan, min(plan.sockets, system_limit()), service.caps)
+        services.apply(plan, min(plan.sockets, system_limit()), service.address_limits)
     except (ConfigError, ValueError) as error:
+        # Operators' pages promise this text.
         log.warning("the services stay as they were: %s", error)
 
 
 def _plan_of(service: Service, path: str, problem: str) -> Plan:
-    """Return the plan that an operator's file names; raise FileError with a problem where it names none."""
+    """Return the plan of an operator's file.
+
+    Raises:
+        FileError: The file has no plan; the error has the given problem.
+    """
     if service.plan is None:
         raise FileError(path, [problem], code=2)
     return service.plan
 
 
 def check(path: str) -> int:
-    """Check an operator's file; print all problems, and return the exit code, 2 if there are any."""
+    """Check an operator's file and print all problems; return the exit code, which is 2 for a bad file."""
     try:
         read_service_file(path)
     except ConfigError as error:
@@ -208,7 +239,7 @@
 
 
 def main() -> int:
-    """Run by the command line; return the exit code."""
+    """Run the command line; return the exit code."""
     match sys.argv[1:]:
         case ["check", path]:
             return check(path)
@@ -220,7 +251,7 @@
             print(USAGE, file=sys.stderr)
             return USAGE_EXIT_CODE
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(levelname)s %(name)s: %(message)s")
-    # While no loop handles the signal, at the start and the end, its default would end the process.
+    # SIGHUP would end the process while no event loop handles it, at the start and at the end.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
         serve_until_end()
@@ -234,20 +265,21 @@
     """Serve as the platform's sidecar until the graceful shutdown is over.
 
     Args:
-        features: of `FLEET_FEATURES`, those that are on; none: as the operator's file says.
+        features: Enabled ones of `FLEET_FEATURES`, in place of those in the operator's file; empty to follow
+            the file.
 
     Raises:
-        ConfigError: a file can't be used, or an address can't be listened on.
+        ConfigError: A file can't be used, or the process can't listen at an address.
     """
-    path, service = os.environ.get("GW_CONFIG"), os.environ.get("DYKEFOLD_SERVICE")
-    config = read_config(path, service)
+    path, service_path = os.environ.get("GW_CONFIG"), os.environ.get("DYKEFOLD_SERVICE")
+    config = read_config(path, service_path)
     if features:
         failover = FailoverOptions(on="failover" in features)
         config.fleet = replace(
             config.fleet, view="view" in features, calls="calls" in features, failover=failover
         )
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(run(config, path, service))
+        runner.run(run(config, path, service_path))
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 
@@ -255,9 +287,10 @@
     """Serve an operator's file until the graceful shutdown is over.
 
     Raises:
-        ConfigError: the file can't be read or applied.
+        ConfigError: The file can't be read or applied, or the process can't listen at an address.
     """
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the loop listens
+    # SIGHUP would end the process before the event loop handles it.
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)
     service = read_service_file(path)
     plan = _plan_of(service, path, "pools: missing; expected at least one table [pools.NAME]")
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
--- a/dykefold/fleet_wiring.py
+++ b/dykefold/fleet_wiring.py
@@ -57,9 +57,9 @@
         Raises:
             OSError: an address can't be listened on.
         """
-        if config.peer_listen is None:
+        if config.peer_listen_address is None:
             return
-        peers = await self._open_peer_channel(config, config.peer_listen, shared)
+        peers = await self._open_peer_channel(config, config.peer_listen_address, shared)
         self.agent = _start_agent(self.loop, self.sidecar, config, peers)
         if self.agent is None:
             return
@@ -72,7 +72,9 @@
 
     async def _open_peer_channel(self, config: Config, address: Address, shared: bool) -> PeerChannel:
         sidecar = self.sidecar
-        peers = PeerChannel(config.settings.index, config.peers, config.peers_all, sidecar.pool.on_peer)
+        peers = PeerChannel(
+            config.settings.index, config.peer_addresses, config.broadcast_address, sidecar.pool.on_peer
+        )
         await self.loop.create_datagram_endpoint(lambda: peers, sock=_datagram_socket(address, shared))
         sidecar.peers = peers
         return peers
@@ -81,7 +83,7 @@
         """Follow a configuration that was read again."""
         pool, settings = self.sidecar.pool, config.settings
         if self.agent is not None:
-            self.agent.renumber(config.peers, settings.index)
+            self.agent.renumber(config.peer_addresses, settings.index)
         if self.failover is not None:
             from .failover.settings import FailoverSettings
 
@@ -119,13 +121,13 @@
     loop: asyncio.AbstractEventLoop, sidecar: SidecarServer, config: Config, peers: PeerChannel
 ) -> FleetAgent | None:
     settings = config.settings
-    is_known = len(config.peers) > 1 and 0 <= settings.index < len(config.peers)
+    is_known = len(config.peer_addresses) > 1 and 0 <= settings.index < len(config.peer_addresses)
     if not (config.fleet.view and settings.can_message_peers and is_known):
         return None
     from .fleet.agent import FleetAgent, start_protocol
     from .fleet.membership import LocalMember
 
-    local = LocalMember(config.peers, settings.index, settings.zone)
+    local = LocalMember(config.peer_addresses, settings.index, settings.zone)
     agent = FleetAgent(loop, sidecar, peers, start_protocol(local, settings.price_peer, config.seed))
     agent.serve(sidecar.pool)
     return agent
--- a/dykefold/service_config.py
+++ b/dykefold/service_config.py
@@ -1,7 +1,7 @@
-"""The operator's own file, `deploy/service.toml`: read whole, checked whole, never half applied.
+"""The operator's file, such as `deploy/service.toml`, which is read and checked as a whole.
 
-Only imported when an operator names a file (`DYKEFOLD_SERVICE`, or `check FILE`): the platform's sidecar
-goes without, and without the library that checks it.
+This module is imported only for an operator's file (`DYKEFOLD_SERVICE`, `serve FILE` or `check FILE`). The
+platform's sidecar without such a file needs neither this module nor the library that checks the file.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 from .routing.config import read_plan, struct_problems
 from .routing.plan import Plan
 
-PLANNED = ("node", "pools", "routes")
-TABLES = ("admission", "control", "failover", "fleet", *PLANNED)
+PLAN_TABLES = ("node", "pools", "routes")
+TABLES = ("admission", "control", "failover", "fleet", *PLAN_TABLES)
 
 Positive = Annotated[int, Meta(ge=1)]
 Count = Annotated[int, Meta(ge=0)]
@@ -29,7 +29,7 @@
 
 
 class AdmissionTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[admission]`: see docs/operators/admission.md; what is left out is not capped."""
+    """`[admission]` (docs/operators/admission.md); a missing limit means no limit."""
 
     connections_per_address: Positive | None = None
     known_connections_per_address: Positive | None = None
@@ -46,8 +46,8 @@
     learned_most: Annotated[int, Meta(ge=1, le=100_000)] = 1024
     remembered_most: Annotated[int, Meta(ge=1, le=100_000)] = 4096
 
-    def caps(self) -> AddressLimits:
-        """Return the limits on clients by address that the table asks for."""
+    def address_limits(self) -> AddressLimits:
+        """Return the limits on clients by address."""
         return AddressLimits(
             connections=self.connections_per_address,
             known_connections=self.known_connections_per_address,
@@ -67,14 +67,14 @@
 
 
 class ControlTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[control]`: see docs/operators/operation.md; without `listen` there is no admin API."""
+    """`[control]` (docs/operators/operation.md); without `listen` there is no admin API."""
 
     listen: str | None = None
     folder: str | None = None
 
 
 class FleetTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[fleet]`: see docs/operators/view.md."""
+    """`[fleet]` (docs/operators/view.md)."""
 
     view: bool = False
     listen: str | None = None
@@ -83,7 +83,7 @@
 
 
 class FailoverTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[failover]`: see docs/operators/failover.md."""
+    """`[failover]` (docs/operators/failover.md)."""
 
     on: bool = False
     regions: dict[str, str] = {}
@@ -91,53 +91,67 @@
 
 
 class ServiceError(Exception):
-    """The file can't be used; `problems` has one line for each thing wrong with it."""
+    """The operator's file can't be used.
+
+    Args:
+        path: Path of the file.
+        problems: One line for each problem.
+    """
 
     def __init__(self, path: str, problems: list[str]) -> None:
-        """Say what is wrong with the file at a path."""
         super().__init__("; ".join(problems))
         self.path = path
         self.problems = problems
 
     def lines(self) -> list[str]:
-        """Return a line for each problem, with the path in front."""
+        """Return one line for each problem, with the path of the file."""
         return [f"{self.path}: {problem}" for problem in self.problems]
 
 
-NO_VIEW = FleetOptions()
+DEFAULT_FLEET_OPTIONS = FleetOptions()
 
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """What the file asks for.
+    """The configuration in an operator's file.
 
     Attributes:
-        plan: None where it names no pool.
-        control: address of the admin API; None for none.
-        folder: that an older and a newer process share during an upgrade; None for no upgrades.
-        fleet: what it asks of the view.
+        address_limits: Limits on clients by address.
+        plan: Pools and routes; None if the file has none.
+        admin_address: Address of the admin API; None for no admin API.
+        folder: Path of the folder that the processes of the sidecar share; None for no hot restarts.
+        fleet: Options of membership and failover.
     """
 
-    caps: AddressLimits
+    address_limits: AddressLimits
     plan: Plan | None
-    control: tuple[str, int] | None = None
+    admin_address: tuple[str, int] | None = None
     folder: str | None = None
-    fleet: FleetOptions = NO_VIEW
+    fleet: FleetOptions = DEFAULT_FLEET_OPTIONS
 
 
 def read_toml(path: str) -> dict[str, Any]:
-    """The tables of a file. Raises ServiceError where there is none, or it is no TOML."""
+    """Return the tables of a file.
+
+    Raises:
+        ServiceError: The file can't be read, or is no TOML.
+    """
     try:
         with open(path, "rb") as file:
             return tomllib.load(file)
     except OSError as error:
         raise ServiceError(path, [f"can't be read: {error.strerror}"]) from None
-    except ValueError as error:  # TOML or UTF-8
+    # Errors of TOML and of UTF-8 are both a ValueError.
+    except ValueError as error:
         raise ServiceError(path, [f"is no TOML: {error}"]) from None
 
 
 def read_service(path: str) -> Service:
-    """Read the file; ServiceError with all that is wrong at once."""
+    """Read and check an operator's file.
+
+    Raises:
+        ServiceError: The file can't be used; the error has all problems.
+    """
     data = read_toml(path)
     problems = [
         f"{name}: unknown; expected one of {', '.join(TABLES)}" for name in data if name not in TABLES
@@ -153,35 +167,35 @@
     problems += struct_problems("fleet", fleet, FleetTable)
     failover = data.get("failover", {})
     problems += struct_problems("failover", failover, FailoverTable)
-    viewed = isinstance(fleet, dict) and fleet.get("view") is True
-    if isinstance(failover, dict) and failover.get("on") is True and not viewed:
+    has_membership = isinstance(fleet, dict) and fleet.get("view") is True
+    if isinstance(failover, dict) and failover.get("on") is True and not has_membership:
         problems.append("failover.on: wants the view; expected view = true in [fleet]")
     for name, table in (("control", control), ("fleet", fleet)):
         listen = table.get("listen") if isinstance(table, dict) else None
         if isinstance(listen, str) and (problem := _address_problem(name, listen)):
             problems.append(problem)
     plan = None
-    if any(name in data for name in PLANNED):
-        plan, more = read_plan(data)
-        problems += more
+    if any(name in data for name in PLAN_TABLES):
+        plan, plan_problems = read_plan(data)
+        problems += plan_problems
         if fleet:
             problems.append("fleet: has no meaning beside pools and routes, which know no peers")
     if problems:
         raise ServiceError(path, problems)
-    read = msgspec.convert(control, ControlTable)
-    view = msgspec.convert(fleet, FleetTable)
-    moves = msgspec.convert(failover, FailoverTable)
+    control_table = msgspec.convert(control, ControlTable)
+    fleet_table = msgspec.convert(fleet, FleetTable)
+    failover_table = msgspec.convert(failover, FailoverTable)
     return Service(
-        msgspec.convert(admission, AdmissionTable).caps(),
+        msgspec.convert(admission, AdmissionTable).address_limits(),
         plan,
-        _address(read.listen),
-        read.folder,
+        _address(control_table.listen),
+        control_table.folder,
         FleetOptions(
-            view.view,
-            _address(view.listen),
-            view.calls,
-            view.calls_per_s,
-            FailoverOptions(moves.on, moves.regions, frozenset(moves.out)),
+            fleet_table.view,
+            _address(fleet_table.listen),
+            fleet_table.calls,
+            fleet_table.calls_per_s,
+            FailoverOptions(failover_table.on, failover_table.regions, frozenset(failover_table.out)),
         ),
     )
 
@@ -200,7 +214,7 @@
 
 def _network_problem(text: object) -> str | None:
     if not isinstance(text, str):
-        return None  # told as a value of the wrong type
+        return None  # `struct_problems` reports values of a wrong type
     try:
         ip_network(text)
     except ValueError as error:
--- a/dykefold/sidecar_config.py
+++ b/dykefold/sidecar_config.py
@@ -1,7 +1,7 @@
-"""The platform's configuration of a sidecar: read, checked as a whole, and only then used.
+"""The platform's configuration of a sidecar.
 
-A file that is wrong in any way changes nothing: `read_config` reads and checks it, and reports all problems
-at once; `lacking` lists what a later file leaves out that the first one had; the caller applies it.
+`read_config` reads and checks a file as a whole and reports all problems at once, so a bad file changes
+nothing. A later file must have all keys of the first one (`missing_keys`). The caller applies the result.
 """
 
 from __future__ import annotations
@@ -24,45 +24,51 @@
 if TYPE_CHECKING:
     from .service_config import Service
 
-DEFAULT_SOCKETS = 1024  # where the configuration names no limit
-DEFAULT_MEMORY_MB = 192  # likewise
+DEFAULT_SOCKETS = 1024
+DEFAULT_MEMORY_MB = 192
+# Exclusive limit of the values under `limits`.
 MAX_LIMIT = 1e9
-CONFIG_VARIABLE = "GW_CONFIG"  # names the platform's file
-CONTROL_VARIABLE = "GW_CONTROL"  # names the admin API's address, where the file doesn't
+# Environment variable with the path of the platform's file.
+CONFIG_VARIABLE = "GW_CONFIG"
+# Environment variable with the address of the admin API, for a file without `control`.
+CONTROL_VARIABLE = "GW_CONTROL"
 
 T = TypeVar("T")
 
 
 class ConfigError(Exception):
-    """The sidecar can't start; the text says why.
+    """The sidecar can't start.
 
-    Attributes:
-        code: exit code of the process.
+    Args:
+        text: Reason, for operators.
+        code: Exit code of the process.
     """
 
     def __init__(self, text: str, code: int = 1) -> None:
-        """Say why, and with which exit code."""
         super().__init__(text)
         self.code = code
 
 
 class ListenError(ConfigError):
-    """An address can't be listened on."""
+    """The process can't listen at an address.
+
+    Args:
+        cause: Error of the system call.
+    """
 
     def __init__(self, cause: OSError) -> None:
-        """Say what the system says."""
         super().__init__(f"can't listen: {cause}")
 
 
 class VariableError(ConfigError):
-    """A variable of the environment is missing or unreadable.
+    """An environment variable is missing or unreadable.
 
-    Attributes:
-        name: of the variable.
+    Args:
+        name: Name of the variable.
+        problem: Text that follows the name in the message.
     """
 
     def __init__(self, name: str, problem: str) -> None:
-        """Say what is wrong with a variable."""
         super().__init__(f"{name}{problem}")
         self.name = name
 
@@ -70,29 +76,28 @@
 class FileError(ConfigError):
     """A configuration file can't be used.
 
-    Attributes:
-        path: of the file.
-        problems: what is wrong with it, each with the field that it is about.
+    Args:
+        path: Path of the file.
+        problems: One line for each problem, with the field that it concerns.
+        code: Exit code of the process.
     """
 
     def __init__(self, path: str, problems: Sequence[str], code: int = 1) -> None:
-        """Say what is wrong with a file, and with which exit code."""
         super().__init__(f"{path}: {'; '.join(problems)}", code)
         self.path = path
         self.problems = tuple(problems)
 
 
 class FieldError(ValueError):
-    """A field has a value that can't be.
+    """A field has an impossible value.
 
-    Attributes:
-        field: its name.
-        value: that it has.
-        expected: what it should have been.
+    Args:
+        field: Name of the field.
+        value: Value of the field.
+        expected: Description of possible values.
     """
 
     def __init__(self, field: str, value: object, expected: str) -> None:
-        """Say which field has which value, and what was expected."""
         super().__init__(f"{field} is no {expected}: {value!r}")
         self.field = field
         self.value = value
@@ -104,45 +109,46 @@
     """The configuration of a sidecar.
 
     Attributes:
-        name: of the sidecar.
-        listen: where it accepts clients.
-        control: where the admin API listens; None where there is none.
-        discovery: where the endpoint list comes from.
-        seed: of the balancer's random draws.
-        sockets: descriptors that the sidecar may hold.
-        memory: bytes that it may take.
-        peer_listen: where it receives datagrams of peers; None: nowhere.
-        peers: addresses of the peers by number.
-        peers_all: the address that reaches all peers; None where there is none.
-        settings: what the balancer goes by.
-        transport: what the sockets go by.
-        names: numbers the endpoints of `known`.
-        known: the endpoint list to begin with.
-        caps: limits on clients by address.
-        fleet: the operator's options of the fleet.
-        shape: the keys of the file, for `lacking`.
+        name: Name of the sidecar.
+        listen_address: Address at which the sidecar accepts clients.
+        admin_address: Address of the admin API; None for no admin API.
+        discovery_address: Address of discovery, which has the endpoint list.
+        seed: Seed of the balancer's random generator.
+        max_descriptors: Number of descriptors that all processes of the sidecar may use together.
+        memory_bytes: Bytes of memory that all processes of the sidecar may use together.
+        peer_listen_address: Address for datagrams of peers; None for no datagrams.
+        peer_addresses: Addresses of the peers by number.
+        broadcast_address: Address that reaches all peers; None if there is none.
+        settings: Settings of the balancer.
+        transport: Settings of the sockets.
+        names: Numbers of zones, machine types and the endpoints of `initial_endpoints` by name.
+        initial_endpoints: Endpoint list before the first one from discovery.
+        address_limits: Limits on clients by address.
+        fleet: Options of membership and failover from the operator's file.
+        shape: Keys of the file, for `missing_keys`.
     """
 
     name: str
-    listen: Address
-    control: Address | None
-    discovery: Address
+    listen_address: Address
+    admin_address: Address | None
+    discovery_address: Address
     seed: int
-    sockets: int
-    memory: int
-    peer_listen: Address | None
-    peers: list[Address]
-    peers_all: Address | None
+    max_descriptors: int
+    memory_bytes: int
+    peer_listen_address: Address | None
+    peer_addresses: list[Address]
+    broadcast_address: Address | None
     settings: Settings
     transport: Transport
     names: NameTable
-    known: EndpointUpdate
-    caps: AddressLimits
+    initial_endpoints: EndpointUpdate
+    address_limits: AddressLimits
     fleet: FleetOptions
     shape: Shape
 
 
-# The keys of a JSON value: of an object with those of its values; of a list, those that all its objects have.
+# Keys of a JSON value: for an object, each key with the keys of its value; for a list, one element with the
+# keys that all objects in the list have.
 Shape = dict[str, Any] | list[Any] | None
 
 
@@ -157,48 +163,48 @@
     return None
 
 
-def lacking(shape: Shape, value: object, at: str = "") -> list[str]:
-    """Return the paths of the keys that a shape has and a JSON value leaves out.
+def missing_keys(shape: Shape, value: object, at: str = "") -> list[str]:
+    """Return the paths of the keys that a shape has and a JSON value lacks.
 
-    An object in a list lacks what all objects of that list had, such as each class of the settings.
+    An object in a list must have the keys that all objects of the earlier list had.
 
     Args:
-        shape: the keys that are expected.
-        value: the JSON value.
-        at: the path of the value.
+        shape: Expected keys.
+        value: JSON value.
+        at: Path of the value.
     """
-    found: list[str] = []
+    missing: list[str] = []
     if isinstance(shape, dict) and isinstance(value, dict):
         for key, inner in shape.items():
             path = f"{at}.{key}" if at else key
-            found += lacking(inner, value[key], path) if key in value else [path]
+            missing += missing_keys(inner, value[key], path) if key in value else [path]
     elif isinstance(shape, list) and isinstance(value, list):
         for number, inner in enumerate(value):
             if isinstance(inner, dict):
-                found += lacking(shape[0], inner, f"{at}.{number}")
-    return found
+                missing += missing_keys(shape[0], inner, f"{at}.{number}")
+    return missing
 
 
 def system_limit() -> int:
-    """Return how many descriptors the system lets this process hold; it may be changed while running."""
+    """Return the number of descriptors that the system allows this process now."""
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     return DEFAULT_SOCKETS if soft == resource.RLIM_INFINITY else soft
 
 
-def read_config(path: str | None, service: str | None = None, before: Config | None = None) -> Config:
-    """Read the platform's configuration and, where one is named, the operator's file.
+def read_config(path: str | None, service_path: str | None = None, current: Config | None = None) -> Config:
+    """Read the platform's file, and the operator's file if there is one.
 
     Args:
-        path: of the platform's file.
-        service: path of the operator's file; None: there is none.
-        before: the configuration that is in use, if any: the file must have all keys that this one had.
+        path: Path of the platform's file.
+        service_path: Path of the operator's file; None for no such file.
+        current: Configuration in use, whose keys the file must have; None for the first one.
 
     Raises:
-        ConfigError: with all problems.
+        ConfigError: A file can't be used; the error has all problems.
     """
     if not path:
         raise VariableError(CONFIG_VARIABLE, " is not set")
-    caps, fleet = _read_operators(service)
+    address_limits, fleet = _read_operator_options(service_path)
     try:
         with open(path, encoding="utf-8") as file:
             data = json.load(file)
@@ -207,30 +213,34 @@
     if not isinstance(data, dict):
         raise FileError(path, ["no JSON object"])
     checked = _Checked(data)
-    config = _check(checked, caps, fleet)
-    if before is not None:
-        checked.problems += [f"{key} is missing" for key in lacking(before.shape, data)]
+    config = _check(checked, address_limits, fleet)
+    if current is not None:
+        checked.problems += [f"{key} is missing" for key in missing_keys(current.shape, data)]
     if checked.problems:
         raise FileError(path, list(dict.fromkeys(checked.problems)))
     return config
 
 
 class _Checked:
-    """The values of a configuration. What is wrong is collected, and read as the harmless value given."""
+    """Reads values of a configuration; collects problems, and returns a substitute for a bad value.
+
+    Args:
+        data: Values by key.
+    """
 
     def __init__(self, data: Mapping[str, Any]) -> None:
         self.data = data
         self.problems: list[str] = []
 
-    def need(self, key: str, read: Callable[[Any], T], harmless: T) -> T:
-        """Return the value of a key that must be there."""
+    def need(self, key: str, read: Callable[[Any], T], substitute: T) -> T:
+        """Return the value of a required key."""
         if key not in self.data:
             self.problems.append(f"{key} is missing")
-            return harmless
-        return self.read(key, read, harmless)
+            return substitute
+        return self.read(key, read, substitute)
 
     def read(self, key: str, read: Callable[[Any], T], default: T) -> T:
-        """Return the value of a key that may be left out, or be empty."""
+        """Return the value of an optional key, or the default."""
         value = self.data.get(key)
         if value is None and key not in self.data:
             return default
@@ -245,30 +255,30 @@
     return " ".join(str(error).split())
 
 
-def _check(checked: _Checked, caps: AddressLimits, fleet: FleetOptions) -> Config:
-    nobody = ("0.0.0.0", 0)
+def _check(checked: _Checked, address_limits: AddressLimits, fleet: FleetOptions) -> Config:
+    no_address = ("0.0.0.0", 0)
     settings = checked.need("settings", nested_settings, Settings([], [""]))
     transport = checked.read("settings", nested_transport, Transport([], 0, 0))
     names = NameTable(settings.zones, transport.kinds)
-    limits = checked.read("limits", _limits, (DEFAULT_SOCKETS, DEFAULT_MEMORY_MB * MB))
+    max_descriptors, memory_bytes = checked.read("limits", _limits, (DEFAULT_SOCKETS, DEFAULT_MEMORY_MB * MB))
     return Config(
         name=checked.need("name", str, ""),
-        listen=checked.need("listen", _any_port, nobody),
-        control=checked.read("control", _maybe_any_port, None) or _from_environment(),
-        discovery=checked.need("discovery", split_address, nobody),
+        listen_address=checked.need("listen", _any_port, no_address),
+        admin_address=checked.read("control", _optional_any_port, None) or _from_environment(),
+        discovery_address=checked.need("discovery", split_address, no_address),
         seed=checked.need("seed", lambda text: int(text, 16), 0),
-        sockets=min(limits[0], DEFAULT_SOCKETS, system_limit()),
-        memory=limits[1],
-        peer_listen=checked.read("peer_listen", _maybe, None),
-        peers=checked.read("peers", lambda peers: [split_address(peer) for peer in peers], []),
-        peers_all=checked.read("peers_all", _maybe, None),
+        max_descriptors=min(max_descriptors, DEFAULT_SOCKETS, system_limit()),
+        memory_bytes=memory_bytes,
+        peer_listen_address=checked.read("peer_listen", _optional_address, None),
+        peer_addresses=checked.read("peers", lambda peers: [split_address(peer) for peer in peers], []),
+        broadcast_address=checked.read("peers_all", _optional_address, None),
         settings=settings,
         transport=transport,
         names=names,
-        known=checked.need(
+        initial_endpoints=checked.need(
             "known", lambda known: parse_endpoint_update(known, names), EndpointUpdate(0, True, [])
         ),
-        caps=caps,
+        address_limits=address_limits,
         fleet=fleet,
         shape=shape_of(checked.data),
     )
@@ -278,18 +288,18 @@
     return split_address(text, least_port=0)
 
 
-def _maybe(text: object) -> Address | None:
+def _optional_address(text: object) -> Address | None:
     return split_address(text) if text else None
 
 
-def _maybe_any_port(text: object) -> Address | None:
+def _optional_any_port(text: object) -> Address | None:
     return _any_port(text) if text else None
 
 
 def _from_environment() -> Address | None:
-    """Return the admin API's address where only the environment names it."""
+    """Return the address of the admin API from the environment; None if it is not set there."""
     try:
-        return _maybe_any_port(os.environ.get(CONTROL_VARIABLE))
+        return _optional_any_port(os.environ.get(CONTROL_VARIABLE))
     except ValueError as error:
         raise VariableError(CONTROL_VARIABLE, f": {error}") from None
 
@@ -302,26 +312,27 @@
     return int(sockets), int(memory_mb * MB)
 
 
-def _read_operators(service: str | None) -> tuple[AddressLimits, FleetOptions]:
-    if not service:
+def _read_operator_options(service_path: str | None) -> tuple[AddressLimits, FleetOptions]:
+    if not service_path:
         return AddressLimits(), FleetOptions()
-    read = read_service_file(service)
-    if read.control is not None:
+    service = read_service_file(service_path)
+    if service.admin_address is not None:
         problem = "control: beside the platform's file that one names the door"
-        raise FileError(service, [problem], code=2)
-    if read.plan is not None:
+        raise FileError(service_path, [problem], code=2)
+    if service.plan is not None:
         problem = "pools and routes are for `serve`; beside the platform's file they have no meaning"
-        raise FileError(service, [problem], code=2)
-    return read.caps, read.fleet
+        raise FileError(service_path, [problem], code=2)
+    return service.address_limits, service.fleet
 
 
 def read_service_file(path: str) -> Service:
     """Read the operator's file.
 
     Raises:
-        ConfigError: with all problems.
+        ConfigError: The file can't be used; the error has all problems.
     """
-    from .service_config import ServiceError, read_service  # not part of the platform's sidecar
+    # Imported here, since the platform's sidecar runs without an operator's file and its library.
+    from .service_config import ServiceError, read_service
 
     try:
         return read_service(path)
--- a/tests/admission/test_flood.py
+++ b/tests/admission/test_flood.py
@@ -146,5 +146,5 @@
     from dykefold.service_config import read_service
 
     read = read_service(str(Path(__file__).parents[2] / "deploy" / "service.toml"))
-    assert read.caps == AddressLimits()
+    assert read.address_limits == AddressLimits()
     assert read.plan is None
--- a/tests/admission/test_listener.py
+++ b/tests/admission/test_listener.py
@@ -331,6 +331,6 @@
     path = tmp_path / "c"
     path.write_text(json.dumps(config(news(1), limits={"sockets": 900})))
     monkeypatch.setattr(configuration.resource, "getrlimit", lambda _: (300, 4096))
-    assert configuration.read_config(str(path)).sockets == 300
+    assert configuration.read_config(str(path)).max_descriptors == 300
     monkeypatch.setattr(configuration.resource, "getrlimit", lambda _: (resource.RLIM_INFINITY,) * 2)
-    assert configuration.read_config(str(path)).sockets == 900
+    assert configuration.read_config(str(path)).max_descriptors == 900
--- a/tests/net/test_class_generations.py
+++ b/tests/net/test_class_generations.py
@@ -14,7 +14,7 @@
 from dykefold.net import class_generations as generations
 from dykefold.net import sidecar as sidecar_module
 from dykefold.net.class_generations import LINGER_NS, ClassGeneration, TooManyClassesError
-from dykefold.sidecar_config import ConfigError, lacking, read_config, shape_of
+from dykefold.sidecar_config import ConfigError, missing_keys, read_config, shape_of
 
 SECOND = 1000 * MS
 
@@ -97,11 +97,11 @@
 def test_what_a_later_file_leaves_out_is_named():
     data = config(news(1, entry("s1", "127.0.0.1:1")))
     shape = shape_of(data)
-    assert lacking(shape, data) == []
+    assert missing_keys(shape, data) == []
     bad = copy.deepcopy(data)
     del bad["seed"], bad["settings"]["ceilings"]["send-cap"], bad["settings"]["classes"][1]["window-ns"]
     bad["settings"]["classes"].append({"name": "new"})
-    found = lacking(shape, bad)
+    found = missing_keys(shape, bad)
     assert found[:3] == ["seed", "settings.ceilings.send-cap", "settings.classes.1.window-ns"]
     assert "settings.classes.3.deadline-ns" in found
 
