--- a/dykefold/settings.py
+++ b/dykefold/settings.py
@@ -1,4 +1,4 @@
-"""The settings: one reading of both forms, the path=value text and the nested object."""
+"""Reads the settings from both of their forms: lines `path=value`, and a nested JSON object."""
 
 from __future__ import annotations
 
@@ -11,7 +11,8 @@
 
 EFFECTS = {"pure": Effect.SAFE, "token": Effect.KEYED, "side_effect": Effect.UNSAFE}
 SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
-REPORTS = {
+# Fields of load reports under other names than the balancer's.
+CANONICAL_COLUMNS = {
     "active": "inflight",
     "waiting": "queue",
     "cpu": "util",
@@ -20,7 +21,6 @@
     "err_rps": "eps",
 }
 
-
 DEFAULT_CONNECTION_IDLE_NS = 60_000_000_000
 DEFAULT_MAX_OPEN = 20_000
 DEFAULT_TICK_NS = 1_000_000
@@ -36,12 +36,12 @@
 
 @dataclass(slots=True)
 class Transport:
-    """What the sockets go by, and the balancer need not know.
+    """Settings of the sockets, which the balancer need not know.
 
     Attributes:
-        kinds: names of the machine types.
-        conn_idle_ns: idle timeout of connections to servers, in nanoseconds.
-        max_open: requests that may be pending at once.
+        kinds: Names of the machine types.
+        conn_idle_ns: Idle timeout of connections to endpoints, in nanoseconds.
+        max_open: Number of requests that may be pending at once.
     """
 
     kinds: list[str]
@@ -50,8 +50,8 @@
 
 
 def canonical_column(name: str) -> str:
-    """Return the name that the balancer knows a field of load reports by."""
-    return REPORTS.get(name, name)
+    """Return the balancer's name of a field of load reports."""
+    return CANONICAL_COLUMNS.get(name, name)
 
 
 def _name_list(raw: object) -> list[str]:
@@ -59,43 +59,49 @@
     return [str(name) for name in values if name != ""]
 
 
-class _Pairs:
-    """Settings by their path. What is wrong is collected, with its path, and read as a harmless value.
+class _SettingReader:
+    """Reads settings by path; collects problems, and returns a substitute for a bad value.
+
+    Without a default a setting is required.
 
     Args:
-        values: by path.
-        typed: numbers come as such, and a text that looks like one is none.
+        values: Values by path.
+        typed: Whether numbers must be JSON numbers; otherwise they may be texts.
     """
 
     def __init__(self, values: Mapping[str, object], typed: bool) -> None:
         self.values = values
-        self.numeric: tuple[type, ...] = (int, float) if typed else (int, float, str)
+        self.number_types: tuple[type, ...] = (int, float) if typed else (int, float, str)
         self.problems: list[str] = []
 
     def finish(self) -> None:
-        """Raise SettingError if anything was wrong."""
+        """Report the collected problems.
+
+        Raises:
+            SettingError: There was a problem.
+        """
         if self.problems:
             raise SettingError("; ".join(self.problems))
 
     def _convert(
-        self, key: str, convert: Callable[[Any], _Value], default: _Value | None, harmless: _Value
+        self, key: str, convert: Callable[[Any], _Value], default: _Value | None, substitute: _Value
     ) -> _Value:
         raw = self.values.get(key)
         if raw is None:
             if default is None:
                 self.problems.append(f"setting {key} is missing")
-                return harmless
+                return substitute
             return default
         try:
             return convert(raw)
         except (ValueError, KeyError, TypeError, OverflowError):
             self.problems.append(f"setting {key} is unreadable: {raw!r}")
-            return harmless
+            return substitute
 
     def _finite(self, raw: object) -> float:
-        if isinstance(raw, bool) or not isinstance(raw, self.numeric):
+        if isinstance(raw, bool) or not isinstance(raw, self.number_types):
             raise TypeError(raw)
-        value = float(raw)  # type: ignore[arg-type]  # of a type in `numeric`
+        value = float(raw)  # type: ignore[arg-type]  # of a type in `number_types`
         if not math.isfinite(value):
             raise ValueError(raw)
         return value
@@ -106,45 +112,48 @@
             raise ValueError(raw)
         return value
 
-    # Each of these reads one setting; without a default it must be there.
-
     def text(self, key: str, default: str | None = None) -> str:
+        """Return a text."""
         return self._convert(key, str, default, "")
 
-    def whole(self, key: str, default: int | None = None) -> int:
+    def integer(self, key: str, default: int | None = None) -> int:
+        """Return a number without its fraction."""
         return self._convert(key, lambda raw: int(self._finite(raw)), default, 1)
 
     def positive(self, key: str) -> int:
-        """A whole number above 0, which must be there."""
+        """Return a required integer above 0."""
         return self._convert(key, self._above_zero, None, 1)
 
     def number(self, key: str, default: float | None = None) -> float:
+        """Return a finite number."""
         return self._convert(key, self._finite, default, 1.0)
 
     def flag(self, key: str, default: bool | None = None) -> bool:
+        """Return a truth value."""
         flags: dict[object, bool] = {"true": True, "false": False, True: True, False: False}
         return self._convert(key, flags.__getitem__, default, False)
 
     def choice(self, key: str, choices: Mapping[str, _Value], default: _Value | None = None) -> _Value:
+        """Return the value of one of the choices."""
         return self._convert(key, choices.__getitem__, default, next(iter(choices.values())))
 
     def names(self, key: str) -> list[str]:
-        """A list of plain values; the text form joins it with commas, the nested one has it as it is."""
+        """Return a list of names, which the text form joins with commas."""
         return self._convert(key, _name_list, [], [])
 
 
-def _request_class(pairs: _Pairs, at: str) -> RequestClass:
-    deadline = pairs.positive(at + "deadline-ns")
+def _request_class(reader: _SettingReader, at: str) -> RequestClass:
+    deadline = reader.positive(at + "deadline-ns")
     return RequestClass(
-        name=pairs.text(at + "name", ""),
-        objective_ns=pairs.whole(at + "objective-ns", deadline),
+        name=reader.text(at + "name", ""),
+        objective_ns=reader.integer(at + "objective-ns", deadline),
         deadline_ns=deadline,
-        priority_weight=pairs.number(at + "points", 1.0),
-        late_weight_fraction=pairs.number(at + "late-value", 0.0),
-        effect=pairs.choice(at + "repeat", EFFECTS),
-        scope=pairs.choice(at + "key-scope", SCOPES, Scope.CELL),
-        window_ns=pairs.whole(at + "window-ns", 0),
-        stream=pairs.flag(at + "stream", False),
+        priority_weight=reader.number(at + "points", 1.0),
+        late_weight_fraction=reader.number(at + "late-value", 0.0),
+        effect=reader.choice(at + "repeat", EFFECTS),
+        scope=reader.choice(at + "key-scope", SCOPES, Scope.CELL),
+        window_ns=reader.integer(at + "window-ns", 0),
+        stream=reader.flag(at + "stream", False),
     )
 
 
@@ -152,50 +161,51 @@
     """Read the settings from their text form.
 
     Args:
-        text: a line `path=value` for each setting; unknown ones are skipped.
+        text: One line `path=value` for each setting; unknown settings are ignored.
 
     Raises:
-        SettingError: with each setting that is missing or unreadable.
+        SettingError: Settings are missing or unreadable; the error names all of them.
     """
-    return _read(_Pairs(dict(line.split("=", 1) for line in text.splitlines() if "=" in line), typed=False))
+    values = dict(line.split("=", 1) for line in text.splitlines() if "=" in line)
+    return _read(_SettingReader(values, typed=False))
 
 
 def nested_settings(nested: object) -> Settings:
-    """Read the same settings from the nested object of a sidecar's configuration.
+    """Read the settings from the nested object in a sidecar's configuration.
 
     Raises:
-        SettingError: with each setting that is missing or unreadable.
+        SettingError: Settings are missing or unreadable; the error names all of them.
     """
-    return _read(_pairs_of(nested))
+    return _read(_nested_reader(nested))
 
 
 def nested_transport(nested: object) -> Transport:
-    """Read from that object what the sockets go by.
+    """Read the settings of the sockets from that object.
 
     Raises:
-        SettingError: with each setting that is unreadable.
+        SettingError: Settings are unreadable; the error names all of them.
     """
-    pairs = _pairs_of(nested)
+    reader = _nested_reader(nested)
     transport = Transport(
-        kinds=pairs.names("kinds"),
-        conn_idle_ns=pairs.whole("ceilings.conn-idle-ns", DEFAULT_CONNECTION_IDLE_NS),
-        max_open=pairs.whole("ceilings.max-open", DEFAULT_MAX_OPEN),
+        kinds=reader.names("kinds"),
+        conn_idle_ns=reader.integer("ceilings.conn-idle-ns", DEFAULT_CONNECTION_IDLE_NS),
+        max_open=reader.integer("ceilings.max-open", DEFAULT_MAX_OPEN),
     )
-    pairs.finish()
+    reader.finish()
     return transport
 
 
-def _pairs_of(nested: object) -> _Pairs:
+def _nested_reader(nested: object) -> _SettingReader:
     if not isinstance(nested, dict):
         problem = "settings are no object"
         raise SettingError(problem)
     values: dict[str, object] = {}
     _flatten("", nested, values)
-    return _Pairs(values, typed=True)
+    return _SettingReader(values, typed=True)
 
 
 def _flatten(at: str, value: object, into: dict[str, object]) -> None:
-    """Give each value of the nested form the path that it has in the text form."""
+    """Store each value of a nested form under its path in the text form."""
     if isinstance(value, dict):
         for key, inner in value.items():
             _flatten(f"{at}.{key}" if at else key, inner, into)
@@ -207,64 +217,64 @@
         into[at] = value
 
 
-def _read(pairs: _Pairs) -> Settings:
-    settings = _balancer_settings(pairs)
+def _read(reader: _SettingReader) -> Settings:
+    settings = _balancer_settings(reader)
     names = [spec.name for spec in settings.classes if spec.name]
     duplicates = sorted({name for name in names if names.count(name) > 1})
-    pairs.problems += [f"class {name!r} comes twice" for name in duplicates]
+    reader.problems += [f"class {name!r} comes twice" for name in duplicates]
     if settings.zones and not 0 <= settings.zone < len(settings.zones):
-        pairs.problems.append(f"setting my-zone is unreadable: {settings.zone}")
-    pairs.finish()
+        reader.problems.append(f"setting my-zone is unreadable: {settings.zone}")
+    reader.finish()
     return settings
 
 
-def _tenants(pairs: _Pairs) -> list[Tenant]:
+def _tenants(reader: _SettingReader) -> list[Tenant]:
     return [
         Tenant(
-            name=pairs.text(f"accounts.{n}.name", ""),
-            share=pairs.number(f"accounts.{n}.share", 0.0),
-            quota_per_s=pairs.number(f"accounts.{n}.allowance-per-s", 0.0),
+            name=reader.text(f"accounts.{n}.name", ""),
+            share=reader.number(f"accounts.{n}.share", 0.0),
+            quota_per_s=reader.number(f"accounts.{n}.allowance-per-s", 0.0),
         )
-        for n in range(pairs.whole("accounts.count", 0))
+        for n in range(reader.integer("accounts.count", 0))
     ]
 
 
-def _balancer_settings(pairs: _Pairs) -> Settings:
-    count = pairs.positive("classes.count")
-    tenants = _tenants(pairs)
-    reports = pairs.text("telemetry.how", "silent") != "silent"
-    columns = tuple(canonical_column(name) for name in pairs.names("telemetry.columns"))
+def _balancer_settings(reader: _SettingReader) -> Settings:
+    count = reader.positive("classes.count")
+    tenants = _tenants(reader)
+    has_reports = reader.text("telemetry.how", "silent") != "silent"
+    columns = tuple(canonical_column(name) for name in reader.names("telemetry.columns"))
     return Settings(
-        classes=[_request_class(pairs, f"classes.{n}.") for n in range(count)],
-        zones=pairs.names("dcs"),
-        zone=pairs.whole("my-zone", 0),
+        classes=[_request_class(reader, f"classes.{n}.") for n in range(count)],
+        zones=reader.names("dcs"),
+        zone=reader.integer("my-zone", 0),
         tenants=tenants,
-        over_quota_weight_fraction=pairs.number("over-share-worth", 1.0),
-        weight_per_work=pairs.text("worth-by", "request") == "work",
-        index=pairs.whole("index", 0),
-        fleet_size=pairs.whole("fleet-size", 1),
-        tick_ns=pairs.whole("tick-ns", DEFAULT_TICK_NS),
-        poll_required=pairs.text("discovery", "push") == "ask",
-        max_poll_interval_ns=pairs.whole("rules.must-ask-in-ns", DEFAULT_MAX_POLL_INTERVAL_NS),
-        drain_grace_ns=pairs.whole("rules.drain-grace-ns", 0),
-        answer_slack_ns=pairs.whole("rules.answer-slack-ns", 0),
-        start_capacity=pairs.number("rules.start-capacity", 1.0),
-        warm_within_ns=pairs.whole("rules.warm-within-ns", 0),
-        overload_factor=pairs.number("rules.overload-factor", 3.0),
-        overload_for_ns=pairs.whole("rules.overload-for-ns", DEFAULT_OVERLOAD_FOR_NS),
-        max_attempts=pairs.positive("ceilings.send-cap"),
-        can_hedge=pairs.flag("ceilings.second-copies", False),
-        can_cancel=pairs.flag("ceilings.cancel", False),
-        can_probe=pairs.flag("ceilings.probing", False),
-        can_message_peers=pairs.flag("ceilings.peers", False),
-        retry_after=pairs.flag("ceilings.retry-after", False),
-        max_retry_after_ns=pairs.whole("ceilings.max-retry-after-ns", 0),
-        connect_timeout_ns=pairs.whole("ceilings.connect-timeout-ns", 0),
-        report_columns=columns if reports else (),
-        weighted=pairs.text("weight-source", "silent") != "silent",
-        goal_worst_class=pairs.number("goal.worst-class", 0.0),
-        price_cross_zone=pairs.number("prices.cross-zone", 0.0),
-        price_waste=pairs.number("prices.waste", 0.0),
-        price_probe=pairs.number("prices.probe", 0.0),
-        price_peer=pairs.number("prices.peer", 0.0),
+        over_quota_weight_fraction=reader.number("over-share-worth", 1.0),
+        weight_per_work=reader.text("worth-by", "request") == "work",
+        index=reader.integer("index", 0),
+        fleet_size=reader.integer("fleet-size", 1),
+        tick_ns=reader.integer("tick-ns", DEFAULT_TICK_NS),
+        poll_required=reader.text("discovery", "push") == "ask",
+        max_poll_interval_ns=reader.integer("rules.must-ask-in-ns", DEFAULT_MAX_POLL_INTERVAL_NS),
+        drain_grace_ns=reader.integer("rules.drain-grace-ns", 0),
+        answer_slack_ns=reader.integer("rules.answer-slack-ns", 0),
+        start_capacity=reader.number("rules.start-capacity", 1.0),
+        warm_within_ns=reader.integer("rules.warm-within-ns", 0),
+        overload_factor=reader.number("rules.overload-factor", 3.0),
+        overload_for_ns=reader.integer("rules.overload-for-ns", DEFAULT_OVERLOAD_FOR_NS),
+        max_attempts=reader.positive("ceilings.send-cap"),
+        can_hedge=reader.flag("ceilings.second-copies", False),
+        can_cancel=reader.flag("ceilings.cancel", False),
+        can_probe=reader.flag("ceilings.probing", False),
+        can_message_peers=reader.flag("ceilings.peers", False),
+        retry_after=reader.flag("ceilings.retry-after", False),
+        max_retry_after_ns=reader.integer("ceilings.max-retry-after-ns", 0),
+        connect_timeout_ns=reader.integer("ceilings.connect-timeout-ns", 0),
+        report_columns=columns if has_reports else (),
+        weighted=reader.text("weight-source", "silent") != "silent",
+        goal_worst_class=reader.number("goal.worst-class", 0.0),
+        price_cross_zone=reader.number("prices.cross-zone", 0.0),
+        price_waste=reader.number("prices.waste", 0.0),
+        price_probe=reader.number("prices.probe", 0.0),
+        price_peer=reader.number("prices.peer", 0.0),
     )
