--- a/dykefold/fleet_wiring.py
+++ b/dykefold/fleet_wiring.py
@@ -1,6 +1,6 @@
-"""Wires membership, the spread of discovery calls and failover to the platform's sidecar.
+"""Connects membership, the poll spread and failover to the platform's sidecar.
 
-Each is off by default, and its package is imported only where it is on: off, it costs no memory.
+Each feature is off by default. Its package is imported only when it is on, since the import takes memory.
 """
 
 from __future__ import annotations
@@ -24,22 +24,23 @@
 
 
 class FleetFeatures:
-    """What a sidecar does together with its peers.
+    """The features of a sidecar that depend on its peers.
+
+    The poll spread starts with the constructor, before the first poll; all other features start with `start`.
 
     Args:
-        loop: that runs the process.
-        sidecar: what serves clients.
-        config: what the process runs by.
+        loop: Event loop of the process.
+        sidecar: Server that accepts clients.
+        config: Configuration in use.
 
     Attributes:
-        list_sync: spreads calls of discovery over the fleet; None where it is off.
-        agent: takes part in the membership; None where it is off, or the settings do not allow it.
-        failover: takes part in the failover between zones; None where it is off.
-        admin_server: serves the membership to operators; None where no address is given.
+        list_sync: Poll spread over the fleet; None if it is off.
+        agent: Part of this sidecar in the membership; None if it is off, or the settings do not allow it.
+        failover: Part of this sidecar in the failover between zones; None if it is off.
+        admin_server: Server of the membership for operators; None without an address.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, sidecar: SidecarServer, config: Config) -> None:
-        """Spread the calls of discovery, where that is on; the rest begins with `start`."""
         self.loop = loop
         self.sidecar = sidecar
         self.list_sync = _start_list_sync(sidecar, config)
@@ -48,14 +49,14 @@
         self.admin_server: AdminServer | None = None
 
     async def start(self, config: Config, shared: bool) -> None:
-        """Receive datagrams of peers, and begin what is on.
+        """Receive datagrams of peers, and start the enabled features.
 
         Args:
-            config: what the process runs by.
-            shared: whether another process may listen at the same addresses.
+            config: Configuration in use.
+            shared: Whether other processes may listen at the same addresses.
 
         Raises:
-            OSError: an address can't be listened on.
+            OSError: The process can't listen at an address.
         """
         if config.peer_listen_address is None:
             return
@@ -80,7 +81,7 @@
         return peers
 
     def apply(self, config: Config) -> None:
-        """Follow a configuration that was read again."""
+        """Apply a new configuration."""
         pool, settings = self.sidecar.pool, config.settings
         if self.agent is not None:
             self.agent.renumber(config.peer_addresses, settings.index)
@@ -93,12 +94,12 @@
             self.list_sync.change_settings(settings.max_poll_interval_ns)
 
     def leave(self) -> None:
-        """Tell the peers that this process ends."""
+        """Notify the peers that this process ends."""
         if self.agent is not None:
             self.agent.close()
 
     def close(self) -> None:
-        """End with the process."""
+        """Stop all features at the end of the process."""
         if self.admin_server is not None:
             self.admin_server.close()
         if self.list_sync is not None:
@@ -140,6 +141,7 @@
     from .failover.settings import FailoverSettings
 
     zones, home = config.settings.zones, config.settings.zone
+    # Operators' pages promise the text of this line.
     for name in {*config.fleet.failover.regions, *config.fleet.failover.out} - set(zones):
         log.warning("failover: no zone %s; the settings have %s", name, ", ".join(zones))
     settings = FailoverSettings(zones, home, config.fleet.failover)
@@ -149,10 +151,10 @@
 def _serve_membership(
     loop: asyncio.AbstractEventLoop, agent: FleetAgent, address: Address, failover: FailoverController | None
 ) -> AdminServer:
-    """Serve the fleet's membership at an address.
+    """Serve the membership to operators at an address.
 
     Raises:
-        OSError: the address can't be listened on.
+        OSError: The process can't listen at the address.
     """
     from .control.admin_requests import parse_membership_request
     from .fleet.admin import MembershipAdmin
--- a/dykefold/sim/machine.py
+++ b/dykefold/sim/machine.py
@@ -96,6 +96,6 @@
         """Open a reserve descriptor; OSError if the process may hold no more."""
         return self.loop.network.socket(self.loop).number
 
-    def close_reserve(self, number: int) -> None:
+    def close_reserve(self, descriptor: int) -> None:
         """Close such a descriptor."""
-        self.loop.network.by_number(self.loop, number).close()
+        self.loop.network.by_number(self.loop, descriptor).close()
--- a/dykefold/system.py
+++ b/dykefold/system.py
@@ -1,8 +1,8 @@
-"""What the program takes from its machine directly, beside the event loop: time, sockets, descriptors.
+"""The interface of the program to its machine, beside the event loop: time, sockets, descriptors.
 
-The one interface between the production code and its machine. Code that has a `System` reads no other clock
-and opens no other socket, so that the same code runs on a virtual machine (`dykefold.sim`). On a real one
-each of these is the system's own function: the interface costs an attribute look-up.
+Code with a `System` reads no other clock and opens no other socket, so the same code runs on a simulated
+machine (`dykefold.sim`). On a real machine the methods are functions of the operating system, and the
+interface costs one attribute look-up per call.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 import time
 from typing import Protocol
 
-# What socket(2), connect(2) and send(2) fail with when this machine lacks something, or forbids it.
+# Errors of socket(2), connect(2) and send(2) for a lack of resources, or for a rule, of this machine.
 OWN_ERRORS = frozenset(
     (
         errno.EACCES,
@@ -37,67 +37,68 @@
 
 
 def is_own(error: BaseException | None) -> bool:
-    """Return whether a system call failed for a reason of this machine, which says nothing of the other side.
+    """Return whether the cause of a failed system call is this machine, and not the peer or the network.
 
-    A refusal, a reset, ETIMEDOUT and EHOSTUNREACH are the other side's or the path's.
+    Refusals, resets, ETIMEDOUT and EHOSTUNREACH come from the peer or the network.
     """
     return isinstance(error, OSError) and error.errno in OWN_ERRORS
 
 
 class Watch(Protocol):
-    """Shows without waiting whether bytes or an end of stream wait on one socket."""
+    """Detects unread bytes or the end of the stream on one socket."""
 
     def poll(self, timeout: float, /) -> list[tuple[int, int]]:
-        """Return a non-empty list if something waits; as select.poll, with a timeout in milliseconds."""
+        """Return a non-empty list for an event, as `select.poll` does; the timeout is in milliseconds."""
         ...
 
 
 class System:
-    """The machine that this process runs on."""
+    """The machine of this process."""
 
     monotonic = staticmethod(time.monotonic)  # seconds
     monotonic_ns = staticmethod(time.monotonic_ns)
     time_ns = staticmethod(time.time_ns)  # Unix time
 
     def tcp_socket(self) -> socket.socket:
-        """Open a TCP socket over IPv4 that never blocks.
+        """Open a non-blocking TCP socket over IPv4.
 
         Raises:
-            OSError: there is no descriptor left.
+            OSError: No descriptor is left.
         """
         return socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
 
     def watch(self, sock: socket.socket) -> Watch:
-        """Return a watch on a socket; polling it costs less than a read that fails."""
+        """Return a watch for unread bytes on a socket; to poll it costs less than a failing read."""
         watch = select.poll()
         watch.register(sock, select.POLLIN)
         return watch
 
     def watch_end(self, sock: socket.socket) -> Watch:
-        """Return a watch on whether bytes wait, or the other side has closed its stream behind them."""
+        """Return a watch for unread bytes on a socket, or the end of the peer's stream behind them."""
         watch = select.poll()
         watch.register(sock, select.POLLIN | select.POLLRDHUP)
         return watch
 
     def unread(self, sock: socket.socket) -> int:
-        """Return how many bytes wait unread on a socket (tcp(7), SIOCINQ); 0 where that is not known."""
+        """Return the number of unread bytes on a socket (tcp(7), SIOCINQ); 0 if it is unknown."""
         try:
-            found = fcntl.ioctl(sock.fileno(), termios.FIONREAD, bytes(4))
-        except (OSError, ValueError):  # it has ended meanwhile
+            count = fcntl.ioctl(sock.fileno(), termios.FIONREAD, bytes(4))
+        # ValueError: the socket has been closed.
+        except (OSError, ValueError):
             return 0
-        return int.from_bytes(found, sys.byteorder)
+        return int.from_bytes(count, sys.byteorder)
 
     def open_reserve(self) -> int:
-        """Open a reserve descriptor, kept only to be closed when another is needed.
+        """Open a reserve descriptor, whose only use is to be closed when another one is needed.
 
         Raises:
-            OSError: there is no descriptor left.
+            OSError: No descriptor is left.
         """
         return os.open(os.devnull, os.O_RDONLY | os.O_CLOEXEC)
 
-    def close_reserve(self, number: int) -> None:
-        """Close such a descriptor."""
-        os.close(number)
+    def close_reserve(self, descriptor: int) -> None:
+        """Close a reserve descriptor."""
+        os.close(descriptor)
 
 
 SYSTEM = System()
