--- a/dykefold/cli/__init__.py
+++ b/dykefold/cli/__init__.py
@@ -1,6 +1,7 @@
 """The command line for people: `dykefold serve | check | control | fleet | sim | lab | version`.
 
-Not in the platform's process. Exit codes: 0 good, 1 failed, 2 wrong use or a file that is wrong.
+The platform's process does not import this package. Exit codes are 0 for success, 1 for a failure, and 2 for
+wrong use or a bad file.
 """
 
 from __future__ import annotations
@@ -18,5 +19,5 @@
 
 
 def main() -> None:
-    """The console script."""
+    """Run the command line."""
     app()
--- a/dykefold/cli/app.py
+++ b/dykefold/cli/app.py
@@ -1,4 +1,4 @@
-"""The application that each subsystem adds its commands to."""
+"""The application to which each module adds its commands."""
 
 from __future__ import annotations
 
@@ -19,5 +19,6 @@
     """Print the version."""
     try:
         typer.echo(version("dykefold"))
-    except PackageNotFoundError:  # run from a checkout
+    # It runs from a checkout.
+    except PackageNotFoundError:
         typer.echo("dykefold (not installed)")
--- a/dykefold/cli/control.py
+++ b/dykefold/cli/control.py
@@ -1,4 +1,4 @@
-"""`control`: calls at a sidecar's door."""
+"""`control`: requests to a sidecar's admin API."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from ..control.admin_requests import MAX_ID_CHARACTERS, Action
 from ..net.discovery.codec import split_address
 
-TIMEOUT_S = 5.0  # the door answers in one second
+TIMEOUT_S = 5.0
 
 At = Annotated[
-    str, typer.Option("--at", metavar="HOST:PORT", envvar="GW_CONTROL", help="Address of the door.")
+    str, typer.Option("--at", metavar="HOST:PORT", envvar="GW_CONTROL", help="Address of the admin API.")
 ]
 AsJson = Annotated[bool, typer.Option("--json", help="One JSON object for programs.")]
 Server = Annotated[str, typer.Argument(metavar="ID", help="The server's name, as discovery lists it.")]
 
-group = typer.Typer(no_args_is_help=True, help="Call a sidecar's door.")
+group = typer.Typer(no_args_is_help=True, help="Call a sidecar's admin API.")
 
 
 def add_to(app: typer.Typer) -> None:
@@ -32,49 +32,62 @@
 @group.command()
 def health(at: At, as_json: AsJson = False) -> None:
     """Ask whether the process takes clients."""
-    _call(at, Action.HEALTH, "", as_json)
+    _send(at, Action.HEALTH, "", as_json)
 
 
 @group.command()
 def maint(server: Server, at: At, as_json: AsJson = False) -> None:
     """Take a server out: nothing more is sent to it until it is put back."""
-    _call(at, Action.OUT, server, as_json)
+    _send(at, Action.OUT, server, as_json)
 
 
 @group.command()
 def ready(server: Server, at: At, as_json: AsJson = False) -> None:
     """Put a server back: it is used again, as one that has just started."""
-    _call(at, Action.BACK, server, as_json)
+    _send(at, Action.BACK, server, as_json)
 
 
-def _call(at: str, action: Action, server: str, as_json: bool) -> None:
-    """Make a call and show its answer; exit code 0 for a yes, 1 for a no or silence, 2 for wrong use."""
+def _send(at: str, action: Action, endpoint_name: str, as_json: bool) -> None:
+    """Send a request, print the response and exit.
+
+    Args:
+        at: Address of the admin API.
+        action: Kind of the request.
+        endpoint_name: Name of the endpoint; empty for a request without one.
+        as_json: Whether to print JSON.
+
+    Raises:
+        Exit: The exit code is 0 for success, and 1 for an error response or none.
+        BadParameter: The address or the name is unusable; the exit code is 2.
+    """
     try:
         host, port = split_address(at)
     except ValueError as error:
         raise typer.BadParameter(str(error), param_hint="--at") from None
-    if action is not Action.HEALTH and not 0 < len(server) <= MAX_ID_CHARACTERS:
+    if action is not Action.HEALTH and not 0 < len(endpoint_name) <= MAX_ID_CHARACTERS:
         problem = f"expected 1 to {MAX_ID_CHARACTERS} characters"
         raise typer.BadParameter(problem, param_hint="ID")
-    code, text = _answer(host, port, action, server)
-    good = code is not None and HTTPStatus.OK <= code < HTTPStatus.MULTIPLE_CHOICES
+    code, text = _exchange(host, port, action, endpoint_name)
+    succeeded = code is not None and HTTPStatus.OK <= code < HTTPStatus.MULTIPLE_CHOICES
     if as_json:
-        call = {"call": action.value, "server": server or None, "at": at}
-        typer.echo(json.dumps({**call, "yes": good, "code": code, "text": text}))
+        request = {"call": action.value, "server": endpoint_name or None, "at": at}
+        typer.echo(json.dumps({**request, "yes": succeeded, "code": code, "text": text}))
     else:
-        typer.echo(text, err=not good)
-    raise typer.Exit(0 if good else 1)
+        typer.echo(text, err=not succeeded)
+    raise typer.Exit(0 if succeeded else 1)
 
 
-def _answer(host: str, port: int, action: Action, server: str) -> tuple[int | None, str]:
-    """The door's code and words; no code where there is no answer."""
-    target = f"/servers/{quote(server, safe='')}/{action.value}" if server else f"/{action.value}"
-    door = http.client.HTTPConnection(host, port, timeout=TIMEOUT_S)
+def _exchange(host: str, port: int, action: Action, endpoint_name: str) -> tuple[int | None, str]:
+    """Send a request; return status code and text of the response, or None and the problem."""
+    target = f"/{action.value}"
+    if endpoint_name:
+        target = f"/servers/{quote(endpoint_name, safe='')}/{action.value}"
+    connection = http.client.HTTPConnection(host, port, timeout=TIMEOUT_S)
     try:
-        door.request("POST" if server else "GET", target)
-        reply = door.getresponse()
-        return reply.status, reply.read().decode("utf-8", "replace").strip()
+        connection.request("POST" if endpoint_name else "GET", target)
+        response = connection.getresponse()
+        return response.status, response.read().decode("utf-8", "replace").strip()
     except (TimeoutError, OSError, http.client.HTTPException) as error:
         return None, f"no answer from {host}:{port}: {error or type(error).__name__}"
     finally:
-        door.close()
+        connection.close()
--- a/dykefold/cli/fleet.py
+++ b/dykefold/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`fleet`: what a running sidecar holds of its fleet."""
+"""`fleet`: the membership and the traffic plan of a running sidecar."""
 
 from __future__ import annotations
 
@@ -15,6 +15,7 @@
 from ..net.discovery.codec import split_address
 
 TIMEOUT_S = 5.0
+MAX_SHOWN_CHARACTERS = 200
 
 At = Annotated[
     str, typer.Option("--at", metavar="HOST:PORT", help="`listen` in [fleet] of the operator's file.")
@@ -40,11 +41,11 @@
     as_json: AsJson = False,
 ) -> None:
     """Show a sidecar's view: each member, its state, and the latest changes with their causes."""
-    told = _ask(at, Action.VIEW, "members")
+    membership = _fetch(at, Action.VIEW, "members")
     if as_json:
-        typer.echo(json.dumps(told))
+        typer.echo(json.dumps(membership))
         return
-    _show(told)
+    _print_membership(membership)
 
 
 @group.command()
@@ -53,59 +54,75 @@
     as_json: AsJson = False,
 ) -> None:
     """Show where a sidecar's zone works and why, which zones others have left, and who sees what."""
-    told = _ask(at, Action.PLAN, "works_in")
+    report = _fetch(at, Action.PLAN, "works_in")
     if as_json:
-        typer.echo(json.dumps(told))
+        typer.echo(json.dumps(report))
         return
     console = Console()
-    to = ", ".join(f"{share:.2f} in {zone}" for zone, share in told["to"].items())
-    console.print(f"zone {told['zone']}: {told['state']} for {told['since_s']:.1f} s; {told['cause']}")
-    console.print(f"{told['away']:.2f} of its sidecars work elsewhere{f': {to}' if to else ''}")
-    console.print(f"this one works in zone {told['works_in']}; {told['moves']} moves of late")
-    for zone, levels in told["others_levels"].items():
+    to = ", ".join(f"{share:.2f} in {zone}" for zone, share in report["to"].items())
+    console.print(
+        f"zone {report['zone']}: {report['state']} for {report['since_s']:.1f} s; {report['cause']}"
+    )
+    console.print(f"{report['away']:.2f} of its sidecars work elsewhere{f': {to}' if to else ''}")
+    console.print(f"this one works in zone {report['works_in']}; {report['moves']} moves of late")
+    for zone, levels in report["others_levels"].items():
         console.print(f"zone {zone}: {len(levels)} of its sidecars tell that they are away, levels {levels}")
-    for pair, verdict in told["verdicts"].items():
+    for pair, verdict in report["verdicts"].items():
         console.print(f"{pair}: {verdict}")
 
 
-def _ask(at: str, action: Action, key: str) -> dict[str, Any]:
-    """What is told at an address, which has this key; exit code 1 where it is not to be had."""
+def _fetch(at: str, action: Action, key: str) -> dict[str, Any]:
+    """Return the JSON object that a sidecar sends.
+
+    Args:
+        at: Address of the membership's admin API.
+        action: Kind of the request.
+        key: Key that the object must have.
+
+    Raises:
+        Exit: There is no such object; the exit code is 1.
+        BadParameter: The address is unusable; the exit code is 2.
+    """
     try:
         host, port = split_address(at)
     except ValueError as error:
         raise typer.BadParameter(str(error), param_hint="--at") from None
-    caller = http.client.HTTPConnection(host, port, timeout=TIMEOUT_S)
+    connection = http.client.HTTPConnection(host, port, timeout=TIMEOUT_S)
     try:
-        caller.request("GET", f"/{action.value}")
-        reply = caller.getresponse()
-        text = reply.read().decode("utf-8", "replace").strip()
-        if reply.status == HTTPStatus.OK:
-            told = json.loads(text)
-            if isinstance(told, dict) and key in told:
-                return told
-        problem = f"{host}:{port} told no {action.name.lower()}: {reply.status} {text[:200]}"
+        connection.request("GET", f"/{action.value}")
+        response = connection.getresponse()
+        text = response.read().decode("utf-8", "replace").strip()
+        if response.status == HTTPStatus.OK:
+            content = json.loads(text)
+            if isinstance(content, dict) and key in content:
+                return content
+        problem = (
+            f"{host}:{port} told no {action.name.lower()}: {response.status} {text[:MAX_SHOWN_CHARACTERS]}"
+        )
     except (OSError, http.client.HTTPException, ValueError) as error:
         problem = f"no answer from {host}:{port}: {error or type(error).__name__}"
     finally:
-        caller.close()
+        connection.close()
     typer.echo(problem, err=True)
     raise typer.Exit(1)
 
 
-def _show(told: dict[str, Any]) -> None:
+def _print_membership(membership: dict[str, Any]) -> None:
     console = Console()
-    table = Table(title=f"as member {told['member']} sees it: {told['live']} live", title_justify="left")
+    table = Table(
+        title=f"as member {membership['member']} sees it: {membership['live']} live", title_justify="left"
+    )
     for name in ("member", "address", "zone", "state", "live", "heard s ago"):
         table.add_column(name)
-    for one in told["members"]:
-        zone = "" if one["zone"] is None else str(one["zone"])
-        heard = "" if one["heard_s"] is None else f"{one['heard_s']:.1f}"
-        live = "yes" if one["live"] else "no"
-        table.add_row(str(one["member"]), one["address"], zone, one["state"], live, heard)
+    for member in membership["members"]:
+        zone = "" if member["zone"] is None else str(member["zone"])
+        last_contact_s = "" if member["heard_s"] is None else f"{member['heard_s']:.1f}"
+        live = "yes" if member["live"] else "no"
+        table.add_row(str(member["member"]), member["address"], zone, member["state"], live, last_contact_s)
     console.print(table)
-    if told["alone"]:
+    if membership["alone"]:
         console.print("It hears nobody: what it says of the others is old.")
-    elif not told["steady"]:
+    elif not membership["steady"]:
         console.print("It has just begun to take part.")
-    for change in told["changes"]:
+    for change in membership["changes"]:
         console.print(f"{change['s_ago']:8.1f} s ago: {change['what']}")
--- a/dykefold/cli/lab.py
+++ b/dykefold/cli/lab.py
@@ -17,7 +17,7 @@
     no_args_is_help=True, help="A parts platform of one's own: scenarios, load, what came of it."
 )
 File = Annotated[Path, typer.Argument(metavar="SCENARIO", help="A scenario file, as deploy/scenario.toml.")]
-STORIES = 10
+MAX_SHOWN_VIOLATIONS = 10
 
 
 def add_to(app: typer.Typer) -> None:
@@ -34,7 +34,7 @@
     try:
         read_scenario(str(file))
     except ServiceError as error:
-        _refuse(error.path, error.problems)
+        _exit_for_bad_file(error.path, error.problems)
     typer.echo(f"{file}: good")
 
 
@@ -53,14 +53,14 @@
     try:
         result = play(file, DIRECT if direct else "dykefold")
     except ServiceError as error:
-        _refuse(error.path, error.problems)
+        _exit_for_bad_file(error.path, error.problems)
     except RunError as error:
         typer.echo(f"dykefold: {error}", err=True)
         raise typer.Exit(1) from None
     if as_json:
         typer.echo(json.dumps(described(result)))
     else:
-        _show(result)
+        _print_result(result)
     raise typer.Exit(1 if result.violations or not result.valid else 0)
 
 
@@ -83,36 +83,36 @@
     try:
         scenario = read_fleet(str(file))
     except ServiceError as error:
-        _refuse(error.path, error.problems)
+        _exit_for_bad_file(error.path, error.problems)
     try:
-        seen = uvloop.run(play(scenario))
+        result = uvloop.run(play(scenario))
     except OSError as error:
         typer.echo(f"dykefold: {error}", err=True)
         raise typer.Exit(1) from None
     if plot is not None:
-        faults = [(one.at_s, one.at_s + one.for_s, one.kind) for one in scenario.faults]
-        plot.write_text(plotted(seen.looks, scenario.fleet.members, faults))
-    told = seen.described()
+        faults = [(fault.at_s, fault.at_s + fault.for_s, fault.kind) for fault in scenario.faults]
+        plot.write_text(plotted(result.looks, scenario.fleet.members, faults))
+    figures = result.described()
     if as_json:
-        typer.echo(json.dumps(told))
+        typer.echo(json.dumps(figures))
     else:
         table = Table("what", "figure")
-        for name, value in told.items():
+        for name, value in figures.items():
             table.add_row(
                 name.replace("_", " "), " ".join(map(str, value)) if isinstance(value, list) else str(value)
             )
         Console().print(table)
-    raise typer.Exit(0 if seen.good else 1)
+    raise typer.Exit(0 if result.good else 1)
 
 
-def _refuse(path: str, problems: list[str]) -> None:
+def _exit_for_bad_file(path: str, problems: list[str]) -> None:
     for problem in problems:
         typer.echo(f"{path}: {problem}", err=True)
     raise typer.Exit(2)
 
 
 def described(result: RunResult) -> dict[str, object]:
-    """A result as JSON has it."""
+    """Return a result in the form for programs."""
     return {
         "valid": result.valid,
         "lag_ms": result.lag_ms,
@@ -120,25 +120,25 @@
         "shares": result.shares,
         "violations": result.violations,
         "classes": {
-            name: {"counts": dict(one.counts), "latency_ms": one.percentiles_ms()}
-            for name, one in result.classes.items()
+            name: {"counts": dict(outcome.counts), "latency_ms": outcome.percentiles_ms()}
+            for name, outcome in result.classes.items()
         },
     }
 
 
-def _show(result: RunResult) -> None:
+def _print_result(result: RunResult) -> None:
     from ..lab.judge import ENDS, PERCENTILES
 
     console = Console()
     table = Table(title=f"{result.attempts} attempts reached servers")
     for column in ("class", *ENDS, *(f"p{at:g} ms" for at in PERCENTILES)):
         table.add_column(column, justify="right")
-    for name, one in result.classes.items():
-        ends = (str(one.counts[end]) for end in ENDS)
-        table.add_row(name, *ends, *(f"{value:.1f}" for value in one.percentiles_ms().values()))
+    for name, outcome in result.classes.items():
+        ends = (str(outcome.counts[end]) for end in ENDS)
+        table.add_row(name, *ends, *(f"{value:.1f}" for value in outcome.percentiles_ms().values()))
     console.print(table)
     if not result.valid:
         console.print(f"void: the load tool itself was late by {result.lag_ms:.1f} ms (99th percentile)")
-    for line in result.violations[:STORIES]:
+    for line in result.violations[:MAX_SHOWN_VIOLATIONS]:
         console.print(line, highlight=False, markup=False)
     console.print(f"{len(result.violations)} rules broken" if result.violations else "no rule broken")
--- a/dykefold/cli/logs.py
+++ b/dykefold/cli/logs.py
@@ -10,21 +10,21 @@
 
 
 class LogFormat(StrEnum):
-    """How log lines are written; the values are those of the command line."""
+    """Form of log lines; the values are options of the command line."""
 
     TEXT = "text"
     JSON = "json"
 
 
 def set_up(form: LogFormat) -> None:
-    """Send every line of the process's loggers to standard error in one form."""
+    """Write all log lines of the process to standard error in one form."""
     shared: list[Any] = [
         structlog.stdlib.add_log_level,
         structlog.stdlib.add_logger_name,
         structlog.processors.TimeStamper(fmt="iso", utc=True),
         structlog.processors.format_exc_info,
     ]
-    last = (
+    renderer = (
         structlog.processors.JSONRenderer()
         if form is LogFormat.JSON
         else structlog.processors.KeyValueRenderer(key_order=["timestamp", "level", "logger", "event"])
@@ -33,7 +33,7 @@
     handler.setFormatter(
         structlog.stdlib.ProcessorFormatter(
             foreign_pre_chain=shared,
-            processors=[structlog.stdlib.ProcessorFormatter.remove_processors_meta, last],
+            processors=[structlog.stdlib.ProcessorFormatter.remove_processors_meta, renderer],
         )
     )
     root = logging.getLogger()
--- a/dykefold/cli/services.py
+++ b/dykefold/cli/services.py
@@ -56,10 +56,11 @@
         return
     typer.echo(f"{file}: good")
     if service.plan is not None:
-        _show(service)
+        _print_plan(service)
 
 
 def _described(service: Service) -> dict[str, Any]:
+    """Return pools and routes in the form for programs."""
     plan = service.plan
     if plan is None:
         return {"pools": [], "routes": []}
@@ -87,15 +88,19 @@
     }
 
 
-def _show(service: Service) -> None:
-    """The same for people."""
+def _print_plan(service: Service) -> None:
+    """Print pools and routes as tables."""
     console = Console()
     for title, rows in _described(service).items():
         table = Table(title=title)
         for column in rows[0] if rows else ():
             table.add_column(column)
         for row in rows:
-            table.add_row(
-                *(", ".join(v) if isinstance(v, list) else "" if v is None else str(v) for v in row.values())
-            )
+            table.add_row(*(_cell(value) for value in row.values()))
         console.print(table)
+
+
+def _cell(value: object) -> str:
+    if isinstance(value, list):
+        return ", ".join(value)
+    return "" if value is None else str(value)
--- a/dykefold/cli/simulation.py
+++ b/dykefold/cli/simulation.py
@@ -1,4 +1,4 @@
-"""What `dykefold sim` does: plays seeds, shows what came of them. Only imported when it is called."""
+"""The work of `dykefold sim`: plays seeds and prints the results. Imported only for this command."""
 
 from __future__ import annotations
 
@@ -17,13 +17,15 @@
 from ..sim.run import Result, Sum, play, play_seed, play_steps, search
 from ..sim.schedule import WORLDS, Scenario, draw
 
-TRACE_LINES = 60
-STORIES = 5  # broken runs that are listed
+MAX_TRACE_LINES = 60
+MAX_LISTED_RUNS = 5
+# The trace is shown up to this time after the first violation.
+TRACE_AFTER_VIOLATION_MS = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """What was asked for; see the help of the command."""
+    """Options of the command, whose help describes them."""
 
     seed: int
     steps: int
@@ -37,7 +39,7 @@
 
 
 def run(options: Options) -> int:
-    """Play what is asked for and show what came of it; the exit code."""
+    """Play the requested seeds and print the results; return the exit code."""
     worlds = list(WORLDS) if options.world == "all" else [options.world]
     if not set(worlds) <= set(WORLDS):
         typer.echo(f"--world {options.world}: expected one of {', '.join(WORLDS)}, all", err=True)
@@ -52,17 +54,17 @@
         console=Console(stderr=True),
         disable=options.as_json,
     ) as progress:
-        aim = int(options.seconds) if options.search else options.steps
-        task = progress.add_task("seconds" if options.search else "steps", total=aim or None)
+        goal = int(options.seconds) if options.search else options.steps
+        task = progress.add_task("seconds" if options.search else "steps", total=goal or None)
         for result in _runs(worlds, options):
             total.add(result)
             done = int(time.monotonic() - began) if options.search else total.steps
-            progress.update(task, completed=min(done, aim) if aim else done)
+            progress.update(task, completed=min(done, goal) if goal else done)
     total.seconds = time.monotonic() - began
     if options.as_json:
         typer.echo(json.dumps(_described(total)))
     else:
-        _show(total)
+        _print_total(total)
         if total.broken:
             _explain(total.broken[0], options)
     return 1 if total.broken else 0
@@ -91,7 +93,8 @@
                 "seed": result.seed,
                 "digest": result.digest,
                 "breaches": [
-                    {"at_ms": one.at_ns / MS, "rule": one.rule, "text": one.text} for one in result.breaches
+                    {"at_ms": breach.at_ns / MS, "rule": breach.rule, "text": breach.text}
+                    for breach in result.breaches
                 ],
             }
             for result in total.broken
@@ -99,7 +102,7 @@
     }
 
 
-def _show(total: Sum) -> None:
+def _print_total(total: Sum) -> None:
     console = Console()
     table = Table(
         title=f"{total.runs} runs, {total.steps:,} steps, {total.steps / total.seconds:,.0f} a second"
@@ -108,31 +111,36 @@
         table.add_column(name, justify="right")
     table.add_row(*(f"{count:,}" for count in total.counts.values()))
     console.print(table)
-    for result in total.broken[:STORIES]:
-        one = result.breaches[0]
-        console.print(f"{result.world} seed {result.seed}: {one.rule}: {one.text} at {one.at_ns / MS:.3f} ms")
+    for result in total.broken[:MAX_LISTED_RUNS]:
+        first = result.breaches[0]
+        place = f"{result.world} seed {result.seed}"
+        console.print(f"{place}: {first.rule}: {first.text} at {first.at_ns / MS:.3f} ms")
     if not total.broken:
         console.print("no rule broken")
 
 
 def _explain(result: Result, options: Options) -> None:
-    """The trace of a run that broke a rule, of its smallest form where that is asked for."""
+    """Print the trace of a run that broke a rule; with `--minimise`, of its smallest form."""
     console = Console()
     scenario = draw(result.world, result.seed, int(options.span_s * SECOND))
     if options.minimise:
         rule = result.breaches[0].rule
-        scenario = minimise(scenario, lambda other: any(one.rule == rule for one in play(other).breaches))
+        scenario = minimise(
+            scenario, lambda other: any(breach.rule == rule for breach in play(other).breaches)
+        )
         result = play(scenario)
-        _show_scenario(console, scenario)
+        _print_scenario(console, scenario)
     first_ms = result.breaches[0].at_ns / MS
-    lines = [line for line in result.trace if float(line.split(None, 1)[0]) <= first_ms + 1.0]
-    console.print(f"the last {TRACE_LINES} lines before {result.breaches[0].text}:")
-    for line in lines[-TRACE_LINES:]:
+    lines = [
+        line for line in result.trace if float(line.split(None, 1)[0]) <= first_ms + TRACE_AFTER_VIOLATION_MS
+    ]
+    console.print(f"the last {MAX_TRACE_LINES} lines before {result.breaches[0].text}:")
+    for line in lines[-MAX_TRACE_LINES:]:
         console.print(line, highlight=False, markup=False)
 
 
-def _show_scenario(console: Console, scenario: Scenario) -> None:
+def _print_scenario(console: Console, scenario: Scenario) -> None:
     console.print(f"smallest form: {len(scenario.faults)} faults, {len(scenario.arrivals)} requests")
     for fault in scenario.faults:
-        what = f"  {fault.at_ns / MS:10.3f} {fault.kind} server {fault.server} sidecar {fault.sidecar}"
-        console.print(f"{what} for {fault.span_ns / MS:.0f} ms", highlight=False, markup=False)
+        line = f"  {fault.at_ns / MS:10.3f} {fault.kind} server {fault.server} sidecar {fault.sidecar}"
+        console.print(f"{line} for {fault.span_ns / MS:.0f} ms", highlight=False, markup=False)
