--- a/dykefold/control/hot_restart.py
+++ b/dykefold/control/hot_restart.py
@@ -48,7 +48,7 @@
         sidecar: Server that accepts clients in this process.
         directory: State directory that the processes of the sidecar share.
         system: Clocks; None for the clock of the sidecar.
-        born_ns: Start of this process on the monotonic clock; None for the present time.
+        started_ns: Start of this process on the monotonic clock; None for the present time.
     """
 
     def __init__(
@@ -57,20 +57,20 @@
         sidecar: RestartHost,
         directory: StateDirectory,
         system: System | None = None,
-        born_ns: int | None = None,
+        started_ns: int | None = None,
     ) -> None:
         self.loop = loop
         self.sidecar = sidecar
         self.directory = directory
         self.now_ns = (system or sidecar.clock).monotonic_ns
         self.boot_id = directory.boot_id()
-        born_ns = self.now_ns() if born_ns is None else born_ns
-        self.machine = HotRestartMachine(f"{born_ns:020d}-{os.getpid()}", born_ns)
+        started_ns = self.now_ns() if started_ns is None else started_ns
+        self.machine = HotRestartMachine(f"{started_ns:020d}-{os.getpid()}", started_ns)
         name = self.machine.name
         self.heartbeat_name = RecordKind.HEARTBEAT.of_process(name)
         self.listener_selection = ListenerSelection(lambda: sidecar.listener is not None)
         self.endpoint_lists = EndpointListSharing(sidecar.pools, directory, name)
-        self.snapshots = SnapshotTransfer(sidecar.pools, directory, name, born_ns, self.read_clock)
+        self.snapshots = SnapshotTransfer(sidecar.pools, directory, name, started_ns, self.read_clock)
         self.maintenance = MaintenanceRecords(sidecar.pools, directory, name, self.read_clock)
         self.process_count = 1
         self.others: dict[str, ProcessHeartbeat] = {}  # heartbeats of live processes, by process name
@@ -168,7 +168,7 @@
         self._apply(observation)
         for name in self.others:
             self.endpoint_lists.adopt(name, records[RecordKind.HEARTBEAT.of_process(name)])
-        if now_ns - self.machine.born_ns > CLEANUP_DELAY_NS:
+        if now_ns - self.machine.started_ns > CLEANUP_DELAY_NS:
             self._clean_up(heartbeats)
         return observation
 
@@ -209,7 +209,7 @@
 
     def _clean_up(self, heartbeats: Mapping[str, ProcessHeartbeat]) -> None:
         """Remove the records of dead processes, once the record of this one has all of their orders."""
-        dead = dead_processes(heartbeats.values(), self.machine.acknowledged, self.machine.born_ns)
+        dead = dead_processes(heartbeats.values(), self.machine.acknowledged, self.machine.started_ns)
         if dead and self.maintenance.write():
             for process in dead:
                 remove_records(self.directory, process)
--- a/dykefold/control/hot_restart_state.py
+++ b/dykefold/control/hot_restart_state.py
@@ -93,8 +93,8 @@
 
     Attributes:
         name: Unique name of the process.
-        born_ns: Start of the process on the machine's monotonic clock; a later start makes a newer process.
-        beat_ns: Time of writing on the monotonic clock.
+        started_ns: Start of the process on the machine's monotonic clock, by which the newest is found.
+        written_ns: Time of writing on the monotonic clock.
         state: State of the process in its hot restart.
         acknowledged: Names of the live processes that the process has made way for, with its own name.
         max_descriptors: Number of descriptors that the process uses at most, now or soon.
@@ -102,8 +102,8 @@
     """
 
     name: str
-    born_ns: int
-    beat_ns: int
+    started_ns: int
+    written_ns: int
     state: HotRestartState
     acknowledged: tuple[str, ...]
     max_descriptors: int
@@ -112,7 +112,7 @@
     @property
     def age_order(self) -> tuple[int, str]:
         """Sort key from the oldest process to the newest."""
-        return self.born_ns, self.name
+        return self.started_ns, self.name
 
 
 @dataclass(frozen=True, slots=True)
@@ -138,7 +138,7 @@
 
 def is_responsive(heartbeat: ProcessHeartbeat, now_ns: int) -> bool:
     """Whether a heartbeat is fresh; one from the future was written before the machine's last boot."""
-    return 0 <= now_ns - heartbeat.beat_ns < MAX_HEARTBEAT_AGE_NS
+    return 0 <= now_ns - heartbeat.written_ns < MAX_HEARTBEAT_AGE_NS
 
 
 class HotRestartMachine:
@@ -146,12 +146,12 @@
 
     Args:
         name: Unique name of the process.
-        born_ns: Start of the process on the machine's monotonic clock.
+        started_ns: Start of the process on the machine's monotonic clock.
     """
 
-    def __init__(self, name: str, born_ns: int) -> None:
+    def __init__(self, name: str, started_ns: int) -> None:
         self.name = name
-        self.born_ns = born_ns
+        self.started_ns = started_ns
         self.state = HotRestartState.STARTING
         self.acknowledged: tuple[str, ...] = (name,)
         self.max_descriptors = 0
@@ -163,7 +163,7 @@
         """Return the heartbeat to write now; `listener_index` as in `ProcessHeartbeat`."""
         return ProcessHeartbeat(
             self.name,
-            self.born_ns,
+            self.started_ns,
             now_ns,
             self.state,
             self.acknowledged,
@@ -192,7 +192,7 @@
             The consequences for this process.
         """
         heartbeats = sorted(heartbeats, key=lambda heartbeat: heartbeat.age_order)[-MAX_OTHER_HEARTBEATS:]
-        own_order = (self.born_ns, self.name)
+        own_order = (self.started_ns, self.name)
         # An older process without others has written no heartbeat since, so here a stale one counts as well.
         older = [heartbeat for heartbeat in heartbeats if heartbeat.age_order < own_order]
         others = [
@@ -210,7 +210,7 @@
         elif self.state is not HotRestartState.ENDING:
             self._grow(now_ns, total_descriptors, free)
         made_way = all(self.name in heartbeat.acknowledged for heartbeat in older)
-        waited = now_ns - self.born_ns >= MAX_CAPACITY_WAIT_NS
+        waited = now_ns - self.started_ns >= MAX_CAPACITY_WAIT_NS
         return RestartObservation(
             process_count=len(self.acknowledged),
             max_descriptors=self.max_descriptors,
--- a/dykefold/control/process_lifecycle.py
+++ b/dykefold/control/process_lifecycle.py
@@ -8,7 +8,6 @@
 import socket
 
 from ..net.peers import Address
-from ..net.sidecar import SidecarServer
 from .admin_operations import AdminOperations
 from .admin_queue import AdminQueue
 from .admin_server import RESERVED_DESCRIPTORS, AdminServer
@@ -16,6 +15,7 @@
 from .directory_retry import DirectoryRetry
 from .file_system import FILE_SYSTEM, FileSystem
 from .hot_restart import HotRestart
+from .protocols import ManagedServer
 from .state_directory import FileStateDirectory
 
 log = logging.getLogger("dykefold.control")
@@ -40,7 +40,7 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        sidecar: SidecarServer,
+        sidecar: ManagedServer,
         address: Address | None,
         folder: str | None,
         file_system: FileSystem = FILE_SYSTEM,
@@ -52,7 +52,7 @@
         self.hot_restart: HotRestart | None = None
         self.admin_operations: AdminOperations | None = None
         self.submit: Submit = BackgroundWriter(loop).submit
-        self.born_ns = sidecar.clock.monotonic_ns()
+        self.started_ns = sidecar.clock.monotonic_ns()
         self.directory_retry: DirectoryRetry | None = None  # None where no folder is configured
         if address is not None and folder:
             self.directory_retry = DirectoryRetry(loop, folder, file_system)
@@ -61,7 +61,7 @@
                 self.hot_restart = self._make_hot_restart(directory)
 
     def _make_hot_restart(self, directory: FileStateDirectory) -> HotRestart:
-        hot_restart = HotRestart(self.loop, self.sidecar, directory, born_ns=self.born_ns)
+        hot_restart = HotRestart(self.loop, self.sidecar, directory, started_ns=self.started_ns)
         hot_restart.write_in_background(self.submit)
         return hot_restart
 
--- a/dykefold/control/process_records.py
+++ b/dykefold/control/process_records.py
@@ -88,8 +88,8 @@
     """Return the stored form of a heartbeat; `parse_heartbeat` and `parse_maintenance_orders` read it."""
     return {
         "name": heartbeat.name,
-        "born_ns": heartbeat.born_ns,
-        "beat_ns": heartbeat.beat_ns,
+        "born_ns": heartbeat.started_ns,
+        "beat_ns": heartbeat.written_ns,
         "state": heartbeat.state.value,
         "sees": list(heartbeat.acknowledged),
         "most": heartbeat.max_descriptors,
@@ -108,8 +108,8 @@
     try:
         return ProcessHeartbeat(
             name=str(record["name"]),
-            born_ns=int(record["born_ns"]),
-            beat_ns=int(record["beat_ns"]),
+            started_ns=int(record["born_ns"]),
+            written_ns=int(record["beat_ns"]),
             state=HotRestartState(record["state"]),
             acknowledged=tuple(str(name) for name in record["sees"]),
             max_descriptors=max(int(record["most"]), 0),
--- a/dykefold/control/protocols.py
+++ b/dykefold/control/protocols.py
@@ -6,6 +6,8 @@
 from typing import TYPE_CHECKING, Protocol
 
 if TYPE_CHECKING:
+    import socket
+
     from ..admission.listener import Listener
     from ..net.clock import Clock
     from ..net.service.pool import Pool
@@ -71,3 +73,20 @@
             max_descriptors: Number of descriptors that this process may use.
         """
         ...
+
+
+class ManagedServer(RestartHost, AdminTarget, Protocol):
+    """A server whose listener and shutdown are controlled from outside."""
+
+    @property
+    def pools(self) -> Collection[Pool]:
+        """All pools of the server; the collection changes with them."""
+        ...
+
+    def listen(self, sock: socket.socket, /) -> Listener:
+        """Begin to accept clients' connections on a listening socket."""
+        ...
+
+    def drain(self) -> None:
+        """Start the graceful shutdown."""
+        ...
--- a/dykefold/control/record_cleanup.py
+++ b/dykefold/control/record_cleanup.py
@@ -22,7 +22,7 @@
     return [
         heartbeat.name
         for heartbeat in heartbeats
-        if heartbeat.name not in alive and heartbeat.beat_ns < since_ns
+        if heartbeat.name not in alive and heartbeat.written_ns < since_ns
     ]
 
 
--- a/dykefold/control/snapshot_transfer.py
+++ b/dykefold/control/snapshot_transfer.py
@@ -21,7 +21,7 @@
         pools: Pools whose balancers are written and restored; the collection changes with them.
         directory: State directory that the processes of the sidecar share.
         name: Name of this process.
-        born_ns: Start of this process on the monotonic clock.
+        started_ns: Start of this process on the monotonic clock.
         read_clock: Reads the clock of this process; times in its snapshot are on this clock.
     """
 
@@ -30,13 +30,13 @@
         pools: Collection[Pool],
         directory: StateDirectory,
         name: str,
-        born_ns: int,
+        started_ns: int,
         read_clock: Callable[[], ClockReading],
     ) -> None:
         self.pools = pools
         self.directory = directory
         self.name = name
-        self.born_ns = born_ns
+        self.started_ns = started_ns
         self.read_clock = read_clock
         self.retry_needed = False  # a newer process waits for a snapshot whose write has failed
 
@@ -46,7 +46,7 @@
         record = {"pools": pools, "clock": self.read_clock().to_record()}
         written = self.directory.write(RecordKind.SNAPSHOT.of_process(self.name), record)
         awaited = any(
-            other.state is HotRestartState.STARTING and other.born_ns > self.born_ns for other in others
+            other.state is HotRestartState.STARTING and other.started_ns > self.started_ns for other in others
         )
         self.retry_needed = awaited and not written
 
@@ -55,7 +55,7 @@
         older = self._latest_older(others)
         return (
             older is None
-            or self.read_clock().monotonic_ns - self.born_ns >= MAX_CAPACITY_WAIT_NS
+            or self.read_clock().monotonic_ns - self.started_ns >= MAX_CAPACITY_WAIT_NS
             or self.directory.read(RecordKind.SNAPSHOT.of_process(older.name)) is not None
         )
 
@@ -74,5 +74,5 @@
                 log.warning("process ignores balancer snapshot: process %s", older.name)
 
     def _latest_older(self, others: Iterable[ProcessHeartbeat]) -> ProcessHeartbeat | None:
-        older = [other for other in others if other.born_ns < self.born_ns]
-        return max(older, key=lambda other: other.born_ns, default=None)
+        older = [other for other in others if other.started_ns < self.started_ns]
+        return max(older, key=lambda other: other.started_ns, default=None)
--- a/tests/control/test_hot_restart_state.py
+++ b/tests/control/test_hot_restart_state.py
@@ -189,7 +189,7 @@
         gone = [
             life
             for life in self.lives
-            if not life.alive and self.now - life.shown.beat_ns > 9 * MAX_HEARTBEAT_AGE_NS
+            if not life.alive and self.now - life.shown.written_ns > 9 * MAX_HEARTBEAT_AGE_NS
         ]
         self.lives = [life for life in self.lives if life not in gone]
         if len(self.lives) < 6:
--- a/tests/golden/forms.py
+++ b/tests/golden/forms.py
@@ -31,8 +31,8 @@
 OWN = 0x0000_0123_4567_0000
 SIGN = {
     "name": "00000000000000000007-41",
-    "born_ns": 7,
-    "beat_ns": 11,
+    "started_ns": 7,
+    "written_ns": 11,
     "acknowledged": ("a", "b"),
     "max_descriptors": 96,
 }
