--- a/dykefold/control/admin_operations.py
+++ b/dykefold/control/admin_operations.py
@@ -15,7 +15,6 @@
 
 log = logging.getLogger("dykefold.control")
 
-
 Answer = Callable[[AdminResponse], None]
 
 NO_SUCH_SERVER = AdminResponse(HTTPStatus.NOT_FOUND, "no such server")
@@ -87,12 +86,12 @@
             answer(self._health())
             return
         pools = [pool for pool in self.sidecar.pools if pool.maintenance.knows(request.endpoint_name)]
-        out = request.action is Action.OUT
+        takes_out = request.action is Action.OUT
         if not pools:
             answer(NO_SUCH_SERVER)
-        elif out and any(pool.maintenance.is_full(request.endpoint_name) for pool in pools):
+        elif takes_out and any(pool.maintenance.is_full(request.endpoint_name) for pool in pools):
             answer(TOO_MANY_OUT)
-        elif out:
+        elif takes_out:
             self._take_out(pools, request.endpoint_name, answer)
         else:
             self._put_back(pools, request.endpoint_name, answer)
@@ -115,16 +114,16 @@
 
     def _put_back(self, pools: Iterable[Pool], name: str, answer: Answer) -> None:
         # The endpoint stays out until the order is recorded, since after an error it must not be in use.
-        out = [pool for pool in pools if pool.maintenance.is_out(name)]
+        affected = [pool for pool in pools if pool.maintenance.is_out(name)]
         if self.order_store is None:
-            self._return_to_service(out, name)
+            self._return_to_service(affected, name)
             answer(OK)
             return
-        times = [pool.maintenance.order_time(name, pool.now()) for pool in out]
+        times = [pool.maintenance.order_time(name, pool.now()) for pool in affected]
         order = MaintenanceOrder(max(times, default=0), out=False)
         self.order_store.record_orders(
-            {name: order} if out else {},
-            lambda recorded: answer(self._finish_putting_back(out, name, order, recorded)),
+            {name: order} if affected else {},
+            lambda recorded: answer(self._finish_putting_back(affected, name, order, recorded)),
         )
 
     def _finish_putting_back(
--- a/dykefold/control/hot_restart.py
+++ b/dykefold/control/hot_restart.py
@@ -41,7 +41,7 @@
 
 
 class HotRestart:
-    """The part of one process in hot restarts; nothing is written before the first call.
+    """Part of one process in hot restarts; the constructor writes no record.
 
     Args:
         loop: Event loop on which the periodic observation is scheduled.
@@ -74,7 +74,7 @@
         self.maintenance = MaintenanceRecords(sidecar.pools, directory, name, self.read_clock)
         self.process_count = 1
         self.others: dict[str, ProcessHeartbeat] = {}  # heartbeats of live processes, by process name
-        self.records_current = True  # the last observation found all records of this process unchanged
+        self.records_current = True  # the last observation found the records of this process as written
         self.joining_since_ns: int | None = None  # None once this process follows the shared limits
         self.timer: asyncio.TimerHandle | None = None
 
--- a/dykefold/control/hot_restart_state.py
+++ b/dykefold/control/hot_restart_state.py
@@ -12,7 +12,7 @@
    its claim, and at its next observation takes what the claims of the others leave of it. So of two processes
    that grow at once, each sees the claim of the other before it takes. A process that can't show a claim (a
    full disk) takes at most half of all descriptors; the other half is left to a second such process.
-   A process that starts serves as soon as every older process has made way, is gone, or has been waited for,
+   A process that starts serves as soon as every older process has made way, is dead, or has been waited for,
    however few descriptors are left. Memory of messages is shared equally. An older process keeps the
    descriptors in use, since closing a client's connection would lose its request in flight. It never takes
    more, and the newest process gets all that remain.
@@ -26,8 +26,8 @@
     STARTING   | may serve      | TAKING     every older process has made way, or the wait for it is over
     TAKING     | newer starts   | SHARING
     SHARING    | newer serves   | HANDING
-    SHARING    | newer is mute  | TAKING     the newer one is gone, unresponsive, or in its shutdown
-    HANDING    | newer starts   | SHARING    the newer one is gone, and another one starts
+    SHARING    | newer is mute  | TAKING     the newer one is dead, unresponsive, or in its shutdown
+    HANDING    | newer starts   | SHARING    the newer one is dead, and another one starts
     HANDING    | newer is mute  | TAKING     the newer one became unresponsive, so clients return here
     any        | shutdown       | ENDING
 """
@@ -142,7 +142,7 @@
 
 
 class HotRestartMachine:
-    """One process's side of a hot restart.
+    """State machine of one process in a hot restart.
 
     Args:
         name: Unique name of the process.
--- a/dykefold/control/process_records.py
+++ b/dykefold/control/process_records.py
@@ -134,9 +134,9 @@
     for name, order in list(stored.items())[: 2 * MAX_OUT_OF_SERVICE]:
         if not isinstance(order, list) or len(order) != ORDER_FIELD_COUNT:
             continue
-        ordered_ns, out = order
-        if isinstance(ordered_ns, int) and 0 <= ordered_ns < MAX_TIME_NS and isinstance(out, bool):
-            orders[name] = MaintenanceOrder(ordered_ns, out)
+        ordered_ns, is_out = order
+        if isinstance(ordered_ns, int) and 0 <= ordered_ns < MAX_TIME_NS and isinstance(is_out, bool):
+            orders[name] = MaintenanceOrder(ordered_ns, is_out)
     return orders
 
 
--- a/dykefold/control/state_directory.py
+++ b/dykefold/control/state_directory.py
@@ -154,10 +154,10 @@
     def _read_folder_state(self) -> tuple[int, ...]:
         """Return identity and times of the folder; empty if they can't be read."""
         try:
-            found = self.files.stat(self.path)
+            status = self.files.stat(self.path)
         except OSError:
             return ()
-        return (found.st_dev, found.st_ino, found.st_mtime_ns, found.st_ctime_ns)
+        return (status.st_dev, status.st_ino, status.st_mtime_ns, status.st_ctime_ns)
 
     def _start_reading(self) -> None:
         # The state is taken before the records, so that a write during the reading counts as a change.
--- a/dykefold/fleet_wiring.py
+++ b/dykefold/fleet_wiring.py
@@ -19,6 +19,8 @@
     from .failover.controller import FailoverController
     from .fleet.agent import FleetAgent
     from .fleet.endpoint_list_sync import EndpointListSync
+    from .net.discovery.client import DiscoveryClient
+    from .net.service.pool import Pool
 
 log = logging.getLogger("dykefold")
 
@@ -43,7 +45,8 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, sidecar: SidecarServer, config: Config) -> None:
         self.loop = loop
         self.sidecar = sidecar
-        self.list_sync = _start_list_sync(sidecar, config)
+        self.pool = sidecar.pool
+        self.list_sync = _start_list_sync(self.pool.discovery, config)
         self.agent: FleetAgent | None = None
         self.failover: FailoverController | None = None
         self.admin_server: AdminServer | None = None
@@ -67,28 +70,27 @@
         if self.list_sync is not None:
             self.agent.coordinate_polls(self.list_sync)
         if config.fleet.failover.on:
-            self.failover = _start_failover(self.loop, self.sidecar, config, self.agent)
+            self.failover = _start_failover(self.loop, self.pool, config, self.agent)
         if config.fleet.listen is not None:
             self.admin_server = _serve_membership(self.loop, self.agent, config.fleet.listen, self.failover)
 
     async def _open_peer_channel(self, config: Config, address: Address, shared: bool) -> PeerChannel:
-        sidecar = self.sidecar
         peers = PeerChannel(
-            config.settings.index, config.peer_addresses, config.broadcast_address, sidecar.pool.on_peer
+            config.settings.index, config.peer_addresses, config.broadcast_address, self.pool.on_peer
         )
         await self.loop.create_datagram_endpoint(lambda: peers, sock=_datagram_socket(address, shared))
-        sidecar.peers = peers
+        self.sidecar.peers = peers
         return peers
 
     def apply(self, config: Config) -> None:
         """Apply a new configuration."""
-        pool, settings = self.sidecar.pool, config.settings
+        settings = config.settings
         if self.agent is not None:
             self.agent.renumber(config.peer_addresses, settings.index)
         if self.failover is not None:
             from .failover.settings import FailoverSettings
 
-            zones, home = list(pool.names.zones), pool.settings.zone
+            zones, home = list(self.pool.names.zones), self.pool.settings.zone
             self.failover.change_settings(FailoverSettings(zones, home, config.fleet.failover))
         if self.list_sync is not None and settings.poll_required:
             self.list_sync.change_settings(settings.max_poll_interval_ns)
@@ -106,8 +108,8 @@
             self.list_sync.close()
 
 
-def _start_list_sync(sidecar: SidecarServer, config: Config) -> EndpointListSync | None:
-    settings, discovery = config.settings, sidecar.pool.discovery
+def _start_list_sync(discovery: DiscoveryClient | None, config: Config) -> EndpointListSync | None:
+    settings = config.settings
     if not (config.fleet.calls and settings.poll_required and discovery is not None):
         return None
     from .fleet.endpoint_list_sync import EndpointListSync
@@ -135,7 +137,7 @@
 
 
 def _start_failover(
-    loop: asyncio.AbstractEventLoop, sidecar: SidecarServer, config: Config, agent: FleetAgent
+    loop: asyncio.AbstractEventLoop, pool: Pool, config: Config, agent: FleetAgent
 ) -> FailoverController:
     from .failover.controller import FailoverController
     from .failover.settings import FailoverSettings
@@ -145,7 +147,7 @@
     for name in {*config.fleet.failover.regions, *config.fleet.failover.out} - set(zones):
         log.warning("failover: no zone %s; the settings have %s", name, ", ".join(zones))
     settings = FailoverSettings(zones, home, config.fleet.failover)
-    return FailoverController(loop, agent.membership, sidecar.pool, settings)
+    return FailoverController(loop, agent.membership, pool, settings)
 
 
 def _serve_membership(
