--- a/dykefold/fleet_wiring.py
+++ b/dykefold/fleet_wiring.py
@@ -1,6 +1,6 @@
-"""Wires membership, the spread of discovery calls and failover to the platform's sidecar.
+"""Connects membership, the poll spread and failover to the platform's sidecar.
 
-Each is off by default, and its package is imported only where it is on: off, it costs no memory.
+Each feature is off by default. Its package is imported only when it is on, since the import takes memory.
 """
 
 from __future__ import annotations
@@ -19,92 +19,97 @@
     from .failover.controller import FailoverController
     from .fleet.agent import FleetAgent
     from .fleet.endpoint_list_sync import EndpointListSync
+    from .net.discovery.client import DiscoveryClient
+    from .net.service.pool import Pool
 
 log = logging.getLogger("dykefold")
 
 
 class FleetFeatures:
-    """What a sidecar does together with its peers.
+    """The features of a sidecar that depend on its peers.
+
+    The poll spread starts with the constructor, before the first poll; all other features start with `start`.
 
     Args:
-        loop: that runs the process.
-        sidecar: what serves clients.
-        config: what the process runs by.
+        loop: Event loop of the process.
+        sidecar: Server that accepts clients.
+        config: Configuration in use.
 
     Attributes:
-        list_sync: spreads calls of discovery over the fleet; None where it is off.
-        agent: takes part in the membership; None where it is off, or the settings do not allow it.
-        failover: takes part in the failover between zones; None where it is off.
-        admin_server: serves the membership to operators; None where no address is given.
+        list_sync: Poll spread over the fleet; None if it is off.
+        agent: Part of this sidecar in the membership; None if it is off, or the settings do not allow it.
+        failover: Part of this sidecar in the failover between zones; None if it is off.
+        admin_server: Server of the membership for operators; None without an address.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, sidecar: SidecarServer, config: Config) -> None:
-        """Spread the calls of discovery, where that is on; the rest begins with `start`."""
         self.loop = loop
         self.sidecar = sidecar
-        self.list_sync = _start_list_sync(sidecar, config)
+        self.pool = sidecar.pool
+        self.list_sync = _start_list_sync(self.pool.discovery, config)
         self.agent: FleetAgent | None = None
         self.failover: FailoverController | None = None
         self.admin_server: AdminServer | None = None
 
     async def start(self, config: Config, shared: bool) -> None:
-        """Receive datagrams of peers, and begin what is on.
+        """Receive datagrams of peers, and start the enabled features.
 
         Args:
-            config: what the process runs by.
-            shared: whether another process may listen at the same addresses.
+            config: Configuration in use.
+            shared: Whether other processes may listen at the same addresses.
 
         Raises:
-            OSError: an address can't be listened on.
+            OSError: The process can't listen at an address.
         """
-        if config.peer_listen is None:
+        if config.peer_listen_address is None:
             return
-        peers = await self._open_peer_channel(config, config.peer_listen, shared)
+        peers = await self._open_peer_channel(config, config.peer_listen_address, shared)
         self.agent = _start_agent(self.loop, self.sidecar, config, peers)
         if self.agent is None:
             return
         if self.list_sync is not None:
             self.agent.coordinate_polls(self.list_sync)
         if config.fleet.failover.on:
-            self.failover = _start_failover(self.loop, self.sidecar, config, self.agent)
+            self.failover = _start_failover(self.loop, self.pool, config, self.agent)
         if config.fleet.listen is not None:
             self.admin_server = _serve_membership(self.loop, self.agent, config.fleet.listen, self.failover)
 
     async def _open_peer_channel(self, config: Config, address: Address, shared: bool) -> PeerChannel:
-        sidecar = self.sidecar
-        peers = PeerChannel(config.settings.index, config.peers, config.peers_all, sidecar.pool.on_peer)
+        peers = PeerChannel(
+            config.settings.index, config.peer_addresses, config.broadcast_address, self.pool.on_peer
+        )
         await self.loop.create_datagram_endpoint(lambda: peers, sock=_datagram_socket(address, shared))
-        sidecar.peers = peers
+        self.sidecar.peers = peers
         return peers
 
     def apply(self, config: Config) -> None:
-        """Follow a configuration that was read again."""
-        pool, settings = self.sidecar.pool, config.settings
+        """Apply a new configuration."""
+        settings = config.settings
         if self.agent is not None:
-            self.agent.renumber(config.peers, settings.index)
+            self.agent.renumber(config.peer_addresses, settings.index)
         if self.failover is not None:
             from .failover.settings import FailoverSettings
 
-            zones, home = list(pool.names.zones), pool.settings.zone
+            zones, home = list(self.pool.names.zones), self.pool.settings.zone
             self.failover.change_settings(FailoverSettings(zones, home, config.fleet.failover))
         if self.list_sync is not None and settings.poll_required:
             self.list_sync.change_settings(settings.max_poll_interval_ns)
 
     def leave(self) -> None:
-        """Tell the peers that this process ends."""
+        """Notify the peers that this process ends."""
         if self.agent is not None:
             self.agent.close()
 
     def close(self) -> None:
-        """End with the process."""
+        """Stop all features at the end of the process."""
         if self.admin_server is not None:
             self.admin_server.close()
         if self.list_sync is not None:
             self.list_sync.close()
 
 
-def _start_list_sync(sidecar: SidecarServer, config: Config) -> EndpointListSync | None:
-    settings, discovery = config.settings, sidecar.pool.discovery
+def _start_list_sync(discovery: DiscoveryClient | None, config: Config) -> EndpointListSync | None:
+    settings = config.settings
     if not (config.fleet.calls and settings.poll_required and discovery is not None):
         return None
     from .fleet.endpoint_list_sync import EndpointListSync
@@ -119,46 +124,47 @@
     loop: asyncio.AbstractEventLoop, sidecar: SidecarServer, config: Config, peers: PeerChannel
 ) -> FleetAgent | None:
     settings = config.settings
-    is_known = len(config.peers) > 1 and 0 <= settings.index < len(config.peers)
+    is_known = len(config.peer_addresses) > 1 and 0 <= settings.index < len(config.peer_addresses)
     if not (config.fleet.view and settings.can_message_peers and is_known):
         return None
     from .fleet.agent import FleetAgent, start_protocol
     from .fleet.membership import LocalMember
 
-    local = LocalMember(config.peers, settings.index, settings.zone)
+    local = LocalMember(config.peer_addresses, settings.index, settings.zone)
     agent = FleetAgent(loop, sidecar, peers, start_protocol(local, settings.price_peer, config.seed))
     agent.serve(sidecar.pool)
     return agent
 
 
 def _start_failover(
-    loop: asyncio.AbstractEventLoop, sidecar: SidecarServer, config: Config, agent: FleetAgent
+    loop: asyncio.AbstractEventLoop, pool: Pool, config: Config, agent: FleetAgent
 ) -> FailoverController:
     from .failover.controller import FailoverController
     from .failover.settings import FailoverSettings
 
     zones, home = config.settings.zones, config.settings.zone
+    # Operators' pages promise the text of this line.
     for name in {*config.fleet.failover.regions, *config.fleet.failover.out} - set(zones):
         log.warning("failover: no zone %s; the settings have %s", name, ", ".join(zones))
     settings = FailoverSettings(zones, home, config.fleet.failover)
-    return FailoverController(loop, agent.membership, sidecar.pool, settings)
+    return FailoverController(loop, agent.membership, pool, settings)
 
 
 def _serve_membership(
     loop: asyncio.AbstractEventLoop, agent: FleetAgent, address: Address, failover: FailoverController | None
 ) -> AdminServer:
-    """Serve the fleet's membership at an address.
+    """Serve the membership to operators at an address.
 
     Raises:
-        OSError: the address can't be listened on.
+        OSError: The process can't listen at the address.
     """
     from .control.admin_requests import parse_membership_request
     from .fleet.admin import MembershipAdmin
 
     sock = socket.create_server(address, backlog=RESERVED_DESCRIPTORS, reuse_port=True)
     plan = failover.report if failover is not None else None
-    server = AdminServer(loop, sock, MembershipAdmin(agent, plan), read=parse_membership_request)
-    log.info("fleet membership is served at %s:%d", *server.address)
+    server = AdminServer(loop, sock, MembershipAdmin(agent, plan), parse_request=parse_membership_request)
+    log.info("membership API listens: address=%s:%d", *server.address)
     return server
 
 
--- a/tests/control/test_state_directory.py
+++ b/tests/control/test_state_directory.py
@@ -92,8 +92,8 @@
 @pytest.mark.parametrize("span", [1, 5])
 @pytest.mark.parametrize("fault", [errno.ENOSPC, errno.EIO, "short"])
 def test_no_confirmed_order_is_lost_whichever_file_call_fails(tmp_path, fault, span, monkeypatch):
-    monkeypatch.setattr("dykefold.control.hot_restart.LOOK_S", 0.004)
-    monkeypatch.setattr("hot_restart_rig.LOOK_S", 0.004)
+    monkeypatch.setattr("dykefold.control.hot_restart.OBSERVATION_INTERVAL_S", 0.004)
+    monkeypatch.setattr("hot_restart_rig.OBSERVATION_INTERVAL_S", 0.004)
     for at in range(1, CALLS_MOST, span):
         (tmp_path / str(at)).mkdir()
         files = FailingCalls(fault, at, span)
--- a/tests/golden/forms.py
+++ b/tests/golden/forms.py
@@ -31,8 +31,8 @@
 OWN = 0x0000_0123_4567_0000
 SIGN = {
     "name": "00000000000000000007-41",
-    "born_ns": 7,
-    "beat_ns": 11,
+    "started_ns": 7,
+    "written_ns": 11,
     "acknowledged": ("a", "b"),
     "max_descriptors": 96,
 }
@@ -117,7 +117,7 @@
         for method, target in calls:
             known = read(method, target)
             if isinstance(known, AdminRequest):
-                told = {"action": known.action.value, "server": known.server}
+                told = {"action": known.action.value, "server": known.endpoint_name}
             else:
                 told = {"code": known.code, "text": known.text, "allow": known.allow}
             forms[f"{method} {target}"] = told
