--- a/dykefold/balancer/actions.py
+++ b/dykefold/balancer/actions.py
@@ -59,14 +59,22 @@
 
 @dataclass(slots=True)
 class Probe:
-    """Send a health check to an endpoint."""
+    """Send a health check to an endpoint.
+
+    Attributes:
+        endpoint_number: Number of the endpoint.
+    """
 
     endpoint_number: int
 
 
 @dataclass(slots=True)
 class CloseIdle:
-    """Close idle connections to an endpoint."""
+    """Close idle connections to an endpoint.
+
+    Attributes:
+        endpoint_number: Number of the endpoint.
+    """
 
     endpoint_number: int
 
@@ -128,7 +136,11 @@
 
 @dataclass(slots=True)
 class Log:
-    """Write a line to the log."""
+    """Write a line to the log.
+
+    Attributes:
+        text: Text of the line.
+    """
 
     text: str
 
--- a/dykefold/balancer/concurrency_limit.py
+++ b/dykefold/balancer/concurrency_limit.py
@@ -12,7 +12,7 @@
 # Stands for no limit until the first correction.
 INITIAL_LIMIT = 1e9
 CORRECTION_INTERVAL_DEADLINES = 0.1
-# Factor per correction. It applies up to the known good limit, and beyond it if nothing was rejected lately.
+# Factor per correction. It applies up to the known good limit, and beyond it without recent rejections.
 GROWTH_FACTOR = 1.3
 # Beyond the known good limit growth is slow, since overload shows only after a deadline.
 PROBING_INCREASE_PER_CONGESTION_UNIT = 0.1
--- a/dykefold/balancer/retry_policy.py
+++ b/dykefold/balancer/retry_policy.py
@@ -52,7 +52,7 @@
         self.throughput = throughput
         self.rules = rules
         self.answers = answers
-        self.budget = BUDGET_PER_REQUEST * BUDGET_RESERVE_S  # the maximum at one request a second
+        self.budget = BUDGET_PER_REQUEST * BUDGET_RESERVE_S  # The maximum at one request per second.
 
     def count_request(self) -> None:
         """Add the part of a new request to the budget."""
