--- a/dykefold/control/endpoint_list_sharing.py
+++ b/dykefold/control/endpoint_list_sharing.py
@@ -54,7 +54,9 @@
             heartbeat: Heartbeat record of that process, with the versions of its lists.
         """
         versions = nested_table(heartbeat, "lists")
-        newer = [pool for pool in self.pools if list_version(versions.get(pool.label)) > pool.version]
+        newer = [
+            pool for pool in self.pools if _is_newer(list_version(versions.get(pool.label)), pool.version)
+        ]
         if not newer:
             return
         record = self.directory.read(RecordKind.ENDPOINT_LISTS.of_process(process))
@@ -64,3 +66,7 @@
                 pool.adopt_list_record(nested_table(lists, pool.label))
             except ValueError as error:
                 log.warning("process ignores endpoint list: process %s, %s", process, error)
+
+
+def _is_newer(version: int | None, own_version: int) -> bool:
+    return version is not None and version > own_version
--- a/dykefold/control/process_records.py
+++ b/dykefold/control/process_records.py
@@ -69,7 +69,7 @@
     offset_ns: int
 
     def to_record(self) -> dict[str, Any]:
-        """Return the stored form; `shift_between_clocks` reads it."""
+        """Return the stored form; `_parse_clock` reads it."""
         return {"boot": self.boot_id, "monotonic_ns": self.monotonic_ns, "offset_ns": self.offset_ns}
 
 
@@ -79,9 +79,9 @@
     return inner if isinstance(inner, dict) else {}
 
 
-def list_version(value: object) -> int:
-    """Return the version of an endpoint list in a heartbeat; below all versions if it is unusable."""
-    return value if isinstance(value, int) else -1
+def list_version(value: object) -> int | None:
+    """Return the version of an endpoint list in a heartbeat; None if it is unusable."""
+    return value if isinstance(value, int) else None
 
 
 def heartbeat_record(heartbeat: ProcessHeartbeat, orders: Mapping[str, MaintenanceOrder]) -> dict[str, Any]:
@@ -173,10 +173,15 @@
     """
     if not isinstance(record, dict) or "clock" not in record:
         return 0
-    clock = nested_table(record, "clock")
-    monotonic_ns, offset_ns = clock.get("monotonic_ns"), clock.get("offset_ns")
-    if not isinstance(monotonic_ns, int) or not isinstance(offset_ns, int):
+    clock = _parse_clock(nested_table(record, "clock"))
+    if clock is None or clock.boot_id != own.boot_id or not 0 <= clock.monotonic_ns <= own.monotonic_ns:
         return None
-    if clock.get("boot") != own.boot_id or not 0 <= monotonic_ns <= own.monotonic_ns:
+    return own.offset_ns - clock.offset_ns
+
+
+def _parse_clock(stored: Record) -> ClockReading | None:
+    """Return the stored reading of a clock; None if it is unusable."""
+    boot_id, monotonic_ns, offset_ns = stored.get("boot"), stored.get("monotonic_ns"), stored.get("offset_ns")
+    if not isinstance(boot_id, str) or not isinstance(monotonic_ns, int) or not isinstance(offset_ns, int):
         return None
-    return own.offset_ns - offset_ns
+    return ClockReading(boot_id, monotonic_ns, offset_ns)
