--- a/dykefold/net/discovery/client.py
+++ b/dykefold/net/discovery/client.py
@@ -15,6 +15,7 @@
 from ..upstream.classify import Response
 from ..upstream.connection_pool import ConnectionPool
 from ..upstream.exchange import Exchange
+from ..upstream.limits import ConnectionLimits
 from .codec import (
     EndpointListError,
     EndpointUpdate,
@@ -73,7 +74,8 @@
         self.accepted = 0
         # An allowance of its own: the cap on connections to servers must never keep the list from being read.
         allowance, memory = DescriptorAllowance(DISCOVERY_CONNECTIONS), MemoryBudget(MAX_CALLS_BYTES)
-        self.calls = ConnectionPool(loop, allowance, memory, CONNECT_TIMEOUT_S, IDLE_TIMEOUT_S, system=system)
+        limits = ConnectionLimits(allowance, memory, CONNECT_TIMEOUT_S, IDLE_TIMEOUT_S)
+        self.calls = ConnectionPool(loop, limits, system=system)
         self.calls.update(DISCOVERY, address, 0, State.READY)
 
     def in_order(self, update: EndpointUpdate, accepted: int) -> EndpointUpdate:
--- a/dykefold/net/service/pool.py
+++ b/dykefold/net/service/pool.py
@@ -43,6 +43,7 @@
 from ..start_times import StartTimes
 from ..upstream.connection_pool import ConnectionPool
 from ..upstream.connector import LATE_S
+from ..upstream.limits import ConnectionLimits
 from .attempts import Attempt, AttemptRunner
 from .endpoint_registry import EndpointRegistry
 from .http_encoding import encode_request
@@ -139,10 +140,12 @@
         host = self.host
         return ConnectionPool(
             host.loop,
-            host.budget.upstreams,
-            host.memory,
-            self._connect_timeout_s(),
-            transport.conn_idle_ns / SECOND,
+            ConnectionLimits(
+                host.budget.upstreams,
+                host.memory,
+                self._connect_timeout_s(),
+                transport.conn_idle_ns / SECOND,
+            ),
             host.read_scheduler,
             host.timer_wheel,
             close_in_other_pools,
--- a/dykefold/net/upstream/connection.py
+++ b/dykefold/net/upstream/connection.py
@@ -6,8 +6,8 @@
 state       in the attributes                                   goes on to
 ==========  ==================================================  ============================================
 connecting  `transport` is None                                 sending, idle or closed
-idle        `exchange` is None, it stands in `upstream.idle`    sending, or closed: too old, ended by its
-                                                                endpoint, or bytes that nobody asked for
+idle        `exchange` is None, it stands in `upstream.idle`    sending, or closed: too old, closed by its
+                                                                endpoint, or bytes that belong to no request
 sending     `exchange` is set, `incomplete` is true             receiving, or closed
 receiving   `exchange` is set, `incomplete` is false            idle after a whole response that permits it,
                                                                 else closed
@@ -16,180 +16,190 @@
 
 A response may come before the request is written whole: it ends the exchange, and its connection is closed.
 
-`incomplete` is the line between "never ran" and "may have run". What the transport buffers may have gone
-before it says so (uvloop reports it a turn of the loop later), so the last byte of a request is kept back
-until all before it has gone, and is written by itself. An endpoint without that byte cannot run the request.
-Where a body follows as its client sends it, `Upload` keeps the last byte back likewise.
+`incomplete` is the line between "never ran" and "may have run", which the module `exchange` describes. The
+transport may have written its buffer before it reports that (uvloop reports it a turn of the loop later), so
+the last byte of a request is withheld until all bytes before it have been written, and is written by itself.
+Where the body follows as its client sends it, `Upload` withholds the last byte likewise.
 """
 
 from __future__ import annotations
 
 import asyncio
-from typing import TYPE_CHECKING
-
-import httptools
+import socket
 
 from ...balancer.events import Status
-from ...system import is_own
+from ...system import Watch, is_own
 from ..read_scheduler import SLICE_BYTES, cut
 from .abort import abort_connection
-from .classify import Response, classify, classify_break
+from .classify import classify, classify_break
+from .endpoint_connections import Upstream
+from .exchange import Exchange
+from .resources import ConnectionResources
 from .response_reader import ResponseReader
 
-if TYPE_CHECKING:
-    import socket
-
-    from .connection_pool import ConnectionPool
-    from .endpoint_connections import Upstream
-    from .exchange import Exchange
-
-MAX_STALL_S = 0.5  # without a byte of a response that has begun: endpoints write it when it is ready
-DEAD_WITHIN_S = 0.05  # after a request was written: what resets it so soon never read it
+# Seconds without a byte of a response that has begun; endpoints write a response when it is ready.
+MAX_STALL_S = 0.5
+# A connection that is reset sooner after the request was written was dead before: nothing read the request.
+DEAD_WITHIN_S = 0.05
+# Value of `idle_since` before a connection is idle for the first time; each request reads that attribute.
+NEVER_IDLE = 0.0
 
 
-class UpstreamConnection(ResponseReader):
-    """A connection to an endpoint: what is written on it, what comes, and its one end.
+class UpstreamConnection(asyncio.Protocol):
+    """A connection to an endpoint: writes requests, has responses read, and closes once.
 
     Args:
-        pool: that counts and keeps it.
+        resources: Collaborators that all connections of the pool share.
+        upstream: The endpoint.
+        sock: Socket of the connection, which `connector.establish` connects.
+        readiness: Watch on the socket: whether bytes or its end wait to be read (`poll(0)`).
 
     Attributes:
-        upstream: the endpoint.
-        generation: that of the endpoint when the connection was begun.
-        sock: its own socket.
-        readiness: whether bytes or an end wait on the socket (`poll(0)`).
-        monotonic: the clock, seconds.
-        transport: what the loop has made of the socket, once it is up.
-        unwritten: bytes wait in the transport.
-        last_byte: of the request, kept back until all before it has gone.
-        closed: it is neither counted nor used any more.
-        idle_since: when its last exchange ended, or it came up without one; 0: it has not been idle.
-        idle_before_s: seconds idle before the exchange that is on it; negative for its first.
-        sent_at: when the exchange on it was written; 0: it has carried none.
-        unfed: the rest of what came, until its turn.
-        scheduled: for that turn.
-        blocked: nothing is read, as the client takes no more of a response that is passed on.
-        size: bytes of all that came for the exchange on it.
+        generation: Generation of the endpoint when the connection was begun.
+        lag: Monitor that is notified of how long the parsing took; None if that is not measured.
+        reader: Reader of the responses.
+        exchange: Exchange on the connection; None between exchanges.
+        transport: Transport that the loop has made of the socket; None while it connects.
+        unwritten: Whether bytes wait in the transport.
+        last_byte: Last byte of the request, withheld until all bytes before it have been written.
+        closed: Whether the connection is neither counted nor used any more.
+        idle_since: Time in seconds at which the connection became idle most recently; `NEVER_IDLE` before.
+        idle_before_s: Seconds for which the connection was idle before its exchange; None for the first one.
+        sent_at: Time in seconds at which the latest exchange was written; None before the first one.
+        unfed: Bytes that wait to be parsed in slices.
+        scheduled: Whether the read scheduler will parse the next slice.
+        blocked: Whether reading is stopped because the client takes no more of a streamed response.
+        stalled: Timer that runs while more of a buffered response is awaited.
     """
 
-    # A dictionary of more than 30 attributes shares no keys: each look-up would cost a hash (CPython 3.11).
+    # A dictionary of more than 30 attributes shares no keys (CPython 3.11), and its look-ups cost a hash.
     __slots__ = (
         "__weakref__",
         "blocked",
         "closed",
+        "exchange",
         "generation",
         "idle_before_s",
         "idle_since",
+        "lag",
         "last_byte",
         "monotonic",
+        "owner",
+        "reader",
         "readiness",
+        "resources",
         "scheduled",
         "sent_at",
-        "size",
         "sock",
+        "stalled",
         "transport",
         "unfed",
         "unwritten",
         "upstream",
     )
 
-    def __init__(self, pool: ConnectionPool, upstream: Upstream, sock: socket.socket) -> None:
-        """Begin a connection; its socket is connected by `connector.establish`."""
-        super().__init__(pool)
+    def __init__(
+        self,
+        resources: ConnectionResources[UpstreamConnection],
+        upstream: Upstream[UpstreamConnection],
+        sock: socket.socket,
+        readiness: Watch,
+    ) -> None:
+        self.resources = resources
+        self.owner = resources.owner
+        self.monotonic = resources.monotonic
+        self.lag = resources.read_scheduler.lag
+        self.reader = ResponseReader(resources.memory)
         self.upstream = upstream
         self.generation = upstream.generation
         self.sock = sock
-        self.readiness = pool.system.watch(sock)
-        self.monotonic = pool.monotonic
+        self.readiness = readiness
+        self.exchange: Exchange | None = None
         self.transport: asyncio.Transport | None = None
-        self.unwritten = False
         self.last_byte = b""
-        self.closed = False
-        self.idle_since = 0.0
-        self.idle_before_s = -1.0
-        self.sent_at = 0.0
+        self.idle_since = NEVER_IDLE
+        self.idle_before_s: float | None = None
+        self.sent_at: float | None = None
         self.unfed: memoryview | None = None
-        self.scheduled = False
-        self.blocked = False
-        self._reset()
+        self.unwritten = self.closed = self.scheduled = self.blocked = False
+        self.stalled: asyncio.TimerHandle | None = None
 
-    def _reset(self) -> None:
-        self.size = 0
-        self.unusable = False
-        self.streamed = -1
-        self._begin_response()
+    @property
+    def size(self) -> int:
+        """Bytes that have been read for the exchange."""
+        return self.reader.size
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport; it reports when anything waits to be written."""
+        """Store the transport, and have it report whenever bytes wait to be written."""
         self.transport = transport  # type: ignore[assignment]
         transport.set_write_buffer_limits(high=0)  # type: ignore[attr-defined]
 
     def pause_writing(self) -> None:
-        """See that bytes wait in the transport."""
+        """Handle that bytes wait in the transport."""
         self.unwritten = True
 
     def resume_writing(self) -> None:
-        """Go on, as all that was written has gone: with the last byte, or with the body that flows."""
+        """Write the last byte or more of the body, as the transport has written all that it had."""
         self.unwritten = False
         if self.last_byte:
-            self._write_last()
+            if self.may_end():  # From here on the exchange may have run.
+                last, self.last_byte = self.last_byte, b""
+                self.write_on(last)
         elif self.exchange is not None and self.exchange.upload is not None:
             self.exchange.upload.flow()
 
-    def _write_last(self) -> None:
-        """Let go of the byte that was kept back: from here on the exchange may have run."""
-        if self.may_end():
-            last, self.last_byte = self.last_byte, b""
-            self.write_on(last)
-
     def may_end(self) -> bool:
-        """Return whether the last byte of the exchange on it may still go.
+        """Return whether the last byte of the exchange may still be written.
 
-        What was wanted when its first byte went may be wanted no more, and its endpoint should not begin it.
-        Such an exchange is ended here, as not attempted.
+        An exchange that was wanted when its first byte was written may not be wanted any more, and its
+        endpoint should not begin it. Such an exchange is ended here, as not attempted.
         """
-        exchange = self.exchange
-        assert exchange is not None
-        if exchange.wanted():
+        assert self.exchange is not None
+        if self.exchange.wanted():
             return True
         self.withdraw()
         return False
 
     def withdraw(self) -> None:
-        """End the exchange on it, whose last byte was kept back, as not attempted.
+        """End the exchange, whose last byte was withheld, as not attempted.
 
         Its endpoint did nothing wrong: nobody waits for the response any more, or it would come too late.
         """
-        exchange, self.exchange = self.exchange, None
+        exchange = self.exchange
         assert exchange is not None
+        self.detach_exchange()
         self.close(discard=True)
         exchange.end(Status.NOT_ATTEMPTED)
 
+    def detach_exchange(self) -> None:
+        """Carry the exchange no more, without reporting its end."""
+        self.exchange = self.reader.consumer = None
+
     @property
     def incomplete(self) -> bool:
-        """Whether some of its exchange was never let go of: it cannot have run."""
+        """Whether the last byte of the exchange is not written: the request cannot have run."""
         upload = self.exchange.upload if self.exchange is not None else None
         return bool(self.last_byte) or (upload is not None and not upload.sent)
 
     def write_on(self, data: bytes) -> None:
-        """Write more of the exchange that is on it."""
+        """Write the next bytes of the exchange."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
     def moved(self) -> int:
-        """Return the bytes of this exchange that have come, or that the kernel has taken of its body."""
+        """Return the bytes of the exchange that were read, or that the kernel has accepted of its body."""
         exchange = self.exchange
         if exchange is None or exchange.upload is None or self.transport is None:
-            return self.size
-        return self.size + exchange.upload.passed - self.transport.get_write_buffer_size()
+            return self.reader.size
+        return self.reader.size + exchange.upload.passed - self.transport.get_write_buffer_size()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came: at once, or in slices when that would hold up the loop."""
-        if len(data) <= SLICE_BYTES or self._all_body(len(data)):
+        """Parse what was read: at once, or in slices where that would block the loop."""
+        if len(data) <= SLICE_BYTES or self.reader.expects_only_body(len(data)):
             began_s = self.monotonic()
             self._feed(data, False)
-            if self.pool.lag is not None:
-                self.pool.lag.took(began_s, "a response of an endpoint")
+            if self.lag is not None:
+                self.lag.took(began_s, "a response of an endpoint")
             return
         assert self.transport is not None
         self.transport.pause_reading()
@@ -199,14 +209,14 @@
     def _schedule(self) -> None:
         if not self.scheduled:
             self.scheduled = True
-            self.pool.read_scheduler.add(self)
+            self.resources.read_scheduler.add(self)
 
     def feed_slice(self) -> bool:
         """Parse the next slice; return whether more remain."""
         if self.closed or self.unfed is None or self.blocked:
             self.scheduled = False
             return False
-        if self._all_body(len(self.unfed)):
+        if self.reader.expects_only_body(len(self.unfed)):
             data, self.unfed = bytes(self.unfed), None
         else:
             data, self.unfed = cut(self.unfed)
@@ -218,11 +228,7 @@
         return self.scheduled
 
     def block(self, on: bool) -> None:
-        """Stop or go on reading: a response that is passed on comes no faster than its client takes it.
-
-        Args:
-            on: whether to stop.
-        """
+        """Stop reading (`on`) or resume it: a response is streamed no faster than its client takes it."""
         if self.closed or self.transport is None or on == self.blocked:
             return
         self.blocked = on
@@ -234,49 +240,44 @@
             self.transport.resume_reading()
 
     def _feed(self, data: bytes, more: bool) -> None:
+        """Parse the next bytes and act on the result; with `more`, further bytes have been read already."""
         if self.exchange is None:
             if self.idle_since:
                 now = self.monotonic()
-                self.pool.quarantine.seen(now - self.idle_since, now)
-            self.close()  # bytes that nobody asked for: what follows could be taken for another's response
+                self.resources.quarantine.seen(now - self.idle_since, now)
+            self.close()  # Bytes that belong to no request: the next response could be confused with them.
             return
-        self.size += len(data)
-        try:
-            self.parser.feed_data(data)
-        except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            if self.response is None:
-                self._fail()
-                return
-            self.surplus = True
+        reader = self.reader
+        completable = reader.feed(data)
         if self.closed:
             return
-        if self.response is not None:
-            self.surplus |= more
+        if reader.response is not None:
+            reader.surplus |= more
             self._complete()
-        elif self.unusable or (self.streamed < 0 and self.size > self._max_size()):
-            self._fail()  # a response without an end would fill the memory
-        elif self.streamed >= 0:
-            return  # its end is awaited up to the time limit of the request
-        elif self.stalled is None:
-            self._start_stall_timer(self.size)
+        elif not completable:
+            self._fail()
+        elif reader.streamed is None:
+            if self.stalled is None:
+                self._start_stall_timer()
+        elif self.stalled is not None:  # The rest of a streamed response is awaited up to the deadline.
+            self.stalled.cancel()
+            self.stalled = None
 
-    def _start_stall_timer(self, before: int) -> None:
-        """Look again later: a response that announces more than comes would be awaited to the deadline."""
-        self.stalled = self.pool.loop.call_later(MAX_STALL_S, self._check_stall, before)
+    def _start_stall_timer(self) -> None:
+        """Check again later: a response that is never completed would be awaited up to the deadline."""
+        self.stalled = self.resources.loop.call_later(MAX_STALL_S, self._check_stall, self.reader.size)
 
     def _check_stall(self, before: int) -> None:
-        # What waits in the socket, or for its turn, has come: only this loop is late.
-        if self.size == before and self.unfed is None and not self.readiness.poll(0):
+        """Fail if no byte has been read since `before` bytes had been."""
+        # Bytes that wait in the socket, or to be parsed, have come in time: only this loop is late.
+        if self.reader.size == before and self.unfed is None and not self.readiness.poll(0):
             self._fail()
         else:
-            self._start_stall_timer(self.size)
+            self._start_stall_timer()
 
     def eof_received(self) -> None:
-        """See the endpoint end the connection: the end of a response without a length, else a failure."""
-        open_ended = self.in_body and not (self.encoding or self.length or self.unusable or self.unfed)
-        if open_ended and self.exchange is not None and self.response is None:
-            code = self.parser.get_status_code()
-            self.response = Response(code, self.headers, bytes(self.body), self.not_run, self.load)
+        """Handle that the endpoint closes: the end of a response without a length, else a failure."""
+        if self.exchange is not None and self.unfed is None and self.reader.finish():
             self._complete()
             return
         if self.exchange is None and not self.closed and self.idle_since:
@@ -285,22 +286,22 @@
         self._fail()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """See that the transport has closed."""
+        """Handle that the transport has closed."""
         self._fail(exc)
-        # The two refer to each other, and would be left to the collector.
-        del self.parser
+        # The reader and its parser refer to each other: the cycle would be left to the garbage collector.
+        del self.reader.parser
 
     def send(self, exchange: Exchange, now: float) -> bool:
         """Write an exchange.
 
         Args:
-            exchange: that has not ended.
-            now: the time, in seconds of `monotonic`.
+            exchange: Exchange that has not ended.
+            now: Time, in seconds of `monotonic`.
 
         Returns:
             False if the connection was found dead with nothing of the exchange sent.
         """
-        assert not exchange.ended, "what is over is never written"
+        assert not exchange.ended, "an exchange that has ended is never written"
         # The endpoint may have closed an idle connection while the loop was busy: a request written after
         # that end would count as one that may have run.
         if self.readiness.poll(0):
@@ -311,18 +312,17 @@
         except OSError as error:
             if not is_own(error):
                 return False
-            sent = 0  # the connection stands: its transport writes when it can, or reports that it can't
-        self._reset()
+            sent = 0  # The connection is up: its transport writes when it can, or reports that it can't.
+        self.reader.begin(exchange)
         self.sent_at = now
-        self.idle_before_s = self.sent_at - self.idle_since if self.idle_since else -1.0
+        self.idle_before_s = now - self.idle_since if self.idle_since else None
         self.exchange = exchange
         exchange.connection = self
         self.blocked = False
         if sent < len(payload):
             self._write_rest(exchange, payload, sent)
-        if exchange.upload is not None and exchange.upload.attach(
-            self, lambda: exchange.give_up(Status.RESET)
-        ):
+        upload = exchange.upload
+        if upload is not None and upload.attach(self, lambda: exchange.give_up(Status.RESET)):
             exchange.upload_begins()
         return True
 
@@ -330,7 +330,7 @@
         assert self.transport is not None
         self.unwritten = True
         rest = memoryview(payload)[sent:]
-        if exchange.upload is None:  # else its last byte is the last of the body
+        if exchange.upload is None:  # Else the last byte is that of the body, which the upload withholds.
             rest, self.last_byte = rest[:-1], payload[-1:]
         if rest:
             self.transport.write(rest)
@@ -339,57 +339,62 @@
 
     def _complete(self) -> None:
         """End the exchange with its whole response, and keep the connection if that is safe."""
-        exchange, response = self.exchange, self.response
+        reader, exchange, response = self.reader, self.exchange, self.reader.response
         assert exchange is not None
         assert response is not None
-        self.exchange = None
+        self.exchange = reader.consumer = None
         now = self.monotonic()
-        if self.idle_before_s >= 0.0:
+        if self.idle_before_s is not None:
             self.upstream.ages.note(self.idle_before_s, False, now)
-        elif response.not_run and not self.keep_alive:
-            self.pool.scarcity.rejected(now)
+        elif response.not_run and not reader.keep_alive:
+            self.resources.scarcity.rejected(now)
         self._release()
-        if self.blocked:  # by its last piece: who would let it go on has ended, and it serves others now
+        if self.blocked:  # By its last piece: nobody would resume reading, and the connection is reused.
             self.block(False)
         written = not self.unwritten and (exchange.upload is None or exchange.upload.sent)
-        if self.surplus:
-            self.pool.quarantine.seen(0.0, now)
-        if self.keep_alive and written and not self.surplus:
-            self.pool.keep_idle(self, now)
+        if reader.surplus:
+            self.resources.quarantine.seen(0.0, now)
+        if reader.keep_alive and written and not reader.surplus:
+            self.owner.keep_idle(self, now)
         else:
             self.close()
         exchange.end(classify(response, exchange.profile), response)
 
     def _release(self) -> None:
-        """Give back what a response used while it came."""
+        """Release what the response used while it was read."""
         if self.stalled is not None:
             self.stalled.cancel()
             self.stalled = None
-        self.pool.memory.release(self.body_size)
-        self.body_size = 0
-        self.body, self.headers, self.response, self.unfed = b"", [], None, None
+        self.reader.release()
+        self.unfed = None
 
     def _fail(self, error: Exception | None = None) -> None:
-        """Close the connection, as it is of no more use; what was on it has no whole response."""
+        """Close the connection, broken by `error` or useless, and end its exchange without a response."""
         never, own = self.incomplete, is_own(error)
-        exchange, self.exchange = self.exchange, None
-        now = self.monotonic()
-        died = self.idle_before_s >= 0.0 and not self.size and now - self.sent_at < DEAD_WITHIN_S
-        if exchange is not None and died and not own:
-            self.upstream.ages.note(self.idle_before_s, True, now)
+        exchange = self.exchange
+        self.detach_exchange()
+        if exchange is not None and not own:
+            self._note_dead(self.monotonic())
         self.close()
         if exchange is not None:
             exchange.end(classify_break(never, own and exchange.upload is None))
 
+    def _note_dead(self, now: float) -> None:
+        """Count a reused connection that was dead before its exchange was written."""
+        if self.idle_before_s is None or self.sent_at is None or self.reader.size:
+            return
+        if now - self.sent_at < DEAD_WITHIN_S:
+            self.upstream.ages.note(self.idle_before_s, True, now)
+
     def close(self, discard: bool = False) -> None:
-        """End the connection: the one end of each, called before its exchange is reported as over.
+        """Close the connection at once; every close is made here, before the exchange's end is reported.
 
         Args:
-            discard: drop what the kernel has not sent yet, rather than send it when a partition ends.
+            discard: Whether bytes that the kernel has not sent yet are dropped, not sent after a partition.
         """
         if self.closed:
             return
         self.closed = True
-        self.pool.on_closed(self)
+        self.owner.on_closed(self)
         self._release()
         abort_connection(self.sock, self.transport, discard)
--- a/dykefold/net/upstream/endpoint_connections.py
+++ b/dykefold/net/upstream/endpoint_connections.py
@@ -3,27 +3,28 @@
 from __future__ import annotations
 
 from collections import OrderedDict
-from typing import TYPE_CHECKING
+from typing import Generic, TypeVar
 
 from ...balancer.events import Status
+from .exchange import Exchange
+from .idle_timeouts import IdleAgeStats
 
-if TYPE_CHECKING:
-    from .connection import UpstreamConnection
-    from .exchange import Exchange
-    from .idle_timeouts import IdleAgeStats
+ConnectionT = TypeVar("ConnectionT")
 
 
-class Upstream:
-    """An endpoint as an address with its connections.
+class Upstream(Generic[ConnectionT]):
+    """An endpoint as an address with its connections, which it stores and does not use.
+
+    Args:
+        address: Host and port.
+        since_ms: Start time of the endpoint as discovery lists it, Unix time in milliseconds.
+        ages: Statistics of the ages at which idle connections to the endpoint were still usable.
 
     Attributes:
-        address: host and port.
-        ages: statistics of the ages at which its idle connections were still good.
-        since_ms: start time of the endpoint as discovery lists it, Unix time in milliseconds.
-        generation: grows with each restart or move; connections of an earlier generation are not kept.
-        takes_new: whether exchanges may be begun at it; false once it drains or is gone.
-        idle: its idle connections, the most recently used one last.
-        opening: exchanges that wait for a connection, in order, each with the one that is made for it.
+        generation: Number of restarts and moves so far; connections of an earlier generation are not reused.
+        takes_new: Whether the endpoint accepts new exchanges; false once it drains or is gone.
+        idle: Idle connections, the most recently used one last.
+        opening: Exchanges that wait for a connection, in order, each with the one that is made for it.
     """
 
     def __init__(self, address: tuple[str, int], since_ms: int, ages: IdleAgeStats) -> None:
@@ -32,8 +33,8 @@
         self.since_ms = since_ms
         self.generation = 0
         self.takes_new = True
-        self.idle: OrderedDict[UpstreamConnection, None] = OrderedDict()
-        self.opening: dict[Exchange, UpstreamConnection] = {}
+        self.idle: OrderedDict[ConnectionT, None] = OrderedDict()
+        self.opening: dict[Exchange, ConnectionT] = {}
 
     def fail_waiting(self) -> None:
         """End the exchanges that wait for a connection, as never run."""
--- a/dykefold/net/upstream/response_reader.py
+++ b/dykefold/net/upstream/response_reader.py
@@ -1,82 +1,89 @@
-"""The response that comes on a connection: what the parser reports of it, kept whole or passed on.
+"""The response that comes on a connection: what the parser reports of it, buffered or streamed.
 
-A response is kept until it is whole, within the bound of its exchange and of the memory budget. One that
-is too long for that is passed on as it comes, if the exchange wants its pieces. Where neither is possible,
-or its end can't be known, it is unusable: its connection is closed as soon as that is seen.
+A response is buffered until it is whole, within the maximum of its exchange and the memory budget. One that
+is too long for that is streamed, if the exchange accepts its pieces. Where neither is possible, or its end
+can't be known, it is unusable: its connection is closed as soon as that is seen.
 """
 
 from __future__ import annotations
 
-import asyncio
-from typing import TYPE_CHECKING
-
 import httptools
 
+from ..memory_budget import MemoryBudget
 from .classify import HTTP_OK, HTTP_SERVER_ERROR, HttpProfile, Response
 from .http_fields import BLANKS, HOP_BY_HOP, gather
-
-if TYPE_CHECKING:
-    from .connection_pool import ConnectionPool
-    from .exchange import Exchange
+from .protocols import ResponseConsumer
 
 MAX_HEADERS_BYTES = 32 * 1024
-CODES_WITHOUT_BODY = (204, 304)  # RFC 9112, 6.3
+CODES_WITHOUT_BODY = (204, 304)  # RFC 9112, section 6.3
+
 
+class ResponseReader:
+    """Makes responses of bytes, one after the other, each for the consumer that `begin` names.
 
-class ResponseReader(asyncio.Protocol):
-    """The parser's side of a connection: its callbacks, and the state of the response that comes.
+    Args:
+        memory: Budget of the bytes of buffered responses.
 
     Attributes:
-        pool: whose memory budget and loop are used.
-        exchange: what the response is for; None between exchanges.
-        parser: calls the methods `on_...` from within its `feed_data`.
-        headers: names and values, without the hop-by-hop ones.
-        body: what has come of the body and is kept.
-        body_size: its bytes, as reserved in the memory budget.
-        in_body: the headers are complete.
-        length: the value of `Content-Length`; empty if there is none.
-        encoding: the value of `Transfer-Encoding`; empty if there is none.
-        closes_after: the endpoint says that it closes the connection behind this response.
-        not_run: the endpoint says that the request never ran.
-        keep_alive: the connection may carry a further exchange.
-        load: the load report of the endpoint.
-        response: the whole response, once it is.
-        surplus: more came than this response.
-        streamed: bytes of the body that were passed on as they came; negative: the body is kept.
-        unusable: the response can be neither kept nor passed on.
-        stalled: runs while more of a kept response is awaited.
+        consumer: Exchange that the response belongs to; None between exchanges.
+        parser: HTTP parser, which calls the methods `on_...` from within its `feed_data`.
+        size: Bytes that were fed for the consumer.
+        headers: Names and values, without the hop-by-hop ones.
+        body: Buffered part of the body.
+        body_size: Bytes of the buffered part, as reserved in the memory budget.
+        in_body: Whether the headers are complete.
+        length: Value of `Content-Length`; empty if there is none.
+        encoding: Value of `Transfer-Encoding`; empty if there is none.
+        closes_after: Whether the endpoint announces that it closes the connection after this response.
+        not_run: Whether the endpoint says that the request never ran.
+        keep_alive: Whether the connection may carry a further exchange.
+        load: Load report of the endpoint.
+        response: The whole response; None before it is complete.
+        surplus: Whether bytes came beyond this response.
+        streamed: Bytes of the body that were streamed; None while the body is buffered.
+        unusable: Whether the response can be neither buffered nor streamed.
     """
 
     __slots__ = (
         "body",
         "body_size",
         "closes_after",
+        "consumer",
         "encoding",
-        "exchange",
         "headers",
         "in_body",
         "keep_alive",
         "length",
         "load",
+        "memory",
         "not_run",
         "parser",
-        "pool",
         "response",
-        "stalled",
+        "size",
         "streamed",
         "surplus",
         "unusable",
     )
 
-    def __init__(self, pool: ConnectionPool) -> None:
-        """Begin without an exchange; `_begin_response` sets what is of one response."""
-        self.pool = pool
-        self.exchange: Exchange | None = None
+    def __init__(self, memory: MemoryBudget) -> None:
+        self.memory = memory
+        self.consumer: ResponseConsumer | None = None
         self.parser = httptools.HttpResponseParser(self)
         self.body_size = 0
-        self.stalled: asyncio.TimerHandle | None = None
+        self.size = 0
+        self.unusable = False
+        self.streamed: int | None = None
+        self._begin_message()
 
-    def _begin_response(self) -> None:
+    def begin(self, consumer: ResponseConsumer) -> None:
+        """Prepare for the response to a request that is about to be written."""
+        self.consumer = consumer
+        self.size = 0
+        self.unusable = False
+        self.streamed = None
+        self._begin_message()
+
+    def _begin_message(self) -> None:
         self.headers: list[tuple[bytes, bytes]] = []
         self.body: bytes | bytearray = b""
         self.in_body = False
@@ -89,30 +96,68 @@
         self.response: Response | None = None
         self.surplus = False
 
-    def _all_body(self, size: int) -> bool:
-        """Return whether the next bytes are all of one body: these cost no more for being many."""
-        if not self.in_body or self.encoding or not self.length:
+    def feed(self, data: bytes) -> bool:
+        """Parse the next bytes; `response` is set once it is whole.
+
+        Returns:
+            False if there will be no whole response: it is malformed, unusable or too long.
+        """
+        self.size += len(data)
+        try:
+            self.parser.feed_data(data)
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade):
+            if self.response is None:
+                return False
+            self.surplus = True
+        consumer = self.consumer
+        if self.response is not None or consumer is None:  # A piece may have made the consumer give up.
+            return True
+        if self.unusable:
             return False
-        return int(self.length) - max(self.body_size, self.streamed) >= size
+        # Chunks may have any amount of framing: without a maximum they would fill the memory.
+        return self.streamed is not None or self.size <= MAX_HEADERS_BYTES + (
+            consumer.max_response_bytes if self.in_body else 0
+        )
+
+    def finish(self) -> bool:
+        """Handle the end of the stream, which completes a response without a length (RFC 9112, section 6.3).
 
-    def _max_size(self) -> int:
-        """Return the bytes that a response which is kept may take, framing included."""
-        assert self.exchange is not None
-        return MAX_HEADERS_BYTES + (self.exchange.max_response_bytes if self.in_body else 0)
+        Returns:
+            Whether the response is complete by that.
+        """
+        if not self.in_body or self.encoding or self.length or self.unusable or self.response is not None:
+            return False
+        code = self.parser.get_status_code()
+        self.response = Response(code, self.headers, bytes(self.body), self.not_run, self.load)
+        return True
+
+    def release(self) -> None:
+        """Release the memory of the response."""
+        if self.body_size:
+            self.memory.release(self.body_size)
+            self.body_size = 0
+        self.body, self.headers, self.response = b"", [], None
+
+    def expects_only_body(self, size: int) -> bool:
+        """Return whether the next `size` bytes all belong to one body: these are cheap to parse at once."""
+        if not self.in_body or self.encoding or not self.length:
+            return False
+        received = self.body_size if self.streamed is None else self.streamed
+        return int(self.length) - received >= size
 
     def on_message_begin(self) -> None:
-        """See that a message begins: behind a whole response it is one that nobody asked for."""
+        """Handle the begin of a message: after a whole response it belongs to no request."""
         if self.response is not None:
             self.surplus = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header of the response.
+        """Handle a header of the response.
 
         Args:
-            name: in any case.
-            value: as it came, blanks behind it included.
+            name: Name of the header, in any case.
+            value: Value as received, with the blanks behind it.
         """
-        if self.response is not None or self.in_body:  # of a second response, or a trailer
+        if self.response is not None or self.in_body:  # It belongs to a second response, or is a trailer.
             return
         low, raw = name.lower(), value
         value = value.strip(BLANKS)
@@ -125,92 +170,92 @@
         elif low == b"connection":
             self.closes_after = b"close" in value.lower()
         elif low == b"transfer-encoding":
-            # The parser does not know a coding with a tab behind it, and would take the framing for the body.
+            # The parser does not know a coding with a tab behind it, and would treat the framing as the body.
             self.encoding = raw.strip(b" ")
         elif low not in HOP_BY_HOP:
             self.headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Decide how the body is taken, now that all headers have come."""
+        """Decide how the body is handled, now that all headers have come."""
         if self.response is not None or self.parser.get_status_code() < HTTP_OK:
             return
         self.in_body = True
-        assert self.exchange is not None
-        if self.exchange.profile:
+        assert self.consumer is not None
+        if self.consumer.profile:
             code = self.parser.get_status_code()
-            if self.exchange.profile is HttpProfile.HEAD:
-                # The parser waits for a body that does not come: the connection is of no further use.
+            if self.consumer.profile is HttpProfile.HEAD:
+                # The parser waits for a body that does not come: the connection can't be reused.
                 headers = [*self.headers, (b"Content-Length", self.length)] if self.length else self.headers
                 self.response = Response(code, headers, b"", self.not_run, self.load)
                 return
             if code in CODES_WITHOUT_BODY:
                 return
-        # What can't fit, or has no end but the connection's, is known to be of no use before it comes.
+        # A body that can't fit, or whose end can't be known, is rejected before it comes.
         if self.encoding:
             self.unusable = self.encoding.lower() != b"chunked"
         elif not self.length:
-            # The body reaches up to the end of the connection (RFC 9112, 6.3), if its endpoint means to end
-            # it. Where it does not say so it has left the length out, and its death would look like the end.
+            # The body reaches up to the end of the connection (RFC 9112, section 6.3), if its endpoint means
+            # to close it. Where it does not announce that, it has left the length out, and a connection that
+            # breaks would look like the end of the body.
             self.unusable = not (self.closes_after or self.parser.get_http_version() == "1.0")
-        elif int(self.length) > self.exchange.max_response_bytes:
+        elif int(self.length) > self.consumer.max_response_bytes:
             self.unusable = not self._stream(int(self.length))
 
     def _stream(self, length: int | None) -> bool:
-        """Pass the response on as it comes from here on; return whether that is possible."""
-        exchange, code = self.exchange, self.parser.get_status_code()
-        assert exchange is not None
-        # A failure is for the balancer to judge, and a request that never ran may go elsewhere.
-        if code >= HTTP_SERVER_ERROR or (length or 0) > exchange.max_streamed_bytes:
+        """Stream the response from here on; return whether that is possible."""
+        consumer, code = self.consumer, self.parser.get_status_code()
+        assert consumer is not None
+        # A failure is for the balancer to judge, and a request that never ran may be retried elsewhere.
+        if code >= HTTP_SERVER_ERROR or (length or 0) > consumer.max_streamed_bytes:
             return False
-        if not exchange.begin_response(code, self.headers, length, self.load):
+        if not consumer.begin_response(code, self.headers, length, self.load):
             return False
-        if self.stalled is not None:
-            self.stalled.cancel()
-            self.stalled = None
         self.streamed = 0
         return True
 
     def _forward(self, data: bytes | bytearray) -> None:
-        assert self.exchange is not None
+        assert self.consumer is not None
+        assert self.streamed is not None
         self.streamed += len(data)
-        self.unusable = self.streamed > self.exchange.max_streamed_bytes
+        self.unusable = self.streamed > self.consumer.max_streamed_bytes
         if not self.unusable:
-            self.exchange.send_response_piece(bytes(data))
+            self.consumer.send_response_piece(bytes(data))
 
     def on_body(self, data: bytes) -> None:
-        """Keep the next piece of the body, or pass it on."""
-        if self.response is not None or self.unusable or self.exchange is None:
+        """Buffer the next piece of the body, or stream it."""
+        consumer = self.consumer
+        if self.response is not None or self.unusable or consumer is None:
             return
-        if self.streamed >= 0:
+        if self.streamed is not None:
             self._forward(data)
             return
-        if self.exchange.max_streamed_bytes and self.body_size + len(data) > self.exchange.max_response_bytes:
+        if consumer.max_streamed_bytes and self.body_size + len(data) > consumer.max_response_bytes:
             if self._stream(None):
                 self._forward(self.body)
                 self._forward(data)
-                self.pool.memory.release(self.body_size)
+                self.memory.release(self.body_size)
                 self.body_size, self.body = 0, b""
             else:
                 self.unusable = True
             return
-        if not self.pool.memory.reserve(len(data)):
+        if not self.memory.reserve(len(data)):
             self.unusable = True
             return
         self.body_size += len(data)
         self.body = gather(self.body, data)
 
     def on_message_complete(self) -> None:
-        """See that the message is whole, and whether the connection may be kept behind it."""
+        """Handle the end of a message: the response is whole, unless it was an interim one."""
         if self.response is not None:
             return
         code = self.parser.get_status_code()
         if code < HTTP_OK:
-            # An interim response: the real one follows. What came counts on, or there would be no bound.
-            self._begin_response()
+            # The real response follows an interim one. `size` counts on, or there would be no maximum.
+            self._begin_message()
             return
         if self.unusable:
             return
-        # The parser is asked here: as soon as this call is over it answers for the next message. That is
-        # always no, and every request would pay for a connection of its own.
+        # The parser must be queried here: after this callback it answers for the next message, always with
+        # no, and every request would need a connection of its own.
         self.keep_alive = self.parser.should_keep_alive()
         self.response = Response(code, self.headers, bytes(self.body), self.not_run, self.load)
--- a/tests/net/test_client_races.py
+++ b/tests/net/test_client_races.py
@@ -555,7 +555,7 @@
         def begin_and_stand_still(*args):
             begin(*args)
             if not stood:  # once, behind the first step of the connect
-                stood.append(loop.call_soon(time.sleep, pool.upstreams.connect_timeout + STILL))
+                stood.append(loop.call_soon(time.sleep, pool.upstreams.connect_timeout_s + STILL))
 
         monkeypatch.setattr(pool.upstreams, "_open", begin_and_stand_still)
         assert (await ask(sidecar.port, message("order", "ab"))).code == 200
--- a/tests/net/test_upstream_connections.py
+++ b/tests/net/test_upstream_connections.py
@@ -7,6 +7,7 @@
 import socket
 import time
 import weakref
+from dataclasses import replace
 
 import pytest
 from net_helpers import HOST, WAIT, Fake, answer_ok, reply, reset, run, silent, until
@@ -19,18 +20,24 @@
 from dykefold.net.upstream import connection_pool as upstream
 from dykefold.net.upstream.connection_pool import ConnectionPool
 from dykefold.net.upstream.exchange import Exchange
+from dykefold.net.upstream.limits import ConnectionLimits
 
 PAYLOAD = b"GET /lookup HTTP/1.1\r\nX-Request-Id: ab\r\n\r\n"
 
 
 def make(address, connect_timeout=5.0, limit=1024, idle=60.0):
-    pool = ConnectionPool(
-        asyncio.get_running_loop(), DescriptorAllowance(limit), MemoryBudget(192 * MB), connect_timeout, idle
-    )
+    limits = ConnectionLimits(DescriptorAllowance(limit), MemoryBudget(192 * MB), connect_timeout, idle)
+    pool = ConnectionPool(asyncio.get_running_loop(), limits)
     pool.update(1, address, 0, State.READY)
     return pool
 
 
+def set_clock(pool, monotonic):
+    """Give a pool, and the connections that it makes from now on, another clock."""
+    pool.monotonic = monotonic
+    pool.resources = replace(pool.resources, monotonic=monotonic)
+
+
 def start(pool, server=1, timeout=WAIT, payload=PAYLOAD):
     """An exchange and the future of its end."""
     end = asyncio.get_running_loop().create_future()
@@ -343,7 +350,7 @@
         await closed.wait()
         status, answer = await start(pool)[1]
         assert status is Status.OK and answer.body == b"second"
-        assert not pool.memory.reserved_bytes and len(pool.connections) == 1
+        assert not pool.resources.memory.reserved_bytes and len(pool.connections) == 1
         pool.close()
 
     run(play())
@@ -375,11 +382,11 @@
 
         fake = await Fake(act).start()
         pool = make((HOST, fake.port))
-        pool.memory.capacity_bytes = 4000
+        pool.resources.memory.capacity_bytes = 4000
         assert await start(pool)[1] == (Status.RESET, None)
-        pool.memory.capacity_bytes = 6000
+        pool.resources.memory.capacity_bytes = 6000
         assert (await start(pool)[1])[0] is Status.OK
-        assert pool.memory.reserved_bytes == 0
+        assert pool.resources.memory.reserved_bytes == 0
         pool.close()
 
     run(play())
@@ -465,7 +472,7 @@
 
         fake = await Fake(act).start()
         pool = make((HOST, fake.port))
-        pool.monotonic = lambda: clock[0]
+        set_clock(pool, lambda: clock[0])
         outcomes = []
         for gap in [0.01] * 20 + [0.5] * 8:
             clock[0] += gap
@@ -499,7 +506,7 @@
         held = []
         fake = await Fake(act).start()
         pool = make((HOST, fake.port))
-        pool.monotonic = lambda: clock[0]
+        set_clock(pool, lambda: clock[0])
         ends = [start(pool)[1] for _ in range(3)]
         assert [(await end)[0] for end in ends] == [Status.OK] * 3
         kept = list(pool.endpoints[1].idle)
--- a/tests/net/test_upstream_syscalls.py
+++ b/tests/net/test_upstream_syscalls.py
@@ -44,6 +44,7 @@
 from dykefold.net.sidecar import SidecarServer
 from dykefold.net.upstream import connection_pool as upstream
 from dykefold.net.upstream.connection_pool import ConnectionPool
+from dykefold.net.upstream.limits import ConnectionLimits
 
 OWN = [
     errno.EADDRNOTAVAIL, errno.EADDRINUSE, errno.ENOBUFS, errno.ENOMEM, errno.ENETUNREACH, errno.ENETDOWN,
@@ -54,14 +55,8 @@
 
 
 def make(address, system, connect_timeout=0.25):
-    pool = ConnectionPool(
-        asyncio.get_running_loop(),
-        DescriptorAllowance(64),
-        MemoryBudget(192 * MB),
-        connect_timeout,
-        60.0,
-        system=system,
-    )
+    limits = ConnectionLimits(DescriptorAllowance(64), MemoryBudget(192 * MB), connect_timeout, 60.0)
+    pool = ConnectionPool(asyncio.get_running_loop(), limits, system=system)
     pool.update(1, address, 0, State.READY)
     return pool
 
--- a/tests/routing/test_streams.py
+++ b/tests/routing/test_streams.py
@@ -18,6 +18,7 @@
 from dykefold.net.upstream.classify import HttpProfile
 from dykefold.net.upstream.connection_pool import ConnectionPool
 from dykefold.net.upstream.exchange import Exchange
+from dykefold.net.upstream.limits import ConnectionLimits
 
 
 def head(length, *lines, path="/a/x", method="PUT"):
@@ -272,7 +273,9 @@
     async def play():
         server = await Server(big).start()
         loop = asyncio.get_running_loop()
-        pool = ConnectionPool(loop, DescriptorAllowance(8), MemoryBudget(192 * KB * KB), 5.0, 60.0)
+        pool = ConnectionPool(
+            loop, ConnectionLimits(DescriptorAllowance(8), MemoryBudget(192 * KB * KB), 5.0, 60.0)
+        )
         pool.update(1, (HOST, server.port), 0, State.READY)
         for _ in range(2):
             end = loop.create_future()
--- a/tests/sim/mutants.py
+++ b/tests/sim/mutants.py
@@ -171,8 +171,8 @@
     Mutant(
         "a process that can get no socket does not know what to do",
         "net/upstream/connection_pool.py",
-        "        except OSError:  # out of descriptors in spite of the count",
-        "        except ZeroDivisionError:  # out of descriptors in spite of the count",
+        "        except OSError:  # Out of descriptors in spite of the count",
+        "        except ZeroDivisionError:  # Out of descriptors in spite of the count",
         "syscalls",
         first_seed=1,
     ),
