--- a/dykefold/net/memory_budget.py
+++ b/dykefold/net/memory_budget.py
@@ -1,4 +1,4 @@
-"""How much memory the messages of this process may take, by the configuration."""
+"""The memory that the messages of this process may use, by the configuration."""
 
 from __future__ import annotations
 
@@ -8,26 +8,33 @@
 class MemoryBudget:
     """The memory of all buffered messages, requests and responses.
 
+    Args:
+        limit: Bytes that the whole process may use.
+
     Attributes:
-        held: bytes that are reserved.
-        most: bytes that may be reserved.
+        reserved_bytes: Bytes that are reserved.
+        capacity_bytes: Maximum of the bytes that are reserved.
+        PROGRAM_BYTES: Bytes that the program uses without any message.
+        FRACTION: Fraction of the other bytes that messages may use. It is far below 1, since a message is
+            buffered up to twice, and freed memory is fragmented.
+        MIN_BYTES: Minimum of the capacity.
+        MAX_BYTES: Maximum of the capacity.
     """
 
-    PROGRAM_BYTES = 20 * MB  # what the program takes without any message
-    FRACTION = 0.3  # of the rest: a message is buffered up to twice, and freed memory is fragmented
+    PROGRAM_BYTES = 20 * MB
+    FRACTION = 0.3
     MIN_BYTES = MB
     MAX_BYTES = 48 * MB
 
     def __init__(self, limit: int) -> None:
-        """Begin with nothing reserved; `limit` as for `resize`."""
         self.reserved_bytes = 0
         self.resize(limit)
 
     def resize(self, limit: int) -> None:
-        """Apply another limit; what is reserved stays reserved.
+        """Apply another limit; reserved bytes stay reserved.
 
         Args:
-            limit: bytes that the whole process may take.
+            limit: Bytes that the whole process may use.
         """
         self.capacity_bytes = int(
             min(max((limit - self.PROGRAM_BYTES) * self.FRACTION, self.MIN_BYTES), self.MAX_BYTES)
--- a/dykefold/net/read_scheduler.py
+++ b/dykefold/net/read_scheduler.py
@@ -1,9 +1,9 @@
-"""Input in slices, so that no single read keeps the loop from everybody else.
+"""Input in slices, so that no single read blocks the loop for all other connections.
 
-A transport hands over up to 256 KiB at once. Most of that is cheap to parse, but one-byte chunks, header
-lines of four bytes or requests of twenty cost some microseconds each, and a read full of them would
-take hundreds of milliseconds. So what is longer than a slice waits here, its connection is not read
-meanwhile, and each turn of the loop parses a few slices, one connection after the other.
+A transport delivers up to 256 KiB at once. Most of that is cheap to parse, but one-byte chunks, header lines
+of four bytes or requests of twenty cost some microseconds each, and a read full of them would take hundreds
+of milliseconds. Therefore input longer than a slice waits here, and its connection is not read meanwhile.
+Each turn of the loop parses a few slices, one connection after the other.
 """
 
 from __future__ import annotations
@@ -15,21 +15,23 @@
 from ..system import SYSTEM, System
 from .loop_lag import LoopLagMonitor
 
-SLICE_BYTES = 2048  # at 18 bytes a request 113 of them: 2 to 3 ms, and a typical message is shorter
-MAX_SLICES_PER_TURN = 2  # of all connections together
+# A typical message is shorter than a slice, and a slice full of the shortest requests takes 2 to 3 ms.
+SLICE_BYTES = 2048
+# Of all connections together.
+MAX_SLICES_PER_TURN = 2
 
 
 class Reader(Protocol):
     """A connection whose input may have to wait.
 
     Attributes:
-        unfed: the input that waits, in order; None: nothing waits.
+        unfed: Input that waits, in order; None if nothing waits.
     """
 
     unfed: memoryview | None
 
     def feed_slice(self) -> bool:
-        """Parse at most a slice of what waits; return whether more can be parsed in the next turn."""
+        """Parse at most a slice of the input; return whether more can be parsed in the next turn."""
         ...
 
 
@@ -37,9 +39,9 @@
     """The connections whose input waits, each at most once.
 
     Args:
-        loop: runs the turns.
-        lag: is notified of the time that each turn took.
-        system: the clock.
+        loop: Event loop of the turns.
+        lag: Monitor that is notified of how long each turn took; None if that is not measured.
+        system: The clock.
     """
 
     def __init__(
@@ -51,7 +53,7 @@
         self.queue: deque[Reader] = deque()
 
     def add(self, reader: Reader) -> None:
-        """Have a connection's waiting input parsed; it must not be in the queue already."""
+        """Add a connection whose input waits; it must not be in the queue already."""
         self.queue.append(reader)
         if len(self.queue) == 1:
             self.loop.call_soon(self._turn)
@@ -69,6 +71,6 @@
 
 
 def cut(data: memoryview) -> tuple[bytes, memoryview | None]:
-    """Split input into its next slice and what is left after it; None: nothing is left."""
+    """Split input into its next slice and the rest, which is None if nothing is left."""
     rest = data[SLICE_BYTES:]
     return bytes(data[:SLICE_BYTES]), rest if len(rest) else None
--- a/dykefold/net/timer_wheel.py
+++ b/dykefold/net/timer_wheel.py
@@ -1,8 +1,8 @@
 """Time limits of requests and attempts, nearly none of which ever expires.
 
-A timer of the loop costs some microseconds to start and to cancel, and each request needs two. Here a
-limit is an entry in the bucket of its tick, and one timer of the loop waits for the first bucket that is
-left (as the lower wheel of Varghese and Lauck, "Hashed and hierarchical timing wheels", SOSP 1987).
+A timer of the loop costs some microseconds to start and to cancel, and each request needs two. Here a limit
+is an entry in the bucket of its tick, and one timer of the loop waits for the first bucket that has entries
+(as the lower wheel of Varghese and Lauck, "Hashed and hierarchical timing wheels", SOSP 1987).
 """
 
 from __future__ import annotations
@@ -12,14 +12,16 @@
 
 from ..system import SYSTEM, System
 
-TICK_S = 0.002  # how late a limit may expire; the margins before a client's deadline are 8 and 15 ms
+# A limit may expire one tick late; the margins before a client's deadline are 8 and 15 ms.
+TICK_S = 0.002
 
 
 class Timed:
     """Something with one time limit at a time.
 
     Attributes:
-        tick: of its limit; 0: no limit runs.
+        tick: Number of the tick at which the limit expires. Each request reads it, so it is 0, not None,
+            while no limit runs.
     """
 
     __slots__ = ("tick",)
@@ -34,25 +36,35 @@
 class TimerWheel:
     """The limits that run: one for each pending request and each attempt in flight.
 
-    A tick stays in the heap, once, until its time has come, also when all its limits were stopped: as many
-    entries as there are ticks in the longest limit, 2,000 for 4 s.
+    A tick stays in the heap, once, until its time has come, also when all its limits were stopped. So the
+    heap has at most as many entries as the longest limit has ticks: 2,000 for 4 s.
+
+    Args:
+        loop: Event loop of the timer.
+        system: The clock.
+
+    Attributes:
+        buckets: Items by tick, in the order of their start; None where all limits of the tick were stopped.
+        ticks: Heap of the ticks in `buckets`.
+        timer: Timer of the loop for the first tick; None if no limit runs.
+        expires_at: Tick for which the timer was started.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, system: System = SYSTEM) -> None:
         self.loop = loop
         self.monotonic = system.monotonic
-        self.buckets: dict[int, dict[Timed, None] | None] = {}  # None: all its limits were stopped
-        self.ticks: list[int] = []  # a heap of the buckets' ticks
+        self.buckets: dict[int, dict[Timed, None] | None] = {}
+        self.ticks: list[int] = []
         self.timer: asyncio.TimerHandle | None = None
         self.expires_at = 0
 
     def start(self, item: Timed, after_s: float, now_s: float) -> None:
-        """Have an item expire after this time and at most a tick more.
+        """Start an item's limit: it expires after this time and at most a tick more.
 
         Args:
-            item: must have no limit that runs.
-            after_s: seconds from now.
-            now_s: the time, in seconds of the monotonic clock.
+            item: Item without a limit that runs.
+            after_s: Seconds from now.
+            now_s: Time, in seconds of the monotonic clock.
         """
         tick = item.tick = int((now_s + after_s) / TICK_S) + 1
         bucket = self.buckets.get(tick)
@@ -66,7 +78,7 @@
             self._arm(now_s)
 
     def stop(self, item: Timed) -> None:
-        """Stop an item's limit; without one that runs, do nothing."""
+        """Stop an item's limit, if one runs."""
         bucket = self.buckets.get(item.tick)
         if bucket is not None:
             bucket.pop(item, None)
@@ -87,9 +99,9 @@
     def _expire_due(self) -> None:
         self.timer = None
         now_s = self.monotonic()
-        due = int(now_s / TICK_S + 0.5)  # the loop's own clock may be less than a millisecond behind
+        due = int(now_s / TICK_S + 0.5)  # Rounded: the loop's clock may be less than a millisecond behind.
         while self.ticks and self.ticks[0] <= due:
-            tick = heapq.heappop(self.ticks)  # first: one that expires may start or stop others
+            tick = heapq.heappop(self.ticks)  # Removed first: an item that expires may start or stop others.
             while bucket := self.buckets.get(tick):
                 item = next(iter(bucket))
                 self.stop(item)
--- a/dykefold/net/upstream/classify.py
+++ b/dykefold/net/upstream/classify.py
@@ -1,4 +1,4 @@
-"""What the end of an exchange proves of its request: a response, or a connection that broke."""
+"""What a response, or a connection that broke, proves of the request."""
 
 from __future__ import annotations
 
@@ -8,8 +8,10 @@
 from ...balancer.events import Status
 
 HTTP_OK = 200
-HTTP_SERVER_ERROR = 500  # from this status code on the endpoint has failed
-CODES_NOT_RUN = (503, 504)  # that are a rejection if the header says that the request did not run
+# The endpoint has failed from this status code on.
+HTTP_SERVER_ERROR = 500
+# These status codes are a rejection if the header says that the request did not run.
+CODES_NOT_RUN = (503, 504)
 
 
 @dataclass(slots=True)
@@ -17,11 +19,11 @@
     """A whole response.
 
     Attributes:
-        code: the status code.
-        headers: names and values as they came, without the hop-by-hop ones.
-        body: the content, decoded from its transfer coding.
-        not_run: whether `X-Not-Run: 1` says that the request never ran.
-        load: the load report of the endpoint, the value of `X-Load`; empty if there is none.
+        code: Status code.
+        headers: Names and values as received, without the hop-by-hop ones.
+        body: Content, decoded from its transfer coding.
+        not_run: True if `X-Not-Run: 1` says that the request never ran.
+        load: Load report of the endpoint, the value of `X-Load`; empty if there is none.
     """
 
     code: int
@@ -32,38 +34,44 @@
 
 
 class HttpProfile(IntEnum):
-    """How the responses of an endpoint are understood. Only `PLATFORM` is false as a condition."""
+    """How the responses of an endpoint are classified. Only `PLATFORM` is false as a condition.
 
-    PLATFORM = 0  # 200 is served, 503 or 504 with X-Not-Run never ran, all else has failed
-    GENERIC = 1  # whatever is under 500 is served as it is
-    HEAD = 2  # likewise, and no body follows (RFC 9110, 9.3.2)
+    Attributes:
+        PLATFORM: 200 is a success, 503 or 504 with `X-Not-Run` a rejection, any other status code a failure.
+        GENERIC: Each status code under 500 is a success.
+        HEAD: As `GENERIC`, for responses to HEAD, which have no body (RFC 9110, section 9.3.2).
+    """
+
+    PLATFORM = 0
+    GENERIC = 1
+    HEAD = 2
 
 
-def classify(answer: Response, profile: HttpProfile = HttpProfile.PLATFORM) -> Status:
-    """Say what a response proves.
+def classify(response: Response, profile: HttpProfile = HttpProfile.PLATFORM) -> Status:
+    """Return what a response proves.
 
     Only the header proves that a request never ran; the status code alone does not.
 
     Args:
-        answer: the whole response.
-        profile: how responses of its endpoint are understood.
+        response: The whole response.
+        profile: Rules by which responses of the endpoint are classified.
 
     Returns:
         `OK`, `FULL` where the request is known not to have run, or `ERROR` where it may have.
     """
-    if answer.code == HTTP_OK or (profile and answer.code < HTTP_SERVER_ERROR):
+    if response.code == HTTP_OK or (profile and response.code < HTTP_SERVER_ERROR):
         return Status.OK
-    if answer.code in CODES_NOT_RUN and answer.not_run:
+    if response.code in CODES_NOT_RUN and response.not_run:
         return Status.FULL
     return Status.ERROR
 
 
 def classify_break(incomplete: bool, own: bool) -> Status:
-    """Say what the break of a connection proves of the request on it, which has no whole response.
+    """Return what the break of a connection proves of the request on it, which has no whole response.
 
     Args:
-        incomplete: whether the last byte of the request was kept back.
-        own: whether this machine lacked something, which says nothing of the endpoint.
+        incomplete: True if the last byte of the request was withheld.
+        own: True if this machine lacked a resource, which says nothing of the endpoint.
 
     Returns:
         `RESET` where it may have run, `NOT_ATTEMPTED` or `CONNECT_FAILED` where it never ran.
--- a/dykefold/net/upstream/http_fields.py
+++ b/dykefold/net/upstream/http_fields.py
@@ -2,9 +2,8 @@
 
 from __future__ import annotations
 
-BLANKS = (
-    b" \t"  # around a field's value, and no part of it (RFC 9112, 5); the parser leaves the trailing ones
-)
+# Blanks around a field's value are no part of it (RFC 9112, section 5); the parser leaves the trailing ones.
+BLANKS = b" \t"
 HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -24,14 +23,14 @@
 def gather(body: bytes | bytearray, data: bytes) -> bytes | bytearray:
     """Add a piece to a body.
 
-    The first piece is kept as it came, without a copy; later ones go into one buffer, in linear time.
+    The first piece is stored without a copy; later ones are added to one buffer, in linear time.
 
     Args:
-        body: what has come so far.
-        data: the next piece.
+        body: Body so far.
+        data: The next piece.
 
     Returns:
-        The body with the piece; to be used in place of the one passed in.
+        The body with the piece, which replaces the one passed in.
     """
     if not body:
         return data
--- a/tests/net/test_idle_timeouts.py
+++ b/tests/net/test_idle_timeouts.py
@@ -1,8 +1,8 @@
 """At what age idle connections turn out dead: learned per server, from all of them, and forgotten."""
 
 from dykefold.net.upstream.idle_timeouts import (
-    EDGES_S,
-    SCARCITY_DOUBLE_S,
+    AGE_CLASS_EDGES_S,
+    SCARCITY_DOUBLING_S,
     SCARCITY_MIN_S,
     IdleAgeStats,
     ScarcityLimit,
@@ -34,7 +34,7 @@
 def test_resets_at_any_age_are_no_reason_to_close_old_ones():
     """Guards days on which servers reset kept connections at random: new ones fare no better."""
     ages = IdleAgeStats(MOST)
-    for age in EDGES_S:
+    for age in AGE_CLASS_EDGES_S:
         uses(ages, 100, age, 10)
     assert ages.limit(0.0) == MOST
 
@@ -93,7 +93,7 @@
     for second in range(101, 120):
         scarcity.rejected(float(second))
     assert SCARCITY_MIN_S <= scarcity.limit(120.0) < 1.2 * SCARCITY_MIN_S
-    assert scarcity.limit(121.0 + SCARCITY_DOUBLE_S) > 2.0 * SCARCITY_MIN_S
+    assert scarcity.limit(121.0 + SCARCITY_DOUBLING_S) > 2.0 * SCARCITY_MIN_S
     assert scarcity.limit(1e9) == MOST
 
 
--- a/tests/sim/mutants.py
+++ b/tests/sim/mutants.py
@@ -76,8 +76,8 @@
     Mutant(
         "the header that says never run is not asked for",
         "net/upstream/classify.py",
-        "if answer.code in CODES_NOT_RUN and answer.not_run:",
-        "if answer.code >= HTTP_SERVER_ERROR:",
+        "if response.code in CODES_NOT_RUN and response.not_run:",
+        "if response.code >= HTTP_SERVER_ERROR:",
     ),
     Mutant(
         "a connection is closed and still counted",
