--- a/dykefold/net/upstream/connection.py
+++ b/dykefold/net/upstream/connection.py
@@ -41,8 +41,8 @@
 MAX_STALL_S = 0.5
 # A connection that is reset sooner after the request was written was dead before: nothing read the request.
 DEAD_WITHIN_S = 0.05
-# Value of `idle_since` before a connection is idle for the first time; each request reads that attribute.
-NEVER_IDLE = 0.0
+# Value of `idle_since_s` before a connection is idle for the first time; each request reads that attribute.
+NEVER_IDLE_S = 0.0
 
 
 class UpstreamConnection(asyncio.Protocol):
@@ -63,9 +63,9 @@
         unwritten: Whether bytes wait in the transport.
         last_byte: Last byte of the request, withheld until all bytes before it have been written.
         closed: Whether the connection is neither counted nor used any more.
-        idle_since: Time in seconds at which the connection became idle most recently; `NEVER_IDLE` before.
+        idle_since_s: Time in seconds at which the connection last became idle; `NEVER_IDLE_S` before.
         idle_before_s: Seconds for which the connection was idle before its exchange; None for the first one.
-        sent_at: Time in seconds at which the latest exchange was written; None before the first one.
+        sent_at_s: Time in seconds at which the latest exchange was written; None before the first one.
         unfed: Bytes that wait to be parsed in slices.
         scheduled: Whether the read scheduler will parse the next slice.
         blocked: Whether reading is stopped because the client takes no more of a streamed response.
@@ -80,7 +80,7 @@
         "exchange",
         "generation",
         "idle_before_s",
-        "idle_since",
+        "idle_since_s",
         "lag",
         "last_byte",
         "monotonic",
@@ -89,7 +89,7 @@
         "readiness",
         "resources",
         "scheduled",
-        "sent_at",
+        "sent_at_s",
         "sock",
         "stalled",
         "transport",
@@ -117,9 +117,9 @@
         self.exchange: Exchange | None = None
         self.transport: asyncio.Transport | None = None
         self.last_byte = b""
-        self.idle_since = NEVER_IDLE
+        self.idle_since_s = NEVER_IDLE_S
         self.idle_before_s: float | None = None
-        self.sent_at: float | None = None
+        self.sent_at_s: float | None = None
         self.unfed: memoryview | None = None
         self.unwritten = self.closed = self.scheduled = self.blocked = False
         self.stalled: asyncio.TimerHandle | None = None
@@ -242,9 +242,9 @@
     def _feed(self, data: bytes, more: bool) -> None:
         """Parse the next bytes and act on the result; with `more`, further bytes have been read already."""
         if self.exchange is None:
-            if self.idle_since:
-                now = self.monotonic()
-                self.resources.quarantine.seen(now - self.idle_since, now)
+            if self.idle_since_s:
+                now_s = self.monotonic()
+                self.resources.quarantine.record_surplus(now_s - self.idle_since_s, now_s)
             self.close()  # Bytes that belong to no request: the next response could be confused with them.
             return
         reader = self.reader
@@ -280,9 +280,9 @@
         if self.exchange is not None and self.unfed is None and self.reader.finish():
             self._complete()
             return
-        if self.exchange is None and not self.closed and self.idle_since:
-            now = self.monotonic()
-            self.upstream.ages.closed(now - self.idle_since, now)
+        if self.exchange is None and not self.closed and self.idle_since_s:
+            now_s = self.monotonic()
+            self.upstream.ages.record_close(now_s - self.idle_since_s, now_s)
         self._fail()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -291,12 +291,12 @@
         # The reader and its parser refer to each other: the cycle would be left to the garbage collector.
         del self.reader.parser
 
-    def send(self, exchange: Exchange, now: float) -> bool:
+    def send(self, exchange: Exchange, now_s: float) -> bool:
         """Write an exchange.
 
         Args:
             exchange: Exchange that has not ended.
-            now: Time, in seconds of `monotonic`.
+            now_s: Time, in seconds of `monotonic`.
 
         Returns:
             False if the connection was found dead with nothing of the exchange sent.
@@ -314,8 +314,8 @@
                 return False
             sent = 0  # The connection is up: its transport writes when it can, or reports that it can't.
         self.reader.begin(exchange)
-        self.sent_at = now
-        self.idle_before_s = now - self.idle_since if self.idle_since else None
+        self.sent_at_s = now_s
+        self.idle_before_s = now_s - self.idle_since_s if self.idle_since_s else None
         self.exchange = exchange
         exchange.connection = self
         self.blocked = False
@@ -343,19 +343,19 @@
         assert exchange is not None
         assert response is not None
         self.exchange = reader.consumer = None
-        now = self.monotonic()
+        now_s = self.monotonic()
         if self.idle_before_s is not None:
-            self.upstream.ages.note(self.idle_before_s, False, now)
+            self.upstream.ages.record_use(self.idle_before_s, False, now_s)
         elif response.not_run and not reader.keep_alive:
-            self.resources.scarcity.rejected(now)
+            self.resources.scarcity.record_rejection(now_s)
         self._release()
         if self.blocked:  # By its last piece: nobody would resume reading, and the connection is reused.
             self.block(False)
         written = not self.unwritten and (exchange.upload is None or exchange.upload.sent)
         if reader.surplus:
-            self.resources.quarantine.seen(0.0, now)
+            self.resources.quarantine.record_surplus(0.0, now_s)
         if reader.keep_alive and written and not reader.surplus:
-            self.owner.keep_idle(self, now)
+            self.owner.keep_idle(self, now_s)
         else:
             self.close()
         exchange.end(classify(response, exchange.profile), response)
@@ -379,12 +379,12 @@
         if exchange is not None:
             exchange.end(classify_break(never, own and exchange.upload is None))
 
-    def _note_dead(self, now: float) -> None:
+    def _note_dead(self, now_s: float) -> None:
         """Count a reused connection that was dead before its exchange was written."""
-        if self.idle_before_s is None or self.sent_at is None or self.reader.size:
+        if self.idle_before_s is None or self.sent_at_s is None or self.reader.size:
             return
-        if now - self.sent_at < DEAD_WITHIN_S:
-            self.upstream.ages.note(self.idle_before_s, True, now)
+        if now_s - self.sent_at_s < DEAD_WITHIN_S:
+            self.upstream.ages.record_use(self.idle_before_s, True, now_s)
 
     def close(self, discard: bool = False) -> None:
         """Close the connection at once; every close is made here, before the exchange's end is reported.
--- a/dykefold/net/upstream/connection_pool.py
+++ b/dykefold/net/upstream/connection_pool.py
@@ -157,14 +157,14 @@
         if target is None or not target.takes_new:
             self.loop.call_soon(exchange.end, Status.CONNECT_FAILED)
             return
-        now = self.monotonic()
+        now_s = self.monotonic()
         exchange.timer_wheel = self.timer_wheel
-        self.timer_wheel.start(exchange, timeout_s, now)
-        while target.idle and (connection := self._take_idle(target, now)) is not None:
-            if now - connection.idle_since > target.ages.limit_s:
+        self.timer_wheel.start(exchange, timeout_s, now_s)
+        while target.idle and (connection := self._take_idle(target, now_s)) is not None:
+            if now_s - connection.idle_since_s > target.ages.limit_s:
                 connection.close()  # All others of this endpoint have been idle for longer.
                 continue
-            if connection.send(exchange, now):
+            if connection.send(exchange, now_s):
                 return
             connection.close()  # It was dead before anything was written: no attempt was made.
         self._open(target, exchange)
@@ -188,12 +188,12 @@
         target.opening[exchange] = connection
         exchange.opening = self.loop.create_task(establish(self, target, exchange, connection))
 
-    def keep_idle(self, connection: UpstreamConnection, now: float) -> None:
+    def keep_idle(self, connection: UpstreamConnection, now_s: float) -> None:
         """Reuse a connection that has become free for an exchange that waits, keep it idle, or close it.
 
         Args:
             connection: Connection without an exchange.
-            now: Time, in seconds of `monotonic`.
+            now_s: Time, in seconds of `monotonic`.
         """
         target = connection.upstream
         if connection.closed or not target.takes_new or connection.generation != target.generation:
@@ -209,16 +209,16 @@
             self._stop_waiting(target, exchange)
             self.loop.call_soon(exchange.end, Status.NOT_ATTEMPTED)
         # A connection that has just carried a response may have to rest; a new one need not.
-        if target.opening and (connection.sent_at is None or not self.quarantine.limit(now)):
+        if target.opening and (connection.sent_at_s is None or not self.quarantine.limit(now_s)):
             exchange = next(iter(target.opening))
-            if connection.send(exchange, now):
+            if connection.send(exchange, now_s):
                 made = target.opening.pop(exchange)
                 if exchange.opening is not None:
                     self.unneeded[made] = exchange
             else:
                 connection.close()
             return
-        connection.idle_since = now
+        connection.idle_since_s = now_s
         target.idle[connection] = None
         self.idle[connection] = None
 
@@ -272,17 +272,17 @@
             for connection in list(target.idle):
                 connection.close()
 
-    def _take_idle(self, target: Upstream[UpstreamConnection], now: float) -> UpstreamConnection | None:
+    def _take_idle(self, target: Upstream[UpstreamConnection], now_s: float) -> UpstreamConnection | None:
         """Take the idle connection that was used most recently and has rested, if there is one.
 
         That one is the least likely to have been closed meanwhile. Where no endpoint was seen to answer
         twice, a connection that has not rested is still better than a new one.
         """
-        rest_s = self.quarantine.limit(now)
-        before = now - (rest_s or QUARANTINE_MIN_S)
+        rest_s = self.quarantine.limit(now_s)
+        before = now_s - (rest_s or QUARANTINE_MIN_S)
         connection = next(reversed(target.idle))
-        if connection.idle_since > before:
-            rested = (idle for idle in reversed(target.idle) if idle.idle_since <= before)
+        if connection.idle_since_s > before:
+            rested = (idle for idle in reversed(target.idle) if idle.idle_since_s <= before)
             if (latest := next(rested, None)) is not None:
                 connection = latest
             elif rest_s:
@@ -322,11 +322,11 @@
 
         Only endpoints with idle connections are examined, since thousands may be listed.
         """
-        now = self.monotonic()
-        scarcity_s = self.scarcity.limit(now)
+        now_s = self.monotonic()
+        scarcity_s = self.scarcity.limit(now_s)
         for target in dict.fromkeys(connection.upstream for connection in self.idle):
-            before = now - min(target.ages.limit(now), scarcity_s)
-            while target.idle and (first := next(iter(target.idle))).idle_since < before:
+            before = now_s - min(target.ages.limit(now_s), scarcity_s)
+            while target.idle and (first := next(iter(target.idle))).idle_since_s < before:
                 first.close()
 
     def close(self) -> None:
--- a/dykefold/net/upstream/idle_timeouts.py
+++ b/dykefold/net/upstream/idle_timeouts.py
@@ -58,7 +58,7 @@
         self.limit_s = 0.0
         self.seen_at_s = -math.inf
 
-    def seen(self, after_s: float, now_s: float) -> None:
+    def record_surplus(self, after_s: float, now_s: float) -> None:
         """Record that bytes came beyond a response.
 
         Args:
@@ -100,7 +100,7 @@
         self.grown_at_s = 0.0
         self.cut_at_s = -math.inf
 
-    def rejected(self, now_s: float) -> None:
+    def record_rejection(self, now_s: float) -> None:
         """Record that an endpoint rejected a new connection with its first request."""
         if now_s - self.cut_at_s >= SCARCITY_CUT_INTERVAL_S:
             self.limit_s = max(self.limit(now_s) * SCARCITY_CUT_FACTOR, min(SCARCITY_MIN_S, self.max_s))
@@ -137,7 +137,7 @@
         self.faded_at_s = -math.inf
         self.limit_s = max_s
 
-    def note(self, age_s: float, dead: bool, now_s: float) -> None:
+    def record_use(self, age_s: float, dead: bool, now_s: float) -> None:
         """Count a use of a connection.
 
         Args:
@@ -149,7 +149,7 @@
             bisect_right(AGE_CLASS_EDGES_S, age_s) - 1 if age_s >= AGE_CLASS_EDGES_S[1] else 0, dead, now_s
         )
 
-    def closed(self, age_s: float, now_s: float) -> None:
+    def record_close(self, age_s: float, now_s: float) -> None:
         """Count that an endpoint closed an idle connection.
 
         The close shows that a request at that age would have failed, before one has to fail. A connection
@@ -160,7 +160,7 @@
             now_s: Time, in seconds.
         """
         if age_s >= AGE_CLASS_EDGES_S[YOUNG_CLASSES]:
-            self.note(age_s, True, now_s)
+            self.record_use(age_s, True, now_s)
 
     def _count(self, age_class: int, dead: bool, now_s: float) -> None:
         if self.parent is not None:
--- a/dykefold/net/upstream/protocols.py
+++ b/dykefold/net/upstream/protocols.py
@@ -85,7 +85,7 @@
 class ConnectionOwner(Protocol[ConnectionT_contra]):
     """The pool, as one of its connections sees it."""
 
-    def keep_idle(self, connection: ConnectionT_contra, now: float) -> None:
+    def keep_idle(self, connection: ConnectionT_contra, now_s: float) -> None:
         """Reuse a connection that has become free, keep it idle, or close it."""
         ...
 
@@ -107,7 +107,7 @@
     monotonic: Callable[[], float]
     connect_timeout_s: float
 
-    def keep_idle(self, connection: ConnectionT_contra, now: float) -> None:
+    def keep_idle(self, connection: ConnectionT_contra, now_s: float) -> None:
         """Reuse a connection that has become free, keep it idle, or close it."""
         ...
 
--- a/tests/net/test_idle_timeouts.py
+++ b/tests/net/test_idle_timeouts.py
@@ -13,7 +13,7 @@
 
 def uses(ages, count, age, dead, now=0.0):
     for number in range(count):
-        ages.note(age, number < dead, now)
+        ages.record_use(age, number < dead, now)
 
 
 def test_without_evidence_the_settings_hold():
@@ -71,7 +71,7 @@
     )
     uses(other, 200, 0.3, 0)
     for _ in range(3):
-        first.closed(0.3, 0.0)
+        first.record_close(0.3, 0.0)
     assert first.limit(0.0) == alike.limit(0.0) == 0.2
     assert other.limit(0.0) == MOST
 
@@ -79,7 +79,7 @@
 def test_a_server_that_goes_says_nothing_of_an_idle_limit():
     ages = IdleAgeStats(MOST)
     for _ in range(20):
-        ages.closed(0.02, 0.0)
+        ages.record_close(0.02, 0.0)
     assert ages.limit(0.0) == MOST
 
 
@@ -87,11 +87,11 @@
     """Guards servers whose few places stand taken by connections that nobody uses."""
     scarcity = ScarcityLimit(MOST)
     assert scarcity.limit(100.0) == MOST
-    scarcity.rejected(100.0)
-    scarcity.rejected(100.1)  # of the same shortage
+    scarcity.record_rejection(100.0)
+    scarcity.record_rejection(100.1)  # of the same shortage
     assert 0.2 * MOST < scarcity.limit(100.1) < 0.3 * MOST
     for second in range(101, 120):
-        scarcity.rejected(float(second))
+        scarcity.record_rejection(float(second))
     assert SCARCITY_MIN_S <= scarcity.limit(120.0) < 1.2 * SCARCITY_MIN_S
     assert scarcity.limit(121.0 + SCARCITY_DOUBLING_S) > 2.0 * SCARCITY_MIN_S
     assert scarcity.limit(1e9) == MOST
@@ -99,6 +99,6 @@
 
 def test_a_clock_that_went_back_grows_nothing():
     scarcity = ScarcityLimit(MOST)
-    scarcity.rejected(100.0)
+    scarcity.record_rejection(100.0)
     before = scarcity.limit(100.0)
     assert scarcity.limit(50.0) == before
--- a/tests/net/test_upstream_connections.py
+++ b/tests/net/test_upstream_connections.py
@@ -139,11 +139,11 @@
             lambda: len(pool.endpoints[1].idle) == 3
         )  # one may have taken another's, its own comes yet
         latest = next(reversed(pool.endpoints[1].idle))
-        await until(lambda: time.monotonic() - latest.idle_since > 0.01)  # so long that it has rested
+        await until(lambda: time.monotonic() - latest.idle_since_s > 0.01)  # so long that it has rested
         _, end = start(pool)
         assert latest.exchange is not None
         await end
-        next(iter(pool.endpoints[1].idle)).idle_since -= 60.0 * upstream.IDLE_FRACTION
+        next(iter(pool.endpoints[1].idle)).idle_since_s -= 60.0 * upstream.IDLE_FRACTION
         pool.sweep()
         assert len(pool.endpoints[1].idle) == 2 and latest in pool.endpoints[1].idle
         pool.close()
--- a/tests/net/test_upstream_syscalls.py
+++ b/tests/net/test_upstream_syscalls.py
@@ -403,7 +403,7 @@
         await until(lambda: len(pool.endpoints[1].idle) == 1 + spare)
         monkeypatch.setattr(upstream, "QUARANTINE_MIN_S", WAIT)  # however late this machine is
         for connection in pool.endpoints[1].idle:
-            connection.idle_since -= WAIT
+            connection.idle_since_s -= WAIT
         exchange, end = start(pool)
         first = exchange.connection
         await end
