--- a/dykefold/net/read_scheduler.py
+++ b/dykefold/net/read_scheduler.py
@@ -17,7 +17,7 @@
 
 # A typical message is shorter than a slice, and a slice full of the shortest requests takes 2 to 3 ms.
 SLICE_BYTES = 2048
-# Of all connections together.
+# This limit covers all connections together.
 MAX_SLICES_PER_TURN = 2
 
 
--- a/dykefold/net/upstream/abort.py
+++ b/dykefold/net/upstream/abort.py
@@ -29,13 +29,12 @@
         discard: True to drop the bytes that the kernel has not sent yet, with a reset when the descriptor is
             closed (RFC 9293, section 3.10.5). Else they would arrive when a partition ends.
     """
-    # Two separate attempts: where the option can't be set, the connection must still be closed.
+    # Two blocks: where the option can't be set, the connection must still be closed.
     if discard:
         with contextlib.suppress(OSError):
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
-    with contextlib.suppress(
-        OSError
-    ):  # The other side or the connect was faster: the connection is closed already.
+    # An error means that the other side, or a failed connect, has closed the connection already.
+    with contextlib.suppress(OSError):
         sock.shutdown(socket.SHUT_RDWR)
     if transport is not None:
         transport.abort()
--- a/dykefold/net/upstream/connection.py
+++ b/dykefold/net/upstream/connection.py
@@ -135,7 +135,7 @@
         transport.set_write_buffer_limits(high=0)  # type: ignore[attr-defined]
 
     def pause_writing(self) -> None:
-        """Handle that bytes wait in the transport."""
+        """Record that bytes wait in the transport."""
         self.unwritten = True
 
     def resume_writing(self) -> None:
@@ -245,7 +245,7 @@
             if self.idle_since_s:
                 now_s = self.monotonic()
                 self.resources.quarantine.record_surplus(now_s - self.idle_since_s, now_s)
-            self.close()  # Bytes that belong to no request: the next response could be confused with them.
+            self.close()  # These bytes belong to no request, and could be taken for the next response.
             return
         reader = self.reader
         completable = reader.feed(data)
@@ -276,7 +276,7 @@
             self._start_stall_timer()
 
     def eof_received(self) -> None:
-        """Handle that the endpoint closes: the end of a response without a length, else a failure."""
+        """Complete a response without a length, as the endpoint closes the connection; else fail."""
         if self.exchange is not None and self.unfed is None and self.reader.finish():
             self._complete()
             return
@@ -286,7 +286,7 @@
         self._fail()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Handle that the transport has closed."""
+        """End the exchange, as the transport has closed."""
         self._fail(exc)
         # The reader and its parser refer to each other: the cycle would be left to the garbage collector.
         del self.reader.parser
@@ -369,7 +369,7 @@
         self.unfed = None
 
     def _fail(self, error: Exception | None = None) -> None:
-        """Close the connection, broken by `error` or useless, and end its exchange without a response."""
+        """Close the connection, which `error` may have broken; its exchange ends without a response."""
         never, own = self.incomplete, is_own(error)
         exchange = self.exchange
         self.detach_exchange()
--- a/dykefold/net/upstream/connection_pool.py
+++ b/dykefold/net/upstream/connection_pool.py
@@ -43,7 +43,7 @@
         monotonic: Clock, in seconds.
         allowance: Number of connections in use, and their maximum.
         connect_timeout_s: Seconds until a connect is given up.
-        max_idle_s: Seconds for which a connection may be idle at most, whatever is learned of its endpoint.
+        max_idle_s: Upper bound in seconds of all idle timeouts, whatever is learned of an endpoint.
         scarcity: Idle limit while other sidecars may lack connections.
         quarantine: Time for which a connection rests after a response.
         ages: Idle statistics of all endpoints.
@@ -162,7 +162,7 @@
         self.timer_wheel.start(exchange, timeout_s, now_s)
         while target.idle and (connection := self._take_idle(target, now_s)) is not None:
             if now_s - connection.idle_since_s > target.ages.limit_s:
-                connection.close()  # All others of this endpoint have been idle for longer.
+                connection.close()  # Older connections of the endpoint are closed next.
                 continue
             if connection.send(exchange, now_s):
                 return
--- a/dykefold/net/upstream/connector.py
+++ b/dykefold/net/upstream/connector.py
@@ -165,10 +165,10 @@
         if _is_up(sock):
             return None
         try:
-            number = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+            error_number = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         except OSError:
-            number = 0
-        if not number:  # The loop may have called connect(2) only just now.
+            error_number = 0
+        if not error_number:  # The loop may have called connect(2) only just now.
             return Status.NOT_ATTEMPTED
-        error = OSError(number, os.strerror(number))
+        error = OSError(error_number, os.strerror(error_number))
     return Status.NOT_ATTEMPTED if is_own(error) else Status.CONNECT_FAILED
--- a/dykefold/net/upstream/exchange.py
+++ b/dykefold/net/upstream/exchange.py
@@ -140,7 +140,7 @@
         return self.payload
 
     def upload_begins(self) -> None:
-        """Handle that the body has begun to flow: the request can't be sent a second time."""
+        """Handle the begin of the upload: the request can't be sent a second time."""
 
     def begin_response(
         self, code: int, headers: list[tuple[bytes, bytes]], length: int | None, load: bytes
--- a/dykefold/net/upstream/idle_timeouts.py
+++ b/dykefold/net/upstream/idle_timeouts.py
@@ -16,7 +16,7 @@
 YOUNG_CLASSES = 2
 # A dead connection costs an unsafe request, which is far more than a new connection.
 MIN_EXCESS_DEAD_FRACTION = 0.04
-# Above one dead connection of all endpoints, which is chance.
+# A single dead connection, of those to all endpoints, is chance.
 MIN_DEAD_COUNT = 1.5
 # Weight of the statistics of all endpoints for one that has few uses of its own.
 PRIOR_USES = 4.0
--- a/dykefold/net/upstream/response_reader.py
+++ b/dykefold/net/upstream/response_reader.py
@@ -120,10 +120,10 @@
         )
 
     def finish(self) -> bool:
-        """Handle the end of the stream, which completes a response without a length (RFC 9112, section 6.3).
+        """Complete a response without a length, as the stream has ended (RFC 9112, section 6.3).
 
         Returns:
-            Whether the response is complete by that.
+            Whether there was such a response.
         """
         if not self.in_body or self.encoding or self.length or self.unusable or self.response is not None:
             return False
@@ -146,7 +146,7 @@
         return int(self.length) - received >= size
 
     def on_message_begin(self) -> None:
-        """Handle the begin of a message: after a whole response it belongs to no request."""
+        """Record surplus bytes if a message begins after a whole response."""
         if self.response is not None:
             self.surplus = True
 
@@ -245,7 +245,7 @@
         self.body = gather(self.body, data)
 
     def on_message_complete(self) -> None:
-        """Handle the end of a message: the response is whole, unless it was an interim one."""
+        """Complete the response, unless the message was an interim one."""
         if self.response is not None:
             return
         code = self.parser.get_status_code()
