--- a/dykefold/net/service/pool.py
+++ b/dykefold/net/service/pool.py
@@ -43,6 +43,7 @@
 from ..start_times import StartTimes
 from ..upstream.connection_pool import ConnectionPool
 from ..upstream.connector import LATE_S
+from ..upstream.limits import ConnectionLimits
 from .attempt import Attempt, AttemptsInFlight
 from .attempts import AttemptRunner
 from .endpoint_registry import EndpointRegistry
@@ -138,10 +139,12 @@
         process = self.process
         return ConnectionPool(
             process.loop,
-            process.budget.upstreams,
-            process.memory,
-            self._connect_timeout_s(),
-            transport.conn_idle_ns / SECOND,
+            ConnectionLimits(
+                process.budget.upstreams,
+                process.memory,
+                self._connect_timeout_s(),
+                transport.conn_idle_ns / SECOND,
+            ),
             process.read_scheduler,
             process.timer_wheel,
             close_in_other_pools,
