--- a/dykefold/net/downstream/connection.py
+++ b/dykefold/net/downstream/connection.py
@@ -1,7 +1,7 @@
-"""A client's connection: the transport's callbacks, its lifecycle, and one request after another.
+"""A client's connection: the transport's callbacks, the lifecycle, and the dispatch of requests in order.
 
-Its states are described in `connection_state`; `request_reader` reads its requests, `response_writer` writes
-its answers.
+`connection_state` describes the states; `request_reader` reads the requests, and `response_writer` writes the
+responses.
 """
 
 from __future__ import annotations
@@ -10,31 +10,69 @@
 import contextlib
 import select
 import socket
+from typing import Protocol
 
+from ...admission.client import Client
 from ...system import Watch
 from ..upstream.abort import NO_LINGER
 from ..upstream.classify import HttpProfile
 from .connection_state import CLOSED, CLOSING, LINGERING, OPEN
+from .protocols import ServerContext
 from .request_parser import ParsedRequest, RequestError
 from .request_reader import RequestReader
 
-LINGER = 2.0  # seconds in which a rejected client may still send, unheard, and read why
-LINGER_ANSWERED = 0.3  # ... in which another one may see that its connection has ended, and close it
-END = select.POLLRDHUP | select.POLLHUP | select.POLLERR  # the client has ended its side, or all
-END_BOTH = select.POLLHUP | select.POLLERR
+REJECTED_LINGER_S = 2.0  # A client whose input is discarded has this time to read the reason.
+ANSWERED_LINGER_S = 0.3
+FULL_CLOSE_EVENTS = select.POLLHUP | select.POLLERR
+HALF_CLOSE_EVENTS = select.POLLRDHUP | FULL_CLOSE_EVENTS  # The client may still read responses.
+
+
+class RequestHandler(ServerContext, Protocol):
+    """Accepts the requests of connections and answers them."""
+
+    def admit(self, connection: ClientConnection, request: ParsedRequest) -> tuple[int, bytes, bytes] | None:
+        """Reserve what a request will need.
+
+        Returns:
+            None if it is admitted, else status code, header lines and text of its rejection.
+        """
+        ...
+
+    def accept(self, connection: ClientConnection, request: ParsedRequest) -> None:
+        """Accept an admitted request; `respond` or `begin_response` of the connection is called once."""
+        ...
+
+    def disconnected(self, connection: ClientConnection, request: ParsedRequest | None) -> None:
+        """Record that a client's connection is lost.
+
+        Args:
+            connection: The connection.
+            request: Its request that was being served; None if there was none.
+        """
+        ...
 
 
 class ClientConnection(RequestReader, asyncio.Protocol):
-    """A client's connection: one request after another, one answer to each in their order."""
+    """A client's connection: requests are served one after another, and answered in their order.
+
+    Args:
+        handler: Server that accepts and answers the requests.
+        client: Record of the client, as admission created it.
+    """
 
     __slots__ = ()
 
+    handler: RequestHandler
+
+    def __init__(self, handler: RequestHandler, client: Client) -> None:
+        super().__init__(handler, client)
+
     def accepted(self, sock: socket.socket) -> None:
-        """Note the accepted socket; its transport is still to be made."""
+        """Record the accepted socket; the transport does not exist yet."""
         self.sock = sock
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to read, unless the connection was closed or the shutdown began meanwhile."""
+        """Start reading, unless the connection was closed or the graceful shutdown began meanwhile."""
         self.transport = transport  # type: ignore[assignment]
         self.sock = None
         transport.set_write_buffer_limits(high=0)  # type: ignore[attr-defined]
@@ -43,20 +81,20 @@
             return
         self._enter(OPEN)
         if not self.handler.accepting_requests:
-            # It was accepted just before the shutdown: what it has sent is still answered.
+            # The connection was accepted just before the shutdown: requests already sent are still answered.
             self.close_when_idle()
 
     def eof_received(self) -> bool:
-        """Close, unless the client may still wait for answers; return whether the transport stays open."""
-        between = not self.message_unfinished and self.unfed is None
-        if self.handler.half_close and self.busy and between:
+        """Close, unless the client still awaits responses; return whether the transport stays open."""
+        between_messages = not self.message_unfinished and self.unfed is None
+        if self.handler.half_close and self.busy and between_messages:
             self.half_closed = True
             return True
         self.close()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Return all that was reserved, and report the request that was being served."""
+        """Release all reservations, and report the request that was being served."""
         self._enter(CLOSED)
         if self.stall_timer is not None:
             self.stall_timer.cancel()
@@ -65,14 +103,14 @@
         self._drop_unfed()
         request, self.current = self.current, None
         self.waiting.clear()
-        # The parser, the upload and the source refer back to this object. Without these cycles it is freed
-        # at once; else each connection of a long day would stay until the rare run of the collector.
+        # The parser, the upload and the source refer back to this object. Without these reference cycles it
+        # is freed at once; otherwise each connection stays in memory until the garbage collector runs.
         self.upload = self.response_source = None
         del self.parser
         self.handler.disconnected(self, request)
 
     def _dispatch_waiting(self) -> None:
-        """Serve what waits, one item at a time."""
+        """Serve the waiting items, one at a time."""
         if self.dispatching:
             return
         self.dispatching = True
@@ -80,16 +118,16 @@
             while self.waiting and self.current is None and not self.unread and self.lifecycle is not CLOSED:
                 item = self.waiting.popleft()
                 if isinstance(item, ParsedRequest):
-                    refusal: tuple[int, bytes, bytes] | None
+                    rejection: tuple[int, bytes, bytes] | None
                     if item.upload is not None and (problem := item.upload.problem) is not None:
-                        refusal = (problem[0], b"", problem[1])
+                        rejection = (problem[0], b"", problem[1])
                     else:
-                        refusal = self.handler.admit(self, item)
-                    if refusal is None:
+                        rejection = self.handler.admit(self, item)
+                    if rejection is None:
                         self.current = item
                         self.handler.accept(self, item)
                     else:
-                        self._refuse(item, *refusal)
+                        self._answer_rejected(item, *rejection)
                 elif isinstance(item, RequestError):
                     text = f"{item}\n".encode()
                     self._respond(
@@ -102,7 +140,7 @@
             self.dispatching = False
         self._resume()
 
-    def _refuse(self, request: ParsedRequest, code: int, headers: bytes, text: bytes) -> None:
+    def _answer_rejected(self, request: ParsedRequest, code: int, headers: bytes, text: bytes) -> None:
         """Answer a request that was not admitted."""
         self._release(request.size)
         if request.upload is not None:
@@ -112,13 +150,13 @@
     # Lifecycle
 
     def close_when_idle(self) -> None:
-        """Close while nothing of this client is open, unless something of it waits to be read."""
+        """Close the connection, which is idle, unless the client has sent input that was not read yet."""
         if self.transport is not None and not self.has_unread_input():
             self._shut_down()
             self.handler.clients.update(self)
 
     def evict(self) -> None:
-        """Close for the sake of other clients; a message that has begun is rejected first."""
+        """Close to make room for other clients; an unfinished message is rejected first."""
         if self.transport is None or not self.message_unfinished:
             self.close()
             return
@@ -126,10 +164,10 @@
         self.close(flush=True)
 
     def reject_unfinished(self, text: str) -> None:
-        """Reject the message that has begun, behind the answers to those before it.
+        """Reject the unfinished message; its response follows those to the earlier messages.
 
         Args:
-            text: The reason, for the client.
+            text: Reason that the client reads.
         """
         if self.message_unfinished:
             self._reject(503, text)
@@ -137,34 +175,35 @@
             self.handler.clients.update(self)
 
     def _shut_down(self) -> None:
-        """End the connection behind the last answer: the own side first, the rest once the client saw it.
+        """Close the sending side after the last response, and the connection when the client has closed too.
 
-        A close at once would answer bytes that arrive meanwhile with a reset, which can destroy answers that
-        are still on their way (RFC 9112, 9.6). What is read from here on is discarded.
+        An immediate close would answer arriving bytes with a reset, which can destroy responses that are
+        still on their way (RFC 9112, 9.6). Input from here on is discarded.
         """
         if self.transport is None or self.transport.is_closing():
             return
         self._enter(LINGERING)
         self.waiting.clear()
-        self.linger_s = LINGER if self.discarding_input else LINGER_ANSWERED
+        self.linger_s = REJECTED_LINGER_S if self.discarding_input else ANSWERED_LINGER_S
         self.discarding_input = True
         try:
-            self.transport.write_eof()  # once what was written has gone
-        except OSError:  # it was reset meanwhile
+            self.transport.write_eof()  # The transport sends it after all buffered data.
+        except OSError:  # The client has reset the connection.
             self.close()
             return
         if self.stall_timer is None:
             self.stall_timer = self.handler.loop.call_later(self.linger_s, self.close)
-        if self.paused:  # or the client's end would not be seen
+        if self.paused:  # A paused transport does not report the client's close.
             self.paused = False
             self.transport.resume_reading()
 
     def close(self, reset: bool = False, flush: bool = False) -> None:
-        """Close the connection; every way to its end leads through here.
+        """Close the connection; all other methods that close it call this one.
 
         Args:
-            reset: With a TCP reset, so that the client sees an incomplete answer as such in any framing.
-            flush: Only after what was written has been sent; else at once.
+            reset: Whether to close with a TCP reset; it shows the client in any framing that a response is
+                incomplete.
+            flush: Whether buffered data is sent before the close; otherwise it is dropped.
         """
         if self.lifecycle is CLOSED:
             return
@@ -172,46 +211,47 @@
         if self.transport is None:
             return
         if reset and (sock := self.transport.get_extra_info("socket")) is not None:
-            with contextlib.suppress(OSError):  # it has gone already
+            with contextlib.suppress(OSError):  # The connection is closed already.
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
         if flush:
             self.transport.close()
         else:
             self.transport.abort()
 
-    # The client's end
+    # Detection of the client's close
 
     def has_unread_input(self) -> bool:
-        """Whether bytes of the client, or its end, are there that were not read yet."""
+        """Return whether bytes of the client, or its close, have arrived and were not read yet."""
         if self.lifecycle is CLOSED or (self.transport is None and self.sock is None):
             return False
-        return self.unfed is not None or (not self.half_closed and bool(self._poll_end()))
+        return self.unfed is not None or (not self.half_closed and bool(self._poll_close_events()))
 
     def client_has_closed(self) -> bool:
-        """Whether the client has closed, also where that stands behind what was not read yet.
+        """Return whether the client has closed, also behind input that was not read yet.
 
-        The transport reports the end of a client late if reading is paused or the loop stood still; asking
-        the socket spares endpoints work that nobody waits for.
+        The transport reports a close late if reading is paused or the event loop was blocked. Polling the
+        socket spares endpoints the work for requests whose client has gone.
         """
         if self.lifecycle is CLOSED or self.transport is None:
             return self.lifecycle is CLOSED
-        found = self._poll_end()
-        if not found or not found[0][1] & (END_BOTH if self.handler.half_close else END):
+        found = self._poll_close_events()
+        events = FULL_CLOSE_EVENTS if self.handler.half_close else HALF_CLOSE_EVENTS
+        if not found or not found[0][1] & events:
             return False
         self.handler.loop.call_soon(self.close)
         return True
 
-    def _poll_end(self) -> list[tuple[int, int]]:
-        """Return the socket's events now, as `select.poll` does; none if it can't be asked."""
+    def _poll_close_events(self) -> list[tuple[int, int]]:
+        """Return the socket's pending events in the form of `select.poll`; none if the poll fails."""
         try:
-            return self._watch_end().poll(0)
-        except (OSError, ValueError):  # no memory to look; or its descriptor is closed
+            return self._get_close_watch().poll(0)
+        except (OSError, ValueError):  # The kernel lacks memory, or the descriptor is closed.
             return []
 
-    def _watch_end(self) -> Watch:
-        """Return the watch on the client's end, made once."""
-        if self.end is None:
+    def _get_close_watch(self) -> Watch:
+        """Return the watch on the client's close; the first call creates it."""
+        if self.close_watch is None:
             sock = self.sock if self.transport is None else self.transport.get_extra_info("socket")
             assert sock is not None
-            self.end = self.handler.system.watch_end(sock)
-        return self.end
+            self.close_watch = self.handler.system.watch_end(sock)
+        return self.close_watch
--- a/dykefold/net/downstream/protocols.py
+++ b/dykefold/net/downstream/protocols.py
@@ -1,10 +1,10 @@
-"""What a client's connection needs of others: handler of requests, parser, source of a streamed answer."""
+"""What a client's connection needs of others: server, parser of messages, source of a streamed response."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Protocol
+from typing import Protocol
 
 from ...admission.clients import ClientConnections
 from ...system import System
@@ -13,38 +13,53 @@
 from ..read_scheduler import ReadScheduler
 from .request_parser import Message, ParsedRequest
 
-if TYPE_CHECKING:
-    from .connection import ClientConnection
-
 
 class MessageReader(Protocol):
-    """Turns a whole message into a request, as `RequestParser` does."""
+    """Turns a whole message into a request, as `RequestParser` does.
+
+    Attributes:
+        streams: Whether larger bodies may be streamed, each up to the `max_body_bytes` of its request.
+    """
 
-    streams: bool  # whether larger bodies may be taken, each up to its request's `body_most`
+    streams: bool
 
     def read(self, message: Message) -> ParsedRequest:
         """Parse a message.
 
         Raises:
-            RequestError: The message is answered here and never reaches an endpoint.
+            RequestError: The sidecar itself answers the message; no endpoint gets it.
         """
         ...
 
 
 class FlowControlled(Protocol):
-    """The source of an answer that is passed on piece by piece."""
+    """The source of a response body that is passed on piece by piece."""
 
     def block(self, on: bool) -> None:
-        """Pause the source, or let it go on.
+        """Pause or resume the source.
 
         Args:
-            on: Whether it pauses.
+            on: Whether the source pauses.
         """
         ...
 
 
-class RequestHandler(Protocol):
-    """Accepts requests and answers them; the sidecar, as a client's connection sees it."""
+class ServerContext(Protocol):
+    """The server as its connections see it: what they share, and how far its shutdown has come.
+
+    Attributes:
+        loop: Event loop of the process.
+        clients: Open connections of all clients.
+        memory: Memory budget of all messages.
+        read_scheduler: Queue of the connections whose input waits to be parsed.
+        lag: Monitor that is notified of the time that parsing takes.
+        parser: Parser of messages by the present settings.
+        draining: Whether the graceful shutdown has begun.
+        handing_over: Whether a newer process takes over in a hot restart; clients reconnect to it after
+            their next response.
+        accepting_requests: Whether requests are still accepted.
+        half_close: Whether a client that has closed its sending side may still await responses.
+    """
 
     loop: asyncio.AbstractEventLoop
     clients: ClientConnections
@@ -53,9 +68,9 @@
     lag: LoopLagMonitor
     parser: MessageReader
     draining: bool
-    handing_over: bool  # clients have a newer process to go to, and do so behind their next answer
+    handing_over: bool
     accepting_requests: bool
-    half_close: bool  # a client that has ended its side may still wait for answers
+    half_close: bool
 
     @property
     def monotonic(self) -> Callable[[], float]:
@@ -69,28 +84,7 @@
 
     @property
     def now(self) -> Callable[[], int]:
-        """The clock that deadlines are stated in, in nanoseconds."""
-        ...
-
-    def admit(self, connection: ClientConnection, request: ParsedRequest) -> tuple[int, bytes, bytes] | None:
-        """Reserve what a request will need.
-
-        Returns:
-            None if it is admitted, else status code, header lines and text of its rejection.
-        """
-        ...
-
-    def accept(self, connection: ClientConnection, request: ParsedRequest) -> None:
-        """Accept an admitted request: `ClientConnection.respond` or `begin_response` is called once."""
-        ...
-
-    def disconnected(self, connection: ClientConnection, request: ParsedRequest | None) -> None:
-        """Note that the client's connection is lost.
-
-        Args:
-            connection: The connection.
-            request: Its request that was being served, if any.
-        """
+        """The clock of deadlines, in nanoseconds."""
         ...
 
     def log_exception(self, text: str) -> None:
--- a/dykefold/net/downstream/request_reader.py
+++ b/dykefold/net/downstream/request_reader.py
@@ -11,24 +11,24 @@
 from .request_parser import MAX_BUFFERED_BODY_BYTES, Message, ParsedRequest, RequestError
 from .response_writer import ResponseWriter
 
-MAX_HEADER_LINES = 256  # each costs some hundred bytes beside its own; the usual limit is 100
-MAX_MESSAGE_BYTES = 8 * MAX_BUFFERED_BODY_BYTES  # with the framing of many small chunks
-MAX_WAITING_REQUESTS = 16  # that a client may send ahead of their answers before it is read no further
+MAX_HEADER_LINES = 256  # Each line costs some hundred bytes of memory in addition to its text.
+MAX_MESSAGE_BYTES = 8 * MAX_BUFFERED_BODY_BYTES  # The framing of small chunks is larger than the body.
+MAX_WAITING_REQUESTS = 16  # Reading pauses while this number of pipelined requests waits.
 READY_TARGET = b"/-/ready"
-# Each may come once: of two values, two readers could each believe another one.
-SINGLE = frozenset(
+# A request that repeats one of these is rejected: an endpoint could use another value than the sidecar.
+SINGLE_VALUE_HEADERS = frozenset(
     (b"x-request-id", b"idempotency-key", b"x-deadline", b"x-key", b"x-tenant", b"transfer-encoding")
 )
-NOT_PASSED_ON = HOP_BY_HOP | {b"expect", b"x-deadline"}
+NOT_FORWARDED = HOP_BY_HOP | {b"expect", b"x-deadline"}
 
 
 class RequestReader(ResponseWriter):
-    """The reading half of a client's connection."""
+    """The reading layer of a client's connection."""
 
     __slots__ = ()
 
     def data_received(self, data: bytes) -> None:
-        """Parse the first slice at once; longer input waits for the read scheduler."""
+        """Parse the first slice immediately; the rest of longer input waits for the read scheduler."""
         if self.discarding_input or self.lifecycle is CLOSED:
             return
         if len(data) <= SLICE_BYTES:
@@ -36,7 +36,7 @@
             self._parse(data)
             self.handler.lag.took(began_s, "a client's message")
             return
-        # The first slice may show that the rest is of no use, so that it need not be kept.
+        # The first slice may cause the rest to be discarded; then no memory is needed for it.
         self._parse(data[:SLICE_BYTES])
         if self.discarding_input or self.lifecycle is CLOSED:
             return
@@ -51,8 +51,8 @@
         self._resume()
 
     def feed_slice(self) -> bool:
-        """Parse the next slice; return whether another one can follow in the next turn of the loop."""
-        if self.lifecycle in ENDED:  # nobody is left to answer: nothing more may be accepted
+        """Parse the next slice; return whether another one can be parsed in the loop's next iteration."""
+        if self.lifecycle in ENDED:  # A request can no longer be answered, so none may be accepted.
             self._drop_unfed()
         if self.unfed is not None:
             data, self.unfed = cut(self.unfed)
@@ -66,13 +66,13 @@
         return self.scheduled
 
     def _drop_unfed(self) -> None:
-        """Discard the input that waits to be parsed."""
+        """Discard input that was read and not parsed."""
         if self.unfed is not None:
             self.handler.memory.release(len(self.unfed))
             self.unfed = None
 
     def _parse(self, data: bytes) -> None:
-        """Parse a slice; the parser calls the `on_...` methods meanwhile."""
+        """Parse a slice, for which the parser calls the `on_...` methods."""
         self.message_bytes += len(data)
         if self.arrivals.marks:
             self.arrived_ns = self.arrivals.came_ns(not self.paused)
@@ -85,7 +85,7 @@
             self._reject(400, "unreadable request")
         except httptools.HttpParserError:
             self._reject(400, "malformed request")
-        # The parser itself would buffer a header line of any length.
+        # The parser itself has no limit on the length of a header line.
         if self.message_bytes > self.max_message_bytes:
             self._reject(431, "headers are too long")
         self.arrivals.read += len(data)
@@ -95,7 +95,7 @@
         self.handler.clients.update(self)
 
     def expire(self) -> None:
-        """Reject the message that has not come to an end in time, behind the answers to those before it."""
+        """Reject the message that was not complete in time, after the responses to earlier messages."""
         if self.message_unfinished:
             self._reject(408, "the request took too long to come")
             self._dispatch_waiting()
@@ -115,7 +115,7 @@
                 self.upload.stopped_ns = self.handler.now()
 
     def _resume(self) -> None:
-        """Read on, beginning with what was read already, unless too much still has to be answered."""
+        """Resume reading, first from `unfed`, unless too many requests await their responses."""
         if not self.paused:
             return
         self._count_unread()
@@ -132,21 +132,21 @@
                 self.upload.resumed_ns = self.handler.now()
 
     def _count_unread(self) -> None:
-        """Record how much has arrived unparsed: the deadlines of requests in it count from now."""
+        """Record how many unparsed bytes have arrived: the deadlines of requests in them count from now."""
         if self.transport is not None and not self.transport.is_closing():
             sock = self.transport.get_extra_info("socket")
-            there = self.handler.system.unread(sock) if sock is not None else 0
-            unparsed = len(self.unfed) if self.unfed is not None else 0
-            self.arrivals.mark(self.handler.now(), unparsed + there)
+            in_kernel_bytes = self.handler.system.unread(sock) if sock is not None else 0
+            unfed_bytes = len(self.unfed) if self.unfed is not None else 0
+            self.arrivals.mark(self.handler.now(), unfed_bytes + in_kernel_bytes)
 
     def _is_full(self) -> bool:
-        """Whether no more may be read for now."""
+        """Return whether reading must pause."""
         return len(self.waiting) >= MAX_WAITING_REQUESTS or (self.upload is not None and self.upload.full)
 
-    # The parser's calls
+    # Callbacks of the parser
 
     def on_message_begin(self) -> None:
-        """Note the first byte of a message."""
+        """Record that a message has begun."""
         self.message_begun = True
 
     def on_url(self, url: bytes) -> None:
@@ -154,24 +154,24 @@
         self.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header, both by its name and as the line that is forwarded."""
-        if self.in_body:  # a trailer
+        """Store a header, both by its name and as the line that is forwarded."""
+        if self.in_body:  # Trailers are dropped.
             return
-        low = name.lower()
-        # The parser does not know `chunked` with a tab behind it.
-        value = value.strip(b" " if low == b"transfer-encoding" else BLANKS)
+        lower_name = name.lower()
+        # The parser does not accept `chunked` followed by a tab, so the tab must stay visible here.
+        value = value.strip(b" " if lower_name == b"transfer-encoding" else BLANKS)
         headers = self.headers
-        if low in headers:
-            if low in SINGLE:
+        if lower_name in headers:
+            if lower_name in SINGLE_VALUE_HEADERS:
                 self.duplicate_header = True
-            elif low == b"host":
-                value = headers[low] + b", " + value  # no host: routes must not choose one of two
-        headers[low] = value
-        if low not in NOT_PASSED_ON:
+            elif lower_name == b"host":
+                value = headers[lower_name] + b", " + value  # The result is no host, and matches no route.
+        headers[lower_name] = value
+        if lower_name not in NOT_FORWARDED:
             self.header_lines.append(b"%b: %b\r\n" % (name, value))
 
     def on_headers_complete(self) -> None:
-        """Check the limits of headers, and begin an upload if the announced body is too large to keep."""
+        """Check the limits of headers, and begin an upload if the announced body is too large to buffer."""
         self.in_body = True
         self.max_message_bytes = MAX_MESSAGE_BYTES
         headers = self.headers
@@ -188,7 +188,7 @@
                 self._write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, data: bytes) -> None:
-        """Keep a piece of a body, or pass it on if the body is an upload."""
+        """Buffer a piece of a body, or pass it on if the body is an upload."""
         if self.discarding_input:
             return
         self.body_bytes += len(data)
@@ -239,7 +239,7 @@
         """Return the message as a request.
 
         Raises:
-            RequestError: It is answered here and never reaches an endpoint.
+            RequestError: The sidecar itself answers the message; no endpoint gets it.
         """
         if self.duplicate_header:
             raise RequestError(400, "a header came twice")
@@ -270,9 +270,9 @@
         return True
 
     def _reject(self, code: int, text: str, head: bool = False) -> None:
-        """Queue an error as the last answer, and discard input: where a next message begins is unknown."""
+        """Queue an error as the last response, and discard input: the next message's start is unknown."""
         if self.upload is not None and not self.discarding_input:
-            # Its request is accepted or waits, and gets this for its one answer.
+            # The request of the upload is accepted or waiting; this error is its one answer.
             self._fail_upload(self.upload, code, text)
         if not self.discarding_input:
             self.discarding_input = True
@@ -285,10 +285,14 @@
             problem.head = head
             self.waiting.append(problem)
 
-    # Bodies that are passed on as they come
+    # Streamed bodies
 
     def _begin_upload(self, length: int | None) -> None:
-        """Queue a request whose body is too large to be kept: its bytes follow as they arrive."""
+        """Queue a request whose body is too large to buffer; its bytes are streamed as they arrive.
+
+        Args:
+            length: Bytes of the body; None if it is chunked.
+        """
         if not self.handler.parser.streams:
             self._reject(413, "the body is too large")
             return
@@ -320,12 +324,12 @@
             self._pause()
 
     def _fail_upload(self, upload: Upload, code: int, text: str) -> None:
-        """Discard the rest of a body; its request, which is accepted or waits, is answered with this."""
+        """Discard the rest of a body; its request, which is accepted or waiting, gets this answer."""
         self.discarding_input = True
         self.upload = None
         upload.spoil(code, text)
 
 
 def _exceeds_max_body(length: bytes) -> bool:
-    # The first digits suffice: the parser itself bounds how many there may be.
+    # The first digits suffice, since the parser limits their number.
     return length.isdigit() and int(length[:12]) > MAX_BUFFERED_BODY_BYTES
--- a/tests/net/test_client_races.py
+++ b/tests/net/test_client_races.py
@@ -224,7 +224,7 @@
 @on_loop
 async def test_bytes_that_cross_the_close_behind_an_answer_do_not_destroy_it(tmp_path, monkeypatch):
     """A close over unread bytes is a reset, and what is on its way goes with it (RFC 9112, 9.6)."""
-    monkeypatch.setattr(front_module, "LINGER_ANSWERED", 2.0, raising=False)  # on a busy machine too
+    monkeypatch.setattr(front_module, "ANSWERED_LINGER_S", 2.0, raising=False)  # on a busy machine too
     body = b"x" * 60_000
 
     async def act(message, reader, writer):
@@ -246,7 +246,7 @@
 @on_loop
 async def test_a_rejected_client_that_reads_slowly_and_never_closes_is_closed(tmp_path, monkeypatch):
     """Its time to read why ended with the last byte that went, and was never begun again."""
-    monkeypatch.setattr(front_module, "LINGER", 0.1)
+    monkeypatch.setattr(front_module, "REJECTED_LINGER_S", 0.1)
 
     async def act(message, reader, writer):
         writer.write(reply(200, b"x" * 60_000))
--- a/tests/sim/mutants.py
+++ b/tests/sim/mutants.py
@@ -155,8 +155,7 @@
     Mutant(
         "nobody asks whether a client is there",
         "net/downstream/connection.py",
-        "        if not found or not found[0][1] & (END_BOTH if self.handler.half_close else END):\n"
-        "            return False\n",
+        "        if not found or not found[0][1] & events:\n            return False\n",
         "        return False\n",
         "leaving",
         first_seed=4,
