--- a/dykefold/net/clock.py
+++ b/dykefold/net/clock.py
@@ -9,21 +9,33 @@
 
 
 class Clock:
-    """Monotonic time on the scale of Unix time, on which the starts of endpoints are given."""
+    """Monotonic time on the scale of Unix time, in which endpoint lists state the starts of endpoints.
+
+    The offset between both clocks is fixed once, so that later steps of the wall clock have no effect.
+
+    Args:
+        system: Source of the clocks.
+
+    Attributes:
+        monotonic_ns: Returns the monotonic time in nanoseconds.
+        offset: Nanoseconds between the monotonic time and this clock.
+    """
 
     def __init__(self, system: System = SYSTEM) -> None:
-        """Fix the offset between both clocks: later steps of the wall clock change nothing."""
         self.monotonic_ns = system.monotonic_ns
         self.offset = system.time_ns() - system.monotonic_ns()
 
     def now(self) -> int:
-        """Return the time in nanoseconds."""
+        """Return the present time in nanoseconds."""
         return self.offset + self.monotonic_ns()
 
     def at(self, now_s: float) -> int:
-        """Return what `now` would give at a time of the monotonic clock, to some hundred nanoseconds.
+        """Convert a time of the monotonic clock, with an error of some hundred nanoseconds.
 
         Args:
-            now_s: seconds of the monotonic clock.
+            now_s: Time of the monotonic clock, in seconds.
+
+        Returns:
+            Time of this clock, in nanoseconds.
         """
         return self.offset + int(now_s * SECOND)
--- a/dykefold/net/discovery/client.py
+++ b/dykefold/net/discovery/client.py
@@ -1,4 +1,4 @@
-"""The calls of discovery: watches that bring each change of the endpoint list, and whole lists."""
+"""Calls of discovery: watches, which return each change of the endpoint list, and fetches of a whole list."""
 
 from __future__ import annotations
 
@@ -6,24 +6,17 @@
 import json
 import logging
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import cast
 
-from ...admission.budget import DISCOVERY_CONNECTIONS, DescriptorAllowance
-from ...balancer.events import State, Status
+from ...balancer.events import Status
 from ...system import SYSTEM, System
-from ..memory_budget import MB, MemoryBudget
 from ..upstream.classify import Response
-from ..upstream.connection_pool import ConnectionPool
 from ..upstream.exchange import Exchange
-from .codec import (
-    EndpointListError,
-    EndpointUpdate,
-    NameTable,
-    parse_endpoint_update,
-)
+from .codec import EndpointUpdate, NameTable, parse_endpoint_update
+from .list_source import DISCOVERY_NUMBER, ListSource
 from .watch_schedule import (
     ANSWER_TIMEOUT_S,
-    CONNECT_TIMEOUT_S,
     LIST_READ_GRACE_S,
     MAX_OPEN_CALLS,
     MIN_CALL_INTERVAL_S,
@@ -39,10 +32,7 @@
 log = logging.getLogger("dykefold.discovery")
 
 MAX_LIST_BYTES = 4 * 1024 * 1024
-MAX_CALLS_BYTES = 192 * MB  # the limit of the calls' own memory budget, as for a process
-IDLE_TIMEOUT_S = 30.0  # of a connection between two calls
-DISCOVERY = 0  # the one target of the calls' own connections
-TARGET = "/api/targets"
+LIST_PATH = "/api/targets"
 
 
 class ListCall(Exchange):
@@ -52,117 +42,82 @@
     read_within = LIST_READ_GRACE_S
 
 
-class ListSource:
-    """Discovery at one address, and how far its list is known.
+@dataclass(frozen=True, slots=True)
+class DiscoveryOrigin:
+    """Discovery as a client finds it at its start.
 
     Attributes:
-        address: host and port.
-        host: the same as text; it names the source.
-        version: the index of the list that is known; None: a whole list must come first.
-        accepted: how many answers have been accepted.
-        calls: the connections of the calls.
+        address: Host and port of discovery.
+        version: Index of the known endpoint list.
+        pushed: Whether discovery is an agent on the same machine. Only the client calls an agent again after
+            a failure; for a service the balancer requests the next call.
     """
 
-    def __init__(
-        self, loop: asyncio.AbstractEventLoop, address: tuple[str, int], version: int | None, system: System
-    ) -> None:
-        """Prepare calls of an address; `version` is what is known of its list."""
-        self.address = address
-        self.host = f"{address[0]}:{address[1]}"
-        self.version = version
-        self.accepted = 0
-        # An allowance of its own: the cap on connections to servers must never keep the list from being read.
-        allowance, memory = DescriptorAllowance(DISCOVERY_CONNECTIONS), MemoryBudget(MAX_CALLS_BYTES)
-        self.calls = ConnectionPool(loop, allowance, memory, CONNECT_TIMEOUT_S, IDLE_TIMEOUT_S, system=system)
-        self.calls.update(DISCOVERY, address, 0, State.READY)
-
-    def in_order(self, update: EndpointUpdate, accepted: int) -> EndpointUpdate:
-        """Check an answer against those accepted before: calls in flight together may answer out of order.
-
-        Args:
-            update: the answer.
-            accepted: how many answers had been accepted when the call was made.
-
-        Returns:
-            The update; an empty one in place of an answer that a newer one to another call overtook.
-
-        Raises:
-            EndpointListError: the answer does not follow the list that is known.
-        """
-        if self.version is None:
-            if not update.complete:
-                raise EndpointListError(
-                    field="snapshot", value=update.complete, expected="true: the whole list comes first"
-                )
-        elif update.version < self.version:
-            if accepted != self.accepted:
-                return EndpointUpdate(self.version, False, [])
-            if not update.complete:
-                known, self.version = self.version, None
-                raise EndpointListError(field="index", value=update.version, expected=f"{known} or more")
-        return update
-
-    def accept(self, update: EndpointUpdate) -> None:
-        """Record that this update is part of the list from now on."""
-        self.version = update.version
-        self.accepted += 1
+    address: tuple[str, int]
+    version: int
+    pushed: bool
 
 
 class DiscoveryClient:
-    """Watches the endpoint list, and fetches it as a whole; a failed call ends no watch for good.
+    """Watches the endpoint list, and fetches it as a whole.
 
-    A call that brings nothing in time stays open, and another is made beside it: whichever is answered
-    first counts, and only then is the other one cancelled. So discovery never notifies a call that nobody
-    reads any more, and a call that is cancelled had nothing to bring.
+    A watch that is silent for too long stays open, and another call is made in parallel to it. The first
+    answer counts, and only then the other call is cancelled. So discovery never sends a change to a call
+    that was given up, and a cancelled call had no change to return.
+
+    `watch` or `fetch` makes the first call.
 
     Args:
-        loop: runs the calls.
-        address: host and port of discovery.
-        names: numbers the endpoints.
-        version: the index of the list that is known.
-        system: the clocks and sockets.
+        loop: Event loop that runs the calls.
+        origin: Address and kind of discovery, and the version of the known list.
+        names: Table by which endpoints are numbered.
+        on_update: Called with each update, and with None for each failure of a watch or a fetch.
+        system: Clocks and sockets.
 
     Attributes:
-        on_update: called with each update, and with None for each failure of a watch or a fetch.
-        pushed: discovery is an agent on the same machine, which only this client calls again after a failure.
-        watching: a watch is open, or its next call is scheduled.
-        called: when the latest call of the watch was made, in seconds of the monotonic clock.
-        closed: the client makes no more calls.
-        schedule: spreads the calls; None: each call is made as soon as it is wanted.
-        listed_by: the source of the list that is known, as `host` names it.
+        pushed: Whether discovery is an agent on the same machine; see `DiscoveryOrigin`.
+        watching: Whether a watch is open or its next call is scheduled.
+        watch_round: Number that changes whenever scheduled calls become obsolete.
+        called: Monotonic time in seconds of the latest call of the watch.
+        failing: Whether the latest call failed.
+        closed: Whether the client makes no more calls.
+        schedule: Schedule that spreads the calls; None if no call is delayed.
+        open_calls: Open calls of the watch, in the order in which they were made.
+        latest_call: Latest of the open calls; None if its outcome no longer matters.
+        source: Source that is called.
+        previous: Source before a change of the address, until the present one has sent its list; None
+            otherwise.
+        listed_by: Name of the source of the known list, as in `host`.
     """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        address: tuple[str, int],
+        origin: DiscoveryOrigin,
         names: NameTable,
-        version: int,
         on_update: Callable[[EndpointUpdate | None], None],
-        pushed: bool,
         system: System = SYSTEM,
     ) -> None:
-        """Prepare calls; the first is made by `watch` or `fetch`."""
         self.loop = loop
         self.system = system
         self.names = names
         self.on_update = on_update
-        self.pushed = pushed
+        self.pushed = origin.pushed
         self.watching = False
-        self.watch_round = 0  # what was scheduled in an earlier round of watching is not done
+        self.watch_round = 0
         self.called = 0.0
-        self.failing = False  # the last call failed
+        self.failing = False
         self.closed = False
         self.schedule: PollSchedule | None = None
-        self.open_calls: dict[ListCall, None] = {}  # of the watch, in the order in which they were made
-        self.latest_call: ListCall | None = None  # of these
-        self.source = ListSource(loop, address, version, system)
-        self.previous: ListSource | None = None  # until the source in use has sent its list
+        self.open_calls: dict[ListCall, None] = {}
+        self.latest_call: ListCall | None = None
+        self.source = ListSource(loop, origin.address, origin.version, system)
+        self.previous: ListSource | None = None
         self.listed_by = self.source.host
 
     @property
     def version(self) -> int | None:
-        """The index of the list that is known; None where a whole list must come first."""
+        """Index of the known list; None if a whole list must come first."""
         return self.source.version
 
     @property
@@ -172,18 +127,18 @@
 
     @property
     def host(self) -> str:
-        """The address of discovery as text."""
+        """Host and port of discovery as text."""
         return self.source.host
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Call discovery at another address from now on, for a whole list first.
+        """Call discovery at another address from now on, first for a whole list.
 
-        The index there may have begun anew, so it is not compared with the old one. What the old source
-        still sends on its open watch counts until the new one has sent its list, which may take a while;
-        the old one gets no more calls.
+        The index at the new address may have started anew, so that it is not compared with the previous
+        one. The previous source gets no more calls, but answers to its open calls count until the new source
+        has sent its list.
 
         Args:
-            address: host and port.
+            address: Host and port of discovery.
         """
         if self.closed or address == self.source.address:
             return
@@ -198,30 +153,40 @@
         self.watch(True)
 
     def change_settings(self, pushed: bool) -> None:
-        """Follow changed settings: who calls again after a failure, and how long calls wait.
+        """Apply changed settings.
 
         Args:
-            pushed: as the attribute.
+            pushed: Whether discovery is an agent on the same machine; see `DiscoveryOrigin`.
         """
         if pushed == self.pushed:
             return
         self.pushed = pushed
-        if pushed:  # the open call waits as for a service, or the balancer was to retry and no longer does
+        if pushed:
+            # The open call waits as for a service, or the balancer no longer requests a retry that is due.
             self.poll_now()
 
     def _close_previous(self) -> None:
+        """Close the connections of the previous source."""
         previous, self.previous = self.previous, None
         if previous is not None:
             previous.calls.close()
 
     def adopt(self, version: int) -> None:
-        """Record that the list of this index came another way, so that older answers count no more."""
+        """Record that the list was obtained in another way, so that older answers no longer count.
+
+        Args:
+            version: Index of that list.
+        """
         self.source.version = version
         self.source.accepted += 1
         self.listed_by = self.source.host
 
     def watch(self, on: bool) -> None:
-        """Begin or end watching; the calls that are open stay open."""
+        """Start or stop watching; open calls stay open.
+
+        Args:
+            on: Whether to watch.
+        """
         if on == self.watching:
             return
         self.watching = on
@@ -230,7 +195,7 @@
             self._schedule_call(self.schedule.watch_delay_s() if self.schedule is not None else 0.0)
 
     def poll_now(self) -> None:
-        """Make a call at once, beside an open one or in place of a scheduled one."""
+        """Make a call immediately, in parallel to an open one or in place of a scheduled one."""
         if self.closed:
             return
         self.watching = True
@@ -238,8 +203,8 @@
         self._call_watch(self.watch_round, WATCH_IMMEDIATE_MS if self.open_calls else self._wait_ms())
 
     def fetch(self) -> None:
-        """Call for the whole list once."""
-        self._call(TARGET, ANSWER_TIMEOUT_S, self._on_fetch_end)
+        """Make one call for the whole list."""
+        self._call(LIST_PATH, ANSWER_TIMEOUT_S, self._on_fetch_end)
 
     def _wait_ms(self) -> int:
         return WATCH_PUSHED_MS if self.pushed else WATCH_POLLED_MS
@@ -251,14 +216,20 @@
             self._call_watch(self.watch_round, self._wait_ms())
 
     def _call_watch(self, watch_round: int, wait_ms: int) -> None:
+        """Make the next call of the watch, unless it has become obsolete since it was scheduled.
+
+        Args:
+            watch_round: Value of the attribute at the time of scheduling.
+            wait_ms: Milliseconds that discovery is asked to wait for a change.
+        """
         if watch_round != self.watch_round or self.closed:
             return
         self.called = self.system.monotonic()
-        target, wait_s = TARGET, 0.0
+        target, wait_s = LIST_PATH, 0.0
         if self.version is not None:
             target += f"?after={self.version}&wait_ms={wait_ms}"
             wait_s = wait_ms / 1000
-        self.latest_call = None  # what ends from here on frees its place, and is no failure
+        self.latest_call = None  # The end of an older call is no failure from here on.
         while len(self.open_calls) >= MAX_OPEN_CALLS:
             next(iter(self.open_calls)).give_up(Status.CANCELLED)
         call = self.latest_call = self._call(target, wait_s + ANSWER_TIMEOUT_S, self._on_watch_end)
@@ -267,31 +238,34 @@
         if self.pushed:
             overdue_s = wait_s + OVERDUE_PUSHED_S if waits else RETRY_PUSHED_S
             self.loop.call_later(overdue_s, self._on_overdue, watch_round, call)
-        elif waits:  # a service serves other callers first: a call that does not wait has its whole time
+        elif waits:  # A service may serve other clients first, so that other calls have their whole timeout.
             self.loop.call_later(wait_s + OVERDUE_POLLED_S, self._on_overdue, watch_round, call)
 
     def _on_overdue(self, watch_round: int, call: ListCall) -> None:
-        """Call beside a silent watch: the changes that it misses count as notified."""
+        """Make a call in parallel to a silent watch, since changes count as notified meanwhile."""
         if call is self.latest_call and not call.ended:
             self._call_watch(watch_round, WATCH_IMMEDIATE_MS)
 
     def _call(
-        self, target: str, within: float, done: Callable[[ListCall, EndpointUpdate | None, str], None]
+        self, target: str, timeout_s: float, on_end: Callable[[ListCall, EndpointUpdate | None, str], None]
     ) -> ListCall:
         """Make one call.
 
         Args:
-            target: path and query.
-            within: seconds until the call fails.
-            done: called at its end with the update, or with None and the reason of the failure.
+            target: Path and query of the call.
+            timeout_s: Seconds until the call fails.
+            on_end: Called at the end of the call with the update, or with None and the reason of the failure.
+
+        Returns:
+            The call.
         """
         source = self.source
         payload = f"GET {target} HTTP/1.1\r\nHost: {source.host}\r\nAccept: application/json\r\n\r\n".encode()
         accepted = source.accepted
 
-        def ended(call: Exchange, status: Status, answer: Response | None) -> None:
+        def handle_end(call: Exchange, status: Status, answer: Response | None) -> None:
             if self.closed or (source is not self.source and source is not self.previous):
-                return  # an answer of a source that is in use no more
+                return  # The source is no longer in use.
             update, reason = None, status.name
             if status is Status.OK and answer is not None:
                 try:
@@ -302,44 +276,44 @@
             elif answer is not None:
                 reason = f"answer {answer.code}"
             if source is self.source:
-                done(cast(ListCall, call), update, reason)
+                on_end(cast(ListCall, call), update, reason)
             elif update is not None:
                 self._accept(source, update)
 
         if self.schedule is not None:
             self.schedule.called()
-        call = ListCall(payload, ended, MAX_LIST_BYTES)
-        source.calls.start(DISCOVERY, call, within)
+        call = ListCall(payload, handle_end, MAX_LIST_BYTES)
+        source.calls.start(DISCOVERY_NUMBER, call, timeout_s)
         return call
 
     def _on_watch_end(self, call: ListCall, update: EndpointUpdate | None, reason: str) -> None:
         self.open_calls.pop(call, None)
         if update is None:
-            if call is self.latest_call:  # else another is in flight, or the next one is scheduled
+            if call is self.latest_call:  # Otherwise another call is in flight or scheduled.
                 self._on_watch_failure(reason)
             return
         self._record_outcome(update, reason)
         self.latest_call = None
-        for other in list(self.open_calls):  # what they would bring is in this answer, or in the next
+        for other in list(self.open_calls):  # This answer or the next one contains their changes.
             other.give_up(Status.CANCELLED)
         self.watching = True
-        self.watch_round += 1  # a call that was scheduled is not wanted
+        self.watch_round += 1  # A scheduled call is obsolete.
         watch_round = self.watch_round
         try:
             self._accept(self.source, update)
         finally:
-            # An agent that answers at once with nothing new must not be called in a tight loop; a pause of
-            # less than 200 ms ends no watch.
-            pause = 0.0 if update.entries else MIN_CALL_INTERVAL_S - (self.system.monotonic() - self.called)
+            # An agent that answers immediately and without a change must not be called in a tight loop. For
+            # discovery a watch continues over a pause of less than 200 ms.
+            wait_s = 0.0 if update.entries else MIN_CALL_INTERVAL_S - (self.system.monotonic() - self.called)
             if self.schedule is not None:
-                pause = max(pause, self.schedule.next_call_delay_s())
+                wait_s = max(wait_s, self.schedule.next_call_delay_s())
             if watch_round == self.watch_round:
-                self._schedule_call(pause)
+                self._schedule_call(wait_s)
 
     def _on_watch_failure(self, reason: str) -> None:
         self._record_outcome(None, reason)
         self.watch(False)
-        if self.pushed:  # only this client calls an agent again; the balancer just waits for its updates
+        if self.pushed:  # The balancer requests no calls of an agent.
             self.loop.call_later(RETRY_PUSHED_S, self.watch, True)
         self.on_update(None)
 
@@ -351,7 +325,7 @@
             self._accept(self.source, update)
 
     def _record_outcome(self, update: EndpointUpdate | None, reason: str) -> None:
-        """Notify the schedule; log only the first failure and the recovery, as an outage lasts."""
+        """Notify the schedule; of an outage only the first failure and the recovery are logged."""
         if self.schedule is not None:
             if update is None:
                 self.schedule.failed()
@@ -372,7 +346,7 @@
         self.on_update(update)
 
     def close(self) -> None:
-        """Make no more calls, and close the connections of those that are open."""
+        """Stop making calls, and close the connections of open ones."""
         self.closed = True
         self.watch(False)
         self.source.calls.close()
--- a/dykefold/net/discovery/codec.py
+++ b/dykefold/net/discovery/codec.py
@@ -1,4 +1,4 @@
-"""The form of the endpoint list: what an answer of discovery says, read and written without I/O."""
+"""Reads and writes the endpoint list in the JSON form of discovery. No I/O."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from ...balancer.events import Endpoint, ListKind, Membership, State
 
 STATES = {"SERVING": State.READY, "DRAINING": State.DRAINING, "DELETED": State.GONE}
-MAX_NAMES = 256  # zones, and machine types, that are distinguished
+MAX_NAMES = 256  # Of zones and of machine types each; all further names share one number.
 MAX_PORT = 65535
 NS_PER_MS = 1_000_000
 
@@ -22,14 +22,13 @@
 class EndpointListError(ValueError):
     """An answer is not a valid endpoint list.
 
-    Attributes:
-        field: the key that is wrong, after the number of its endpoint.
-        value: what stands there; None where the key is missing.
-        expected: what may stand there.
+    Args:
+        field: Invalid key, preceded by the number of its endpoint.
+        value: Invalid value; None if the key is missing.
+        expected: Description of the valid values.
     """
 
     def __init__(self, field: str, value: object, expected: str) -> None:
-        """Name what is wrong, and what was expected in its place."""
         self.field = field
         self.value = value
         self.expected = expected
@@ -39,25 +38,24 @@
 class AddressError(ValueError):
     """A text is not a numeric address with a port.
 
-    Attributes:
-        value: the text.
+    Args:
+        value: Invalid text.
     """
 
     def __init__(self, value: object) -> None:
-        """Name the text that is no address."""
         self.value = value
         super().__init__(f"no address: {value!r}")
 
 
 @dataclass(slots=True)
 class EndpointRecord:
-    """One entry of an endpoint list, with what only the sockets need.
+    """One entry of an endpoint list.
 
     Attributes:
-        name: the endpoint's name in discovery.
-        endpoint: what the balancer knows of it.
-        address: host and port to connect to.
-        since_ms: when it started, as Unix time in milliseconds; 0: not known.
+        name: Name of the endpoint in discovery.
+        endpoint: Endpoint as the balancer gets it.
+        address: Host and port that connections are opened to.
+        since_ms: Unix time in milliseconds at which the endpoint started; 0 if it is unknown.
     """
 
     name: str
@@ -71,9 +69,9 @@
     """One answer of discovery.
 
     Attributes:
-        version: the index of the list after this update.
-        complete: whether the entries are the whole list, or only those that changed.
-        entries: the endpoints.
+        version: Index of the list after this update.
+        complete: Whether the entries are the whole list; otherwise they are the changed ones.
+        entries: Endpoints of the update.
     """
 
     version: int
@@ -84,24 +82,34 @@
         """Return the event for the balancer.
 
         Args:
-            kind: how the list was obtained; None: from a watch.
+            kind: Way in which the list was obtained; None if it came from a watch.
         """
         kind = kind or (ListKind.FULL if self.complete else ListKind.DELTA)
         return Membership(kind, self.version, [entry.endpoint for entry in self.entries])
 
 
 class NameTable:
-    """The numbers by which the balancer knows endpoints, zones and machine types."""
+    """The numbers by which the balancer knows endpoints, zones and machine types.
+
+    Args:
+        zones: Zones of the settings, which get the first numbers in their order.
+        kinds: Machine types of the settings, which get the first numbers in their order.
+
+    Attributes:
+        servers: Numbers of endpoints by name.
+        zones: Numbers of zones by name.
+        kinds: Numbers of machine types by name.
+        next_server: Number of the next new endpoint.
+    """
 
     def __init__(self, zones: list[str], kinds: list[str]) -> None:
-        """Number the zones and machine types of the settings in their order."""
         self.servers: dict[str, int] = {}
         self.zones = {name: number for number, name in enumerate(zones)}
         self.kinds = {name: number for number, name in enumerate(kinds)}
         self.next_server = 1
 
     def server(self, name: str) -> int:
-        """Return an endpoint's number; a new name gets the next one."""
+        """Return the number of an endpoint; a new name gets the next number."""
         number = self.servers.get(name)
         if number is None:
             number = self.servers[name] = self.next_server
@@ -109,20 +117,20 @@
         return number
 
     def zone(self, name: str) -> int:
-        """Return a zone's number; all names beyond `MAX_NAMES` share one."""
+        """Return the number of a zone; all names beyond `MAX_NAMES` share one."""
         return _number(self.zones, name)
 
     def kind(self, name: str) -> int:
-        """Return a machine type's number; all names beyond `MAX_NAMES` share one."""
+        """Return the number of a machine type; all names beyond `MAX_NAMES` share one."""
         return _number(self.kinds, name)
 
     def keep(self, numbers: set[int]) -> None:
-        """Forget the names of all endpoints but these."""
+        """Remove the names of all endpoints except those with these numbers."""
         self.servers = {name: number for name, number in self.servers.items() if number in numbers}
 
 
 def _number(known: dict[str, int], name: str) -> int:
-    # The names come from outside, so without a bound lists with ever new zones would fill the memory.
+    # The names come from outside, so that without a limit lists with new zones would fill the memory.
     return known.setdefault(name, len(known)) if len(known) < MAX_NAMES else known.get(name, len(known))
 
 
@@ -130,19 +138,19 @@
     """Parse a numeric IPv4 address with a port.
 
     Args:
-        text: `host:port`.
-        least_port: the lowest port that is valid here.
+        text: Address in the form `host:port`.
+        least_port: Lowest valid port.
 
     Returns:
-        The host and the port.
+        Host and port.
 
     Raises:
-        AddressError: the text is no such address.
+        AddressError: The text is not a numeric IPv4 address with a valid port.
     """
     host, _, port = str(text).rpartition(":")
     try:
         socket.inet_pton(socket.AF_INET, host)
-    except (OSError, ValueError):  # a host with a null or a lone surrogate in it is a ValueError
+    except (OSError, ValueError):  # A host with a null character or a lone surrogate raises ValueError.
         raise AddressError(text) from None
     if not (port.isascii() and port.isdigit() and least_port <= int(port) <= MAX_PORT):
         raise AddressError(text)
@@ -150,17 +158,17 @@
 
 
 def parse_endpoint_update(data: object, names: NameTable) -> EndpointUpdate:
-    """Read an endpoint list or a change of it, as a whole or not at all.
+    """Read an endpoint list or a change of it; a single invalid entry makes the whole answer invalid.
 
     Args:
-        data: the answer, decoded from JSON.
-        names: gets the names of the list; an unreadable list leaves none behind.
+        data: Answer of discovery, decoded from JSON.
+        names: Table to which the names of a valid list are added; an invalid list adds none.
 
     Returns:
-        The update, its endpoints numbered by `names`.
+        The update, with endpoints numbered by `names`.
 
     Raises:
-        EndpointListError: the answer is not an endpoint list.
+        EndpointListError: The answer is not a valid endpoint list.
     """
     if not isinstance(data, dict):
         raise EndpointListError(field="answer", value=data, expected="an object")
@@ -180,15 +188,15 @@
 def endpoint_update_record(
     version: int, entries: Iterable[EndpointRecord], names: NameTable
 ) -> dict[str, Any]:
-    """Write a whole list in discovery's own form.
+    """Write a whole list in the form of discovery.
 
     Args:
-        version: the index of the list.
-        entries: its endpoints.
-        names: in which their zones and machine types are numbered.
+        version: Index of the list.
+        entries: Endpoints of the list.
+        names: Table with the names of their zones and machine types.
 
     Returns:
-        An object for JSON, which `parse_endpoint_update` reads.
+        Object for JSON that `parse_endpoint_update` can read.
     """
     zones = {number: name for name, number in names.zones.items()}
     kinds = {number: name for name, number in names.kinds.items()}
@@ -212,7 +220,18 @@
 
 
 def _read_entry(number: int, entry: object) -> tuple[EndpointRecord, str, str]:
-    """Return an endpoint without its numbers, and the names of its zone and machine type."""
+    """Read one entry.
+
+    Args:
+        number: Position of the entry in the list.
+        entry: Entry, decoded from JSON.
+
+    Returns:
+        The endpoint, whose numbers are still 0, and the names of its zone and of its machine type.
+
+    Raises:
+        EndpointListError: The entry is invalid.
+    """
     if not isinstance(entry, dict):
         raise EndpointListError(field=f"endpoints[{number}]", value=entry, expected="an object")
     try:
@@ -222,7 +241,7 @@
             zone=0,
             kind=0,
             cell=int(entry.get("group") or 0),
-            # A status that this version does not know is no invitation to send anything new.
+            # An endpoint with a status that this version does not know gets no new requests.
             state=STATES.get(entry["status"], State.DRAINING),
             weight=float(entry.get("weight", 1.0)),
             started_ns=since_ms * NS_PER_MS,
@@ -236,7 +255,10 @@
 
 
 def _entry_error(number: int, entry: dict[str, Any]) -> EndpointListError:
-    """Find the wrong field of an unreadable entry; apart from reading, as nearly all entries are valid."""
+    """Return the error of the invalid field of an entry.
+
+    This search is separate from reading, since nearly all entries are valid.
+    """
     where = f"endpoints[{number}]."
     try:
         _field({"since_ms": entry.get("since_ms") or 0}, "since_ms", int, "milliseconds", where)
--- a/dykefold/net/downstream/arrivals.py
+++ b/dykefold/net/downstream/arrivals.py
@@ -1,29 +1,27 @@
 """Arrival times of bytes that are parsed later than they arrive, since reading is paused. No I/O.
 
-A client's deadline counts from the last byte of its request. While reading is paused behind requests that
-wait, arriving bytes stay in the kernel. They are counted there now and then: a byte that was not there at one
-count arrived after it, at the earliest.
+A client's deadline counts from the last byte of its request. While reading is paused, arriving bytes stay in
+the kernel, where they are counted from time to time. A byte that is missing from one count arrived after it.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-MAX_MARKS = 64  # further ones replace the latest
+MAX_MARKS = 64  # Beyond that a new mark replaces the latest one.
 
 
 class Arrivals:
-    """Counts of one connection's bytes, with times in nanoseconds on the clock of deadlines.
+    """Counts of one connection's bytes, with their times on the clock of deadlines.
 
     Attributes:
-        read: Bytes that were parsed so far.
-        marks: Time of each count, and how many bytes had arrived by then in all.
+        read: Number of bytes that were parsed so far.
+        marks: Counts in order: time in nanoseconds, and total number of bytes that had arrived by then.
     """
 
     __slots__ = ("marks", "read")
 
     def __init__(self) -> None:
-        """Begin with nothing read or counted."""
         self.read = 0
         self.marks: deque[tuple[int, int]] = deque()
 
@@ -31,23 +29,23 @@
         """Record a count.
 
         Args:
-            now_ns: When it was made.
-            unread: Bytes that had arrived by then and were not parsed.
+            now_ns: Time of the count in nanoseconds.
+            unread: Number of bytes that had arrived by then and were not parsed.
         """
-        came = self.read + unread
+        arrived_bytes = self.read + unread
         marks = self.marks
-        if len(marks) > 1 and (marks[-1][1] == came or len(marks) >= MAX_MARKS):
+        if len(marks) > 1 and (marks[-1][1] == arrived_bytes or len(marks) >= MAX_MARKS):
             marks.pop()
-        marks.append((now_ns, came))
+        marks.append((now_ns, arrived_bytes))
 
-    def came_ns(self, live: bool) -> int:
+    def arrival_ns(self, live: bool) -> int:
         """Return the earliest time at which the next byte to be parsed can have arrived.
 
         Args:
-            live: Reading is not paused: what was in no count has just arrived.
+            live: Whether reading is not paused; a byte that is in no count has just arrived then.
 
         Returns:
-            The time of a count in nanoseconds; 0 if the byte arrives just now.
+            Time of a count in nanoseconds; 0 if the byte has just arrived.
         """
         marks = self.marks
         while len(marks) > 1 and marks[1][1] <= self.read:
--- a/dykefold/net/downstream/request_parser.py
+++ b/dykefold/net/downstream/request_parser.py
@@ -1,4 +1,4 @@
-"""The platform's dialect of HTTP: a client's message as a request, by the settings. No I/O."""
+"""Parses a client's message into a request, by the platform's HTTP headers and the settings. No I/O."""
 
 from __future__ import annotations
 
@@ -17,23 +17,24 @@
 from ..upstream.classify import HttpProfile
 
 MAX_BUFFERED_BODY_BYTES = 64 * 1024
-MAX_STREAMED_BODY_BYTES = 40 * 1024 * 1024  # bytes of a body or an answer that goes on as it comes
-DEADLINE = re.compile(rb"(\d{1,12}(?:\.\d{1,9})?)([mu])")
-DEADLINE_UNITS = {b"m": 1_000_000, b"u": 1_000}
-MAX_CACHED_DEADLINES = 256  # clients send the same few values
-COST = re.compile(rb"\d{1,12}(?:\.\d{1,9})?")
+MAX_STREAMED_BODY_BYTES = 40 * 1024 * 1024  # Limit of a streamed request or response body.
+DEADLINE_PATTERN = re.compile(rb"(\d{1,12}(?:\.\d{1,9})?)([mu])")
+NS_PER_DEADLINE_UNIT = {b"m": 1_000_000, b"u": 1_000}
+MAX_CACHED_DEADLINES = 256  # Clients send few different values.
+COST_PATTERN = re.compile(rb"\d{1,12}(?:\.\d{1,9})?")
 
 
 class RequestError(Exception):
-    """A request that is answered here and never reaches an endpoint.
+    """A message that the sidecar itself answers; no endpoint gets it.
 
     Args:
-        text: The reason, for the client.
+        code: HTTP status of the response.
+        text: Reason that the client reads.
 
     Attributes:
-        code: The HTTP status of its answer.
-        keep_alive: Whether the connection may stay open behind it.
-        head: Whether its answer has no body.
+        code: HTTP status of the response.
+        keep_alive: Whether the connection may stay open after the response.
+        head: Whether the response has no body, since the request's method is HEAD.
     """
 
     def __init__(self, code: int, text: str) -> None:
@@ -44,49 +45,85 @@
 
 
 class MalformedRequestError(RequestError):
-    """A request that is of no class by the settings, or not in the form that its class has."""
+    """A request whose class the settings do not have, or that is not in the form of its class."""
 
 
 @dataclass(slots=True)
 class Message:
-    """A whole message of a client, before it is parsed as a request."""
+    """A complete message of a client, before it is parsed as a request.
 
-    now: int  # when its last byte arrived: nanoseconds on the clock of deadlines
+    Attributes:
+        now: Time in nanoseconds at which its last byte arrived, on the clock of deadlines.
+        method: HTTP method.
+        target: Request target as the client sent it.
+        headers: Values by lower-case name; of a repeated header the last one.
+        lines: Complete header lines that are forwarded.
+        body: Buffered body; empty if the body is streamed.
+        keep_alive: Whether the client permits that the connection stays open.
+        is_http_1_0: Whether the client speaks HTTP/1.0; always False if bodies are not streamed.
+    """
+
+    now: int
     method: bytes
     target: bytes
-    headers: dict[bytes, bytes]  # by lower-case name; the last value of a repeated one
-    lines: list[bytes]  # whole header lines, as they are forwarded
+    headers: dict[bytes, bytes]
+    lines: list[bytes]
     body: bytes
     keep_alive: bool
-    is_http_1_0: bool = False  # HTTP/1.0, where it matters
+    is_http_1_0: bool = False
 
 
 @dataclass(slots=True)
 class ParsedRequest:
-    """A request as the client sent it."""
+    """A request as the client sent it.
 
-    ident: bytes  # as the client named it
+    Attributes:
+        ident: Value of X-Request-Id.
+        method: HTTP method.
+        target: Request target as the client sent it.
+        headers: Complete header lines that are forwarded.
+        body: Buffered body; empty if the body is streamed.
+        class_number: Number of the request class in the settings.
+        tenant: Number of the tenant in the settings.
+        key: Hash of X-Key; 0 if the header is missing.
+        deadline_ns: Time in nanoseconds by which the client needs the answer, on the clock of deadlines.
+        wait_ns: Nanoseconds that the client waits, from the last byte of its request.
+        cost_ns: Cost that the client estimates, in nanoseconds; 0 if it states none.
+        is_retry: Whether the client itself repeats an earlier request.
+        keep_alive: Whether the connection may stay open after the answer.
+        size: Bytes reserved of the memory budget.
+        ticket: Number of the request in its pool; 0 before the pool accepts it.
+        pool: Service pool that serves the request; a change of the settings does not change it.
+        profile: Rules by which responses of endpoints are classified.
+        extra_response_headers: Header lines that are added to the answer.
+        max_body_bytes: Largest size of a streamed request body, in bytes.
+        max_response_bytes: Largest size of a streamed response body, in bytes.
+        is_http_1_0: Whether the client speaks HTTP/1.0.
+        upload: Streamed request body; None if the body is buffered.
+    """
+
+    ident: bytes
     method: bytes
     target: bytes
-    headers: list[bytes]  # whole lines, as they are forwarded
+    headers: list[bytes]
     body: bytes
     class_number: int
     tenant: int
     key: int
-    deadline_ns: int  # on the clock
-    wait_ns: int  # that the client will wait, from the last byte of its request
+    deadline_ns: int
+    wait_ns: int
     cost_ns: int
     is_retry: bool
     keep_alive: bool
-    size: int = 0  # bytes reserved of the memory budget
-    ticket: int = 0  # the pool's number of it
-    pool: Any = None  # the service pool that serves it; kept when settings change
+    size: int = 0
+    ticket: int = 0
+    pool: Any = None
     profile: HttpProfile = HttpProfile.PLATFORM
-    extra_response_headers: bytes = b""  # header lines for its answer, whatever that is
-    max_body_bytes: int = MAX_BUFFERED_BODY_BYTES  # bytes of a body that may come as a stream
-    max_response_bytes: int = 0  # likewise of an answer
-    is_http_1_0: bool = False  # its client speaks HTTP/1.0
-    upload: Upload | None = None  # the body, where it is passed on as it comes
+    extra_response_headers: bytes = b""
+    max_body_bytes: int = MAX_BUFFERED_BODY_BYTES
+    max_response_bytes: int = 0
+    is_http_1_0: bool = False
+    upload: Upload | None = None
 
 
 @lru_cache(maxsize=MAX_CACHED_DEADLINES)
@@ -96,21 +133,21 @@
     Raises:
         RequestError: The value is malformed.
     """
-    match = DEADLINE.fullmatch(value.strip())
+    match = DEADLINE_PATTERN.fullmatch(value.strip())
     if match is None:
         raise RequestError(400, "X-Deadline is no number with a unit m or u")
-    return int(float(match[1]) * DEADLINE_UNITS[match[2]])
+    return int(float(match[1]) * NS_PER_DEADLINE_UNIT[match[2]])
 
 
 @dataclass(slots=True, frozen=True)
 class ClassForm:
-    """What the requests of one class look like.
+    """The form of the requests of one class.
 
     Attributes:
-        number: Of the class in the settings.
-        method: The one method of its requests.
-        needs_key: They must bring an idempotency key.
-        deadline_ns: The longest time that a client may wait, nanoseconds.
+        number: Number of the class in the settings.
+        method: HTTP method that every request of the class has.
+        needs_key: Whether a request must have an idempotency key.
+        deadline_ns: Longest time that a client may wait, in nanoseconds.
     """
 
     number: int
@@ -120,7 +157,12 @@
 
     @classmethod
     def of(cls, number: int, spec: RequestClass) -> ClassForm:
-        """Return the form of a class of the settings."""
+        """Return the form of a class of the settings.
+
+        Args:
+            number: Number of the class.
+            spec: Class as the settings define it.
+        """
         method = b"GET" if spec.effect is Effect.SAFE else b"POST"
         return cls(number, method, spec.effect is Effect.KEYED, spec.deadline_ns)
 
@@ -129,10 +171,18 @@
     """Parses requests by one version of the settings: its classes and tenants.
 
     Args:
-        settings: The classes and tenants.
-        pool: The service pool that serves the requests.
-        retired: Numbers of classes that are not accepted any more.
-        before: The parser of the previous settings, for requests that do not fit these, while `lingers`.
+        settings: Settings with the classes and tenants.
+        pool: Service pool that serves the requests.
+        retired: Numbers of classes that are no longer accepted.
+        before: Parser of the previous settings, for requests that do not fit the present ones; None if there
+            is none.
+
+    Attributes:
+        streams: Whether larger bodies may be streamed.
+        classes: Forms of requests, by the name of their class.
+        tenants: Numbers of tenants by name.
+        until_ns: Time in nanoseconds until which the next parser may fall back on this one, on the clock of
+            deadlines; 0 while this parser is the present one.
     """
 
     streams = True
@@ -152,10 +202,18 @@
         }
         self.tenants = {tenant.name.encode(): number for number, tenant in enumerate(settings.tenants)}
         self.before = before
-        self.until_ns = 0  # until when the next parser may fall back on this one
+        self.until_ns = 0
 
     def lingers(self, now_ns: int, until_ns: int) -> RequestParser:
-        """Let requests for these settings be parsed until `until_ns`; drop expired older parsers."""
+        """Permit that the next parser falls back on this one; drop expired older parsers.
+
+        Args:
+            now_ns: Time in nanoseconds, on the clock of deadlines.
+            until_ns: Time in nanoseconds until which the next parser may fall back on this one.
+
+        Returns:
+            This parser.
+        """
         self.until_ns = until_ns
         parser = self
         while parser.before is not None:
@@ -169,7 +227,7 @@
         """Parse a message, by the previous settings if it does not fit the present ones.
 
         Raises:
-            RequestError: The message is answered here and never reaches an endpoint.
+            RequestError: The sidecar itself answers the message; no endpoint gets it.
         """
         try:
             return self._read(message)
@@ -182,19 +240,19 @@
             try:
                 return self.before.read(message)
             except RequestError:
-                pass  # what is wrong with it by the present settings is what its client can mend
+                pass  # The client gets the error by the present settings, which it can correct.
             raise
 
     def _read(self, message: Message) -> ParsedRequest:
         """Parse a message by these settings alone.
 
-        The headers that every request has are read here, since each further call would be paid by every one.
+        The headers of all requests are read in this one function, since every request pays for each call.
         """
         headers, target = message.headers, message.target
         path = target if target.startswith(b"/") else _path_of_absolute_form(target)
         name = path[1:].split(b"/", 1)[0].split(b"?", 1)[0]
         form = self.classes.get(name)
-        if form is None and b"%" in name:  # a name that a path has to escape (RFC 3986, 2.1)
+        if form is None and b"%" in name:  # A path may have to escape the name (RFC 3986, 2.1).
             form = self.classes.get(unquote_to_bytes(name))
         if form is None:
             raise MalformedRequestError(404, "unknown class")
@@ -208,7 +266,7 @@
             raise MalformedRequestError(400, "Idempotency-Key is missing")
         wait_ns = form.deadline_ns
         if (deadline := headers.get(b"x-deadline")) is not None:
-            # The class's deadline covers all attempts; a client that states more does not wait for it.
+            # The deadline of the class covers all attempts; a client can shorten it and not extend it.
             wait_ns = min(wait_ns, parse_deadline(deadline))
         tenant = 0
         if self.tenants and (tenant_name := headers.get(b"x-tenant")) is not None:
@@ -238,10 +296,10 @@
 
 
 def _path_of_absolute_form(target: bytes) -> bytes:
-    """Return the path of a target in the absolute form, as a proxy gets it (RFC 9112, 3.2.2).
+    """Return the path of a target in the absolute form, which clients send to proxies (RFC 9112, 3.2.2).
 
     Raises:
-        RequestError: It is neither a path nor of that form.
+        RequestError: The target is neither a path nor in the absolute form.
     """
     try:
         return httptools.parse_url(target).path or b"/"
@@ -255,7 +313,7 @@
     Raises:
         RequestError: The value is malformed.
     """
-    if COST.fullmatch(value) is None:
+    if COST_PATTERN.fullmatch(value) is None:
         raise RequestError(400, "X-Cost-Hint is no number")
     return int(float(value) * 1000)
 
--- a/dykefold/net/downstream/request_reader.py
+++ b/dykefold/net/downstream/request_reader.py
@@ -75,7 +75,7 @@
         """Parse a slice, for which the parser calls the `on_...` methods."""
         self.message_bytes += len(data)
         if self.arrivals.marks:
-            self.arrived_ns = self.arrivals.came_ns(not self.paused)
+            self.arrived_ns = self.arrivals.arrival_ns(not self.paused)
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
--- a/dykefold/net/peers.py
+++ b/dykefold/net/peers.py
@@ -13,45 +13,44 @@
 
 
 class PeerChannel(asyncio.DatagramProtocol):
-    """Sends datagrams to peers by their number, and passes on what known peers send.
+    """Sends datagrams to peers by their number, and passes on the datagrams of known peers.
 
     Args:
-        index: the number of this sidecar.
+        index: Number of this sidecar.
+        peers: Addresses of all sidecars, by number.
+        broadcast_address: Address that reaches all peers; None if there is none.
+        on_datagram: Called with the number of the sender and the data.
 
     Attributes:
-        on_datagram: called with the number of the sender and the data.
-        peers: addresses by number.
-        everyone: the address that reaches all peers; None where there is none.
-        numbers: by address, of all peers but this sidecar.
-        transport: None until the socket is open.
+        numbers: Numbers of all peers except this sidecar, by address.
+        transport: Transport of the socket; None until the event loop has opened it.
     """
 
     def __init__(
         self,
         index: int,
         peers: list[Address],
-        everyone: Address | None,
+        broadcast_address: Address | None,
         on_datagram: Callable[[int, bytes], None],
     ) -> None:
-        """Prepare; the event loop opens the socket."""
         self.on_datagram = on_datagram
-        self.change_addresses(index, peers, everyone)
+        self.change_addresses(index, peers, broadcast_address)
         self.transport: asyncio.DatagramTransport | None = None
 
-    def change_addresses(self, index: int, peers: list[Address], everyone: Address | None) -> None:
-        """Follow changed addresses.
+    def change_addresses(self, index: int, peers: list[Address], broadcast_address: Address | None) -> None:
+        """Apply changed addresses.
 
         Args:
-            index: the number of this sidecar.
-            peers: as the attribute.
-            everyone: as the attribute.
+            index: Number of this sidecar.
+            peers: Addresses of all sidecars, by number.
+            broadcast_address: Address that reaches all peers; None if there is none.
         """
         self.peers = peers
-        self.everyone = everyone
+        self.broadcast_address = broadcast_address
         self.numbers = {address: number for number, address in enumerate(peers) if number != index}
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the open socket."""
+        """Store the transport of the open socket."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
@@ -61,20 +60,20 @@
             self.on_datagram(number, data)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore it: any datagram may be lost, and the balancer has no use for a peer that is down."""
+        """Ignore the error: any datagram may be lost, and the balancer needs no news of unreachable peers."""
 
     def send(self, data: bytes, peer: int | None) -> None:
         """Send a datagram; it may be lost.
 
         Args:
-            data: what to send; a message over `MAX_DATAGRAM_BYTES` must not leave the machine and is dropped.
-            peer: number of the receiver; None: all peers.
+            data: Content of the datagram; it is dropped if it is longer than `MAX_DATAGRAM_BYTES`.
+            peer: Number of the receiver; None for all peers.
         """
         if self.transport is None or self.transport.is_closing() or len(data) > MAX_DATAGRAM_BYTES:
             return
-        address = self.everyone
+        address = self.broadcast_address
         if peer is not None:
             address = self.peers[peer] if 0 <= peer < len(self.peers) else None
         if address is not None:
-            with contextlib.suppress(OSError):  # lost, as any datagram may be (sendto(2))
+            with contextlib.suppress(OSError):  # The datagram counts as lost (sendto(2)).
                 self.transport.sendto(data, address)
--- a/dykefold/net/service/pool.py
+++ b/dykefold/net/service/pool.py
@@ -36,7 +36,7 @@
 from ...balancer.settings import Settings
 from ...settings import Transport
 from ..clock import MS, SECOND
-from ..discovery.client import DiscoveryClient
+from ..discovery.client import DiscoveryClient, DiscoveryOrigin
 from ..discovery.codec import EndpointRecord, EndpointUpdate, NameTable
 from ..downstream.request_parser import ParsedRequest
 from ..peers import Address
@@ -152,12 +152,10 @@
     def _discovery_client(self, address: Address, version: int) -> DiscoveryClient:
         return DiscoveryClient(
             self.loop,
-            address,
+            DiscoveryOrigin(address, version, pushed=not self.settings.poll_required),
             self.names,
-            version,
             self.on_update,
-            pushed=not self.settings.poll_required,
-            system=self.host.system,
+            self.host.system,
         )
 
     # Events to the balancer, its actions
--- a/dykefold/net/start_times.py
+++ b/dykefold/net/start_times.py
@@ -1,4 +1,4 @@
-"""From when each endpoint's slow start counts, whatever the clocks of other machines say."""
+"""The beginning of each endpoint's slow start, protected against wrong clocks of other machines."""
 
 from __future__ import annotations
 
@@ -10,52 +10,54 @@
 log = logging.getLogger("dykefold.clock")
 
 NS_PER_S = 1_000_000_000
-DISTRUST_LOG_INTERVAL_NS = 60 * NS_PER_S  # between two log lines on starts that are not believed
-LIST_LAG_NS = NS_PER_S  # from a start until a live watch brings it; one that comes later counts as new
-MAX_STARTS = 8192  # starts remembered, or as many as are listed: an endpoint may come back with its own
+MIN_REJECTION_LOG_INTERVAL_NS = 60 * NS_PER_S
+LIST_LAG_NS = NS_PER_S  # A live watch delivers a start within this time.
+MAX_STARTS = 8192  # A longer list raises this limit.
 
 
 class StartTimes:
-    """From when each endpoint's slow start counts, on the monotonic clock's scale (`Clock`).
-
-    A list gives a start in Unix time of another machine, and either wall clock may be wrong by an hour. So a
-    start's age runs from the moment at which it was first notified here, and the Unix time only adds to that
-    what can be true:
-
-    - On a live watch, by a change or by a whole list that follows an earlier one, a new start is at most
-      `LIST_LAG_NS` old, or else the last answer would have had it. After a break of the watch, in the answer
-      to a call that has only just gone out (there may be a pause between two), in a list of another process,
-      and in a request to the admin API, the bound is the time since the last answer, and that lag.
-      An age that is negative or above the bound shows that the clocks disagree: then nothing is believed, and
-      the start counts as of now. So with any clocks a new start is at most the bound younger than it counts,
-      and at most the bound older: it is neither overloaded nor kept in slow start for longer than one of
-      these takes.
-    - In a first list, which no answer came before (a cached list, the first answer behind it, the first
-      whole list of another discovery), no such bound exists: most of its endpoints did start long ago, and
-      with all of them in slow start a restarted sidecar would have no capacity. Their ages are believed, but
-      for a start in this machine's future, which counts as of now; and where most of the list lies there, it
-      is this clock that is behind, and ages are counted from the newest start. A clock that was too far ahead
-      before the process began hides a start that is younger than a slow start and stands in a first list:
-      nothing here tells it from an old one. A start that is notified later is not touched by that.
-
-    A start that was notified before keeps its moment, also for an endpoint that left the list in between.
+    """The time at which each endpoint's slow start begins, on the scale of `Clock`.
+
+    A list states a start in the Unix time of another machine, and either wall clock may be wrong by an hour.
+    Therefore the age of a start is measured from the first notification of it here. The stated Unix time adds
+    an age before that only within a limit:
+
+    - On a live watch, a new start in a change, or in a whole list that follows an earlier list, is at most
+      `LIST_LAG_NS` old; an older one would have been in the last answer. In four cases the limit is the time
+      since the last answer plus `LIST_LAG_NS`: after a failure of the watch, in the answer to a call that was
+      just made (the watch may pause between two calls), in a list of another process, and in a request to the
+      admin API. An age that is negative or above the limit shows that the clocks differ; the stated time
+      is ignored, and the start counts as of now. With any clocks, the age that counts differs from the true
+      age by at most the limit, so that an endpoint is neither overloaded nor kept in slow start for much
+      longer than usual.
+    - A first list follows no answer: a cached list, the first answer after it, or the first whole list of
+      another discovery. It has no limit, since most of its endpoints started long ago: with all of them in
+      slow start a restarted sidecar would have no capacity. The stated ages are accepted, except that a start
+      in this machine's future counts as of now. If most starts of the list are in the future, this machine's
+      clock is behind, and ages are counted from the newest start. If the clock was too far ahead before the
+      process began, a recent start in a first list looks like an old one, and can't be recognized here.
+      Starts that are notified later are not affected.
+
+    A start that was notified before keeps its time, also if the endpoint left the list meanwhile.
+
+    Args:
+        max_starts: Number of starts that are remembered; a longer list raises it.
 
     Attributes:
-        max_starts: how many starts are remembered at least, where the list is no longer.
-        known: by name: the start as it was given, and on this scale, in nanoseconds.
-        heard_ns: when the source in use last answered; None: no answer yet.
-        source: which one that is.
-        live: the watch has not failed since.
+        known: Starts by endpoint name: as stated, and on the scale of `Clock`, both in nanoseconds.
+        last_answer_ns: Time of the last answer of the present source in nanoseconds; None before the first.
+        source: Name of the present source.
+        live: Whether the watch has not failed since the last answer.
+        rejection_logged_ns: Time in nanoseconds at which an ignored start was last logged; None before that.
     """
 
     def __init__(self, max_starts: int = MAX_STARTS) -> None:
-        """Begin with no start known."""
         self.max_starts = max_starts
         self.known: dict[str, tuple[int, int]] = {}
-        self.heard_ns: int | None = None
+        self.last_answer_ns: int | None = None
         self.source = ""
         self.live = False
-        self.distrust_logged_ns: int | None = None  # when a start was last logged as not believed
+        self.rejection_logged_ns: int | None = None
 
     def place(
         self,
@@ -68,16 +70,17 @@
         """Set `ramp_from_ns` of the endpoints of a list or of a change of it.
 
         Args:
-            now_ns: the time on the scale of `Clock`, in nanoseconds.
-            kind: how the list was obtained.
-            source: names the discovery that the list is of.
-            entries: endpoints with their names, which are the same in every list.
-            called_ns: when the latest call of the watch was made, on the same scale; 0: long ago.
+            now_ns: Present time on the scale of `Clock`, in nanoseconds.
+            kind: Way in which the list was obtained.
+            source: Name of the discovery that sent the list.
+            entries: Endpoints with their names, which are the same in every list.
+            called_ns: Time of the latest call of the watch in nanoseconds, on the same scale; 0 if there was
+                none.
         """
         answered = kind in (ListKind.DELTA, ListKind.FULL)
         entries = list(entries)
-        bound_ns = self._oldest(now_ns, answered, source, called_ns)
-        behind_ns = _behind(now_ns, entries) if bound_ns is None else 0
+        max_age_ns = self._max_age_ns(now_ns, answered, source, called_ns)
+        behind_ns = _clock_behind_ns(now_ns, entries) if max_age_ns is None else 0
         if behind_ns > LIST_LAG_NS:
             log.warning(
                 "first endpoint list starts up to %.3f s in the future: ages count from its newest start",
@@ -85,46 +88,50 @@
             )
         for name, endpoint in entries:
             if endpoint.started_ns:
-                endpoint.ramp_from_ns = self._moment(now_ns, behind_ns, name, endpoint.started_ns, bound_ns)
+                endpoint.ramp_from_ns = self._slow_start_ns(
+                    now_ns, behind_ns, name, endpoint.started_ns, max_age_ns
+                )
         while len(self.known) > max(self.max_starts, len(entries)):
-            del self.known[next(iter(self.known))]  # notified longest ago
+            del self.known[next(iter(self.known))]  # The least recently notified one.
         if answered:
-            self.heard_ns, self.source, self.live = now_ns, source, True
+            self.last_answer_ns, self.source, self.live = now_ns, source, True
 
     def broke(self) -> None:
-        """Record that the watch failed: the next start that is notified may be as old as the last answer."""
+        """Record that the watch failed: the next notified start may be as old as the last answer."""
         self.live = False
 
-    def _oldest(self, now_ns: int, answered: bool, source: str, called_ns: int) -> int | None:
-        """Return how old a start may be, in ns, that was not notified before; None: of any age."""
-        if self.heard_ns is None or (answered and source != self.source):
+    def _max_age_ns(self, now_ns: int, answered: bool, source: str, called_ns: int) -> int | None:
+        """Return the greatest plausible age of a new start in nanoseconds; None if every age is plausible."""
+        if self.last_answer_ns is None or (answered and source != self.source):
             return None
         if answered and self.live and now_ns - called_ns >= LIST_LAG_NS:
             return LIST_LAG_NS
-        return now_ns - self.heard_ns + LIST_LAG_NS
+        return now_ns - self.last_answer_ns + LIST_LAG_NS
 
-    def _moment(self, now_ns: int, behind_ns: int, name: str, started_ns: int, bound_ns: int | None) -> int:
+    def _slow_start_ns(
+        self, now_ns: int, behind_ns: int, name: str, started_ns: int, max_age_ns: int | None
+    ) -> int:
         known = self.known.pop(name, None)
         if known is None or known[0] != started_ns:
             age_ns = now_ns + behind_ns - started_ns
-            plausible = age_ns >= 0 and (bound_ns is None or age_ns <= bound_ns)
+            plausible = age_ns >= 0 and (max_age_ns is None or age_ns <= max_age_ns)
             known = (started_ns, now_ns - age_ns if plausible else now_ns)
             if not plausible:
-                self._log_distrust(now_ns, name, age_ns, bound_ns)
+                self._log_rejection(now_ns, name, age_ns, max_age_ns)
         self.known[name] = known
         return known[1]
 
-    def _log_distrust(self, now_ns: int, name: str, age_ns: int, bound_ns: int | None) -> None:
-        """Log a start that is not believed: with a wrong clock none is, so one line has to do."""
+    def _log_rejection(self, now_ns: int, name: str, age_ns: int, max_age_ns: int | None) -> None:
+        """Log an ignored start, at a limited rate: with a wrong clock every start is ignored."""
         if -LIST_LAG_NS < age_ns < 0:
-            return  # clocks that are kept alike differ by some of it
+            return  # Synchronized clocks may differ by this time.
         if (
-            self.distrust_logged_ns is not None
-            and now_ns - self.distrust_logged_ns < DISTRUST_LOG_INTERVAL_NS
+            self.rejection_logged_ns is not None
+            and now_ns - self.rejection_logged_ns < MIN_REJECTION_LOG_INTERVAL_NS
         ):
             return
-        self.distrust_logged_ns = now_ns
-        max_age = "any age" if bound_ns is None else f"{bound_ns / NS_PER_S:.1f} s"
+        self.rejection_logged_ns = now_ns
+        max_age = "any age" if max_age_ns is None else f"{max_age_ns / NS_PER_S:.1f} s"
         log.warning(
             "since_ms of %s makes it %.3f s old, expected 0 to %s: the clocks disagree, or the list is late; "
             "its slow start counts from now",
@@ -134,11 +141,12 @@
         )
 
 
-def _behind(now_ns: int, entries: list[tuple[str, Endpoint]]) -> int:
-    """Return how far this clock must be behind, where most of a first list lies in its future; else 0.
+def _clock_behind_ns(now_ns: int, entries: list[tuple[str, Endpoint]]) -> int:
+    """Return the nanoseconds by which this machine's clock is behind, judged by a first list.
 
-    A sidecar may be restarted on a machine whose clock is an hour back, before endpoints that have all been
-    replaced within that hour: with all of them in slow start it would have no capacity.
+    The clock counts as behind if most starts of the list are in its future; otherwise the result is 0. For
+    example, a sidecar is restarted on a machine whose clock is an hour behind, and all endpoints started
+    within that hour: with all of them in slow start it would have no capacity.
     """
     ahead = [endpoint.started_ns - now_ns for _, endpoint in entries if endpoint.started_ns > now_ns]
     return max(ahead) if 2 * len(ahead) > len(entries) else 0
--- a/tests/net/test_deadline_propagation.py
+++ b/tests/net/test_deadline_propagation.py
@@ -366,6 +366,6 @@
             arrivals.mark(now_ns, len(came_ns) - arrivals.read)
         elif arrivals.read < len(came_ns):
             first_ns = came_ns[arrivals.read]
-            assert arrivals.came_ns(live=False) <= first_ns
+            assert arrivals.arrival_ns(live=False) <= first_ns
             arrivals.read += min(size, len(came_ns) - arrivals.read)
     assert len(arrivals.marks) <= MAX_MARKS
--- a/tests/net/test_discovery_client.py
+++ b/tests/net/test_discovery_client.py
@@ -22,7 +22,7 @@
 
 from dykefold.balancer.events import State
 from dykefold.net.discovery import client as discovery
-from dykefold.net.discovery.client import DiscoveryClient
+from dykefold.net.discovery.client import DiscoveryClient, DiscoveryOrigin
 from dykefold.net.discovery.codec import (
     MAX_NAMES,
     EndpointListError,
@@ -88,7 +88,10 @@
         fake = await Fake(act).start()
         heard = []
         watcher = DiscoveryClient(
-            asyncio.get_running_loop(), (HOST, fake.port), names(), 40, heard.append, pushed=False
+            asyncio.get_running_loop(),
+            DiscoveryOrigin((HOST, fake.port), 40, pushed=False),
+            names(),
+            heard.append,
         )
         watcher.watch(True)
         await until(lambda: heard)
@@ -109,7 +112,10 @@
         fake = await Fake(act).start()
         heard = []
         asker = DiscoveryClient(
-            asyncio.get_running_loop(), (HOST, fake.port), names(), 0, heard.append, False
+            asyncio.get_running_loop(),
+            DiscoveryOrigin((HOST, fake.port), 0, pushed=False),
+            names(),
+            heard.append,
         )
         for count in range(1, 6):
             asker.fetch()
@@ -134,7 +140,10 @@
         fake = await Fake(act).start()
         heard = []
         watcher = DiscoveryClient(
-            asyncio.get_running_loop(), (HOST, fake.port), names(), 40, heard.append, pushed=False
+            asyncio.get_running_loop(),
+            DiscoveryOrigin((HOST, fake.port), 40, pushed=False),
+            names(),
+            heard.append,
         )
         watcher.watch(True)
         watcher.watch(True)  # no second one beside it
@@ -151,7 +160,10 @@
         fake = await Fake(say(listing(7))).start()
         heard = []
         asker = DiscoveryClient(
-            asyncio.get_running_loop(), (HOST, fake.port), names(), 0, heard.append, False
+            asyncio.get_running_loop(),
+            DiscoveryOrigin((HOST, fake.port), 0, pushed=False),
+            names(),
+            heard.append,
         )
         asker.fetch()
         await until(lambda: heard)
@@ -270,7 +282,10 @@
         fake = await Fake(act).start()
         heard = []
         both = DiscoveryClient(
-            asyncio.get_running_loop(), (HOST, fake.port), names(), 40, heard.append, False
+            asyncio.get_running_loop(),
+            DiscoveryOrigin((HOST, fake.port), 40, pushed=False),
+            names(),
+            heard.append,
         )
         both.watch(True)
         await until(lambda: fake.got)
@@ -294,7 +309,10 @@
         fake = await Fake(act).start()
         heard = []
         watcher = DiscoveryClient(
-            asyncio.get_running_loop(), (HOST, fake.port), names(), 40, heard.append, False
+            asyncio.get_running_loop(),
+            DiscoveryOrigin((HOST, fake.port), 40, pushed=False),
+            names(),
+            heard.append,
         )
         watcher.watch(True)
         await until(lambda: heard)
--- a/tests/net/test_endpoint_list_races.py
+++ b/tests/net/test_endpoint_list_races.py
@@ -32,7 +32,7 @@
 from dykefold.balancer.events import Endpoint, ListKind, Membership, State, Timer
 from dykefold.balancer.settings import Effect, RequestClass, Settings
 from dykefold.net.discovery import client as discovery
-from dykefold.net.discovery.client import DiscoveryClient
+from dykefold.net.discovery.client import DiscoveryClient, DiscoveryOrigin
 from dykefold.net.discovery.codec import NameTable
 
 SECOND = 1_000_000_000
@@ -49,7 +49,9 @@
 
 def watcher(fake, heard, pushed=False):
     names = NameTable(["a", "b"], ["std"])
-    made = DiscoveryClient(asyncio.get_running_loop(), (HOST, fake.port), names, 40, heard.append, pushed)
+    made = DiscoveryClient(
+        asyncio.get_running_loop(), DiscoveryOrigin((HOST, fake.port), 40, pushed), names, heard.append
+    )
     made.watch(True)
     return made
 
@@ -323,7 +325,12 @@
     teller.start()
     heard = []
     names = NameTable(["a", "b"], ["std"])
-    asker = DiscoveryClient(asyncio.get_running_loop(), (HOST, teller.port), names, 40, heard.append, False)
+    asker = DiscoveryClient(
+        asyncio.get_running_loop(),
+        DiscoveryOrigin((HOST, teller.port), 40, pushed=False),
+        names,
+        heard.append,
+    )
     asker.fetch()
     await until(teller.asked.is_set)
 
--- a/tests/net/test_upstream_syscalls.py
+++ b/tests/net/test_upstream_syscalls.py
@@ -37,7 +37,7 @@
 from dykefold.balancer.actions import Fail, Refuse, Send
 from dykefold.balancer.events import Outcome, State, Status
 from dykefold.balancer.settings import Effect
-from dykefold.net.discovery.client import DiscoveryClient
+from dykefold.net.discovery.client import DiscoveryClient, DiscoveryOrigin
 from dykefold.net.discovery.codec import NameTable
 from dykefold.net.memory_budget import MB, MemoryBudget
 from dykefold.net.peers import PeerChannel
@@ -568,7 +568,11 @@
 
         fake, system, heard = await Fake(act).start(), FaultySystem(), []
         discovery = DiscoveryClient(
-            asyncio.get_running_loop(), (HOST, fake.port), NameTable([], []), 1, heard.append, pushed, system
+            asyncio.get_running_loop(),
+            DiscoveryOrigin((HOST, fake.port), 1, pushed),
+            NameTable([], []),
+            heard.append,
+            system,
         )
 
         def hear(told):
--- a/tests/sim/mutants.py
+++ b/tests/sim/mutants.py
@@ -200,7 +200,7 @@
     Mutant(
         "after an answer nobody calls again",
         "net/discovery/client.py",
-        "            if watch_round == self.watch_round:\n                self._schedule_call(pause)\n",
+        "            if watch_round == self.watch_round:\n                self._schedule_call(wait_s)\n",
         "            pass\n",
         "coldstart",
     ),
