--- a/dykefold/admission/connection.py
+++ b/dykefold/admission/connection.py
@@ -14,15 +14,24 @@
 
     Attributes:
         client: Record of the client.
-        paused: Whether reading is paused.
-        discarding_input: Whether input is read and discarded.
-        messages: Number of complete messages received.
     """
 
     client: Client
-    paused: bool
-    discarding_input: bool
-    messages: int
+
+    @property
+    def paused(self) -> bool:
+        """Whether reading is paused."""
+        ...
+
+    @property
+    def discarding_input(self) -> bool:
+        """Whether input is read and discarded."""
+        ...
+
+    @property
+    def messages(self) -> int:
+        """Number of complete messages received."""
+        ...
 
     @property
     def message_unfinished(self) -> bool:
--- /dev/null
+++ b/dykefold/net/downstream/close_detector.py
@@ -0,0 +1,53 @@
+"""Detection of a client's close before the transport reports it."""
+
+from __future__ import annotations
+
+import select
+import socket
+
+from ...system import System, Watch
+
+FULL_CLOSE_EVENTS = select.POLLHUP | select.POLLERR
+HALF_CLOSE_EVENTS = select.POLLRDHUP | FULL_CLOSE_EVENTS  # The client may still read responses.
+
+
+class CloseDetector:
+    """Polls the socket of one client's connection for the client's close.
+
+    The transport reports a close late if reading is paused or the event loop was blocked. Polling the socket
+    spares endpoints the work for requests whose client has gone.
+
+    Args:
+        system: Source of watches.
+
+    Attributes:
+        sock: Socket of the connection; None before it is known.
+    """
+
+    __slots__ = ("_system", "_watch", "sock")
+
+    def __init__(self, system: System) -> None:
+        self._system = system
+        self._watch: Watch | None = None
+        self.sock: socket.socket | None = None
+
+    def poll(self) -> int:
+        """Return the socket's pending events as flags of `select.poll`; 0 if there are none."""
+        if self.sock is None:
+            return 0
+        try:
+            if self._watch is None:
+                self._watch = self._system.watch_end(self.sock)
+            found = self._watch.poll(0)
+        except (OSError, ValueError):  # The kernel lacks memory, or the descriptor is closed.
+            return 0
+        return found[0][1] if found else 0
+
+    def has_closed(self, half_close: bool) -> bool:
+        """Return whether the client has closed the connection.
+
+        Args:
+            half_close: Whether a client that has closed its sending side may still await responses; only
+                the close of both sides counts then.
+        """
+        return bool(self.poll() & (FULL_CLOSE_EVENTS if half_close else HALF_CLOSE_EVENTS))
--- a/dykefold/net/downstream/connection.py
+++ b/dykefold/net/downstream/connection.py
@@ -1,152 +1,317 @@
-"""A client's connection: the transport's callbacks, the lifecycle, and the dispatch of requests in order.
+"""A client's connection: its parts, its lifecycle, and the dispatch of requests in order.
 
-`connection_state` describes the states; `request_reader` reads the requests, and `response_writer` writes the
-responses.
+The parts know nothing of each other: `RequestReader` turns bytes into items, `ResponseWriter` turns responses
+into bytes, and `ConnectionLifecycle` has the stage of the connection. The connection serves one item after
+another, gives its response to the writer, and closes.
+
+| state of the output | fields | next |
+| --- | --- | --- |
+| idle | `current` is None, `assembler.waiting` is empty | serving |
+| serving: one request is served, others wait | `current` | idle; streaming |
+| streaming: the response body follows in pieces | `current`, `writer.source` | idle |
+
+In each state the client may leave bytes unread (`writer.unread`); no further request is dispatched then.
 """
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-import select
 import socket
-from typing import Protocol
+from typing import cast
 
 from ...admission.client import Client
-from ...system import Watch
 from ..upstream.abort import NO_LINGER
 from ..upstream.classify import HttpProfile
-from .connection_state import CLOSED, CLOSING, LINGERING, OPEN
-from .protocols import ServerContext
+from .close_detector import CloseDetector
+from .lifecycle import CLOSED, CLOSING, LINGERING, OPEN, ConnectionLifecycle
+from .protocols import FlowControlled, RequestHandler
 from .request_parser import ParsedRequest, RequestError
 from .request_reader import RequestReader
+from .response_writer import ResponseWriter
 
 REJECTED_LINGER_S = 2.0  # A client whose input is discarded has this time to read the reason.
 ANSWERED_LINGER_S = 0.3
-FULL_CLOSE_EVENTS = select.POLLHUP | select.POLLERR
-HALF_CLOSE_EVENTS = select.POLLRDHUP | FULL_CLOSE_EVENTS  # The client may still read responses.
-
-
-class RequestHandler(ServerContext, Protocol):
-    """Accepts the requests of connections and answers them."""
-
-    def admit(self, connection: ClientConnection, request: ParsedRequest) -> tuple[int, bytes, bytes] | None:
-        """Reserve what a request will need.
-
-        Returns:
-            None if it is admitted, else status code, header lines and text of its rejection.
-        """
-        ...
-
-    def accept(self, connection: ClientConnection, request: ParsedRequest) -> None:
-        """Accept an admitted request; `respond` or `begin_response` of the connection is called once."""
-        ...
 
-    def disconnected(self, connection: ClientConnection, request: ParsedRequest | None) -> None:
-        """Record that a client's connection is lost.
 
-        Args:
-            connection: The connection.
-            request: Its request that was being served; None if there was none.
-        """
-        ...
-
-
-class ClientConnection(RequestReader, asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """A client's connection: requests are served one after another, and answered in their order.
 
     Args:
         handler: Server that accepts and answers the requests.
         client: Record of the client, as admission created it.
-    """
 
-    __slots__ = ()
-
-    handler: RequestHandler
+    Attributes:
+        reader: Reader of the input.
+        assembler: Assembler of the requests that the reader reads.
+        writer: Writer of the responses.
+        lifecycle: Stage of the connection.
+        transport: Transport of the connection; None before it exists.
+        close_detector: Detector of the client's close.
+        current: Request that is being served; None if there is none.
+        dispatching: Whether `dispatch` runs.
+        half_closed: Whether the client has closed its sending side and awaits responses.
+    """
 
-    def __init__(self, handler: RequestHandler, client: Client) -> None:
-        super().__init__(handler, client)
+    __slots__ = (
+        "__weakref__",
+        "assembler",
+        "client",
+        "close_detector",
+        "current",
+        "dispatching",
+        "half_closed",
+        "handler",
+        "lifecycle",
+        "reader",
+        "transport",
+        "writer",
+    )
+
+    def __init__(self, handler: RequestHandler[ClientConnection], client: Client) -> None:
+        self.handler = handler
+        self.client = client
+        self.lifecycle = ConnectionLifecycle()
+        self.reader = RequestReader(handler, client, self.lifecycle, self)
+        self.assembler = self.reader.assembler
+        self.writer = ResponseWriter(handler.loop, self.close)
+        self.transport: asyncio.Transport | None = None
+        self.close_detector = CloseDetector(handler.system)
+        self.current: ParsedRequest | None = None
+        self.dispatching = False
+        self.half_closed = False
+
+    # Callbacks of the listener and the transport
 
     def accepted(self, sock: socket.socket) -> None:
         """Record the accepted socket; the transport does not exist yet."""
-        self.sock = sock
+        self.close_detector.sock = sock
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Start reading, unless the connection was closed or the graceful shutdown began meanwhile."""
-        self.transport = transport  # type: ignore[assignment]
-        self.sock = None
-        transport.set_write_buffer_limits(high=0)  # type: ignore[attr-defined]
-        if self.lifecycle is CLOSING:
+        self.transport = self.reader.transport = self.writer.transport = cast(asyncio.Transport, transport)
+        self.close_detector.sock = transport.get_extra_info("socket")
+        self.transport.set_write_buffer_limits(high=0)
+        if self.lifecycle.state is CLOSING:
             self.close()
             return
-        self._enter(OPEN)
+        self.lifecycle.enter(OPEN)
         if not self.handler.accepting_requests:
             # The connection was accepted just before the shutdown: requests already sent are still answered.
             self.close_when_idle()
 
+    def data_received(self, data: bytes) -> None:
+        """Read input of the client."""
+        self.reader.data_received(data)
+
     def eof_received(self) -> bool:
         """Close, unless the client still awaits responses; return whether the transport stays open."""
-        between_messages = not self.message_unfinished and self.unfed is None
-        if self.handler.half_close and self.busy and between_messages:
-            self.half_closed = True
-            return True
-        self.close()
-        return False
+        between_messages = not self.assembler.message_unfinished and self.reader.unfed is None
+        self.half_closed = self.handler.half_close and self.busy and between_messages
+        if not self.half_closed:
+            self.close()
+        return self.half_closed
+
+    def pause_writing(self) -> None:
+        """Stop dispatching requests: a client that sends and does not read would fill the memory."""
+        self.writer.pause()
+
+    def resume_writing(self) -> None:
+        """Resume dispatching requests: all written data has been sent."""
+        self.writer.resume()
+        self.dispatch()
+        if self.idle and (self.half_closed or not self.handler.accepting_requests):
+            self.close_when_idle()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Release all reservations, and report the request that was being served."""
-        self._enter(CLOSED)
-        if self.stall_timer is not None:
-            self.stall_timer.cancel()
-        self._end_unfinished()
-        self._release(self.reserved_bytes)
-        self._drop_unfed()
+        self.lifecycle.enter(CLOSED)
         request, self.current = self.current, None
-        self.waiting.clear()
-        # The parser, the upload and the source refer back to this object. Without these reference cycles it
-        # is freed at once; otherwise each connection stays in memory until the garbage collector runs.
-        self.upload = self.response_source = None
-        del self.parser
+        # Without reference cycles the connection is freed at once; otherwise it stays in memory until the
+        # garbage collector runs.
+        self.writer.detach()
+        self.reader.detach()
         self.handler.disconnected(self, request)
 
-    def _dispatch_waiting(self) -> None:
-        """Serve the waiting items, one at a time."""
-        if self.dispatching:
-            return
-        self.dispatching = True
-        try:
-            while self.waiting and self.current is None and not self.unread and self.lifecycle is not CLOSED:
-                item = self.waiting.popleft()
-                if isinstance(item, ParsedRequest):
-                    rejection: tuple[int, bytes, bytes] | None
-                    if item.upload is not None and (problem := item.upload.problem) is not None:
-                        rejection = (problem[0], b"", problem[1])
+    # State, as admission and the graceful shutdown see it
+
+    @property
+    def paused(self) -> bool:
+        """Whether reading is paused."""
+        return self.reader.paused
+
+    @property
+    def discarding_input(self) -> bool:
+        """Whether input is discarded, since the start of the next message is unknown."""
+        return self.assembler.discarding_input
+
+    @property
+    def messages(self) -> int:
+        """Number of complete messages received."""
+        return self.assembler.messages
+
+    @property
+    def message_unfinished(self) -> bool:
+        """Whether a message has begun and not ended."""
+        return self.assembler.message_begun or self.assembler.upload is not None
+
+    @property
+    def idle(self) -> bool:
+        """Whether the connection can be closed without loss: nothing is pending or being discarded."""
+        return not self.busy and not self.assembler.discarding_input
+
+    @property
+    def busy(self) -> bool:
+        """Whether a request is pending, or the client leaves bytes of a response unread."""
+        return self.current is not None or bool(self.assembler.waiting) or self.writer.unread
+
+    def pending_requests(self) -> list[ParsedRequest]:
+        """Return the pending requests of this connection, in order of arrival."""
+        waiting = [item for item in self.assembler.waiting if isinstance(item, ParsedRequest)]
+        return waiting if self.current is None else [self.current, *waiting]
+
+    # Requests
+
+    def dispatch(self) -> None:
+        """Serve the waiting items, one at a time, and notify admission of the new state."""
+        if not self.dispatching:
+            self.dispatching = True
+            waiting, writer, stage = self.assembler.waiting, self.writer, self.lifecycle
+            try:
+                while waiting and self.current is None and not writer.unread and stage.state is not CLOSED:
+                    item = waiting.popleft()
+                    if isinstance(item, ParsedRequest):
+                        self._serve(item)
+                    elif isinstance(item, RequestError):
+                        keep_alive = item.keep_alive and not self.assembler.discarding_input
+                        self._respond(item.code, b"", f"{item}\n".encode(), keep_alive, item.head)
                     else:
-                        rejection = self.handler.admit(self, item)
-                    if rejection is None:
-                        self.current = item
-                        self.handler.accept(self, item)
-                    else:
-                        self._answer_rejected(item, *rejection)
-                elif isinstance(item, RequestError):
-                    text = f"{item}\n".encode()
-                    self._respond(
-                        item.code, b"", text, item.keep_alive and not self.discarding_input, item.head
-                    )
-                else:
-                    code, text = (503, b"draining\n") if self.handler.draining else (200, b"ready\n")
-                    self._respond(code, b"", text, item.keep_alive)
-        finally:
-            self.dispatching = False
-        self._resume()
-
-    def _answer_rejected(self, request: ParsedRequest, code: int, headers: bytes, text: bytes) -> None:
-        """Answer a request that was not admitted."""
-        self._release(request.size)
-        if request.upload is not None:
-            self._stop_upload(request.upload, request)
+                        code, text = (503, b"draining\n") if self.handler.draining else (200, b"ready\n")
+                        self._respond(code, b"", text, item.keep_alive)
+            finally:
+                self.dispatching = False
+            self.reader.resume()
+        self.handler.clients.update(self)
+
+    def _serve(self, request: ParsedRequest) -> None:
+        """Give a request to the handler, or answer it if it is not admitted."""
+        rejection: tuple[int, bytes, bytes] | None
+        upload = request.upload
+        if upload is not None and (problem := upload.problem) is not None:
+            rejection = (problem[0], b"", problem[1])
+        else:
+            rejection = self.handler.admit(self, request)
+        if rejection is None:
+            self.current = request
+            self.handler.accept(self, request)
+            return
+        code, headers, text = rejection
+        self.assembler.release(request.size)
+        if upload is not None:
+            self._stop_upload(request)
         self._respond(code, headers, text, request.keep_alive, request.profile is HttpProfile.HEAD)
 
+    def _stop_upload(self, request: ParsedRequest) -> None:
+        """Discard the rest of a streamed body, since its request is answered already."""
+        if request.upload is not None and not request.upload.ended:
+            request.keep_alive = False
+            self.assembler.stop_upload()
+
+    def send_continue(self) -> None:
+        """Tell the client that it may send the body of its request (RFC 9110, 15.2.1)."""
+        self.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
+
+    # Responses
+
+    def respond(self, request: ParsedRequest, code: int, headers: bytes, body: bytes) -> None:
+        """Write the final answer to the request that is being served.
+
+        Args:
+            request: The request; nothing is written if it is no longer being served.
+            code: HTTP status of the response.
+            headers: Complete header lines, without those of the framing.
+            body: Complete body of the response.
+        """
+        if self.current is not request:
+            return
+        self.current = None
+        self.assembler.release(request.size)
+        if request.extra_response_headers:
+            headers += request.extra_response_headers
+        if request.upload is not None:
+            self._stop_upload(request)
+        self._respond(code, headers, body, request.keep_alive, request.profile is HttpProfile.HEAD)
+        self.dispatch()
+
+    def begin_response(
+        self, request: ParsedRequest, code: int, headers: bytes, length: int | None, source: FlowControlled
+    ) -> bool:
+        """Begin the final answer to the request that is being served; its body follows in pieces.
+
+        Args:
+            request: The request.
+            code: HTTP status of the response.
+            headers: Complete header lines, without those of the framing.
+            length: Bytes of the body; None if the last chunk, or the close of the connection, marks its end.
+            source: Source of the body, which pauses while the client does not read.
+
+        Returns:
+            False if the client no longer awaits the response.
+        """
+        if self.current is not request:
+            return False
+        if request.upload is not None:
+            self._stop_upload(request)
+        keep_alive = request.keep_alive and self._keeps_open()
+        self.writer.source = source
+        headers += request.extra_response_headers
+        self.writer.begin(code, headers, length, keep_alive, not request.is_http_1_0)
+        return True
+
+    def send_response_piece(self, request: ParsedRequest, data: bytes) -> None:
+        """Write the next bytes of the streamed response."""
+        if self.current is request and data:
+            self.writer.send_piece(data)
+
+    def end_response(self, request: ParsedRequest, whole: bool) -> None:
+        """End the streamed response.
+
+        Args:
+            request: The request.
+            whole: Whether the body is complete. If it is not, the connection is reset, which shows that to
+                the client in any framing.
+        """
+        if self.current is not request:
+            return
+        self.current = self.writer.source = None
+        self.assembler.release(request.size)
+        if not whole:
+            self.close(reset=True)
+            return
+        self.writer.end()
+        if not self.writer.keep_alive:
+            self._shut_down()
+        self.dispatch()
+
+    def _keeps_open(self) -> bool:
+        """Return whether the connection stays open after the next response.
+
+        While another request is waiting or unfinished, it stays open in a graceful shutdown too.
+        """
+        assembler = self.assembler
+        if assembler.waiting or self.reader.unfed is not None or assembler.message_begun:
+            return True
+        if self.half_closed:
+            return False
+        return (self.handler.accepting_requests and not self.handler.handing_over) or self.has_unread_input()
+
+    def _respond(self, code: int, headers: bytes, body: bytes, keep_alive: bool, head: bool = False) -> None:
+        """Write a whole response, and close after it unless the connection stays open."""
+        keep_alive = keep_alive and self._keeps_open()
+        self.writer.respond(code, headers, body, keep_alive, head)
+        if not keep_alive:
+            self._shut_down()
+
     # Lifecycle
 
     def close_when_idle(self) -> None:
@@ -157,22 +322,28 @@
 
     def evict(self) -> None:
         """Close to make room for other clients; an unfinished message is rejected first."""
-        if self.transport is None or not self.message_unfinished:
-            self.close()
-            return
-        self.reject_unfinished("its place was needed")
-        self.close(flush=True)
+        unfinished = self.transport is not None and self.assembler.message_unfinished
+        if unfinished:
+            self.reject_unfinished("its place was needed")
+        self.close(flush=unfinished)
 
-    def reject_unfinished(self, text: str) -> None:
+    def reject_unfinished(self, text: str, code: int = 503) -> None:
         """Reject the unfinished message; its response follows those to the earlier messages.
 
         Args:
             text: Reason that the client reads.
+            code: HTTP status of the response.
         """
-        if self.message_unfinished:
-            self._reject(503, text)
-            self._dispatch_waiting()
-            self.handler.clients.update(self)
+        if self.assembler.message_unfinished:
+            self.assembler.reject(code, text)
+            self.dispatch()
+
+    def expire(self) -> None:
+        """Reject the message that was not complete in time, or close the connection if it is idle."""
+        if self.assembler.message_unfinished:
+            self.reject_unfinished("the request took too long to come", 408)
+        elif self.idle:
+            self.close_when_idle()
 
     def _shut_down(self) -> None:
         """Close the sending side after the last response, and the connection when the client has closed too.
@@ -182,20 +353,13 @@
         """
         if self.transport is None or self.transport.is_closing():
             return
-        self._enter(LINGERING)
-        self.waiting.clear()
-        self.linger_s = REJECTED_LINGER_S if self.discarding_input else ANSWERED_LINGER_S
-        self.discarding_input = True
-        try:
-            self.transport.write_eof()  # The transport sends it after all buffered data.
-        except OSError:  # The client has reset the connection.
+        self.lifecycle.enter(LINGERING)
+        was_discarding = self.assembler.discarding_input
+        self.assembler.discard_input()
+        if self.writer.close_sending_side(REJECTED_LINGER_S if was_discarding else ANSWERED_LINGER_S):
+            self.reader.resume_for_close()
+        else:
             self.close()
-            return
-        if self.stall_timer is None:
-            self.stall_timer = self.handler.loop.call_later(self.linger_s, self.close)
-        if self.paused:  # A paused transport does not report the client's close.
-            self.paused = False
-            self.transport.resume_reading()
 
     def close(self, reset: bool = False, flush: bool = False) -> None:
         """Close the connection; all other methods that close it call this one.
@@ -205,9 +369,9 @@
                 incomplete.
             flush: Whether buffered data is sent before the close; otherwise it is dropped.
         """
-        if self.lifecycle is CLOSED:
+        if self.lifecycle.state is CLOSED:
             return
-        self._enter(CLOSING)
+        self.lifecycle.enter(CLOSING)
         if self.transport is None:
             return
         if reset and (sock := self.transport.get_extra_info("socket")) is not None:
@@ -222,36 +386,15 @@
 
     def has_unread_input(self) -> bool:
         """Return whether bytes of the client, or its close, have arrived and were not read yet."""
-        if self.lifecycle is CLOSED or (self.transport is None and self.sock is None):
+        if self.lifecycle.state is CLOSED:
             return False
-        return self.unfed is not None or (not self.half_closed and bool(self._poll_close_events()))
+        return self.reader.unfed is not None or (not self.half_closed and self.close_detector.poll() != 0)
 
     def client_has_closed(self) -> bool:
-        """Return whether the client has closed, also behind input that was not read yet.
-
-        The transport reports a close late if reading is paused or the event loop was blocked. Polling the
-        socket spares endpoints the work for requests whose client has gone.
-        """
-        if self.lifecycle is CLOSED or self.transport is None:
-            return self.lifecycle is CLOSED
-        found = self._poll_close_events()
-        events = FULL_CLOSE_EVENTS if self.handler.half_close else HALF_CLOSE_EVENTS
-        if not found or not found[0][1] & events:
+        """Return whether the client has closed, also behind input that was not read yet."""
+        if self.lifecycle.state is CLOSED or self.transport is None:
+            return self.lifecycle.state is CLOSED
+        if not self.close_detector.has_closed(self.handler.half_close):
             return False
         self.handler.loop.call_soon(self.close)
         return True
-
-    def _poll_close_events(self) -> list[tuple[int, int]]:
-        """Return the socket's pending events in the form of `select.poll`; none if the poll fails."""
-        try:
-            return self._get_close_watch().poll(0)
-        except (OSError, ValueError):  # The kernel lacks memory, or the descriptor is closed.
-            return []
-
-    def _get_close_watch(self) -> Watch:
-        """Return the watch on the client's close; the first call creates it."""
-        if self.close_watch is None:
-            sock = self.sock if self.transport is None else self.transport.get_extra_info("socket")
-            assert sock is not None
-            self.close_watch = self.handler.system.watch_end(sock)
-        return self.close_watch
--- a/dykefold/net/downstream/protocols.py
+++ b/dykefold/net/downstream/protocols.py
@@ -4,7 +4,7 @@
 
 import asyncio
 from collections.abc import Callable
-from typing import Protocol
+from typing import Protocol, TypeVar
 
 from ...admission.clients import ClientConnections
 from ...system import System
@@ -13,6 +13,8 @@
 from ..read_scheduler import ReadScheduler
 from .request_parser import Message, ParsedRequest
 
+_ConnectionT = TypeVar("_ConnectionT", contravariant=True)
+
 
 class MessageReader(Protocol):
     """Turns a whole message into a request, as `RequestParser` does.
@@ -90,3 +92,57 @@
     def log_exception(self, text: str) -> None:
         """Log the exception that is being handled, at a limited rate."""
         ...
+
+
+class RequestHandler(ServerContext, Protocol[_ConnectionT]):
+    """Accepts the requests of connections, which are of type `_ConnectionT`, and answers them."""
+
+    def admit(self, connection: _ConnectionT, request: ParsedRequest) -> tuple[int, bytes, bytes] | None:
+        """Reserve what a request will need.
+
+        Returns:
+            None if it is admitted, else status code, header lines and text of its rejection.
+        """
+        ...
+
+    def accept(self, connection: _ConnectionT, request: ParsedRequest) -> None:
+        """Accept an admitted request; `respond` or `begin_response` of the connection is called once."""
+        ...
+
+    def disconnected(self, connection: _ConnectionT, request: ParsedRequest | None) -> None:
+        """Record that a client's connection is lost.
+
+        Args:
+            connection: The connection.
+            request: Its request that was being served; None if there was none.
+        """
+        ...
+
+
+class ItemReceiver(Protocol):
+    """The connection as its input sees it: takes the items that were read."""
+
+    @property
+    def idle(self) -> bool:
+        """Whether nothing is pending, and no input is discarded."""
+        ...
+
+    def dispatch(self) -> None:
+        """Serve the waiting items, and notify admission of the new state."""
+        ...
+
+    def send_continue(self) -> None:
+        """Tell the client that it may send the body of its request (RFC 9110, 15.2.1)."""
+        ...
+
+
+class InputControl(Protocol):
+    """The reader as the assembler sees it: it pauses while too much waits."""
+
+    def pause(self) -> None:
+        """Stop reading from the socket."""
+        ...
+
+    def resume(self) -> None:
+        """Resume reading, unless too much waits."""
+        ...
--- /dev/null
+++ b/dykefold/net/downstream/request_assembler.py
@@ -0,0 +1,356 @@
+"""Assembles the messages of a client's connection from the parser's callbacks, within their limits.
+
+| state | fields | next |
+| --- | --- | --- |
+| between messages | none of the fields below | in a message |
+| in a message | `message_begun` (then also `in_body`) | between messages; in an upload; discarded |
+| in an upload: the body is streamed to an endpoint | `upload` | between messages; discarded |
+| discarded: the start of the next message is unknown | `discarding_input` | |
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from dataclasses import dataclass
+
+import httptools
+
+from ...admission.client import Client
+from ..streaming import BUFFER_BYTES, MAX_FRAMING_FACTOR, Upload
+from ..upstream.http_fields import BLANKS, HOP_BY_HOP, gather
+from .protocols import InputControl, ItemReceiver, ServerContext
+from .request_parser import MAX_BUFFERED_BODY_BYTES, Message, ParsedRequest, RequestError
+
+MAX_HEADERS_BYTES = 32 * 1024
+MAX_HEADER_LINES = 256  # Each line costs some hundred bytes of memory in addition to its text.
+MAX_MESSAGE_BYTES = 8 * MAX_BUFFERED_BODY_BYTES  # The framing of small chunks is larger than the body.
+MAX_WAITING_REQUESTS = 16  # Reading pauses while this number of pipelined requests waits.
+READY_TARGET = b"/-/ready"
+# A request that repeats one of these is rejected: an endpoint could use another value than the sidecar.
+SINGLE_VALUE_HEADERS = frozenset(
+    (b"x-request-id", b"idempotency-key", b"x-deadline", b"x-key", b"x-tenant", b"transfer-encoding")
+)
+NOT_FORWARDED = HOP_BY_HOP | {b"expect", b"x-deadline"}
+
+
+@dataclass(slots=True)
+class ReadinessCheck:
+    """A client's readiness check of this sidecar.
+
+    Attributes:
+        keep_alive: Whether the client wants the connection to stay open.
+    """
+
+    keep_alive: bool
+
+
+class RequestAssembler:
+    """Makes requests, readiness checks and errors of the input of one connection.
+
+    Args:
+        server: Server of the connection.
+        client: Record of the client, as admission created it.
+        receiver: Receiver of the items in `waiting`.
+        input_control: Reader of the input, which is paused while too much waits.
+
+    Attributes:
+        parser: HTTP parser, which calls the `on_...` methods.
+        waiting: Requests, readiness checks and errors that wait for their turn, in order of arrival.
+        messages: Number of complete messages received.
+        reserved_bytes: Bytes reserved of the memory budget, for all pending messages.
+        discarding_input: Whether input is discarded, since the start of the next message is unknown.
+        message_begun: Whether a message has begun and not ended, other than an upload.
+        in_body: Whether the headers of the present message are complete.
+        upload: Body of the present message if it is streamed; None otherwise.
+        arrived_ns: Time on the clock of deadlines, in nanoseconds, at which the bytes that are being parsed
+            arrived; 0 if they have just arrived.
+        message_bytes: Number of bytes received of the present message, including its framing.
+        max_message_bytes: Number of bytes above which the present message is rejected.
+    """
+
+    __slots__ = (
+        "_body",
+        "_body_bytes",
+        "_client",
+        "_clients",
+        "_duplicate_header",
+        "_header_lines",
+        "_headers",
+        "_input",
+        "_max_upload_bytes",
+        "_memory",
+        "_message_reserved_bytes",
+        "_receiver",
+        "_server",
+        "_target",
+        "arrived_ns",
+        "discarding_input",
+        "in_body",
+        "max_message_bytes",
+        "message_begun",
+        "message_bytes",
+        "messages",
+        "parser",
+        "reserved_bytes",
+        "upload",
+        "waiting",
+    )
+
+    def __init__(
+        self, server: ServerContext, client: Client, receiver: ItemReceiver, input_control: InputControl
+    ) -> None:
+        self._server = server
+        self._clients = server.clients
+        self._memory = server.memory
+        self._client = client
+        self._receiver = receiver
+        self._input = input_control
+        self._max_upload_bytes = 0
+        self.parser = httptools.HttpRequestParser(self)
+        self.waiting: deque[ParsedRequest | ReadinessCheck | RequestError] = deque()
+        self.messages = 0
+        self.reserved_bytes = 0
+        self.discarding_input = False
+        self.upload: Upload | None = None
+        self.arrived_ns = 0
+        self._reset_message()
+
+    def _reset_message(self) -> None:
+        self.message_begun = False
+        self.in_body = False
+        self.message_bytes = 0
+        self.max_message_bytes = MAX_HEADERS_BYTES
+        self._duplicate_header = False
+        self._target = b""
+        self._headers: dict[bytes, bytes] = {}
+        self._header_lines: list[bytes] = []
+        self._body: bytes | bytearray = b""
+        self._body_bytes = 0
+        self._message_reserved_bytes = 0
+
+    @property
+    def message_unfinished(self) -> bool:
+        """Whether a message has begun and not ended."""
+        return self.message_begun or self.upload is not None
+
+    # Callbacks of the parser
+
+    def on_message_begin(self) -> None:
+        """Record that a message has begun."""
+        self.message_begun = True
+
+    def on_url(self, url: bytes) -> None:
+        """Append to the request target."""
+        self._target += url
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """Store a header, both by its name and as the line that is forwarded."""
+        if self.in_body:  # Trailers are dropped.
+            return
+        lower_name = name.lower()
+        # The parser does not accept `chunked` followed by a tab, so the tab must stay visible here.
+        value = value.strip(b" " if lower_name == b"transfer-encoding" else BLANKS)
+        headers = self._headers
+        if lower_name in headers:
+            if lower_name in SINGLE_VALUE_HEADERS:
+                self._duplicate_header = True
+            elif lower_name == b"host":
+                value = headers[lower_name] + b", " + value  # The result is no host, and matches no route.
+        headers[lower_name] = value
+        if lower_name not in NOT_FORWARDED:
+            self._header_lines.append(b"%b: %b\r\n" % (name, value))
+
+    def on_headers_complete(self) -> None:
+        """Check the limits of headers, and begin an upload if the announced body is too large to buffer."""
+        self.in_body = True
+        self.max_message_bytes = MAX_MESSAGE_BYTES
+        headers = self._headers
+        size = sum(map(len, self._header_lines)) + len(self._target)
+        if size > MAX_HEADERS_BYTES or len(self._header_lines) > MAX_HEADER_LINES:
+            self.reject(431, "headers are too long")
+        elif b"transfer-encoding" in headers and headers[b"transfer-encoding"].lower() != b"chunked":
+            self.reject(501, "Transfer-Encoding must be chunked")
+        elif self._reserve(size):
+            expects = (
+                b"expect" in headers and headers[b"expect"].lower() == b"100-continue" and self._receiver.idle
+            )
+            if b"content-length" in headers and _exceeds_max_body(headers[b"content-length"]):
+                self._begin_upload(int(headers[b"content-length"]))
+            if expects and not self.discarding_input:
+                self._receiver.send_continue()
+
+    def on_body(self, data: bytes) -> None:
+        """Buffer a piece of a body, or pass it on if the body is an upload."""
+        if self.discarding_input:
+            return
+        self._body_bytes += len(data)
+        if self.upload is not None:
+            self._feed_upload(self.upload, data)
+        elif self._body_bytes > MAX_BUFFERED_BODY_BYTES:
+            self._begin_upload(None)
+            if self.upload is not None:
+                self._feed_upload(self.upload, data)
+        elif self._reserve(len(data)):
+            self._body = gather(self._body, data)
+
+    def on_message_complete(self) -> None:
+        """Queue the message as a request, a readiness check or an error."""
+        if self.discarding_input:
+            return
+        if self.parser.should_upgrade():
+            self.reject(400, "upgrades are not known here")
+            return
+        if self.upload is not None:
+            upload, self.upload = self.upload, None
+            self._reset_message()
+            upload.finish(self._server.now())
+            return
+        self.messages += 1
+        keep_alive = self.parser.should_keep_alive()
+        if self._target == READY_TARGET:
+            self.waiting.append(ReadinessCheck(keep_alive))
+            self.release(self._message_reserved_bytes)
+        else:
+            try:
+                request = self._build_request(bytes(self._body))
+                request.size = self._message_reserved_bytes
+                self.waiting.append(request)
+            except RequestError as problem:
+                problem.keep_alive = keep_alive
+                problem.head = self.parser.get_method() == b"HEAD"
+                self.waiting.append(problem)
+                self.release(self._message_reserved_bytes)
+        self._release_unfinished()
+        self._reset_message()
+        if len(self.waiting) >= MAX_WAITING_REQUESTS:
+            self._input.pause()
+
+    # Memory
+
+    def release(self, size: int) -> None:
+        """Release bytes of the memory budget."""
+        self._memory.release(size)
+        self.reserved_bytes -= size
+
+    def _release_unfinished(self) -> None:
+        """Remove the present message from the client's count of unfinished bytes."""
+        self._clients.release_unfinished(self._client, self._message_reserved_bytes)
+
+    # Messages
+
+    def _build_request(self, body: bytes) -> ParsedRequest:
+        """Return the message as a request.
+
+        Raises:
+            RequestError: The sidecar itself answers the message; no endpoint gets it.
+        """
+        if self._duplicate_header:
+            raise RequestError(400, "a header came twice")
+        return self._server.parser.read(
+            Message(
+                self.arrived_ns or self._server.now(),
+                self.parser.get_method(),
+                self._target,
+                self._headers,
+                self._header_lines,
+                body,
+                self.parser.should_keep_alive(),
+                self._server.parser.streams and self.parser.get_http_version() == "1.0",
+            )
+        )
+
+    def _reserve(self, size: int) -> bool:
+        """Reserve memory for more of a message; reject the message if there is no capacity."""
+        if not self._memory.reserve(size):
+            self.reject(503, "too much is held")
+            return False
+        if not self._clients.reserve_unfinished(self._client, size):
+            self._memory.release(size)
+            self.reject(429, "too much is unfinished from this address")
+            return False
+        self.reserved_bytes += size
+        self._message_reserved_bytes += size
+        return True
+
+    def reject(self, code: int, text: str, head: bool = False) -> None:
+        """Queue an error as the last response, and discard input: the next message's start is unknown."""
+        if self.upload is not None and not self.discarding_input:
+            # The request of the upload is accepted or waiting; this error is its one answer.
+            self._fail_upload(self.upload, code, text)
+        if not self.discarding_input:
+            self.discarding_input = True
+            self.message_begun = False
+            self._release_unfinished()
+            self.release(self._message_reserved_bytes)
+            self._message_reserved_bytes = 0
+            self._body = b""
+            problem = RequestError(code, text)
+            problem.head = head
+            self.waiting.append(problem)
+
+    # Streamed bodies
+
+    def _begin_upload(self, length: int | None) -> None:
+        """Queue a request whose body is too large to buffer; its bytes are streamed as they arrive.
+
+        Args:
+            length: Bytes of the body; None if it is chunked.
+        """
+        if not self._server.parser.streams:
+            self.reject(413, "the body is too large")
+            return
+        try:
+            request = self._build_request(b"")
+        except RequestError as problem:
+            self.reject(problem.code, str(problem), self.parser.get_method() == b"HEAD")
+            return
+        if (length or self._body_bytes) > request.max_body_bytes:
+            self.reject(413, "the body is too large")
+        elif self._reserve(max(BUFFER_BYTES - self._message_reserved_bytes, 0)):
+            self.upload = request.upload = Upload(length, bytes(self._body), self._input.resume)
+            self._body = b""
+            self.max_message_bytes = MAX_HEADERS_BYTES + MAX_FRAMING_FACTOR * request.max_body_bytes
+            self._release_unfinished()
+            self.message_begun = False
+            self.messages += 1
+            request.size, self._message_reserved_bytes = self._message_reserved_bytes, 0
+            self._max_upload_bytes = request.max_body_bytes
+            self.waiting.append(request)
+
+    def _feed_upload(self, upload: Upload, data: bytes) -> None:
+        """Pass on a piece of a body."""
+        if self._body_bytes > self._max_upload_bytes:
+            self._fail_upload(upload, 413, "the body is too large")
+            return
+        upload.feed(data)
+        if upload.full:
+            self._input.pause()
+
+    def discard_input(self) -> None:
+        """Discard the waiting items and all further input."""
+        self.waiting.clear()
+        self.discarding_input = True
+
+    def stop_upload(self) -> None:
+        """Discard the rest of a body whose request is answered: the next message's start is unknown."""
+        self.discarding_input = True
+        self.upload = None
+
+    def detach(self) -> None:
+        """Release all reservations, and drop all references that lead back to the connection."""
+        self._release_unfinished()
+        self.release(self.reserved_bytes)
+        self.waiting.clear()
+        self.upload = None
+        del self.parser, self._receiver, self._input
+
+    def _fail_upload(self, upload: Upload, code: int, text: str) -> None:
+        """Discard the rest of a body; its request, which is accepted or waiting, gets this answer."""
+        self.discarding_input = True
+        self.upload = None
+        upload.spoil(code, text)
+
+
+def _exceeds_max_body(length: bytes) -> bool:
+    # The first digits suffice, since the parser limits their number.
+    return length.isdigit() and int(length[:12]) > MAX_BUFFERED_BODY_BYTES
--- a/tests/net/test_client_closes.py
+++ b/tests/net/test_client_closes.py
@@ -181,7 +181,7 @@
         sidecar_server.draining = True
         sidecar_server.shutdown.stop_requests()
         connection = next(iter(sidecar_server.clients.all.values()))
-        connection._pause()  # or it is read at once
+        connection.reader.pause()  # or it is read at once
         now(writer, message("order", "cd"))
         go.set()
         first = await read_message(reader)
--- a/tests/net/test_client_connections.py
+++ b/tests/net/test_client_connections.py
@@ -26,7 +26,7 @@
 from dykefold.admission.budget import DescriptorBudget
 from dykefold.net import sidecar as sidecar_module
 from dykefold.net.downstream import request_parser, response_writer
-from dykefold.net.downstream.connection_state import TRANSITIONS, ConnectionState, Lifecycle
+from dykefold.net.downstream.lifecycle import TRANSITIONS, ConnectionLifecycle, Lifecycle
 from dykefold.net.memory_budget import MB, MemoryBudget
 from dykefold.net.peers import PeerChannel
 
@@ -238,7 +238,7 @@
             await until(lambda: sidecar.server.clients.all)
             (client,) = sidecar.server.clients.all.values()
             sent = 0
-            while not client.unread:  # until the kernel holds no more for it
+            while not client.writer.unread:  # until the kernel holds no more for it
                 await loop.sock_sendall(sock, message("lookup", f"id{sent}"))
                 sent += 1
                 await until(lambda: len(fake.got) == sent and client.current is None)  # noqa: B023
@@ -437,14 +437,14 @@
 
 @pytest.mark.parametrize("way", WAYS)
 def test_a_connection_goes_on_to_no_state_that_the_table_does_not_name(way, tmp_path, monkeypatch):
-    seen, enter = [], ConnectionState._enter
+    seen, enter = [], ConnectionLifecycle.enter
 
-    def noted(connection, state):
-        enter(connection, state)
+    def noted(lifecycle, state):
+        enter(lifecycle, state)
         seen.append(state)
 
     async def play():
-        monkeypatch.setattr(ConnectionState, "_enter", noted)
+        monkeypatch.setattr(ConnectionLifecycle, "enter", noted)
         async with Sidecar(tmp_path / "c", config(news(1))) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
             if asks:
@@ -463,14 +463,14 @@
 
 @pytest.mark.parametrize("state", Lifecycle)
 def test_every_state_of_a_connection_can_be_left_to_closed_and_closed_never(state):
-    connection = ConnectionState(None, None)
-    connection.lifecycle = state
+    lifecycle = ConnectionLifecycle()
+    lifecycle.state = state
     for following in Lifecycle:
-        connection.lifecycle = state
+        lifecycle.state = state
         if following is state or following in TRANSITIONS[state]:
-            connection._enter(following)
-            assert connection.lifecycle is following
+            lifecycle.enter(following)
+            assert lifecycle.state is following
         else:
             with pytest.raises(AssertionError):
-                connection._enter(following)
+                lifecycle.enter(following)
     assert state is Lifecycle.CLOSED or Lifecycle.CLOSED in TRANSITIONS[state]
--- a/tests/net/test_client_disconnects.py
+++ b/tests/net/test_client_disconnects.py
@@ -30,7 +30,7 @@
 from test_upstream_connections import full_listener
 
 from dykefold.balancer.events import Status
-from dykefold.net.downstream.request_reader import MAX_WAITING_REQUESTS
+from dykefold.net.downstream.request_assembler import MAX_WAITING_REQUESTS
 from dykefold.net.upstream.connection import UpstreamConnection
 from dykefold.system import System
 
--- a/tests/net/test_client_races.py
+++ b/tests/net/test_client_races.py
@@ -39,7 +39,7 @@
 from dykefold.balancer.timers import OVERDUE
 from dykefold.net.discovery.codec import parse_endpoint_update
 from dykefold.net.downstream import connection as front_module
-from dykefold.net.downstream.request_reader import MAX_WAITING_REQUESTS
+from dykefold.net.downstream.request_assembler import MAX_WAITING_REQUESTS
 from dykefold.net.upstream import connection_pool as upstream
 from dykefold.net.upstream.connection import MAX_STALL_S, UpstreamConnection
 from dykefold.net.upstream.exchange import Exchange
@@ -256,7 +256,7 @@
         # Many answers wait unread in front of the rejection of what can't be read.
         sock.sendall(b"".join(message("lookup", f"id{n}") for n in range(8)) + b"no request\r\n\r\n")
         fronts = sidecar.server.clients.all
-        await until(lambda: any(front.unread for front in fronts.values()))
+        await until(lambda: any(front.writer.unread for front in fronts.values()))
         sock.settimeout(WAIT)
 
         assert b"malformed request" in await asyncio.to_thread(read_all, sock)
--- a/tests/net/test_deadline_propagation.py
+++ b/tests/net/test_deadline_propagation.py
@@ -34,7 +34,7 @@
 
 from dykefold.balancer.events import Status
 from dykefold.net.downstream.arrivals import MAX_MARKS, Arrivals
-from dykefold.net.downstream.request_reader import MAX_WAITING_REQUESTS
+from dykefold.net.downstream.request_assembler import MAX_WAITING_REQUESTS
 from dykefold.net.service.attempts import Attempt
 from dykefold.net.upstream.connection_pool import ConnectionPool
 
--- a/tests/net/test_hostile_messages.py
+++ b/tests/net/test_hostile_messages.py
@@ -12,7 +12,7 @@
 from net_helpers import MS, WAIT, Sidecar, config, message, news, run, until
 
 from dykefold.net.downstream.connection import ClientConnection
-from dykefold.net.downstream.connection_state import MAX_HEADERS_BYTES
+from dykefold.net.downstream.request_assembler import MAX_HEADERS_BYTES
 from dykefold.net.downstream.request_parser import MAX_BUFFERED_BODY_BYTES
 from dykefold.net.read_scheduler import MAX_SLICES_PER_TURN, SLICE_BYTES
 from dykefold.net.service.load_reports import LoadReportParser
@@ -89,7 +89,7 @@
                 await asyncio.sleep(0)
         meter.run(min(len(piece), SLICE_BYTES), connection.data_received, piece)
     async with asyncio.timeout(WAIT):
-        while connection.unfed is not None or connection.current is not None:
+        while connection.reader.unfed is not None or connection.current is not None:
             await asyncio.sleep(0)
     connection.connection_lost(None)
     sidecar_server.read_scheduler._turn = turn
--- a/tests/sim/mutants.py
+++ b/tests/sim/mutants.py
@@ -37,11 +37,11 @@
     ),
     Mutant(
         "a request is answered twice",
-        "net/downstream/response_writer.py",
-        "request.profile is HttpProfile.HEAD)\n        self._dispatch_waiting()\n",
+        "net/downstream/connection.py",
+        "request.profile is HttpProfile.HEAD)\n        self.dispatch()\n",
         "request.profile is HttpProfile.HEAD)\n"
         "        self._respond(code, headers, body, request.keep_alive)\n"
-        "        self._dispatch_waiting()\n",
+        "        self.dispatch()\n",
         "parts",
     ),
     Mutant(
@@ -95,8 +95,8 @@
     ),
     Mutant(
         "message memory is not given back",
-        "net/downstream/connection_state.py",
-        "        self.handler.memory.release(size)\n        self.reserved_bytes -= size",
+        "net/downstream/request_assembler.py",
+        "        self._memory.release(size)\n        self.reserved_bytes -= size",
         "        self.reserved_bytes -= size",
         "parts",
     ),
@@ -155,7 +155,7 @@
     Mutant(
         "nobody asks whether a client is there",
         "net/downstream/connection.py",
-        "        if not found or not found[0][1] & events:\n            return False\n",
+        "        if not self.close_detector.has_closed(self.handler.half_close):\n            return False\n",
         "        return False\n",
         "leaving",
         first_seed=4,
