--- a/dykefold/net/discovery/client.py
+++ b/dykefold/net/discovery/client.py
@@ -178,7 +178,7 @@
             version: Index of that list.
         """
         self.source.version = version
-        self.source.accepted += 1
+        self.source.answer_count += 1
         self.listed_by = self.source.host
 
     def watch(self, on: bool) -> None:
@@ -207,11 +207,13 @@
         self._call(LIST_PATH, ANSWER_TIMEOUT_S, self._on_fetch_end)
 
     def _wait_ms(self) -> int:
+        """Return the milliseconds for which a watch asks discovery to wait for a change."""
         return WATCH_PUSHED_MS if self.pushed else WATCH_POLLED_MS
 
-    def _schedule_call(self, wait_s: float) -> None:
-        if wait_s > 0.0:
-            self.loop.call_later(wait_s, self._call_watch, self.watch_round, self._wait_ms())
+    def _schedule_call(self, delay_s: float) -> None:
+        """Make the next call of the watch after a delay."""
+        if delay_s > 0.0:
+            self.loop.call_later(delay_s, self._call_watch, self.watch_round, self._wait_ms())
         else:
             self._call_watch(self.watch_round, self._wait_ms())
 
@@ -261,7 +263,7 @@
         """
         source = self.source
         payload = f"GET {target} HTTP/1.1\r\nHost: {source.host}\r\nAccept: application/json\r\n\r\n".encode()
-        accepted = source.accepted
+        answer_count = source.answer_count
 
         def handle_end(call: Exchange, status: Status, answer: Response | None) -> None:
             if self.closed or (source is not self.source and source is not self.previous):
@@ -270,7 +272,7 @@
             if status is Status.OK and answer is not None:
                 try:
                     parsed = parse_endpoint_update(json.loads(answer.body), self.names)
-                    update = source.in_order(parsed, accepted)
+                    update = source.check_order(parsed, answer_count)
                 except (ValueError, RecursionError) as error:
                     reason = str(error)
             elif answer is not None:
@@ -287,6 +289,7 @@
         return call
 
     def _on_watch_end(self, call: ListCall, update: EndpointUpdate | None, reason: str) -> None:
+        """Apply the answer to a call of the watch and schedule the next call, or record the failure."""
         self.open_calls.pop(call, None)
         if update is None:
             if call is self.latest_call:  # Otherwise another call is in flight or scheduled.
@@ -304,11 +307,11 @@
         finally:
             # An agent that answers immediately and without a change must not be called in a tight loop. For
             # discovery a watch continues over a pause of less than 200 ms.
-            wait_s = 0.0 if update.entries else MIN_CALL_INTERVAL_S - (self.system.monotonic() - self.called)
+            delay_s = 0.0 if update.entries else MIN_CALL_INTERVAL_S - (self.system.monotonic() - self.called)
             if self.schedule is not None:
-                wait_s = max(wait_s, self.schedule.next_call_delay_s())
+                delay_s = max(delay_s, self.schedule.next_call_delay_s())
             if watch_round == self.watch_round:
-                self._schedule_call(wait_s)
+                self._schedule_call(delay_s)
 
     def _on_watch_failure(self, reason: str) -> None:
         self._record_outcome(None, reason)
@@ -339,6 +342,7 @@
                 log.info("discovery recovered")
 
     def _accept(self, source: ListSource, update: EndpointUpdate) -> None:
+        """Apply an update of a source that is in use."""
         source.accept(update)
         self.listed_by = source.host
         if source is self.source:
--- a/dykefold/net/discovery/codec.py
+++ b/dykefold/net/discovery/codec.py
@@ -10,7 +10,7 @@
 
 from ...balancer.events import Endpoint, ListKind, Membership, State
 
-STATES = {"SERVING": State.READY, "DRAINING": State.DRAINING, "DELETED": State.GONE}
+STATE_BY_STATUS = {"SERVING": State.READY, "DRAINING": State.DRAINING, "DELETED": State.GONE}
 MAX_NAMES = 256  # Of zones and of machine types each; all further names share one number.
 MAX_PORT = 65535
 NS_PER_MS = 1_000_000
@@ -129,9 +129,14 @@
         self.servers = {name: number for name, number in self.servers.items() if number in numbers}
 
 
-def _number(known: dict[str, int], name: str) -> int:
-    # The names come from outside, so that without a limit lists with new zones would fill the memory.
-    return known.setdefault(name, len(known)) if len(known) < MAX_NAMES else known.get(name, len(known))
+def _number(numbers: dict[str, int], name: str) -> int:
+    """Return the number of a name; a new name gets the next number while there are less than `MAX_NAMES`.
+
+    The names come from outside: without a limit, lists with new zones would fill the memory.
+    """
+    if len(numbers) < MAX_NAMES:
+        return numbers.setdefault(name, len(numbers))
+    return numbers.get(name, len(numbers))
 
 
 def split_address(text: object, least_port: int = 1) -> tuple[str, int]:
@@ -172,12 +177,12 @@
     """
     if not isinstance(data, dict):
         raise EndpointListError(field="answer", value=data, expected="an object")
-    listed = data.get("endpoints")
-    if not isinstance(listed, list):
-        raise EndpointListError(field="endpoints", value=listed, expected="a list")
+    endpoints = data.get("endpoints")
+    if not isinstance(endpoints, list):
+        raise EndpointListError(field="endpoints", value=endpoints, expected="a list")
     version = _field(data, "index", int, "an integer")
     complete = _field(data, "snapshot", bool, "a boolean")
-    entries = [_read_entry(number, entry) for number, entry in enumerate(listed)]
+    entries = [_read_entry(number, entry) for number, entry in enumerate(endpoints)]
     for record, zone, kind in entries:
         endpoint = record.endpoint
         endpoint.number = names.server(record.name)
@@ -242,7 +247,7 @@
             kind=0,
             cell=int(entry.get("group") or 0),
             # An endpoint with a status that this version does not know gets no new requests.
-            state=STATES.get(entry["status"], State.DRAINING),
+            state=STATE_BY_STATUS.get(entry["status"], State.DRAINING),
             weight=float(entry.get("weight", 1.0)),
             started_ns=since_ms * NS_PER_MS,
         )
@@ -263,7 +268,7 @@
     try:
         _field({"since_ms": entry.get("since_ms") or 0}, "since_ms", int, "milliseconds", where)
         _field({"group": entry.get("group") or 0}, "group", int, "an integer", where)
-        _field(entry, "status", STATES.get, "a text", where)
+        _field(entry, "status", STATE_BY_STATUS.get, "a text", where)
         _field({"weight": entry.get("weight", 1.0)}, "weight", float, "a number", where)
         _field(entry, "name", str, "a text", where)
         _field(entry, "address", split_address, "host:port", where)
@@ -275,6 +280,18 @@
 def _field(
     data: dict[str, Any], key: str, convert: Callable[[Any], _Value], expected: str, where: str = ""
 ) -> _Value:
+    """Return the converted value of a key.
+
+    Args:
+        data: Object that was decoded from JSON.
+        key: Key of the value.
+        convert: Conversion of the value, which raises one of `_UNREADABLE` if the value is invalid.
+        expected: Description of the valid values.
+        where: Prefix of the key in the error.
+
+    Raises:
+        EndpointListError: The value is missing or invalid.
+    """
     try:
         return convert(data[key])
     except _UNREADABLE:
--- a/dykefold/net/discovery/list_source.py
+++ b/dykefold/net/discovery/list_source.py
@@ -28,7 +28,7 @@
 
     Attributes:
         host: Host and port as text, which names the source.
-        accepted: Number of answers that have been accepted.
+        answer_count: Number of answers that have been accepted.
         calls: Connections of the calls.
     """
 
@@ -38,7 +38,7 @@
         self.address = address
         self.host = f"{address[0]}:{address[1]}"
         self.version = version
-        self.accepted = 0
+        self.answer_count = 0
         # The calls have their own allowance: the limit on connections to endpoints must not block them.
         allowance, memory = DescriptorAllowance(DISCOVERY_CONNECTIONS), MemoryBudget(MAX_CALL_MEMORY_BYTES)
         self.calls = ConnectionPool(
@@ -46,12 +46,12 @@
         )
         self.calls.update(DISCOVERY_NUMBER, address, 0, State.READY)
 
-    def in_order(self, update: EndpointUpdate, accepted: int) -> EndpointUpdate:
+    def check_order(self, update: EndpointUpdate, answer_count: int) -> EndpointUpdate:
         """Check the order of an answer, since the answers of parallel calls may arrive in any order.
 
         Args:
             update: Answer of a call.
-            accepted: Number of answers that had been accepted when the call was made.
+            answer_count: Value of the attribute when the call was made.
 
         Returns:
             The update; an empty one if a newer answer to another call was accepted meanwhile.
@@ -65,14 +65,16 @@
                     field="snapshot", value=update.complete, expected="true: the whole list comes first"
                 )
         elif update.version < self.version:
-            if accepted != self.accepted:
+            if answer_count != self.answer_count:
                 return EndpointUpdate(self.version, False, [])
             if not update.complete:
-                known, self.version = self.version, None
-                raise EndpointListError(field="index", value=update.version, expected=f"{known} or more")
+                known_version, self.version = self.version, None
+                raise EndpointListError(
+                    field="index", value=update.version, expected=f"{known_version} or more"
+                )
         return update
 
     def accept(self, update: EndpointUpdate) -> None:
         """Record that this update is part of the list from now on."""
         self.version = update.version
-        self.accepted += 1
+        self.answer_count += 1
--- a/dykefold/net/start_times.py
+++ b/dykefold/net/start_times.py
@@ -111,6 +111,15 @@
     def _slow_start_ns(
         self, now_ns: int, behind_ns: int, name: str, started_ns: int, max_age_ns: int | None
     ) -> int:
+        """Return the time at which the slow start of an endpoint begins, and remember it.
+
+        Args:
+            now_ns: Present time on the scale of `Clock`, in nanoseconds.
+            behind_ns: Nanoseconds by which this machine's clock is behind.
+            name: Name of the endpoint.
+            started_ns: Start as the list states it, in nanoseconds.
+            max_age_ns: Greatest plausible age of a new start in nanoseconds; None if every age is plausible.
+        """
         known = self.known.pop(name, None)
         if known is None or known[0] != started_ns:
             age_ns = now_ns + behind_ns - started_ns
@@ -131,13 +140,13 @@
         ):
             return
         self.rejection_logged_ns = now_ns
-        max_age = "any age" if max_age_ns is None else f"{max_age_ns / NS_PER_S:.1f} s"
+        max_age_text = "any age" if max_age_ns is None else f"{max_age_ns / NS_PER_S:.1f} s"
         log.warning(
             "since_ms of %s makes it %.3f s old, expected 0 to %s: the clocks disagree, or the list is late; "
             "its slow start counts from now",
             name,
             age_ns / NS_PER_S,
-            max_age,
+            max_age_text,
         )
 
 
--- a/tests/sim/mutants.py
+++ b/tests/sim/mutants.py
@@ -200,7 +200,7 @@
     Mutant(
         "after an answer nobody calls again",
         "net/discovery/client.py",
-        "            if watch_round == self.watch_round:\n                self._schedule_call(wait_s)\n",
+        "            if watch_round == self.watch_round:\n                self._schedule_call(delay_s)\n",
         "            pass\n",
         "coldstart",
     ),
