--- a/dykefold/net/downstream/connection.py
+++ b/dykefold/net/downstream/connection.py
@@ -1,8 +1,8 @@
 """A client's connection: its parts, its lifecycle, and the dispatch of requests in order.
 
-The parts know nothing of each other: `RequestReader` turns bytes into items, `ResponseWriter` turns responses
-into bytes, and `ConnectionLifecycle` has the stage of the connection. The connection serves one item after
-another, gives its response to the writer, and closes.
+`RequestReader` turns bytes into items, and `ResponseWriter` turns responses into bytes; neither knows the
+other. `ConnectionLifecycle` has the stage of the connection. The connection serves one item after another,
+gives the responses to the writer, and closes.
 
 | state of the output | fields | next |
 | --- | --- | --- |
@@ -181,7 +181,16 @@
                 while waiting and self.current is None and not writer.unread and stage.state is not CLOSED:
                     item = waiting.popleft()
                     if isinstance(item, ParsedRequest):
-                        self._serve(item)
+                        rejection: tuple[int, bytes, bytes] | None
+                        if item.upload is not None and (problem := item.upload.problem) is not None:
+                            rejection = (problem[0], b"", problem[1])
+                        else:
+                            rejection = self.handler.admit(self, item)
+                        if rejection is None:
+                            self.current = item
+                            self.handler.accept(self, item)
+                        else:
+                            self._answer_rejected(item, *rejection)
                     elif isinstance(item, RequestError):
                         keep_alive = item.keep_alive and not self.assembler.discarding_input
                         self._respond(item.code, b"", f"{item}\n".encode(), keep_alive, item.head)
@@ -193,22 +202,10 @@
             self.reader.resume()
         self.handler.clients.update(self)
 
-    def _serve(self, request: ParsedRequest) -> None:
-        """Give a request to the handler, or answer it if it is not admitted."""
-        rejection: tuple[int, bytes, bytes] | None
-        upload = request.upload
-        if upload is not None and (problem := upload.problem) is not None:
-            rejection = (problem[0], b"", problem[1])
-        else:
-            rejection = self.handler.admit(self, request)
-        if rejection is None:
-            self.current = request
-            self.handler.accept(self, request)
-            return
-        code, headers, text = rejection
+    def _answer_rejected(self, request: ParsedRequest, code: int, headers: bytes, text: bytes) -> None:
+        """Answer a request that was not admitted."""
         self.assembler.release(request.size)
-        if upload is not None:
-            self._stop_upload(request)
+        self._stop_upload(request)
         self._respond(code, headers, text, request.keep_alive, request.profile is HttpProfile.HEAD)
 
     def _stop_upload(self, request: ParsedRequest) -> None:
