--- a/dykefold/net/service/pool.py
+++ b/dykefold/net/service/pool.py
@@ -36,7 +36,7 @@
 from ...balancer.settings import Settings
 from ...settings import Transport
 from ..clock import MS, SECOND
-from ..discovery.client import DiscoveryClient
+from ..discovery.client import DiscoveryClient, DiscoveryOrigin
 from ..discovery.codec import EndpointRecord, EndpointUpdate
 from ..downstream.request_parser import ParsedRequest
 from ..peers import Address
@@ -154,12 +154,10 @@
     def _discovery_client(self, address: Address) -> DiscoveryClient:
         return DiscoveryClient(
             self.loop,
-            address,
+            DiscoveryOrigin(address, self.version, pushed=not self.settings.poll_required),
             self.names,
-            self.version,
             self.on_update,
-            pushed=not self.settings.poll_required,
-            system=self.process.system,
+            self.process.system,
         )
 
     # Events and actions of the balancer
--- a/tests/net/test_deadline_propagation.py
+++ b/tests/net/test_deadline_propagation.py
@@ -34,7 +34,7 @@
 
 from dykefold.balancer.events import Status
 from dykefold.net.downstream.arrivals import MAX_MARKS, Arrivals
-from dykefold.net.downstream.request_reader import MAX_WAITING_REQUESTS
+from dykefold.net.downstream.request_assembler import MAX_WAITING_REQUESTS
 from dykefold.net.service.attempt import Attempt
 from dykefold.net.upstream.connection_pool import ConnectionPool
 
@@ -368,6 +368,6 @@
             arrivals.mark(now_ns, len(came_ns) - arrivals.read)
         elif arrivals.read < len(came_ns):
             first_ns = came_ns[arrivals.read]
-            assert arrivals.came_ns(live=False) <= first_ns
+            assert arrivals.arrival_ns(live=False) <= first_ns
             arrivals.read += min(size, len(came_ns) - arrivals.read)
     assert len(arrivals.marks) <= MAX_MARKS
