--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -48,7 +48,7 @@
     """The `Balancer` of a checkout, under a name of its own, on this tree's events, actions and settings.
 
     Raises:
-        FileNotFoundError: the checkout has no balancer, neither as a package nor as the one file that it was.
+        FileNotFoundError: The checkout has no balancer, neither as a package nor as one file.
     """
     folder, file = tree / "dykefold" / "balancer", tree / "dykefold" / "logic.py"
     module_name = f"dykefold.balancer_of_{name}"
--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -121,8 +121,8 @@
     """Send bad requests, each batch as soon as the last is answered; the sidecar's microseconds for each.
 
     Args:
-        running: the sidecar.
-        ahead: requests in a batch.
+        running: The running sidecar.
+        ahead: Number of requests in a batch.
     """
     batch = BAD_REQUEST * ahead
     target = ("127.0.0.1", running.port)
--- a/benchmarks/coldstart.py
+++ b/benchmarks/coldstart.py
@@ -26,7 +26,7 @@
     """How a fleet begins to ask.
 
     Attributes:
-        spread: whether the calls are spread over time.
+        spread: Whether the calls are spread over time.
         reported: Whether the sidecars report to each other what they observed.
     """
 
@@ -46,11 +46,11 @@
     """What all seeds showed together.
 
     Attributes:
-        worst_second: most calls in a second, as a part of the service's rate.
-        turned_away: calls that the service had no room for.
-        calls: all calls.
-        half_s: until half of the sidecars had their list, mean over the seeds.
-        all_s: until all had it, in the worst seed.
+        worst_second: Largest number of calls in a second, relative to the service's rate.
+        turned_away: Number of rejected calls.
+        calls: Number of calls.
+        half_s: Seconds until half of the sidecars had their list, mean over the seeds.
+        all_s: Seconds until all sidecars had it, in the worst seed.
     """
 
     worst_second: float = 0.0
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -47,12 +47,12 @@
     """What one run showed, per server; rates are per second of simulated time.
 
     Attributes:
-        made: connections accepted, per second.
-        open: connections that stand open at the end.
-        calls: of discovery, per second.
-        cold: the largest part of a cold server's budget that was spent; 1 is all of it.
-        served: part of all requests.
-        breaches: of the simulation's rules, in the whole run.
+        made: Connections accepted per second.
+        open: Number of open connections at the end.
+        calls: Calls of discovery per second.
+        cold: Largest used fraction of a cold server's budget.
+        served: Fraction of all requests that were served.
+        breaches: Violations of the simulation's rules in the whole run.
     """
 
     made: float
--- a/benchmarks/large_fleet.py
+++ b/benchmarks/large_fleet.py
@@ -158,11 +158,11 @@
     """What the days at two sizes differ in, and what they share.
 
     Attributes:
-        servers: that stand at a time.
-        times: as many servers as usual; each has that part of the usual cores.
-        members: sidecars.
-        push: lists are pushed to the sidecars; else they ask for them.
-        seed: of all draws.
+        servers: Number of servers at a time.
+        times: Factor on the number of servers; each has the usual cores divided by it.
+        members: Number of sidecars.
+        push: Whether lists are pushed to the sidecars; otherwise they poll.
+        seed: Seed of the random generator.
     """
 
     servers: int
@@ -177,14 +177,14 @@
     """One day at one size, while it is played.
 
     Attributes:
-        size: of the fleet.
-        truth: what the servers saw.
-        standing: the servers by place.
-        gone: those that were replaced.
-        lag_s: the latest that this process was.
-        waited_s: the longest that a sidecar waited for a core, in a second.
-        descriptors: the most that each sidecar held.
-        list_bytes: of lists that each sidecar was sent.
+        size: Size of the fleet.
+        truth: Record of the attempts at the servers.
+        standing: Present servers by place.
+        gone: Replaced servers.
+        lag_s: Largest lateness of this process in seconds.
+        waited_s: Longest time that a sidecar waited for a core within a second.
+        descriptors: Largest number of descriptors of each sidecar.
+        list_bytes: Bytes of lists sent to each sidecar.
     """
 
     size: Size
--- a/benchmarks/pools.py
+++ b/benchmarks/pools.py
@@ -54,8 +54,8 @@
     """What the rounds showed of one proxy.
 
     Attributes:
-        rates: requests served per second, one for each round.
-        memory_bytes: resident, at the end of the last round.
+        rates: Requests served per second, one figure for each round.
+        memory_bytes: Resident bytes at the end of the last round.
     """
 
     rates: list[float] = field(default_factory=list)
--- a/benchmarks/replay.py
+++ b/benchmarks/replay.py
@@ -52,9 +52,9 @@
     """A class that decides as this tree's balancer and compares each decision with the other's.
 
     Args:
-        other_type: the balancer of the other tree.
-        counts: gets the events by the names of their types.
-        differences: gets the first differences, a line each.
+        other_type: Balancer class of the other tree.
+        counts: Counter of the events, by name of their type; it is filled.
+        differences: List of the first differences, one line each; it is filled.
     """
 
     class Compared(Balancer):
--- a/benchmarks/turns.py
+++ b/benchmarks/turns.py
@@ -34,9 +34,9 @@
     """What hostile connections send.
 
     Attributes:
-        message: sent again and again, with a number in the place of its %x.
-        piece_bytes: written at once: 1, or the whole message.
-        connections: that send it.
+        message: Message that is sent repeatedly, with a number in place of %x.
+        piece_bytes: Bytes written at once: 1, or the complete message.
+        connections: Number of connections that send it.
     """
 
     message: bytes
@@ -68,10 +68,10 @@
     """Send a message on a connection of its own, wait for the answer's first byte, and begin again.
 
     Args:
-        port: of the sidecar.
-        kind: what to send.
-        until_s: when to end, on the monotonic clock.
-        number: of this connection, under 256; it keeps its messages apart from those of the others.
+        port: Port of the sidecar.
+        kind: Kind of messages to send.
+        until_s: Monotonic time in seconds at which to stop.
+        number: Number of this connection, below 256; it makes its messages distinct from those of the others.
     """
     while time.monotonic() < until_s:
         number += 1 << 8
--- a/benchmarks/view.py
+++ b/benchmarks/view.py
@@ -49,11 +49,11 @@
     """What a fleet does while nothing happens.
 
     Attributes:
-        span_s: how long it was watched.
-        datagrams: sent by a member in a second.
-        sent_bytes: sent by a member in a second.
-        suspected: claims that a live member is suspect.
-        gone: live members that were taken for gone.
+        span_s: Duration of the observation in seconds.
+        datagrams: Datagrams sent by a member per second.
+        sent_bytes: Bytes sent by a member per second.
+        suspected: Number of claims that a live member is suspect.
+        gone: Number of live members that were declared dead.
     """
 
     span_s: int
@@ -86,10 +86,11 @@
     """How the deaths of some members became known.
 
     Attributes:
-        whole: whether all observers held all dead for gone in the end.
-        noticed_s: from the deaths until an observer no longer held a dead member for alive, for each pair.
-        settled_s: from the deaths until all observers held all dead for gone.
-        datagrams: sent by a live member in a second of that time.
+        whole: Whether all observers had declared all dead members dead at the end.
+        noticed_s: Seconds from the deaths until an observer no longer considered a dead member alive, for
+            each pair.
+        settled_s: Seconds from the deaths until all observers had declared all dead members dead.
+        datagrams: Datagrams sent by a live member per second of that time.
     """
 
     whole: bool
--- a/dykefold/lab/fleet/rig.py
+++ b/dykefold/lab/fleet/rig.py
@@ -12,11 +12,12 @@
 from ..random_streams import generator
 from ..scenario import LoadTable, Scenario, ServerTable
 from .client import Client
+from .datagram_relay import Datagrams
 from .judge import Excuse
 from .measurements import LagMonitor
 from .member import Member, entry, settings
 from .membership_samples import MembershipSampler
-from .network import PORT, Datagrams, Link
+from .network import PORT, Link
 from .process import Process, StartError
 from .registry import DiscoveryConnection, Registry
 from .scenario import CLASSES, FleetScenario, FleetTable
--- a/standins/decision_world.py
+++ b/standins/decision_world.py
@@ -76,20 +76,20 @@
     """What a world is like; times in milliseconds.
 
     Attributes:
-        settings: over what the seed draws.
-        servers: endpoints in the list, more may come.
-        rate: requests a second, before surges.
-        service_ms: mean service time of an endpoint that holds one request.
-        slots: requests that an endpoint holds before it slows down.
-        fault_rate: part of the attempts that end by a drawn fault.
-        tick_ms: every event falls on a multiple of this; 0: anywhere.
-        streams: part of the requests whose body or answer flows.
-        fleet_view: whether the balancer is told of the other sidecars.
-        retunes: whether settings change on the way.
-        long_gaps: whether hours and days pass without a request.
-        peer_ms: mean time between messages of peers.
-        shifting_timeouts: whether clients change now and then how long they wait.
-        other_clock: whether starts are told on another clock than the balancer's.
+        settings: Settings that replace those that the seed draws.
+        servers: Number of endpoints in the list; more may be added.
+        rate: Requests per second before surges.
+        service_ms: Mean service time in milliseconds of an endpoint with one request.
+        slots: Number of requests that an endpoint serves at once before it slows down.
+        fault_rate: Fraction of the attempts that end by a random fault.
+        tick_ms: Every event falls on a multiple of this; 0 for any time.
+        streams: Fraction of the requests with a streamed body or answer.
+        fleet_view: Whether the balancer is informed of the other sidecars.
+        retunes: Whether settings change during the run.
+        long_gaps: Whether hours and days pass without a request.
+        peer_ms: Mean milliseconds between messages of peers.
+        shifting_timeouts: Whether clients sometimes change their timeouts.
+        other_clock: Whether starts are reported on another clock than the balancer's.
     """
 
     settings: Mapping[str, Any] = field(default_factory=dict)
--- a/tests/balancer/test_slow_start_whole_fleet.py
+++ b/tests/balancer/test_slow_start_whole_fleet.py
@@ -1,7 +1,7 @@
-"""What servers get of sidecars that begin together with all of them: no sidecar has an answer to go by.
+"""Slow start where sidecars and all servers start together, so that no sidecar has seen a response yet.
 
-The same model as in `test_slow_start_budget.py`, but no server is warm: the start of each is in the
-first list.
+The model is that of `test_slow_start_budget.py`, but no server is warm: the start time of each is in
+the first list.
 """
 
 import pytest
@@ -9,8 +9,8 @@
 
 SIDECARS = (1, 2, 5, 30, 200)
 SERVERS = 12
-FIRST_S = 1.0  # within this something has to be sent
-EARLY_S = 4.0  # and over this so much of what the servers can do by the settings:
+FIRST_S = 1.0  # at least one request has to be sent within this time
+EARLY_S = 4.0  # the span over which the share `EARLY_PART` of the servers' capacity has to be used
 EARLY_PART = 0.5
 
 
--- a/tests/fleet_helpers.py
+++ b/tests/fleet_helpers.py
@@ -22,10 +22,10 @@
     """Start all members of a fleet, and run until all know who is live.
 
     Args:
-        size: of the fleet.
-        seed: of all choices.
-        loss: fraction of the datagrams that get lost.
-        equal: run until all hold equal states as well.
+        size: Size of the fleet.
+        seed: Seed of the random generator.
+        loss: Fraction of the datagrams that are lost.
+        equal: Whether to run until all members have equal states as well.
     """
     world = Views(size, seed, loss)
     for number in range(size):
--- a/tests/lab/test_fleet_rig.py
+++ b/tests/lab/test_fleet_rig.py
@@ -11,8 +11,9 @@
 from typer.testing import CliRunner
 
 from dykefold.cli import app
+from dykefold.lab.fleet.datagram_relay import Datagrams
 from dykefold.lab.fleet.judge import cold_load
-from dykefold.lab.fleet.network import Datagrams, Link, free_block
+from dykefold.lab.fleet.network import Link, free_block
 from dykefold.lab.fleet.registry import DiscoveryConnection, Registry
 from dykefold.lab.fleet.scenario import FaultTable, FleetScenario, FleetTable, read_fleet
 from dykefold.service_config import ServiceError
--- a/tests/process_helpers.py
+++ b/tests/process_helpers.py
@@ -24,9 +24,9 @@
     """What the first play in time has shown; fails when the machine was late in every one.
 
     Args:
-        play_once: plays, checks what holds on a late machine too, and returns what was seen and why the
+        play_once: Plays, checks what must hold on a late machine too, and returns the result and why the
             play is void, None if it is not.
-        plays_most: a bound, so that a machine which is always late is a failure and no pass.
+        plays_most: Maximum number of plays, so that a machine which is always late is a failure and no pass.
     """
     reasons = []
     for _ in range(plays_most):
@@ -43,8 +43,8 @@
     """A scenario of the rig, played until the rig kept up with it.
 
     Args:
-        start_lag_most_s: that the rig may have been late before the load.
-        lost_if_late: whether requests may be lost in a play that is void for the rig's lateness.
+        start_lag_most_s: Maximum lateness of the rig before the load, in seconds.
+        lost_if_late: Whether requests may be lost in a play that is void for the rig's lateness.
     """
 
     def play_once():
--- a/tests/sim/test_simulation.py
+++ b/tests/sim/test_simulation.py
@@ -48,9 +48,9 @@
     """Fixed seeds of one world, and the minimum that each part of them has to meet.
 
     Attributes:
-        seeds: all seeds that are played.
-        part: seeds played by one test; heavy worlds have small parts, so that the cores share them.
-        minimum: by the name of a count, about half of what the poorest part met (runs repeat exactly).
+        seeds: All seeds that are played.
+        part: Number of seeds played by one test; small for heavy worlds, so that the cores share them.
+        minimum: Minimum by name of a count, about half of what the poorest part met (runs repeat exactly).
     """
 
     seeds: range
