--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -96,7 +96,7 @@
         made=sum(node.handshakes for node in nodes) / server_seconds,
         open=statistics.mean(open_connections),
         calls=running.registry.calls / server_seconds,
-        cold=running.rules.cold_most,
+        cold=running.rules.max_cold_budget_fraction,
         served=counts["served"] / max(counts["requests"], 1),
         breaches=len(breaches),
     )
--- a/benchmarks/large_fleet.py
+++ b/benchmarks/large_fleet.py
@@ -321,7 +321,7 @@
         waits: list[deque[float]] = [deque(maxlen=round(WAIT_OVER_S / SAMPLE_S)) for _ in members]
         while True:
             for number, member in enumerate(members):
-                self.descriptors[number] = max(self.descriptors[number], member.living[0].held()[0])
+                self.descriptors[number] = max(self.descriptors[number], member.living[0].resource_use()[0])
                 waits[number].append(_waited_s(member.living[0].pid))
                 self.waited_s = max(self.waited_s, waits[number][-1] - waits[number][0])
             due_s = loop.time() + SAMPLE_S
--- a/dykefold/lab/arrivals.py
+++ b/dykefold/lab/arrivals.py
@@ -11,22 +11,22 @@
 BURST_PART = 0.2  # of the time is a burst, where load is bursty
 
 
-def arrival_times(load: LoadTable, span_s: float, chance: np.random.Generator) -> np.ndarray:
+def arrival_times(load: LoadTable, span_s: float, generator: np.random.Generator) -> np.ndarray:
     """Times of arrivals from 0 to `span_s`, seconds, in order.
 
     A Poisson process whose rate may change, by thinning (Lewis and Shedler, 1979): candidates come at the
     highest rate, and one at time t is kept with probability rate(t) / highest.
     """
     highest = load.rate if load.kind == "poisson" else max(load.rate, load.peak)
-    count = chance.poisson(highest * span_s)
-    times = np.sort(chance.uniform(0.0, span_s, count))
+    count = generator.poisson(highest * span_s)
+    times = np.sort(generator.uniform(0.0, span_s, count))
     if load.kind == "poisson":
         return times
-    rates = _rates(load, span_s, times, chance)
-    return times[chance.uniform(0.0, highest, count) < rates]
+    rates = _rates(load, span_s, times, generator)
+    return times[generator.uniform(0.0, highest, count) < rates]
 
 
-def _rates(load: LoadTable, span_s: float, times: np.ndarray, chance: np.random.Generator) -> np.ndarray:
+def _rates(load: LoadTable, span_s: float, times: np.ndarray, generator: np.random.Generator) -> np.ndarray:
     if load.kind == "step":
         return np.where(times >= load.at_s, load.peak, load.rate)
     if load.kind == "ramp":
@@ -39,21 +39,21 @@
     edges, at_s, bursts = [0.0], 0.0, [False]
     while at_s < span_s:
         part = BURST_PART if bursts[-1] else 1 - BURST_PART
-        at_s += chance.exponential(load.period_s * part)
+        at_s += generator.exponential(load.period_s * part)
         edges.append(at_s)
         bursts.append(not bursts[-1])
     inside = np.searchsorted(edges, times, side="right") - 1
     return np.where(np.array(bursts)[inside], load.peak, quiet)
 
 
-def service_times(table: ServiceTable, count: int, chance: np.random.Generator) -> np.ndarray:
+def service_times(table: ServiceTable, count: int, generator: np.random.Generator) -> np.ndarray:
     """So many service times on a core of speed 1, seconds; each kind has the mean that the table states."""
     mean_s = table.mean_ms / 1000.0
     if table.kind == "constant":
         return np.full(count, mean_s)
     if table.kind == "exponential":
-        return chance.exponential(mean_s, count)
+        return generator.exponential(mean_s, count)
     if table.kind == "lognormal":
-        return chance.lognormal(math.log(mean_s) - table.shape**2 / 2, table.shape, count)
-    least = mean_s * (table.shape - 1) / table.shape
-    return least * (1 + chance.pareto(table.shape, count))
+        return generator.lognormal(math.log(mean_s) - table.shape**2 / 2, table.shape, count)
+    minimum_s = mean_s * (table.shape - 1) / table.shape
+    return minimum_s * (1 + generator.pareto(table.shape, count))
--- a/dykefold/lab/fleet/member.py
+++ b/dykefold/lab/fleet/member.py
@@ -184,7 +184,7 @@
     async def watch(self) -> None:
         """Sample the descriptors and memory of its processes until cancelled."""
         while True:
-            used = [process.held() for process in self.living]
+            used = [process.resource_use() for process in self.living]
             descriptors = sum(descriptors for descriptors, _ in used)
             self.peak.see(descriptors, sum(memory_bytes for _, memory_bytes in used))
             await asyncio.sleep(SAMPLE_INTERVAL_S)
--- a/dykefold/lab/fleet/process.py
+++ b/dykefold/lab/fleet/process.py
@@ -16,7 +16,9 @@
 
 # Of earlier versions too: a rig may play one beside the other.
 LISTENS = re.compile(r"(?:listens at |accepts clients: name=.* address=)([\d.]+):(\d+)")
-DOOR = re.compile(r"(?:the door is at |admin API listens on |admin API listens: address=)([\d.]+):(\d+)")
+ADMIN_LISTENS = re.compile(
+    r"(?:the door is at |admin API listens on |admin API listens: address=)([\d.]+):(\d+)"
+)
 MAX_LOG_LINES = 400  # Latest lines of its log.
 START_TIMEOUT_S = 30.0  # Until it listens, while 200 processes start on few cores.
 EXTRA_DESCRIPTORS = 64  # Beyond the configured limit: interpreter, event loop, files.
@@ -25,7 +27,7 @@
     "import runpy, time; now = time.time_ns; time.time_ns = lambda: now() + {shift_ns}; "
     'runpy.run_module("dykefold", run_name="__main__")'
 )
-STATUS_LINE_WORDS = 2  # The version and the status code.
+MIN_STATUS_LINE_FIELDS = 2  # Version and status code.
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 Address = tuple[str, int]
@@ -76,7 +78,7 @@
     Attributes:
         lines: Latest lines of its log.
         address: Address at which it accepts clients; None before it does.
-        door: Address of its admin API; None before it listens there.
+        admin_address: Address of its admin API; None before it listens there.
         stopped: Whether it is paused.
     """
 
@@ -93,9 +95,9 @@
         self.descriptors = descriptors
         self.lines: deque[str] = deque(maxlen=MAX_LOG_LINES)
         self.address: Address | None = None
-        self.door: Address | None = None
+        self.admin_address: Address | None = None
         self.stopped = False
-        self._heard = asyncio.Event()
+        self._log_changed = asyncio.Event()
         self._ended = False
         self._child: asyncio.subprocess.Process | None = None
         self._reader: asyncio.Task[None] | None = None
@@ -153,13 +155,13 @@
             self.lines.append(line)
             if match := LISTENS.search(line):
                 self.address = match[1], int(match[2])
-            elif match := DOOR.search(line):
-                self.door = match[1], int(match[2])
-            self._heard.set()
+            elif match := ADMIN_LISTENS.search(line):
+                self.admin_address = match[1], int(match[2])
+            self._log_changed.set()
         self._ended = True
-        self._heard.set()
+        self._log_changed.set()
 
-    async def says(self, pattern: str, timeout_s: float = START_TIMEOUT_S) -> re.Match[str]:
+    async def wait_for_line(self, pattern: str, timeout_s: float = START_TIMEOUT_S) -> re.Match[str]:
         """Wait for a line of its log, past or future.
 
         Raises:
@@ -173,14 +175,14 @@
                             return match
                     if self._ended:
                         break
-                    self._heard.clear()
-                    await self._heard.wait()
+                    self._log_changed.clear()
+                    await self._log_changed.wait()
         last = "\n".join(list(self.lines)[-10:])
         raise StartError(pattern, last)
 
     async def listens(self) -> Address:
         """Wait until it accepts clients; return the address."""
-        await self.says(LISTENS.pattern)
+        await self.wait_for_line(LISTENS.pattern)
         assert self.address is not None
         return self.address
 
@@ -233,7 +235,7 @@
         self.kill()
         await self.ended()
 
-    def held(self) -> tuple[int, int]:
+    def resource_use(self) -> tuple[int, int]:
         """Return its number of descriptors and its resident bytes; zeros once it has ended."""
         try:
             descriptors = len(os.listdir(f"/proc/{self.pid}/fd"))
@@ -247,7 +249,7 @@
     """The admin API closed the connection without an answer."""
 
 
-async def call(door: Address, line: str, timeout_s: float = 5.0) -> int:
+async def call(admin_address: Address, line: str, timeout_s: float = 5.0) -> int:
     """Make one call of a process's admin API, and return the status code.
 
     Raises:
@@ -255,12 +257,12 @@
         TimeoutError: The answer does not come in time.
     """
     async with asyncio.timeout(timeout_s):
-        reader, writer = await asyncio.open_connection(*door)
+        reader, writer = await asyncio.open_connection(*admin_address)
         try:
-            writer.write(f"{line} HTTP/1.1\r\nHost: door\r\nContent-Length: 0\r\n\r\n".encode())
-            words = (await reader.read()).split()
+            writer.write(f"{line} HTTP/1.1\r\nHost: admin\r\nContent-Length: 0\r\n\r\n".encode())
+            fields = (await reader.read()).split()
         finally:
             writer.close()
-    if len(words) < STATUS_LINE_WORDS:
+    if len(fields) < MIN_STATUS_LINE_FIELDS:
         raise NoAnswerError
-    return int(words[1])
+    return int(fields[1])
--- a/dykefold/lab/fleet/upgrades.py
+++ b/dykefold/lab/fleet/upgrades.py
@@ -15,7 +15,7 @@
 from .client import Client, RequestEnd, all_requests, playing
 from .judge import Ban, Excuse, Verdict, judge
 from .member import LOOPBACK, Member, entry, settings
-from .process import DOOR, Process, call
+from .process import ADMIN_LISTENS, Process, call
 
 QUICK = ServiceTable(kind="exponential", mean_ms=4.0)
 CLASSES = {
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True)
-class World:
+class HotRestartRig:
     """One sidecar with its client and its servers.
 
     Attributes:
@@ -75,22 +75,22 @@
 
     # An upgrade's steps
 
-    async def says_yes(self, process: Process) -> None:
+    async def wait_until_ready(self, process: Process) -> None:
         """Wait until a process accepts clients.
 
         Raises:
             TimeoutError: It does not within `READY_TIMEOUT_S`.
         """
         async with asyncio.timeout(READY_TIMEOUT_S):
-            while not await self.takes(process):
+            while not await self.is_ready(process):
                 await asyncio.sleep(0.01)
 
-    async def takes(self, process: Process) -> bool:
+    async def is_ready(self, process: Process) -> bool:
         """Return whether a process answers at its admin API that it accepts clients."""
-        if process.door is None:
+        if process.admin_address is None:
             return False
         with contextlib.suppress(OSError, TimeoutError):
-            return await call(process.door, "GET /healthcheck", 0.5) == HTTP_OK
+            return await call(process.admin_address, "GET /healthcheck", 0.5) == HTTP_OK
         return False
 
     async def end(self, process: Process) -> None:
@@ -101,21 +101,21 @@
         """Start a newer process, and end the present one when the newer one is ready."""
         old = self.member.living[-1]
         new = await self.member.start()
-        await self.says_yes(new)
+        await self.wait_until_ready(new)
         await self.end(old)
         return new
 
     async def ban(self, process: Process, server: str) -> None:
         """Take a server out of service at a process's admin API."""
-        assert process.door is not None
-        assert await call(process.door, f"POST /servers/{server}/maint") == HTTP_OK
+        assert process.admin_address is not None
+        assert await call(process.admin_address, f"POST /servers/{server}/maint") == HTTP_OK
         self.bans.append(Ban(self.client.number, server, asyncio.get_running_loop().time() + GRACE_S))
 
     def served(self) -> int:
         """Return the number of served requests."""
         return sum(request.end is RequestEnd.SERVED for request in self.client.requests)
 
-    async def serves_on(self, more: int = 20, within_s: float = 10.0) -> None:
+    async def wait_for_responses(self, more: int = 20, within_s: float = 10.0) -> None:
         """Wait until `more` further requests were served.
 
         Raises:
@@ -128,7 +128,7 @@
 
 
 @contextlib.asynccontextmanager
-async def world(
+async def hot_restart_rig(
     folder: Path,
     rate: float = 150.0,
     new_share: float = 0.5,
@@ -137,7 +137,7 @@
     sockets: int = 512,
     seed: int = 1,
     trees: tuple[Path, ...] = (),
-) -> AsyncIterator[World]:
+) -> AsyncIterator[HotRestartRig]:
     """Run a sidecar under load during the block; load, processes and servers end with it.
 
     Args:
@@ -154,10 +154,10 @@
         [ServerTable("std", count=servers, cores=4)], CLASSES, LoadTable(rate=rate), seed=seed, span_s=60.0
     )
     truth = Truth()
-    made = {name: Server(scenario, name, truth) for name in scenario.server_names()}
-    for server in made.values():
+    servers_by_name = {name: Server(scenario, name, truth) for name in scenario.server_names()}
+    for server in servers_by_name.values():
         await server.listen()
-    listed = [entry(name, f"{LOOPBACK}:{server.port}", "a") for name, server in made.items()]
+    endpoints = [entry(name, f"{LOOPBACK}:{server.port}", "a") for name, server in servers_by_name.items()]
     data = {
         "name": "n0",
         "listen": f"{LOOPBACK}:0",
@@ -166,20 +166,20 @@
         "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": memory_mb, "sockets": sockets},
         "peers": [],
-        "known": {"index": 1, "snapshot": True, "endpoints": listed},
+        "known": {"index": 1, "snapshot": True, "endpoints": endpoints},
         "settings": settings(CLASSES, ["a", "b"]),
     }
     member = Member(0, folder, data)
     member.trees = trees or member.trees
-    desk = Client(0, CLASSES, rate, generator(seed, "desk"), new_share)
+    client = Client(0, CLASSES, rate, generator(seed, "desk"), new_share)
     watch: asyncio.Task[None] | None = None
     try:
-        desk.address = await member.begin()
+        client.address = await member.begin()
         watch = asyncio.get_running_loop().create_task(member.watch())
-        made_world = World(member, desk, made, truth)
-        async with playing([desk]):
-            await made_world.serves_on()
-            yield made_world
+        rig = HotRestartRig(member, client, servers_by_name, truth)
+        async with playing([client]):
+            await rig.wait_for_responses()
+            yield rig
     finally:
         if watch is not None:
             watch.cancel()
@@ -187,142 +187,142 @@
             if process.alive:
                 process.signal(signal.SIGCONT)
         await member.close()
-        for server in made.values():
+        for server in servers_by_name.values():
             if server.listening is not None:
                 server.listening.close()
 
 
-Fault = Callable[[World], Awaitable[None]]
+Fault = Callable[[HotRestartRig], Awaitable[None]]
 
 
-async def alone(it: World) -> None:
+async def alone(rig: HotRestartRig) -> None:
     """No fault."""
-    await it.upgrade()
+    await rig.upgrade()
 
 
-async def new_killed_before_yes(it: World) -> None:
+async def new_killed_before_ready(rig: HotRestartRig) -> None:
     """The newer process is killed before it is ready."""
-    new = await it.member.start()
-    await new.says(DOOR.pattern)
-    it.kill(new)
+    new = await rig.member.start()
+    await new.wait_for_line(ADMIN_LISTENS.pattern)
+    rig.kill(new)
 
 
-async def new_killed_at_yes(it: World) -> None:
+async def new_killed_when_ready(rig: HotRestartRig) -> None:
     """The newer process is killed when it is ready."""
-    new = await it.member.start()
-    await it.says_yes(new)
-    it.kill(new)
+    new = await rig.member.start()
+    await rig.wait_until_ready(new)
+    rig.kill(new)
 
 
-async def new_killed_after_yes(it: World) -> None:
+async def new_killed_after_serving(rig: HotRestartRig) -> None:
     """The newer process is killed after it has served."""
-    new = await it.member.start()
-    await it.says_yes(new)
-    await it.serves_on(60)
-    it.kill(new)
+    new = await rig.member.start()
+    await rig.wait_until_ready(new)
+    await rig.wait_for_responses(60)
+    rig.kill(new)
 
 
-async def new_stopped_before_yes(it: World) -> None:
+async def new_stopped_before_ready(rig: HotRestartRig) -> None:
     """The newer process is paused before it is ready."""
-    old, new = it.member.living[-1], await it.member.start()
-    await new.says(DOOR.pattern)
-    await it.stop(new)
-    await it.says_yes(new)
-    await it.end(old)
+    old, new = rig.member.living[-1], await rig.member.start()
+    await new.wait_for_line(ADMIN_LISTENS.pattern)
+    await rig.stop(new)
+    await rig.wait_until_ready(new)
+    await rig.end(old)
 
 
-async def new_stopped_at_yes(it: World) -> None:
+async def new_stopped_when_ready(rig: HotRestartRig) -> None:
     """The newer process is paused when it is ready."""
-    old, new = it.member.living[-1], await it.member.start()
-    await it.says_yes(new)
-    await it.stop(new)
-    await it.end(old)
+    old, new = rig.member.living[-1], await rig.member.start()
+    await rig.wait_until_ready(new)
+    await rig.stop(new)
+    await rig.end(old)
 
 
-async def new_stopped_after_yes(it: World) -> None:
+async def new_stopped_after_serving(rig: HotRestartRig) -> None:
     """The newer process is paused after it has served."""
-    old, new = it.member.living[-1], await it.member.start()
-    await it.says_yes(new)
-    await it.serves_on(60)
-    await it.stop(new)
-    await it.end(old)
+    old, new = rig.member.living[-1], await rig.member.start()
+    await rig.wait_until_ready(new)
+    await rig.wait_for_responses(60)
+    await rig.stop(new)
+    await rig.end(old)
 
 
-async def new_stopped_while_old_ends(it: World) -> None:
+async def new_stopped_while_old_ends(rig: HotRestartRig) -> None:
     """The newer process is paused while the older one shuts down."""
-    old, new = it.member.living[-1], await it.member.start()
-    await it.says_yes(new)
-    await asyncio.gather(it.end(old), it.stop(new))
+    old, new = rig.member.living[-1], await rig.member.start()
+    await rig.wait_until_ready(new)
+    await asyncio.gather(rig.end(old), rig.stop(new))
 
 
-async def old_told_to_end_before_yes(it: World) -> None:
+async def old_terminated_before_new_ready(rig: HotRestartRig) -> None:
     """The older process is terminated before the newer one is ready."""
-    old, new = it.member.living[-1], await it.member.start()
-    await new.says(DOOR.pattern)
+    old, new = rig.member.living[-1], await rig.member.start()
+    await new.wait_for_line(ADMIN_LISTENS.pattern)
     old.terminate()
-    await it.says_yes(new)
-    await it.end(old)
+    await rig.wait_until_ready(new)
+    await rig.end(old)
 
 
-async def new_told_to_end_after_yes(it: World) -> None:
+async def new_terminated_when_ready(rig: HotRestartRig) -> None:
     """The newer process is terminated after it is ready: the older one serves again."""
-    new = await it.member.start()
-    await it.says_yes(new)
-    await it.end(new)
+    new = await rig.member.start()
+    await rig.wait_until_ready(new)
+    await rig.end(new)
 
 
-async def old_killed_while_it_ends(it: World) -> None:
+async def old_killed_while_it_ends(rig: HotRestartRig) -> None:
     """The older process is killed during its graceful shutdown."""
-    old, new = it.member.living[-1], await it.member.start()
-    await it.says_yes(new)
+    old, new = rig.member.living[-1], await rig.member.start()
+    await rig.wait_until_ready(new)
     old.terminate()
-    await old.says(SHUTDOWN_LINE)
-    it.kill(old)
+    await old.wait_for_line(SHUTDOWN_LINE)
+    rig.kill(old)
 
 
-async def old_stopped_while_it_ends(it: World) -> None:
+async def old_stopped_while_it_ends(rig: HotRestartRig) -> None:
     """The older process is paused during its graceful shutdown until it is killed."""
-    old, new = it.member.living[-1], await it.member.start()
-    await it.says_yes(new)
+    old, new = rig.member.living[-1], await rig.member.start()
+    await rig.wait_until_ready(new)
     old.terminate()
-    await old.says(SHUTDOWN_LINE)
-    await it.stop(old, KILL_S)
-    it.kill(old)
+    await old.wait_for_line(SHUTDOWN_LINE)
+    await rig.stop(old, KILL_S)
+    rig.kill(old)
 
 
-async def old_stopped_at_the_start(it: World) -> None:
+async def old_stopped_at_the_start(rig: HotRestartRig) -> None:
     """The older process is paused while the newer one starts."""
-    old = it.member.living[-1]
-    begin = asyncio.get_running_loop().create_task(it.stop(old))
-    new = await it.member.start()
-    await it.says_yes(new)
+    old = rig.member.living[-1]
+    begin = asyncio.get_running_loop().create_task(rig.stop(old))
+    new = await rig.member.start()
+    await rig.wait_until_ready(new)
     await begin
-    await it.serves_on()
-    await it.end(old)
+    await rig.wait_for_responses()
+    await rig.end(old)
 
 
-async def three_at_once(it: World) -> None:
+async def three_at_once(rig: HotRestartRig) -> None:
     """A second upgrade before the first has ended."""
-    first = it.member.living[-1]
-    second = await it.member.start()
-    await it.says_yes(second)
-    third = await it.member.start()
+    first = rig.member.living[-1]
+    second = await rig.member.start()
+    await rig.wait_until_ready(second)
+    third = await rig.member.start()
     first.terminate()
-    await it.says_yes(third)
-    await asyncio.gather(it.end(first), it.end(second))
+    await rig.wait_until_ready(third)
+    await asyncio.gather(rig.end(first), rig.end(second))
 
 
 FAULTS: dict[str, Fault] = {
     "alone": alone,
-    "new killed before its yes": new_killed_before_yes,
-    "new killed at its yes": new_killed_at_yes,
-    "new killed after its yes": new_killed_after_yes,
-    "new stopped before its yes": new_stopped_before_yes,
-    "new stopped at its yes": new_stopped_at_yes,
-    "new stopped after its yes": new_stopped_after_yes,
+    "new killed before it is ready": new_killed_before_ready,
+    "new killed when it is ready": new_killed_when_ready,
+    "new killed after it has served": new_killed_after_serving,
+    "new stopped before it is ready": new_stopped_before_ready,
+    "new stopped when it is ready": new_stopped_when_ready,
+    "new stopped after it has served": new_stopped_after_serving,
     "new stopped while the old one ends": new_stopped_while_old_ends,
-    "old told to end before the new one's yes": old_told_to_end_before_yes,
-    "new told to end after its yes": new_told_to_end_after_yes,
+    "old terminated before the new one is ready": old_terminated_before_new_ready,
+    "new terminated when it is ready": new_terminated_when_ready,
     "old killed while it ends": old_killed_while_it_ends,
     "old stopped while it ends": old_stopped_while_it_ends,
     "old stopped at the start": old_stopped_at_the_start,
@@ -351,8 +351,8 @@
     folder: Path, fault: str, upgrades: int, seed: int = 1, trees: tuple[Path, ...] = ()
 ) -> Row:
     """Play one kind of hot restart repeatedly under load, each from a sidecar of one process."""
-    async with world(folder, seed=seed, trees=trees) as it:
+    async with hot_restart_rig(folder, seed=seed, trees=trees) as rig:
         for _ in range(upgrades):
-            await FAULTS[fault](it)
-            await it.serves_on()
-    return Row(upgrades, it.verdict(), it.member.peak.memory_bytes / 2**20, it.member.peak.descriptors)
+            await FAULTS[fault](rig)
+            await rig.wait_for_responses()
+    return Row(upgrades, rig.verdict(), rig.member.peak.memory_bytes / 2**20, rig.member.peak.descriptors)
--- a/dykefold/lab/judge.py
+++ b/dykefold/lab/judge.py
@@ -99,13 +99,13 @@
             if arrival["began_s"] is not None:
                 runs.setdefault(arrival["ident"], []).append((arrival["began_s"], server))
     found = []
-    for ident, places in runs.items():
+    for ident, executions in runs.items():
         effect, window_s = classes[ident].effect, classes[ident].window_ms / 1000
-        if len(places) == 1 or effect == "safe":
+        if len(executions) == 1 or effect == "safe":
             continue
-        if effect == "unsafe" or max(places)[0] - min(places)[0] > window_s:
-            where = ", ".join(f"{server} at {at:.3f} s" for at, server in sorted(places))
-            found.append(f"{ident} ({effect}) ran {len(places)} times: {where}")
+        if effect == "unsafe" or max(executions)[0] - min(executions)[0] > window_s:
+            where = ", ".join(f"{server} at {at:.3f} s" for at, server in sorted(executions))
+            found.append(f"{ident} ({effect}) ran {len(executions)} times: {where}")
     for report in reports:
         for name, entry in report["classes"].items():
             found += [f"{ident} was served and never ran" for ident in entry["served"] if ident not in runs]
--- a/dykefold/lab/process.py
+++ b/dykefold/lab/process.py
@@ -15,11 +15,11 @@
 
 # The first form is that of earlier versions: `tree` may name a checkout of one.
 LISTENS = re.compile(rb"(?:listens at |accepts clients: name=.* address=)[\d.]+:(\d+)")
-LINES_KEPT = 50  # of its log: what it said last, if it ends before its time
+MAX_LOG_LINES = 50  # latest lines of the log, for the error message
 
 
 class StartError(Exception):
-    """The program ended before it listened; the text has what it said."""
+    """The program ended before it listened; the text has its last log lines."""
 
 
 @dataclass(slots=True)
@@ -28,7 +28,7 @@
 
     port: int
     process: subprocess.Popen[bytes]
-    said: deque[bytes] = field(default_factory=deque)
+    log_lines: deque[bytes] = field(default_factory=deque)
 
 
 @contextlib.contextmanager
@@ -55,26 +55,26 @@
         stderr=subprocess.PIPE,
         preexec_fn=first,
     )
-    said: deque[bytes] = deque(maxlen=LINES_KEPT)
-    told = threading.Event()
+    log_lines: deque[bytes] = deque(maxlen=MAX_LOG_LINES)
+    port_known = threading.Event()
     ports: list[int] = []
 
     def read() -> None:
         assert process.stderr is not None
         for line in process.stderr:
-            said.append(line)
+            log_lines.append(line)
             if not ports and (match := LISTENS.search(line)):
                 ports.append(int(match[1]))
-                told.set()
-        told.set()
+                port_known.set()
+        port_known.set()
 
     reader = threading.Thread(target=read, daemon=True)
     reader.start()
     try:
-        told.wait()
+        port_known.wait()
         if not ports:
-            raise StartError(f"the sidecar ended before it listened: {b''.join(said).decode()}")
-        yield Listening(ports[0], process, said)
+            raise StartError(f"the sidecar ended before it listened: {b''.join(log_lines).decode()}")
+        yield Listening(ports[0], process, log_lines)
     finally:
         process.kill()
         process.wait()
--- a/dykefold/sim/clients.py
+++ b/dykefold/sim/clients.py
@@ -138,11 +138,13 @@
         self.connections: dict[ClientConnection, None] = {}
         self.silent: list[SimSocket] = []
         for arrival in arrivals:
-            world.kernel.at(arrival.at_ns, self.loop.wake, self._ask, arrival, f"{arrival.number:x}", False)
+            world.kernel.at(
+                arrival.at_ns, self.loop.wake, self._send_request, arrival, f"{arrival.number:x}", False
+            )
 
     # Requests
 
-    def _ask(self, arrival: Arrival, ident: str, retry: bool) -> None:
+    def _send_request(self, arrival: Arrival, ident: str, retry: bool) -> None:
         due_ns = self.world.kernel.now_ns + arrival.deadline_ms * MS
         connection = self._pick_connection(pipelined=arrival.pipelined and not retry)
         if connection is not None:
@@ -304,7 +306,7 @@
             self.loop.call_later(wait_s, self._retry, request)
 
     def _retry(self, request: OpenRequest) -> None:
-        self._ask(request.arrival, request.ident + RETRY_MARK, True)
+        self._send_request(request.arrival, request.ident + RETRY_MARK, True)
 
     def cut_short(self, request: OpenRequest) -> None:
         """A connection has ended in the middle of the answer to this request."""
--- a/dykefold/sim/kernel.py
+++ b/dykefold/sim/kernel.py
@@ -30,8 +30,8 @@
     never shifts the draws of another.
     """
     key = [name if isinstance(name, int) else int.from_bytes(name.encode(), "little") for name in names]
-    words = np.random.SeedSequence([seed, *key]).generate_state(4)
-    return random.Random(int.from_bytes(words.tobytes(), "little"))
+    state = np.random.SeedSequence([seed, *key]).generate_state(4)
+    return random.Random(int.from_bytes(state.tobytes(), "little"))
 
 
 class Kernel:
--- a/dykefold/sim/minimise.py
+++ b/dykefold/sim/minimise.py
@@ -59,20 +59,20 @@
     items: Sequence[Item], fails: Callable[[tuple[Item, ...]], bool], budget: DescriptorBudget
 ) -> tuple[Item, ...]:
     """Return the items without those that are not needed for the failure, as far as the budget goes."""
-    kept = tuple(items)
+    remaining = tuple(items)
     parts = 2
-    while kept and budget.left > 0:
-        size = -(-len(kept) // parts)
-        for begin in range(0, len(kept), size):
-            rest = kept[:begin] + kept[begin + size :]
+    while remaining and budget.left > 0:
+        size = -(-len(remaining) // parts)
+        for begin in range(0, len(remaining), size):
+            rest = remaining[:begin] + remaining[begin + size :]
             budget.left -= 1
             if fails(rest):
-                kept, parts = rest, max(parts - 1, 2)
+                remaining, parts = rest, max(parts - 1, 2)
                 break
             if budget.left <= 0:
-                return kept
+                return remaining
         else:
             if size == 1:
-                return kept
-            parts = min(parts * 2, len(kept))
-    return kept
+                return remaining
+            parts = min(parts * 2, len(remaining))
+    return remaining
--- a/dykefold/sim/process_checks.py
+++ b/dykefold/sim/process_checks.py
@@ -20,9 +20,9 @@
         found.append(f"message memory {memory.reserved_bytes} of {memory.capacity_bytes}")
     if not 0 <= budget.reservations <= budget.upstreams.limit:
         found.append(f"claims {budget.reservations} of {budget.upstreams.limit}")
-    held = sum(len(pool.upstreams.connections) for pool in server.pools)
-    if budget.upstreams.in_use != held:
-        found.append(f"connections to servers counted as {budget.upstreams.in_use}, there are {held}")
+    connections = sum(len(pool.upstreams.connections) for pool in server.pools)
+    if budget.upstreams.in_use != connections:
+        found.append(f"connections to servers counted as {budget.upstreams.in_use}, there are {connections}")
     if len(open_sockets) > MAX_DESCRIPTORS:
         found.append(f"{len(open_sockets)} descriptors of {MAX_DESCRIPTORS}")
     for pool in server.pools:
@@ -81,9 +81,11 @@
         if len(processes) <= 1:
             return
         name = processes[0].name
-        held = sum(len(self.network.open[process.process]) for process in processes)
-        if held > MAX_DESCRIPTORS:
-            self.rules.report(now_ns, "bounds", f"{name}: {held} descriptors of {MAX_DESCRIPTORS} in all")
+        descriptors = sum(len(self.network.open[process.process]) for process in processes)
+        if descriptors > MAX_DESCRIPTORS:
+            self.rules.report(
+                now_ns, "bounds", f"{name}: {descriptors} descriptors of {MAX_DESCRIPTORS} in all"
+            )
         servers = [process.server for process in processes if process.server is not None]
         serving = [server for server in servers if server.listener is not None]
         claimed = sum(server.max_descriptors for server in serving)
--- a/dykefold/sim/registry.py
+++ b/dykefold/sim/registry.py
@@ -18,7 +18,7 @@
 PORT = 8500
 DELAY_MS = (50.0, 900.0)  # From a change of a server to the list that contains it.
 STALE_RETRY_NS = 100 * MS  # Between two attempts to change a stale list.
-KEPT_CHANGES = 50
+MAX_CHANGES = 50  # Latest changes, kept for partial lists.
 WHOLE_LIST_SHARE = 0.1  # Fraction of the answers that are complete lists although the changes would do.
 ABORT_SHARE = 0.5  # Fraction of the calls that are reset during an outage; the others get no answer.
 ANSWERED_ABOVE = 0.8  # Draws above this are answered, at an overbooked registry.
@@ -161,7 +161,7 @@
             self.entries[entry["name"]] = entry
         self.version += 1
         self.changes.append((self.version, entry))
-        del self.changes[:-KEPT_CHANGES]
+        del self.changes[:-MAX_CHANGES]
         for connection, after in list(self.watchers.items()):
             self._answer(connection, after)
 
--- a/dykefold/sim/rules.py
+++ b/dykefold/sim/rules.py
@@ -33,10 +33,11 @@
 
     Attributes:
         traces: Traces of the requests, by the id that a client gave.
-        told_to_leave: (sidecar, server) -> since when a list says that it gets nothing new.
+        draining_since_ns: (sidecar, server) -> when a list first said that it gets nothing new.
         taken_out: Time since when operators have taken a server out, by sidecar and server.
         known_starts: The `since_ms` of which a sidecar was last notified, by sidecar and server.
-        cold_most: Largest fraction of a cold server's budget used by sidecars that knew of its start.
+        max_cold_budget_fraction: Largest fraction of a cold server's budget used by sidecars that knew of
+            its start.
         arrivals: Time of each request at a server, and whether its sender knew of the start, by server.
     """
 
@@ -55,11 +56,11 @@
         self.violations: list[Violation] = []
         self.traces: dict[str, RequestTrace] = {}
         self.idents_by_age: deque[tuple[int, str]] = deque()
-        self.told_to_leave: dict[tuple[str, str], int] = {}
+        self.draining_since_ns: dict[tuple[str, str], int] = {}
         self.taken_out: dict[tuple[str, str], int] = {}
         self.known_starts: dict[tuple[str, str], int] = {}
         self.warm_ups: dict[str, WarmUp] = {}
-        self.cold_most = 0.0
+        self.max_cold_budget_fraction = 0.0
         self.arrivals: dict[str, deque[tuple[int, bool]]] = {}
         self.counts = dict.fromkeys(COUNTS, 0)
 
@@ -89,7 +90,7 @@
         if code == HTTP_OK:
             self.counts["served"] += 1
             name, _, server = body.partition(" ")
-            if name != ident or server not in [place for place, _ in trace.effects]:
+            if name != ident or server not in [server_name for server_name, _ in trace.effects]:
                 self.report(at_ns, "own answer", f"{ident} was answered with {body!r}")
         elif code in HTTP_REFUSED:
             self.counts["refused"] += 1
@@ -225,7 +226,7 @@
 
     def _check_drains(self, start: AttemptStart) -> None:
         key = (start.sidecar, start.server)
-        notified = [known.get(key) for known in (self.told_to_leave, self.taken_out)]
+        notified = [known.get(key) for known in (self.draining_since_ns, self.taken_out)]
         since_ns = min((at_ns for at_ns in notified if at_ns is not None), default=None)
         if since_ns is None:
             return
@@ -243,8 +244,8 @@
         self.counts["effects"] += 1
         trace.effects.append((server, at_ns))
         if self.classes[trace.class_number].effect is Effect.UNSAFE and len(trace.effects) > 1:
-            places = ", ".join(place for place, _ in trace.effects)
-            self.report(at_ns, "no effect twice", f"{ident} ran at {places}")
+            servers = ", ".join(server_name for server_name, _ in trace.effects)
+            self.report(at_ns, "no effect twice", f"{ident} ran at {servers}")
 
     # Servers
 
@@ -255,9 +256,9 @@
         key = (sidecar, server)
         self.known_starts[key] = since_ms
         if takes_new:
-            self.told_to_leave.pop(key, None)
+            self.draining_since_ns.pop(key, None)
         else:
-            self.told_to_leave.setdefault(key, at_ns)
+            self.draining_since_ns.setdefault(key, at_ns)
 
     def maintenance_changed(self, at_ns: int, sidecar: str, server: str, taken_out: bool) -> None:
         """Operators have taken a server out at a sidecar, or put it back."""
@@ -268,7 +269,7 @@
 
     def sidecar_restarted(self, sidecar: str) -> None:
         """A sidecar has begun anew: it knows what it is given, and was notified of nothing."""
-        for known in (self.told_to_leave, self.known_starts):
+        for known in (self.draining_since_ns, self.known_starts):
             for key in [key for key in known if key[0] == sidecar]:
                 del known[key]
 
@@ -292,7 +293,7 @@
             return  # less than two thirds of it can be held against the sidecars
         duration_s = self.overload_ns / SECOND
         budget = self.overload_factor * warm_up.capacity(at_ns) * duration_s + WARM_UP_SLACK_REQUESTS
-        self.cold_most = max(self.cold_most, len(arrivals) / budget)
+        self.max_cold_budget_fraction = max(self.max_cold_budget_fraction, len(arrivals) / budget)
         if len(arrivals) > budget:
             what = f"{server} was sent {len(arrivals)} requests in {duration_s:.1f} s, {budget:.1f} at most"
             self.report(at_ns, "cold servers", what)
--- a/dykefold/sim/world.py
+++ b/dykefold/sim/world.py
@@ -218,15 +218,15 @@
     # Clocks
 
     def stamp_ms(self, node: Node) -> int:
-        """Return the start of a server, now, as the list will tell it.
+        """Return the start of a server, now, as the list will state it.
 
         Its own clock says it, or discovery's for every other server: which of them writes `since_ms` is the
         operators' affair, and either clock may be wrong.
         """
         host = node.name if _last_byte(node) % 2 else DISCOVERY_HOST
-        told_ms = self.network.wall_ns(host) // MS
-        self.true_start_of[node.name, told_ms] = (EPOCH_NS + self.kernel.now_ns) // MS
-        return told_ms
+        start_ms = self.network.wall_ns(host) // MS
+        self.true_start_of[node.name, start_ms] = (EPOCH_NS + self.kernel.now_ns) // MS
+        return start_ms
 
     def true_start_ms(self, entry: Entry) -> int:
         """Return when the start that an entry tells of truly was, whatever the clocks said."""
--- a/tests/cli/test_control.py
+++ b/tests/cli/test_control.py
@@ -1,4 +1,4 @@
-"""`dykefold control` against a real sidecar's door."""
+"""`dykefold control` against a real sidecar's admin API."""
 
 import asyncio
 import json
@@ -18,7 +18,9 @@
         async with Process(tmp_path / "c", data, TMPDIR=str(tmp_path)) as sidecar:
 
             async def call(*arguments):
-                return await asyncio.to_thread(play, "control", *arguments, "--at", f"{HOST}:{sidecar.door}")
+                return await asyncio.to_thread(
+                    play, "control", *arguments, "--at", f"{HOST}:{sidecar.admin_port}"
+                )
 
             done = await call("health")
             assert done.exit_code == 0
@@ -32,8 +34,8 @@
             assert told["code"] == 404
             assert not told["yes"]
             assert told["server"] == "nobody"
-            door = sidecar.door
-        done = await asyncio.to_thread(play, "control", "health", "--json", "--at", f"{HOST}:{door}")
+            admin_port = sidecar.admin_port
+        done = await asyncio.to_thread(play, "control", "health", "--json", "--at", f"{HOST}:{admin_port}")
         assert done.exit_code == 1
         assert json.loads(done.stdout)["code"] is None
 
--- a/tests/control/test_admin_server.py
+++ b/tests/control/test_admin_server.py
@@ -1,4 +1,4 @@
-"""The door over loopback sockets: calls, bad calls, callers that hold on, and what a ban does."""
+"""The admin API over loopback sockets: calls, bad calls, slow callers, and what a maintenance order does."""
 
 import asyncio
 import json
@@ -29,22 +29,22 @@
 
 
 class Operated(Sidecar):
-    """A sidecar with its door."""
+    """A sidecar with its admin API."""
 
     async def __aenter__(self):
         await super().__aenter__()
         sock = socket.create_server((HOST, 0), backlog=RESERVED_DESCRIPTORS)
-        self.door = AdminServer(self.server.loop, sock, AdminOperations(self.server))
-        self.door_port = self.door.address[1]
+        self.admin = AdminServer(self.server.loop, sock, AdminOperations(self.server))
+        self.admin_port = self.admin.address[1]
         return self
 
     async def __aexit__(self, *about):
-        self.door.close()
+        self.admin.close()
         await super().__aexit__(*about)
 
     async def call(self, line, *lines, body=b""):
-        reader, writer = await asyncio.open_connection(HOST, self.door_port)
-        head = "\r\n".join([f"{line} HTTP/1.1", "Host: door", *lines])
+        reader, writer = await asyncio.open_connection(HOST, self.admin_port)
+        head = "\r\n".join([f"{line} HTTP/1.1", "Host: admin", *lines])
         writer.write(head.encode() + b"\r\n\r\n" + body)
         async with asyncio.timeout(WAIT):
             got = await reader.read()  # one call to a connection: it ends behind the answer
@@ -184,7 +184,7 @@
     async def play():
         fakes = await two(answer_ok)
         async with Operated(tmp_path / "c", config(listed(*fakes))) as sidecar:
-            reader, writer = await asyncio.open_connection(HOST, sidecar.door_port)
+            reader, writer = await asyncio.open_connection(HOST, sidecar.admin_port)
             writer.write(data)
             assert int((await reader.readuntil(b"\r\n")).split()[1]) == code
             writer.close()
@@ -202,16 +202,16 @@
         async with Operated(tmp_path / "c", config(listed(*fakes))) as sidecar:
             held = []
             for number in range(3 * MAX_CONNECTIONS):
-                _, writer = await asyncio.open_connection(HOST, sidecar.door_port)
+                _, writer = await asyncio.open_connection(HOST, sidecar.admin_port)
                 writer.write(b"GET /health" if number % 2 else b"")
                 held.append(writer)
                 if number % 8 == 0:
                     assert await sidecar.call("GET /healthcheck") == 200
-            assert len(sidecar.door.connections) <= MAX_CONNECTIONS
+            assert len(sidecar.admin.connections) <= MAX_CONNECTIONS
             assert await sidecar.out("s0") == 200
             for writer in held:
                 writer.close()
-            await until(lambda: not sidecar.door.connections)
+            await until(lambda: not sidecar.admin.connections)
 
     run(play())
 
@@ -222,7 +222,7 @@
     async def play():
         fakes = await two(answer_ok)
         async with Operated(tmp_path / "c", config(listed(*fakes))) as sidecar:
-            reader, writer = await asyncio.open_connection(HOST, sidecar.door_port)
+            reader, writer = await asyncio.open_connection(HOST, sidecar.admin_port)
             assert (await reader.readline()).split()[1] == b"408"
             writer.close()
 
--- a/tests/control/test_background_writes.py
+++ b/tests/control/test_background_writes.py
@@ -64,15 +64,15 @@
 def test_while_a_sync_hangs_other_requests_are_served_within_100_ms(tmp_path):
     async def play():
         disk = HangingDisk()
-        async with serving(tmp_path, disk) as (_, door):
+        async with serving(tmp_path, disk) as (_, admin):
             disk.hangs = True
-            order = asyncio.ensure_future(call(door, "POST /servers/s0/maint"))
+            order = asyncio.ensure_future(call(admin, "POST /servers/s0/maint"))
             await until(lambda: disk.syncs)
             began = time.monotonic()
             served = []
             while len(served) < 5:
                 at = time.monotonic()
-                assert await call(door, "GET /healthcheck") == 200
+                assert await call(admin, "GET /healthcheck") == 200
                 served.append(time.monotonic() - at)
             assert time.monotonic() - began < HANG_S
             assert min(served) < 0.1
@@ -90,18 +90,18 @@
 
     async def play():
         disk = HangingDisk()
-        async with serving(tmp_path, disk) as (lifecycle, door):
+        async with serving(tmp_path, disk) as (lifecycle, admin):
             out = lifecycle.sidecar.pool.maintenance.out_of_service
             if first == "ready":
-                assert await call(door, "POST /servers/s0/maint") == 200
+                assert await call(admin, "POST /servers/s0/maint") == 200
             disk.hangs = True
             before = disk.syncs
-            orders = [asyncio.ensure_future(call(door, f"POST /servers/s0/{first}"))]
+            orders = [asyncio.ensure_future(call(admin, f"POST /servers/s0/{first}"))]
             await until(lambda: disk.syncs > before)
             assert out() == ["s0"]  # put back only once that is written
-            orders.append(asyncio.ensure_future(call(door, f"POST /servers/s0/{second}")))
+            orders.append(asyncio.ensure_future(call(admin, f"POST /servers/s0/{second}")))
             for _ in range(3):
-                assert await call(door, "GET /healthcheck") == 200
+                assert await call(admin, "GET /healthcheck") == 200
             assert not any(order.done() for order in orders)
             disk.go_on.set()
             assert await asyncio.gather(*orders) == [200, 200]
@@ -119,11 +119,11 @@
 
     async def play():
         disk = HangingDisk()
-        async with serving(tmp_path, disk) as (_, door):
+        async with serving(tmp_path, disk) as (_, admin):
             disk.hangs = True
-            assert await call(door, "POST /servers/s0/maint") == 500
+            assert await call(admin, "POST /servers/s0/maint") == 500
             disk.go_on.set()
-            assert await call(door, "POST /servers/s0/maint") == 200
+            assert await call(admin, "POST /servers/s0/maint") == 200
 
     run(play())
 
@@ -131,9 +131,9 @@
 def test_the_end_waits_for_what_was_taken_on_and_not_for_ever(tmp_path, monkeypatch):
     async def play():
         disk = HangingDisk()
-        async with serving(tmp_path, disk) as (lifecycle, door):
+        async with serving(tmp_path, disk) as (lifecycle, admin):
             disk.hangs = True
-            order = asyncio.ensure_future(call(door, "POST /servers/s0/maint"))
+            order = asyncio.ensure_future(call(admin, "POST /servers/s0/maint"))
             await until(lambda: disk.syncs)
             monkeypatch.setattr(process_lifecycle, "MAX_LAST_WRITE_S", 0.05)
             await lifecycle.finish_writing()
--- a/tests/control/test_hot_restart.py
+++ b/tests/control/test_hot_restart.py
@@ -36,7 +36,7 @@
 
 async def call(port, line):
     reader, writer = await asyncio.open_connection(HOST, port)
-    writer.write(f"{line} HTTP/1.1\r\nHost: door\r\nContent-Length: 0\r\n\r\n".encode())
+    writer.write(f"{line} HTTP/1.1\r\nHost: admin\r\nContent-Length: 0\r\n\r\n".encode())
     async with asyncio.timeout(WAIT):
         got = await reader.read()
     writer.close()
@@ -87,7 +87,7 @@
             for round_ in range(3):
                 new = await stack.enter_async_context(sidecars.next())
                 await until(lambda: len(results) > 20)
-                assert await call(new.door, "GET /healthcheck") == 200
+                assert await call(new.admin_port, "GET /healthcheck") == 200
                 old.process.send_signal(signal.SIGTERM)
                 # One that stays with the older process is told to go with its next answer.
                 number, told = 0, None
@@ -119,9 +119,9 @@
         async with contextlib.AsyncExitStack() as stack:
             old = await stack.enter_async_context(sidecars.next())
             sidecars.port = old.port
-            assert await call(old.door, "POST /servers/s0/maint") == 200
+            assert await call(old.admin_port, "POST /servers/s0/maint") == 200
             new = await stack.enter_async_context(sidecars.next())
-            assert await call(new.door, "POST /servers/s1/maint") == 200
+            assert await call(new.admin_port, "POST /servers/s1/maint") == 200
             await asyncio.sleep(0.3)  # the grace that a drain has, and less than that is needed
             _, writer = await asyncio.open_connection(HOST, old.port)
             old.process.send_signal(signal.SIGTERM)
@@ -132,8 +132,8 @@
             assert not fakes[0].got
             assert not fakes[1].got
             assert len(fakes[2].got) == 20
-            assert await call(new.door, "POST /servers/s0/ready") == 200
-            assert await call(new.door, "POST /servers/s2/maint") == 200
+            assert await call(new.admin_port, "POST /servers/s0/ready") == 200
+            assert await call(new.admin_port, "POST /servers/s2/maint") == 200
             assert (await ask(new.port, message("lookup", "b"))).code == 200
             assert len(fakes[0].got) == 1
 
@@ -147,14 +147,14 @@
         async with sidecars.next() as old:
             sidecars.port = old.port
             async with sidecars.next() as new:
-                assert await call(new.door, "GET /healthcheck") == 200
+                assert await call(new.admin_port, "GET /healthcheck") == 200
                 new.process.kill()
                 await new.process.wait()
             for number in range(10):
                 assert (await ask(old.port, message("lookup", f"a{number}"))).code == 200
-            assert await call(old.door, "GET /healthcheck") == 200
+            assert await call(old.admin_port, "GET /healthcheck") == 200
             async with sidecars.next() as again:
-                assert await call(again.door, "GET /healthcheck") == 200
+                assert await call(again.admin_port, "GET /healthcheck") == 200
 
     run(play())
 
@@ -168,13 +168,15 @@
         (tmp_path / "tmp" / "dykefold").rename(tmp_path / "gone")
         (tmp_path / "tmp").rmdir()
         async with sidecars.next() as process:
-            assert await call(process.door, "GET /healthcheck") == 200
-            assert await call(process.door, "POST /servers/s0/maint") == 500  # no next process would know
+            assert await call(process.admin_port, "GET /healthcheck") == 200
+            assert (
+                await call(process.admin_port, "POST /servers/s0/maint") == 500
+            )  # no next process would know
             assert (
                 await ask(process.port, message("lookup", "b"))
             ).code == 503  # the one endpoint is out here
-            assert await call(process.door, "POST /servers/s0/ready") == 200
-            assert await call(process.door, "GET /healthcheck") == 200
+            assert await call(process.admin_port, "POST /servers/s0/ready") == 200
+            assert await call(process.admin_port, "GET /healthcheck") == 200
 
     run(play())
 
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -32,7 +32,7 @@
             assert all(process is not None for process in processes)
             first = processes[0]
             assert first is not None
-            await first.says(r"member 1 is alive, was unknown: .* \(incarnation \d+\)")
+            await first.wait_for_line(r"member 1 is alive, was unknown: .* \(incarnation \d+\)")
             at = f"{rig.sampler.addresses[0][0]}:{VIEW_PORT}"  # type: ignore[union-attr]
 
             async def membership() -> dict:
@@ -47,7 +47,7 @@
             assert last is not None
             last.terminate()
             await last.ended()
-            await first.says(r"member 2 is left, was \w+: ")
+            await first.wait_for_line(r"member 2 is left, was \w+: ")
             seen = await membership()
             assert [one["state"] for one in seen["members"]] == ["alive", "alive", "left"]
             assert [one["zone"] for one in seen["members"]] == [0, 1, 2]
@@ -68,8 +68,8 @@
     async def play() -> None:
         async with rigged(FleetScenario(FleetTable(members=3, servers=2, view=True))) as rig:
             processes = [await rig.start(number) for number in range(3)]
-            await rig.members[0].processes[0].says("member 2 is alive")
-            await rig.members[2].processes[0].says("member 0 is alive")
+            await rig.members[0].processes[0].wait_for_line("member 2 is alive")
+            await rig.members[2].processes[0].wait_for_line("member 0 is alive")
             # The same addresses, the last two swapped, applied by one member after the other.
             peers = rig.datagrams.addresses()
             peers = [peers[0], peers[2], peers[1]]
@@ -93,7 +93,7 @@
             await (
                 rig.members[0]
                 .processes[0]
-                .says("membership keeps its addresses: member 0 is not among 0 peers")
+                .wait_for_line("membership keeps its addresses: member 0 is not among 0 peers")
             )
             assert (await fetch_json(rig.sampler.addresses[0], "/fleet/brief"))["live"] == "7"  # type: ignore[union-attr]
             assert not any("is gone" in line for member in rig.members for line in member.processes[0].lines)
--- a/tests/lab/test_compiled_tree.py
+++ b/tests/lab/test_compiled_tree.py
@@ -9,7 +9,7 @@
 
 from dykefold.lab.fleet.compiled_tree import compiled_tree
 from dykefold.lab.fleet.process import OWN_TREE
-from dykefold.lab.fleet.upgrades import world
+from dykefold.lab.fleet.upgrades import hot_restart_rig
 
 
 def test_the_copy_is_made_once_with_the_same_sources_and_bytecode_for_each():
@@ -35,7 +35,7 @@
 @pytest.mark.processes
 @on_loop
 async def test_a_member_runs_the_copy_at_the_rig_s_own_priority(tmp_path):
-    async with world(tmp_path) as one:
+    async with hot_restart_rig(tmp_path) as one:
         pid = one.member.living[-1].pid
         assert working_folder(pid) == compiled_tree(OWN_TREE).resolve()
         assert os.getpriority(os.PRIO_PROCESS, pid) == os.getpriority(os.PRIO_PROCESS, 0)
--- a/tests/process_helpers.py
+++ b/tests/process_helpers.py
@@ -67,7 +67,7 @@
         self.path = path
         self.descriptors = descriptors
         self.environment = environment
-        self.port = self.door = 0
+        self.port = self.admin_port = 0
 
     def _limit(self):
         if self.descriptors is not None:
@@ -89,7 +89,7 @@
             if match := re.search(rb"sidecar accepts clients: name=.* address=127\.0\.0\.1:(\d+)", line):
                 self.port = int(match[1])
             elif match := re.search(rb"admin API listens: address=127\.0\.0\.1:(\d+)", line):
-                self.door = int(match[1])
+                self.admin_port = int(match[1])
         self.log = asyncio.create_task(self.process.stderr.read())
         return self
 
