--- a/dykefold/lab/emulator/server.py
+++ b/dykefold/lab/emulator/server.py
@@ -22,6 +22,8 @@
 
 DRAWS = 4096  # Service times drawn at once; drawing each by itself would take a microsecond.
 NO_LINGER = struct.pack("ii", 1, 0)
+TCP_INFO_BYTES = 60  # Of Linux `struct tcp_info`, as far as it is read here.
+LAST_DATA_RECEIVED_OFFSET = 52  # Of `tcpi_last_data_recv`, milliseconds.
 
 
 @dataclass(slots=True)
@@ -71,7 +73,7 @@
         """Record an attempt; return whether an earlier one of its request is on an open connection."""
         open_connections = [other for other in self.pending.get(ident, ()) if other.is_open()]
         self.pending[ident] = [*open_connections, connection]
-        return bool(open_connections)
+        return any(not connection.ended_before(other) for other in open_connections)
 
     def on_end(self, ident: str, connection: Connection) -> None:
         """Record that an attempt was answered, or that its connection was lost."""
@@ -154,6 +156,20 @@
             except OSError:
                 return False
 
+    def ended_before(self, other: Connection) -> bool:
+        """Return whether the peer closed this connection before it sent its request to `other`.
+
+        After a pause of the event loop, requests are read in any order: the earlier one may be read last.
+        """
+        return not self.is_open() and self.idle_ms() > other.idle_ms()
+
+    def idle_ms(self) -> int:
+        """Return the milliseconds since the kernel received the latest bytes of the peer."""
+        sock = self.transport.get_extra_info("socket")
+        information = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
+        (idle_ms,) = struct.unpack_from("=I", information, LAST_DATA_RECEIVED_OFFSET)
+        return int(idle_ms)
+
     def answer(self, code: int, body: bytes, lines: bytes = b"") -> None:
         """Answer the open request, unless the connection is closing."""
         self.server.truth.on_end(self.ident, self)
