--- a/tests/admission/test_accept_errors.py
+++ b/tests/admission/test_accept_errors.py
@@ -7,7 +7,7 @@
 import time
 
 import pytest
-from faulty_system import FaultySystem, run_plain
+from faulty_system import FaultySystem, run_on_asyncio_loop
 from net_helpers import (
     HOST,
     WAIT,
@@ -38,7 +38,7 @@
     """The sidecar's listener on a socket that can fail: its faults."""
     system = FaultySystem()
     sidecar.server.listener.close()
-    sock = system.take(socket.create_server((HOST, 0), backlog=64))
+    sock = system.wrap(socket.create_server((HOST, 0), backlog=64))
     _, sidecar.port = sidecar.server.listen(sock).address
     return system.faults
 
@@ -71,7 +71,7 @@
     """A transient error used to end the last turn of a closing listener, and the close reset who waited."""
     async with one_server(tmp_path, answer_ok) as (sidecar, fake):
         sidecar_server = sidecar.server
-        faults = faulty(sidecar).on("accept", getattr(errno, error), for_s=0.12)
+        faults = faulty(sidecar).add("accept", getattr(errno, error), duration_s=0.12)
         socks = connected(
             sidecar.port, *(message("order", f"id{n}", "3000m", b"", "Connection: close") for n in "ab")
         )
@@ -81,7 +81,7 @@
         answers = await whole(*socks)
         assert [answer[:13] for answer in answers] == [b"HTTP/1.1 200 "] * 2
         # A loop that spins would have been there thousands of times.
-        assert 0 < faults.made["accept", errno.errorcode[getattr(errno, error)]] <= 6 * 16
+        assert 0 < faults.counts["accept", errno.errorcode[getattr(errno, error)]] <= 6 * 16
         await until(lambda: not sidecar_server.clients.all and (sidecar_server.listener is None) == ends)
     assert len(fake.got) == 2
 
@@ -90,7 +90,7 @@
 async def test_a_listener_that_can_not_accept_until_its_timeout_closes(tmp_path):
     async with one_server(tmp_path, answer_ok) as (sidecar, _fake):
         sidecar_server = sidecar.server
-        faulty(sidecar).on("accept", errno.EMFILE)
+        faulty(sidecar).add("accept", errno.EMFILE)
         (sock,) = connected(sidecar.port, b"")
         sidecar_server.drain()
         sidecar_server.shutdown.answer_at = sidecar_server.monotonic() + 0.2
@@ -126,8 +126,8 @@
     """A short send cut it, and nothing told the client that more was meant."""
 
     async def play(sidecar, faults):
-        faults.on("send", errno.EAGAIN, times=1).on("send", short=part, times=3).on(
-            "send", errno.EINTR, times=1
+        faults.add("send", errno.EAGAIN, fault_count=1).add("send", max_bytes=part, fault_count=3).add(
+            "send", errno.EINTR, fault_count=1
         )
         (sock,) = connected(sidecar.port, message("order", "ab"))
         (answer,) = await whole(sock)
@@ -136,7 +136,7 @@
         assert b"Content-Length: %d" % len(body) in head
         assert body
 
-    run_plain(with_one_connection_allowed(tmp_path, play))
+    run_on_asyncio_loop(with_one_connection_allowed(tmp_path, play))
 
 
 def test_bytes_that_cross_a_rejection_do_not_reset_it(tmp_path, monkeypatch):
@@ -152,7 +152,7 @@
         (rest,) = await whole(sock)
         assert b"429 Too Many" in rest
 
-    run_plain(with_one_connection_allowed(tmp_path, play))
+    run_on_asyncio_loop(with_one_connection_allowed(tmp_path, play))
 
 
 @pytest.mark.parametrize("error", GONE)
@@ -160,15 +160,15 @@
 def test_a_rejected_client_that_was_reset_meanwhile_leaves_nothing_behind(tmp_path, call, error):
     async def play(sidecar, faults):
         files = len(sidecar.server.clients.all)
-        faults.on(call, getattr(errno, error))
+        faults.add(call, getattr(errno, error))
         (sock,) = connected(sidecar.port, message("order", "ab"))
-        await until(lambda: faults.made[call, error])
+        await until(lambda: faults.counts[call, error])
         await until(lambda: not sidecar.server.listener.rejections)
         assert len(sidecar.server.clients.all) == files
         faults.clear()
         sock.close()
 
-    run_plain(with_one_connection_allowed(tmp_path, play))
+    run_on_asyncio_loop(with_one_connection_allowed(tmp_path, play))
 
 
 def test_rejected_clients_that_stay_hold_few_descriptors_for_a_bounded_time(tmp_path):
@@ -185,7 +185,7 @@
         for sock in socks:
             sock.close()
 
-    run_plain(with_one_connection_allowed(tmp_path, play))
+    run_on_asyncio_loop(with_one_connection_allowed(tmp_path, play))
 
 
 def test_each_client_rejected_by_the_reserve_descriptor_receives_the_whole_response(tmp_path):
@@ -195,14 +195,14 @@
         sidecar.server.change_limits(1024, AddressLimits())
         for connection in sidecar.server.clients.all.values():
             sidecar.server.clients.admission.remove(connection.client)  # none may be evicted
-        faults.on("accept", errno.EMFILE, times=1)
+        faults.add("accept", errno.EMFILE, fault_count=1)
         socks = connected(sidecar.port, *(message("order", f"id{n}") for n in range(16)))
         answers = await whole(*socks)
         assert {answer[:13] for answer in answers} == {b"HTTP/1.1 503 "}
         assert all(answer.endswith(b"refused: too many connections\n") for answer in answers)
         assert sidecar.server.listener.reserve.held
 
-    run_plain(with_one_connection_allowed(tmp_path, play))
+    run_on_asyncio_loop(with_one_connection_allowed(tmp_path, play))
 
 
 # Sockets that were reset between two calls
@@ -216,7 +216,7 @@
         loop.set_exception_handler(lambda _, context: escaped.append(context))
         async with one_server(tmp_path, answer_ok) as (sidecar, _fake):
             sidecar_server = sidecar.server
-            faults = faulty(sidecar).on(call, getattr(errno, error))
+            faults = faulty(sidecar).add(call, getattr(errno, error))
             socks = connected(
                 sidecar.port, *(message("order", name, "3000m", b"", "Connection: close") for name in "ab")
             )
@@ -233,7 +233,7 @@
             assert not escaped
             assert "Traceback" not in caplog.text
 
-    run_plain(play())
+    run_on_asyncio_loop(play())
 
 
 @pytest.mark.parametrize(
--- a/tests/balancer/test_attempt_rules.py
+++ b/tests/balancer/test_attempt_rules.py
@@ -1,7 +1,7 @@
 """Which attempts and which rejections the rules allow, as tables."""
 
 import pytest
-from helpers import MS, SECOND, START, endpoint, request, settings
+from helpers import MS, SECOND, START_NS, make_endpoint, make_request, make_settings
 
 from dykefold import Balancer
 from dykefold.balancer.endpoints import EndpointState
@@ -16,11 +16,11 @@
 
 def set_up(effect, scope=Scope.CELL, states=(), sent_ago=0, **more):
     """The rules, and a request with attempts in these states at an endpoint of zone 0, cell 0."""
-    balancer = Balancer(settings(effect, scope, tick_ns=TICK, **more), 1)
-    balancer.context.now_ns = START
-    req = PendingRequest(request(1, START), balancer.context.classes[0], 3, START)
-    used = EndpointState(endpoint(1), 0.5)
-    req.attempts = [Attempt(used, START - sent_ago, state) for state in states]
+    balancer = Balancer(make_settings(effect, scope, tick_ns=TICK, **more), 1)
+    balancer.context.now_ns = START_NS
+    req = PendingRequest(make_request(1, START_NS), balancer.context.classes[0], 3, START_NS)
+    used = EndpointState(make_endpoint(1), 0.5)
+    req.attempts = [Attempt(used, START_NS - sent_ago, state) for state in states]
     return balancer.rules, req
 
 
@@ -43,7 +43,7 @@
 )
 def test_a_further_attempt_is_allowed_by_effect_and_states(effect, states, hedged, allowed):
     rules, req = set_up(effect, states=states, can_hedge=hedged)
-    assert rules.may_send(req, EndpointState(endpoint(2), 0.5)) is allowed
+    assert rules.may_send(req, EndpointState(make_endpoint(2), 0.5)) is allowed
 
 
 @pytest.mark.parametrize(
@@ -58,7 +58,7 @@
 )
 def test_a_keyed_retry_stays_among_endpoints_that_know_the_key(scope, zone, cell, allowed):
     rules, req = set_up(KEYED, scope, [MAY_HAVE_RUN])
-    assert rules.may_send(req, EndpointState(endpoint(2, zone, cell), 0.5)) is allowed
+    assert rules.may_send(req, EndpointState(make_endpoint(2, zone, cell), 0.5)) is allowed
 
 
 @pytest.mark.parametrize(
@@ -66,7 +66,7 @@
 )
 def test_a_keyed_retry_falls_within_the_window_less_a_tick(ago, allowed):
     rules, req = set_up(KEYED, states=[MAY_HAVE_RUN], sent_ago=ago)
-    assert rules.may_retry(req, START) is allowed
+    assert rules.may_retry(req, START_NS) is allowed
 
 
 @pytest.mark.parametrize(
@@ -82,7 +82,7 @@
     state, listed, streaming, allowed
 ):
     rules, req = set_up(SAFE)
-    target = EndpointState(endpoint(2, state=state), 0.5)
+    target = EndpointState(make_endpoint(2, state=state), 0.5)
     target.listed, req.streaming = listed, streaming
     assert rules.may_send(req, target) is allowed
 
--- a/tests/balancer/test_concerns.py
+++ b/tests/balancer/test_concerns.py
@@ -4,7 +4,7 @@
 import random
 
 import pytest
-from helpers import MS, SECOND, START, endpoint, make, request, settings
+from helpers import MS, SECOND, START_NS, make_balancer, make_endpoint, make_request, make_settings
 
 from dykefold import Balancer
 from dykefold.balancer import congestion, outlier_detection, poll_schedule, quotas, retry_policy, slow_start
@@ -18,14 +18,14 @@
 
 
 def fresh(**more):
-    balancer = Balancer(settings(**more), 1)
-    balancer.context.now_ns = START
+    balancer = Balancer(make_settings(**more), 1)
+    balancer.context.now_ns = START_NS
     return balancer
 
 
 def pending(balancer, length=2 * SECOND):
     context = balancer.context
-    return PendingRequest(request(1, context.now_ns, length), context.classes[0], 3, context.now_ns)
+    return PendingRequest(make_request(1, context.now_ns, length), context.classes[0], 3, context.now_ns)
 
 
 @pytest.mark.parametrize(
@@ -34,24 +34,24 @@
 )
 def test_the_ramp_of_slow_start_is_linear_and_ends(started_ago, ramp):
     balancer = fresh(start_capacity=0.2, warm_within_ns=10 * SECOND)
-    started = 0 if started_ago is None else START - started_ago
+    started = 0 if started_ago is None else START_NS - started_ago
     assert balancer.slow_start.capacity_fraction(
-        EndpointState(endpoint(1, started=started), 0.5)
+        EndpointState(make_endpoint(1, started_ns=started), 0.5)
     ) == pytest.approx(ramp)
 
 
 def test_the_ramp_never_starts_at_nothing():
     balancer = fresh(start_capacity=0.0)
-    cold = EndpointState(endpoint(1, started=START), 0.5)
+    cold = EndpointState(make_endpoint(1, started_ns=START_NS), 0.5)
     assert balancer.slow_start.capacity_fraction(cold) == slow_start.MIN_CAPACITY_FRACTION == 0.01
 
 
 @pytest.mark.parametrize(("samples", "tokens"), [(0, 6.0), (20, 8.0), (30, 9.0), (1000, 9.0)])
 def test_answers_let_a_cold_endpoint_have_more_at_once_but_not_without_end(samples, tokens):
     balancer = fresh(start_capacity=0.2, warm_within_ns=1000 * SECOND)
-    balancer.throughput.answers_per_s, balancer.throughput.updated_ns = 100.0, START
-    cold = EndpointState(endpoint(1, started=START), 0.5)
-    cold.samples, cold.slow_start_ns = samples, START - 10 * SECOND
+    balancer.throughput.answers_per_s, balancer.throughput.updated_ns = 100.0, START_NS
+    cold = EndpointState(make_endpoint(1, started_ns=START_NS), 0.5)
+    cold.samples, cold.slow_start_ns = samples, START_NS - 10 * SECOND
     balancer.slow_start.allows(cold, balancer.context.classes[0])
     # A quarter of a second of 1.2 times a fifth of 100 a second, and a tenth of a request for each answer.
     assert cold.slow_start_tokens == pytest.approx(tokens)
@@ -59,13 +59,16 @@
 
 def test_a_warm_endpoint_costs_no_tokens_and_a_cold_one_is_credited_for_its_answers():
     balancer = fresh()
-    warm, cold = EndpointState(endpoint(1), 0.5), EndpointState(endpoint(2, started=START), 0.5)
+    warm, cold = (
+        EndpointState(make_endpoint(1), 0.5),
+        EndpointState(make_endpoint(2, started_ns=START_NS), 0.5),
+    )
     stats = balancer.context.classes[0]
     for one in (warm, cold):
         balancer.slow_start.charge(one, stats)
         balancer.slow_start.credit(one, stats)
     assert warm.slow_start_tokens == 0.0
-    assert cold.slow_start_ns == START
+    assert cold.slow_start_ns == START_NS
     assert -1.0 < cold.slow_start_tokens - slow_start.TOKENS_PER_ANSWER < 0.0
 
 
@@ -74,15 +77,15 @@
     ceiling = min(retry_policy.MAX_BACKOFF_FRACTION, retry_policy.BACKOFF_BASE_FRACTION * 2**retries)
     delays = []
     for seed in range(200):
-        balancer = Balancer(settings(tick_ns=0), seed)
-        balancer.context.now_ns = START
+        balancer = Balancer(make_settings(tick_ns=0), seed)
+        balancer.context.now_ns = START_NS
         req = pending(balancer)
         req.retries, req.written = retries, True
         balancer.answers.pending[1] = req
         balancer.retries.plan(req)
         (due, kind, ident, _) = balancer.timers.heap[0]
         assert (kind, ident, req.retries, req.retry_planned) == (RETRY, 1, retries + 1, True)
-        delays.append((due - START) / (2 * SECOND))
+        delays.append((due - START_NS) / (2 * SECOND))
     assert (
         retry_policy.MIN_BACKOFF_FRACTION <= min(delays) < retry_policy.MIN_BACKOFF_FRACTION + 0.1 * ceiling
     )
@@ -116,7 +119,7 @@
     [(1.9, 1.0, False), (2.0, 1.0, True), (5.0, 0.1, False), (2.0, 0.17, True)],
 )
 def test_an_endpoint_is_ejected_by_its_score_within_the_part_that_may_be(score, max_ejected, ejected):
-    balancer, _ = make(servers=6)
+    balancer, _ = make_balancer(endpoint_count=6)
     one = balancer.endpoints.all[100]
     balancer.outliers.record_failure(one, score, max_ejected)
     assert one.ejected is ejected
@@ -125,7 +128,7 @@
 
 @pytest.mark.parametrize("failures", [1, 2, 3, 4, 9])
 def test_each_failed_probation_doubles_the_wait_up_to_eight_times(failures):
-    balancer, now = make(servers=6)
+    balancer, now = make_balancer(endpoint_count=6)
     one = balancer.endpoints.all[100]
     for _ in range(failures):
         balancer.outliers.record_failure(one, 2.0, 1.0)
@@ -147,7 +150,7 @@
 def test_the_congestion_signal_is_a_mean_with_its_prior(values, level):
     balancer = fresh()
     for value in values:
-        balancer.congestion.add(value, START)
+        balancer.congestion.add(value, START_NS)
     balancer.congestion.fade()
     assert balancer.congestion.level == pytest.approx(level, abs=0.001)
 
@@ -155,14 +158,14 @@
 def test_attempts_sent_before_a_cut_do_not_count_as_congestion():
     balancer = fresh()
     balancer.congestion.restart()
-    balancer.congestion.add(4.0, START - 1)
+    balancer.congestion.add(4.0, START_NS - 1)
     assert balancer.congestion.weight == 0.0
 
 
 @pytest.mark.parametrize(("elapsed", "known"), [(0, 1.0), (240 * MS, 0.9), (20 * SECOND, 0.0)])
 def test_what_was_seen_fades_to_the_prior(elapsed, known):
     balancer = fresh()
-    balancer.congestion.add(4.0, START)
+    balancer.congestion.add(4.0, START_NS)
     balancer.context.now_ns += elapsed
     balancer.congestion.fade()
     assert balancer.congestion.weight == pytest.approx(known, abs=0.1)
@@ -185,7 +188,7 @@
     for rates in peers:
         steps = [int(rate * quotas.STEPS_PER_REQUEST_PER_S) for rate in rates]
         state.on_peer(PeerMessage(1, state.message.pack(*steps)))
-    state.rates, state.checked_ns = own, START - 10 * SECOND
+    state.rates, state.checked_ns = own, START_NS - 10 * SECOND
     state.counts = [rate * 10 for rate in own]
     state.counts[0] -= 1.0  # the one that is counted now
     state.count_request(0)
@@ -219,7 +222,7 @@
     stats.first_timeout_ns, stats.first_timeout_votes = 2 * SECOND, votes
     stats.typical_latency_ns = 125.0 * MS
     req = pending(balancer, left * MS)
-    event = request(1, START, left * MS)
+    event = make_request(1, START_NS, left * MS)
     event.is_retry = is_retry
     assert balancer.request_value.of(event, req) == pytest.approx(value)
 
@@ -233,7 +236,7 @@
     (due, kind, *_) = balancer.timers.heap[0]
     longest = min(10.0 * 0.05 * 2 ** (failures - 1), 10.0 * 0.4, poll_schedule.MAX_DELAY_S) * SECOND
     assert kind == POLL
-    assert 0.1 * longest <= due - START <= longest + 1
+    assert 0.1 * longest <= due - START_NS <= longest + 1
     balancer.polls.on_timer()
     assert balancer.context.actions == [Watch(True)]
     balancer.polls.on_list()
@@ -255,7 +258,7 @@
 def test_the_subset_follows_demand_and_the_number_of_sidecars(fleet_size, demand, near, far, sees_little):
     balancer = fresh(fleet_size=fleet_size)
     balancer.endpoints.demand = demand
-    balancer.handle(START, Membership(ListKind.FULL, 1, [endpoint(n, n % 2) for n in range(60)]))
+    balancer.handle(START_NS, Membership(ListKind.FULL, 1, [make_endpoint(n, n % 2) for n in range(60)]))
     found = balancer.endpoints
     assert (len(found.near), len(found.far), found.sees_little) == (near, far, sees_little)
     assert len(found.rest) == 60 - near - far
@@ -265,14 +268,14 @@
 def test_a_fleet_view_counts_for_more_than_the_settings():
     balancer = fresh(fleet_size=4)
     assert balancer.context.sidecar_count() == 4
-    balancer.handle(START, MembershipChanged(9, {}))
+    balancer.handle(START_NS, MembershipChanged(9, {}))
     assert balancer.context.sidecar_count() == 9
 
 
 def test_only_the_earliest_timer_is_armed_and_what_is_due_comes_in_order():
     balancer = fresh()
     timers = balancer.timers
-    for due, kind in ((START + 30, OVERDUE), (START + 10, RETRY), (START + 20, POLL)):
+    for due, kind in ((START_NS + 30, OVERDUE), (START_NS + 10, RETRY), (START_NS + 20, POLL)):
         timers.add(due, kind, 1)
         timers.arm()
     assert balancer.context.actions == [SetTimer(30, 1), SetTimer(10, 2)]
@@ -294,7 +297,7 @@
     [((3.0, 7.0), 7.0), ((3.0,), 0.0), ((), 0.0), ((0.0, math.nan), 0.0), ((0.0, -1.0), 0.0)],
 )
 def test_a_load_report_is_read_by_its_column_or_ignored(report, load):
-    balancer, _ = make(servers=2, report_columns=("eps", "inflight"))
+    balancer, _ = make_balancer(endpoint_count=2, report_columns=("eps", "inflight"))
     one = balancer.endpoints.all[100]
     balancer.load_reports.record(one, report)
     assert one.reported_load == load
@@ -306,7 +309,7 @@
     [(Effect.SAFE, 1.0, 3.0, True), (Effect.SAFE, 1.0, 2.0, False), (Effect.UNSAFE, 0.5, 5.0, False)],
 )
 def test_a_request_is_admitted_while_its_part_of_the_limit_has_room(effect, relative, limit, admitted):
-    balancer, now = make(servers=2, effect=effect)
+    balancer, now = make_balancer(endpoint_count=2, effect=effect)
     state = balancer.limit
     state.limit, state.corrected_ns, state.in_flight = limit, now, 2
     assert state.admit(pending(balancer), relative) is admitted
@@ -316,7 +319,7 @@
 def test_a_congested_sidecar_with_little_traffic_admits_a_fifth_to_notice_recovery():
     balancer = fresh(fleet_size=300)
     state = balancer.limit
-    state.limit, state.corrected_ns = 0.0, START
+    state.limit, state.corrected_ns = 0.0, START_NS
     balancer.endpoints.demand, balancer.congestion.level = 1.0, 4.0
     admitted = sum(state.admit(pending(balancer), 1.0) for _ in range(2_000))
     assert 0.17 < admitted / 2_000 < 0.23
--- a/tests/balancer/test_concurrency_limit.py
+++ b/tests/balancer/test_concurrency_limit.py
@@ -1,6 +1,6 @@
 """The limit on requests in flight: cut once for each flight, and back when answers are in time."""
 
-from helpers import MS, SECOND, make
+from helpers import MS, SECOND, make_balancer
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from test_overload import Feed
@@ -15,7 +15,7 @@
 
 
 def fleet():
-    feed = Feed(*make(servers=SERVERS, effect=Effect.UNSAFE))
+    feed = Feed(*make_balancer(endpoint_count=SERVERS, effect=Effect.UNSAFE))
     return feed.balancer, feed
 
 
--- a/tests/balancer/test_lost_attempts.py
+++ b/tests/balancer/test_lost_attempts.py
@@ -1,7 +1,7 @@
 """Lost answers, and the limit on a fresh start: what is late, what is lost, what is just new."""
 
 import pytest
-from helpers import MS, SECOND, make, request, send_one, serve
+from helpers import MS, SECOND, make_balancer, make_request, serve_requests, submit_request
 
 from dykefold.balancer.actions import Cancel, Refuse, Send
 from dykefold.balancer.events import Outcome, Status
@@ -10,7 +10,7 @@
 
 def warm(balancer, now, count=300, took=40 * MS):
     """Enough answers that the module knows what is usual."""
-    return serve(balancer, now, range(10_000, 10_000 + count), took)[0]
+    return serve_requests(balancer, now, range(10_000, 10_000 + count), took)[0]
 
 
 def overtake(balancer, now, server, answers, step=60 * MS):
@@ -19,7 +19,7 @@
     while answers:
         now += MS
         ident += 1
-        sent = send_one(balancer, now, ident)
+        sent = submit_request(balancer, now, ident)
         done += balancer.handle(now + step, Outcome(ident, 0, sent.endpoint_number, Status.OK, step, True))
         now += step
         answers -= sent.endpoint_number == server
@@ -29,9 +29,9 @@
 @pytest.mark.parametrize("effect", list(Effect))
 def test_an_attempt_that_later_ones_overtake_counts_as_lost_and_is_not_called_off(effect):
     """Guards the limit against answers that never come, and the request against a second copy of it."""
-    balancer, now = make(servers=1, effect=effect, can_hedge=False)
+    balancer, now = make_balancer(endpoint_count=1, effect=effect, can_hedge=False)
     now = warm(balancer, now)
-    sent = send_one(balancer, now, 1)
+    sent = submit_request(balancer, now, 1)
     server = balancer.endpoints.all[sent.endpoint_number]
     now, done = overtake(balancer, now, sent.endpoint_number, 2)
     assert not server.lost
@@ -43,12 +43,12 @@
 
 
 def test_short_work_that_overtakes_long_work_on_another_core_loses_nothing():
-    balancer, now = make(servers=1, effect=Effect.SAFE, can_hedge=False)
+    balancer, now = make_balancer(endpoint_count=1, effect=Effect.SAFE, can_hedge=False)
     now = warm(balancer, now)
-    sent = send_one(balancer, now, 1)
+    sent = submit_request(balancer, now, 1)
     for ident in range(60_000, 60_005):  # five answers within one usual latency
         now += MS
-        send_one(balancer, now, ident)
+        submit_request(balancer, now, ident)
         balancer.handle(now + 5 * MS, Outcome(ident, 0, sent.endpoint_number, Status.OK, 5 * MS, True))
     assert not balancer.endpoints.all[sent.endpoint_number].lost
 
@@ -56,12 +56,12 @@
 def test_a_late_attempt_is_counted_as_pressure_once():
     """Guards the limit: counted while it waited and again at its deadline, by when far fewer are answered,
     a tenth of lost answers drove the limit down to a few requests."""
-    balancer, now = make(servers=1, effect=Effect.UNSAFE)
+    balancer, now = make_balancer(endpoint_count=1, effect=Effect.UNSAFE)
     now = warm(balancer, now)
-    sent = send_one(balancer, now, 1)
+    sent = submit_request(balancer, now, 1)
     server = balancer.endpoints.all[sent.endpoint_number]
     now += 50 * MS
-    other = send_one(balancer, now, 2)
+    other = submit_request(balancer, now, 2)
     balancer.handle(now + 40 * MS, Outcome(2, 0, other.endpoint_number, Status.OK, 40 * MS, True))
     counts = []
     real = balancer.congestion.add
@@ -87,7 +87,7 @@
         if sent is not None:
             balancer.handle(at, Outcome(sent.id, 0, sent.endpoint_number, Status.OK, took, True))
         ident += 1
-        actions = balancer.handle(at, request(ident, at))
+        actions = balancer.handle(at, make_request(ident, at))
         sends = [action for action in actions if isinstance(action, Send)]
         if sends:
             due.append((at + took, sends[0]))
@@ -102,7 +102,7 @@
 def test_a_fresh_sidecar_takes_a_crowd_within_a_few_turns():
     """Guards every restart and every newcomer: 32 desks before four idle servers met 250 to 1,600
     refusals in the first second, since the limit grew by corrections and not by answers."""
-    balancer, now = make(servers=4, effect=Effect.SAFE)
+    balancer, now = make_balancer(endpoint_count=4, effect=Effect.SAFE)
     refused, last = crowd(balancer, now, 32, 2 * MS, now + SECOND)
     assert refused < 100
     assert last - now < 20 * MS
@@ -111,7 +111,7 @@
 def test_a_restart_under_load_does_not_read_too_little_from_its_first_answers():
     """Guards the limit after a restart: a mean from nothing over a whole deadline said that hardly
     anything was answered, and the first late answers cut the limit to that."""
-    balancer, now = make(servers=4, effect=Effect.SAFE)
+    balancer, now = make_balancer(endpoint_count=4, effect=Effect.SAFE)
     crowd(balancer, now, 16, 40 * MS, now + 500 * MS)
     rate = 16 / 0.040
     settled = rate * balancer.congestion.wanted_latency(balancer.context.classes[0]) / SECOND
--- a/tests/balancer/test_many_balancers.py
+++ b/tests/balancer/test_many_balancers.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from helpers import MS, SECOND, endpoint, make, request, send_one
+from helpers import MS, SECOND, make_balancer, make_endpoint, make_request, submit_request
 
 from dykefold.balancer.actions import Send
 from dykefold.balancer.events import ListKind, Membership, Outcome, Status
@@ -14,11 +14,11 @@
 
 def fleet(sidecars, servers, **more):
     """Sidecars of all zones with one list, and the time."""
-    entries = [endpoint(n, zone=n % ZONES, cell=n // 4) for n in range(servers)]
+    entries = [make_endpoint(n, zone=n % ZONES, cell=n // 4) for n in range(servers)]
     made = []
     for number in range(sidecars):
-        balancer, now = make(
-            entries=entries,
+        balancer, now = make_balancer(
+            endpoints=entries,
             seed=number,
             zones=list("abcde"),
             zone=number % ZONES,
@@ -36,7 +36,7 @@
     for ident in range(1, int(rate * seconds)):
         now += int(SECOND / rate)
         number = chance.randrange(len(made))
-        sent = send_one(made[number], now, ident)
+        sent = submit_request(made[number], now, ident)
         made[number].handle(now + took, Outcome(ident, 0, sent.endpoint_number, Status.OK, took, True))
     return now
 
@@ -79,11 +79,11 @@
     """Guards a zone that is lost while the sampled servers elsewhere drain: the others are still there."""
     made, now = fleet(40, 60, effect=effect)
     balancer = made[0]
-    send_one(balancer, now, 1)
+    submit_request(balancer, now, 1)
     assert balancer.endpoints.rest
     for server in balancer.endpoints.near + balancer.endpoints.far:
         server.ready = False  # as between two lists, before the sets are made anew
-    actions = balancer.handle(now + MS, request(2, now + MS))
+    actions = balancer.handle(now + MS, make_request(2, now + MS))
     sent = next(action for action in actions if isinstance(action, Send))
     assert sent.endpoint_number in {server.id for server in balancer.endpoints.rest}
 
@@ -92,15 +92,15 @@
     """Guards the fourth rule: those who sample a server carry the part of those who do not, no more."""
     made, now = fleet(40, 60)
     now = day(made, now, 400.0, 6)
-    entries = [endpoint(n, zone=n % ZONES, cell=n // 4) for n in range(60)]
-    entries[7] = endpoint(7, zone=7 % ZONES, cell=1, started=now)
+    entries = [make_endpoint(n, zone=n % ZONES, cell=n // 4) for n in range(60)]
+    entries[7] = make_endpoint(7, zone=7 % ZONES, cell=1, started_ns=now)
     for balancer in made:
         balancer.handle(now, Membership(ListKind.FULL, 2, entries))
     chance, count = random.Random(3), 0
     for ident in range(100_000, 100_800):  # two seconds
         now += int(SECOND / 400)
         balancer = made[chance.randrange(40)]
-        sent = send_one(balancer, now, ident)
+        sent = submit_request(balancer, now, ident)
         count += sent.endpoint_number == 7
         balancer.handle(now + 40 * MS, Outcome(ident, 0, sent.endpoint_number, Status.OK, 40 * MS, True))
     fair = 2 * 400 / 60  # a warm server's share in that time; this one begins at a fifth of what that can do
--- a/tests/balancer/test_many_endpoints.py
+++ b/tests/balancer/test_many_endpoints.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from helpers import MS, SECOND, endpoint, make, request
+from helpers import MS, SECOND, make_balancer, make_endpoint, make_request
 
 from dykefold.balancer.actions import Send
 from dykefold.balancer.events import ListKind, Membership, Outcome, State, Status
@@ -17,15 +17,17 @@
     chance, met, ident, end = random.Random(seed), {}, 0, now + span_s * SECOND
     while (now := now + int(chance.expovariate(rate) * SECOND)) < end:
         ident += 1
-        for sent in [one for one in balancer.handle(now, request(ident, now)) if isinstance(one, Send)]:
+        for sent in [one for one in balancer.handle(now, make_request(ident, now)) if isinstance(one, Send)]:
             met[sent.endpoint_number] = met.get(sent.endpoint_number, 0) + 1
             balancer.handle(now + took, Outcome(ident, 0, sent.endpoint_number, Status.OK, took, True))
     return met
 
 
 def sidecar(servers, fleet_size, seed=1):
-    entries = [endpoint(n, zone=n % 3) for n in range(servers)]
-    return make(entries=entries, seed=seed, zones=ZONES, fleet_size=fleet_size, price_cross_zone=0.5)
+    entries = [make_endpoint(n, zone=n % 3) for n in range(servers)]
+    return make_balancer(
+        endpoints=entries, seed=seed, zones=ZONES, fleet_size=fleet_size, price_cross_zone=0.5
+    )
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -60,7 +62,7 @@
     play(balancer, now, span_s=5)
     before = {one.id for one in balancer.endpoints.near}
     gone = sorted(before)[:10]
-    news = [endpoint(n, zone=0, state=State.DRAINING) for n in gone]
+    news = [make_endpoint(n, zone=0, state=State.DRAINING) for n in gone]
     balancer.handle(now + 6 * SECOND, Membership(ListKind.DELTA, 2, news))
     after = {one.id for one in balancer.endpoints.near}
     assert len(after) == len(before)
--- a/tests/balancer/test_overload_degradation.py
+++ b/tests/balancer/test_overload_degradation.py
@@ -7,7 +7,7 @@
 import heapq
 import random
 
-from helpers import MS, SECOND, START, endpoint, make
+from helpers import MS, SECOND, START_NS, make_balancer, make_endpoint
 
 from dykefold.balancer.actions import Send, SetTimer
 from dykefold.balancer.events import Outcome, Request, Status, Timer
@@ -56,14 +56,14 @@
     """Sidecars that share servers; requests arrive as a Poisson process and are not asked again."""
 
     def __init__(self, sidecars=4, servers=8, seed=1):
-        entries = [endpoint(100 + n) for n in range(servers)]
+        entries = [make_endpoint(100 + n) for n in range(servers)]
         self.random = random.Random(seed)
         self.balancers = [
-            make(entries=entries, classes=CLASSES, seed=n, fleet_size=sidecars, index=n)[0]
+            make_balancer(endpoints=entries, classes=CLASSES, seed=n, fleet_size=sidecars, index=n)[0]
             for n in range(sidecars)
         ]
         self.workers = {entry.number: Worker() for entry in entries}
-        self.now = START
+        self.now = START_NS
         self.events = []
         self.tie = 0
         self.ident = 0
--- a/tests/balancer/test_property.py
+++ b/tests/balancer/test_property.py
@@ -4,8 +4,8 @@
 import random
 
 import pytest
-from checker import BrokenRuleError, Checker
-from helpers import MS, SECOND, START, endpoint
+from checker import RuleChecker, RuleViolationError
+from helpers import MS, SECOND, START_NS, make_endpoint
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -86,8 +86,8 @@
         self.rng = rng
         self.config = config
         self.balancer = balancer
-        self.checker = Checker(config)
-        self.now = START
+        self.checker = RuleChecker(config)
+        self.now = START_NS
         self.queue = []  # (time, tie, event maker)
         self.tie = 0
         self.ended = set()
@@ -101,9 +101,9 @@
         heapq.heappush(self.queue, (max(when, self.now + 1), self.tie, make))
 
     def feed(self, event):
-        self.checker.event(self.now, event)
+        self.checker.record_event(self.now, event)
         actions = self.balancer.handle(self.now, event)
-        self.checker.actions(self.now, actions)
+        self.checker.check_actions(self.now, actions)
         for action in actions:
             if isinstance(action, SetTimer):
                 assert action.after_ns > 0
@@ -173,17 +173,20 @@
             states = [State.READY] * 3 + [State.DRAINING]
             states += [State.GONE] if kind is ListKind.DELTA else []
             entries = [
-                endpoint(n, n % 3, n // 3, rng.choice(states), rng.choice([0, 0, self.now])) for n in some
+                make_endpoint(n, n % 3, n // 3, rng.choice(states), rng.choice([0, 0, self.now]))
+                for n in some
             ]
         return Membership(kind, 2, entries)
 
     def run(self, requests):
-        self.feed(Membership(ListKind.CACHED, 1, [endpoint(n, n % 3, n // 3) for n in range(9)]))
+        self.feed(Membership(ListKind.CACHED, 1, [make_endpoint(n, n % 3, n // 3) for n in range(9)]))
         for ident in range(requests):
-            self.later(START + ident * self.rng.randrange(1, 40) * MS, lambda ident=ident: self.arrive(ident))
+            self.later(
+                START_NS + ident * self.rng.randrange(1, 40) * MS, lambda ident=ident: self.arrive(ident)
+            )
         for n in range(12):
-            self.later(START + n * SECOND // 2 + 7, self.change_list)
-        end = START + 40 * SECOND
+            self.later(START_NS + n * SECOND // 2 + 7, self.change_list)
+        end = START_NS + 40 * SECOND
         while self.queue and self.queue[0][0] < end:
             when, _, make = heapq.heappop(self.queue)
             self.now = when
@@ -191,7 +194,7 @@
             if event is not None:
                 self.feed(event)
         self.now = end
-        self.checker.at_the_end(end)
+        self.checker.check_all_answered(end)
 
 
 @settings(max_examples=120, derandomize=True, deadline=None, database=None)
@@ -245,16 +248,16 @@
 @pytest.mark.parametrize(
     ("plant", "text"),
     [
-        (broken_send_gate, "twice|out|many"),
-        (broken_refusal_gate, "refuses what may have run"),
+        (broken_send_gate, "possible second effect|hedged request|more attempts than allowed"),
+        (broken_refusal_gate, "rejection of a request that may have been executed"),
         (broken_list, "not ready"),
         (broken_answers, "never answered"),
-        (broken_pace, "cold"),
+        (broken_pace, "overload of an endpoint in slow start"),
     ],
 )
 def test_the_checker_catches_a_planted_violation(monkeypatch, plant, text):
     plant(monkeypatch)
-    with pytest.raises(BrokenRuleError, match=text):
+    with pytest.raises(RuleViolationError, match=text):
         for seed in range(80):
             rng = random.Random(seed)
             config = make_settings(rng)
--- a/tests/balancer/test_rejections.py
+++ b/tests/balancer/test_rejections.py
@@ -1,6 +1,6 @@
 """Servers that turn everything away, as one does that drains and that the list does not name yet."""
 
-from helpers import MS, SECOND, make, send_one, serve
+from helpers import MS, SECOND, make_balancer, serve_requests, submit_request
 
 from dykefold.balancer.events import Outcome, Status
 from dykefold.balancer.in_flight import InFlightAttempt
@@ -23,8 +23,8 @@
 def test_a_server_that_turns_all_away_is_left_alone_and_is_no_load_of_the_fleet():
     """Guards a release: each draining server's refusals counted as pressure, and every sidecar of the fleet
     shed a third of its requests though the other servers were idle."""
-    balancer, now = make(servers=6)
-    now, _ = serve(balancer, now, range(10_000, 10_200), 40 * MS)
+    balancer, now = make_balancer(endpoint_count=6)
+    now, _ = serve_requests(balancer, now, range(10_000, 10_200), 40 * MS)
     now = full(balancer, now, 100, 2)
     assert [server.id for server in balancer.endpoints.ejected] == [100]
     balancer.congestion.fade()
@@ -33,12 +33,12 @@
     balancer.congestion.fade()
     assert balancer.congestion.level <= pressure
     for number in range(1, 13):  # nothing goes there for a while
-        assert send_one(balancer, now, number).endpoint_number != 100
+        assert submit_request(balancer, now, number).endpoint_number != 100
 
 
 def test_one_that_lets_some_in_is_full_and_counts_as_pressure():
-    balancer, now = make(servers=6)
-    now, _ = serve(balancer, now, range(10_000, 10_200), 40 * MS)
+    balancer, now = make_balancer(endpoint_count=6)
+    now, _ = serve_requests(balancer, now, range(10_000, 10_200), 40 * MS)
     for _ in range(4):
         before = balancer.congestion.total
         now = full(balancer, now, 100, 1)
@@ -49,8 +49,8 @@
 
 def test_where_all_are_full_only_a_third_is_left_out():
     """Guards the rest of an overloaded fleet: what the others turn away must not all go to the last one."""
-    balancer, now = make(servers=6)
-    now, _ = serve(balancer, now, range(10_000, 10_200), 40 * MS)
+    balancer, now = make_balancer(endpoint_count=6)
+    now, _ = serve_requests(balancer, now, range(10_000, 10_200), 40 * MS)
     for _ in range(5):
         for server in list(balancer.endpoints.all.values()):
             now = full(balancer, now, server.id, 1)
@@ -58,10 +58,10 @@
 
 
 def test_rejecting_endpoint_is_probed_and_readmitted_with_its_first_answer():
-    balancer, now = make(servers=6)
-    now, _ = serve(balancer, now, range(10_000, 10_200), 40 * MS)
+    balancer, now = make_balancer(endpoint_count=6)
+    now, _ = serve_requests(balancer, now, range(10_000, 10_200), 40 * MS)
     now = full(balancer, now, 100, 2) + 5 * SECOND
-    sent = send_one(balancer, now, 1)
+    sent = submit_request(balancer, now, 1)
     assert sent.endpoint_number == 100
     balancer.handle(now + 40 * MS, Outcome(1, 0, 100, Status.OK, 40 * MS, True))
     assert not balancer.endpoints.ejected
--- a/tests/balancer/test_slow_start_budget.py
+++ b/tests/balancer/test_slow_start_budget.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, replace
 
 import pytest
-from helpers import MS, SECOND, START, endpoint, settings
+from helpers import MS, SECOND, START_NS, make_endpoint, make_settings
 
 from dykefold import Balancer
 from dykefold.balancer.actions import Probe, Send, SetTimer
@@ -58,24 +58,24 @@
         self.order = 0
         self.ident = 0
         self.rate = day.per_s * day.servers
-        self.cold_ns = START + int(day.warm_up_s * SECOND)
+        self.cold_ns = START_NS + int(day.warm_up_s * SECOND)
         self.end_ns = self.cold_ns + int(day.cold_s * SECOND)
         self.came: dict[int, deque] = {number: deque() for number in range(day.cold)}
         self.work = dict.fromkeys(range(day.cold), 0.0)
         self.most, self.total = 0.0, 0
-        spec = settings().classes[0]
+        spec = make_settings().classes[0]
         self.classes = [spec]
         self.took = [40 * MS]
         if day.dear:
             self.classes = [spec, RequestClass("dear", 1500 * MS, 4 * SECOND, 2.0, 0.2, Effect.SAFE)]
             self.took = [20 * MS, 180 * MS]
         self.mean = sum(self.took) / len(self.took)
-        entries = [endpoint(n, zone=n % ZONES, cell=n // 4) for n in range(day.servers)]
+        entries = [make_endpoint(n, zone=n % ZONES, cell=n // 4) for n in range(day.servers)]
         self.entries = entries
         self.made = []
         for number in range(day.sidecars):
             zone = number % ZONES
-            values = settings(
+            values = make_settings(
                 classes=self.classes,
                 zones=["a", "b", "c"],
                 zone=zone,
@@ -87,7 +87,7 @@
                 can_hedge=day.hedged,
             )
             self.made.append(Balancer(values, self.chance.getrandbits(32)))
-            self._later(START, number, Membership(ListKind.CACHED, 1, entries))
+            self._later(START_NS, number, Membership(ListKind.CACHED, 1, entries))
 
     def _later(self, when: int, number: int, event) -> None:
         self.order += 1
@@ -105,7 +105,7 @@
             self._later(told_ns, number, Membership(ListKind.DELTA, 2, changed))
 
     def _arrive(self) -> None:
-        now, day = START, self.day
+        now, day = START_NS, self.day
         while now < self.end_ns:
             now += int(self.chance.expovariate(self.rate) * SECOND)
             self._request(now)
--- a/tests/balancer/test_slow_start_quick_servers.py
+++ b/tests/balancer/test_slow_start_quick_servers.py
@@ -7,7 +7,7 @@
 import random
 
 import pytest
-from helpers import MS, SECOND, START, endpoint, make, request
+from helpers import MS, SECOND, START_NS, make_balancer, make_endpoint, make_request
 
 from dykefold.balancer.actions import Send
 from dykefold.balancer.events import ListKind, Membership, Outcome, Status
@@ -33,24 +33,24 @@
         "fleet_size": sidecars,
         "can_hedge": False,
     }
-    warm = [endpoint(COLD + number) for number in range(1, SERVERS)]
-    balancers = [make(entries=warm, seed=number, **rules)[0] for number in range(sidecars)]
-    began = START + SECOND
-    todo = [(START + int(chance.expovariate(RATE) * SECOND), 0, -1, 0, 0)]
+    warm = [make_endpoint(COLD + number) for number in range(1, SERVERS)]
+    balancers = [make_balancer(endpoints=warm, seed=number, **rules)[0] for number in range(sidecars)]
+    began = START_NS + SECOND
+    todo = [(START_NS + int(chance.expovariate(RATE) * SECOND), 0, -1, 0, 0)]
     calls, count, told = [], 0, False
-    while todo[0][0] < START + SPAN_S * SECOND:
+    while todo[0][0] < START_NS + SPAN_S * SECOND:
         now, _, sidecar, ident, server = heapq.heappop(todo)
         if now >= began and not told:
             told = True
             for balancer in balancers:
-                news = Membership(ListKind.DELTA, 2, [endpoint(COLD, started=began)])
+                news = Membership(ListKind.DELTA, 2, [make_endpoint(COLD, started_ns=began)])
                 balancer.handle(now, news)
         if sidecar >= 0:
             balancers[sidecar].handle(now, Outcome(ident, 0, server, Status.OK, TOOK, True))
             continue
         count += 1
         chosen = chance.randrange(sidecars)
-        for action in balancers[chosen].handle(now, request(count, now)):
+        for action in balancers[chosen].handle(now, make_request(count, now)):
             if isinstance(action, Send):
                 heapq.heappush(todo, (now + TOOK, count, chosen, count, action.endpoint_number))
                 if action.endpoint_number == COLD:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,10 +1,10 @@
-"""The order in which tests are given to the cores: the longest first."""
+"""Order of tests for parallel runs: the longest first."""
 
 import pytest
 
-# Seconds of one core that a test takes, by the start of its node name; others take under three. A wrong or
-# missing entry costs time alone. Times come from `pytest --durations`.
-LONG_S = {
+# Seconds of one core that tests take, by prefix of the node id; tests without an entry take less than 3 s.
+# A wrong or missing entry only makes the run longer. `pytest --durations` prints these times.
+LONG_TEST_DURATIONS_S = {
     "tests/balancer/test_concurrency_limit.py::test_from_any_state": 25,
     "tests/control/test_state_directory.py::test_whichever_file_call_fails": 20,
     "tests/sim/test_simulation.py::test_a_fixed_set_of_seeds_keeps_every_rule[zones": 8,
@@ -28,20 +28,26 @@
 }
 
 
-def cost_s(node: str) -> float:
-    """What a test is known to take, in seconds; 0 when it is not among the long ones."""
-    return max((cost for start, cost in LONG_S.items() if node.startswith(start)), default=0)
+def known_duration_s(node_id: str) -> float:
+    """Return the duration of a long test in seconds; 0 for other tests."""
+    return max(
+        (duration_s for prefix, duration_s in LONG_TEST_DURATIONS_S.items() if node_id.startswith(prefix)),
+        default=0,
+    )
 
 
 @pytest.hookimpl(trylast=True)
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Put the long tests in front, with a short one behind each.
+    """Move the long tests to the front, longest first, and put a short one after each.
 
-    A worker of pytest-xdist holds two tests at a time: of two long ones the second would wait for the first
-    while other workers are idle. The order is the same in every worker, as pytest-xdist needs it.
+    A pytest-xdist worker has two tests assigned at a time: of two long ones, the second would wait for the
+    first while other workers are idle. pytest-xdist requires the same order in all workers.
     """
-    long = sorted((item for item in items if cost_s(item.nodeid)), key=lambda item: -cost_s(item.nodeid))
-    short = [item for item in items if not cost_s(item.nodeid)]
-    paired = [item for pair in zip(long, short, strict=False) for item in pair]
-    count = len(paired) // 2
-    items[:] = paired + long[count:] + short[count:]
+    long = sorted(
+        (item for item in items if known_duration_s(item.nodeid)),
+        key=lambda item: -known_duration_s(item.nodeid),
+    )
+    short = [item for item in items if not known_duration_s(item.nodeid)]
+    interleaved = [item for pair in zip(long, short, strict=False) for item in pair]
+    pair_count = len(interleaved) // 2
+    items[:] = interleaved + long[pair_count:] + short[pair_count:]
--- a/tests/control/test_background_writes.py
+++ b/tests/control/test_background_writes.py
@@ -6,7 +6,7 @@
 import time
 
 import pytest
-from hot_restart_rig import Engine, Machine, Member
+from hot_restart_rig import FakeSidecarServer, ManualClocks, SidecarProcess
 from net_helpers import HOST, run, until
 
 from dykefold.control import admin_server, process_lifecycle
@@ -36,7 +36,7 @@
         self.synced += 1
 
 
-class ServingEngine(Engine):
+class ServingEngine(FakeSidecarServer):
     accepts_clients = True
 
 
@@ -54,10 +54,12 @@
 
 
 def is_out(folder, machine=None):
-    last = Member(folder, machine or Machine(SYSTEM.monotonic_ns() + 10**9, SYSTEM.time_ns() + 10**9))
+    last = SidecarProcess(
+        folder, machine or ManualClocks(SYSTEM.monotonic_ns() + 10**9, SYSTEM.time_ns() + 10**9)
+    )
     last.start()
-    out = last.out
-    last.ends(killed=True)
+    out = last.out_of_service
+    last.stop(killed=True)
     return out
 
 
--- a/tests/control/test_hot_restart_records.py
+++ b/tests/control/test_hot_restart_records.py
@@ -5,7 +5,7 @@
 
 import pytest
 from helpers import MS
-from hot_restart_rig import Flaky, Machine, Member, known
+from hot_restart_rig import FlakyDirectory, ManualClocks, SidecarProcess, balancer_estimates
 
 from dykefold.control.balancer_snapshot import restore
 from dykefold.control.file_system import FileSystem
@@ -17,11 +17,11 @@
 
 @pytest.fixture
 def machine():
-    return Machine()
+    return ManualClocks()
 
 
 def running(tmp_path, machine, **more):
-    member = Member(tmp_path, machine, Flaky, **more)
+    member = SidecarProcess(tmp_path, machine, FlakyDirectory, **more)
     member.start()
     return member
 
@@ -29,25 +29,25 @@
 def test_estimates_are_written_until_they_stand_for_a_newer_process_that_waits(tmp_path, machine):
     old = running(tmp_path, machine)
     old.server.pool.balancer.throughput.answers_per_s = 7.5
-    old.board.failing = ("state-",)
-    new = Member(tmp_path, machine)
-    new.upgrade.write_records()
+    old.directory.failing_prefixes = ("state-",)
+    new = SidecarProcess(tmp_path, machine)
+    new.hot_restart.write_records()
     for _ in range(3):
         old.tick()
-    assert old.board.read(f"state-{old.upgrade.machine.name}") is None
-    old.board.failing = ()
+    assert old.directory.read(f"state-{old.hot_restart.machine.name}") is None
+    old.directory.failing_prefixes = ()
     new.start(old)
     assert new.server.pool.balancer.throughput.answers_per_s == 7.5
-    old.board.wrote.clear()
+    old.directory.written_names.clear()
     for _ in range(5):
         old.tick()
-    assert not [name for name in old.board.wrote if name.startswith("state-")]  # no longer wanted
+    assert not [name for name in old.directory.written_names if name.startswith("state-")]  # no longer wanted
 
 
 def test_estimates_that_can_not_be_written_hold_up_the_start_for_a_bounded_time(tmp_path, machine):
     old = running(tmp_path, machine)
-    old.board.failing = ("state-",)
-    new = Member(tmp_path, machine)
+    old.directory.failing_prefixes = ("state-",)
+    new = SidecarProcess(tmp_path, machine)
     born_ns = machine.mono_ns
     new.start(old)
     assert machine.mono_ns - born_ns <= MAX_CAPACITY_WAIT_NS + 3 * OBSERVATION_INTERVAL_NS
@@ -55,67 +55,67 @@
 
 def test_an_order_that_came_just_before_the_end_is_not_taken_away_with_the_record_of_it(tmp_path, machine):
     old = running(tmp_path, machine)
-    new = Member(tmp_path, machine)
+    new = SidecarProcess(tmp_path, machine)
     new.start(old)
     old.tick()
     assert old.server.handing_over
-    assert old.call("maint").code == 200
-    old.ends()  # before the newer process has looked
-    new.ends(killed=True)
-    last = Member(tmp_path, machine)
+    assert old.carry_out("maint").code == 200
+    old.stop()  # before the newer process has looked
+    new.stop(killed=True)
+    last = SidecarProcess(tmp_path, machine)
     last.start()
-    assert last.out == ["s0"]
+    assert last.out_of_service == ["s0"]
 
 
 def test_record_of_a_dead_process_stays_until_another_process_has_it(tmp_path, machine):
     old = running(tmp_path, machine)
-    assert old.call("maint").code == 200
-    old.ends(killed=True)
-    new = Member(tmp_path, machine, Flaky)
-    new.board.failing = ("sign-", "maintenance-")
+    assert old.carry_out("maint").code == 200
+    old.stop(killed=True)
+    new = SidecarProcess(tmp_path, machine, FlakyDirectory)
+    new.directory.failing_prefixes = ("sign-", "maintenance-")
     new.start()
     for number in range(70):  # past the moment at which leftovers are taken away
         (tmp_path / "dykefold" / f"foreign-{number}").touch()  # something to look at
         new.tick()
-    assert new.out == ["s0"]
-    new.ends(killed=True)
-    last = Member(tmp_path, machine)
+    assert new.out_of_service == ["s0"]
+    new.stop(killed=True)
+    last = SidecarProcess(tmp_path, machine)
     last.start()
-    assert last.out == ["s0"]
+    assert last.out_of_service == ["s0"]
 
 
 def test_unrecorded_maintenance_order_is_reported_and_recorded_later(tmp_path, machine):
     one = running(tmp_path, machine)
-    one.board.failing = ("maintenance-", "sign-")
-    reply = one.call("maint")
+    one.directory.failing_prefixes = ("maintenance-", "sign-")
+    reply = one.carry_out("maint")
     assert reply.code == 500
     assert "newer process would not know" in reply.text
-    assert one.out == ["s0"]
-    one.board.failing = ()
+    assert one.out_of_service == ["s0"]
+    one.directory.failing_prefixes = ()
     one.tick()
-    one.ends(killed=True)
-    last = Member(tmp_path, machine)
+    one.stop(killed=True)
+    last = SidecarProcess(tmp_path, machine)
     last.start()
-    assert last.out == ["s0"]
+    assert last.out_of_service == ["s0"]
 
 
 def test_single_process_rewrites_an_emptied_or_removed_state_directory(tmp_path, machine):
     one = running(tmp_path, machine)
-    assert one.call("maint").code == 200
+    assert one.carry_out("maint").code == 200
     for path in (tmp_path / "dykefold").iterdir():
         path.unlink()
     for _ in range(12):
         one.tick()
-    assert one.files.is_alive(f"sign-{one.upgrade.machine.name}") is True
+    assert one.state_directory.is_alive(f"sign-{one.hot_restart.machine.name}") is True
     for path in (tmp_path / "dykefold").iterdir():
         path.unlink()
     (tmp_path / "dykefold").rmdir()
     for _ in range(12):
         one.tick()
-    one.ends(killed=True)
-    last = Member(tmp_path, machine)
+    one.stop(killed=True)
+    last = SidecarProcess(tmp_path, machine)
     last.start()
-    assert last.out == ["s0"]
+    assert last.out_of_service == ["s0"]
 
 
 @pytest.mark.parametrize("step_ns", [HOUR_NS, -HOUR_NS, 0])
@@ -130,7 +130,7 @@
     server.slow_start_ns = server.probation_ns = balancer.throughput.updated_ns = then
     balancer.live_classes[0].typical_updated_ns = then
     machine.wall_ns += step_ns
-    new = Member(tmp_path, machine)
+    new = SidecarProcess(tmp_path, machine)
     began_ns = machine.mono_ns
     new.start(old)
     passed_ns = machine.mono_ns - began_ns
@@ -147,20 +147,20 @@
 def test_the_later_of_two_orders_holds_though_the_wall_clock_was_stepped_between(tmp_path, machine, step_ns):
     old = running(tmp_path, machine)
     machine.wall_ns += step_ns
-    new = Member(tmp_path, machine)
+    new = SidecarProcess(tmp_path, machine)
     new.start(old)
     first, second = (old, new) if step_ns < 0 else (new, old)
-    assert first.call("maint").code == first.call("ready").code == 200
-    machine.passes(MS)
-    assert second.call("maint").code == 200  # before it has looked
+    assert first.carry_out("maint").code == first.carry_out("ready").code == 200
+    machine.advance(MS)
+    assert second.carry_out("maint").code == 200  # before it has looked
     for member in (second, first, second):
         member.tick()
-    assert first.out == second.out == ["s0"]
-    first.ends(killed=True)
-    second.ends(killed=True)
-    last = Member(tmp_path, machine)
+    assert first.out_of_service == second.out_of_service == ["s0"]
+    first.stop(killed=True)
+    second.stop(killed=True)
+    last = SidecarProcess(tmp_path, machine)
     last.start()
-    assert last.out == ["s0"]
+    assert last.out_of_service == ["s0"]
 
 
 class OfBoot(FileSystem):
@@ -180,14 +180,14 @@
 ):
     """An order of another process, given before a step of the wall clock; in the same boot, or before it."""
     old = running(tmp_path, machine, files=OfBoot("a"))
-    assert old.call("maint").code == old.call("ready").code == 200
+    assert old.carry_out("maint").code == old.carry_out("ready").code == 200
     before_ns = old.server.clock.now() - MS + step_ns
-    old.ends(killed=True)
+    old.stop(killed=True)
     machine.wall_ns += step_ns
     if boot == "b":
         machine.mono_ns = 20 * 10**9
         machine.wall_ns += 60 * 10**9
-    new = Member(tmp_path, machine, files=OfBoot(boot))
+    new = SidecarProcess(tmp_path, machine, files=OfBoot(boot))
     new.start()
     pool = new.server.pool
     again_ns = pool.now() + MS
@@ -214,7 +214,7 @@
 def test_a_record_with_values_that_can_not_be_is_no_crash(tmp_path, machine, key, value):
     one = running(tmp_path, machine)
     ghost = "99999999999999999999-1"
-    sign = one.board.read(f"sign-{one.upgrade.machine.name}")
+    sign = one.directory.read(f"sign-{one.hot_restart.machine.name}")
     word = {**sign, "name": ghost, "beat_ns": machine.mono_ns + 10**8, key: value}
     (tmp_path / "dykefold" / f"sign-{ghost}.json").write_text(json.dumps(word))
     one.tick()
@@ -227,5 +227,5 @@
     one = running(tmp_path, machine)
     pool = one.server.pool
     for kind in ([], {}, 3):
-        values = {**known(one), "groups": [{"kind": kind, "far": False, "rel": 1.0}]}
+        values = {**balancer_estimates(one), "groups": [{"kind": kind, "far": False, "rel": 1.0}]}
         assert not restore(pool.balancer, pool.names, values)
--- a/tests/control/test_state_directory.py
+++ b/tests/control/test_state_directory.py
@@ -9,7 +9,7 @@
 import sys
 
 import pytest
-from hot_restart_rig import Engine, Machine, Member
+from hot_restart_rig import FakeSidecarServer, ManualClocks, SidecarProcess
 
 from dykefold.control.admin_requests import Action, AdminRequest
 from dykefold.control.file_system import FileSystem
@@ -65,27 +65,27 @@
 
 def story(folder, files):
     """Orders at a process with failing calls, and hot restarts from it; what came of them."""
-    machine = Machine()
+    machine = ManualClocks()
     try:
-        old = Member(folder, machine, files=files)
+        old = SidecarProcess(folder, machine, files=files)
     except OSError:
         return None  # no upgrades, said at the start
     old.start()
-    old.call("maint")
+    old.carry_out("maint")
     for _ in range(3):
         old.tick()  # what failed is tried again
-    new = Member(folder, machine)
+    new = SidecarProcess(folder, machine)
     new.start(old)
     old.tick()
-    later = old.call("maint", "s1").code == 200
-    old.ends()
+    later = old.carry_out("maint", "s1").code == 200
+    old.stop()
     new.tick()
-    found = new.out
-    new.ends(killed=True)
-    last = Member(folder, machine)
+    found = new.out_of_service
+    new.stop(killed=True)
+    last = SidecarProcess(folder, machine)
     last.start()
-    kept = last.out
-    last.ends(killed=True)
+    kept = last.out_of_service
+    last.stop(killed=True)
     return later, found, kept
 
 
@@ -195,7 +195,7 @@
 
 
 def test_order_is_not_confirmed_as_recorded_if_the_state_directory_is_unusable_from_the_start(tmp_path):
-    sidecar_server = Engine(Machine())
+    sidecar_server = FakeSidecarServer(ManualClocks())
     (tmp_path / "dykefold").touch()
     lifecycle = ProcessLifecycle(None, sidecar_server, ("127.0.0.1", 0), str(tmp_path))
     assert lifecycle.hot_restart is None
--- a/tests/failover/test_failover_controller.py
+++ b/tests/failover/test_failover_controller.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import pytest
-from fleet_helpers import Clock
+from fleet_helpers import ManualClock
 from net_helpers import run
 
 from dykefold.balancer.events import Status
@@ -45,7 +45,7 @@
 def test_changed_settings_keep_a_sidecar_in_its_working_zone() -> None:
     async def play() -> None:
         world = Views(1, 1)
-        pool, clock = FakePool(), Clock()
+        pool, clock = FakePool(), ManualClock()
         made = FailoverController(
             asyncio.get_running_loop(),
             world.start(0).membership,
@@ -66,7 +66,7 @@
 
 def test_attempts_are_sampled_by_their_results() -> None:
     async def play() -> None:
-        pool, clock = FakePool(), Clock()
+        pool, clock = FakePool(), ManualClock()
         made = FailoverController(
             asyncio.get_running_loop(),
             Views(1, 1).start(0).membership,
--- a/tests/fleet/test_membership_protocol.py
+++ b/tests/fleet/test_membership_protocol.py
@@ -5,7 +5,7 @@
 import random
 
 import pytest
-from fleet_helpers import settled_fleet
+from fleet_helpers import converged_fleet
 
 from dykefold.fleet import datagrams
 from dykefold.fleet.datagrams import Datagram, Kind, Record
@@ -34,7 +34,7 @@
 
 @pytest.mark.parametrize("loss", [0.0, 0.3])
 def test_members_that_start_or_die_together_are_found(loss: float) -> None:
-    world = settled_fleet(30, 2, loss)
+    world = converged_fleet(30, 2, loss)
     for number in range(21):
         world.kill(number)
     assert world.run(settling_ns(world), world.right)
@@ -46,7 +46,7 @@
 
 @pytest.mark.parametrize("parts", [2, 3])
 def test_partitions_merge_without_a_reset(parts: int) -> None:
-    world = settled_fleet(24, 3)
+    world = converged_fleet(24, 3)
     world.cut = lambda sender, peer: sender % parts != peer % parts
     world.run(3 * SECOND)
     for number in (0, 1):  # a restart on both sides, which nobody beyond the cut hears of
@@ -61,7 +61,7 @@
 
 
 def test_one_way_cut_makes_no_member_gone() -> None:
-    world = settled_fleet(12, 4)
+    world = converged_fleet(12, 4)
     world.changes.clear()
     world.cut = lambda sender, peer: sender < 3 and 3 <= peer < 9
     world.run(20 * SECOND)
@@ -69,7 +69,7 @@
 
 
 def test_halves_with_a_one_way_cut_retain_their_members_and_merge_afterwards() -> None:
-    world = settled_fleet(12, 4)
+    world = converged_fleet(12, 4)
     world.changes.clear()
     world.cut = lambda sender, peer: sender < 6 <= peer
     world.run(20 * SECOND)
@@ -81,7 +81,7 @@
 
 
 def test_a_member_that_receives_nothing_concludes_nothing_about_others() -> None:
-    world = settled_fleet(12, 5)
+    world = converged_fleet(12, 5)
     world.changes.clear()
     world.cut = lambda sender, peer: peer == 3
     world.run(30 * SECOND)
@@ -94,7 +94,7 @@
 
 
 def test_process_paused_for_3_s_is_never_declared_dead_and_suspects_nobody() -> None:
-    world = settled_fleet(12, 6)
+    world = converged_fleet(12, 6)
     world.changes.clear()
     for _ in range(10):
         world.stop(5, 3 * SECOND)
@@ -108,7 +108,7 @@
 
 
 def test_a_restart_with_the_clock_set_back_overrides_the_former_incarnation() -> None:
-    world = settled_fleet(8, 7)
+    world = converged_fleet(8, 7)
     before = world.living[2].membership.incarnation
     for off_ms in (-10_000, -3_600_000):
         world.kill(2)
@@ -120,7 +120,7 @@
 
 
 def test_a_graceful_shutdown_is_announced_and_causes_no_suspicion() -> None:
-    world = settled_fleet(10, 8)
+    world = converged_fleet(10, 8)
     world.changes.clear()
     world.end(4)
     assert world.run(2 * SECOND, lambda: all(world.state(4, by) is State.LEAVING for by in world.living))
@@ -137,7 +137,7 @@
 
 
 def test_a_graceful_shutdown_that_does_not_end_is_concluded_in_time() -> None:
-    world = settled_fleet(6, 9)
+    world = converged_fleet(6, 9)
     world.end(1)
     world.run(SECOND)
     world.kill(1)
@@ -146,7 +146,7 @@
 
 
 def test_an_older_process_that_leaves_does_not_override_the_newer_one() -> None:
-    world = settled_fleet(6, 10)
+    world = converged_fleet(6, 10)
     old = world.living[2]
     old.leave(world.now_ns, last=False)
     newer = encode_state(old.membership.incarnation + 5, State.ALIVE)
@@ -158,7 +158,7 @@
 
 
 def test_a_flood_is_dropped_undecoded_and_changes_no_state() -> None:
-    world = settled_fleet(8, 11)
+    world = converged_fleet(8, 11)
     world.changes.clear()
     victim = world.living[0]
     datagram = datagrams.encode(
@@ -178,7 +178,7 @@
 
 
 def test_noise_duplicates_and_damaged_datagrams_change_nothing() -> None:
-    world = settled_fleet(8, 12)
+    world = converged_fleet(8, 12)
     world.changes.clear()
     world.doubled, world.spoilt = 0.5, 0.2
     chance = random.Random(1)
@@ -191,7 +191,7 @@
 
 
 def test_member_declared_dead_is_notified_and_not_trusted_about_others() -> None:
-    world = settled_fleet(4, 13)
+    world = converged_fleet(4, 13)
     protocol, other = world.living[0], world.living[1]
     protocol.membership.update(
         world.now_ns, 1, encode_state(other.membership.incarnation, State.GONE), "test"
@@ -205,7 +205,7 @@
 
 
 def test_members_with_another_address_list_answer_and_take_no_numbers() -> None:
-    world = settled_fleet(6, 14)
+    world = converged_fleet(6, 14)
     protocol = world.living[0]
     roster = [protocol.membership.addresses[0], *reversed(protocol.membership.addresses[1:])]
     protocol.renumber(world.now_ns, roster, 0)
@@ -242,7 +242,7 @@
 
 
 def test_records_reach_a_majority_of_members_and_expire() -> None:
-    world = settled_fleet(20, 16)
+    world = converged_fleet(20, 16)
     protocol = world.living[3]
     protocol.membership.publish(world.now_ns, Topic.ENDPOINT_FAILED, 77, 0)
     world.run(2 * SECOND)
@@ -321,22 +321,22 @@
 
 
 def test_a_failed_probe_suspects_only_if_the_fault_is_not_more_likely_local() -> None:
-    protocol, probe = failed_probe(settled_fleet(6, 18))
+    protocol, probe = failed_probe(converged_fleet(6, 18))
     protocol.prober.on_probe_failed(probe.timeout_ns, probe)
     assert protocol.membership.table.state(1) is State.SUSPECT
-    protocol, probe = failed_probe(settled_fleet(6, 18))
+    protocol, probe = failed_probe(converged_fleet(6, 18))
     protocol.membership.last_received_ns = probe.started_ns - 1  # nobody was heard
     protocol.prober.on_probe_failed(probe.timeout_ns, probe)
     assert protocol.membership.table.state(1) is State.ALIVE
     assert protocol.membership.health.score == 1
-    protocol, probe = failed_probe(settled_fleet(6, 18))
+    protocol, probe = failed_probe(converged_fleet(6, 18))
     protocol.membership.received_ns[1] = probe.started_ns + 1  # it spoke, if of other things
     protocol.prober.on_probe_failed(probe.timeout_ns, probe)
     assert protocol.membership.table.state(1) is State.ALIVE
 
 
 def test_a_delayed_process_drops_its_probes_and_extends_suspicions() -> None:
-    protocol, probe = failed_probe(settled_fleet(6, 18))
+    protocol, probe = failed_probe(converged_fleet(6, 18))
     protocol.prober.probes = {7: probe}
     protocol.membership.update(
         probe.started_ns,
--- a/tests/fleet/test_peer_observations.py
+++ b/tests/fleet/test_peer_observations.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from fleet_helpers import settled_fleet
-from helpers import SECOND, make, request, send_one
+from fleet_helpers import converged_fleet
+from helpers import SECOND, make_balancer, make_request, submit_request
 
 from dykefold.balancer.actions import ReportEndpointHealth
 from dykefold.balancer.events import MembershipChanged, Outcome, Status
@@ -29,7 +29,7 @@
 
 
 def test_a_hint_needs_a_quorum_of_live_peers_and_their_latest_reports() -> None:
-    world = settled_fleet(9, equal=True)
+    world = converged_fleet(9, equal_states=True)
     protocol, endpoints = world.living[0], {"s-1": 11, "s-2": 12}
     assert [hint_quorum(live) for live in (9, 4, 2)] == [3, 2, 2]
     for member in (1, 2):
@@ -54,7 +54,7 @@
 
 
 def test_a_report_is_not_repeated_after_a_quorum_but_can_be_taken_back() -> None:
-    world = settled_fleet(9, 2, equal=True)
+    world = converged_fleet(9, 2, equal_states=True)
     published = []
     for member in range(7):
         published.append(report_endpoint(world.living[member].membership, world.now_ns, "s-1", answers=False))
@@ -67,7 +67,7 @@
 
 
 def test_an_isolated_member_counts_on_all_others() -> None:
-    world = settled_fleet(6, equal=True)
+    world = converged_fleet(6, equal_states=True)
     world.cut = lambda sender, peer: 0 in (sender, peer)
     world.run(20 * SECOND)
     protocol = world.living[0]
@@ -76,7 +76,7 @@
 
 
 def test_departed_members_count_until_they_could_have_been_restarted() -> None:
-    world = settled_fleet(12, equal=True)
+    world = converged_fleet(12, equal_states=True)
     for number in range(8):
         world.kill(number)
     assert world.run(20 * SECOND, world.right)
@@ -96,7 +96,7 @@
 
 
 def test_the_newest_list_version_is_announced_by_whoever_has_it() -> None:
-    world = settled_fleet(6, equal=True)
+    world = converged_fleet(6, equal_states=True)
     for member, version in ((0, 7), (1, 9), (2, 8)):
         announce_list_version(world.living[member].membership, world.now_ns, version)
         world.run(SECOND)
@@ -107,14 +107,14 @@
 def test_the_balancer_ejects_at_its_first_failure_an_endpoint_that_peers_report() -> None:
     hints = {}
     for reported in (False, True):
-        balancer, now = make(servers=6, fleet_size=4)
+        balancer, now = make_balancer(endpoint_count=6, fleet_size=4)
         balancer.handle(
             now, MembershipChanged(4, {}, failing_endpoints=frozenset({102}) if reported else frozenset())
         )
         assert not balancer.endpoints.all[102].ejected  # never by hints alone
         ident = 1
         while True:
-            send = send_one(balancer, now, ident)
+            send = submit_request(balancer, now, ident)
             ident += 1
             if send.endpoint_number == 102:
                 break
@@ -126,14 +126,14 @@
 
 
 def test_the_balancer_probes_at_once_an_endpoint_that_answers_peers() -> None:
-    balancer, now = make(servers=6, fleet_size=4)
+    balancer, now = make_balancer(endpoint_count=6, fleet_size=4)
     balancer.handle(now, MembershipChanged(4, {}, failing_endpoints=frozenset({102})))
     server = balancer.endpoints.all[102]
     balancer.context.now_ns, balancer.context.actions = now, []
     balancer.outliers.eject(server)
     assert server.probation_ns > now
     balancer.handle(now, MembershipChanged(4, {}, answering_endpoints=frozenset({102})))
-    actions = balancer.handle(now, request(900, now))
+    actions = balancer.handle(now, make_request(900, now))
     (send,) = [action for action in actions if hasattr(action, "endpoint_number")]
     assert send.endpoint_number == 102
     actions = balancer.handle(now, Outcome(900, 0, 102, Status.OK, SECOND // 50, True))
@@ -141,7 +141,7 @@
 
 
 def test_a_balancer_without_membership_reports_nothing_and_uses_the_settings() -> None:
-    balancer, now = make(servers=6, fleet_size=4)
+    balancer, now = make_balancer(endpoint_count=6, fleet_size=4)
     balancer.context.now_ns, balancer.context.actions = now, []
     balancer.outliers.eject(balancer.endpoints.all[102])
     assert not any(isinstance(action, ReportEndpointHealth) for action in balancer.context.actions)
@@ -151,12 +151,12 @@
 
 
 def test_a_new_balancer_starts_with_latencies_of_peers_and_replaces_them_soon() -> None:
-    balancer, now = make(servers=6, fleet_size=4)
+    balancer, now = make_balancer(endpoint_count=6, fleet_size=4)
     work = balancer.context.classes[0]
     balancer.handle(now, MembershipChanged(4, {}, typical_latency_ns={0: SECOND / 4}))
     assert work.mean_latency_ns == work.typical_latency_ns == SECOND / 4
     for ident in range(1, 61):
-        send = send_one(balancer, now, ident)
+        send = submit_request(balancer, now, ident)
         balancer.handle(now, Outcome(ident, 0, send.endpoint_number, Status.OK, SECOND // 50, True))
         now += SECOND // 20
     # Wrong by twelve times, and mostly forgotten after sixty answers.
@@ -166,7 +166,7 @@
 
 
 def test_a_new_member_requests_records_until_three_have_replied() -> None:
-    world = settled_fleet(9, equal=True)
+    world = converged_fleet(9, equal_states=True)
     world.run(7 * SECOND)  # nobody is new any more
     for member in range(8):
         report_endpoint(world.living[member].membership, world.now_ns, f"s-{member}", answers=False)
@@ -194,7 +194,7 @@
 
 
 def test_subsets_stay_until_departed_members_could_have_been_restarted() -> None:
-    world = settled_fleet(12, equal=True)
+    world = converged_fleet(12, equal_states=True)
     endpoints = {f"s-{number}": number for number in range(20)}
     protocol = world.living[11]
     before = event(protocol, world.now_ns, endpoints).ranks
--- a/tests/fleet/test_poll_schedule.py
+++ b/tests/fleet/test_poll_schedule.py
@@ -5,7 +5,7 @@
 import random
 
 import pytest
-from fleet_helpers import Clock, settled_fleet
+from fleet_helpers import ManualClock, converged_fleet
 from hypothesis import given
 from hypothesis import strategies as st
 from net_helpers import run
@@ -157,8 +157,8 @@
 
 def test_a_silent_poll_is_replaced_once_for_a_list_that_peers_have() -> None:
     async def play() -> None:
-        world = settled_fleet(3)
-        clock, discovery, protocol = Clock(world.now_ns), FakeDiscovery(), world.living[0]
+        world = converged_fleet(3)
+        clock, discovery, protocol = ManualClock(world.now_ns), FakeDiscovery(), world.living[0]
         lists = EndpointListSync(discovery, PollSettings(MUST_NS, 125.0, 0, 3), 1, clock)  # type: ignore[arg-type]
         lists.join(protocol.membership)
         peer_observations.announce_list_version(world.living[1].membership, world.now_ns, 9)
--- a/tests/fleet/test_restart_clock.py
+++ b/tests/fleet/test_restart_clock.py
@@ -1,7 +1,7 @@
 """Incarnations start with wall time; a member restarted with an earlier clock overrides its former one."""
 
 import pytest
-from fleet_helpers import settled_fleet
+from fleet_helpers import converged_fleet
 
 from dykefold.fleet.member_state import State
 from dykefold.fleet.rate_limits import SECOND
@@ -30,7 +30,7 @@
     restarted: int, planned: bool, off_ms: int
 ) -> None:
     """As fast with a clock an hour back as with one an hour ahead, and their records count from then on."""
-    world = settled_fleet(SIZE, 5)
+    world = converged_fleet(SIZE, 5)
     before = {number: protocol.membership.incarnation for number, protocol in world.living.items()}
     world.living[0].membership.publish(world.now_ns, Topic.ENDPOINT_FAILED, 77, 1)
     world.run(SECOND)
--- a/tests/fleet_helpers.py
+++ b/tests/fleet_helpers.py
@@ -1,14 +1,14 @@
-"""Fleets of members on a virtual clock, for the tests of the membership and of the failover."""
+"""Simulated fleets and a manual clock for the tests of membership and failover."""
 
 from __future__ import annotations
 
 from dykefold.fleet.rate_limits import SECOND
 from dykefold.sim.views import Views
 
-SETTLE_NS = 20 * SECOND
+MAX_CONVERGENCE_NS = 20 * SECOND
 
 
-class Clock:
+class ManualClock:
     """A monotonic clock that the test sets."""
 
     def __init__(self, now_ns: int = SECOND) -> None:
@@ -18,17 +18,19 @@
         return self.now_ns
 
 
-def settled_fleet(size: int, seed: int = 1, loss: float = 0.0, equal: bool = False) -> Views:
-    """Start all members of a fleet, and run until all know who is live.
+def converged_fleet(
+    size: int, seed: int = 1, loss_fraction: float = 0.0, equal_states: bool = False
+) -> Views:
+    """Start all members of a simulated fleet, and run it until their membership views have converged.
 
     Args:
-        size: Size of the fleet.
+        size: Number of members.
         seed: Seed of the random generator.
-        loss: Fraction of the datagrams that are lost.
-        equal: Whether to run until all members have equal states as well.
+        loss_fraction: Fraction of the datagrams that are lost.
+        equal_states: Whether to run until the states of all members are equal as well.
     """
-    world = Views(size, seed, loss)
-    for number in range(size):
-        world.start(number)
-    assert world.run(SETTLE_NS, lambda: world.right() and (not equal or world.equal()))
-    return world
+    fleet = Views(size, seed, loss_fraction)
+    for member_index in range(size):
+        fleet.start(member_index)
+    assert fleet.run(MAX_CONVERGENCE_NS, lambda: fleet.right() and (not equal_states or fleet.equal()))
+    return fleet
--- a/tests/golden/forms.py
+++ b/tests/golden/forms.py
@@ -99,11 +99,11 @@
 def snapshot_form():
     """The estimates that a newer process begins with, after a few requests."""
     names = NameTable(["a", "b"], ["std"])
-    balancer, now = helpers.make(
-        entries=[listed.endpoint for listed in parse_endpoint_update(endpoint_list(), names).entries]
+    balancer, now = helpers.make_balancer(
+        endpoints=[listed.endpoint for listed in parse_endpoint_update(endpoint_list(), names).entries]
     )
     for ident in range(12):
-        sent = helpers.send_one(balancer, now, ident)
+        sent = helpers.submit_request(balancer, now, ident)
         now += 40 * helpers.MS
         status = Status.ERROR if ident == 7 else Status.OK
         balancer.handle(now, Outcome(ident, 0, sent.endpoint_number, status, 40 * helpers.MS, True))
--- a/tests/golden/test_golden_forms.py
+++ b/tests/golden/test_golden_forms.py
@@ -51,7 +51,7 @@
     names = forms.NameTable(["a", "b"], ["std"])
     entries = forms.parse_endpoint_update(left["list"]["pools"][""], names).entries
     assert [entry.name for entry in entries] == ["s0", "s1", "s2"]
-    balancer, _ = forms.helpers.make(entries=[listed.endpoint for listed in entries])
+    balancer, _ = forms.helpers.make_balancer(endpoints=[listed.endpoint for listed in entries])
     assert restore(balancer, names, left["state"]["pools"][""])
     again = snapshot(balancer, names)
     assert (
--- a/tests/net/test_start_times.py
+++ b/tests/net/test_start_times.py
@@ -5,7 +5,7 @@
 import time
 
 import pytest
-from helpers import MS, SECOND, endpoint, make, settings
+from helpers import MS, SECOND, make_balancer, make_endpoint, make_settings
 from net_helpers import HOST, Fake, Sidecar, config, entry, news, on_loop, reply, until
 
 from dykefold.balancer.events import Endpoint, ListKind, Membership, State
@@ -13,7 +13,7 @@
 from dykefold.system import System
 
 HOUR = 3600 * SECOND
-WARM, COLD = settings().warm_within_ns, settings().start_capacity
+WARM, COLD = make_settings().warm_within_ns, make_settings().start_capacity
 UNIX = 10 * HOUR  # what the module's clock says when the tables below begin
 
 
@@ -22,10 +22,10 @@
 
     def __init__(self):
         self.starts = StartTimes()
-        self.balancer, _ = make(entries=[])
+        self.balancer, _ = make_balancer(endpoints=[])
 
     def hear(self, now, kind, since=None, source="one", name="new"):
-        entry = endpoint(7, started=since or 0)
+        entry = make_endpoint(7, started_ns=since or 0)
         entries = [] if since is None else [(name, entry)]
         self.starts.place(now, kind, source, entries)
         return entry
@@ -111,9 +111,9 @@
 def test_a_restarted_sidecar_whose_clock_is_behind_has_servers_to_send_to(ages, behind, ramps, caplog):
     """With all of them cold it would refuse every request until the first is warm."""
     now = UNIX
-    fleet = [endpoint(n + 1, started=now + (behind - age) * SECOND) for n, age in enumerate(ages)]
+    fleet = [make_endpoint(n + 1, started_ns=now + (behind - age) * SECOND) for n, age in enumerate(ages)]
     StartTimes().place(now, ListKind.CACHED, "one", [(f"s{one.number}", one) for one in fleet])
-    balancer, _ = make(entries=[])
+    balancer, _ = make_balancer(endpoints=[])
     balancer.handle(now, Membership(ListKind.CACHED, 1, fleet))
     found = [balancer.slow_start.capacity_fraction(balancer.servers[one.number]) for one in fleet]
     assert found == pytest.approx(ramps)
@@ -132,7 +132,7 @@
     told = Told()
     told.hear(UNIX, ListKind.FULL)
     now = UNIX + 4 * SECOND
-    new = endpoint(7, started=now - 3 * SECOND + apart)
+    new = make_endpoint(7, started_ns=now - 3 * SECOND + apart)
     told.starts.place(now, ListKind.DELTA, "one", [("new", new)], called_ns=now - 20 * MS)
     assert told.ramp(now, new) == pytest.approx(COLD + (1 - COLD) * believed / WARM)
 
--- a/tests/net/test_upstream_syscalls.py
+++ b/tests/net/test_upstream_syscalls.py
@@ -12,9 +12,8 @@
 import time
 
 import pytest
-from faulty_system import FaultySystem, run_plain
-from helpers import SECOND, play_timers, send_one
-from helpers import make as balanced
+from faulty_system import FaultySystem, run_on_asyncio_loop
+from helpers import SECOND, make_balancer, run_timers, submit_request
 from net_helpers import (
     HOST,
     WAIT,
@@ -51,7 +50,7 @@
     errno.ENFILE, errno.EMFILE, errno.EAGAIN, errno.EPERM, errno.EACCES,
 ]  # fmt: skip
 THEIRS = [errno.ECONNREFUSED, errno.EHOSTUNREACH, errno.ETIMEDOUT, errno.ECONNRESET]
-LOOPS = [run, run_plain]
+LOOPS = [run, run_on_asyncio_loop]
 
 
 def make(address, system, connect_timeout=0.25):
@@ -63,7 +62,7 @@
 
 async def nothing_left(pool, system):
     pool.close()
-    await until(lambda: not system.open_ones(), "all descriptors closed")
+    await until(lambda: not system.open_sockets(), "all descriptors closed")
     assert not pool.allowance.in_use
     assert not pool.connections
     assert not pool.unneeded
@@ -76,7 +75,7 @@
     async def play():
         fake, system = await Fake(answer_ok).start(), FaultySystem()
         pool = make((HOST, fake.port), system)
-        system.faults.on("connect", number, times=1)
+        system.faults.add("connect", number, fault_count=1)
         assert await start(pool)[1] == (
             Status.NOT_ATTEMPTED if number in OWN else Status.CONNECT_FAILED,
             None,
@@ -105,7 +104,7 @@
     async def play():
         fake, system = await Fake(answer_ok).start(), FaultySystem()
         pool = make((HOST, fake.port), system)
-        system.faults.on(call, number, times=1)
+        system.faults.add(call, number, fault_count=1)
         assert (await start(pool)[1])[0] is Status.OK
         await nothing_left(pool, system)
 
@@ -117,7 +116,7 @@
     async def play():
         fake, system = await Fake(answer_ok).start(), FaultySystem()
         pool = make((HOST, fake.port), system)
-        system.faults.on("socket", number, times=1)
+        system.faults.add("socket", number, fault_count=1)
         assert await start(pool)[1] == (Status.NOT_ATTEMPTED, None)
         assert (await start(pool)[1])[0] is Status.OK
         await nothing_left(pool, system)
@@ -189,16 +188,16 @@
     async def play():
         fake, system = await Fake(answer_ok).start(), FaultySystem()
         pool = make((HOST, fake.port), system)
-        system.faults.on("setsockopt", errno.ENOBUFS, after=2)
+        system.faults.add("setsockopt", errno.ENOBUFS, skipped_calls=2)
         assert await start(pool)[1] == (Status.NOT_ATTEMPTED, None)
-        assert not system.open_ones()
+        assert not system.open_sockets()
         assert not pool.allowance.in_use
         system.faults.clear()
         gc.collect()  # of what asyncio's loop still knows by the descriptor's number
         assert (await start(pool)[1])[0] is Status.OK
         await nothing_left(pool, system)
 
-    run_plain(play())
+    run_on_asyncio_loop(play())
 
 
 @pytest.mark.parametrize("late", [False, True])
@@ -208,14 +207,14 @@
         address = server.getsockname()
         server.close()
         pool = make(address, system, 0.03)
-        told = system.faults.meet
+        told = system.faults.inject
 
         def meet(call):
             if late and call == "connect":  # the loop stands still before it hears what became of it
                 asyncio.get_running_loop().call_soon(time.sleep, 0.1)
             return told(call)
 
-        system.faults.meet = meet
+        system.faults.inject = meet
         assert await start(pool)[1] == (Status.CONNECT_FAILED, None)
         await nothing_left(pool, system)
 
@@ -227,15 +226,15 @@
     async def play():
         system = FaultySystem()
         pool = make((HOST, 9), system, 0.03)
-        told = system.faults.meet
+        told = system.faults.inject
 
         def meet(call):
             if call == "connect":
                 time.sleep(0.1)
             return told(call)
 
-        system.faults.meet = meet
-        system.faults.on("connect", number)
+        system.faults.inject = meet
+        system.faults.add("connect", number)
         assert await start(pool)[1] == (Status.CONNECT_FAILED, None)
         await nothing_left(pool, system)
 
@@ -269,9 +268,9 @@
         pool = make((HOST, fake.port), system)
         exchange, end = start(pool)
         await until(lambda: fake.got)
-        system.faults.on("setsockopt", number)
+        system.faults.add("setsockopt", number)
         shut = []
-        system.made[0].shutdown = shut.append
+        system.sockets[0].shutdown = shut.append
         exchange.give_up(Status.TIMEOUT)
         assert shut == [socket.SHUT_RDWR]
         assert await end == (Status.TIMEOUT, None)
@@ -290,11 +289,11 @@
     async def play():
         fake, system = await Fake(answer_ok).start(), FaultySystem()
         pool = make((HOST, fake.port), system)
-        system.faults.on("recv", number)
+        system.faults.add("recv", number)
         assert await start(pool)[1] == (Status.RESET, None)
         await nothing_left(pool, system)
 
-    run_plain(play())
+    run_on_asyncio_loop(play())
 
 
 @pytest.mark.parametrize("number", BROKEN)
@@ -306,10 +305,10 @@
         fake, system = await Fake(silent).start(), FaultySystem()
         pool = make((HOST, fake.port), system)
         if taken:
-            system.faults.on("send", short=taken, times=1)
+            system.faults.add("send", max_bytes=taken, fault_count=1)
         else:
-            system.faults.on("send", errno.EAGAIN, times=1)
-        system.faults.on("send", number)
+            system.faults.add("send", errno.EAGAIN, fault_count=1)
+        system.faults.add("send", number)
         status, answer = await start(pool, payload=b"GET /lookup HTTP/1.1\r\nX-Request-Id: a\r\n\r\n")[1]
         # All before its last byte had gone: it may have left with the write that failed.
         never = Status.CONNECT_FAILED if number in PATHS else Status.NOT_ATTEMPTED
@@ -317,14 +316,14 @@
         assert not fake.got
         await nothing_left(pool, system)
 
-    run_plain(play())
+    run_on_asyncio_loop(play())
 
 
 def test_short_writes_and_reads_cost_nothing():
     async def play():
         fake, system = await Fake(answer_ok).start(), FaultySystem()
         pool = make((HOST, fake.port), system)
-        system.faults.on("send", short=3).on("recv", short=1)
+        system.faults.add("send", max_bytes=3).add("recv", max_bytes=1)
         payload = message("order", body=b"x" * 300)
         for _ in range(3):
             status, answer = await start(pool, payload=payload)[1]
@@ -333,7 +332,7 @@
         assert fake.connections == 1
         await nothing_left(pool, system)
 
-    run_plain(play())
+    run_on_asyncio_loop(play())
 
 
 @pytest.mark.parametrize("play_on", LOOPS)
@@ -349,9 +348,9 @@
                 writer.close()
 
         fake, system = await Fake(act).start(), FaultySystem()
-        system.faults.chance.seed(seed)
+        system.faults.random.seed(seed)
         pool = make((HOST, fake.port), system)
-        system.faults.by_seed(
+        system.faults.add_random(
             0.1,
             socket=(errno.EMFILE, errno.ENOBUFS),
             connect=(*OWN, *THEIRS, errno.EINTR),
@@ -363,7 +362,7 @@
             send=(errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT),
             recv=(errno.EAGAIN, errno.EINTR, errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH),
         )
-        system.faults.on("send", short=7, part=0.2)
+        system.faults.add("send", max_bytes=7, probability=0.2)
         problems = []
 
         def note(_, context):
@@ -389,7 +388,7 @@
                 assert number not in ran, status
         assert never
         assert not problems
-        assert sum(system.faults.made.values()) > 50
+        assert sum(system.faults.counts.values()) > 50
         assert sum(end.result()[0] is Status.OK for end in ends) > 100
         system.faults.clear()
         await nothing_left(pool, system)
@@ -480,7 +479,7 @@
                     struck.append(server.id)
 
             monkeypatch.setattr(balancer.outliers, "record_failure", strike)
-            system.faults.on("connect", number, for_s=for_s)
+            system.faults.add("connect", number, duration_s=for_s)
             got = await ask_through(sidecar, int(for_s / 0.01), 0.01)
             served = sum(code == 200 for code, _ in got) / len(got)
             print(f"{errno.errorcode[number]} for {for_s} s: served {served:.3f}, strikes {len(struck)}")
@@ -588,11 +587,11 @@
                 discovery.watch(True)  # as the module does after a failure
 
         discovery.on_update = hear
-        system.faults.on(call, errno.ENOBUFS, times=3)
+        system.faults.add(call, errno.ENOBUFS, fault_count=3)
         discovery.watch(True)
         await until(lambda: any(told is not None and told.version == 7 for told in heard))
         discovery.close()
-        await until(lambda: not system.open_ones())
+        await until(lambda: not system.open_sockets())
 
     run(play())
 
@@ -602,14 +601,14 @@
 
 @pytest.mark.parametrize("effect", list(Effect))
 def test_what_this_machine_could_not_send_spends_no_attempt_and_no_retry_token(effect):
-    balancer, now = balanced(effect=effect)
-    action = send_one(balancer, now, 1)
+    balancer, now = make_balancer(effect=effect)
+    action = submit_request(balancer, now, 1)
     tokens, sends, deadline = balancer.retries.budget, [], now + 4 * SECOND
     for number in range(100):
         actions = balancer.handle(
             now, Outcome(1, number, action.endpoint_number, Status.NOT_ATTEMPTED, 0, False)
         )
-        later = [(now, one) for one in actions] + play_timers(balancer, now, actions, deadline)
+        later = [(now, one) for one in actions] + run_timers(balancer, now, actions, deadline)
         ends = [(at, one) for at, one in later if isinstance(one, Send | Refuse | Fail)]
         assert len(ends) == 1
         assert ends[0][0] >= now
--- a/tests/routing/services_rig.py
+++ b/tests/routing/services_rig.py
@@ -1,4 +1,4 @@
-"""A process with several services in the test's own loop, and requests to it."""
+"""A sidecar with several services in the test's event loop, its configuration and requests to it."""
 
 import asyncio
 import json
@@ -15,29 +15,35 @@
 MB = 1024 * 1024
 
 
-def pool_text(name, *ports, **more):
+def pool_toml(name, *ports, **options):
+    """Return the TOML of a pool with a route for its path prefix."""
     lines = [f"[pools.{name}]", f"servers = {json.dumps([f'{HOST}:{port}' for port in ports])}"]
-    lines += [f"{key} = {json.dumps(value)}" for key, value in more.items()]
+    lines += [f"{key} = {json.dumps(value)}" for key, value in options.items()]
     lines += ["[[routes]]", f'name = "{name}"', f'pool = "{name}"', f'prefix = "/{name}"']
     return "\n".join(lines) + "\n"
 
 
-def plan_of(text):
-    plan, problems = read_plan(tomllib.loads(text))
+def parse_plan(config):
+    plan, problems = read_plan(tomllib.loads(config))
     assert plan is not None, problems
     return plan
 
 
-class Node:
-    """A node with services in the test's own loop."""
+class InProcessSidecar:
+    """A sidecar with services, in the event loop of the test.
 
-    def __init__(self, text, sockets=512):
-        self.server = SidecarServer(asyncio.get_running_loop(), SidecarLimits(sockets, 192 * MB))
+    Args:
+        config: TOML of the services.
+        max_sockets: Number of descriptors that the sidecar may hold.
+    """
+
+    def __init__(self, config, max_sockets=512):
+        self.server = SidecarServer(asyncio.get_running_loop(), SidecarLimits(max_sockets, 192 * MB))
         self.services = Services(self.server, lambda: 7)
-        self.apply(text, sockets)
+        self.apply_config(config, max_sockets)
 
-    def apply(self, text, sockets=512):
-        self.services.apply(plan_of(text), sockets, AddressLimits())
+    def apply_config(self, config, max_sockets=512):
+        self.services.apply(parse_plan(config), max_sockets, AddressLimits())
 
     def pool(self, name):
         return self.services.by_name[name].pool
@@ -51,9 +57,9 @@
         self.server.close()
 
 
-def get(path, *lines, method="GET", host="parts.example"):
-    return "\r\n".join([f"{method} {path} HTTP/1.1", f"Host: {host}", *lines]).encode() + b"\r\n\r\n"
+def get_request(path, *header_lines, method="GET", host="parts.example"):
+    return "\r\n".join([f"{method} {path} HTTP/1.1", f"Host: {host}", *header_lines]).encode() + b"\r\n\r\n"
 
 
-def post(path, body=b"order"):
-    return get(path, f"Content-Length: {len(body)}", method="POST") + body
+def post_request(path, body=b"order"):
+    return get_request(path, f"Content-Length: {len(body)}", method="POST") + body
--- a/tests/routing/test_services.py
+++ b/tests/routing/test_services.py
@@ -10,7 +10,7 @@
 import pytest
 from net_helpers import HOST, Fake, answer_ok, ask, gated, read_message, reply, reset, run, silent, until
 from process_helpers import in_time
-from services_rig import Node, get, pool_text, post
+from services_rig import InProcessSidecar, get_request, pool_toml, post_request
 
 from dykefold.balancer.settings import Effect
 from dykefold.net.loop_lag import MIN_LOGGED_S
@@ -31,7 +31,7 @@
         loop = asyncio.get_running_loop()
         while self.going:
             began = loop.time()
-            writer.write(get(path))
+            writer.write(get_request(path))
             try:
                 code = (await read_message(reader)).code
             except asyncio.IncompleteReadError:
@@ -79,8 +79,8 @@
             return act
 
         fakes = {name: await Fake(act_of(name)).start() for name in acts}
-        text = "".join(pool_text(name, fake.port, deadline_ms=2000) for name, fake in fakes.items())
-        async with Node(text) as node:
+        text = "".join(pool_toml(name, fake.port, deadline_ms=2000) for name, fake in fakes.items())
+        async with InProcessSidecar(text) as node:
             loads = {name: Load(node.port, f"/{name}/x") for name in acts}
             await until(lambda: all(load.answered > 100 for load in loads.values()))
             acts["orders"] = failure
@@ -103,14 +103,14 @@
     async def play():
         go, act = gated()
         old, new = await Fake(act).start(), await Fake(answer_ok).start()
-        async with Node(pool_text("a", old.port)) as node:
+        async with InProcessSidecar(pool_toml("a", old.port)) as node:
             pool = node.pool("a")
-            held = asyncio.create_task(ask(node.port, post("/a/1")))
+            held = asyncio.create_task(ask(node.port, post_request("/a/1")))
             await until(lambda: old.got)
-            node.apply(pool_text("a", new.port, attempts_most=2))  # other settings: another pool
+            node.apply_config(pool_toml("a", new.port, attempts_most=2))  # other settings: another pool
             assert node.pool("a") is not pool
             assert pool in node.server.pools
-            assert (await ask(node.port, post("/a/2"))).code == 200
+            assert (await ask(node.port, post_request("/a/2"))).code == 200
             assert len(new.got) == 1
             go.set()
             assert (await held).code == 200
@@ -125,20 +125,20 @@
 def test_a_pool_that_stays_keeps_its_balancer_and_connections():
     async def play():
         fake, other = await Fake(answer_ok).start(), await Fake(answer_ok).start()
-        async with Node(pool_text("a", fake.port)) as node:
+        async with InProcessSidecar(pool_toml("a", fake.port)) as node:
             pool = node.pool("a")
-            assert (await ask(node.port, get("/a"))).code == 200
-            node.apply(
-                pool_text("a", fake.port).replace('prefix = "/a"', 'prefix = "/b"')
-                + pool_text("c", other.port)
+            assert (await ask(node.port, get_request("/a"))).code == 200
+            node.apply_config(
+                pool_toml("a", fake.port).replace('prefix = "/a"', 'prefix = "/b"')
+                + pool_toml("c", other.port)
             )
             assert node.pool("a") is pool
-            assert (await ask(node.port, get("/a"))).code == 404
-            assert (await ask(node.port, get("/b"))).code == 200
+            assert (await ask(node.port, get_request("/a"))).code == 404
+            assert (await ask(node.port, get_request("/b"))).code == 200
             assert fake.connections == 1
-            node.apply(pool_text("a", other.port))  # another list: the same pool
+            node.apply_config(pool_toml("a", other.port))  # another list: the same pool
             assert node.pool("a") is pool
-            assert (await ask(node.port, get("/a"))).code == 200
+            assert (await ask(node.port, get_request("/a"))).code == 200
             assert len(other.got) == 1
 
     run(play())
@@ -158,15 +158,15 @@
         classes = '[pools.a.classes.sale]\neffect = "{}"\naim_ms = 500\ndeadline_ms = 3000\n'
 
         def text(effect):
-            routes = pool_text("a", first.port, second.port).partition("[[routes]]")
+            routes = pool_toml("a", first.port, second.port).partition("[[routes]]")
             return (
                 routes[0] + classes.format(effect) + routes[1] + routes[2] + 'classes = { POST = "sale" }\n'
             )
 
-        async with Node(text("unsafe")) as node:
-            held = asyncio.create_task(ask(node.port, post("/a/1")))
+        async with InProcessSidecar(text("unsafe")) as node:
+            held = asyncio.create_task(ask(node.port, post_request("/a/1")))
             await until(lambda: first.got or second.got)
-            node.apply(text("safe"))
+            node.apply_config(text("safe"))
             assert node.pool("a").settings.classes[0].effect is Effect.SAFE
             go.set()
             assert (await held).code == 502
@@ -179,13 +179,13 @@
     async def play():
         go, act = gated()
         old, new, rest = await Fake(act).start(), await Fake(answer_ok).start(), await Fake(answer_ok).start()
-        async with Node(pool_text("a", old.port) + pool_text("b", rest.port)) as node:
-            held = asyncio.create_task(ask(node.port, post("/a/1")))
+        async with InProcessSidecar(pool_toml("a", old.port) + pool_toml("b", rest.port)) as node:
+            held = asyncio.create_task(ask(node.port, post_request("/a/1")))
             await until(lambda: old.got)
-            node.apply(pool_text("b", rest.port))
-            assert (await ask(node.port, get("/a"))).code == 404
-            node.apply(pool_text("a", new.port) + pool_text("b", rest.port))
-            assert (await ask(node.port, get("/a"))).code == 200
+            node.apply_config(pool_toml("b", rest.port))
+            assert (await ask(node.port, get_request("/a"))).code == 404
+            node.apply_config(pool_toml("a", new.port) + pool_toml("b", rest.port))
+            assert (await ask(node.port, get_request("/a"))).code == 200
             assert len(old.got) == 1
             go.set()
             assert (await held).code == 200
@@ -196,12 +196,14 @@
 def test_two_services_may_share_a_server():
     async def play():
         fake = await Fake(answer_ok).start()
-        async with Node(pool_text("a", fake.port) + pool_text("b", fake.port)) as node:
+        async with InProcessSidecar(pool_toml("a", fake.port) + pool_toml("b", fake.port)) as node:
             same = "X-Request-Id: 1"  # ids are told apart by pool
-            answers = await asyncio.gather(ask(node.port, get("/a", same)), ask(node.port, get("/b", same)))
+            answers = await asyncio.gather(
+                ask(node.port, get_request("/a", same)), ask(node.port, get_request("/b", same))
+            )
             assert [got.code for got in answers] == [200, 200]
-            node.apply(pool_text("b", fake.port))
-            assert (await ask(node.port, get("/b"))).code == 200
+            node.apply_config(pool_toml("b", fake.port))
+            assert (await ask(node.port, get_request("/b"))).code == 200
 
     run(play())
 
@@ -209,19 +211,19 @@
 def test_a_bad_plan_changes_nothing():
     async def play():
         fake = await Fake(answer_ok).start()
-        async with Node(pool_text("a", fake.port)) as node:
+        async with InProcessSidecar(pool_toml("a", fake.port)) as node:
             grammar, pools = node.server.parser, dict(node.services.by_name)
             with pytest.raises(ValueError, match="minima"):
-                node.apply(pool_text("a", fake.port, open_least=9000) + pool_text("b", fake.port))
+                node.apply_config(pool_toml("a", fake.port, open_least=9000) + pool_toml("b", fake.port))
             assert node.server.parser is grammar
             assert node.services.by_name == pools
-            assert (await ask(node.port, get("/a"))).code == 200
-            text = pool_text("a", fake.port, open_least=100)
-            node.apply(text)
+            assert (await ask(node.port, get_request("/a"))).code == 200
+            text = pool_toml("a", fake.port, open_least=100)
+            node.apply_config(text)
             with pytest.raises(ValueError, match="minima"):
-                node.apply(text, sockets=128)  # judged by the limit that comes with it
+                node.apply_config(text, max_sockets=128)  # judged by the limit that comes with it
             assert node.server.budget.upstreams.limit == node.services.reservations.total > 100
-            node.apply(pool_text("a", fake.port), sockets=128)
+            node.apply_config(pool_toml("a", fake.port), max_sockets=128)
             assert node.server.budget.upstreams.limit == node.services.reservations.total < 100
 
     run(play())
@@ -231,15 +233,15 @@
     async def play():
         fakes = [await Fake(answer_ok).start() for _ in range(3)]
         texts = [
-            pool_text("a", fakes[0].port) + pool_text("b", fakes[1].port),
-            pool_text("a", fakes[0].port, fakes[2].port) + pool_text("b", fakes[1].port, attempts_most=2),
-            pool_text("b", fakes[2].port, attempts_most=4) + pool_text("a", fakes[1].port, idle_ms=900),
+            pool_toml("a", fakes[0].port) + pool_toml("b", fakes[1].port),
+            pool_toml("a", fakes[0].port, fakes[2].port) + pool_toml("b", fakes[1].port, attempts_most=2),
+            pool_toml("b", fakes[2].port, attempts_most=4) + pool_toml("a", fakes[1].port, idle_ms=900),
         ]
-        async with Node(texts[0]) as node:
+        async with InProcessSidecar(texts[0]) as node:
             loads = [Load(node.port, f"/{name}/x") for name in "ab"]
             for number in range(100):
                 before = [load.answered for load in loads]
-                node.apply(texts[number % 3])
+                node.apply_config(texts[number % 3])
                 await until(lambda: all(load.answered > n for load, n in zip(loads, before, strict=True)))  # noqa: B023
             for load in loads:
                 await load.end()
@@ -263,18 +265,18 @@
 
     async def play():
         fake = await Fake(answer_ok).start()
-        base = pool_text("a", fake.port)
-        async with Node(base) as node:
-            assert (await ask(node.port, get("/a"))).code == 200
+        base = pool_toml("a", fake.port)
+        async with InProcessSidecar(base) as node:
+            assert (await ask(node.port, get_request("/a"))).code == 200
             gone = []
 
             async def rounds(count):
                 for number in range(count):
-                    node.apply(base + pool_text(f"p{number}", fake.port))
+                    node.apply_config(base + pool_toml(f"p{number}", fake.port))
                     if number % 50 == 0:
-                        assert (await ask(node.port, get(f"/p{number}"))).code == 200
+                        assert (await ask(node.port, get_request(f"/p{number}"))).code == 200
                         gone.append(weakref.ref(node.pool(f"p{number}")))
-                    node.apply(base)
+                    node.apply_config(base)
                 await until(lambda: len(node.server.pools) == 1)
 
             await rounds(100)
@@ -294,20 +296,20 @@
 def test_a_pool_that_uses_all_descriptors_leaves_the_others_their_minimum():
     async def play():
         mute, fake = await Fake(silent).start(), await Fake(answer_ok).start()
-        text = pool_text("a", mute.port, deadline_ms=20_000) + pool_text("b", fake.port, open_least=10)
-        async with Node(text, sockets=160) as node:
+        text = pool_toml("a", mute.port, deadline_ms=20_000) + pool_toml("b", fake.port, open_least=10)
+        async with InProcessSidecar(text, max_sockets=160) as node:
             most = node.server.budget.upstreams.limit
             writers = []
             for number in range(most + 20):
                 _, writer = await asyncio.open_connection(HOST, node.port)
-                writer.write(get(f"/a/{number}"))
+                writer.write(get_request(f"/a/{number}"))
                 writers.append(writer)
                 if len(node.pool("a").pending) >= most - 10:
                     break
                 await asyncio.sleep(0)
             await until(lambda: node.services.reservations.shared > 0)
             for _ in range(30):
-                assert (await ask(node.port, get("/b"))).code == 200
+                assert (await ask(node.port, get_request("/b"))).code == 200
             for writer in writers:
                 writer.close()
 
@@ -318,9 +320,9 @@
     async def play():
         go, act = gated()
         fake = await Fake(act).start()
-        async with Node(pool_text("a", fake.port)) as node:
+        async with InProcessSidecar(pool_toml("a", fake.port)) as node:
             reader, writer = await asyncio.open_connection(HOST, node.port)
-            writer.write(get("/a/1"))
+            writer.write(get_request("/a/1"))
             await until(lambda: fake.got)
             writer.write_eof()
             await asyncio.sleep(0.02)
--- a/tests/routing/test_streams.py
+++ b/tests/routing/test_streams.py
@@ -9,7 +9,7 @@
 import httpx
 import pytest
 from net_helpers import HOST, read_message, reply, reset, run, until
-from services_rig import Node, get, pool_text
+from services_rig import InProcessSidecar, get_request, pool_toml
 from stream_helpers import BIG, KB, Server, digest
 
 from dykefold.admission.budget import DescriptorAllowance
@@ -22,7 +22,7 @@
 
 
 def head(length, *lines, path="/a/x", method="PUT"):
-    return get(path, f"Content-Length: {length}", *lines, method=method)
+    return get_request(path, f"Content-Length: {length}", *lines, method=method)
 
 
 async def big(headers, reader, writer):
@@ -62,9 +62,9 @@
 @asynccontextmanager
 async def served(*acts, **more):
     servers = [await Server(act).start() for act in acts]
-    text = pool_text("a", *(server.port for server in servers))
+    text = pool_toml("a", *(server.port for server in servers))
     text += "idempotent = true\n" + "".join(f"{key} = {value}\n" for key, value in more.items())
-    async with Node(text) as node:
+    async with InProcessSidecar(text) as node:
         yield node, servers
         await until(lambda: not node.pool("a").pending and not node.pool("a").attempts)
     assert node.server.memory.reserved_bytes == 0
@@ -114,7 +114,7 @@
     async def play():
         async with served(big) as (node, (server,)):
             reader, writer = await asyncio.open_connection(HOST, node.port, limit=4 * KB)
-            writer.write(get("/a/x"))
+            writer.write(get_request("/a/x"))
             await reader.readuntil(b"\r\n\r\n")
             connections = node.pool("a").upstreams.connections
             await until(lambda: any(connection.blocked for connection in connections))
@@ -152,7 +152,7 @@
             dead = await Server(digest).start()
             dead.server.close()
             await dead.server.wait_closed()
-            node.apply(pool_text("a", dead.port, server.port) + "idempotent = true\n")
+            node.apply_config(pool_toml("a", dead.port, server.port) + "idempotent = true\n")
             for _ in range(8):
                 reader, writer = await opened(node)
                 writer.write(head(len(BIG)) + BIG)
@@ -166,7 +166,7 @@
     async def play():
         async with served(breaks, breaks) as (node, servers):
             reader, writer = await opened(node)
-            writer.write(get("/a/x"))
+            writer.write(get_request("/a/x"))
             await reader.readuntil(b"\r\n\r\n")
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await reader.readexactly(len(BIG))
@@ -197,7 +197,7 @@
             if framing == "announced":
                 writer.write(head(len(BIG)))
             else:
-                writer.write(get("/a/x", "Transfer-Encoding: chunked", method="PUT"))
+                writer.write(get_request("/a/x", "Transfer-Encoding: chunked", method="PUT"))
                 for _ in range(40 if framing == "chunks" else 20):
                     writer.write(b"%x\r\n%s\r\n" % (4 * KB, BIG[: 4 * KB]))
                 if framing == "chunks after it has begun":
@@ -279,7 +279,9 @@
         pool.update(1, (HOST, server.port), 0, State.READY)
         for _ in range(2):
             end = loop.create_future()
-            exchange = HeldUp(get("/a/x"), lambda _, status, answer, end=end: end.set_result(status), 64 * KB)
+            exchange = HeldUp(
+                get_request("/a/x"), lambda _, status, answer, end=end: end.set_result(status), 64 * KB
+            )
             exchange.profile, exchange.max_streamed_bytes = HttpProfile.GENERIC, 2 * len(BIG)
             pool.start(1, exchange, 5.0)
             assert await end is Status.OK
@@ -296,7 +298,7 @@
     async def play():
         async with served(digest) as (node, (server,)):
             reader, writer = await opened(node)
-            writer.write(head(length, "Transfer-Encoding: chunked") + b"0\r\n\r\n" + get("/a/hidden"))
+            writer.write(head(length, "Transfer-Encoding: chunked") + b"0\r\n\r\n" + get_request("/a/hidden"))
             assert (await read_message(reader)).code == 400
             assert await reader.read() == b""
             assert not server.heads
@@ -311,7 +313,7 @@
     async def play():
         async with served(big) as (node, _):
             reader, writer = await asyncio.open_connection(HOST, node.port, limit=4 * KB)
-            writer.write(get("/a/x"))
+            writer.write(get_request("/a/x"))
             await reader.readuntil(b"\r\n\r\n")
             front = weakref.ref(next(iter(node.server.clients.all.values())))
             gc.disable()
--- a/tests/routing/test_usual_clients.py
+++ b/tests/routing/test_usual_clients.py
@@ -11,7 +11,7 @@
 import requests
 import urllib3
 from net_helpers import HOST, Fake, read_message, reply, run, until
-from services_rig import Node, get, pool_text
+from services_rig import InProcessSidecar, get_request, pool_toml
 
 pytestmark = pytest.mark.processes
 
@@ -46,8 +46,8 @@
 @asynccontextmanager
 async def served():
     fake = await Fake(act).start()
-    text = pool_text("a", fake.port) + "idempotent = true\n"
-    async with Node(text) as node:
+    text = pool_toml("a", fake.port) + "idempotent = true\n"
+    async with InProcessSidecar(text) as node:
         yield fake, node, f"http://{HOST}:{node.port}/a"
 
 
@@ -168,7 +168,7 @@
     async def play():
         async with served() as (_, node, _):
             reader, writer = await asyncio.open_connection(HOST, node.port)
-            writer.write(b"".join(get(f"/a/{number}") for number in range(10)))
+            writer.write(b"".join(get_request(f"/a/{number}") for number in range(10)))
             for number in range(10):
                 assert json.loads((await read_message(reader)).body)["target"] == f"/a/{number}"
             writer.close()
@@ -181,7 +181,7 @@
         async with served() as (_, node, _):
             reader, writer = await asyncio.open_connection(HOST, node.port)
             for target, code in (("/none", b"404"), ("/a//x", b"400"), ("/a/x", b"200")):
-                writer.write(get(target, method="HEAD"))
+                writer.write(get_request(target, method="HEAD"))
                 head = await reader.readuntil(b"\r\n\r\n")
                 assert head.split()[1] == code
                 assert head.lower().count(b"content-length") == 1
@@ -196,7 +196,7 @@
     async def play():
         async with served() as (fake, node, _):
             reader, writer = await asyncio.open_connection(HOST, node.port)
-            writer.write(get("/a/x", "Host: other.example"))
+            writer.write(get_request("/a/x", "Host: other.example"))
             assert (await read_message(reader)).code == 400
             assert not fake.got
             writer.close()
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 import pytest
-from helpers import MS, SECOND, START, endpoint, make, request, settings
+from helpers import MS, SECOND, START_NS, make_balancer, make_endpoint, make_request, make_settings
 
 from dykefold import Balancer
 from dykefold.balancer.actions import Send, SetTimer
@@ -82,15 +82,15 @@
 
 def _record(seed, others=0):
     rng = random.Random(5)
-    made = [Balancer(settings(effect=Effect.SAFE), seed + n) for n in range(others + 1)]
+    made = [Balancer(make_settings(effect=Effect.SAFE), seed + n) for n in range(others + 1)]
     log = []
-    now = START
+    now = START_NS
     for balancer in made:
-        balancer.handle(now, Membership(ListKind.CACHED, 1, [endpoint(n, n % 2) for n in range(8)]))
+        balancer.handle(now, Membership(ListKind.CACHED, 1, [make_endpoint(n, n % 2) for n in range(8)]))
     for ident in range(300):
         now += 7 * MS
         for balancer in made:
-            actions = balancer.handle(now, request(ident, now))
+            actions = balancer.handle(now, make_request(ident, now))
             if balancer is made[0]:
                 log += actions
         for action in [a for a in log[-3:] if isinstance(a, Send) and a.id == ident]:
@@ -122,7 +122,7 @@
             balancer.handle(now, Outcome(key, 0, server, Status.OK, 40 * MS, True))
         if per_request:
             per_request(ident, now)
-        actions += balancer.handle(now, request(ident, now))
+        actions += balancer.handle(now, make_request(ident, now))
         for action in actions:
             if isinstance(action, SetTimer):
                 timers.append((now + action.after_ns, action.token))
@@ -132,12 +132,12 @@
 
 
 def test_memory_stays_bounded_while_servers_come_and_go():
-    balancer, now = make(effect=Effect.UNSAFE)
+    balancer, now = make_balancer(effect=Effect.UNSAFE)
     sizes = []
 
     def roll(ident, when):
         if ident % 50 == 0:
-            entries = [endpoint(ident + n) for n in range(6)]
+            entries = [make_endpoint(ident + n) for n in range(6)]
             balancer.handle(when, Membership(ListKind.FULL, ident, entries))
             sizes.append((len(balancer.servers), len(balancer.timers.heap), len(balancer.pending)))
 
@@ -149,9 +149,9 @@
 
 def _operations(open_requests):
     """Python function calls for 50 more requests while so many are open."""
-    balancer, now = make(effect=Effect.UNSAFE)
+    balancer, now = make_balancer(effect=Effect.UNSAFE)
     for ident in range(open_requests):
-        balancer.handle(now, request(10_000 + ident, now, 60 * SECOND))
+        balancer.handle(now, make_request(10_000 + ident, now, 60 * SECOND))
     calls = 0
 
     def count(frame, event, arg):
@@ -161,7 +161,7 @@
     sys.setprofile(count)
     try:
         for ident in range(50):
-            balancer.handle(now + ident, request(ident, now))
+            balancer.handle(now + ident, make_request(ident, now))
     finally:
         sys.setprofile(None)
     return calls
