--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -25,7 +25,7 @@
     return f'[node]\nlisten = "{HOST}:0"\n[pools.a]\nservers = {servers}\n{ROUTE}'
 
 
-def play(*arguments):
+def run_command(*arguments):
     import dykefold.cli  # noqa: F401  adds the commands
 
     return CliRunner().invoke(app, list(arguments))
@@ -34,14 +34,14 @@
 def test_check_tells_all_that_is_wrong_and_exits_with_2(tmp_path):
     path = tmp_path / "service.toml"
     path.write_text(good(1).replace('pool = "a"', 'pool = "b"') + "colour = 3\n[pools.c]\n")
-    done = play("check", str(path))
+    done = run_command("check", str(path))
     assert done.exit_code == 2
     told = done.stderr.splitlines()
     assert all(line.startswith(str(path)) for line in told)
     assert len(told) == 2
     assert "routes[0].colour: unknown" in done.stderr
     assert "pools.c: expected servers or discovery" in done.stderr
-    done = play("check", str(path), "--json")
+    done = run_command("check", str(path), "--json")
     assert done.exit_code == 2
     assert len(json.loads(done.stdout)["problems"]) == 2
 
@@ -49,24 +49,24 @@
 def test_check_describes_a_good_file(tmp_path):
     path = tmp_path / "service.toml"
     path.write_text(good(9001, 9002))
-    done = play("check", str(path))
+    done = run_command("check", str(path))
     assert done.exit_code == 0
     assert "good" in done.stdout
     assert "idempotent" in done.stdout
-    told = json.loads(play("check", str(path), "--json").stdout)
+    told = json.loads(run_command("check", str(path), "--json").stdout)
     assert told["good"]
     assert told["pools"][0]["servers"] == 2
     assert told["routes"][0]["pool"] == "a"
 
 
 def test_wrong_use_and_missing_files(tmp_path):
-    assert play("check", str(tmp_path / "none")).exit_code == 2
-    assert play("serve", str(tmp_path / "none")).exit_code == 2
-    assert play("nothing").exit_code == 2
+    assert run_command("check", str(tmp_path / "none")).exit_code == 2
+    assert run_command("serve", str(tmp_path / "none")).exit_code == 2
+    assert run_command("nothing").exit_code == 2
     path = tmp_path / "service.toml"
     path.write_text("[admission]\n")
-    assert play("serve", str(path)).exit_code == 2
-    assert play("version").exit_code == 0
+    assert run_command("serve", str(path)).exit_code == 2
+    assert run_command("version").exit_code == 0
 
 
 def test_serve_reloads_on_sighup_keeps_a_bad_file_out_and_ends_on_sigterm(tmp_path):
--- a/tests/cli/test_control.py
+++ b/tests/cli/test_control.py
@@ -6,7 +6,7 @@
 import pytest
 from net_helpers import HOST, Fake, answer_ok, config, entry, news, run
 from process_helpers import Process
-from test_cli import play
+from test_cli import run_command
 
 pytestmark = pytest.mark.processes
 
@@ -19,7 +19,7 @@
 
             async def call(*arguments):
                 return await asyncio.to_thread(
-                    play, "control", *arguments, "--at", f"{HOST}:{sidecar.admin_port}"
+                    run_command, "control", *arguments, "--at", f"{HOST}:{sidecar.admin_port}"
                 )
 
             done = await call("health")
@@ -35,7 +35,9 @@
             assert not told["yes"]
             assert told["server"] == "nobody"
             admin_port = sidecar.admin_port
-        done = await asyncio.to_thread(play, "control", "health", "--json", "--at", f"{HOST}:{admin_port}")
+        done = await asyncio.to_thread(
+            run_command, "control", "health", "--json", "--at", f"{HOST}:{admin_port}"
+        )
         assert done.exit_code == 1
         assert json.loads(done.stdout)["code"] is None
 
@@ -46,9 +48,9 @@
     "arguments", [("health", "--at", "nowhere"), ("maint", "--at", "127.0.0.1:1"), ("out",)]
 )
 def test_wrong_use_ends_with_2(arguments):
-    assert play("control", *arguments).exit_code == 2
+    assert run_command("control", *arguments).exit_code == 2
 
 
 def test_environment_variable_names_the_admin_api(monkeypatch):
     monkeypatch.setenv("GW_CONTROL", "127.0.0.1:1")
-    assert play("control", "health").exit_code == 1
+    assert run_command("control", "health").exit_code == 1
--- a/tests/control/test_hot_restart.py
+++ b/tests/control/test_hot_restart.py
@@ -181,7 +181,7 @@
     run(play())
 
 
-def waiting(sock):
+def count_pending_connections(sock):
     """How many connections wait to be accepted."""
     sock.setblocking(False)
     count = 0
@@ -200,11 +200,11 @@
         select_listener(new, 1)
         for _ in range(64):
             stack.enter_context(socket.create_connection(address))
-        assert (waiting(old), waiting(new)) == (0, 64)
+        assert (count_pending_connections(old), count_pending_connections(new)) == (0, 64)
         new.close()  # as when its process dies: the place that the filter names is empty
         for _ in range(64):
             stack.enter_context(socket.create_connection(address))
-        assert waiting(old) == 64
+        assert count_pending_connections(old) == 64
 
 
 def test_what_waits_in_the_queue_of_a_listener_that_closes_is_taken(tmp_path):
--- a/tests/net/test_aborted_attempts.py
+++ b/tests/net/test_aborted_attempts.py
@@ -14,7 +14,7 @@
 
 import pytest
 from net_helpers import WAIT, run
-from test_upstream_connections import PAYLOAD, make
+from test_upstream_connections import PAYLOAD, make_pool
 
 from dykefold.balancer.events import State, Status
 from dykefold.net.upstream.exchange import Exchange
@@ -63,7 +63,7 @@
 
         async def play():
             first, second = (("127.0.0.1", port) for port in server.numbers)
-            pool = make(first)
+            pool = make_pool(first)
             pool.update(2, second, 0, State.READY)
             done = asyncio.get_running_loop().create_future()
             # A connection to the second server stands ready: the repeat's bytes go out within the call.
@@ -94,7 +94,7 @@
 def begin(payload):
     """An exchange on its way to a server that is driven by hand, and the list of its ends."""
     server = socket.create_server(("127.0.0.1", 0))
-    pool = make(server.getsockname())
+    pool = make_pool(server.getsockname())
     ends = []
     exchange = Exchange(payload, lambda _, status, answer: ends.append(status), 99)
     pool.start(1, exchange, WAIT)
@@ -181,7 +181,7 @@
     with truth(1, lambda arrival, earlier: GOOD) as server:
 
         async def play():
-            pool = make(("127.0.0.1", server.numbers[0]))
+            pool = make_pool(("127.0.0.1", server.numbers[0]))
             target = pool.endpoints[1]
             warm = asyncio.get_running_loop().create_future()
             pool.start(1, Exchange(PAYLOAD, lambda _, s, a: warm.set_result(s), 99), WAIT)
@@ -210,7 +210,7 @@
     with truth(1, lambda arrival, earlier: GOOD if arrival.ident == "b" else SILENCE) as server:
 
         async def play():
-            pool = make(("127.0.0.1", server.numbers[0]))
+            pool = make_pool(("127.0.0.1", server.numbers[0]))
             for _ in range(20):
                 exchange = Exchange(PAYLOAD, lambda *_: None, 99)
                 pool.start(1, exchange, WAIT)
--- a/tests/net/test_client_disconnects.py
+++ b/tests/net/test_client_disconnects.py
@@ -39,7 +39,7 @@
 SMALL = 2 * KB  # bytes of the kernel's buffers on the way to a server
 
 
-class SmallSockets(System):
+class SmallBufferSystem(System):
     """A machine whose sockets take little ahead of their readers."""
 
     def tcp_socket(self):
@@ -112,12 +112,12 @@
         sock.close()
 
 
-def chunked(data, body):
+def with_chunked_body(data, body):
     head = data.replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
     return head + b"%x\r\n%s\r\n0\r\n\r\n" % (len(body), body)
 
 
-def announced(data, body):
+def with_content_length(data, body):
     return data.replace(b"Content-Length: 0", b"Content-Length: %d" % len(body)) + body
 
 
@@ -128,10 +128,10 @@
         message("order", "ab", "4000m", b"x" * 60 * KB)
         + b"".join(message("order", f"id{n}") for n in range(2 * MAX_WAITING_REQUESTS))
     ),
-    "upload": lambda: announced(message("order", "ab", "4000m"), b"x" * 200 * KB),
-    "upload in chunks": lambda: chunked(message("order", "ab", "4000m"), b"x" * 200 * KB),
+    "upload": lambda: with_content_length(message("order", "ab", "4000m"), b"x" * 200 * KB),
+    "upload in chunks": lambda: with_chunked_body(message("order", "ab", "4000m"), b"x" * 200 * KB),
     "upload, requests behind it": lambda: (
-        announced(message("order", "ab", "4000m"), b"x" * 80 * KB)
+        with_content_length(message("order", "ab", "4000m"), b"x" * 80 * KB)
         + b"".join(message("order", f"id{n}") for n in range(2 * MAX_WAITING_REQUESTS))
     ),
 }
@@ -152,7 +152,7 @@
         pool, loop = sidecar.server.pool, asyncio.get_running_loop()
         ends = []
         pool.on_attempt_end = lambda endpoint, status, took_ns, objective_ns: ends.append(status)
-        pool.upstreams.system = SmallSockets()
+        pool.upstreams.system = SmallBufferSystem()
         client = socket.socket()
         client.setblocking(False)
         await loop.sock_connect(client, (HOST, sidecar.port))
@@ -178,7 +178,7 @@
         server = SlowServer()
         async with Sidecar(tmp_path / "c", config(news(1, entry("s1", f"{HOST}:{server.port}")))) as sidecar:
             pool, loop = sidecar.server.pool, asyncio.get_running_loop()
-            pool.upstreams.system = SmallSockets()
+            pool.upstreams.system = SmallBufferSystem()
             client = socket.socket()
             client.setblocking(False)
             await loop.sock_connect(client, (HOST, sidecar.port))
--- a/tests/net/test_client_races.py
+++ b/tests/net/test_client_races.py
@@ -32,7 +32,7 @@
     stand_still,
     until,
 )
-from test_upstream_connections import full_listener, make
+from test_upstream_connections import full_listener, make_pool
 
 from dykefold.admission import controller, request_gaps
 from dykefold.balancer.events import Status
@@ -669,7 +669,7 @@
     monkeypatch.setattr(upstream, "UpstreamConnection", Late)
     sock = socket.create_server((HOST, 0))
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    pool = make(sock.getsockname())
+    pool = make_pool(sock.getsockname())
     payload = b"POST /order HTTP/1.1\r\nContent-Length: 8000000\r\n\r\n" + b"x" * 8_000_000
     ends = []
     exchange = Exchange(payload, lambda _, status, __: ends.append(status), 64 * 1024)
--- a/tests/net/test_deadline_propagation.py
+++ b/tests/net/test_deadline_propagation.py
@@ -29,7 +29,7 @@
     until,
 )
 from stream_helpers import read_body
-from test_client_disconnects import KB, SlowServer, SmallSockets, announced, chunked
+from test_client_disconnects import KB, SlowServer, SmallBufferSystem, with_chunked_body, with_content_length
 from test_upstream_connections import full_listener
 
 from dykefold.balancer.events import Status
@@ -176,7 +176,7 @@
     )
 
 
-@pytest.mark.parametrize("framing", [announced, chunked])
+@pytest.mark.parametrize("framing", [with_content_length, with_chunked_body])
 @on_loop
 async def test_an_upload_that_is_whole_when_its_connection_comes_up(tmp_path, framing):
     """Its time began with its last byte, while the connection was made."""
@@ -217,8 +217,8 @@
 
 KEPT_BACK = {
     "whole": lambda: message("order", "ab", "1000m", b"x" * 60 * KB),
-    "upload": lambda: announced(message("order", "ab", "1000m"), b"x" * 100 * KB),
-    "upload in chunks": lambda: chunked(message("order", "ab", "1000m"), b"x" * 100 * KB),
+    "upload": lambda: with_content_length(message("order", "ab", "1000m"), b"x" * 100 * KB),
+    "upload in chunks": lambda: with_chunked_body(message("order", "ab", "1000m"), b"x" * 100 * KB),
 }
 
 
@@ -232,7 +232,7 @@
     server = SlowServer()
     async with Sidecar(tmp_path / "c", config(news(1, entry("s1", f"{HOST}:{server.port}")))) as sidecar:
         pool, loop = sidecar.server.pool, asyncio.get_running_loop()
-        pool.upstreams.system = SmallSockets()
+        pool.upstreams.system = SmallBufferSystem()
         client = socket.socket()
         client.setblocking(False)
         await loop.sock_connect(client, (HOST, sidecar.port))
--- a/tests/net/test_discovery_client.py
+++ b/tests/net/test_discovery_client.py
@@ -36,12 +36,12 @@
     return NameTable(["a", "b"], ["std"])
 
 
-def listing(index, *entries, snapshot=True):
+def endpoint_list_response(index, *entries, snapshot=True):
     return reply(200, json.dumps(news(index, *entries, snapshot=snapshot)).encode())
 
 
 async def cut_off(message, reader, writer):
-    writer.write(listing(9, entry("s1", f"{HOST}:7"))[:-20])
+    writer.write(endpoint_list_response(9, entry("s1", f"{HOST}:7"))[:-20])
     await writer.drain()
     writer.close()
 
@@ -81,9 +81,9 @@
 
     async def play():
         async def act(message, reader, writer):
-            await (trouble if len(fake.got) == 1 else say(listing(41, entry("s1", f"{HOST}:7"))))(
-                message, reader, writer
-            )
+            await (
+                trouble if len(fake.got) == 1 else say(endpoint_list_response(41, entry("s1", f"{HOST}:7")))
+            )(message, reader, writer)
 
         fake = await Fake(act).start()
         heard = []
@@ -110,7 +110,7 @@
 def test_an_outage_is_logged_once_and_so_is_its_end(caplog):
     async def play():
         async def act(message, reader, writer):
-            writer.write(reply(503, b"") if len(fake.got) < 4 else listing(41))
+            writer.write(reply(503, b"") if len(fake.got) < 4 else endpoint_list_response(41))
 
         fake = await Fake(act).start()
         heard = []
@@ -135,7 +135,7 @@
         async def act(message, reader, writer):
             times.append(asyncio.get_running_loop().time())
             if len(fake.got) < 4:
-                writer.write(listing(40 + len(fake.got), snapshot=False))
+                writer.write(endpoint_list_response(40 + len(fake.got), snapshot=False))
             else:
                 await reader.read()
 
@@ -160,7 +160,7 @@
 
 def test_fetch_requests_the_complete_list():
     async def play():
-        fake = await Fake(say(listing(7))).start()
+        fake = await Fake(say(endpoint_list_response(7))).start()
         heard = []
         asker = DiscoveryClient(
             asyncio.get_running_loop(),
@@ -185,7 +185,7 @@
             if len(fake.got) == 1:
                 reset(writer)
             else:
-                writer.write(listing(41))
+                writer.write(endpoint_list_response(41))
                 await reader.read()
 
         fake = await Fake(act).start()
@@ -204,7 +204,7 @@
             if "after=1&" in message.first:
                 await go.wait()
                 change = entry("s1", old.address, "DRAINING"), entry("s2", new.address)
-                writer.write(listing(2, *change, snapshot=False))
+                writer.write(endpoint_list_response(2, *change, snapshot=False))
             else:
                 await reader.read()
 
@@ -275,11 +275,11 @@
         async def act(message, reader, writer):
             if "after" in message.first and len(fake.got) == 1:
                 await go.wait()
-                writer.write(listing(41, entry("s1", f"{HOST}:7")))
+                writer.write(endpoint_list_response(41, entry("s1", f"{HOST}:7")))
             elif "after" in message.first:
                 await reader.read()
             else:
-                writer.write(listing(43, entry("s2", f"{HOST}:8")))
+                writer.write(endpoint_list_response(43, entry("s2", f"{HOST}:8")))
 
         go = asyncio.Event()
         fake = await Fake(act).start()
@@ -309,7 +309,9 @@
 def test_decreasing_index_requests_the_complete_list():
     async def play():
         async def act(message, reader, writer):
-            writer.write(listing(3, entry("s1", f"{HOST}:7"), snapshot="after" not in message.first))
+            writer.write(
+                endpoint_list_response(3, entry("s1", f"{HOST}:7"), snapshot="after" not in message.first)
+            )
 
         fake = await Fake(act).start()
         heard = []
--- a/tests/net/test_process_races.py
+++ b/tests/net/test_process_races.py
@@ -25,7 +25,7 @@
     until,
 )
 from process_helpers import Process, played_in_time
-from test_discovery_client import listing
+from test_discovery_client import endpoint_list_response
 
 from dykefold.lab.fleet.scenario import FaultTable, FleetScenario, FleetTable, ListTable
 
@@ -100,10 +100,10 @@
             await reader.read()
         change = entry("s1", old.address, "DRAINING")
         if "after=1&" in message.first:
-            writer.write(listing(2, change, snapshot=False))
+            writer.write(endpoint_list_response(2, change, snapshot=False))
         else:
             await asyncio.sleep(1.0)
-            writer.write(listing(2, snapshot=False))
+            writer.write(endpoint_list_response(2, snapshot=False))
 
     drained, silent = [], set()
     agents = await Fake(tell).start()
@@ -160,7 +160,7 @@
         async def tell(message, reader, writer):
             if "after=1&" in message.first:
                 changes = entry("s1", gone, "DELETED"), entry("s2", new.address)
-                writer.write(listing(2, *changes, snapshot=False))
+                writer.write(endpoint_list_response(2, *changes, snapshot=False))
             await reader.read()
 
         agent = Fake(tell)
--- a/tests/net/test_upstream_connections.py
+++ b/tests/net/test_upstream_connections.py
@@ -25,7 +25,7 @@
 PAYLOAD = b"GET /lookup HTTP/1.1\r\nX-Request-Id: ab\r\n\r\n"
 
 
-def make(address, connect_timeout=5.0, limit=1024, idle=60.0):
+def make_pool(address, connect_timeout=5.0, limit=1024, idle=60.0):
     limits = ConnectionLimits(DescriptorAllowance(limit), MemoryBudget(192 * MB), connect_timeout, idle)
     pool = ConnectionPool(asyncio.get_running_loop(), limits)
     pool.update(1, address, 0, State.READY)
@@ -38,7 +38,7 @@
     pool.resources = replace(pool.resources, monotonic=monotonic)
 
 
-def start(pool, server=1, timeout=WAIT, payload=PAYLOAD):
+def start_exchange(pool, server=1, timeout=WAIT, payload=PAYLOAD):
     """An exchange and the future of its end."""
     end = asyncio.get_running_loop().create_future()
     exchange = Exchange(payload, lambda _, status, answer: end.set_result((status, answer)), 64 * 1024)
@@ -46,7 +46,7 @@
     return exchange, end
 
 
-def listener(backlog=16):
+def listening_socket(backlog=16):
     sock = socket.socket()
     sock.bind((HOST, 0))
     sock.listen(backlog)
@@ -55,7 +55,7 @@
 
 def full_listener():
     """A server at which new connections never come up."""
-    sock = listener(0)
+    sock = listening_socket(0)
     fill = []
     for _ in range(4):
         filler = socket.socket()
@@ -69,17 +69,17 @@
     """Guards the race with a server that closes idle connections just as a request comes."""
 
     async def play():
-        server = listener()
+        server = listening_socket()
         server.setblocking(False)
         loop = asyncio.get_running_loop()
-        pool = make(server.getsockname())
-        _, end = start(pool)
+        pool = make_pool(server.getsockname())
+        _, end = start_exchange(pool)
         first, _ = await loop.sock_accept(server)
         assert await loop.sock_recv(first, 4096) == PAYLOAD
         await loop.sock_sendall(first, reply())
         assert (await end)[0] is Status.OK
         first.close()  # the end is in the kernel by now; the loop has had no turn to see it
-        _, end = start(pool)
+        _, end = start_exchange(pool)
         second, _ = await loop.sock_accept(server)
         assert await loop.sock_recv(second, 4096) == PAYLOAD
         await loop.sock_sendall(second, reply())
@@ -105,8 +105,8 @@
 
         go = asyncio.Event()
         fake = await Fake(act).start()
-        pool = make((HOST, fake.port))
-        assert (await start(pool)[1])[0] is Status.OK
+        pool = make_pool((HOST, fake.port))
+        assert (await start_exchange(pool)[1])[0] is Status.OK
         assert len(pool.connections) == 1
         go.set()
         await until(lambda: not pool.connections)
@@ -122,8 +122,8 @@
             writer.write(reply() + reply(200, b"of whom?"))
 
         fake = await Fake(act).start()
-        pool = make((HOST, fake.port))
-        status, answer = await start(pool)[1]
+        pool = make_pool((HOST, fake.port))
+        status, answer = await start_exchange(pool)[1]
         assert (status, answer.body) == (Status.OK, b"ok")
         assert not pool.connections
 
@@ -133,8 +133,8 @@
 def test_the_latest_used_connection_is_used_first_and_old_ones_are_closed():
     async def play():
         fake = await Fake(answer_ok).start()
-        pool = make((HOST, fake.port), idle=60.0)
-        ends = [start(pool)[1] for _ in range(3)]
+        pool = make_pool((HOST, fake.port), idle=60.0)
+        ends = [start_exchange(pool)[1] for _ in range(3)]
         for end in ends:
             assert (await end)[0] is Status.OK
         await until(
@@ -142,7 +142,7 @@
         )  # one may have taken another's, its own comes yet
         latest = next(reversed(pool.endpoints[1].idle))
         await until(lambda: time.monotonic() - latest.idle_since_s > 0.01)  # so long that it has rested
-        _, end = start(pool)
+        _, end = start_exchange(pool)
         assert latest.exchange is not None
         await end
         next(iter(pool.endpoints[1].idle)).idle_since_s -= 60.0 * upstream.IDLE_FRACTION
@@ -157,8 +157,8 @@
 def test_a_connect_that_hangs_is_given_up_in_time_and_never_ran():
     async def play():
         server, fill = full_listener()
-        pool = make(server.getsockname(), connect_timeout=0.1)
-        assert await start(pool)[1] == (Status.CONNECT_FAILED, None)
+        pool = make_pool(server.getsockname(), connect_timeout=0.1)
+        assert await start_exchange(pool)[1] == (Status.CONNECT_FAILED, None)
         assert not pool.connections
         assert not pool.endpoints[1].opening
         assert not pool.allowance.in_use
@@ -174,8 +174,8 @@
 
     async def play():
         server, fill = full_listener()
-        pool = make(server.getsockname(), connect_timeout=WAIT)
-        exchange, end = start(pool)
+        pool = make_pool(server.getsockname(), connect_timeout=WAIT)
+        exchange, end = start_exchange(pool)
         await asyncio.sleep(0)
         if how == "time-out":
             exchange.give_up(Status.TIMEOUT)
@@ -207,18 +207,18 @@
         go.set()
         fake = await Fake(act).start()
         address = (HOST, fake.port)
-        pool = make(address)
-        assert (await start(pool)[1])[0] is Status.OK
+        pool = make_pool(address)
+        assert (await start_exchange(pool)[1])[0] is Status.OK
         pool.update(1, address, 5, State.READY)  # restarted
         assert not pool.endpoints[1].idle
         go.clear()
-        _, end = start(pool)
+        _, end = start_exchange(pool)
         await until(lambda: len(fake.got) == 2)
         pool.update(1, address, 5, State.DRAINING)
         go.set()
         assert (await end)[0] is Status.OK  # what it had it finishes
         assert not pool.connections
-        assert (await start(pool)[1])[0] is Status.CONNECT_FAILED
+        assert (await start_exchange(pool)[1])[0] is Status.CONNECT_FAILED
         assert len(fake.got) == 2
 
     run(play())
@@ -226,14 +226,14 @@
 
 def test_a_break_before_the_last_byte_is_written_never_ran():
     async def play():
-        server = listener()
+        server = listening_socket()
         server.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         server.setblocking(False)
         loop = asyncio.get_running_loop()
-        pool = make(server.getsockname())
+        pool = make_pool(server.getsockname())
         body = b"x" * (16 * 1024 * 1024)  # more than the kernel takes in
         head = b"POST /order HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % len(body)
-        exchange, end = start(pool, payload=head + body)
+        exchange, end = start_exchange(pool, payload=head + body)
         got, _ = await loop.sock_accept(server)
         await until(lambda: exchange.connection is not None)
         assert exchange.connection.unwritten
@@ -248,8 +248,8 @@
 def test_giving_up_closes_the_connection_and_says_whether_it_may_have_run():
     async def play():
         fake = await Fake(silent).start()
-        pool = make((HOST, fake.port))
-        _, end = start(pool, timeout=0.1)
+        pool = make_pool((HOST, fake.port))
+        _, end = start_exchange(pool, timeout=0.1)
         assert await end == (Status.TIMEOUT, None)
         await until(lambda: fake.ended == 1)
         assert not pool.connections
@@ -266,8 +266,8 @@
                 await writer.drain()
 
         fake = await Fake(act).start()
-        pool = make((HOST, fake.port))
-        assert await start(pool)[1] == (Status.RESET, None)
+        pool = make_pool((HOST, fake.port))
+        assert await start_exchange(pool)[1] == (Status.RESET, None)
 
     run(play())
 
@@ -275,16 +275,16 @@
 def test_out_of_descriptors_costs_one_request_and_not_the_process(monkeypatch):
     async def play():
         fake = await Fake(answer_ok).start()
-        pool = make((HOST, fake.port))
+        pool = make_pool((HOST, fake.port))
         real = socket.socket
 
         def exhausted(*_):
             raise OSError(errno.EMFILE, "Too many open files")
 
         monkeypatch.setattr(socket, "socket", exhausted)
-        assert await start(pool)[1] == (Status.NOT_ATTEMPTED, None)  # it says nothing of the server
+        assert await start_exchange(pool)[1] == (Status.NOT_ATTEMPTED, None)  # it says nothing of the server
         monkeypatch.setattr(socket, "socket", real)
-        assert (await start(pool)[1])[0] is Status.OK
+        assert (await start_exchange(pool)[1])[0] is Status.OK
         pool.close()
 
     run(play())
@@ -293,17 +293,17 @@
 def test_at_the_cap_the_longest_idle_connection_makes_room():
     async def play():
         fake, other = await Fake(answer_ok).start(), await Fake(silent).start()
-        pool = make((HOST, fake.port), limit=8)
+        pool = make_pool((HOST, fake.port), limit=8)
         pool.update(2, (HOST, other.port), 0, State.READY)
-        ends = [start(pool)[1] for _ in range(8)]
+        ends = [start_exchange(pool)[1] for _ in range(8)]
         for end in ends:
             assert (await end)[0] is Status.OK
         await until(lambda: len(pool.endpoints[1].idle) == 8)
-        waits = [start(pool, 2)[1] for _ in range(8)]
+        waits = [start_exchange(pool, 2)[1] for _ in range(8)]
         await until(lambda: len(other.got) == 8)
         assert not pool.endpoints[1].idle
         assert pool.allowance.in_use == 8
-        assert await start(pool, 2)[1] == (Status.NOT_ATTEMPTED, None)
+        assert await start_exchange(pool, 2)[1] == (Status.NOT_ATTEMPTED, None)
         assert not any(end.done() for end in waits)
         pool.close()
         for end in waits:
@@ -351,10 +351,10 @@
 
         closed = asyncio.Event()
         fake = await Fake(act).start()
-        pool = make((HOST, fake.port))
-        assert await start(pool)[1] == (Status.RESET, None)
+        pool = make_pool((HOST, fake.port))
+        assert await start_exchange(pool)[1] == (Status.RESET, None)
         await closed.wait()
-        status, answer = await start(pool)[1]
+        status, answer = await start_exchange(pool)[1]
         assert status is Status.OK
         assert answer.body == b"second"
         assert not pool.resources.memory.reserved_bytes
@@ -372,9 +372,9 @@
             )
 
         fake = await Fake(act).start()
-        pool = make((HOST, fake.port))
+        pool = make_pool((HOST, fake.port))
         for _ in range(3):
-            status, answer = await start(pool)[1]
+            status, answer = await start_exchange(pool)[1]
             assert status is Status.OK
             assert answer.body == b"second"
             assert [name for name, _ in answer.headers] == []
@@ -390,11 +390,11 @@
             writer.write(reply(200, b"x" * 5000))
 
         fake = await Fake(act).start()
-        pool = make((HOST, fake.port))
+        pool = make_pool((HOST, fake.port))
         pool.resources.memory.capacity_bytes = 4000
-        assert await start(pool)[1] == (Status.RESET, None)
+        assert await start_exchange(pool)[1] == (Status.RESET, None)
         pool.resources.memory.capacity_bytes = 6000
-        assert (await start(pool)[1])[0] is Status.OK
+        assert (await start_exchange(pool)[1])[0] is Status.OK
         assert pool.resources.memory.reserved_bytes == 0
         pool.close()
 
@@ -410,11 +410,11 @@
 
         go = asyncio.Event()
         fake = await Fake(act).start()
-        pool = make((HOST, fake.port))
-        _, first = start(pool)
+        pool = make_pool((HOST, fake.port))
+        _, first = start_exchange(pool)
         await until(lambda: fake.got)
         real, pool.loop = pool.loop, SlowConnects(pool.loop)
-        _, second = start(pool)
+        _, second = start_exchange(pool)
         go.set()
         assert (await first)[0] is Status.OK
         assert (await second)[0] is Status.OK
@@ -448,8 +448,8 @@
 
     async def play():
         fake = await Fake(answer_ok).start()
-        pool = make((HOST, fake.port))
-        exchange, end = start(pool)
+        pool = make_pool((HOST, fake.port))
+        exchange, end = start_exchange(pool)
         await end
         (connection,) = pool.connections
         seen = weakref.ref(connection)
@@ -481,12 +481,12 @@
                 writer.write(reply(200, b"ok"))
 
         fake = await Fake(act).start()
-        pool = make((HOST, fake.port))
+        pool = make_pool((HOST, fake.port))
         set_clock(pool, lambda: clock[0])
         outcomes = []
         for gap in [0.01] * 20 + [0.5] * 8:
             clock[0] += gap
-            outcomes.append((await start(pool)[1])[0])
+            outcomes.append((await start_exchange(pool)[1])[0])
         assert outcomes[:20] == [Status.OK] * 20
         assert outcomes.count(Status.RESET) == 2, outcomes  # enough to tell it from chance
         assert outcomes[-3:] == [Status.OK] * 3
@@ -515,9 +515,9 @@
 
         held = []
         fake = await Fake(act).start()
-        pool = make((HOST, fake.port))
+        pool = make_pool((HOST, fake.port))
         set_clock(pool, lambda: clock[0])
-        ends = [start(pool)[1] for _ in range(3)]
+        ends = [start_exchange(pool)[1] for _ in range(3)]
         assert [(await end)[0] for end in ends] == [Status.OK] * 3
         kept = list(pool.endpoints[1].idle)
         assert len(kept) == 3
@@ -525,7 +525,7 @@
         clock[0] += 20.0
         pool.sweep()
         assert len(pool.endpoints[1].idle) == 3  # nobody lacks them
-        assert (await start(pool, server=2)[1])[0] is Status.FULL
+        assert (await start_exchange(pool, server=2)[1])[0] is Status.FULL
         pool.sweep()
         assert not pool.endpoints[1].idle
         pool.close()
@@ -571,9 +571,9 @@
             writer.close()
 
         fake = await Fake(act).start()
-        pool = make((HOST, fake.port))
+        pool = make_pool((HOST, fake.port))
         for _ in range(2):
-            assert (await start(pool)[1])[0] is Status.OK
+            assert (await start_exchange(pool)[1])[0] is Status.OK
             await until(lambda: not pool.connections)
         assert pool.endpoints[1].ages.limit_s <= 0.2
         pool.close()
--- a/tests/net/test_upstream_syscalls.py
+++ b/tests/net/test_upstream_syscalls.py
@@ -30,7 +30,7 @@
     silent,
     until,
 )
-from test_upstream_connections import listener, start
+from test_upstream_connections import listening_socket, start_exchange
 
 from dykefold.admission.budget import DescriptorAllowance
 from dykefold.balancer.actions import Fail, Refuse, Send
@@ -76,11 +76,11 @@
         fake, system = await Fake(answer_ok).start(), FaultySystem()
         pool = make((HOST, fake.port), system)
         system.faults.add("connect", number, fault_count=1)
-        assert await start(pool)[1] == (
+        assert await start_exchange(pool)[1] == (
             Status.NOT_ATTEMPTED if number in OWN else Status.CONNECT_FAILED,
             None,
         )
-        assert (await start(pool)[1])[0] is Status.OK
+        assert (await start_exchange(pool)[1])[0] is Status.OK
         await nothing_left(pool, system)
 
     play_on(play())
@@ -105,7 +105,7 @@
         fake, system = await Fake(answer_ok).start(), FaultySystem()
         pool = make((HOST, fake.port), system)
         system.faults.add(call, number, fault_count=1)
-        assert (await start(pool)[1])[0] is Status.OK
+        assert (await start_exchange(pool)[1])[0] is Status.OK
         await nothing_left(pool, system)
 
     play_on(play())
@@ -117,8 +117,8 @@
         fake, system = await Fake(answer_ok).start(), FaultySystem()
         pool = make((HOST, fake.port), system)
         system.faults.add("socket", number, fault_count=1)
-        assert await start(pool)[1] == (Status.NOT_ATTEMPTED, None)
-        assert (await start(pool)[1])[0] is Status.OK
+        assert await start_exchange(pool)[1] == (Status.NOT_ATTEMPTED, None)
+        assert (await start_exchange(pool)[1])[0] is Status.OK
         await nothing_left(pool, system)
 
     run(play())
@@ -171,12 +171,12 @@
         system, address, give_back = lack((HOST, fake.port))
         pool = make(address, system)
         try:
-            end = start(pool)[1]
+            end = start_exchange(pool)[1]
             assert await end == (Status.NOT_ATTEMPTED, None)
         finally:
             give_back()
         if lack is descriptors_run_out:
-            assert (await start(pool)[1])[0] is Status.OK
+            assert (await start_exchange(pool)[1])[0] is Status.OK
         await nothing_left(pool, system)
 
     run(play())
@@ -189,12 +189,12 @@
         fake, system = await Fake(answer_ok).start(), FaultySystem()
         pool = make((HOST, fake.port), system)
         system.faults.add("setsockopt", errno.ENOBUFS, skipped_calls=2)
-        assert await start(pool)[1] == (Status.NOT_ATTEMPTED, None)
+        assert await start_exchange(pool)[1] == (Status.NOT_ATTEMPTED, None)
         assert not system.open_sockets()
         assert not pool.allowance.in_use
         system.faults.clear()
         gc.collect()  # of what asyncio's loop still knows by the descriptor's number
-        assert (await start(pool)[1])[0] is Status.OK
+        assert (await start_exchange(pool)[1])[0] is Status.OK
         await nothing_left(pool, system)
 
     run_on_asyncio_loop(play())
@@ -203,7 +203,7 @@
 @pytest.mark.parametrize("late", [False, True])
 def test_refused_connect_counts_as_refused_however_late_it_is_noticed(late):
     async def play():
-        server, system = listener(), FaultySystem()
+        server, system = listening_socket(), FaultySystem()
         address = server.getsockname()
         server.close()
         pool = make(address, system, 0.03)
@@ -215,7 +215,7 @@
             return told(call)
 
         system.faults.inject = meet
-        assert await start(pool)[1] == (Status.CONNECT_FAILED, None)
+        assert await start_exchange(pool)[1] == (Status.CONNECT_FAILED, None)
         await nothing_left(pool, system)
 
     run(play())
@@ -235,7 +235,7 @@
 
         system.faults.inject = meet
         system.faults.add("connect", number)
-        assert await start(pool)[1] == (Status.CONNECT_FAILED, None)
+        assert await start_exchange(pool)[1] == (Status.CONNECT_FAILED, None)
         await nothing_left(pool, system)
 
     run(play())
@@ -245,7 +245,7 @@
     async def play():
         fake, system = await Fake(answer_ok).start(), FaultySystem()
         pool = make((HOST, fake.port), system)
-        exchange, end = start(pool)
+        exchange, end = start_exchange(pool)
         exchange.give_up(Status.CANCELLED)
         assert await end == (Status.CONNECT_FAILED, None)
         await asyncio.sleep(0)
@@ -266,7 +266,7 @@
 
         fake, system = await Fake(act).start(), FaultySystem()
         pool = make((HOST, fake.port), system)
-        exchange, end = start(pool)
+        exchange, end = start_exchange(pool)
         await until(lambda: fake.got)
         system.faults.add("setsockopt", number)
         shut = []
@@ -290,7 +290,7 @@
         fake, system = await Fake(answer_ok).start(), FaultySystem()
         pool = make((HOST, fake.port), system)
         system.faults.add("recv", number)
-        assert await start(pool)[1] == (Status.RESET, None)
+        assert await start_exchange(pool)[1] == (Status.RESET, None)
         await nothing_left(pool, system)
 
     run_on_asyncio_loop(play())
@@ -309,7 +309,9 @@
         else:
             system.faults.add("send", errno.EAGAIN, fault_count=1)
         system.faults.add("send", number)
-        status, answer = await start(pool, payload=b"GET /lookup HTTP/1.1\r\nX-Request-Id: a\r\n\r\n")[1]
+        status, answer = await start_exchange(
+            pool, payload=b"GET /lookup HTTP/1.1\r\nX-Request-Id: a\r\n\r\n"
+        )[1]
         # All before its last byte had gone: it may have left with the write that failed.
         never = Status.CONNECT_FAILED if number in PATHS else Status.NOT_ATTEMPTED
         assert (status, answer) == (Status.RESET if taken == 40 else never, None)
@@ -326,7 +328,7 @@
         system.faults.add("send", max_bytes=3).add("recv", max_bytes=1)
         payload = message("order", body=b"x" * 300)
         for _ in range(3):
-            status, answer = await start(pool, payload=payload)[1]
+            status, answer = await start_exchange(pool, payload=payload)[1]
             assert status is Status.OK
             assert answer.body == b"served " + b"x" * 300
         assert fake.connections == 1
@@ -375,7 +377,7 @@
         ends = []
         for number in range(200):
             payload = b"GET /lookup/%d HTTP/1.1\r\nX-Request-Id: %d\r\n\r\n" % (number, number)
-            ends.append(start(pool, payload=payload)[1])
+            ends.append(start_exchange(pool, payload=payload)[1])
             if number % 4 == 3:
                 async with asyncio.timeout(WAIT):
                     await asyncio.gather(*ends[-4:])
@@ -405,16 +407,16 @@
     async def play():
         fake, system = await Fake(answer_ok).start(), FaultySystem()
         pool = make((HOST, fake.port), system)
-        for end in [start(pool)[1] for _ in range(1 + spare)]:
+        for end in [start_exchange(pool)[1] for _ in range(1 + spare)]:
             assert (await end)[0] is Status.OK
         await until(lambda: len(pool.endpoints[1].idle) == 1 + spare)
         monkeypatch.setattr(upstream, "QUARANTINE_MIN_S", WAIT)  # however late this machine is
         for connection in pool.endpoints[1].idle:
             connection.idle_since_s -= WAIT
-        exchange, end = start(pool)
+        exchange, end = start_exchange(pool)
         first = exchange.connection
         await end
-        next_one, end = start(pool)
+        next_one, end = start_exchange(pool)
         assert (next_one.connection is not first) == spare
         assert (await end)[0] is Status.OK
         assert fake.connections == 1 + spare
