--- a/tests/admission/test_accept_errors.py
+++ b/tests/admission/test_accept_errors.py
@@ -10,18 +10,18 @@
 from faulty_system import FaultySystem, run_plain
 from net_helpers import (
     HOST,
-    WAIT,
-    Fake,
+    WAIT_TIMEOUT_S,
+    FakePeer,
     Sidecar,
-    answer_ok,
-    ask,
+    async_test,
     config,
-    entry,
-    message,
-    news,
-    on_loop,
-    one_server,
-    until,
+    endpoint_entry,
+    list_update,
+    request_message,
+    respond_ok,
+    send_request,
+    sidecar_with_endpoint,
+    wait_until,
 )
 
 from dykefold.admission import rejected_connection
@@ -45,7 +45,7 @@
 
 def connected(port, *data):
     """Clients that the system has let in, with what they sent, before the loop has its next turn."""
-    socks = [socket.create_connection((HOST, port), timeout=WAIT) for _ in data]
+    socks = [socket.create_connection((HOST, port), timeout=WAIT_TIMEOUT_S) for _ in data]
     for sock, one in zip(socks, data, strict=True):
         sock.sendall(one)
     return socks
@@ -66,14 +66,15 @@
 
 @pytest.mark.parametrize("ends", [False, True], ids=["runs", "ends"])
 @pytest.mark.parametrize("error", ACCEPT)
-@on_loop
+@async_test
 async def test_clients_that_wait_are_served_whatever_accept_meets(tmp_path, error, ends):
     """A transient error used to end the last turn of a closing listener, and the close reset who waited."""
-    async with one_server(tmp_path, answer_ok) as (sidecar, fake):
+    async with sidecar_with_endpoint(tmp_path, respond_ok) as (sidecar, fake):
         sidecar_server = sidecar.server
         faults = faulty(sidecar).on("accept", getattr(errno, error), for_s=0.12)
         socks = connected(
-            sidecar.port, *(message("order", f"id{n}", "3000m", b"", "Connection: close") for n in "ab")
+            sidecar.port,
+            *(request_message("order", f"id{n}", "3000m", b"", "Connection: close") for n in "ab"),
         )
         if ends:
             sidecar_server.drain()
@@ -82,13 +83,13 @@
         assert [answer[:13] for answer in answers] == [b"HTTP/1.1 200 "] * 2
         # A loop that spins would have been there thousands of times.
         assert 0 < faults.made["accept", errno.errorcode[getattr(errno, error)]] <= 6 * 16
-        await until(lambda: not sidecar_server.clients.all and (sidecar_server.listener is None) == ends)
-    assert len(fake.got) == 2
+        await wait_until(lambda: not sidecar_server.clients.all and (sidecar_server.listener is None) == ends)
+    assert len(fake.received) == 2
 
 
-@on_loop
+@async_test
 async def test_a_listener_that_can_not_accept_until_its_timeout_closes(tmp_path):
-    async with one_server(tmp_path, answer_ok) as (sidecar, _fake):
+    async with sidecar_with_endpoint(tmp_path, respond_ok) as (sidecar, _fake):
         sidecar_server = sidecar.server
         faulty(sidecar).on("accept", errno.EMFILE)
         (sock,) = connected(sidecar.port, b"")
@@ -97,7 +98,7 @@
         sidecar_server.shutdown.stop_accepting()
         sidecar_server.shutdown.stop_requests()
         assert sidecar_server.listener is not None
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             await sidecar_server.stopped
         assert sidecar_server.listener is None
         sock.close()
@@ -108,16 +109,16 @@
 
 async def with_one_connection_allowed(tmp_path, play):
     """`play(sidecar, faults)` while one client of an address holds the one connection that it may have."""
-    fake = await Fake(answer_ok).start()
-    async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
+    fake = await FakePeer(respond_ok).start()
+    async with Sidecar(tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))) as sidecar:
         faults = faulty(sidecar)
         sidecar.server.change_limits(1024, AddressLimits(connections=1))
         (first,) = connected(sidecar.port, b"")
-        await until(lambda: sidecar.server.clients.all)
+        await wait_until(lambda: sidecar.server.clients.all)
         await play(sidecar, faults)
-        await until(lambda: not sidecar.server.listener.rejections)
+        await wait_until(lambda: not sidecar.server.listener.rejections)
         first.close()
-        await until(lambda: not sidecar.server.clients.all)
+        await wait_until(lambda: not sidecar.server.clients.all)
         assert not sidecar.server.clients.admission.addresses.active
 
 
@@ -129,7 +130,7 @@
         faults.on("send", errno.EAGAIN, times=1).on("send", short=part, times=3).on(
             "send", errno.EINTR, times=1
         )
-        (sock,) = connected(sidecar.port, message("order", "ab"))
+        (sock,) = connected(sidecar.port, request_message("order", "ab"))
         (answer,) = await whole(sock)
         head, _, body = answer.partition(b"\r\n\r\n")
         assert head.startswith(b"HTTP/1.1 429 ")
@@ -141,12 +142,13 @@
 
 def test_bytes_that_cross_a_rejection_do_not_reset_it(tmp_path, monkeypatch):
     """Nobody read on behind it: what came after it met a reset, and the answer went with it."""
-    monkeypatch.setattr(rejected_connection, "LINGER_S", WAIT)
+    monkeypatch.setattr(rejected_connection, "LINGER_S", WAIT_TIMEOUT_S)
 
     async def play(sidecar, _faults):
         (sock,) = connected(sidecar.port, b"")
         assert (await asyncio.to_thread(sock.recv, 5)) == b"HTTP/"
-        sock.sendall(message("order", "ab", "3000m", b"x" * 30_000))  # into a socket that is to be closed
+        # into a socket that is to be closed
+        sock.sendall(request_message("order", "ab", "3000m", b"x" * 30_000))
         await asyncio.sleep(0.05)
         sock.sendall(b"x")  # fails if the first bytes were answered with a reset
         (rest,) = await whole(sock)
@@ -161,9 +163,9 @@
     async def play(sidecar, faults):
         files = len(sidecar.server.clients.all)
         faults.on(call, getattr(errno, error))
-        (sock,) = connected(sidecar.port, message("order", "ab"))
-        await until(lambda: faults.made[call, error])
-        await until(lambda: not sidecar.server.listener.rejections)
+        (sock,) = connected(sidecar.port, request_message("order", "ab"))
+        await wait_until(lambda: faults.made[call, error])
+        await wait_until(lambda: not sidecar.server.listener.rejections)
         assert len(sidecar.server.clients.all) == files
         faults.clear()
         sock.close()
@@ -180,7 +182,7 @@
             max_open = max(max_open, len(sidecar.server.listener.rejections))
         assert 0 < max_open <= 8
         began = time.monotonic()
-        await until(lambda: not sidecar.server.listener.rejections)
+        await wait_until(lambda: not sidecar.server.listener.rejections)
         assert time.monotonic() - began < 1.0
         for sock in socks:
             sock.close()
@@ -196,7 +198,7 @@
         for connection in sidecar.server.clients.all.values():
             sidecar.server.clients.admission.remove(connection.client)  # none may be evicted
         faults.on("accept", errno.EMFILE, times=1)
-        socks = connected(sidecar.port, *(message("order", f"id{n}") for n in range(16)))
+        socks = connected(sidecar.port, *(request_message("order", f"id{n}") for n in range(16)))
         answers = await whole(*socks)
         assert {answer[:13] for answer in answers} == {b"HTTP/1.1 503 "}
         assert all(answer.endswith(b"refused: too many connections\n") for answer in answers)
@@ -214,19 +216,20 @@
     async def play():
         loop, escaped = asyncio.get_running_loop(), []
         loop.set_exception_handler(lambda _, context: escaped.append(context))
-        async with one_server(tmp_path, answer_ok) as (sidecar, _fake):
+        async with sidecar_with_endpoint(tmp_path, respond_ok) as (sidecar, _fake):
             sidecar_server = sidecar.server
             faults = faulty(sidecar).on(call, getattr(errno, error))
             socks = connected(
-                sidecar.port, *(message("order", name, "3000m", b"", "Connection: close") for name in "ab")
+                sidecar.port,
+                *(request_message("order", name, "3000m", b"", "Connection: close") for name in "ab"),
             )
             answers = await whole(*socks)
             assert all(answer.startswith((b"HTTP/1.1 200 ", b"HTTP/1.1 503 ")) for answer in answers)
-            await until(lambda: not sidecar_server.clients.all)
+            await wait_until(lambda: not sidecar_server.clients.all)
             faults.clear()
             gc.collect()  # asyncio leaves a transport that could not be made to the collector
-            assert (await ask(sidecar.port, message("order", "cd"))).code == 200
-            await until(lambda: not sidecar_server.clients.all)
+            assert (await send_request(sidecar.port, request_message("order", "cd"))).code == 200
+            await wait_until(lambda: not sidecar_server.clients.all)
             assert not sidecar_server.clients.admission.addresses.active
             assert not sidecar_server.pool.pending
             assert not sidecar_server.clients.admission.count
@@ -237,21 +240,23 @@
 
 
 @pytest.mark.parametrize(
-    "sent", [b"", message("order", "ab"), message("order", "ab")[:-9]], ids=["-", "all", "half"]
+    "sent",
+    [b"", request_message("order", "ab"), request_message("order", "ab")[:-9]],
+    ids=["-", "all", "half"],
 )
-@on_loop
+@async_test
 async def test_clients_that_are_reset_before_they_are_accepted_leave_nothing_behind(tmp_path, sent):
     """As the system does it: nothing is scripted here."""
     loop, escaped = asyncio.get_running_loop(), []
     loop.set_exception_handler(lambda _, context: escaped.append(context))
-    async with one_server(tmp_path, answer_ok) as (sidecar, fake):
+    async with sidecar_with_endpoint(tmp_path, respond_ok) as (sidecar, fake):
         sidecar_server = sidecar.server
         for sock in connected(sidecar.port, *[sent] * 8):
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
             sock.close()
-        assert (await ask(sidecar.port, message("order", "cd"))).code == 200
-        await until(lambda: not sidecar_server.clients.all)
+        assert (await send_request(sidecar.port, request_message("order", "cd"))).code == 200
+        await wait_until(lambda: not sidecar_server.clients.all)
         assert not sidecar_server.clients.admission.count
         assert not sidecar_server.pool.pending
         assert not escaped
-    assert [got.headers["x-request-id"] for got in fake.got] == ["cd"]
+    assert [got.headers["x-request-id"] for got in fake.received] == ["cd"]
--- a/tests/admission/test_client_state.py
+++ b/tests/admission/test_client_state.py
@@ -3,12 +3,12 @@
 import asyncio
 
 import pytest
-from net_helpers import HOST, answer_ok, message, on_loop, one_server, until
+from net_helpers import HOST, async_test, request_message, respond_ok, sidecar_with_endpoint, wait_until
 
 from dykefold.admission.client_state import TRANSITIONS, ClientState
 from dykefold.admission.controller import AdmissionController
 
-REQUEST = message("order", "IDENT")
+REQUEST = request_message("order", "IDENT")
 CHECK = b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"
 GARBAGE = b"this is no http\r\n\r\n"
 
@@ -62,16 +62,16 @@
 
 @pytest.mark.parametrize("name", CONNECTIONS)
 def test_a_connection_changes_its_state_as_expected(tmp_path, entered, name):
-    @on_loop
+    @async_test
     async def play():
-        async with one_server(tmp_path, answer_ok) as (sidecar, _fake):
+        async with sidecar_with_endpoint(tmp_path, respond_ok) as (sidecar, _fake):
             _, writer = await asyncio.open_connection(HOST, sidecar.port)
             for number, piece in enumerate(CONNECTIONS[name][0]):
                 before = len(entered)
                 writer.write(piece.replace(b"IDENT", b"id%03d" % number))
-                await until(lambda n=before: len(entered) > n and entered[-1] is not ClientState.BUSY)
+                await wait_until(lambda n=before: len(entered) > n and entered[-1] is not ClientState.BUSY)
             writer.close()
-            await until(lambda: not sidecar.server.clients.all)
+            await wait_until(lambda: not sidecar.server.clients.all)
 
     play()
     assert [ClientState.NEW, *entered] == states_of(name)
--- a/tests/admission/test_flood.py
+++ b/tests/admission/test_flood.py
@@ -9,8 +9,19 @@
 import socket
 
 import pytest
-from net_helpers import HOST, Fake, answer_ok, config, entry, message, news, read_message, run, until
-from test_process import Process
+from net_helpers import (
+    HOST,
+    FakePeer,
+    config,
+    endpoint_entry,
+    list_update,
+    read_message,
+    request_message,
+    respond_ok,
+    run,
+    wait_until,
+)
+from test_process import SidecarProcess
 
 pytestmark = [pytest.mark.processes, pytest.mark.fleet]
 
@@ -38,7 +49,7 @@
     """Connect, send a request, and send it again on that connection when Retry-After says so."""
     reader, writer = await asyncio.open_connection(HOST, port, local_addr=(address, 0))
     for turn in range(20):
-        writer.write(message("lookup", f"{ident}-{turn}"))
+        writer.write(request_message("lookup", f"{ident}-{turn}"))
         answer = await read_message(reader)
         if answer.code == 200:
             break
@@ -66,20 +77,20 @@
         async def act(got, reader, writer):
             if got.headers["x-request-id"].startswith("held"):
                 await go.wait()
-            await answer_ok(got, reader, writer)
+            await respond_ok(got, reader, writer)
 
         go = asyncio.Event()
-        fake = await Fake(act).start()
-        nodes = [entry(f"s{number}", fake.address) for number in range(4)]
-        data = config(news(1, *nodes), limits={"sockets": 1024})
-        async with Process(tmp_path / "c", data, descriptors=SOCKETS) as sidecar:
+        fake = await FakePeer(act).start()
+        nodes = [endpoint_entry(f"s{number}", fake.address) for number in range(4)]
+        data = config(list_update(1, *nodes), limits={"sockets": 1024})
+        async with SidecarProcess(tmp_path / "c", data, max_descriptors=SOCKETS) as sidecar:
             # Taken before the flood, one of them from the very address that floods.
             held = []
             for number, address in enumerate(["127.100.0.1", "127.100.0.2", "127.0.0.9", FLOOD]):
                 reader, writer = await asyncio.open_connection(HOST, sidecar.port, local_addr=(address, 0))
-                writer.write(message("order", f"held{number}"))
+                writer.write(request_message("order", f"held{number}"))
                 held.append((reader, writer))
-            await until(lambda: len(fake.got) == 4)
+            await wait_until(lambda: len(fake.received) == 4)
             flood = []
             for start in range(0, CONNECTIONS, 250):
                 flood += await asyncio.gather(*(open_from(FLOOD, sidecar.port) for _ in range(250)))
@@ -95,12 +106,16 @@
             data["discovery"] = f"{HOST}:{fake.port}"
             sidecar.path.write_text(json.dumps(data))
             sidecar.process.send_signal(signal.SIGHUP)
-            await until(lambda: any(got.first.startswith("GET /api/targets") for got in fake.got))
+            await wait_until(
+                lambda: any(got.start_line.startswith("GET /api/targets") for got in fake.received)
+            )
             go.set()
             for reader, writer in held:
                 assert (await read_message(reader)).code == 200
                 writer.close()
-            counted = [got.headers.get("x-request-id") for got in fake.got if got.first.startswith("POST")]
+            counted = [
+                got.headers.get("x-request-id") for got in fake.received if got.start_line.startswith("POST")
+            ]
             assert sorted(counted) == ["held0", "held1", "held2", "held3"]
             for sock in flood:
                 sock.close()
--- a/tests/admission/test_listener.py
+++ b/tests/admission/test_listener.py
@@ -11,18 +11,18 @@
 import pytest
 from net_helpers import (
     HOST,
-    Fake,
+    FakePeer,
     Sidecar,
-    answer_ok,
-    ask,
     config,
-    entry,
-    gated,
-    message,
-    news,
+    endpoint_entry,
+    gated_handler,
+    list_update,
     read_message,
+    request_message,
+    respond_ok,
     run,
-    until,
+    send_request,
+    wait_until,
 )
 
 from dykefold import sidecar_config as configuration
@@ -56,7 +56,7 @@
 
 
 def start(tmp_path, fake, kind=Sidecar, **more):
-    return kind(tmp_path / "c", config(news(1, entry("s1", fake.address)), **more))
+    return kind(tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)), **more))
 
 
 def open_files(descriptors):
@@ -72,14 +72,14 @@
 @pytest.mark.parametrize("error", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPERM])
 def test_a_listener_without_descriptors_pauses_and_resumes(tmp_path, error):
     async def play():
-        fake = await Fake(answer_ok).start()
+        fake = await FakePeer(respond_ok).start()
         async with start(tmp_path, fake, Starved) as sidecar:
             sidecar.sock.error, sidecar.sock.times = error, 10**9
             reader, writer = await connect(sidecar.port)
-            writer.write(message("order", "waits"))
-            await until(lambda: sidecar.sock.calls >= 4)
+            writer.write(request_message("order", "waits"))
+            await wait_until(lambda: sidecar.sock.calls >= 4)
             began, calls = asyncio.get_running_loop().time(), sidecar.sock.calls
-            await until(lambda: sidecar.sock.calls >= calls + 6)
+            await wait_until(lambda: sidecar.sock.calls >= calls + 6)
             # A loop that spins would be there in less than a millisecond.
             assert asyncio.get_running_loop().time() - began > listener.PAUSE_S
             sidecar.sock.times = 0
@@ -93,15 +93,15 @@
     monkeypatch.setattr(listener, "PAUSE_S", 3600.0)
 
     async def play():
-        fake = await Fake(answer_ok).start()
+        fake = await FakePeer(respond_ok).start()
         async with start(tmp_path, fake, Starved) as sidecar:
             idle, idle_writer = await connect(sidecar.port)
-            idle_writer.write(message("lookup", "first"))
+            idle_writer.write(request_message("lookup", "first"))
             assert (await read_message(idle)).code == 200
             sidecar.sock.times = 1
             reader, writer = await connect(sidecar.port)
             assert await idle.read() == b""  # evicted for the new client; its end lets the listener resume
-            writer.write(message("order", "second"))
+            writer.write(request_message("order", "second"))
             assert (await read_message(reader)).code == 200
             writer.close()
             idle_writer.close()
@@ -111,12 +111,12 @@
 
 def test_a_client_without_a_descriptor_is_rejected_by_the_reserve_descriptor(tmp_path):
     async def play():
-        go, act = gated()
-        fake = await Fake(act).start()
+        go, act = gated_handler()
+        fake = await FakePeer(act).start()
         async with start(tmp_path, fake) as sidecar:
             reader, writer = await connect(sidecar.port)
-            writer.write(message("order", "taken"))
-            await until(lambda: fake.got)
+            writer.write(request_message("order", "taken"))
+            await wait_until(lambda: fake.received)
             # No connection may be evicted now. Files take the other descriptors, as a leak elsewhere would.
             fillers = []
             before = set(os.listdir("/proc/self/fd"))
@@ -141,8 +141,8 @@
             assert (
                 await read_message(reader)
             ).code == 200  # a request that was accepted is answered all the same
-            await until(lambda: sidecar.server.listener.reserve.held)
-            assert (await ask(sidecar.port, message("order", "after"))).code == 200
+            await wait_until(lambda: sidecar.server.listener.reserve.held)
+            assert (await send_request(sidecar.port, request_message("order", "after"))).code == 200
             writer.close()
 
     run(play())
@@ -150,20 +150,20 @@
 
 def test_a_rejected_connection_receives_the_reason_even_if_it_sent_a_request(tmp_path):
     async def play():
-        fake = await Fake(answer_ok).start()
+        fake = await FakePeer(respond_ok).start()
         async with start(tmp_path, fake) as sidecar:
             sidecar.server.change_limits(1024, AddressLimits(connections=1))
             _, first = await connect(sidecar.port, "127.9.0.1")
-            await until(lambda: sidecar.server.clients.all)
+            await wait_until(lambda: sidecar.server.clients.all)
             reader, writer = await connect(sidecar.port, "127.9.0.1")
-            writer.write(message("order", "no"))
+            writer.write(request_message("order", "no"))
             answer = await read_message(reader)
             assert answer.code == 429
             assert answer.headers["retry-after"] == "1"
             other, other_writer = await connect(sidecar.port, "127.9.0.2")
-            other_writer.write(message("order", "yes"))
+            other_writer.write(request_message("order", "yes"))
             assert (await read_message(other)).code == 200
-            assert [got.headers["x-request-id"] for got in fake.got] == ["yes"]
+            assert [got.headers["x-request-id"] for got in fake.received] == ["yes"]
             for each in (first, writer, other_writer):
                 each.close()
 
@@ -172,25 +172,25 @@
 
 def test_request_beyond_its_address_limit_is_rejected_at_once_and_can_be_retried(tmp_path):
     async def play():
-        go, act = gated()
-        fake = await Fake(act).start()
+        go, act = gated_handler()
+        fake = await FakePeer(act).start()
         async with start(tmp_path, fake) as sidecar:
             sidecar.server.change_limits(1024, AddressLimits(open_requests=2))
             pairs = [await connect(sidecar.port) for _ in range(3)]
             for number in range(2):
-                pairs[number][1].write(message("order", f"o{number}"))
-            await until(lambda: len(fake.got) == 2)
-            pairs[2][1].write(message("order", "over"))
+                pairs[number][1].write(request_message("order", f"o{number}"))
+            await wait_until(lambda: len(fake.received) == 2)
+            pairs[2][1].write(request_message("order", "over"))
             answer = await read_message(pairs[2][0])
             assert answer.code == 429
             assert float(answer.headers["retry-after"]) > 0
             go.set()
             assert [(await read_message(reader)).code for reader, _ in pairs[:2]] == [200, 200]
-            pairs[2][1].write(message("order", "again"))
+            pairs[2][1].write(request_message("order", "again"))
             assert (await read_message(pairs[2][0])).code == 200
             for _, writer in pairs:
                 writer.close()
-            await until(lambda: not sidecar.server.clients.all)
+            await wait_until(lambda: not sidecar.server.clients.all)
             assert not sidecar.server.clients.admission.addresses.active
 
     run(play())
@@ -198,25 +198,29 @@
 
 def test_unfinished_messages_of_one_address_are_limited_together(tmp_path):
     async def play():
-        fake = await Fake(answer_ok).start()
+        fake = await FakePeer(respond_ok).start()
         async with start(tmp_path, fake) as sidecar:
             sidecar.server.change_limits(1024, AddressLimits(unfinished_bytes=40_000))
-            whole = message("order", "a", "3000m", b"x" * 30_000)
+            whole = request_message("order", "a", "3000m", b"x" * 30_000)
             half = await connect(sidecar.port)
             half[1].write(whole[:-1])
             address = await asyncio.wait_for(_address(sidecar), 5.0)
-            await until(lambda: address.unfinished_bytes > 29_000)
-            assert (await ask(sidecar.port, message("order", "b", "3000m", b"x" * 30_000))).code == 429
+            await wait_until(lambda: address.unfinished_bytes > 29_000)
+            assert (
+                await send_request(sidecar.port, request_message("order", "b", "3000m", b"x" * 30_000))
+            ).code == 429
             half[1].write(whole[-1:])
             assert (await read_message(half[0])).code == 200
             assert address.unfinished_bytes == 0
-            assert (await ask(sidecar.port, message("order", "c", "3000m", b"x" * 30_000))).code == 200
+            assert (
+                await send_request(sidecar.port, request_message("order", "c", "3000m", b"x" * 30_000))
+            ).code == 200
             half[1].close()
-            await until(lambda: not sidecar.server.clients.all)
+            await wait_until(lambda: not sidecar.server.clients.all)
             assert not sidecar.server.memory.reserved_bytes
 
     async def _address(sidecar):
-        await until(lambda: sidecar.server.clients.all)
+        await wait_until(lambda: sidecar.server.clients.all)
         (client,) = sidecar.server.clients.all
         return client.address
 
@@ -227,26 +231,26 @@
     """The limit is met between requests, never in the middle of one."""
 
     async def play():
-        go, act = gated()
-        fake = await Fake(act).start()
+        go, act = gated_handler()
+        fake = await FakePeer(act).start()
         async with start(tmp_path, fake, limits={"sockets": 1}) as sidecar:
             budget = sidecar.server.budget
             assert (budget.clients, budget.upstreams.limit) == (4, 4)
             budget.upstreams.limit = 2
             pairs = [await connect(sidecar.port) for _ in range(4)]
             for number, (_, writer) in enumerate(pairs):
-                writer.write(message("order", f"o{number}"))
+                writer.write(request_message("order", f"o{number}"))
             tasks = [asyncio.create_task(read_message(reader)) for reader, _ in pairs]
-            await until(lambda: sum(task.done() for task in tasks) == 2)
+            await wait_until(lambda: sum(task.done() for task in tasks) == 2)
             answers = [task.result() for task in tasks if task.done()]
             assert [answer.code for answer in answers] == [503, 503]
             assert all(float(answer.headers["retry-after"]) > 0 for answer in answers)
-            await until(lambda: len(fake.got) == 2)
+            await wait_until(lambda: len(fake.received) == 2)
             assert budget.reservations == budget.upstreams.in_use == 2
             go.set()
             codes = sorted([(await task).code for task in tasks])
             assert codes == [200, 200, 503, 503]
-            await until(lambda: budget.reservations == 0)
+            await wait_until(lambda: budget.reservations == 0)
             for _, writer in pairs:
                 writer.close()
 
@@ -260,7 +264,7 @@
     """EMFILE between a request and its attempt: the request waits, or is rejected without having run."""
 
     async def play():
-        fake = await Fake(answer_ok).start()
+        fake = await FakePeer(respond_ok).start()
         async with start(tmp_path, fake) as sidecar:
             left = [failures]
             real = socket.socket
@@ -273,11 +277,11 @@
 
             reader, writer = await connect(sidecar.port)
             monkeypatch.setattr(socket, "socket", scarce)
-            writer.write(message("order", "one", "3000m", b"x"))
+            writer.write(request_message("order", "one", "3000m", b"x"))
             answer = await read_message(reader)
             monkeypatch.setattr(socket, "socket", real)
             assert answer.code == code
-            assert len(fake.got) == (code == 200)
+            assert len(fake.received) == (code == 200)
             assert code == 200 or float(answer.headers["retry-after"]) > 0
             assert not sidecar.server.budget.reservations
             writer.close()
@@ -287,7 +291,7 @@
 
 def test_no_descriptor_for_the_configuration_changes_nothing(tmp_path, monkeypatch):
     async def play():
-        fake = await Fake(answer_ok).start()
+        fake = await FakePeer(respond_ok).start()
         async with start(tmp_path, fake) as sidecar:
             before = sidecar.server.pool.discovery.address
 
@@ -297,22 +301,22 @@
             monkeypatch.setattr(configuration, "open", scarce, raising=False)
             sidecar.reload()
             assert sidecar.server.pool.discovery.address == before
-            assert (await ask(sidecar.port, message("order", "a"))).code == 200
+            assert (await send_request(sidecar.port, request_message("order", "a"))).code == 200
 
     run(play())
 
 
 def test_a_lower_limit_while_running_keeps_every_open_request(tmp_path):
     async def play():
-        go, act = gated()
-        fake = await Fake(act).start()
-        data = config(news(1, *(entry(f"s{n}", fake.address) for n in range(4))))
+        go, act = gated_handler()
+        fake = await FakePeer(act).start()
+        data = config(list_update(1, *(endpoint_entry(f"s{n}", fake.address) for n in range(4))))
         async with Sidecar(tmp_path / "c", data) as sidecar:
             idle = [await connect(sidecar.port) for _ in range(30)]
             busy = [await connect(sidecar.port) for _ in range(10)]
             for number, (_, writer) in enumerate(busy):
-                writer.write(message("order", f"o{number}"))
-            await until(lambda: len(fake.got) == 10)
+                writer.write(request_message("order", f"o{number}"))
+            await wait_until(lambda: len(fake.received) == 10)
             data["limits"]["sockets"] = 52
             (tmp_path / "c").write_text(json.dumps(data))
             sidecar.reload()
@@ -329,7 +333,7 @@
 
 def test_the_system_s_limit_is_read_with_the_configuration(tmp_path, monkeypatch):
     path = tmp_path / "c"
-    path.write_text(json.dumps(config(news(1), limits={"sockets": 900})))
+    path.write_text(json.dumps(config(list_update(1), limits={"sockets": 900})))
     monkeypatch.setattr(configuration.resource, "getrlimit", lambda _: (300, 4096))
     assert configuration.read_config(str(path)).max_descriptors == 300
     monkeypatch.setattr(configuration.resource, "getrlimit", lambda _: (resource.RLIM_INFINITY,) * 2)
--- a/tests/balancer/test_concurrency_limit.py
+++ b/tests/balancer/test_concurrency_limit.py
@@ -3,7 +3,7 @@
 from helpers import MS, SECOND, make
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from test_overload import Feed
+from test_overload import LoadGenerator
 
 from dykefold.balancer.actions import Refuse
 from dykefold.balancer.settings import Effect
@@ -15,7 +15,7 @@
 
 
 def fleet():
-    feed = Feed(*make(servers=SERVERS, effect=Effect.UNSAFE))
+    feed = LoadGenerator(*make(servers=SERVERS, effect=Effect.UNSAFE))
     return feed.balancer, feed
 
 
--- a/tests/balancer/test_overload.py
+++ b/tests/balancer/test_overload.py
@@ -11,7 +11,7 @@
 from dykefold.balancer.settings import Effect, RequestClass, Tenant
 
 
-class Feed:
+class LoadGenerator:
     """Sends requests at a steady pace and answers each attempt after a given time."""
 
     def __init__(self, balancer, now):
@@ -80,7 +80,7 @@
 
 @pytest.fixture
 def feed():
-    return Feed(*make(servers=6, effect=Effect.UNSAFE))
+    return LoadGenerator(*make(servers=6, effect=Effect.UNSAFE))
 
 
 def test_nothing_is_refused_while_answers_are_in_time(feed):
@@ -140,7 +140,7 @@
 
 def test_one_long_request_does_not_eject_its_server():
     """Incident i4efe13: the same attempt struck its server at each of its time-outs."""
-    feed = Feed(*make(servers=6, effect=Effect.UNSAFE))
+    feed = LoadGenerator(*make(servers=6, effect=Effect.UNSAFE))
     feed.run(5, 100, fast)
     before = feed.ident
     feed.run(1.9, 20, lambda server: None if feed.ident == before + 1 else 40 * MS)
@@ -176,7 +176,7 @@
         RequestClass("cheap", 500 * MS, 2 * SECOND, 1.0, 0.2, Effect.UNSAFE),
         RequestClass("dear", 500 * MS, 2 * SECOND, 9.0, 0.2, Effect.UNSAFE),
     ]
-    feed = Feed(*make(servers=6, classes=classes, **more))
+    feed = LoadGenerator(*make(servers=6, classes=classes, **more))
     by_parity = {"cls": lambda n: n % 2}
     feed.run(5, 100, fast, **by_parity)
     log = feed.run(6, 100, lambda server: (40 + 25 * feed.balancer.limit.in_flight) * MS, **by_parity)
@@ -214,7 +214,7 @@
 def test_first_tries_are_served_where_later_ones_state_a_longer_wait(late_worth):
     """Second deployment, a calm day: each first lookup was refused as old, by the wait of the second."""
     spec = RequestClass("lookup", 440 * MS, 2200 * MS, 1.0, late_worth, Effect.SAFE)
-    feed = Feed(*make(servers=6, classes=[spec]))
+    feed = LoadGenerator(*make(servers=6, classes=[spec]))
     waits = {"left": lambda n: 1690 * MS if n % 9 < 5 else (1960 if n % 9 < 7 else 1400 + n % 9 * 30) * MS}
     feed.run(3, 100, fast, **waits)
     assert share(feed.run(10, 100, fast, **waits), Refuse) == 0
@@ -222,7 +222,7 @@
 
 def test_worthless_work_is_refused_only_where_there_is_little_room():
     spec = RequestClass("lookup", 440 * MS, 2200 * MS, 1.0, 0.0, Effect.SAFE)
-    feed = Feed(*make(servers=6, classes=[spec]))
+    feed = LoadGenerator(*make(servers=6, classes=[spec]))
     late = {"left": lambda n: 2200 * MS if n % 4 else 900 * MS}
     feed.run(3, 100, fast, **late)
     assert share(feed.run(5, 100, fast, **late), Refuse) == 0
@@ -233,7 +233,7 @@
 
 def test_retry_after_lies_within_the_latency_objective_unless_that_has_passed():
     """Later, and its next try could only be late: much of what was served in i8cc3a0 was."""
-    feed = Feed(*make(servers=6, effect=Effect.UNSAFE, max_retry_after_ns=10 * SECOND))
+    feed = LoadGenerator(*make(servers=6, effect=Effect.UNSAFE, max_retry_after_ns=10 * SECOND))
     old = {"left": lambda n: 1500 * MS if n % 3 else 1400 * MS}  # of 2 s, so these are 0.6 s old
     feed.run(5, 100, fast, **old)
     log = feed.run(6, 100, lambda server: (40 + 25 * feed.balancer.limit.in_flight) * MS, **old)
@@ -248,7 +248,9 @@
 
 def test_a_tenant_over_its_share_is_refused_first_and_only_in_overload():
     tenants = [Tenant("calm", 0.5, 50.0), Tenant("loud", 0.5, 50.0)]
-    feed = Feed(*make(servers=6, effect=Effect.UNSAFE, tenants=tenants, over_quota_weight_fraction=0.1))
+    feed = LoadGenerator(
+        *make(servers=6, effect=Effect.UNSAFE, tenants=tenants, over_quota_weight_fraction=0.1)
+    )
     loud_mostly = {"tenant": lambda n: n % 5 != 0}
     assert share(feed.run(5, 200, fast, **loud_mostly), Refuse) == 0
     log = feed.run(6, 200, lambda server: 350 * MS, **loud_mostly)
@@ -264,7 +266,7 @@
     config = settings(effect=Effect.UNSAFE, tenants=tenants, can_message_peers=True, fleet_size=2, index=0)
     balancer = Balancer(config, 1)
     balancer.handle(START, Membership(ListKind.FULL, 1, [endpoint(n) for n in range(4)]))
-    feed = Feed(balancer, START)
+    feed = LoadGenerator(balancer, START)
     told = [a.data for _, a in feed.run(5, 20, fast, tenant=lambda n: 0) if isinstance(a, SendToPeer)]
     assert told
     balancer.handle(feed.now, PeerMessage(1, told[-1][:3]))
@@ -276,11 +278,11 @@
 
 def test_a_surge_is_let_in_only_as_far_as_answers_justify():
     """Incident ibe9fc7: four times what was in flight, of late, grew with the surge until all was jammed."""
-    feed = Feed(*make(servers=40, effect=Effect.UNSAFE, fleet_size=8))
+    feed = LoadGenerator(*make(servers=40, effect=Effect.UNSAFE, fleet_size=8))
     feed.run(5, 50, fast)
     feed.run(0.4, 1000, lambda server: None)  # all are jammed, and none of it shows yet
     assert feed.balancer.limit.in_flight < 80
-    calm = Feed(*make(servers=40, effect=Effect.UNSAFE, fleet_size=8))
+    calm = LoadGenerator(*make(servers=40, effect=Effect.UNSAFE, fleet_size=8))
     calm.run(5, 50, fast)
     assert share(calm.run(2, 150, fast), Refuse) < 0.05  # a burst that is answered is no such thing
 
--- a/tests/balancer/test_slow_start_budget.py
+++ b/tests/balancer/test_slow_start_budget.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True)
-class Day:
+class Scenario:
     """One case: how many processes, and what happens on top."""
 
     sidecars: int
@@ -49,10 +49,10 @@
     return n + 2 * math.sqrt(n) + 2 if n >= 30 else n + 3 * math.sqrt(n) + 3
 
 
-class Played:
+class ScenarioRun:
     """A day of many modules that share servers; `most` is the largest part of its budget that one got."""
 
-    def __init__(self, day: Day, seed: int = 1) -> None:
+    def __init__(self, day: Scenario, seed: int = 1) -> None:
         self.day, self.chance = day, random.Random(seed)
         self.queue: list = []
         self.order = 0
@@ -191,12 +191,12 @@
 )
 def test_cold_servers_get_no_more_than_their_budget(name, sidecars):
     """An answer gave back more than the request had cost: one answer, and a process was paced no more."""
-    assert Played(Day(sidecars=sidecars, **DAYS[name][1])).play() <= 1.0
+    assert ScenarioRun(Scenario(sidecars=sidecars, **DAYS[name][1])).play() <= 1.0
 
 
 @pytest.mark.parametrize("sidecars", ALL)
 def test_cold_servers_are_not_left_idle(sidecars):
     """The other side: with a fleet of any size each gets something within seconds of its start."""
-    day = Played(Day(sidecars=sidecars, servers=40, cold=8, warm_up_s=3.0))
+    day = ScenarioRun(Scenario(sidecars=sidecars, servers=40, cold=8, warm_up_s=3.0))
     day.play()
     assert sum(bool(came) for came in day.came.values()) >= 7
--- a/tests/balancer/test_slow_start_whole_fleet.py
+++ b/tests/balancer/test_slow_start_whole_fleet.py
@@ -5,7 +5,7 @@
 """
 
 import pytest
-from test_slow_start_budget import START_CAPACITY, WARM_S, Day, Played
+from test_slow_start_budget import START_CAPACITY, WARM_S, Scenario, ScenarioRun
 
 SIDECARS = (1, 2, 5, 30, 200)
 SERVERS = 12
@@ -14,10 +14,10 @@
 EARLY_PART = 0.5
 
 
-def played(sidecars: int, used: float = 0.85, seed: int = 1, cold_s: float = 20.0, **more) -> Played:
+def played(sidecars: int, used: float = 0.85, seed: int = 1, cold_s: float = 20.0, **more) -> ScenarioRun:
     """Play a day on which all servers start with the sidecars."""
-    day = Day(sidecars, SERVERS, cold=SERVERS, used=used, warm_up_s=0.0, cold_s=cold_s, **more)
-    found = Played(day, seed)
+    day = Scenario(sidecars, SERVERS, cold=SERVERS, used=used, warm_up_s=0.0, cold_s=cold_s, **more)
+    found = ScenarioRun(day, seed)
     found.play()
     return found
 
@@ -52,8 +52,8 @@
 @pytest.mark.parametrize(("sidecars", "times"), [(1, 2.0), (2, 2.0), (5, 1.5), (30, 1.0)])
 def test_a_quick_cold_server_is_given_what_others_leave(sidecars, times):
     """Most requests stay in their zone, and in a crowd most sidecars that have tokens get no request then."""
-    day = Day(sidecars, SERVERS)
-    found = Played(day)
+    day = Scenario(sidecars, SERVERS)
+    found = ScenarioRun(day)
     assert found.play() <= 1.0
     middle = START_CAPACITY + (1.0 - START_CAPACITY) * day.cold_s / 2 / WARM_S
     least = middle * day.per_s / day.used * day.cold_s  # requests that it can do by the settings
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import pytest
-from net_helpers import HOST, Fake, answer_ok, ask, run
+from net_helpers import HOST, FakePeer, respond_ok, run, send_request
 from typer.testing import CliRunner
 
 from dykefold.cli.app import app
@@ -25,7 +25,7 @@
     return f'[node]\nlisten = "{HOST}:0"\n[pools.a]\nservers = {servers}\n{ROUTE}'
 
 
-def play(*arguments):
+def invoke_cli(*arguments):
     import dykefold.cli  # noqa: F401  adds the commands
 
     return CliRunner().invoke(app, list(arguments))
@@ -34,14 +34,14 @@
 def test_check_tells_all_that_is_wrong_and_exits_with_2(tmp_path):
     path = tmp_path / "service.toml"
     path.write_text(good(1).replace('pool = "a"', 'pool = "b"') + "colour = 3\n[pools.c]\n")
-    done = play("check", str(path))
+    done = invoke_cli("check", str(path))
     assert done.exit_code == 2
     told = done.stderr.splitlines()
     assert all(line.startswith(str(path)) for line in told)
     assert len(told) == 2
     assert "routes[0].colour: unknown" in done.stderr
     assert "pools.c: expected servers or discovery" in done.stderr
-    done = play("check", str(path), "--json")
+    done = invoke_cli("check", str(path), "--json")
     assert done.exit_code == 2
     assert len(json.loads(done.stdout)["problems"]) == 2
 
@@ -49,29 +49,29 @@
 def test_check_describes_a_good_file(tmp_path):
     path = tmp_path / "service.toml"
     path.write_text(good(9001, 9002))
-    done = play("check", str(path))
+    done = invoke_cli("check", str(path))
     assert done.exit_code == 0
     assert "good" in done.stdout
     assert "idempotent" in done.stdout
-    told = json.loads(play("check", str(path), "--json").stdout)
+    told = json.loads(invoke_cli("check", str(path), "--json").stdout)
     assert told["good"]
     assert told["pools"][0]["servers"] == 2
     assert told["routes"][0]["pool"] == "a"
 
 
 def test_wrong_use_and_missing_files(tmp_path):
-    assert play("check", str(tmp_path / "none")).exit_code == 2
-    assert play("serve", str(tmp_path / "none")).exit_code == 2
-    assert play("nothing").exit_code == 2
+    assert invoke_cli("check", str(tmp_path / "none")).exit_code == 2
+    assert invoke_cli("serve", str(tmp_path / "none")).exit_code == 2
+    assert invoke_cli("nothing").exit_code == 2
     path = tmp_path / "service.toml"
     path.write_text("[admission]\n")
-    assert play("serve", str(path)).exit_code == 2
-    assert play("version").exit_code == 0
+    assert invoke_cli("serve", str(path)).exit_code == 2
+    assert invoke_cli("version").exit_code == 0
 
 
 def test_serve_reloads_on_sighup_keeps_a_bad_file_out_and_ends_on_sigterm(tmp_path):
     async def test():
-        first, second = await Fake(answer_ok).start(), await Fake(answer_ok).start()
+        first, second = await FakePeer(respond_ok).start(), await FakePeer(respond_ok).start()
         path = tmp_path / "service.toml"
         path.write_text(good(first.port))
         process = await asyncio.create_subprocess_exec(
@@ -96,17 +96,17 @@
 
         async with asyncio.timeout(30):
             port = int(re.search(r":(\d+)$", await line_with("sidecar accepts clients: name="))[1])
-            assert (await ask(port, b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")).code == 200
+            assert (await send_request(port, b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")).code == 200
             path.write_text(good(first.port).replace('pool = "a"', 'pool = "b"'))
             process.send_signal(signal.SIGHUP)
             assert "routes.a.pool = 'b'" in await line_with("stay as they were")
-            assert (await ask(port, b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")).code == 200
-            assert len(first.got) == 2
+            assert (await send_request(port, b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")).code == 200
+            assert len(first.received) == 2
             path.write_text(good(second.port))
             process.send_signal(signal.SIGHUP)
             await line_with("sidecar replaced the route table: number=2")
-            assert (await ask(port, b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")).code == 200
-            assert len(second.got) == 1
+            assert (await send_request(port, b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")).code == 200
+            assert len(second.received) == 1
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
         assert all(line["level"] in ("info", "warning") for line in seen)
--- a/tests/cli/test_control.py
+++ b/tests/cli/test_control.py
@@ -4,22 +4,22 @@
 import json
 
 import pytest
-from net_helpers import HOST, Fake, answer_ok, config, entry, news, run
-from process_helpers import Process
-from test_cli import play
+from net_helpers import HOST, FakePeer, config, endpoint_entry, list_update, respond_ok, run
+from process_helpers import SidecarProcess
+from test_cli import invoke_cli
 
 pytestmark = pytest.mark.processes
 
 
 def test_calls_their_exit_codes_and_their_json(tmp_path):
     async def scene():
-        fake = await Fake(answer_ok).start()
-        data = config(news(1, entry("s:1/a", fake.address)), control=f"{HOST}:0")
-        async with Process(tmp_path / "c", data, TMPDIR=str(tmp_path)) as sidecar:
+        fake = await FakePeer(respond_ok).start()
+        data = config(list_update(1, endpoint_entry("s:1/a", fake.address)), control=f"{HOST}:0")
+        async with SidecarProcess(tmp_path / "c", data, TMPDIR=str(tmp_path)) as sidecar:
 
             async def call(*arguments):
                 return await asyncio.to_thread(
-                    play, "control", *arguments, "--at", f"{HOST}:{sidecar.admin_port}"
+                    invoke_cli, "control", *arguments, "--at", f"{HOST}:{sidecar.admin_port}"
                 )
 
             done = await call("health")
@@ -35,7 +35,9 @@
             assert not told["yes"]
             assert told["server"] == "nobody"
             admin_port = sidecar.admin_port
-        done = await asyncio.to_thread(play, "control", "health", "--json", "--at", f"{HOST}:{admin_port}")
+        done = await asyncio.to_thread(
+            invoke_cli, "control", "health", "--json", "--at", f"{HOST}:{admin_port}"
+        )
         assert done.exit_code == 1
         assert json.loads(done.stdout)["code"] is None
 
@@ -46,9 +48,9 @@
     "arguments", [("health", "--at", "nowhere"), ("maint", "--at", "127.0.0.1:1"), ("out",)]
 )
 def test_wrong_use_ends_with_2(arguments):
-    assert play("control", *arguments).exit_code == 2
+    assert invoke_cli("control", *arguments).exit_code == 2
 
 
 def test_environment_variable_names_the_admin_api(monkeypatch):
     monkeypatch.setenv("GW_CONTROL", "127.0.0.1:1")
-    assert play("control", "health").exit_code == 1
+    assert invoke_cli("control", "health").exit_code == 1
--- a/tests/control/hot_restart_rig.py
+++ b/tests/control/hot_restart_rig.py
@@ -20,7 +20,7 @@
 SERVERS = ("s0", "s1")
 
 
-class Machine:
+class MachineClock:
     """CLOCK_MONOTONIC and the wall clock of one machine."""
 
     def __init__(self, monotonic_ns=10**12, wall_ns=10**18):
@@ -32,7 +32,7 @@
     def time_ns(self):
         return self.wall_ns
 
-    def passes(self, span_ns=OBSERVATION_INTERVAL_NS):
+    def advance(self, span_ns=OBSERVATION_INTERVAL_NS):
         self.mono_ns += span_ns
         self.wall_ns += span_ns
 
@@ -70,7 +70,7 @@
         self.maintenance.merge(said)
 
 
-class Engine:
+class FakeSidecarServer:
     def __init__(self, machine):
         self.clock = Clock(machine)
         self.pool = Pool(self.clock)
@@ -91,16 +91,16 @@
 
     def __init__(self, folder, machine, wrap=lambda board: board, **files):
         self.machine = machine
-        self.server = Engine(machine)
+        self.server = FakeSidecarServer(machine)
         self.files = FileStateDirectory(str(folder), **files)
         self.board = wrap(self.files)
         loop = SimpleNamespace(call_later=lambda delay, act: SimpleNamespace(cancel=lambda: None))
         self.upgrade = HotRestart(loop, self.server, self.board, machine)
         # Two processes of one test share a process number.
-        machine.passes(MS)
+        machine.advance(MS)
 
     @property
-    def out(self):
+    def out_of_service(self):
         return sorted(self.server.pool.maintenance.out_of_service())
 
     def call(self, action, server="s0"):
@@ -113,7 +113,7 @@
         self.upgrade.write_records()
 
     def tick(self):
-        self.machine.passes()
+        self.machine.advance()
         self.upgrade._tick()
 
     def start(self, *older):
@@ -123,7 +123,7 @@
             room = asyncio.ensure_future(self.upgrade.wait_for_capacity())
             while not room.done():
                 await asyncio.sleep(OBSERVATION_INTERVAL_S / 4)  # as often as it looks itself
-                self.machine.passes(OBSERVATION_INTERVAL_NS // 4)
+                self.machine.advance(OBSERVATION_INTERVAL_NS // 4)
                 for one in older:
                     one.tick()
             await room
@@ -131,9 +131,9 @@
         asyncio.run(wait())
         self.serve()
 
-    def ends(self, killed=False):
+    def exit(self, killed=False):
         """The process is gone, with its lock."""
-        self.machine.passes()
+        self.machine.advance()
         if not killed:
             self.upgrade.begin_shutdown()
             self.upgrade.close()
@@ -142,23 +142,23 @@
             self.files.lock_descriptor = None
 
 
-class Flaky:
+class FlakyStateDirectory:
     """A board on which writes of some names fail."""
 
     def __init__(self, board):
         self.board = board
-        self.failing = ()
-        self.wrote = []
+        self.failing_prefixes = ()
+        self.written_names = []
 
     def __getattr__(self, name):
         return getattr(self.board, name)
 
     def write(self, name, word, **more):
-        self.wrote.append(name)
-        if name.startswith(tuple(self.failing)):
+        self.written_names.append(name)
+        if name.startswith(tuple(self.failing_prefixes)):
             return False
         return self.board.write(name, word, **more)
 
 
-def known(member):
+def balancer_state(member):
     return snapshot(member.server.pool.balancer, member.server.pool.names)
--- a/tests/control/test_admin_server.py
+++ b/tests/control/test_admin_server.py
@@ -7,19 +7,19 @@
 import pytest
 from net_helpers import (
     HOST,
-    WAIT,
-    Fake,
+    WAIT_TIMEOUT_S,
+    FakePeer,
     Sidecar,
-    answer_ok,
-    ask,
     config,
-    entry,
-    gated,
-    message,
-    news,
-    reply,
+    endpoint_entry,
+    gated_handler,
+    http_response,
+    list_update,
+    request_message,
+    respond_ok,
     run,
-    until,
+    send_request,
+    wait_until,
 )
 
 from dykefold.control import admin_server as door_module
@@ -46,7 +46,7 @@
         reader, writer = await asyncio.open_connection(HOST, self.admin_port)
         head = "\r\n".join([f"{line} HTTP/1.1", "Host: admin", *lines])
         writer.write(head.encode() + b"\r\n\r\n" + body)
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             got = await reader.read()  # one call to a connection: it ends behind the answer
         writer.close()
         return int(got.split()[1])
@@ -59,16 +59,16 @@
 
 
 async def two(*acts):
-    return [await Fake(act).start() for act in acts]
+    return [await FakePeer(act).start() for act in acts]
 
 
 def listed(*fakes, version=1):
-    return news(version, *(entry(f"s{n}", fake.address) for n, fake in enumerate(fakes)))
+    return list_update(version, *(endpoint_entry(f"s{n}", fake.address) for n, fake in enumerate(fakes)))
 
 
 def test_health_follows_whether_clients_are_taken(tmp_path):
     async def play():
-        fakes = await two(answer_ok)
+        fakes = await two(respond_ok)
         async with Operated(tmp_path / "c", config(listed(*fakes))) as sidecar:
             assert await sidecar.call("GET /healthcheck") == 200
             sidecar.server.drain()
@@ -79,11 +79,11 @@
 
 def test_a_server_that_is_out_gets_nothing_more_and_one_that_is_back_starts_cold(tmp_path):
     async def play():
-        fakes = await two(answer_ok, answer_ok)
+        fakes = await two(respond_ok, respond_ok)
         async with Operated(tmp_path / "c", config(listed(*fakes))) as sidecar:
             pool = sidecar.server.pool
-            assert (await ask(sidecar.port, message("lookup", "a"))).code == 200
-            used, other = fakes if fakes[0].got else reversed(fakes)
+            assert (await send_request(sidecar.port, request_message("lookup", "a"))).code == 200
+            used, other = fakes if fakes[0].received else reversed(fakes)
             name, rest = ("s0", "s1") if used is fakes[0] else ("s1", "s0")
             assert await sidecar.out(name) == 200
             assert await sidecar.out(name) == 200
@@ -92,17 +92,17 @@
                 parse_endpoint_update(listed(*fakes, version=2), pool.names)
             )  # it serves, says the list
             for number in range(20):
-                assert (await ask(sidecar.port, message("lookup", f"b{number}"))).code == 200
-            assert len(used.got) == 1
-            assert len(other.got) == 20
+                assert (await send_request(sidecar.port, request_message("lookup", f"b{number}"))).code == 200
+            assert len(used.received) == 1
+            assert len(other.received) == 20
             assert await sidecar.back(name) == 200
             server = pool.balancer.servers[pool.names.servers[name]]
             assert server.ready
             assert abs(server.started_ns - pool.now()) < 5e9
             assert await sidecar.out(rest) == 200
-            assert (await ask(sidecar.port, message("lookup", "c"))).code == 200
-            assert len(used.got) == 2
-            assert len(other.got) == 20
+            assert (await send_request(sidecar.port, request_message("lookup", "c"))).code == 200
+            assert len(used.received) == 2
+            assert len(other.received) == 20
 
     run(play())
 
@@ -112,17 +112,17 @@
 
     async def play():
         async def discovery(message, reader, writer):
-            if "wait_ms" in message.first and "after=1&" not in message.first:
+            if "wait_ms" in message.start_line and "after=1&" not in message.start_line:
                 await reader.read()
-            writer.write(reply(200, json.dumps(listed(*fakes, version=2)).encode()))
+            writer.write(http_response(200, json.dumps(listed(*fakes, version=2)).encode()))
 
-        fakes = await two(answer_ok, answer_ok)
-        registry = await Fake(discovery).start()
+        fakes = await two(respond_ok, respond_ok)
+        registry = await FakePeer(discovery).start()
         data = config(listed(*fakes), registry.address)
         async with Operated(tmp_path / "c", data) as sidecar:
-            assert not registry.got  # the first call is spread over half a second
+            assert not registry.received  # the first call is spread over half a second
             assert await sidecar.out("s0") == 200
-            await until(lambda: len(registry.got) == 2)
+            await wait_until(lambda: len(registry.received) == 2)
             assert sidecar.server.pool.version == 2
             assert sidecar.server.pool.maintenance.is_out("s0")
 
@@ -133,19 +133,19 @@
     """Guards the rule on drains: a queued first try would send its first byte after the yes."""
 
     async def play():
-        go, act = gated()
+        go, act = gated_handler()
         fakes = await two(act)
         async with Operated(tmp_path / "c", config(listed(*fakes))) as sidecar:
             upstreams = sidecar.server.pool.upstreams
-            first = asyncio.create_task(ask(sidecar.port, message("lookup", "a1")))
-            await until(lambda: fakes[0].got)
+            first = asyncio.create_task(send_request(sidecar.port, request_message("lookup", "a1")))
+            await wait_until(lambda: fakes[0].received)
             (target,) = upstreams.endpoints.values()
-            late = asyncio.create_task(ask(sidecar.port, message("lookup", "a2", "700m")))
-            await until(lambda: len(fakes[0].got) == 2)
+            late = asyncio.create_task(send_request(sidecar.port, request_message("lookup", "a2", "700m")))
+            await wait_until(lambda: len(fakes[0].received) == 2)
             assert await sidecar.out("s0") == 200
-            third = asyncio.create_task(ask(sidecar.port, message("order", "a3", "400m")))
+            third = asyncio.create_task(send_request(sidecar.port, request_message("order", "a3", "400m")))
             assert (await third).code == 503
-            assert len(fakes[0].got) == 2
+            assert len(fakes[0].received) == 2
             go.set()
             assert (await first).code == 200
             assert (await late).code == 200
@@ -156,7 +156,7 @@
 
 def test_only_known_servers_can_be_called_and_those_of_the_first_list_are(tmp_path):
     async def play():
-        fakes = await two(answer_ok)
+        fakes = await two(respond_ok)
         async with Operated(tmp_path / "c", config(listed(*fakes))) as sidecar:
             assert await sidecar.out("nobody") == 404
             assert await sidecar.back("nobody") == 404
@@ -182,7 +182,7 @@
 )
 def test_bad_calls_get_a_no_and_change_nothing(tmp_path, data, code):
     async def play():
-        fakes = await two(answer_ok)
+        fakes = await two(respond_ok)
         async with Operated(tmp_path / "c", config(listed(*fakes))) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.admin_port)
             writer.write(data)
@@ -198,7 +198,7 @@
     """Guards the one second that an answer is owed in: with a queue of them nobody would come through."""
 
     async def play():
-        fakes = await two(answer_ok)
+        fakes = await two(respond_ok)
         async with Operated(tmp_path / "c", config(listed(*fakes))) as sidecar:
             held = []
             for number in range(3 * MAX_CONNECTIONS):
@@ -211,7 +211,7 @@
             assert await sidecar.out("s0") == 200
             for writer in held:
                 writer.close()
-            await until(lambda: not sidecar.admin.connections)
+            await wait_until(lambda: not sidecar.admin.connections)
 
     run(play())
 
@@ -220,7 +220,7 @@
     monkeypatch.setattr(door_module, "MAX_REQUEST_S", 0.1)
 
     async def play():
-        fakes = await two(answer_ok)
+        fakes = await two(respond_ok)
         async with Operated(tmp_path / "c", config(listed(*fakes))) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.admin_port)
             assert (await reader.readline()).split()[1] == b"408"
@@ -231,7 +231,7 @@
 
 def test_exception_in_an_admin_request_is_answered_with_an_error(tmp_path):
     async def play():
-        fakes = await two(answer_ok)
+        fakes = await two(respond_ok)
         async with Operated(tmp_path / "c", config(listed(*fakes))) as sidecar:
             sidecar.server.pool.apply_order = None
             assert await sidecar.out("s0") == 500
--- a/tests/control/test_background_writes.py
+++ b/tests/control/test_background_writes.py
@@ -6,8 +6,8 @@
 import time
 
 import pytest
-from hot_restart_rig import Engine, Machine, Member
-from net_helpers import HOST, run, until
+from hot_restart_rig import FakeSidecarServer, MachineClock, Member
+from net_helpers import HOST, run, wait_until
 
 from dykefold.control import admin_server, process_lifecycle
 from dykefold.control.file_system import FileSystem
@@ -36,7 +36,7 @@
         self.synced += 1
 
 
-class ServingEngine(Engine):
+class ServingEngine(FakeSidecarServer):
     accepts_clients = True
 
 
@@ -54,10 +54,10 @@
 
 
 def is_out(folder, machine=None):
-    last = Member(folder, machine or Machine(SYSTEM.monotonic_ns() + 10**9, SYSTEM.time_ns() + 10**9))
+    last = Member(folder, machine or MachineClock(SYSTEM.monotonic_ns() + 10**9, SYSTEM.time_ns() + 10**9))
     last.start()
-    out = last.out
-    last.ends(killed=True)
+    out = last.out_of_service
+    last.exit(killed=True)
     return out
 
 
@@ -67,7 +67,7 @@
         async with serving(tmp_path, disk) as (_, admin):
             disk.hangs = True
             order = asyncio.ensure_future(call(admin, "POST /servers/s0/maint"))
-            await until(lambda: disk.syncs)
+            await wait_until(lambda: disk.syncs)
             began = time.monotonic()
             served = []
             while len(served) < 5:
@@ -97,7 +97,7 @@
             disk.hangs = True
             before = disk.syncs
             orders = [asyncio.ensure_future(call(admin, f"POST /servers/s0/{first}"))]
-            await until(lambda: disk.syncs > before)
+            await wait_until(lambda: disk.syncs > before)
             assert out() == ["s0"]  # put back only once that is written
             orders.append(asyncio.ensure_future(call(admin, f"POST /servers/s0/{second}")))
             for _ in range(3):
@@ -134,7 +134,7 @@
         async with serving(tmp_path, disk) as (lifecycle, admin):
             disk.hangs = True
             order = asyncio.ensure_future(call(admin, "POST /servers/s0/maint"))
-            await until(lambda: disk.syncs)
+            await wait_until(lambda: disk.syncs)
             monkeypatch.setattr(process_lifecycle, "MAX_LAST_WRITE_S", 0.05)
             await lifecycle.finish_writing()
             assert not order.done()
--- a/tests/control/test_directory_retry.py
+++ b/tests/control/test_directory_retry.py
@@ -6,7 +6,7 @@
 import os
 
 import pytest
-from hot_restart_rig import Engine, Machine, Member
+from hot_restart_rig import FakeSidecarServer, MachineClock, Member
 from net_helpers import HOST
 
 from dykefold.control import process_lifecycle
@@ -41,9 +41,9 @@
         while due := [handle for handle in self.timers if handle.when() <= until_ns]:
             handle = min(due, key=asyncio.TimerHandle.when)
             self.timers.remove(handle)
-            self.machine.passes(max(handle.when() - self.machine.mono_ns, 0))
+            self.machine.advance(max(handle.when() - self.machine.mono_ns, 0))
             handle._run()
-        self.machine.passes(until_ns - self.machine.mono_ns)
+        self.machine.advance(until_ns - self.machine.mono_ns)
 
 
 class Unusable(FileSystem):
@@ -60,7 +60,7 @@
         super().mkdir(path)
 
 
-class ServingEngine(Engine):
+class ServingEngine(FakeSidecarServer):
     """An sidecar_server that listens, with nothing on the network."""
 
     accepts_clients = True
@@ -97,7 +97,7 @@
 
 @pytest.fixture
 def machine():
-    return Machine()
+    return MachineClock()
 
 
 @pytest.mark.parametrize("error", ERRORS, ids=errno.errorcode.get)
@@ -123,7 +123,7 @@
     os.close(one.lifecycle.hot_restart.directory.lock_descriptor)
     last = Member(tmp_path, machine)
     last.start()
-    assert last.out == ["s0"]
+    assert last.out_of_service == ["s0"]
 
 
 def test_tries_become_rarer_and_each_new_reason_is_one_line(tmp_path, monkeypatch, machine, caplog):
@@ -146,7 +146,7 @@
         other = Member(tmp_path, machine)
         other.start()
     one = Served(tmp_path, monkeypatch, machine, errno.EACCES)
-    machine.passes()
+    machine.advance()
     if newer:
         other = Member(tmp_path, machine)
         other.start()
--- a/tests/control/test_hot_restart.py
+++ b/tests/control/test_hot_restart.py
@@ -10,21 +10,21 @@
 import pytest
 from net_helpers import (
     HOST,
-    WAIT,
-    Fake,
+    WAIT_TIMEOUT_S,
+    FakePeer,
     Sidecar,
-    answer_ok,
-    ask,
     config,
-    entry,
-    message,
-    news,
+    endpoint_entry,
+    http_response,
+    list_update,
     read_message,
-    reply,
+    request_message,
+    respond_ok,
     run,
-    until,
+    send_request,
+    wait_until,
 )
-from process_helpers import Process
+from process_helpers import SidecarProcess
 
 from dykefold.control.balancer_snapshot import restore, snapshot
 from dykefold.control.reuseport_filter import select_listener
@@ -37,7 +37,7 @@
 async def call(port, line):
     reader, writer = await asyncio.open_connection(HOST, port)
     writer.write(f"{line} HTTP/1.1\r\nHost: admin\r\nContent-Length: 0\r\n\r\n".encode())
-    async with asyncio.timeout(WAIT):
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         got = await reader.read()
     writer.close()
     return int(got.split()[1])
@@ -49,7 +49,7 @@
     def __init__(self, tmp_path, *fakes):
         self.tmp_path = tmp_path
         (tmp_path / "tmp").mkdir()
-        self.known = news(1, *(entry(f"s{n}", fake.address) for n, fake in enumerate(fakes)))
+        self.known = list_update(1, *(endpoint_entry(f"s{n}", fake.address) for n, fake in enumerate(fakes)))
         self.port = 0
         self.number = 0
         self.more = {}
@@ -58,14 +58,14 @@
         self.number += 1
         data = config(self.known, control=f"{HOST}:0", listen=f"{HOST}:{self.port}", **self.more)
         path = self.tmp_path / f"c{self.number}"
-        return Process(path, data, TMPDIR=str(self.tmp_path / "tmp"))
+        return SidecarProcess(path, data, TMPDIR=str(self.tmp_path / "tmp"))
 
 
 async def clients(port, stop, results):
     """New connections one after another, each with one request."""
     while not stop.is_set():
         try:
-            got = await ask(port, message("lookup", f"r{next(IDENTS)}"))
+            got = await send_request(port, request_message("lookup", f"r{next(IDENTS)}"))
             results.append(got.code)
         except (OSError, EOFError) as error:
             results.append(repr(error))
@@ -76,7 +76,7 @@
     """Guards what stands in the queue of the socket that closes, and what comes to it meanwhile."""
 
     async def play():
-        fake = await Fake(answer_ok).start()
+        fake = await FakePeer(respond_ok).start()
         sidecars = Sidecars(tmp_path, fake)
         async with contextlib.AsyncExitStack() as stack:
             old = await stack.enter_async_context(sidecars.next())
@@ -86,14 +86,14 @@
             kept_reader, kept_writer = await asyncio.open_connection(HOST, old.port)
             for round_ in range(3):
                 new = await stack.enter_async_context(sidecars.next())
-                await until(lambda: len(results) > 20)
+                await wait_until(lambda: len(results) > 20)
                 assert await call(new.admin_port, "GET /healthcheck") == 200
                 old.process.send_signal(signal.SIGTERM)
                 # One that stays with the older process is told to go with its next answer.
                 number, told = 0, None
                 while told != "close":
                     number += 1
-                    kept_writer.write(message("lookup", f"kept{round_}-{number}"))
+                    kept_writer.write(request_message("lookup", f"kept{round_}-{number}"))
                     got = await read_message(kept_reader)
                     told = got.headers.get("connection")
                     assert got.code == 200
@@ -103,7 +103,7 @@
                 kept_reader, kept_writer = await asyncio.open_connection(HOST, old.port)
                 old = new
                 results_now = len(results)
-                await until(lambda before=results_now: len(results) > before + 20)
+                await wait_until(lambda before=results_now: len(results) > before + 20)
             stop.set()
             await asyncio.gather(*load)
             kept_writer.close()
@@ -114,7 +114,7 @@
 
 def test_bans_outlive_an_upgrade_and_hold_in_both_processes_meanwhile(tmp_path):
     async def play():
-        fakes = [await Fake(answer_ok).start() for _ in range(3)]
+        fakes = [await FakePeer(respond_ok).start() for _ in range(3)]
         sidecars = Sidecars(tmp_path, *fakes)
         async with contextlib.AsyncExitStack() as stack:
             old = await stack.enter_async_context(sidecars.next())
@@ -128,21 +128,21 @@
             assert await old.process.wait() == 0
             writer.close()
             for number in range(20):
-                assert (await ask(new.port, message("lookup", f"a{number}"))).code == 200
-            assert not fakes[0].got
-            assert not fakes[1].got
-            assert len(fakes[2].got) == 20
+                assert (await send_request(new.port, request_message("lookup", f"a{number}"))).code == 200
+            assert not fakes[0].received
+            assert not fakes[1].received
+            assert len(fakes[2].received) == 20
             assert await call(new.admin_port, "POST /servers/s0/ready") == 200
             assert await call(new.admin_port, "POST /servers/s2/maint") == 200
-            assert (await ask(new.port, message("lookup", "b"))).code == 200
-            assert len(fakes[0].got) == 1
+            assert (await send_request(new.port, request_message("lookup", "b"))).code == 200
+            assert len(fakes[0].received) == 1
 
     run(play())
 
 
 def test_a_new_process_that_dies_after_its_yes_gives_its_clients_back(tmp_path):
     async def play():
-        fake = await Fake(answer_ok).start()
+        fake = await FakePeer(respond_ok).start()
         sidecars = Sidecars(tmp_path, fake)
         async with sidecars.next() as old:
             sidecars.port = old.port
@@ -151,7 +151,7 @@
                 new.process.kill()
                 await new.process.wait()
             for number in range(10):
-                assert (await ask(old.port, message("lookup", f"a{number}"))).code == 200
+                assert (await send_request(old.port, request_message("lookup", f"a{number}"))).code == 200
             assert await call(old.admin_port, "GET /healthcheck") == 200
             async with sidecars.next() as again:
                 assert await call(again.admin_port, "GET /healthcheck") == 200
@@ -161,10 +161,10 @@
 
 def test_without_a_state_directory_the_admin_api_works_and_hot_restart_is_off(tmp_path):
     async def play():
-        fake = await Fake(answer_ok).start()
+        fake = await FakePeer(respond_ok).start()
         sidecars = Sidecars(tmp_path, fake)
         async with sidecars.next() as process:
-            assert (await ask(process.port, message("lookup", "a"))).code == 200
+            assert (await send_request(process.port, request_message("lookup", "a"))).code == 200
         (tmp_path / "tmp" / "dykefold").rename(tmp_path / "gone")
         (tmp_path / "tmp").rmdir()
         async with sidecars.next() as process:
@@ -173,7 +173,7 @@
                 await call(process.admin_port, "POST /servers/s0/maint") == 500
             )  # no next process would know
             assert (
-                await ask(process.port, message("lookup", "b"))
+                await send_request(process.port, request_message("lookup", "b"))
             ).code == 503  # the one endpoint is out here
             assert await call(process.admin_port, "POST /servers/s0/ready") == 200
             assert await call(process.admin_port, "GET /healthcheck") == 200
@@ -181,7 +181,7 @@
     run(play())
 
 
-def waiting(sock):
+def count_queued_connections(sock):
     """How many connections wait to be accepted."""
     sock.setblocking(False)
     count = 0
@@ -200,25 +200,27 @@
         select_listener(new, 1)
         for _ in range(64):
             stack.enter_context(socket.create_connection(address))
-        assert (waiting(old), waiting(new)) == (0, 64)
+        assert (count_queued_connections(old), count_queued_connections(new)) == (0, 64)
         new.close()  # as when its process dies: the place that the filter names is empty
         for _ in range(64):
             stack.enter_context(socket.create_connection(address))
-        assert waiting(old) == 64
+        assert count_queued_connections(old) == 64
 
 
 def test_what_waits_in_the_queue_of_a_listener_that_closes_is_taken(tmp_path):
     """Guards those who connected in time: closing the socket would reset them."""
 
     async def play():
-        fake = await Fake(answer_ok).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
+        fake = await FakePeer(respond_ok).start()
+        async with Sidecar(
+            tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))
+        ) as sidecar:
             # All in one turn of the loop: none of them can be accepted on the way.
             early = [socket.create_connection((HOST, sidecar.port)) for _ in range(40)]
             sidecar.server.shutdown.close_listener()
             for number, sock in enumerate(early):
                 reader, writer = await asyncio.open_connection(sock=sock)
-                writer.write(message("lookup", f"a{number}"))
+                writer.write(request_message("lookup", f"a{number}"))
                 assert (await read_message(reader)).code == 200
                 writer.close()
 
@@ -236,13 +238,15 @@
     """Guards requests on their way: 34 idle connections were closed at once, some under the next request."""
 
     async def play():
-        fake = await Fake(answer_ok).start()
-        data = config(news(1, entry("s1", fake.address)), limits={"memory_mb": 80, "sockets": 200})
+        fake = await FakePeer(respond_ok).start()
+        data = config(
+            list_update(1, endpoint_entry("s1", fake.address)), limits={"memory_mb": 80, "sockets": 200}
+        )
         async with Sidecar(tmp_path / "c", data) as sidecar:
             sidecar_server, held = sidecar.server, []
             for number in range(70):
                 reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-                writer.write(message("lookup", f"a{number}"))
+                writer.write(request_message("lookup", f"a{number}"))
                 assert (await read_message(reader)).code == 200
                 held.append((reader, writer))
             alive = sidecar_server.clients.admission.count
@@ -251,9 +255,9 @@
             sidecar_server.share_capacity(2, most)
             assert sidecar_server.clients.admission.count == alive
             assert sidecar_server.budget.clients + sidecar_server.budget.upstreams.limit <= most
-            assert (await ask(sidecar.port, message("lookup", "b"))).code in (200, 503)
+            assert (await send_request(sidecar.port, request_message("lookup", "b"))).code in (200, 503)
             sidecar_server.share_capacity(1, 200)
-            assert (await ask(sidecar.port, message("lookup", "c"))).code == 200
+            assert (await send_request(sidecar.port, request_message("lookup", "c"))).code == 200
             for _, writer in held:
                 writer.close()
 
@@ -264,30 +268,30 @@
     """Guards the rule on drains: its configuration is as old as the first start of its sidecar."""
 
     async def play():
-        fakes = [await Fake(answer_ok).start() for _ in range(3)]
+        fakes = [await FakePeer(respond_ok).start() for _ in range(3)]
         waits = asyncio.Event()
 
         async def discovery(got, reader, writer):
-            if "after=2" in got.first or len(registry.got) > 1:
+            if "after=2" in got.start_line or len(registry.received) > 1:
                 await waits.wait()  # the newer process is not told in time
             states = ["SERVING", "DRAINING", "DRAINING"]
-            listed = [entry(f"s{n}", fakes[n].address, state) for n, state in enumerate(states)]
-            writer.write(reply(200, json.dumps(news(2, *listed)).encode()))
+            listed = [endpoint_entry(f"s{n}", fakes[n].address, state) for n, state in enumerate(states)]
+            writer.write(http_response(200, json.dumps(list_update(2, *listed)).encode()))
 
-        registry = await Fake(discovery).start()
+        registry = await FakePeer(discovery).start()
         sidecars = Sidecars(tmp_path, *fakes)
         sidecars.more = {"discovery": registry.address}
         async with contextlib.AsyncExitStack() as stack:
             old = await stack.enter_async_context(sidecars.next())
             sidecars.port = old.port
-            await until(lambda: len(registry.got) > 1)
+            await wait_until(lambda: len(registry.received) > 1)
             for number in range(20):
-                assert (await ask(old.port, message("lookup", f"a{number}"))).code == 200
-            before = [len(fake.got) for fake in fakes]
+                assert (await send_request(old.port, request_message("lookup", f"a{number}"))).code == 200
+            before = [len(fake.received) for fake in fakes]
             new = await stack.enter_async_context(sidecars.next())
             for number in range(20):
-                assert (await ask(new.port, message("lookup", f"b{number}"))).code == 200
-            assert [len(fake.got) for fake in fakes] == [before[0] + 20, *before[1:]]
+                assert (await send_request(new.port, request_message("lookup", f"b{number}"))).code == 200
+            assert [len(fake.received) for fake in fakes] == [before[0] + 20, *before[1:]]
             waits.set()
 
     run(play())
@@ -295,14 +299,14 @@
 
 def test_estimates_go_on_by_name_and_what_is_of_no_use_is_left(tmp_path):
     async def play():
-        fakes = [await Fake(answer_ok).start() for _ in range(2)]
-        listed = [entry(f"s{n}", fake.address, since_ms=5) for n, fake in enumerate(fakes)]
+        fakes = [await FakePeer(respond_ok).start() for _ in range(2)]
+        listed = [endpoint_entry(f"s{n}", fake.address, since_ms=5) for n, fake in enumerate(fakes)]
         async with (
-            Sidecar(tmp_path / "a", config(news(1, *listed))) as one,
-            Sidecar(tmp_path / "b", config(news(1, *reversed(listed)))) as two,
+            Sidecar(tmp_path / "a", config(list_update(1, *listed))) as one,
+            Sidecar(tmp_path / "b", config(list_update(1, *reversed(listed)))) as two,
         ):
             for number in range(30):
-                assert (await ask(one.port, message("lookup", f"a{number}"))).code == 200
+                assert (await send_request(one.port, request_message("lookup", f"a{number}"))).code == 200
             old, new = one.server.pool, two.server.pool
             old.balancer.servers[old.names.servers["s1"]].relative_latency = 2.5
             values = json.loads(json.dumps(snapshot(old.balancer, old.names)))
@@ -313,7 +317,7 @@
             assert (
                 new.balancer.live_classes[0].mean_latency_ns == old.balancer.live_classes[0].mean_latency_ns
             )
-            assert (await ask(two.port, message("lookup", "b"))).code == 200
+            assert (await send_request(two.port, request_message("lookup", "b"))).code == 200
             # One that has started again since is not what was believed of it.
             values["servers"]["s0"]["started"] += 1
             values["servers"]["s0"]["rel"] = 9.0
--- a/tests/control/test_hot_restart_faults.py
+++ b/tests/control/test_hot_restart_faults.py
@@ -6,7 +6,7 @@
 import os
 
 import pytest
-from net_helpers import message, read_message, run, until
+from net_helpers import read_message, request_message, run, wait_until
 
 from dykefold.lab.fleet.judge import Ban, Excuse, judge
 from dykefold.lab.fleet.process import call
@@ -244,7 +244,7 @@
                     await rig.wait_until_ready(new)
                 raise AssertionError("a stopped process said yes")
             rig.kill(new)
-            await until(lambda: not new.alive)
+            await wait_until(lambda: not new.alive)
             assert READY_TIMEOUT_S > 1.0
 
     run(play())
@@ -278,10 +278,10 @@
             (process,) = rig.member.living
             reader, writer = await asyncio.open_connection(*process.address)
             for number in range(int(used)):
-                writer.write(message("lookup", f"w{number}"))
+                writer.write(request_message("lookup", f"w{number}"))
                 assert (await read_message(reader)).code == 200
             process.stop()
-            writer.write(message("lookup", "q", "9000m"))
+            writer.write(request_message("lookup", "q", "9000m"))
             began = asyncio.get_running_loop().time()
             await asyncio.sleep(3.0)
             process.go_on()
--- a/tests/control/test_hot_restart_orders.py
+++ b/tests/control/test_hot_restart_orders.py
@@ -6,7 +6,7 @@
 
 import pytest
 from net_helpers import HOST
-from test_hot_restart import waiting
+from test_hot_restart import count_queued_connections
 
 from dykefold.control import hot_restart_state as handover
 from dykefold.control.reuseport_filter import select_by_hash, select_listener
@@ -112,7 +112,7 @@
                 select_listener(sock, places[number].index)
                 for _ in range(8):
                     stack.enter_context(socket.create_connection(address))
-                assert waiting(sock) == 8, (order, going, number)
+                assert count_queued_connections(sock) == 8, (order, going, number)
 
 
 def test_process_without_a_known_listener_index_uses_no_filter():
--- a/tests/control/test_hot_restart_records.py
+++ b/tests/control/test_hot_restart_records.py
@@ -5,7 +5,7 @@
 
 import pytest
 from helpers import MS
-from hot_restart_rig import Flaky, Machine, Member, known
+from hot_restart_rig import FlakyStateDirectory, MachineClock, Member, balancer_state
 
 from dykefold.control.balancer_snapshot import restore
 from dykefold.control.file_system import FileSystem
@@ -17,11 +17,11 @@
 
 @pytest.fixture
 def machine():
-    return Machine()
+    return MachineClock()
 
 
 def running(tmp_path, machine, **more):
-    member = Member(tmp_path, machine, Flaky, **more)
+    member = Member(tmp_path, machine, FlakyStateDirectory, **more)
     member.start()
     return member
 
@@ -29,24 +29,24 @@
 def test_estimates_are_written_until_they_stand_for_a_newer_process_that_waits(tmp_path, machine):
     old = running(tmp_path, machine)
     old.server.pool.balancer.throughput.answers_per_s = 7.5
-    old.board.failing = ("state-",)
+    old.board.failing_prefixes = ("state-",)
     new = Member(tmp_path, machine)
     new.upgrade.write_records()
     for _ in range(3):
         old.tick()
     assert old.board.read(f"state-{old.upgrade.machine.name}") is None
-    old.board.failing = ()
+    old.board.failing_prefixes = ()
     new.start(old)
     assert new.server.pool.balancer.throughput.answers_per_s == 7.5
-    old.board.wrote.clear()
+    old.board.written_names.clear()
     for _ in range(5):
         old.tick()
-    assert not [name for name in old.board.wrote if name.startswith("state-")]  # no longer wanted
+    assert not [name for name in old.board.written_names if name.startswith("state-")]  # no longer wanted
 
 
 def test_estimates_that_can_not_be_written_hold_up_the_start_for_a_bounded_time(tmp_path, machine):
     old = running(tmp_path, machine)
-    old.board.failing = ("state-",)
+    old.board.failing_prefixes = ("state-",)
     new = Member(tmp_path, machine)
     born_ns = machine.mono_ns
     new.start(old)
@@ -60,43 +60,43 @@
     old.tick()
     assert old.server.handing_over
     assert old.call("maint").code == 200
-    old.ends()  # before the newer process has looked
-    new.ends(killed=True)
+    old.exit()  # before the newer process has looked
+    new.exit(killed=True)
     last = Member(tmp_path, machine)
     last.start()
-    assert last.out == ["s0"]
+    assert last.out_of_service == ["s0"]
 
 
 def test_record_of_a_dead_process_stays_until_another_process_has_it(tmp_path, machine):
     old = running(tmp_path, machine)
     assert old.call("maint").code == 200
-    old.ends(killed=True)
-    new = Member(tmp_path, machine, Flaky)
-    new.board.failing = ("sign-", "maintenance-")
+    old.exit(killed=True)
+    new = Member(tmp_path, machine, FlakyStateDirectory)
+    new.board.failing_prefixes = ("sign-", "maintenance-")
     new.start()
     for number in range(70):  # past the moment at which leftovers are taken away
         (tmp_path / "dykefold" / f"foreign-{number}").touch()  # something to look at
         new.tick()
-    assert new.out == ["s0"]
-    new.ends(killed=True)
+    assert new.out_of_service == ["s0"]
+    new.exit(killed=True)
     last = Member(tmp_path, machine)
     last.start()
-    assert last.out == ["s0"]
+    assert last.out_of_service == ["s0"]
 
 
 def test_unrecorded_maintenance_order_is_reported_and_recorded_later(tmp_path, machine):
     one = running(tmp_path, machine)
-    one.board.failing = ("maintenance-", "sign-")
+    one.board.failing_prefixes = ("maintenance-", "sign-")
     reply = one.call("maint")
     assert reply.code == 500
     assert "newer process would not know" in reply.text
-    assert one.out == ["s0"]
-    one.board.failing = ()
+    assert one.out_of_service == ["s0"]
+    one.board.failing_prefixes = ()
     one.tick()
-    one.ends(killed=True)
+    one.exit(killed=True)
     last = Member(tmp_path, machine)
     last.start()
-    assert last.out == ["s0"]
+    assert last.out_of_service == ["s0"]
 
 
 def test_single_process_rewrites_an_emptied_or_removed_state_directory(tmp_path, machine):
@@ -112,10 +112,10 @@
     (tmp_path / "dykefold").rmdir()
     for _ in range(12):
         one.tick()
-    one.ends(killed=True)
+    one.exit(killed=True)
     last = Member(tmp_path, machine)
     last.start()
-    assert last.out == ["s0"]
+    assert last.out_of_service == ["s0"]
 
 
 @pytest.mark.parametrize("step_ns", [HOUR_NS, -HOUR_NS, 0])
@@ -151,16 +151,16 @@
     new.start(old)
     first, second = (old, new) if step_ns < 0 else (new, old)
     assert first.call("maint").code == first.call("ready").code == 200
-    machine.passes(MS)
+    machine.advance(MS)
     assert second.call("maint").code == 200  # before it has looked
     for member in (second, first, second):
         member.tick()
-    assert first.out == second.out == ["s0"]
-    first.ends(killed=True)
-    second.ends(killed=True)
+    assert first.out_of_service == second.out_of_service == ["s0"]
+    first.exit(killed=True)
+    second.exit(killed=True)
     last = Member(tmp_path, machine)
     last.start()
-    assert last.out == ["s0"]
+    assert last.out_of_service == ["s0"]
 
 
 class OfBoot(FileSystem):
@@ -182,7 +182,7 @@
     old = running(tmp_path, machine, files=OfBoot("a"))
     assert old.call("maint").code == old.call("ready").code == 200
     before_ns = old.server.clock.now() - MS + step_ns
-    old.ends(killed=True)
+    old.exit(killed=True)
     machine.wall_ns += step_ns
     if boot == "b":
         machine.mono_ns = 20 * 10**9
@@ -227,5 +227,5 @@
     one = running(tmp_path, machine)
     pool = one.server.pool
     for kind in ([], {}, 3):
-        values = {**known(one), "groups": [{"kind": kind, "far": False, "rel": 1.0}]}
+        values = {**balancer_state(one), "groups": [{"kind": kind, "far": False, "rel": 1.0}]}
         assert not restore(pool.balancer, pool.names, values)
--- a/tests/control/test_state_directory.py
+++ b/tests/control/test_state_directory.py
@@ -9,7 +9,7 @@
 import sys
 
 import pytest
-from hot_restart_rig import Engine, Machine, Member
+from hot_restart_rig import FakeSidecarServer, MachineClock, Member
 
 from dykefold.control.admin_requests import Action, AdminRequest
 from dykefold.control.file_system import FileSystem
@@ -65,7 +65,7 @@
 
 def story(folder, files):
     """Orders at a process with failing calls, and hot restarts from it; what came of them."""
-    machine = Machine()
+    machine = MachineClock()
     try:
         old = Member(folder, machine, files=files)
     except OSError:
@@ -78,14 +78,14 @@
     new.start(old)
     old.tick()
     later = old.call("maint", "s1").code == 200
-    old.ends()
+    old.exit()
     new.tick()
-    found = new.out
-    new.ends(killed=True)
+    found = new.out_of_service
+    new.exit(killed=True)
     last = Member(folder, machine)
     last.start()
-    kept = last.out
-    last.ends(killed=True)
+    kept = last.out_of_service
+    last.exit(killed=True)
     return later, found, kept
 
 
@@ -195,7 +195,7 @@
 
 
 def test_order_is_not_confirmed_as_recorded_if_the_state_directory_is_unusable_from_the_start(tmp_path):
-    sidecar_server = Engine(Machine())
+    sidecar_server = FakeSidecarServer(MachineClock())
     (tmp_path / "dykefold").touch()
     lifecycle = ProcessLifecycle(None, sidecar_server, ("127.0.0.1", 0), str(tmp_path))
     assert lifecycle.hot_restart is None
--- a/tests/failover/test_failover_processes.py
+++ b/tests/failover/test_failover_processes.py
@@ -7,7 +7,7 @@
 
 import pytest
 from net_helpers import run
-from process_helpers import played_in_time
+from process_helpers import run_valid_scenario
 from typer.testing import CliRunner
 
 from dykefold.cli import app
@@ -58,7 +58,7 @@
 @pytest.mark.parametrize("case", CASES)
 def test_sidecars_move_only_where_they_must(case: str) -> None:
     faults, span_s, (least, most) = CASES[case]
-    seen = played_in_time(scenario(list(faults), span_s))
+    seen = run_valid_scenario(scenario(list(faults), span_s))
     assert least <= seen.zones.moves <= most
     assert sum(seen.load.served_by_second) > 0.85 * sum(seen.load.requests_by_second)
     assert seen.slow_start.peak_capacity_load < 1.0
--- a/tests/fleet/test_coldstart_processes.py
+++ b/tests/fleet/test_coldstart_processes.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from process_helpers import played_in_time
+from process_helpers import run_valid_scenario
 
 from dykefold.lab.fleet.report import FleetRunResult
 from dykefold.lab.fleet.scenario import FaultTable, FleetScenario, FleetTable, ListTable
@@ -22,7 +22,7 @@
     fleet = FleetTable(members=MEMBERS, rate=5.0, servers=2, view=view, calls=calls, calls_per_s=10.0, **more)
     lists = ListTable(calls_per_s=SERVICE, waiting_most=3, replaced=0.5)
     scenario = FleetScenario(fleet, lists, faults=faults, span_s=span_s)
-    seen = played_in_time(scenario, start_lag_most_s=0.25)
+    seen = run_valid_scenario(scenario, max_start_lag_s=0.25)
     assert seen.slow_start.peak_capacity_load < 1.0
     return seen
 
--- a/tests/fleet/test_membership_processes.py
+++ b/tests/fleet/test_membership_processes.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from process_helpers import played_in_time
+from process_helpers import run_valid_scenario
 
 from dykefold.fleet.rate_limits import RateLimits
 from dykefold.lab.fleet.membership_samples import MembershipSample, samples_svg
@@ -17,7 +17,7 @@
 
 def played(faults: list[FaultTable], span_s: float) -> FleetRunResult:
     fleet = FleetTable(members=MEMBERS, rate=6.0, servers=2, view=True)
-    return played_in_time(FleetScenario(fleet, faults=faults, span_s=span_s))
+    return run_valid_scenario(FleetScenario(fleet, faults=faults, span_s=span_s))
 
 
 CASES = {
--- a/tests/fleet/test_slow_start_processes.py
+++ b/tests/fleet/test_slow_start_processes.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 import pytest
-from process_helpers import played_in_time
+from process_helpers import run_valid_scenario
 
 from benchmarks.slow_start import MEMBERS, PLAYS, scenario
 
@@ -21,6 +21,6 @@
 
 @pytest.mark.parametrize(("name", "members"), CASES)
 def test_no_server_in_slow_start_is_pushed_over(name: str, members: int) -> None:
-    seen = played_in_time(scenario(name, members), lost_if_late=True)
+    seen = run_valid_scenario(scenario(name, members), allow_lost_when_late=True)
     assert seen.slow_start.worst.calls > 0  # else nothing was looked at
     assert not seen.slow_start.worst_notified.falls, seen.slow_start.worst_notified
--- a/tests/golden/forms.py
+++ b/tests/golden/forms.py
@@ -92,8 +92,10 @@
 
 def endpoint_list():
     """An endpoint list as discovery writes one."""
-    entries = [net_helpers.entry(f"s{n}", f"127.0.0.1:{4000 + n}", since_ms=1000 + n) for n in range(3)]
-    return net_helpers.news(4, *entries)
+    entries = [
+        net_helpers.endpoint_entry(f"s{n}", f"127.0.0.1:{4000 + n}", since_ms=1000 + n) for n in range(3)
+    ]
+    return net_helpers.list_update(4, *entries)
 
 
 def snapshot_form():
@@ -152,27 +154,27 @@
     release = asyncio.Event()
 
     async def serve(message, reader, writer):
-        forms[message.first.split()[1]] = {**message.headers, "first": message.first}
-        writer.write(net_helpers.reply(200, b"served"))
+        forms[message.start_line.split()[1]] = {**message.headers, "first": message.start_line}
+        writer.write(net_helpers.http_response(200, b"served"))
 
     async def discover(message, reader, writer):
-        calls.append([message.first, {**message.headers, "host": "HOST"}])
+        calls.append([message.start_line, {**message.headers, "host": "HOST"}])
         first_call.set()
         await release.wait()
 
-    server = await net_helpers.Fake(serve).start()
-    discovery = await net_helpers.Fake(discover).start()
+    server = await net_helpers.FakePeer(serve).start()
+    discovery = await net_helpers.FakePeer(discover).start()
     with tempfile.TemporaryDirectory() as folder:
-        known = net_helpers.news(1, net_helpers.entry("s1", server.address))
+        known = net_helpers.list_update(1, net_helpers.endpoint_entry("s1", server.address))
         data = net_helpers.config(known, discovery.address)
         async with net_helpers.Sidecar(Path(folder) / "c", data) as sidecar:
             for cls in ("lookup", "hold", "order"):
                 line = "X-Extra: kept"
-                got = await net_helpers.ask(
-                    sidecar.port, net_helpers.message(cls, cls * 3, "3000m", b"", line)
+                got = await net_helpers.send_request(
+                    sidecar.port, net_helpers.request_message(cls, cls * 3, "3000m", b"", line)
                 )
                 assert got.code == 200
-            async with asyncio.timeout(net_helpers.WAIT):
+            async with asyncio.timeout(net_helpers.WAIT_TIMEOUT_S):
                 await first_call.wait()
             release.set()
     for headers in forms.values():
--- a/tests/lab/test_collector.py
+++ b/tests/lab/test_collector.py
@@ -3,14 +3,14 @@
 import gc
 
 import pytest
-from net_helpers import on_loop
+from net_helpers import async_test
 
 from dykefold.lab.fleet.collector import collector_paused
 from dykefold.lab.fleet.run import rigged
 from dykefold.lab.fleet.scenario import FleetScenario, FleetTable
 
 
-@on_loop
+@async_test
 async def test_no_collection_begins_while_a_rig_is_measured():
     async with rigged(FleetScenario(FleetTable(members=1))):
         assert not gc.isenabled()
--- a/tests/lab/test_compiled_tree.py
+++ b/tests/lab/test_compiled_tree.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 import pytest
-from net_helpers import on_loop
+from net_helpers import async_test
 
 from dykefold.lab.fleet.compiled_tree import compiled_tree
 from dykefold.lab.fleet.process import OWN_TREE
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.processes
-@on_loop
+@async_test
 async def test_a_member_runs_the_copy_at_the_rig_s_own_priority(tmp_path):
     async with hot_restart_rig(tmp_path) as one:
         pid = one.member.living[-1].pid
--- a/tests/lab/test_fleet_rig.py
+++ b/tests/lab/test_fleet_rig.py
@@ -6,8 +6,8 @@
 
 import numpy as np
 import pytest
-from net_helpers import run, until
-from process_helpers import played_in_time
+from net_helpers import run, wait_until
+from process_helpers import run_valid_scenario
 from typer.testing import CliRunner
 
 from dykefold.cli import app
@@ -138,7 +138,7 @@
         codes = await asyncio.gather(*(asked() for _ in range(12)))
         assert set(codes) == {200, 503}
         assert registry.rejected_calls == codes.count(503) >= 6
-        await until(lambda: not registry.busy)
+        await wait_until(lambda: not registry.busy)
         assert registry.current_list_times().keys() == {0}
         registry.moved()
         assert not registry.current_list_times()  # what the old one told counts no longer
@@ -179,7 +179,7 @@
     fleet = FleetTable(members=6, rate=12.0, servers=2)
     # On a machine that is busy with others the rig itself may be late, and then says nothing of answers.
     scenario = FleetScenario(fleet, faults=[FAULTS[name]], span_s=4.0)
-    seen = played_in_time(scenario, lost_if_late=True)
+    seen = run_valid_scenario(scenario, allow_lost_when_late=True)
     assert seen.passed, seen.verdict.lost[:3]
     counts = seen.verdict.counts
     assert counts["served"] > 0.5 * sum(counts.values()) > 100
--- a/tests/lab/test_run.py
+++ b/tests/lab/test_run.py
@@ -5,7 +5,7 @@
 from dataclasses import asdict
 
 import pytest
-from net_helpers import Fake, run
+from net_helpers import FakePeer, run
 from typer.testing import CliRunner
 
 from dykefold.cli import app
@@ -77,7 +77,7 @@
         return asyncio.get_running_loop()
 
     async def measured():
-        fake = await Fake(act).start()
+        fake = await FakePeer(act).start()
         load = Load(scenario, fake.port, 0, 1)
         await load.play()
         return load
--- a/tests/net/test_aborted_attempts.py
+++ b/tests/net/test_aborted_attempts.py
@@ -13,8 +13,8 @@
 import time
 
 import pytest
-from net_helpers import WAIT, run
-from test_upstream_connections import PAYLOAD, make
+from net_helpers import WAIT_TIMEOUT_S, run
+from test_upstream_connections import PAYLOAD, make_pool
 
 from dykefold.balancer.events import State, Status
 from dykefold.net.upstream.exchange import Exchange
@@ -63,25 +63,27 @@
 
         async def play():
             first, second = (("127.0.0.1", port) for port in server.numbers)
-            pool = make(first)
+            pool = make_pool(first)
             pool.update(2, second, 0, State.READY)
             done = asyncio.get_running_loop().create_future()
             # A connection to the second server stands ready: the repeat's bytes go out within the call.
             warm = asyncio.get_running_loop().create_future()
             pool.start(
-                2, Exchange(PAYLOAD.replace(b"ab", b"warm"), lambda _, s, a: warm.set_result(s), 99), WAIT
+                2,
+                Exchange(PAYLOAD.replace(b"ab", b"warm"), lambda _, s, a: warm.set_result(s), 99),
+                WAIT_TIMEOUT_S,
             )
             assert await warm is Status.OK
 
             def again(_, status, answer):
                 assert status is expected
-                pool.start(2, Exchange(PAYLOAD, lambda _, s, a: done.set_result(s), 99), WAIT)
-                assert seen.wait(WAIT)
+                pool.start(2, Exchange(PAYLOAD, lambda _, s, a: done.set_result(s), 99), WAIT_TIMEOUT_S)
+                assert seen.wait(WAIT_TIMEOUT_S)
                 time.sleep(HELD)
 
             exchange = Exchange(PAYLOAD, again, 99)
-            pool.start(1, exchange, WAIT)
-            await asyncio.to_thread(came.wait, WAIT)
+            pool.start(1, exchange, WAIT_TIMEOUT_S)
+            await asyncio.to_thread(came.wait, WAIT_TIMEOUT_S)
             if end is not None:
                 end(exchange)
             assert await done is Status.OK
@@ -94,10 +96,10 @@
 def begin(payload):
     """An exchange on its way to a server that is driven by hand, and the list of its ends."""
     server = socket.create_server(("127.0.0.1", 0))
-    pool = make(server.getsockname())
+    pool = make_pool(server.getsockname())
     ends = []
     exchange = Exchange(payload, lambda _, status, answer: ends.append(status), 99)
-    pool.start(1, exchange, WAIT)
+    pool.start(1, exchange, WAIT_TIMEOUT_S)
     return server, pool, exchange, ends
 
 
@@ -121,7 +123,7 @@
                 got += data
         assert ends == [Status.CONNECT_FAILED]
         await asyncio.sleep(HELD)
-        peer.settimeout(WAIT)
+        peer.settimeout(WAIT_TIMEOUT_S)
         with contextlib.suppress(ConnectionResetError):
             while data := peer.recv(1 << 20):
                 got += data
@@ -181,15 +183,15 @@
     with truth(1, lambda arrival, earlier: GOOD) as server:
 
         async def play():
-            pool = make(("127.0.0.1", server.numbers[0]))
+            pool = make_pool(("127.0.0.1", server.numbers[0]))
             target = pool.endpoints[1]
             warm = asyncio.get_running_loop().create_future()
-            pool.start(1, Exchange(PAYLOAD, lambda _, s, a: warm.set_result(s), 99), WAIT)
+            pool.start(1, Exchange(PAYLOAD, lambda _, s, a: warm.set_result(s), 99), WAIT_TIMEOUT_S)
             assert await warm is Status.OK
             free = pool._take_idle(target, time.monotonic())
             ends = []
             exchange = Exchange(PAYLOAD.replace(b"ab", b"late"), lambda _, s, a: ends.append(s), 99)
-            pool.start(1, exchange, WAIT)
+            pool.start(1, exchange, WAIT_TIMEOUT_S)
             while exchange.opening is not None:
                 await asyncio.sleep(0)
             assert exchange in target.opening
@@ -210,17 +212,17 @@
     with truth(1, lambda arrival, earlier: GOOD if arrival.ident == "b" else SILENCE) as server:
 
         async def play():
-            pool = make(("127.0.0.1", server.numbers[0]))
+            pool = make_pool(("127.0.0.1", server.numbers[0]))
             for _ in range(20):
                 exchange = Exchange(PAYLOAD, lambda *_: None, 99)
-                pool.start(1, exchange, WAIT)
+                pool.start(1, exchange, WAIT_TIMEOUT_S)
                 while exchange.connection is None:
                     await asyncio.sleep(0)
                 number = exchange.connection.sock.fileno()
                 exchange.give_up(Status.TIMEOUT)
                 done = asyncio.get_running_loop().create_future()
                 other = Exchange(PAYLOAD.replace(b"ab", b"b"), lambda _, s, a: done.set_result(s), 99)  # noqa: B023
-                pool.start(1, other, WAIT)
+                pool.start(1, other, WAIT_TIMEOUT_S)
                 assert await done is Status.OK
                 pool.close_idle(1)
                 assert number > 0
@@ -236,18 +238,18 @@
     def act(arrival, earlier):
         if arrival.ident == "ab":
             came.set()
-            assert gone.wait(WAIT)
+            assert gone.wait(WAIT_TIMEOUT_S)
         return GOOD
 
     def send(number, payload):
-        sock = socket.create_connection(("127.0.0.1", number), WAIT)
+        sock = socket.create_connection(("127.0.0.1", number), WAIT_TIMEOUT_S)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))  # closed by a reset
         sock.sendall(payload)
         return sock
 
     with truth(1, act) as server:
         sock = send(server.numbers[0], PAYLOAD)
-        assert came.wait(WAIT)
+        assert came.wait(WAIT_TIMEOUT_S)
         sock.close()
         gone.set()
         with send(server.numbers[0], PAYLOAD.replace(b"ab", b"other")) as other:
--- a/tests/net/test_class_generations.py
+++ b/tests/net/test_class_generations.py
@@ -8,7 +8,20 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
-from net_helpers import MS, Fake, Sidecar, answer_ok, ask, config, entry, gated, message, news, run, until
+from net_helpers import (
+    MS,
+    FakePeer,
+    Sidecar,
+    config,
+    endpoint_entry,
+    gated_handler,
+    list_update,
+    request_message,
+    respond_ok,
+    run,
+    send_request,
+    wait_until,
+)
 
 from dykefold.balancer.settings import Effect, RequestClass, Settings
 from dykefold.net import class_generations as generations
@@ -97,7 +110,7 @@
 
 
 def test_what_a_later_file_leaves_out_is_named():
-    data = config(news(1, entry("s1", "127.0.0.1:1")))
+    data = config(list_update(1, endpoint_entry("s1", "127.0.0.1:1")))
     shape = shape_of(data)
     assert missing_keys(shape, data) == []
     bad = copy.deepcopy(data)
@@ -136,7 +149,7 @@
     ],
 )
 def test_each_thing_that_is_wrong_is_named_and_all_at_once(tmp_path, path, value, named):
-    data = config(news(1))
+    data = config(list_update(1))
     change(data, path, value)
     data["seed"] = "no hex"
     (tmp_path / "c").write_text(json.dumps(data))
@@ -167,22 +180,23 @@
 
 def test_classes_come_change_and_go_and_the_old_form_lingers(tmp_path, monkeypatch):
     async def play():
-        fake = await Fake(answer_ok).start()
-        data = config(news(1, entry("s1", fake.address)))
+        fake = await FakePeer(respond_ok).start()
+        data = config(list_update(1, endpoint_entry("s1", fake.address)))
         async with Sidecar(tmp_path / "c", data) as sidecar:
             sidecar_server = sidecar.server
-            assert (await ask(sidecar.port, post("stock", "a0"))).code == 404
+            assert (await send_request(sidecar.port, post("stock", "a0"))).code == 404
             rewrite(tmp_path, with_classes(data, lookup="side_effect", hold="token", stock="side_effect"))
             sidecar.reload()
-            assert (await ask(sidecar.port, post("stock", "a1"))).code == 200
-            assert (await ask(sidecar.port, post("lookup", "a2"))).code == 200
+            assert (await send_request(sidecar.port, post("stock", "a1"))).code == 200
+            assert (await send_request(sidecar.port, post("lookup", "a2"))).code == 200
             # Clients turn to new settings later: the forms that were are read as what they were.
-            assert (await ask(sidecar.port, message("lookup", "a3"))).code == 200
-            assert (await ask(sidecar.port, message("order", "a4"))).code == 200
-            assert (await ask(sidecar.port, post("hold", "a5"))).code == 400  # without its key, then as now
+            assert (await send_request(sidecar.port, request_message("lookup", "a3"))).code == 200
+            assert (await send_request(sidecar.port, request_message("order", "a4"))).code == 200
+            # without its key, then as now
+            assert (await send_request(sidecar.port, post("hold", "a5"))).code == 400
             sidecar_server.parser.before.until_ns = 0
-            assert (await ask(sidecar.port, message("lookup", "a6"))).code == 405
-            assert (await ask(sidecar.port, message("order", "a7"))).code == 404
+            assert (await send_request(sidecar.port, request_message("lookup", "a6"))).code == 405
+            assert (await send_request(sidecar.port, request_message("order", "a7"))).code == 404
             assert sidecar_server.parser.before is None
 
     run(play())
@@ -196,21 +210,21 @@
         go = asyncio.Event()
 
         async def act(got, reader, writer):
-            if len(fake.got) <= 2:
+            if len(fake.received) <= 2:
                 await go.wait()
                 writer.transport.abort()  # it may have run
             else:
-                await answer_ok(got, reader, writer)
+                await respond_ok(got, reader, writer)
 
-        fake = await Fake(act).start()
-        other = await Fake(act).start()
-        other.got = fake.got
-        data = config(news(1, entry("s1", fake.address), entry("s2", other.address)))
+        fake = await FakePeer(act).start()
+        other = await FakePeer(act).start()
+        other.received = fake.received
+        data = config(list_update(1, endpoint_entry("s1", fake.address), endpoint_entry("s2", other.address)))
         async with Sidecar(tmp_path / "c", data) as sidecar:
-            lookup = asyncio.create_task(ask(sidecar.port, message("lookup", "read")))
-            await until(lambda: len(fake.got) == 1)
-            order = asyncio.create_task(ask(sidecar.port, message("order", "write")))
-            await until(lambda: len(fake.got) == 2)
+            lookup = asyncio.create_task(send_request(sidecar.port, request_message("lookup", "read")))
+            await wait_until(lambda: len(fake.received) == 1)
+            order = asyncio.create_task(send_request(sidecar.port, request_message("order", "write")))
+            await wait_until(lambda: len(fake.received) == 2)
             changed = with_classes(data, lookup="side_effect", order="pure")
             changed["settings"]["ceilings"]["send-cap"] = 1
             rewrite(tmp_path, changed)
@@ -219,7 +233,7 @@
             go.set()
             assert (await lookup).code == 200
             assert (await order).code == 502
-            sent = [got.headers["x-request-id"] for got in fake.got]
+            sent = [got.headers["x-request-id"] for got in fake.received]
             assert sent.count("read") == 2
             assert sent.count("write") == 1
 
@@ -230,35 +244,43 @@
     """Guards requests against a connection that its server may close by now."""
 
     async def play():
-        fake = await Fake(answer_ok).start()
-        data = config(news(1, entry("s1", fake.address)))
+        fake = await FakePeer(respond_ok).start()
+        data = config(list_update(1, endpoint_entry("s1", fake.address)))
         async with Sidecar(tmp_path / "c", data) as sidecar:
-            assert (await ask(sidecar.port, message("order", "one"))).code == 200
+            assert (await send_request(sidecar.port, request_message("order", "one"))).code == 200
             data["settings"]["ceilings"]["conn-idle-ns"] //= 60  # one second
             rewrite(tmp_path, data)
             sidecar.reload()
-            assert fake.ended == 0
-            await until(lambda: fake.ended == 1, "the idle connection goes in time")
-            assert (await ask(sidecar.port, message("order", "two"))).code == 200
-        assert [got.connection for got in fake.got] == [1, 2]
+            assert fake.closed_connections == 0
+            await wait_until(lambda: fake.closed_connections == 1, "the idle connection goes in time")
+            assert (await send_request(sidecar.port, request_message("order", "two"))).code == 200
+        assert [got.connection for got in fake.received] == [1, 2]
 
     run(play())
 
 
 def test_the_own_zone_stays_where_new_settings_name_zones_in_another_order(tmp_path):
     async def play():
-        near, far = await Fake(answer_ok).start(), await Fake(answer_ok).start()
-        data = config(news(1, entry("s1", near.address, zone="a"), entry("s2", far.address, zone="b")))
+        near, far = await FakePeer(respond_ok).start(), await FakePeer(respond_ok).start()
+        data = config(
+            list_update(
+                1, endpoint_entry("s1", near.address, zone="a"), endpoint_entry("s2", far.address, zone="b")
+            )
+        )
         data["settings"]["prices"] = {"cross-zone": 0.5}
         async with Sidecar(tmp_path / "c", data) as sidecar:
             for number in range(10):
-                assert (await ask(sidecar.port, message("lookup", f"one{number}"))).code == 200
+                assert (
+                    await send_request(sidecar.port, request_message("lookup", f"one{number}"))
+                ).code == 200
             data["settings"] |= {"dcs": ["b", "a", "c"], "my-zone": 1}
             rewrite(tmp_path, data)
             sidecar.reload()
             for number in range(10):
-                assert (await ask(sidecar.port, message("lookup", f"two{number}"))).code == 200
-        assert (len(near.got), len(far.got)) == (20, 0)
+                assert (
+                    await send_request(sidecar.port, request_message("lookup", f"two{number}"))
+                ).code == 200
+        assert (len(near.received), len(far.received)) == (20, 0)
 
     run(play())
 
@@ -276,8 +298,8 @@
 )
 def test_a_bad_file_changes_nothing_at_all(tmp_path, spoil):
     async def play():
-        fake = await Fake(answer_ok).start()
-        data = config(news(1, entry("s1", fake.address)))
+        fake = await FakePeer(respond_ok).start()
+        data = config(list_update(1, endpoint_entry("s1", fake.address)))
         async with Sidecar(tmp_path / "c", data) as sidecar:
             sidecar_server = sidecar.server
 
@@ -300,19 +322,19 @@
                 sidecar_server.pool.discovery.address,
                 sidecar_server.sockets,
             )
-            assert (await ask(sidecar.port, message("lookup", "a"))).code == 200
+            assert (await send_request(sidecar.port, request_message("lookup", "a"))).code == 200
 
     run(play())
 
 
 def test_estimates_and_limits_survive_a_reload(tmp_path):
     async def play():
-        fake = await Fake(answer_ok).start()
-        data = config(news(1, entry("s1", fake.address)))
+        fake = await FakePeer(respond_ok).start()
+        data = config(list_update(1, endpoint_entry("s1", fake.address)))
         async with Sidecar(tmp_path / "c", data) as sidecar:
             balancer = sidecar.server.pool.balancer
             for number in range(20):
-                await ask(sidecar.port, message("lookup", f"a{number}"))
+                await send_request(sidecar.port, request_message("lookup", f"a{number}"))
             rate = balancer.throughput.answers_per_s
             before = balancer.classes[0].mean_latency_ns, balancer.limit.limit, rate
             rewrite(tmp_path, with_classes(data, lookup="side_effect", order="side_effect"))
@@ -330,13 +352,13 @@
     monkeypatch.setattr(sidecar_module, "LINGER_NS", 0)
 
     async def play():
-        go, act = gated()
-        fake = await Fake(act).start()
-        data = config(news(1, entry("s1", fake.address)))
+        go, act = gated_handler()
+        fake = await FakePeer(act).start()
+        data = config(list_update(1, endpoint_entry("s1", fake.address)))
         async with Sidecar(tmp_path / "c", data) as sidecar:
             _, writer = await asyncio.open_connection("127.0.0.1", sidecar.port)
-            writer.write(message("order", "first") + message("lookup", "behind"))
-            await until(lambda: fake.got)
+            writer.write(request_message("order", "first") + request_message("lookup", "behind"))
+            await wait_until(lambda: fake.received)
             rewrite(tmp_path, with_classes(data, one="side_effect"))
             sidecar.reload()
             rewrite(tmp_path, with_classes(data, two="side_effect"))
@@ -346,7 +368,7 @@
             assert classes[0].effect is Effect.SAFE
             assert classes[2].name == "order"
             go.set()
-            await until(lambda: len(fake.got) == 2)
+            await wait_until(lambda: len(fake.received) == 2)
             writer.close()
 
     run(play())
--- a/tests/net/test_client_closes.py
+++ b/tests/net/test_client_closes.py
@@ -12,15 +12,15 @@
 import pytest
 from net_helpers import (
     HOST,
-    WAIT,
-    answer_ok,
-    ask,
-    gated,
-    message,
-    on_loop,
-    one_server,
+    WAIT_TIMEOUT_S,
+    async_test,
+    gated_handler,
     read_message,
-    until,
+    request_message,
+    respond_ok,
+    send_request,
+    sidecar_with_endpoint,
+    wait_until,
 )
 
 from dykefold.admission.addresses import AddressLimits
@@ -46,7 +46,7 @@
 async def rested(port, ident):
     """A connection that has had an answer, and rests."""
     reader, writer = await asyncio.open_connection(HOST, port)
-    writer.write(message("order", ident))
+    writer.write(request_message("order", ident))
     assert (await read_message(reader)).code == 200
     return reader, writer
 
@@ -54,7 +54,7 @@
 async def codes(reader):
     """The codes of all answers that still come, and True if the end follows and no reset."""
     found = []
-    async with asyncio.timeout(WAIT):
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         try:
             while True:
                 found.append((await read_message(reader)).code)
@@ -71,13 +71,13 @@
 # Room for a newcomer
 
 
-@on_loop
+@async_test
 async def test_a_request_that_is_there_when_its_connection_is_to_give_way_is_served(tmp_path):
     """Whose place a newcomer takes was closed whatever waited in its socket."""
-    async with one_server(tmp_path, answer_ok) as (sidecar, fake):
+    async with sidecar_with_endpoint(tmp_path, respond_ok) as (sidecar, fake):
         few_places(sidecar)
         opened = [await rested(sidecar.port, f"id{n}") for n in range(PLACES)]
-        now(opened[0][1], message("order", "again"))  # the longest idle one comes back ...
+        now(opened[0][1], request_message("order", "again"))  # the longest idle one comes back ...
         client, reason, _ = sidecar.server.clients.admit(
             HOST
         )  # ... as a newcomer is judged, in the same turn
@@ -88,18 +88,18 @@
         assert await opened[1][0].read() == b""
         for _, writer in opened:
             writer.close()
-    assert len(fake.got) == PLACES + 1
+    assert len(fake.received) == PLACES + 1
 
 
 @pytest.mark.parametrize("limit", ["places", "descriptors", "settings"])
-@on_loop
+@async_test
 async def test_no_connection_is_evicted_when_every_client_has_sent_a_further_request(tmp_path, limit):
-    async with one_server(tmp_path, answer_ok) as (sidecar, fake):
+    async with sidecar_with_endpoint(tmp_path, respond_ok) as (sidecar, fake):
         few_places(sidecar)
         clients = sidecar.server.clients
         opened = [await rested(sidecar.port, f"id{n}") for n in range(PLACES)]
         for number, (_, writer) in enumerate(opened):
-            now(writer, message("order", f"again{number}"))
+            now(writer, request_message("order", f"again{number}"))
         if limit == "places":
             assert clients.admit(HOST) == (None, RejectionReason.ALL_CONNECTIONS, None)
         elif limit == "descriptors":
@@ -109,37 +109,37 @@
         assert [(await read_message(reader)).code for reader, _ in opened] == [200] * PLACES
         for _, writer in opened:
             writer.close()
-    assert len(fake.got) == 2 * PLACES
+    assert len(fake.received) == 2 * PLACES
 
 
-@on_loop
+@async_test
 async def test_a_new_connection_with_its_request_there_does_not_give_way(tmp_path):
     """All places are in use by connections that were accepted in this turn: none has been read yet."""
-    async with one_server(tmp_path, answer_ok) as (sidecar, fake):
+    async with sidecar_with_endpoint(tmp_path, respond_ok) as (sidecar, fake):
         few_places(sidecar)
         opened = []
         for number in range(2 * PLACES):
-            sock = socket.create_connection((HOST, sidecar.port), timeout=WAIT)
-            sock.sendall(message("order", f"id{number}", "3000m", b"", "Connection: close"))
+            sock = socket.create_connection((HOST, sidecar.port), timeout=WAIT_TIMEOUT_S)
+            sock.sendall(request_message("order", f"id{number}", "3000m", b"", "Connection: close"))
             opened.append(sock)
         answers = [await asyncio.to_thread(sock.recv, 13) for sock in opened]
         assert answers == [b"HTTP/1.1 200 "] * PLACES + [b"HTTP/1.1 503 "] * PLACES
         for sock in opened:
             sock.close()
-    assert len(fake.got) == PLACES
+    assert len(fake.received) == PLACES
 
 
-@on_loop
+@async_test
 async def test_one_that_has_begun_a_message_hears_that_its_place_was_needed(tmp_path):
-    async with one_server(tmp_path, answer_ok) as (sidecar, _fake):
+    async with sidecar_with_endpoint(tmp_path, respond_ok) as (sidecar, _fake):
         few_places(sidecar, 1)
         reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-        writer.write(message("order", "half", "3000m", b"body")[:-2])
-        await until(lambda: begun(sidecar))
-        assert (await ask(sidecar.port, message("order", "newcomer"))).code == 200
+        writer.write(request_message("order", "half", "3000m", b"body")[:-2])
+        await wait_until(lambda: begun(sidecar))
+        assert (await send_request(sidecar.port, request_message("order", "newcomer"))).code == 200
         assert await codes(reader) == ([503], True)
         writer.close()
-        await until(lambda: not sidecar.server.clients.all)
+        await wait_until(lambda: not sidecar.server.clients.all)
         assert not sidecar.server.memory.reserved_bytes
 
 
@@ -148,21 +148,22 @@
 
 @pytest.mark.parametrize("cut", [False, True], ids=["in time", "all answered at once"])
 @pytest.mark.parametrize("after", [b"", b"GET /look"], ids=["whole", "and half"])
-@on_loop
+@async_test
 async def test_pipelined_requests_are_answered_before_a_graceful_shutdown_closes(tmp_path, after, cut):
     """The answer before them said `Connection: close`, and what was read behind it went with it."""
-    go, act = gated()
-    many = 3 * SLICE_BYTES // len(message("lookup", "id00"))  # beyond the slice that is parsed at once
-    async with one_server(tmp_path, act) as (sidecar, fake):
+    go, act = gated_handler()
+    # beyond the slice that is parsed at once
+    many = 3 * SLICE_BYTES // len(request_message("lookup", "id00"))
+    async with sidecar_with_endpoint(tmp_path, act) as (sidecar, fake):
         sidecar_server = sidecar.server
         reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-        writer.write(b"".join(message("lookup", f"id{n:02}") for n in range(many)) + after)
-        await until(lambda: fake.got)
+        writer.write(b"".join(request_message("lookup", f"id{n:02}") for n in range(many)) + after)
+        await wait_until(lambda: fake.received)
         sidecar_server.draining = True
         sidecar_server.shutdown.stop_requests()
         if not cut:
             go.set()
-            await until(lambda: len(fake.got) == many and not sidecar_server.pool.pending)
+            await wait_until(lambda: len(fake.received) == many and not sidecar_server.pool.pending)
         sidecar_server.shutdown.answer_all()
         found, ended = await codes(reader)
         assert ended
@@ -170,22 +171,22 @@
         assert set(found[:many]) <= ({503, 504} if cut else {200})
         assert found[many:] in ([], [503])
         writer.close()
-        await until(lambda: not sidecar_server.clients.all)
+        await wait_until(lambda: not sidecar_server.clients.all)
 
 
-@on_loop
+@async_test
 async def test_a_request_in_the_socket_behind_the_last_answer_of_a_shutdown_is_served(tmp_path):
-    go, act = gated()
-    async with one_server(tmp_path, act) as (sidecar, fake):
+    go, act = gated_handler()
+    async with sidecar_with_endpoint(tmp_path, act) as (sidecar, fake):
         reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-        writer.write(message("order", "ab"))
-        await until(lambda: fake.got)
+        writer.write(request_message("order", "ab"))
+        await wait_until(lambda: fake.received)
         sidecar_server = sidecar.server
         sidecar_server.draining = True
         sidecar_server.shutdown.stop_requests()
         connection = next(iter(sidecar_server.clients.all.values()))
         connection.reader.pause()  # or it is read at once
-        now(writer, message("order", "cd"))
+        now(writer, request_message("order", "cd"))
         go.set()
         first = await read_message(reader)
         second = await read_message(reader)
@@ -194,16 +195,16 @@
         assert second.headers["connection"] == "close"
         assert await reader.read() == b""
         writer.close()
-    assert len(fake.got) == 2
+    assert len(fake.received) == 2
 
 
 # Clients that stop in the middle of a request, and stay
 
-WHOLE = message("order", "ab", "3000m", b"body")
+WHOLE = request_message("order", "ab", "3000m", b"body")
 HEAD = len(WHOLE) - 4
 CHUNKED = WHOLE.replace(b"Content-Length: 4", b"Transfer-Encoding: chunked")[:-4] + b"4\r\nbody\r\n0\r\n\r\n"
-LARGE = message("order", "ab", "3000m", b"x" * 200_000)
-AHEAD = message("lookup", "one")
+LARGE = request_message("order", "ab", "3000m", b"x" * 200_000)
+AHEAD = request_message("lookup", "one")
 # What is sent, and the codes that come: none where nothing was said.
 STOPS = {
     "silent": (b"", []),
@@ -218,16 +219,16 @@
     "in a large body": (LARGE[:100_000], [408]),
     "behind a request": (AHEAD + WHOLE[:40], [200, 408]),
     "behind requests that are read in slices": (
-        b"".join(message("lookup", f"s{n}") for n in range(40)) + WHOLE[:HEAD],
+        b"".join(request_message("lookup", f"s{n}") for n in range(40)) + WHOLE[:HEAD],
         [200] * 40 + [408],
     ),
 }
 
 
-@on_loop
+@async_test
 async def test_clients_that_stop_within_a_request_and_stay_hear_it_within_three_seconds(tmp_path):
     """One table, all at once: error or close, after the answers to what was whole."""
-    async with one_server(tmp_path, answer_ok) as (sidecar, _fake):
+    async with sidecar_with_endpoint(tmp_path, respond_ok) as (sidecar, _fake):
 
         async def stop(number, data):
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
@@ -242,7 +243,7 @@
         played = await asyncio.gather(*(stop(n, data) for n, (data, _) in enumerate(STOPS.values())))
         wanted = {name: (found, True, True) for name, (_, found) in STOPS.items()}
         assert dict(zip(STOPS, played, strict=True)) == wanted
-        await until(lambda: not sidecar.server.clients.all)
+        await wait_until(lambda: not sidecar.server.clients.all)
         assert not sidecar.server.memory.reserved_bytes
 
 
@@ -263,9 +264,9 @@
 
 
 @pytest.mark.parametrize("error", [errno.ENOMEM, errno.EINTR, errno.EINVAL])
-@on_loop
+@async_test
 async def test_a_look_that_fails_stops_neither_answers_nor_closes(tmp_path, error):
-    async with one_server(tmp_path, answer_ok) as (sidecar, _fake):
+    async with sidecar_with_endpoint(tmp_path, respond_ok) as (sidecar, _fake):
         sidecar_server = sidecar.server
         sidecar_server.system = Blind(error)
         few_places(sidecar, 2)
@@ -274,6 +275,6 @@
         sidecar_server.draining = True
         sidecar_server.shutdown.stop_requests()
         assert [await codes(reader) for reader, _ in opened[1:]] == [([], True)] * 2
-        await until(lambda: not sidecar_server.clients.all)
+        await wait_until(lambda: not sidecar_server.clients.all)
         for _, writer in opened:
             writer.close()
--- a/tests/net/test_client_connections.py
+++ b/tests/net/test_client_connections.py
@@ -8,18 +8,18 @@
 import pytest
 from net_helpers import (
     HOST,
-    Fake,
+    FakePeer,
     Sidecar,
-    answer_ok,
-    ask,
     config,
-    entry,
-    message,
-    news,
+    endpoint_entry,
+    http_response,
+    list_update,
     read_message,
-    reply,
+    request_message,
+    respond_ok,
     run,
-    until,
+    send_request,
+    wait_until,
 )
 
 from dykefold.admission import controller, message_timeouts
@@ -72,16 +72,18 @@
 )
 def test_bad_input_is_answered_and_disturbs_no_other_connection(tmp_path, data, code):
     async def play():
-        fake = await Fake(answer_ok).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
+        fake = await FakePeer(respond_ok).start()
+        async with Sidecar(
+            tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))
+        ) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-            writer.write(message("order", "before")[:-10])
-            assert (await ask(sidecar.port, data)).code == code
-            writer.write(message("order", "before")[-10:])
+            writer.write(request_message("order", "before")[:-10])
+            assert (await send_request(sidecar.port, data)).code == code
+            writer.write(request_message("order", "before")[-10:])
             assert (await read_message(reader)).code == 200
             writer.close()
-            assert [got.headers["x-request-id"] for got in fake.got] == ["before"]
-            await until(lambda: not sidecar.server.clients.all)
+            assert [got.headers["x-request-id"] for got in fake.received] == ["before"]
+            await wait_until(lambda: not sidecar.server.clients.all)
             assert sidecar.server.memory.reserved_bytes == 0
             assert sidecar.server.budget.upstreams.in_use == fake.connections
 
@@ -90,21 +92,23 @@
 
 def test_requests_in_single_bytes_and_several_at_once_are_answered_in_order(tmp_path):
     async def play():
-        fake = await Fake(answer_ok).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
+        fake = await FakePeer(respond_ok).start()
+        async with Sidecar(
+            tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))
+        ) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-            for byte in message("order", "one", "3000m", b"1"):
+            for byte in request_message("order", "one", "3000m", b"1"):
                 writer.write(bytes([byte]))
                 await asyncio.sleep(0)
             assert (await read_message(reader)).body == b"served 1"
-            many = [message("order", f"id{n}", "3000m", b"%d" % n) for n in range(40)]
+            many = [request_message("order", f"id{n}", "3000m", b"%d" % n) for n in range(40)]
             writer.write(b"".join(many) + raw(b"GET /nothing") + raw(b"GET /-/ready"))
             for n in range(40):
                 assert (await read_message(reader)).body == b"served %d" % n
             assert (await read_message(reader)).code == 404
             assert (await read_message(reader)).code == 200
             writer.close()
-        assert len(fake.got) == 41
+        assert len(fake.received) == 41
 
     run(play())
 
@@ -112,33 +116,37 @@
 def test_chunked_and_full_sized_bodies_go_on_whole(tmp_path):
     async def play():
         async def echo(message, reader, writer):
-            writer.write(reply(200, message.body))
+            writer.write(http_response(200, message.body))
 
-        fake = await Fake(echo).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
+        fake = await FakePeer(echo).start()
+        async with Sidecar(
+            tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))
+        ) as sidecar:
             chunks = b"3\r\nabc\r\n2\r\nde\r\n0\r\nX-Deadline: bad\r\n\r\n"
             data = raw(b"POST /order", ID + b"Transfer-Encoding: chunked\r\n", chunks)
-            assert (await ask(sidecar.port, data)).body == b"abcde"
+            assert (await send_request(sidecar.port, data)).body == b"abcde"
             body = b"x" * request_parser.MAX_BUFFERED_BODY_BYTES
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-            whole = message("order", "big", "3000m", body, "Expect: 100-continue")
+            whole = request_message("order", "big", "3000m", body, "Expect: 100-continue")
             writer.write(whole[: -len(body)])
             assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100 ")
             writer.write(body)
             assert (await read_message(reader)).body == body
             writer.close()
-        assert fake.got[1].body == body
-        assert "transfer-encoding" not in fake.got[0].headers
+        assert fake.received[1].body == body
+        assert "transfer-encoding" not in fake.received[0].headers
 
     run(play())
 
 
 def test_the_absolute_form_and_http_1_0_are_served(tmp_path):
     async def play():
-        fake = await Fake(answer_ok).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
-            assert (await ask(sidecar.port, raw(b"GET http://origin.svc/lookup/x?y=1"))).code == 200
-            got = await ask(sidecar.port, b"GET /lookup HTTP/1.0\r\nX-Request-Id: cd\r\n\r\n")
+        fake = await FakePeer(respond_ok).start()
+        async with Sidecar(
+            tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))
+        ) as sidecar:
+            assert (await send_request(sidecar.port, raw(b"GET http://origin.svc/lookup/x?y=1"))).code == 200
+            got = await send_request(sidecar.port, b"GET /lookup HTTP/1.0\r\nX-Request-Id: cd\r\n\r\n")
             assert got.code == 200
             assert got.headers["connection"] == "close"
 
@@ -151,29 +159,35 @@
 
     async def play():
         async def big(message, reader, writer):
-            writer.write(reply(200, b"x" * 60_000))
+            writer.write(http_response(200, b"x" * 60_000))
 
-        fake = await Fake(big).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
+        fake = await FakePeer(big).start()
+        async with Sidecar(
+            tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))
+        ) as sidecar:
             _, writer = await asyncio.open_connection(HOST, sidecar.port, limit=1024)
             with contextlib.suppress(OSError):
                 for n in range(2000):
-                    writer.write(message("lookup", f"id{n}"))
+                    writer.write(request_message("lookup", f"id{n}"))
                     await writer.drain()
-            await until(lambda: not sidecar.server.clients.all)
-            assert len(fake.got) < 1000
+            await wait_until(lambda: not sidecar.server.clients.all)
+            assert len(fake.received) < 1000
             writer.transport.abort()
-            assert (await ask(sidecar.port, message("lookup", "other"))).code == 200
+            assert (await send_request(sidecar.port, request_message("lookup", "other"))).code == 200
 
     run(play())
 
 
 def test_a_client_waits_no_longer_than_its_class(tmp_path):
     async def play():
-        fake = await Fake(answer_ok).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
-            assert (await ask(sidecar.port, message("lookup", "ab", "999999999999m"))).code == 200
-        assert int(fake.got[0].headers["x-deadline"].removesuffix("m")) <= 4000
+        fake = await FakePeer(respond_ok).start()
+        async with Sidecar(
+            tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))
+        ) as sidecar:
+            assert (
+                await send_request(sidecar.port, request_message("lookup", "ab", "999999999999m"))
+            ).code == 200
+        assert int(fake.received[0].headers["x-deadline"].removesuffix("m")) <= 4000
 
     run(play())
 
@@ -183,11 +197,17 @@
     monkeypatch.setattr(MemoryBudget, "MAX_BYTES", 3000)
 
     async def play():
-        fake = await Fake(answer_ok).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
-            assert (await ask(sidecar.port, message("order", "a", "900m", b"x" * 3001))).code == 503
-            assert (await ask(sidecar.port, message("order", "b", "900m", b"x" * 1000))).code == 200
-            await until(lambda: not sidecar.server.clients.all)
+        fake = await FakePeer(respond_ok).start()
+        async with Sidecar(
+            tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))
+        ) as sidecar:
+            assert (
+                await send_request(sidecar.port, request_message("order", "a", "900m", b"x" * 3001))
+            ).code == 503
+            assert (
+                await send_request(sidecar.port, request_message("order", "b", "900m", b"x" * 1000))
+            ).code == 200
+            await wait_until(lambda: not sidecar.server.clients.all)
             assert sidecar.server.memory.reserved_bytes == 0
 
     run(play())
@@ -195,23 +215,23 @@
 
 def test_more_open_requests_than_allowed_are_refused(tmp_path):
     async def play():
-        fake = await Fake(answer_ok).start()
-        data = config(news(1, entry("s1", fake.address)))
+        fake = await FakePeer(respond_ok).start()
+        data = config(list_update(1, endpoint_entry("s1", fake.address)))
         data["settings"]["ceilings"]["max-open"] = 0
         async with Sidecar(tmp_path / "c", data) as sidecar:
-            assert (await ask(sidecar.port, message("order", "ab"))).code == 503
-        assert not fake.got
+            assert (await send_request(sidecar.port, request_message("order", "ab"))).code == 503
+        assert not fake.received
 
     run(play())
 
 
 def test_at_the_connection_limit_idle_clients_are_closed(tmp_path):
     async def play():
-        fake = await Fake(answer_ok).start()
-        data = config(news(1, entry("s1", fake.address)), limits={"sockets": 80})
+        fake = await FakePeer(respond_ok).start()
+        data = config(list_update(1, endpoint_entry("s1", fake.address)), limits={"sockets": 80})
         async with Sidecar(tmp_path / "c", data) as sidecar:
             idle = [await asyncio.open_connection(HOST, sidecar.port) for _ in range(30)]
-            assert (await ask(sidecar.port, message("order", "ab"))).code == 200
+            assert (await send_request(sidecar.port, request_message("order", "ab"))).code == 200
             assert len(sidecar.server.clients.all) <= sidecar.server.budget.clients + 2
             assert await idle[0][0].read() == b""
             for _, writer in idle:
@@ -226,22 +246,24 @@
 
     async def play():
         async def big(message, reader, writer):
-            writer.write(reply(200, b"x" * 60_000))
+            writer.write(http_response(200, b"x" * 60_000))
 
-        fake = await Fake(big).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
+        fake = await FakePeer(big).start()
+        async with Sidecar(
+            tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))
+        ) as sidecar:
             loop = asyncio.get_running_loop()
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
             sock.setblocking(False)
             await loop.sock_connect(sock, (HOST, sidecar.port))
-            await until(lambda: sidecar.server.clients.all)
+            await wait_until(lambda: sidecar.server.clients.all)
             (client,) = sidecar.server.clients.all.values()
             sent = 0
             while not client.writer.unread:  # until the kernel holds no more for it
-                await loop.sock_sendall(sock, message("lookup", f"id{sent}"))
+                await loop.sock_sendall(sock, request_message("lookup", f"id{sent}"))
                 sent += 1
-                await until(lambda: len(fake.got) == sent and client.current is None)  # noqa: B023
+                await wait_until(lambda: len(fake.received) == sent and client.current is None)  # noqa: B023
             sidecar.server.draining = True
             sidecar.server.shutdown.stop_requests()
             got = bytearray()
@@ -278,7 +300,7 @@
         known.send(b"y" * 257, 0)
         known.send(b"nobody", 5)
         known.send(b"z" * 256, 0)
-        await until(lambda: heard)
+        await wait_until(lambda: heard)
         assert heard == [(1, b"z" * 256)]
         for peer in (known, stranger, me):
             peer.transport.close()
@@ -299,19 +321,19 @@
     """Silent clients once used every descriptor, and pooled connections were closed for them."""
 
     async def play():
-        fake = await Fake(answer_ok).start()
-        data = config(news(1, entry("s1", fake.address)), limits={"sockets": 80})
+        fake = await FakePeer(respond_ok).start()
+        data = config(list_update(1, endpoint_entry("s1", fake.address)), limits={"sockets": 80})
         async with Sidecar(tmp_path / "c", data) as sidecar:
             usual = [await asyncio.open_connection(HOST, sidecar.port) for _ in range(8)]
             for number in range(4):
                 for place, (reader, writer) in enumerate(usual):
-                    writer.write(message("lookup", f"id{number}-{place}"))
+                    writer.write(request_message("lookup", f"id{number}-{place}"))
                     assert (await read_message(reader)).code == 200
                 flood = [await asyncio.open_connection(HOST, sidecar.port) for _ in range(60)]
-                await until(lambda: len(sidecar.server.clients.all) == sidecar.server.budget.clients)
+                await wait_until(lambda: len(sidecar.server.clients.all) == sidecar.server.budget.clients)
                 for _, writer in flood:
                     writer.close()
-                await until(lambda: len(sidecar.server.clients.all) == len(usual))
+                await wait_until(lambda: len(sidecar.server.clients.all) == len(usual))
             assert fake.connections == 1
             assert not sidecar.server.budget.upstreams.full
             for _, writer in usual:
@@ -327,25 +349,31 @@
     async def play():
         async def act(message, reader, writer):
             await go.wait()
-            writer.write(reply(200, b"served"))
+            writer.write(http_response(200, b"served"))
 
         go = asyncio.Event()
-        fake = await Fake(act).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
+        fake = await FakePeer(act).start()
+        async with Sidecar(
+            tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))
+        ) as sidecar:
             held_reader, held_writer = await asyncio.open_connection(HOST, sidecar.port)
-            held_writer.write(message("order", "held") + b"POST /order HTTP/1.1\r\nX-Half: ")
+            held_writer.write(request_message("order", "held") + b"POST /order HTTP/1.1\r\nX-Half: ")
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
             assert await reader.read() == b""  # it said nothing
             writer.close()
-            for half in (b"G", message("lookup", "a")[:-2], message("order", "b", "900m", b"body")[:-1]):
-                assert (await ask(sidecar.port, half)).code == 408
+            for half in (
+                b"G",
+                request_message("lookup", "a")[:-2],
+                request_message("order", "b", "900m", b"body")[:-1],
+            ):
+                assert (await send_request(sidecar.port, half)).code == 408
             go.set()  # the accepted request is answered all the same
             assert (await read_message(held_reader)).code == 200
             assert (await read_message(held_reader)).code == 408
             held_writer.close()
-            await until(lambda: not sidecar.server.clients.all)
+            await wait_until(lambda: not sidecar.server.clients.all)
             assert not sidecar.server.memory.reserved_bytes
-            assert len(fake.got) == 1
+            assert len(fake.received) == 1
 
     run(play())
 
@@ -354,14 +382,16 @@
     monkeypatch.setattr(controller, "MAX_IDLE_S", 0.2)
 
     async def play():
-        fake = await Fake(answer_ok).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
+        fake = await FakePeer(respond_ok).start()
+        async with Sidecar(
+            tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))
+        ) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-            writer.write(message("lookup", "once"))
+            writer.write(request_message("lookup", "once"))
             assert (await read_message(reader)).code == 200
             assert await reader.read() == b""
             writer.close()
-            await until(lambda: not sidecar.server.clients.all)
+            await wait_until(lambda: not sidecar.server.clients.all)
             assert not sidecar.server.clients.admission.count
             assert not sidecar.server.clients.admission.message_timeouts.within_head_time
 
@@ -372,8 +402,10 @@
     """Closing with input unread would reset the connection before the client sees the answer."""
 
     async def play():
-        fake = await Fake(answer_ok).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
+        fake = await FakePeer(respond_ok).start()
+        async with Sidecar(
+            tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))
+        ) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
             writer.write(raw(b"POST /order", ID + b"Content-Length: 60000000\r\n"))
             for _ in range(60):
@@ -382,7 +414,7 @@
             assert (await read_message(reader)).code == 413
             assert await reader.read() == b""
             writer.close()
-            assert not fake.got
+            assert not fake.received
             assert not sidecar.server.memory.reserved_bytes
 
     run(play())
@@ -394,18 +426,26 @@
     async def play():
         async def act(message, reader, writer):
             await go.wait()
-            writer.write(reply(200, b"served " + message.body))
+            writer.write(http_response(200, b"served " + message.body))
 
         go = asyncio.Event()
-        fake = await Fake(act).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
-            first = asyncio.create_task(ask(sidecar.port, message("order", "same", "3000m", b"1")))
-            await until(lambda: fake.got)
-            assert (await ask(sidecar.port, message("order", "same", "3000m", b"2"))).code == 409
+        fake = await FakePeer(act).start()
+        async with Sidecar(
+            tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))
+        ) as sidecar:
+            first = asyncio.create_task(
+                send_request(sidecar.port, request_message("order", "same", "3000m", b"1"))
+            )
+            await wait_until(lambda: fake.received)
+            assert (
+                await send_request(sidecar.port, request_message("order", "same", "3000m", b"2"))
+            ).code == 409
             go.set()
             assert (await first).body == b"served 1"
-            assert (await ask(sidecar.port, message("order", "same", "3000m", b"3"))).code == 409
-            assert len(fake.got) == 1
+            assert (
+                await send_request(sidecar.port, request_message("order", "same", "3000m", b"3"))
+            ).code == 409
+            assert len(fake.received) == 1
             assert not sidecar.server.memory.reserved_bytes
 
     run(play())
@@ -415,11 +455,13 @@
     monkeypatch.setattr(sidecar_module, "MAX_RECENT_IDS", 100)
 
     async def play():
-        fake = await Fake(answer_ok).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
+        fake = await FakePeer(respond_ok).start()
+        async with Sidecar(
+            tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))
+        ) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
             for number in range(1000):
-                writer.write(message("lookup", f"id{number}"))
+                writer.write(request_message("lookup", f"id{number}"))
                 await read_message(reader)
             writer.close()
             assert len(sidecar.server.ids) <= 102
@@ -447,15 +489,15 @@
 
     async def play():
         monkeypatch.setattr(ConnectionLifecycle, "enter", noted)
-        async with Sidecar(tmp_path / "c", config(news(1))) as sidecar:
+        async with Sidecar(tmp_path / "c", config(list_update(1))) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
             if asks:
                 writer.write(b"this is no http\r\n\r\n")
                 await reader.read()
             else:
-                await until(lambda: sidecar.server.clients.all)
+                await wait_until(lambda: sidecar.server.clients.all)
             writer.close()
-            await until(lambda: seen[-1:] == [Lifecycle.CLOSED])
+            await wait_until(lambda: seen[-1:] == [Lifecycle.CLOSED])
 
     asks, states = WAYS[way]
     run(play())
--- a/tests/net/test_client_disconnects.py
+++ b/tests/net/test_client_disconnects.py
@@ -13,21 +13,21 @@
 from net_helpers import (
     HOST,
     MS,
-    WAIT,
-    Fake,
+    WAIT_TIMEOUT_S,
+    FakePeer,
     Sidecar,
-    answer_ok,
-    ask,
+    async_test,
+    block_event_loop,
     config,
-    entry,
-    message,
-    news,
-    on_loop,
-    reply,
-    stand_still,
-    until,
+    endpoint_entry,
+    http_response,
+    list_update,
+    request_message,
+    respond_ok,
+    send_request,
+    wait_until,
 )
-from test_upstream_connections import full_listener
+from test_upstream_connections import full_backlog_listener
 
 from dykefold.balancer.events import Status
 from dykefold.net.downstream.request_assembler import MAX_WAITING_REQUESTS
@@ -39,7 +39,7 @@
 SMALL = 2 * KB  # bytes of the kernel's buffers on the way to a server
 
 
-class SmallSockets(System):
+class SmallBufferSystem(System):
     """A machine whose sockets take little ahead of their readers."""
 
     def tcp_socket(self):
@@ -48,7 +48,7 @@
         return sock
 
 
-class SlowServer:
+class SlowReadingServer:
     """Takes in connections at once, and reads only once it is let; what each one brought."""
 
     def __init__(self):
@@ -112,27 +112,27 @@
         sock.close()
 
 
-def chunked(data, body):
+def with_chunked_body(data, body):
     head = data.replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
     return head + b"%x\r\n%s\r\n0\r\n\r\n" % (len(body), body)
 
 
-def announced(data, body):
+def with_content_length(data, body):
     return data.replace(b"Content-Length: 0", b"Content-Length: %d" % len(body)) + body
 
 
 HELD_BACK = {
     # what is sent: its body outgrows the sockets on the way to the server
-    "whole": lambda: message("order", "ab", "4000m", b"x" * 60 * KB),
+    "whole": lambda: request_message("order", "ab", "4000m", b"x" * 60 * KB),
     "whole, requests behind it": lambda: (
-        message("order", "ab", "4000m", b"x" * 60 * KB)
-        + b"".join(message("order", f"id{n}") for n in range(2 * MAX_WAITING_REQUESTS))
+        request_message("order", "ab", "4000m", b"x" * 60 * KB)
+        + b"".join(request_message("order", f"id{n}") for n in range(2 * MAX_WAITING_REQUESTS))
     ),
-    "upload": lambda: announced(message("order", "ab", "4000m"), b"x" * 200 * KB),
-    "upload in chunks": lambda: chunked(message("order", "ab", "4000m"), b"x" * 200 * KB),
+    "upload": lambda: with_content_length(request_message("order", "ab", "4000m"), b"x" * 200 * KB),
+    "upload in chunks": lambda: with_chunked_body(request_message("order", "ab", "4000m"), b"x" * 200 * KB),
     "upload, requests behind it": lambda: (
-        announced(message("order", "ab", "4000m"), b"x" * 80 * KB)
-        + b"".join(message("order", f"id{n}") for n in range(2 * MAX_WAITING_REQUESTS))
+        with_content_length(request_message("order", "ab", "4000m"), b"x" * 80 * KB)
+        + b"".join(request_message("order", f"id{n}") for n in range(2 * MAX_WAITING_REQUESTS))
     ),
 }
 
@@ -140,30 +140,30 @@
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
 @pytest.mark.parametrize("cancel", [True, False], ids=["may-cancel", "may-not"])
 @pytest.mark.parametrize("kind", HELD_BACK)
-@on_loop
+@async_test
 async def test_what_a_slow_socket_keeps_back_never_gets_whole_once_its_client_left(
     tmp_path, kind, cancel, how
 ):
     """A server begins a request with its last byte, and that is still here: the server has not failed."""
-    server = SlowServer()
-    data = config(news(1, entry("s1", f"{HOST}:{server.port}")))
+    server = SlowReadingServer()
+    data = config(list_update(1, endpoint_entry("s1", f"{HOST}:{server.port}")))
     data["settings"]["ceilings"]["cancel"] = cancel
     async with Sidecar(tmp_path / "c", data) as sidecar:
         pool, loop = sidecar.server.pool, asyncio.get_running_loop()
         ends = []
         pool.on_attempt_end = lambda endpoint, status, took_ns, objective_ns: ends.append(status)
-        pool.upstreams.system = SmallSockets()
+        pool.upstreams.system = SmallBufferSystem()
         client = socket.socket()
         client.setblocking(False)
         await loop.sock_connect(client, (HOST, sidecar.port))
         await loop.sock_sendall(client, HELD_BACK[kind]())
-        await until(lambda: any(a.connection and a.connection.unwritten for a in pool.attempts.values()))
+        await wait_until(lambda: any(a.connection and a.connection.unwritten for a in pool.attempts.values()))
         await asyncio.sleep(LATE_S)  # all that will be read before the close has been
         end(client, how)
         await asyncio.sleep(LATE_S)
         server.go.set()
-        await until(lambda: gone(sidecar) and not pool.upstreams.connections)
-        await until(lambda: server.ended == len(server.brought))
+        await wait_until(lambda: gone(sidecar) and not pool.upstreams.connections)
+        await wait_until(lambda: server.ended == len(server.brought))
         client.close()
         assert not server.whole()
         assert set(ends) == {Status.NOT_ATTEMPTED}
@@ -171,21 +171,25 @@
     server.close()
 
 
-@on_loop
+@async_test
 async def test_request_delayed_by_a_slow_socket_is_completed_while_its_client_waits(tmp_path):
     """The other side of the table above: all kinds are served where the client stays."""
     for kind in HELD_BACK.values():
-        server = SlowServer()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", f"{HOST}:{server.port}")))) as sidecar:
+        server = SlowReadingServer()
+        async with Sidecar(
+            tmp_path / "c", config(list_update(1, endpoint_entry("s1", f"{HOST}:{server.port}")))
+        ) as sidecar:
             pool, loop = sidecar.server.pool, asyncio.get_running_loop()
-            pool.upstreams.system = SmallSockets()
+            pool.upstreams.system = SmallBufferSystem()
             client = socket.socket()
             client.setblocking(False)
             await loop.sock_connect(client, (HOST, sidecar.port))
             await loop.sock_sendall(client, kind())
-            await until(lambda: any(a.connection and a.connection.unwritten for a in pool.attempts.values()))  # noqa: B023
+            await wait_until(
+                lambda: any(a.connection and a.connection.unwritten for a in pool.attempts.values())  # noqa: B023
+            )
             server.go.set()
-            await until(lambda: len(server.whole()) == 1)  # noqa: B023
+            await wait_until(lambda: len(server.whole()) == 1)  # noqa: B023
             client.close()
         server.close()
 
@@ -194,7 +198,7 @@
 
 
 async def turned_away(got, reader, writer):
-    writer.write(reply(503, b"", "X-Not-Run: 1"))
+    writer.write(http_response(503, b"", "X-Not-Run: 1"))
 
 
 async def hang(got, reader, writer):
@@ -213,7 +217,7 @@
 @pytest.mark.parametrize("paused", [False, True], ids=["read", "not read"])
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
 @pytest.mark.parametrize("kind", WAITS)
-@on_loop
+@async_test
 async def test_no_further_attempt_begins_once_its_client_left(tmp_path, monkeypatch, kind, how, paused, late):
     act, limits = WAITS[kind]
     written_s, send = [], UpstreamConnection.send
@@ -224,17 +228,17 @@
         return found
 
     monkeypatch.setattr(UpstreamConnection, "send", noted)
-    fakes = [await Fake(act).start() for _ in range(3)]
-    data = config(news(1, *(entry(f"s{n}", fake.address) for n, fake in enumerate(fakes))))
+    fakes = [await FakePeer(act).start() for _ in range(3)]
+    data = config(list_update(1, *(endpoint_entry(f"s{n}", fake.address) for n, fake in enumerate(fakes))))
     data["settings"]["ceilings"].update(limits)
     async with Sidecar(tmp_path / "c", data) as sidecar:
         client, loop = socket.socket(), asyncio.get_running_loop()
         client.setblocking(False)
         await loop.sock_connect(client, (HOST, sidecar.port))
         behind = 2 * MAX_WAITING_REQUESTS if paused else 0
-        asked = [message("lookup", f"id{number}", "2000m") for number in range(1 + behind)]
+        asked = [request_message("lookup", f"id{number}", "2000m") for number in range(1 + behind)]
         await loop.sock_sendall(client, b"".join(asked))
-        await until(lambda: any(fake.got for fake in fakes))
+        await wait_until(lambda: any(fake.received for fake in fakes))
         left_s = []
 
         def leave():
@@ -242,11 +246,11 @@
             left_s.append(time.monotonic())
 
         if late:
-            stand_still(loop, late, leave)
-            await until(lambda: left_s)
+            block_event_loop(loop, late, leave)
+            await wait_until(lambda: left_s)
         else:
             leave()
-        await until(lambda: gone(sidecar) and not sidecar.server.pool.attempts)
+        await wait_until(lambda: gone(sidecar) and not sidecar.server.pool.attempts)
         client.close()
     assert any(written_s)
     assert not [at for at in written_s if at > left_s[0] + 0.1]
@@ -254,21 +258,23 @@
 
 @pytest.mark.parametrize("paused", [False, True], ids=["read", "not read"])
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
-@on_loop
+@async_test
 async def test_what_waits_for_a_connection_is_not_written_once_its_client_left(tmp_path, how, paused):
     """One of its own that is being made, and one that another request's answer sets free."""
-    sock, fill = full_listener()
-    data = config(news(1, entry("s1", f"{HOST}:{sock.getsockname()[1]}")))
+    sock, fill = full_backlog_listener()
+    data = config(list_update(1, endpoint_entry("s1", f"{HOST}:{sock.getsockname()[1]}")))
     data["settings"]["ceilings"]["connect-timeout-ns"] = 20_000 * MS
     async with Sidecar(tmp_path / "c", data) as sidecar:
         pool, loop = sidecar.server.pool, asyncio.get_running_loop()
         client = socket.socket()
         client.setblocking(False)
         await loop.sock_connect(client, (HOST, sidecar.port))
-        asked = [message("order", f"id{n}", "4000m") for n in range(1 + 2 * MAX_WAITING_REQUESTS * paused)]
+        asked = [
+            request_message("order", f"id{n}", "4000m") for n in range(1 + 2 * MAX_WAITING_REQUESTS * paused)
+        ]
         await loop.sock_sendall(client, b"".join(asked))
         opening = pool.upstreams.endpoints[1].opening
-        await until(lambda: opening and all(made.sock.getsockname()[1] for made in opening.values()))
+        await wait_until(lambda: opening and all(made.sock.getsockname()[1] for made in opening.values()))
         end(client, how)
         for filler in fill:
             filler.close()
@@ -281,7 +287,7 @@
 
         task = asyncio.create_task(take())
         # Its system asks for the connection again after a second.
-        await until(lambda: gone(sidecar) and not pool.attempts and pool.upstreams.idle)
+        await wait_until(lambda: gone(sidecar) and not pool.attempts and pool.upstreams.idle)
         task.cancel()
         for one in taken:
             one.setblocking(False)
@@ -293,15 +299,15 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
-@on_loop
+@async_test
 async def test_what_meets_only_resting_connections_is_not_written_once_its_client_left(tmp_path, how):
     """Where servers answer twice connections rest, and a request has a new one made."""
-    fake = await Fake(answer_ok).start()
-    async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
+    fake = await FakePeer(respond_ok).start()
+    async with Sidecar(tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))) as sidecar:
         pool, loop = sidecar.server.pool, asyncio.get_running_loop()
-        assert (await ask(sidecar.port, message("order", "warm"))).code == 200
+        assert (await send_request(sidecar.port, request_message("order", "warm"))).code == 200
         resting = pool.upstreams.quarantine
-        resting.limit_s, resting.seen_at_s = WAIT, time.monotonic()
+        resting.limit_s, resting.seen_at_s = WAIT_TIMEOUT_S, time.monotonic()
         client = socket.create_connection((HOST, sidecar.port))
         connect = loop.sock_connect
 
@@ -316,8 +322,8 @@
             await connect(*args)
 
         pool.upstreams.loop = Loop()
-        client.sendall(message("order", "ab"))
-        await until(lambda: len(pool.upstreams.idle) == 2)  # the one that was made is kept beside
-        await until(lambda: gone(sidecar) and not pool.attempts)
+        client.sendall(request_message("order", "ab"))
+        await wait_until(lambda: len(pool.upstreams.idle) == 2)  # the one that was made is kept beside
+        await wait_until(lambda: gone(sidecar) and not pool.attempts)
         client.close()
-        assert [got.headers["x-request-id"] for got in fake.got] == ["warm"]
+        assert [got.headers["x-request-id"] for got in fake.received] == ["warm"]
--- a/tests/net/test_deadline_propagation.py
+++ b/tests/net/test_deadline_propagation.py
@@ -15,22 +15,28 @@
 from net_helpers import (
     HOST,
     MS,
-    Fake,
+    FakePeer,
     Sidecar,
-    answer_ok,
+    async_test,
     config,
-    entry,
-    message,
-    news,
-    on_loop,
+    endpoint_entry,
+    http_response,
+    list_update,
     read_message,
-    reply,
-    reset,
-    until,
+    request_message,
+    reset_connection,
+    respond_ok,
+    wait_until,
 )
 from stream_helpers import read_body
-from test_client_disconnects import KB, SlowServer, SmallSockets, announced, chunked
-from test_upstream_connections import full_listener
+from test_client_disconnects import (
+    KB,
+    SlowReadingServer,
+    SmallBufferSystem,
+    with_chunked_body,
+    with_content_length,
+)
+from test_upstream_connections import full_backlog_listener
 
 from dykefold.balancer.events import Status
 from dykefold.net.downstream.arrivals import MAX_MARKS, Arrivals
@@ -58,7 +64,7 @@
         """By how many seconds each was told more than was left."""
         return [told - (self.sent_s[ident] + wait_s - came) for ident, told, came in self.noted]
 
-    def noting(self, act=answer_ok):
+    def noting(self, act=respond_ok):
         async def noted(got, reader, writer):
             self.note(got.headers)
             await act(got, reader, writer)
@@ -102,20 +108,20 @@
 @pytest.mark.parametrize("effect", ["lookup", "order"])
 @pytest.mark.parametrize("warm", [True, False], ids=["reused", "new"])
 @pytest.mark.parametrize("where", HELD_UP)
-@on_loop
+@async_test
 async def test_loop_delay_before_the_write_is_allowed_for(tmp_path, monkeypatch, where, warm, effect):
     """A run in which the machine itself was late on top says nothing, and is played again a few times."""
     owner, name, before = HELD_UP[where]
     monkeypatch.setattr(owner, name, late(getattr(owner, name), HELD_UP_S, before))
     for number in range(RUNS_MOST):
         told = Told()
-        fake = await Fake(told.noting()).start()
+        fake = await FakePeer(told.noting()).start()
         path = tmp_path / str(number)
-        async with Sidecar(path, config(news(1, entry("s1", fake.address)))) as sidecar:
+        async with Sidecar(path, config(list_update(1, endpoint_entry("s1", fake.address)))) as sidecar:
             if warm:
-                await ask(told, sidecar.port, "warm", message("order", "warm", "1000m"))
+                await ask(told, sidecar.port, "warm", request_message("order", "warm", "1000m"))
                 told.noted.clear()
-            code = (await ask(told, sidecar.port, "ab", message(effect, "ab", "1000m"))).code
+            code = (await ask(told, sidecar.port, "ab", request_message(effect, "ab", "1000m"))).code
         if time.monotonic() - told.sent_s["ab"] <= OWN_LATE_S + HELD_UP_S * (2 if "wanting" in where else 1):
             assert code == 200
             assert max(told.over(1.0)) <= SLACK_S
@@ -123,37 +129,41 @@
     pytest.fail(f"this machine was late in each of {RUNS_MOST} runs: nothing was shown")
 
 
-@on_loop
+@async_test
 async def test_retries_and_hedged_requests(tmp_path):
     """Each further attempt is told what is left then."""
 
     async def fail_and_hang(got, reader, writer):
         if len(told.noted) < 3:
-            reset(writer)
+            reset_connection(writer)
         else:
             await reader.read()
 
     told = Told()
-    fakes = [await Fake(told.noting(fail_and_hang)).start() for _ in range(3)]
-    data = config(news(1, *(entry(f"s{n}", fake.address) for n, fake in enumerate(fakes))))
+    fakes = [await FakePeer(told.noting(fail_and_hang)).start() for _ in range(3)]
+    data = config(list_update(1, *(endpoint_entry(f"s{n}", fake.address) for n, fake in enumerate(fakes))))
     data["settings"]["ceilings"]["second-copies"] = True
     async with Sidecar(tmp_path / "c", data) as sidecar:
-        assert (await ask(told, sidecar.port, "ab", message("lookup", "ab", "700m"))).code in (502, 503, 504)
+        assert (await ask(told, sidecar.port, "ab", request_message("lookup", "ab", "700m"))).code in (
+            502,
+            503,
+            504,
+        )
     assert len(told.noted) > 1
     assert max(told.over(0.7)) <= 0.01
 
 
 @pytest.mark.parametrize("deadline", ["15.4m", "16m", "15999u", "17m"])
-@on_loop
+@async_test
 async def test_announced_deadline_never_exceeds_less_than_a_millisecond_left(tmp_path, deadline):
     """The client's last 15 ms are no server's: what is told is at least 1 ms, and never beyond these."""
     told = Told()
-    fake = await Fake(told.noting()).start()
-    async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
-        await ask(told, sidecar.port, "warm", message("order", "warm"))
+    fake = await FakePeer(told.noting()).start()
+    async with Sidecar(tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))) as sidecar:
+        await ask(told, sidecar.port, "warm", request_message("order", "warm"))
         told.noted.clear()
         wait_s = float(deadline[:-1]) / (1000 if deadline[-1] == "m" else 1_000_000)
-        got = await ask(told, sidecar.port, "ab", message("order", "ab", deadline))
+        got = await ask(told, sidecar.port, "ab", request_message("order", "ab", deadline))
         assert got.code in (200, 502, 503, 504)
     assert all(0 < told_s <= wait_s for _, told_s, _ in told.noted)
     assert all(over <= 0.0 for over in told.over(wait_s))
@@ -161,8 +171,8 @@
 
 def late_listener(data):
     """A server at which connections come up some time after they were begun, by its system."""
-    sock, fill = full_listener()
-    data["known"]["endpoints"] = [entry("s1", f"{HOST}:{sock.getsockname()[1]}")]
+    sock, fill = full_backlog_listener()
+    data["known"]["endpoints"] = [endpoint_entry("s1", f"{HOST}:{sock.getsockname()[1]}")]
     data["settings"]["ceilings"]["connect-timeout-ns"] = 20_000 * MS
     return sock, fill
 
@@ -176,18 +186,20 @@
     )
 
 
-@pytest.mark.parametrize("framing", [announced, chunked])
-@on_loop
+@pytest.mark.parametrize("framing", [with_content_length, with_chunked_body])
+@async_test
 async def test_an_upload_that_is_whole_when_its_connection_comes_up(tmp_path, framing):
     """Its time began with its last byte, while the connection was made."""
-    data = config(news(1))
+    data = config(list_update(1))
     sock, fill = late_listener(data)
     told, body = Told(), b"x" * (64 * KB + 8)  # so much is read though it can't go on
     async with Sidecar(tmp_path / "c", data) as sidecar:
         pool, loop = sidecar.server.pool, asyncio.get_running_loop()
-        sent = framing(message("order", "ab", "3000m"), body)
+        sent = framing(request_message("order", "ab", "3000m"), body)
         asked = asyncio.create_task(ask(told, sidecar.port, "ab", sent))
-        await until(lambda: begun(pool) and all(held.parsed.upload.ended for held in pool.pending.values()))
+        await wait_until(
+            lambda: begun(pool) and all(held.parsed.upload.ended for held in pool.pending.values())
+        )
         for filler in fill:
             filler.close()
         sock.setblocking(False)
@@ -200,7 +212,7 @@
                 headers = {k.lower(): v for k, v in (x.split(": ", 1) for x in lines[1:] if x)}
                 await read_body(reader, headers)
                 told.note(headers)
-                writer.write(reply(200))
+                writer.write(http_response(200))
 
         async def take():
             while True:
@@ -216,34 +228,36 @@
 
 
 KEPT_BACK = {
-    "whole": lambda: message("order", "ab", "1000m", b"x" * 60 * KB),
-    "upload": lambda: announced(message("order", "ab", "1000m"), b"x" * 100 * KB),
-    "upload in chunks": lambda: chunked(message("order", "ab", "1000m"), b"x" * 100 * KB),
+    "whole": lambda: request_message("order", "ab", "1000m", b"x" * 60 * KB),
+    "upload": lambda: with_content_length(request_message("order", "ab", "1000m"), b"x" * 100 * KB),
+    "upload in chunks": lambda: with_chunked_body(request_message("order", "ab", "1000m"), b"x" * 100 * KB),
 }
 
 
 @pytest.mark.parametrize("kind", KEPT_BACK)
 @pytest.mark.parametrize("after_s", [0.05, 0.6])
-@on_loop
+@async_test
 async def test_request_delayed_by_a_slow_socket_is_not_completed_after_its_announced_deadline(
     tmp_path, kind, after_s
 ):
     """The head has gone: a server that would begin so late that it was told too much never gets it whole."""
-    server = SlowServer()
-    async with Sidecar(tmp_path / "c", config(news(1, entry("s1", f"{HOST}:{server.port}")))) as sidecar:
+    server = SlowReadingServer()
+    async with Sidecar(
+        tmp_path / "c", config(list_update(1, endpoint_entry("s1", f"{HOST}:{server.port}")))
+    ) as sidecar:
         pool, loop = sidecar.server.pool, asyncio.get_running_loop()
-        pool.upstreams.system = SmallSockets()
+        pool.upstreams.system = SmallBufferSystem()
         client = socket.socket()
         client.setblocking(False)
         await loop.sock_connect(client, (HOST, sidecar.port))
         await loop.sock_sendall(client, KEPT_BACK[kind]())
         sent_s = time.monotonic()
-        await until(lambda: any(a.connection and a.connection.unwritten for a in pool.attempts.values()))
+        await wait_until(lambda: any(a.connection and a.connection.unwritten for a in pool.attempts.values()))
         await asyncio.sleep(sent_s + after_s - time.monotonic())
         server.go.set()
         found = await loop.sock_recv(client, 4 * KB) if after_s > 0.5 else b""
         if not found:
-            await until(lambda: server.whole())
+            await wait_until(lambda: server.whole())
         client.close()
     for whole in server.whole():
         head = bytes(whole).split(b"X-Deadline: ")[1]
@@ -253,14 +267,14 @@
     server.close()
 
 
-@on_loop
+@async_test
 async def test_an_attempt_whose_time_passed_while_its_connection_was_made_is_not_written(
     tmp_path, monkeypatch
 ):
     """The loop stands still as the connection has come up: nothing is left to tell."""
     told = Told()
-    fake = await Fake(told.noting()).start()
-    async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
+    fake = await FakePeer(told.noting()).start()
+    async with Sidecar(tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))) as sidecar:
         loop = asyncio.get_running_loop()
         create = loop.create_connection
 
@@ -276,19 +290,19 @@
                 return stand_and_create if name == "create_connection" else getattr(loop, name)
 
         sidecar.server.pool.upstreams.loop = Loop()
-        got = await ask(told, sidecar.port, "ab", message("order", "ab", "300m"))
+        got = await ask(told, sidecar.port, "ab", request_message("order", "ab", "300m"))
         assert got.code in (503, 504)
     assert not told.noted
 
 
 @pytest.mark.parametrize(("left_ns", "written"), [(MS * 4 // 10, False), (10 * MS, True)])
-@on_loop
+@async_test
 async def test_an_attempt_for_which_hardly_any_time_is_left_when_its_connection_is_up_is_not_written(
     tmp_path, monkeypatch, left_ns, written
 ):
     """It can't be answered in time, nor be told how little is left: it would only risk an effect."""
-    fake = await Fake(answer_ok).start()
-    async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
+    fake = await FakePeer(respond_ok).start()
+    async with Sidecar(tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))) as sidecar:
         pool, wanted = sidecar.server.pool, Attempt.wanted
 
         def wanted_shortly_before_the_end(attempt):
@@ -301,27 +315,27 @@
         monkeypatch.setattr(Attempt, "wanted", wanted_shortly_before_the_end)
         ends = []
         pool.on_attempt_end = lambda endpoint, status, took_ns, objective_ns: ends.append(status)
-        await ask(Told(), sidecar.port, "ab", message("order", "ab", "300m"))
+        await ask(Told(), sidecar.port, "ab", request_message("order", "ab", "300m"))
     # Where it was not written, a further attempt may find the connection that was kept.
     assert ends[0] is (Status.OK if written else Status.NOT_ATTEMPTED)
 
 
 @pytest.mark.parametrize("count", [12, 24, 40])
-@on_loop
+@async_test
 async def test_requests_sent_ahead_of_their_answers(tmp_path, count):
     """Their time counts from their own last byte, however late it is read behind those before them."""
 
     async def slowly(got, reader, writer):
         await asyncio.sleep(0.05)
-        await answer_ok(got, reader, writer)
+        await respond_ok(got, reader, writer)
 
     told = Told()
-    fake = await Fake(told.noting(slowly)).start()
-    async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
+    fake = await FakePeer(told.noting(slowly)).start()
+    async with Sidecar(tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))) as sidecar:
         reader, writer = await asyncio.open_connection(HOST, sidecar.port)
         filler = f"X-Filler: {'x' * 1900}"  # one slice each
         for number in range(count):
-            writer.write(message("lookup", f"id{number}", "800m", b"", filler))
+            writer.write(request_message("lookup", f"id{number}", "800m", b"", filler))
         await writer.drain()
         told.sent_s = dict.fromkeys((f"id{number}" for number in range(count)), time.monotonic())
         codes = [(await read_message(reader)).code for _ in range(count)]
@@ -333,22 +347,22 @@
     assert took_s < 0.8 + 0.5  # an answer that comes later is none
 
 
-@on_loop
+@async_test
 async def test_a_request_that_comes_while_its_connection_is_not_read_has_its_own_time(tmp_path):
     """Guards a client that always sends ahead: its time begins with its request, not with the pause."""
 
     async def slowly(got, reader, writer):
         await asyncio.sleep(0.1)
-        await answer_ok(got, reader, writer)
+        await respond_ok(got, reader, writer)
 
     told = Told()
-    fake = await Fake(told.noting(slowly)).start()
-    async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
+    fake = await FakePeer(told.noting(slowly)).start()
+    async with Sidecar(tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))) as sidecar:
         reader, writer = await asyncio.open_connection(HOST, sidecar.port)
         ahead = MAX_WAITING_REQUESTS + 4
-        writer.write(b"".join(message("lookup", f"id{number}", "3000m") for number in range(ahead)))
-        await until(lambda: len(told.noted) > ahead // 2)
-        writer.write(message("lookup", "late", "3000m"))
+        writer.write(b"".join(request_message("lookup", f"id{number}", "3000m") for number in range(ahead)))
+        await wait_until(lambda: len(told.noted) > ahead // 2)
+        writer.write(request_message("lookup", "late", "3000m"))
         await writer.drain()
         told.sent_s["late"] = time.monotonic()
         codes = [(await read_message(reader)).code for _ in range(ahead + 1)]
--- a/tests/net/test_discovery_client.py
+++ b/tests/net/test_discovery_client.py
@@ -6,18 +6,18 @@
 import pytest
 from net_helpers import (
     HOST,
-    Fake,
+    FakePeer,
     Sidecar,
-    answer_ok,
-    ask,
     config,
-    entry,
-    message,
-    news,
-    reply,
-    reset,
+    endpoint_entry,
+    http_response,
+    list_update,
+    request_message,
+    reset_connection,
+    respond_ok,
     run,
-    until,
+    send_request,
+    wait_until,
 )
 
 from dykefold.balancer.events import State
@@ -36,18 +36,18 @@
     return NameTable(["a", "b"], ["std"])
 
 
-def listing(index, *entries, snapshot=True):
-    return reply(200, json.dumps(news(index, *entries, snapshot=snapshot)).encode())
+def list_response(index, *entries, snapshot=True):
+    return http_response(200, json.dumps(list_update(index, *entries, snapshot=snapshot)).encode())
 
 
 async def cut_off(message, reader, writer):
-    writer.write(listing(9, entry("s1", f"{HOST}:7"))[:-20])
+    writer.write(list_response(9, endpoint_entry("s1", f"{HOST}:7"))[:-20])
     await writer.drain()
     writer.close()
 
 
 async def break_it(message, reader, writer):
-    reset(writer)
+    reset_connection(writer)
 
 
 async def hang(message, reader, writer):
@@ -64,11 +64,11 @@
 @pytest.mark.parametrize(
     "trouble",
     [
-        say(reply(503, b"")),
-        say(reply(200, b"{")),
-        say(reply(200, b"[" * 50_000)),
-        say(reply(200, b'{"index":1,"snapshot":true,"endpoints":[{"name":"s1"}]}')),
-        say(reply(200, b'{"index":1,"snapshot":true,"endpoints":7}')),
+        say(http_response(503, b"")),
+        say(http_response(200, b"{")),
+        say(http_response(200, b"[" * 50_000)),
+        say(http_response(200, b'{"index":1,"snapshot":true,"endpoints":[{"name":"s1"}]}')),
+        say(http_response(200, b'{"index":1,"snapshot":true,"endpoints":7}')),
         cut_off,
         break_it,
         hang,
@@ -81,11 +81,13 @@
 
     async def play():
         async def act(message, reader, writer):
-            await (trouble if len(fake.got) == 1 else say(listing(41, entry("s1", f"{HOST}:7"))))(
-                message, reader, writer
-            )
+            await (
+                trouble
+                if len(fake.received) == 1
+                else say(list_response(41, endpoint_entry("s1", f"{HOST}:7")))
+            )(message, reader, writer)
 
-        fake = await Fake(act).start()
+        fake = await FakePeer(act).start()
         heard = []
         watcher = DiscoveryClient(
             asyncio.get_running_loop(),
@@ -94,12 +96,12 @@
             heard.append,
         )
         watcher.watch(True)
-        await until(lambda: heard)
+        await wait_until(lambda: heard)
         assert heard == [None]
         assert not watcher.watching
         assert watcher.version == 40
         watcher.watch(True)
-        await until(lambda: len(heard) > 1)
+        await wait_until(lambda: len(heard) > 1)
         assert heard[1].version == 41
         assert heard[1].complete
         watcher.close()
@@ -110,9 +112,9 @@
 def test_an_outage_is_logged_once_and_so_is_its_end(caplog):
     async def play():
         async def act(message, reader, writer):
-            writer.write(reply(503, b"") if len(fake.got) < 4 else listing(41))
+            writer.write(http_response(503, b"") if len(fake.received) < 4 else list_response(41))
 
-        fake = await Fake(act).start()
+        fake = await FakePeer(act).start()
         heard = []
         asker = DiscoveryClient(
             asyncio.get_running_loop(),
@@ -122,7 +124,7 @@
         )
         for count in range(1, 6):
             asker.fetch()
-            await until(lambda: len(heard) == count)  # noqa: B023
+            await wait_until(lambda: len(heard) == count)  # noqa: B023
         asker.close()
 
     caplog.set_level("INFO", "dykefold.discovery")
@@ -134,13 +136,13 @@
     async def play():
         async def act(message, reader, writer):
             times.append(asyncio.get_running_loop().time())
-            if len(fake.got) < 4:
-                writer.write(listing(40 + len(fake.got), snapshot=False))
+            if len(fake.received) < 4:
+                writer.write(list_response(40 + len(fake.received), snapshot=False))
             else:
                 await reader.read()
 
         times = []
-        fake = await Fake(act).start()
+        fake = await FakePeer(act).start()
         heard = []
         watcher = DiscoveryClient(
             asyncio.get_running_loop(),
@@ -150,8 +152,13 @@
         )
         watcher.watch(True)
         watcher.watch(True)  # no second one beside it
-        await until(lambda: len(fake.got) == 4)
-        assert [got.first.split("after=")[1].split("&")[0] for got in fake.got] == ["40", "41", "42", "43"]
+        await wait_until(lambda: len(fake.received) == 4)
+        assert [got.start_line.split("after=")[1].split("&")[0] for got in fake.received] == [
+            "40",
+            "41",
+            "42",
+            "43",
+        ]
         assert not any(news.complete for news in heard)
         watcher.close()
 
@@ -160,7 +167,7 @@
 
 def test_fetch_requests_the_complete_list():
     async def play():
-        fake = await Fake(say(listing(7))).start()
+        fake = await FakePeer(say(list_response(7))).start()
         heard = []
         asker = DiscoveryClient(
             asyncio.get_running_loop(),
@@ -169,9 +176,9 @@
             heard.append,
         )
         asker.fetch()
-        await until(lambda: heard)
+        await wait_until(lambda: heard)
         assert heard[0].complete
-        assert fake.got[0].first == "GET /api/targets HTTP/1.1"
+        assert fake.received[0].start_line == "GET /api/targets HTTP/1.1"
         asker.close()
 
     run(play())
@@ -182,18 +189,18 @@
 
     async def play():
         async def act(message, reader, writer):
-            if len(fake.got) == 1:
-                reset(writer)
+            if len(fake.received) == 1:
+                reset_connection(writer)
             else:
-                writer.write(listing(41))
+                writer.write(list_response(41))
                 await reader.read()
 
-        fake = await Fake(act).start()
-        data = config(news(1), fake.address)
+        fake = await FakePeer(act).start()
+        data = config(list_update(1), fake.address)
         data["settings"]["discovery"] = "push"
         async with Sidecar(tmp_path / "c", data) as sidecar:
-            await until(lambda: sidecar.server.pool.discovery.version == 41)
-        assert len(fake.got) >= 2
+            await wait_until(lambda: sidecar.server.pool.discovery.version == 41)
+        assert len(fake.received) >= 2
 
     run(play())
 
@@ -201,59 +208,66 @@
 def test_a_drain_that_discovery_tells_stops_sends_and_ends_no_request(tmp_path):
     async def play():
         async def tell(message, reader, writer):
-            if "after=1&" in message.first:
+            if "after=1&" in message.start_line:
                 await go.wait()
-                change = entry("s1", old.address, "DRAINING"), entry("s2", new.address)
-                writer.write(listing(2, *change, snapshot=False))
+                change = endpoint_entry("s1", old.address, "DRAINING"), endpoint_entry("s2", new.address)
+                writer.write(list_response(2, *change, snapshot=False))
             else:
                 await reader.read()
 
         async def slow(message, reader, writer):
             await finish.wait()
-            writer.write(reply(200, b"old"))
+            writer.write(http_response(200, b"old"))
 
         go, finish = asyncio.Event(), asyncio.Event()
-        old, new = await Fake(slow).start(), await Fake(answer_ok).start()
-        teller = await Fake(tell).start()
+        old, new = await FakePeer(slow).start(), await FakePeer(respond_ok).start()
+        teller = await FakePeer(tell).start()
         async with Sidecar(
-            tmp_path / "c", config(news(1, entry("s1", old.address)), teller.address)
+            tmp_path / "c", config(list_update(1, endpoint_entry("s1", old.address)), teller.address)
         ) as sidecar:
-            held = asyncio.create_task(ask(sidecar.port, message("order", "ab")))
-            await until(lambda: old.got)
+            held = asyncio.create_task(send_request(sidecar.port, request_message("order", "ab")))
+            await wait_until(lambda: old.received)
             go.set()
             sidecar_server = sidecar.server
-            await until(lambda: sidecar_server.pool.discovery.version == 2)
+            await wait_until(lambda: sidecar_server.pool.discovery.version == 2)
             for number in range(5):
-                assert (await ask(sidecar.port, message("order", f"id{number}"))).body == b"served "
+                assert (
+                    await send_request(sidecar.port, request_message("order", f"id{number}"))
+                ).body == b"served "
             finish.set()
             assert (await held).body == b"old"
-        assert len(old.got) == 1
-        assert len(new.got) == 5
+        assert len(old.received) == 1
+        assert len(new.received) == 5
 
     run(play())
 
 
 def test_a_server_that_left_the_list_is_forgotten(tmp_path):
     async def play():
-        fake = await Fake(answer_ok).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
+        fake = await FakePeer(respond_ok).start()
+        async with Sidecar(
+            tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))
+        ) as sidecar:
             sidecar_server = sidecar.server
-            assert (await ask(sidecar.port, message("lookup", "ab"))).code == 200
+            assert (await send_request(sidecar.port, request_message("lookup", "ab"))).code == 200
             for index in range(2, 50):
                 sidecar_server.pool.on_update(
                     parse_endpoint_update(
-                        news(index, entry(f"s{index}", fake.address)), sidecar_server.pool.names
+                        list_update(index, endpoint_entry(f"s{index}", fake.address)),
+                        sidecar_server.pool.names,
                     )
                 )
             assert len(sidecar_server.pool.upstreams.endpoints) == 1
             assert len(sidecar_server.pool.names.servers) <= 2
-            assert (await ask(sidecar.port, message("lookup", "cd"))).code == 200
+            assert (await send_request(sidecar.port, request_message("lookup", "cd"))).code == 200
 
     run(play())
 
 
 def test_entries_of_tomorrow_are_read_with_care():
-    got = parse_endpoint_update(news(1, entry("s1", f"{HOST}:7", "STARTING", zone="c")), names())
+    got = parse_endpoint_update(
+        list_update(1, endpoint_entry("s1", f"{HOST}:7", "STARTING", zone="c")), names()
+    )
     assert got.entries[0].endpoint.state is State.DRAINING
     assert got.entries[0].endpoint.zone == 2
 
@@ -265,7 +279,7 @@
     with pytest.raises(ValueError):
         split_address(text)
     with pytest.raises(EndpointListError):
-        parse_endpoint_update(news(1, entry("s1", text)), names())
+        parse_endpoint_update(list_update(1, endpoint_entry("s1", text)), names())
 
 
 def test_an_older_answer_sets_nothing_back():
@@ -273,16 +287,16 @@
 
     async def play():
         async def act(message, reader, writer):
-            if "after" in message.first and len(fake.got) == 1:
+            if "after" in message.start_line and len(fake.received) == 1:
                 await go.wait()
-                writer.write(listing(41, entry("s1", f"{HOST}:7")))
-            elif "after" in message.first:
+                writer.write(list_response(41, endpoint_entry("s1", f"{HOST}:7")))
+            elif "after" in message.start_line:
                 await reader.read()
             else:
-                writer.write(listing(43, entry("s2", f"{HOST}:8")))
+                writer.write(list_response(43, endpoint_entry("s2", f"{HOST}:8")))
 
         go = asyncio.Event()
-        fake = await Fake(act).start()
+        fake = await FakePeer(act).start()
         heard = []
         both = DiscoveryClient(
             asyncio.get_running_loop(),
@@ -291,16 +305,16 @@
             heard.append,
         )
         both.watch(True)
-        await until(lambda: fake.got)
+        await wait_until(lambda: fake.received)
         both.fetch()
-        await until(lambda: heard)
+        await wait_until(lambda: heard)
         go.set()
-        await until(lambda: len(heard) == 2)
+        await wait_until(lambda: len(heard) == 2)
         assert heard[1].version == both.version == 43
         assert not heard[1].entries
         assert not heard[1].complete
-        await until(lambda: len(fake.got) == 3)
-        assert "after=43&" in fake.got[2].first
+        await wait_until(lambda: len(fake.received) == 3)
+        assert "after=43&" in fake.received[2].start_line
         both.close()
 
     run(play())
@@ -309,9 +323,13 @@
 def test_decreasing_index_requests_the_complete_list():
     async def play():
         async def act(message, reader, writer):
-            writer.write(listing(3, entry("s1", f"{HOST}:7"), snapshot="after" not in message.first))
+            writer.write(
+                list_response(
+                    3, endpoint_entry("s1", f"{HOST}:7"), snapshot="after" not in message.start_line
+                )
+            )
 
-        fake = await Fake(act).start()
+        fake = await FakePeer(act).start()
         heard = []
         watcher = DiscoveryClient(
             asyncio.get_running_loop(),
@@ -320,9 +338,9 @@
             heard.append,
         )
         watcher.watch(True)
-        await until(lambda: heard)
+        await wait_until(lambda: heard)
         watcher.watch(True)
-        await until(lambda: len(heard) > 1)
+        await wait_until(lambda: len(heard) > 1)
         assert heard[0] is None
         assert heard[1].complete
         assert watcher.version == 3
@@ -334,12 +352,16 @@
 def test_an_unreadable_list_leaves_no_names_and_new_zones_are_bounded():
     known = names()
     with pytest.raises(EndpointListError):
-        parse_endpoint_update(news(1, entry("s1", f"{HOST}:7", zone="new"), entry("s2", "nowhere")), known)
+        parse_endpoint_update(
+            list_update(1, endpoint_entry("s1", f"{HOST}:7", zone="new"), endpoint_entry("s2", "nowhere")),
+            known,
+        )
     assert not known.servers
     assert len(known.zones) == 2
     for number in range(3000):
         parse_endpoint_update(
-            news(1, {**entry("s1", f"{HOST}:7", zone=f"z{number}"), "type": f"k{number}"}), known
+            list_update(1, {**endpoint_entry("s1", f"{HOST}:7", zone=f"z{number}"), "type": f"k{number}"}),
+            known,
         )
     assert len(known.zones) == len(known.kinds) == MAX_NAMES
     assert known.zone("a") == 0
--- a/tests/net/test_hostile_messages.py
+++ b/tests/net/test_hostile_messages.py
@@ -9,7 +9,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from net_helpers import MS, WAIT, Sidecar, config, message, news, run, until
+from net_helpers import MS, WAIT_TIMEOUT_S, Sidecar, config, list_update, request_message, run, wait_until
 
 from dykefold.net.downstream.connection import ClientConnection
 from dykefold.net.downstream.request_assembler import MAX_HEADERS_BYTES
@@ -84,11 +84,11 @@
     turn = sidecar_server.read_scheduler._turn
     sidecar_server.read_scheduler._turn = lambda: meter.run(MAX_SLICES_PER_TURN * SLICE_BYTES, turn)
     for piece in pieces:
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while not wire.reading and not wire.closing:
                 await asyncio.sleep(0)
         meter.run(min(len(piece), SLICE_BYTES), connection.data_received, piece)
-    async with asyncio.timeout(WAIT):
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while connection.reader.unfed is not None or connection.current is not None:
             await asyncio.sleep(0)
     connection.connection_lost(None)
@@ -98,7 +98,7 @@
 
 
 def chunked(size, cls="order"):
-    head = message(cls, f"{size:x}", "1m").split(b"\r\n\r\n")[0].rsplit(b"\r\n", 1)[0]
+    head = request_message(cls, f"{size:x}", "1m").split(b"\r\n\r\n")[0].rsplit(b"\r\n", 1)[0]
     return head + b"\r\nTransfer-Encoding: chunked\r\n\r\n" + b"1\r\nx\r\n" * size + b"0\r\n\r\n"
 
 
@@ -107,15 +107,19 @@
     "chunks of one byte": (chunked(MAX_BUFFERED_BODY_BYTES), 1 << 18, b" 503 "),
     "header lines of four bytes": (LINES, 1 << 18, b" 431 "),
     "requests of eighteen bytes": (b"GET / HTTP/1.1\r\n\r\n" * 5000, 1 << 18, b" 404 "),
-    "one long number": (message("order", deadline="1m")[:-6] + b"0" * 30000 + b"\r\n\r\n", 1 << 18, b" "),
+    "one long number": (
+        request_message("order", deadline="1m")[:-6] + b"0" * 30000 + b"\r\n\r\n",
+        1 << 18,
+        b" ",
+    ),
     "a head byte by byte": (b"GET /" + b"x" * 20000 + b" HTTP/1.1\r\n\r\n", 1, b" 404 "),
-    "a good order byte by byte": (message("order", deadline="1m", body=b"x" * 500), 1, b" 503 "),
+    "a good order byte by byte": (request_message("order", deadline="1m", body=b"x" * 500), 1, b" 503 "),
 }
 
 
 def many(path, play):
     async def inside():
-        async with Sidecar(path / "config.json", config(news(1))) as sidecar:
+        async with Sidecar(path / "config.json", config(list_update(1))) as sidecar:
             await play(sidecar)
 
     run(inside())
@@ -154,7 +158,7 @@
 )
 def test_however_it_is_cut_the_answers_are_the_same(tmp_path_factory, classes, sizes, body):
     data = b"".join(
-        message(cls, f"{number:x}", "1m", b"b" * body if cls != "lookup" else b"")
+        request_message(cls, f"{number:x}", "1m", b"b" * body if cls != "lookup" else b"")
         for number, cls in enumerate(classes)
     )
 
@@ -189,7 +193,7 @@
                 time.sleep(0.15)
                 lag.took(began, "a test that sleeps")
                 at = lag.due_s
-                await until(lambda: lag.due_s != at)  # noqa: B023
+                await wait_until(lambda: lag.due_s != at)  # noqa: B023
         lines = [record.message for record in caplog.records if "late" in record.message]
         assert len(lines) == 1
         assert "a test that sleeps" in lines[0]
