--- a/tests/net/test_long_messages.py
+++ b/tests/net/test_long_messages.py
@@ -6,50 +6,54 @@
 from net_helpers import (
     HOST,
     Sidecar,
-    ask,
     config,
-    entry,
-    message,
-    news,
+    endpoint_entry,
+    http_response,
+    list_update,
     read_message,
-    reply,
-    reset,
+    request_message,
+    reset_connection,
     run,
-    until,
+    send_request,
+    wait_until,
 )
-from stream_helpers import BIG, KB, Server, digest, read_body
+from stream_helpers import KB, LARGE_BODY, StreamingEndpoint, read_body, respond_with_digest
 
 from dykefold.net.service import attempt as attempt_module
 
 
 def listed(*servers):
-    return config(news(1, *(entry(f"s{n}", f"{HOST}:{s.port}") for n, s in enumerate(servers))))
+    return config(
+        list_update(1, *(endpoint_entry(f"s{n}", f"{HOST}:{s.port}") for n, s in enumerate(servers)))
+    )
 
 
 def upload(length, ident="ab", deadline="300m"):
-    head = message("order", ident, deadline).replace(b"Content-Length: 0", b"Content-Length: %d" % length)
+    head = request_message("order", ident, deadline).replace(
+        b"Content-Length: 0", b"Content-Length: %d" % length
+    )
     return head
 
 
 async def trickle(headers, reader, writer):
     """An answer whose time is far longer than the client's deadline, at an even pace."""
-    writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(BIG))
-    for at in range(0, len(BIG), 32 * KB):
-        writer.write(BIG[at : at + 32 * KB])
+    writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LARGE_BODY))
+    for at in range(0, len(LARGE_BODY), 32 * KB):
+        writer.write(LARGE_BODY[at : at + 32 * KB])
         await writer.drain()
         await asyncio.sleep(0.02)
 
 
 async def up_to_the_close(headers, reader, writer):
-    writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + BIG)
+    writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + LARGE_BODY)
     writer.close()
 
 
 async def up_to_a_reset(headers, reader, writer):
-    writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + BIG[: 300 * KB])
+    writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + LARGE_BODY[: 300 * KB])
     await writer.drain()
     await asyncio.sleep(0.05)
-    reset(writer)
+    reset_connection(writer)
 
 
 async def blanks_and_trailers(headers, reader, writer):
@@ -64,7 +68,7 @@
 
 
 async def stops(headers, reader, writer):
-    writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(BIG) + BIG[: 300 * KB])
+    writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LARGE_BODY) + LARGE_BODY[: 300 * KB])
     await reader.read()
 
 
@@ -81,7 +85,7 @@
 
 async def get(sidecar, ident="ab", deadline="300m", version=b"1.1"):
     reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-    data = message("lookup", ident, deadline, b"", "Connection: close").replace(
+    data = request_message("lookup", ident, deadline, b"", "Connection: close").replace(
         b"HTTP/1.1", b"HTTP/" + version
     )
     writer.write(data)
@@ -92,10 +96,10 @@
     """Guards honest peers that write blanks behind a value: `chunked ` was answered 501."""
 
     async def play():
-        server = await Server(blanks_and_trailers).start()
+        server = await StreamingEndpoint(blanks_and_trailers).start()
         async with Sidecar(tmp_path / "c", listed(server)) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-            head = message("hold", "ab", "3000m ").replace(
+            head = request_message("hold", "ab", "3000m ").replace(
                 b"Content-Length: 0", b"Transfer-Encoding: chunked "
             )
             data = head + b"3;x=y\r\nabc\r\n0\r\nX-Trailer: 1\r\n\r\n"
@@ -115,17 +119,19 @@
 
 async def tab_behind(headers, reader, writer):
     writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked \t\r\n\r\n")
-    writer.write(b"%x\r\n%b\r\n0\r\n\r\n" % (len(BIG), BIG))
+    writer.write(b"%x\r\n%b\r\n0\r\n\r\n" % (len(LARGE_BODY), LARGE_BODY))
     writer.close()
 
 
 def test_framing_that_the_parser_does_not_know_is_never_taken_for_a_body(tmp_path):
     async def play():
-        server = await Server(tab_behind).start()
+        server = await StreamingEndpoint(tab_behind).start()
         async with Sidecar(tmp_path / "c", listed(server)) as sidecar:
-            assert (await ask(sidecar.port, message("order", "ab", "900m"))).code == 502
-            asked = message("order", "ac").replace(b"Content-Length: 0", b"Transfer-Encoding: chunked \t")
-            assert (await ask(sidecar.port, asked + b"0\r\n\r\n")).code in (400, 501)
+            assert (await send_request(sidecar.port, request_message("order", "ab", "900m"))).code == 502
+            asked = request_message("order", "ac").replace(
+                b"Content-Length: 0", b"Transfer-Encoding: chunked \t"
+            )
+            assert (await send_request(sidecar.port, asked + b"0\r\n\r\n")).code in (400, 501)
 
     run(play())
 
@@ -134,12 +140,12 @@
     """Guards the rule on lost requests: it was cut off while its server still gave it."""
 
     async def play():
-        server = await Server(trickle).start()
+        server = await StreamingEndpoint(trickle).start()
         async with Sidecar(tmp_path / "c", listed(server)) as sidecar:
             reader, writer = await get(sidecar)
             head, body = await read_all(reader)
             assert head.startswith(b"HTTP/1.1 200")
-            assert body == BIG
+            assert body == LARGE_BODY
             writer.close()
             assert len(server.heads) == 1
 
@@ -150,7 +156,7 @@
     monkeypatch.setattr(attempt_module, "STREAM_STALL_S", 0.2)
 
     async def play():
-        server = await Server(stops).start()
+        server = await StreamingEndpoint(stops).start()
         async with Sidecar(tmp_path / "c", listed(server)) as sidecar:
             reader, writer = await get(sidecar)
             await reader.readuntil(b"\r\n\r\n")
@@ -158,9 +164,9 @@
                 got = await reader.read()
             except ConnectionError:
                 got = b""
-            assert len(got) < len(BIG)
+            assert len(got) < len(LARGE_BODY)
             writer.close()
-            await until(lambda: not sidecar.server.pool.attempts)
+            await wait_until(lambda: not sidecar.server.pool.attempts)
 
     run(play())
 
@@ -172,14 +178,14 @@
             (up_to_the_close, b"1.0", True),
             (up_to_a_reset, b"1.1", False),
         ):
-            server = await Server(act).start()
+            server = await StreamingEndpoint(act).start()
             async with Sidecar(tmp_path / "c", listed(server)) as sidecar:
                 reader, writer = await get(sidecar, version=version)
                 try:
                     _, body = await read_all(reader)
                 except (OSError, EOFError, ValueError):
                     body = None
-                assert (body == BIG) is whole, (act, version)
+                assert (body == LARGE_BODY) is whole, (act, version)
                 writer.close()
 
     run(play())
@@ -189,16 +195,16 @@
     """Guards slow bodies: with 300 ms from its head on, one that takes a second would never be answered."""
 
     async def play():
-        server = await Server(digest).start()
+        server = await StreamingEndpoint(respond_with_digest).start()
         async with Sidecar(tmp_path / "c", listed(server)) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-            writer.write(upload(len(BIG)))
-            for at in range(0, len(BIG), 128 * KB):
-                writer.write(BIG[at : at + 128 * KB])
+            writer.write(upload(len(LARGE_BODY)))
+            for at in range(0, len(LARGE_BODY), 128 * KB):
+                writer.write(LARGE_BODY[at : at + 128 * KB])
                 await asyncio.sleep(0.1)
             got = await read_message(reader)
             assert got.code == 200
-            assert got.body == hashlib.sha256(BIG).hexdigest().encode()
+            assert got.body == hashlib.sha256(LARGE_BODY).hexdigest().encode()
             writer.close()
             assert len(server.heads) == 1
 
@@ -212,10 +218,10 @@
 
 def test_a_body_that_is_whole_has_the_stated_time_and_no_more(tmp_path):
     async def play():
-        server = await Server(silent_after_the_body).start()
+        server = await StreamingEndpoint(silent_after_the_body).start()
         async with Sidecar(tmp_path / "c", listed(server)) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-            writer.write(upload(len(BIG)) + BIG)
+            writer.write(upload(len(LARGE_BODY)) + LARGE_BODY)
             assert (await read_message(reader)).code in (502, 504)
             writer.close()
             assert len(server.heads) == 1
@@ -225,15 +231,15 @@
 
 async def dies_in_the_body(headers, reader, writer):
     await reader.readexactly(200 * KB)
-    reset(writer)
+    reset_connection(writer)
 
 
 def test_an_order_whose_body_never_came_whole_is_refused_for_it_has_not_run(tmp_path):
     async def play():
-        server = await Server(dies_in_the_body).start()
+        server = await StreamingEndpoint(dies_in_the_body).start()
         async with Sidecar(tmp_path / "c", listed(server)) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-            writer.write(upload(len(BIG)) + BIG[: 300 * KB])
+            writer.write(upload(len(LARGE_BODY)) + LARGE_BODY[: 300 * KB])
             assert (await read_message(reader)).code == 503
             writer.close()
             assert len(server.heads) == 1  # a part of it has flowed: it can't be sent again
@@ -242,16 +248,16 @@
 
 
 async def says_too_much(headers, reader, writer):
-    writer.write(reply(200, b"x" * 10).replace(b"Content-Length: 10", b"Content-Length: 50000000"))
+    writer.write(http_response(200, b"x" * 10).replace(b"Content-Length: 10", b"Content-Length: 50000000"))
     await reader.read()
 
 
 def test_an_answer_beyond_what_passes_is_a_failed_attempt(tmp_path):
     async def play():
-        server = await Server(says_too_much).start()
+        server = await StreamingEndpoint(says_too_much).start()
         async with Sidecar(tmp_path / "c", listed(server)) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-            writer.write(message("order", "ab", "2000m", b"x"))
+            writer.write(request_message("order", "ab", "2000m", b"x"))
             assert (await read_message(reader)).code == 502
             writer.close()
 
--- a/tests/net/test_pool.py
+++ b/tests/net/test_pool.py
@@ -3,7 +3,7 @@
 import asyncio
 from dataclasses import dataclass, field
 
-from net_helpers import MS, Fake, answer_ok, config, entry, news, run, silent
+from net_helpers import MS, FakePeer, config, endpoint_entry, list_update, never_respond, respond_ok, run
 
 from dykefold.admission.addresses import AddressLimits
 from dykefold.admission.budget import DescriptorBudget
@@ -61,7 +61,7 @@
 
 
 def make(home, *entries):
-    data = config(news(1, *entries))
+    data = config(list_update(1, *entries))
     settings, transport = nested_settings(data["settings"]), nested_transport(data["settings"])
     names = NameTable(settings.zones, transport.kinds)
     known = parse_endpoint_update(data["known"], names)
@@ -77,8 +77,11 @@
 def test_a_pool_serves_and_guards_its_requests_without_a_node():
     async def play():
         home, asker = Home(), Asker()
-        fake, mute = await Fake(answer_ok).start(), await Fake(silent).start()
-        pools = [make(home, entry("s1", fake.address)), make(home, entry("s1", mute.address))]
+        fake, mute = await FakePeer(respond_ok).start(), await FakePeer(never_respond).start()
+        pools = [
+            make(home, endpoint_entry("s1", fake.address)),
+            make(home, endpoint_entry("s1", mute.address)),
+        ]
         before = home.budget.reservations
         for pool, ident, within in ((pools[0], b"aa", 3000), (pools[1], b"bb", 200)):
             assert home.budget.reserve()
@@ -89,7 +92,7 @@
         assert sorted(asker.answers)[0] == (b"aa", 200, b"served ")
         assert [(ident, code) for ident, code, _ in sorted(asker.answers)][1] == (b"bb", 503)
         assert sorted(home.over) == [(b"aa", True), (b"bb", False)]
-        assert len(fake.got) == len(mute.got) == 1
+        assert len(fake.received) == len(mute.received) == 1
         assert home.budget.reservations == before
         for pool in pools:
             assert not pool.pending
--- a/tests/net/test_process_races.py
+++ b/tests/net/test_process_races.py
@@ -12,20 +12,20 @@
 import pytest
 from net_helpers import (
     HOST,
-    Fake,
-    answer_ok,
-    ask,
+    FakePeer,
+    async_test,
     config,
-    entry,
-    message,
-    news,
-    on_loop,
+    endpoint_entry,
+    http_response,
+    list_update,
     read_message,
-    reply,
-    until,
+    request_message,
+    respond_ok,
+    send_request,
+    wait_until,
 )
-from process_helpers import Process, played_in_time
-from test_discovery_client import listing
+from process_helpers import SidecarProcess, run_valid_scenario
+from test_discovery_client import list_response
 
 from dykefold.lab.fleet.scenario import FaultTable, FleetScenario, FleetTable, ListTable
 
@@ -47,34 +47,34 @@
     """When a process says that it takes requests; seconds."""
     while True:
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-            if (await ask(port, READY)).code == 200:
+            if (await send_request(port, READY)).code == 200:
                 return time.monotonic() - began
         await asyncio.sleep(0.05)
 
 
 @pytest.mark.parametrize("down", ["refused", "silent", "overloaded"])
-@on_loop
+@async_test
 async def test_thirty_processes_started_together_are_ready_whatever_discovery_does(tmp_path, down):
     async def act(message, reader, writer):
         if down == "overloaded":
-            writer.write(reply(503, b""))
+            writer.write(http_response(503, b""))
         else:
             await reader.read()
 
-    fake = await Fake(answer_ok).start()
-    lists = await Fake(act).start()
+    fake = await FakePeer(respond_ok).start()
+    lists = await FakePeer(act).start()
     address = lists.address
     if down == "refused":
         lists.server.close()
-    data = config(news(1, entry("s1", fake.address)), address)
+    data = config(list_update(1, endpoint_entry("s1", fake.address)), address)
     async with contextlib.AsyncExitStack() as stack:
         began = time.monotonic()
 
         async def one(number):
-            process = Process(tmp_path / f"c{number}", data)
+            process = SidecarProcess(tmp_path / f"c{number}", data)
             await stack.enter_async_context(process)
             after_s = await ready_after(process.port, began)
-            assert (await ask(process.port, message("order", f"id{number}"))).code == 200
+            assert (await send_request(process.port, request_message("order", f"id{number}"))).code == 200
             return after_s
 
         after_s = sorted(await asyncio.gather(*(one(number) for number in range(PROCESSES))))
@@ -82,38 +82,38 @@
     assert after_s[-1] < READY_ALL_S
 
 
-@on_loop
+@async_test
 async def test_no_process_sends_to_a_drained_endpoint_when_all_watches_are_silent(tmp_path):
     """calm+brink, which no operator's bench has to play: by six processes and their agents."""
     came = []
 
     async def serve_old(message, reader, writer):
         came.append(time.monotonic())
-        await answer_ok(message, reader, writer)
+        await respond_ok(message, reader, writer)
 
-    old, new = await Fake(serve_old).start(), await Fake(answer_ok).start()
+    old, new = await FakePeer(serve_old).start(), await FakePeer(respond_ok).start()
 
     async def tell(message, reader, writer):
         # The first watch of each process falls silent; what comes after it is told.
         if message.connection in silent or not drained:
             silent.add(message.connection)
             await reader.read()
-        change = entry("s1", old.address, "DRAINING")
-        if "after=1&" in message.first:
-            writer.write(listing(2, change, snapshot=False))
+        change = endpoint_entry("s1", old.address, "DRAINING")
+        if "after=1&" in message.start_line:
+            writer.write(list_response(2, change, snapshot=False))
         else:
             await asyncio.sleep(1.0)
-            writer.write(listing(2, snapshot=False))
+            writer.write(list_response(2, snapshot=False))
 
     drained, silent = [], set()
-    agents = await Fake(tell).start()
-    servers = entry("s1", old.address), entry("s2", new.address)
-    data = push(config(news(1, *servers), agents.address))
+    agents = await FakePeer(tell).start()
+    servers = endpoint_entry("s1", old.address), endpoint_entry("s2", new.address)
+    data = push(config(list_update(1, *servers), agents.address))
     async with contextlib.AsyncExitStack() as stack:
-        processes = [Process(tmp_path / f"c{number}", data) for number in range(6)]
+        processes = [SidecarProcess(tmp_path / f"c{number}", data) for number in range(6)]
         for process in processes:
             await stack.enter_async_context(process)
-        await until(lambda: len(silent) == 6)
+        await wait_until(lambda: len(silent) == 6)
         drained.append(time.monotonic())
         bound = drained[0] + TOLD_WITHIN + GRACE
 
@@ -121,7 +121,7 @@
             reader, writer = await asyncio.open_connection(HOST, process.port)
             count = 0
             while time.monotonic() < bound + 0.5:
-                writer.write(message("lookup", f"{name}-{count}"))
+                writer.write(request_message("lookup", f"{name}-{count}"))
                 assert (await read_message(reader)).code == 200
                 count += 1
                 await asyncio.sleep(0.02)
@@ -130,21 +130,21 @@
         await asyncio.gather(*(desk(process, n) for n, process in enumerate(processes)))
     assert came
     assert max(came) < bound
-    assert len(new.got) > 6 * 20
+    assert len(new.received) > 6 * 20
 
 
-@on_loop
+@async_test
 async def test_idle_clients_that_fill_the_descriptors_keep_nobody_from_discovery_s_return(tmp_path):
     dead = socket.socket()
     dead.bind((HOST, 0))  # and nobody listens there
     gone = f"{HOST}:{dead.getsockname()[1]}"
-    new = await Fake(answer_ok).start()
+    new = await FakePeer(respond_ok).start()
     lists = socket.socket()
     lists.bind((HOST, 0))
     address = f"{HOST}:{lists.getsockname()[1]}"
-    data = push(config(news(1, entry("s1", gone)), address))
+    data = push(config(list_update(1, endpoint_entry("s1", gone)), address))
     data["limits"]["sockets"] = 96
-    async with Process(tmp_path / "c", data, descriptors=96) as sidecar:
+    async with SidecarProcess(tmp_path / "c", data, max_descriptors=96) as sidecar:
         idle = []
         for number in range(200):
             with contextlib.suppress(OSError):
@@ -153,25 +153,25 @@
                 if number % 2:  # these have asked once, and keep their connection
                     sock.sendall(READY)
         known = socket.create_connection((HOST, sidecar.port))
-        known.sendall(message("lookup", "down", "300m"))
+        known.sendall(request_message("lookup", "down", "300m"))
         known.settimeout(20.0)
         assert b"HTTP/1.1 5" in known.recv(4096)
 
         async def tell(message, reader, writer):
-            if "after=1&" in message.first:
-                changes = entry("s1", gone, "DELETED"), entry("s2", new.address)
-                writer.write(listing(2, *changes, snapshot=False))
+            if "after=1&" in message.start_line:
+                changes = endpoint_entry("s1", gone, "DELETED"), endpoint_entry("s2", new.address)
+                writer.write(list_response(2, *changes, snapshot=False))
             await reader.read()
 
-        agent = Fake(tell)
+        agent = FakePeer(tell)
         agent.server = await asyncio.start_server(agent._serve, sock=lists)
         back = time.monotonic()
-        await until(lambda: agent.got)
+        await wait_until(lambda: agent.received)
         count = 0
-        while not new.got:
+        while not new.received:
             assert time.monotonic() - back < TOLD_WITHIN
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-                await ask(sidecar.port, message("lookup", f"new{count}", "300m"))
+                await send_request(sidecar.port, request_message("lookup", f"new{count}", "300m"))
             count += 1
         for sock in idle:
             sock.close()
@@ -179,23 +179,26 @@
         assert sidecar.process.returncode is None
 
 
-@on_loop
+@async_test
 async def test_signals_that_cross_end_one_process_once_with_every_answer_given(tmp_path):
     """SIGTERM twice, and SIGHUP between and behind: the end goes on as it began."""
 
     async def act(message, reader, writer):
         await go.wait()
-        writer.write(reply(200, b"served"))
+        writer.write(http_response(200, b"served"))
 
     go = asyncio.Event()
-    fake = await Fake(act).start()
-    data = config(news(1, entry("s1", fake.address)))
-    async with Process(tmp_path / "c", data) as sidecar:
-        held = [asyncio.create_task(ask(sidecar.port, message("order", f"id{n}"))) for n in range(8)]
-        await until(lambda: len(fake.got) == 8)
+    fake = await FakePeer(act).start()
+    data = config(list_update(1, endpoint_entry("s1", fake.address)))
+    async with SidecarProcess(tmp_path / "c", data) as sidecar:
+        held = [
+            asyncio.create_task(send_request(sidecar.port, request_message("order", f"id{n}")))
+            for n in range(8)
+        ]
+        await wait_until(lambda: len(fake.received) == 8)
         for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGHUP):
             sidecar.process.send_signal(number)
-        assert (await ask(sidecar.port, READY)).code == 503
+        assert (await send_request(sidecar.port, READY)).code == 503
         go.set()
         assert [(await one).code for one in held] == [200] * 8
         assert await sidecar.process.wait() == 0
@@ -222,6 +225,6 @@
         FaultTable("servers", at_s=8, for_s=1, of="zone:b"),
     ]
     scenario = FleetScenario(fleet, ListTable(), faults=faults, span_s=13.0)
-    seen = played_in_time(scenario, lost_if_late=True)
+    seen = run_valid_scenario(scenario, allow_lost_when_late=True)
     assert seen.slow_start.peak_rule_load < 1.0
     assert seen.slow_start.peak_capacity_load < most
--- a/tests/net/test_request_outcomes.py
+++ b/tests/net/test_request_outcomes.py
@@ -7,20 +7,20 @@
 from net_helpers import (
     HOST,
     MS,
-    Fake,
+    FakePeer,
     Sidecar,
-    answer_ok,
-    ask,
     config,
-    entry,
-    message,
-    news,
+    endpoint_entry,
+    http_response,
+    list_update,
+    never_respond,
     read_message,
-    reply,
-    reset,
+    request_message,
+    reset_connection,
+    respond_ok,
     run,
-    silent,
-    until,
+    send_request,
+    wait_until,
 )
 
 from dykefold.balancer.actions import CloseIdle, Probe
@@ -37,7 +37,7 @@
 
 
 async def break_at_once(message, reader, writer):
-    reset(writer)
+    reset_connection(writer)
 
 
 async def break_inside(message, reader, writer):
@@ -64,28 +64,32 @@
 
     async def acting(message, reader, writer):
         seen.append(message)
-        await (act if len(seen) == 1 else answer_ok)(message, reader, writer)
+        await (act if len(seen) == 1 else respond_ok)(message, reader, writer)
 
     return acting
 
 
 def two_servers(fake, *more):
-    return news(1, entry("s1", fake.address), *(entry(f"s{n}", a) for n, a in enumerate(more, 2)))
+    return list_update(
+        1, endpoint_entry("s1", fake.address), *(endpoint_entry(f"s{n}", a) for n, a in enumerate(more, 2))
+    )
 
 
 def test_a_request_goes_on_unchanged_and_its_answer_comes_back(tmp_path):
     async def play():
-        fake = await Fake(say(reply(200, b"held", "X-Load: rps=7,cpu=0.5", "Content-Type: text/x"))).start()
+        fake = await FakePeer(
+            say(http_response(200, b"held", "X-Load: rps=7,cpu=0.5", "Content-Type: text/x"))
+        ).start()
         async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
             heard = []
             handle = sidecar.server.pool.balancer.handle
             sidecar.server.pool.balancer.handle = lambda now, event: heard.append(event) or handle(now, event)
-            got = await ask(sidecar.port, message("hold", "ab12", "900m", b"\x00body"))
+            got = await send_request(sidecar.port, request_message("hold", "ab12", "900m", b"\x00body"))
         assert (got.code, got.body) == (200, b"held")
         assert got.headers["content-type"] == "text/x"
         assert "x-load" not in got.headers
-        (sent,) = fake.got
-        assert sent.first == "POST /hold/part?x=1 HTTP/1.1"
+        (sent,) = fake.received
+        assert sent.start_line == "POST /hold/part?x=1 HTTP/1.1"
         assert sent.body == b"\x00body"
         assert sent.headers["x-request-id"] == "ab12"
         assert sent.headers["idempotency-key"] == "key-of-ab12"
@@ -103,11 +107,11 @@
     """Asked too late whether a connection stays open, the parser always says no."""
 
     async def play():
-        fake = await Fake(answer_ok).start()
+        fake = await FakePeer(respond_ok).start()
         async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
             for number in range(5):
-                assert (await ask(sidecar.port, message("order", f"id{number}"))).code == 200
-        assert len(fake.got) == 5
+                assert (await send_request(sidecar.port, request_message("order", f"id{number}"))).code == 200
+        assert len(fake.received) == 5
         assert fake.connections == 1
 
     run(play())
@@ -118,14 +122,14 @@
     ("act", "codes", "copies"),
     [
         # Proven not to have run: any class may be sent again.
-        (say(reply(503, b"", NOT_RUN)), {200}, {2}),
-        (say(reply(504, b"", NOT_RUN)), {200}, {2}),
+        (say(http_response(503, b"", NOT_RUN)), {200}, {2}),
+        (say(http_response(504, b"", NOT_RUN)), {200}, {2}),
         # A plain error is an answer that may have had its effect: refused only if a retry does no harm.
-        (say(reply(500)), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
-        (say(reply(503)), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
-        (say(reply(504)), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
-        (say(reply(500, b"", NOT_RUN)), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
-        (say(reply(204, b"")), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
+        (say(http_response(500)), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
+        (say(http_response(503)), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
+        (say(http_response(504)), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
+        (say(http_response(500, b"", NOT_RUN)), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
+        (say(http_response(204, b"")), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
         # Broken after the last byte was written: it may have run.
         (
             break_at_once,
@@ -167,11 +171,11 @@
 )
 def test_the_table_of_outcomes(tmp_path, cls, act, codes, copies):
     async def play():
-        fake = await Fake(first_then_ok(act)).start()
+        fake = await FakePeer(first_then_ok(act)).start()
         async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
-            got = await ask(sidecar.port, message(cls, "ab"))
+            got = await send_request(sidecar.port, request_message(cls, "ab"))
         assert got.code in (codes[cls] if isinstance(codes, dict) else codes)
-        assert len(fake.got) in (copies[cls] if isinstance(copies, dict) else copies)
+        assert len(fake.received) in (copies[cls] if isinstance(copies, dict) else copies)
         if got.code == 200:
             assert got.body == b"served "
 
@@ -181,11 +185,11 @@
 @pytest.mark.parametrize("cls", ["lookup", "hold", "order"])
 def test_a_refused_connection_is_no_attempt_that_ran(tmp_path, cls):
     async def play():
-        down = await Fake(answer_ok).start()
+        down = await FakePeer(respond_ok).start()
         down.server.close()
         await down.server.wait_closed()
         async with Sidecar(tmp_path / "c", config(two_servers(down))) as sidecar:
-            got = await ask(sidecar.port, message(cls, "ab", "900m"))
+            got = await send_request(sidecar.port, request_message(cls, "ab", "900m"))
         assert got.code == 503  # trying again is harmless
 
     run(play())
@@ -194,22 +198,22 @@
 @pytest.mark.parametrize(("cls", "code"), [("lookup", 503), ("hold", 502), ("order", 502)])
 def test_silence_ends_in_one_answer_within_the_deadline_and_one_copy(tmp_path, cls, code):
     async def play():
-        fake = await Fake(silent).start()
+        fake = await FakePeer(never_respond).start()
         data = config(two_servers(fake))
         data["settings"]["ceilings"]["send-cap"] = 1
         async with Sidecar(tmp_path / "c", data) as sidecar:
             loop = asyncio.get_running_loop()
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
             start = loop.time()
-            writer.write(message(cls, "ab", "600m"))
+            writer.write(request_message(cls, "ab", "600m"))
             got = await read_message(reader)
             assert got.code == code
             assert 0.3 < loop.time() - start < 0.65
-            await until(lambda: fake.ended == 1, "the given-up connection is closed")
-            writer.write(message("lookup", "cd", "1m"))  # nothing more had come for the first
+            await wait_until(lambda: fake.closed_connections == 1, "the given-up connection is closed")
+            writer.write(request_message("lookup", "cd", "1m"))  # nothing more had come for the first
             assert (await read_message(reader)).code == 503
             writer.close()
-        assert len(fake.got) == 1
+        assert len(fake.received) == 1
 
     run(play())
 
@@ -218,7 +222,7 @@
     """An exception in one request must not disturb the others or the process."""
 
     async def play():
-        fake = await Fake(answer_ok).start()
+        fake = await FakePeer(respond_ok).start()
         async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
             handle = sidecar.server.pool.balancer.handle
 
@@ -229,9 +233,11 @@
                 return handle(now, event)
 
             sidecar.server.pool.balancer.handle = failing
-            lost = asyncio.create_task(ask(sidecar.port, message("order", "ab", "500m")))
+            lost = asyncio.create_task(send_request(sidecar.port, request_message("order", "ab", "500m")))
             for number in range(3):
-                assert (await ask(sidecar.port, message("lookup", f"id{number}"))).code == 200
+                assert (
+                    await send_request(sidecar.port, request_message("lookup", f"id{number}"))
+                ).code == 200
             assert (await lost).code == 503
             assert not sidecar.server.pool.pending
 
@@ -240,7 +246,7 @@
 
 def test_the_fallback_fails_what_may_have_run(tmp_path):
     async def play():
-        fake = await Fake(silent).start()
+        fake = await FakePeer(never_respond).start()
         async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
             handle = sidecar.server.pool.balancer.handle
 
@@ -251,14 +257,14 @@
                 return handle(now, event)
 
             sidecar.server.pool.balancer.handle = deaf
-            assert (await ask(sidecar.port, message("order", "ab", "500m"))).code == 504
+            assert (await send_request(sidecar.port, request_message("order", "ab", "500m"))).code == 504
 
     run(play())
 
 
 def test_an_attempt_that_cannot_be_made_is_refused_and_leaves_nothing(tmp_path):
     async def play():
-        fake = await Fake(answer_ok).start()
+        fake = await FakePeer(respond_ok).start()
         async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
 
             def broken(*_):
@@ -266,26 +272,26 @@
 
             sidecar_server = sidecar.server
             sidecar_server.pool.message = broken
-            assert (await ask(sidecar.port, message("order", "ab", "300m"))).code == 503
+            assert (await send_request(sidecar.port, request_message("order", "ab", "300m"))).code == 503
             assert not sidecar_server.pool.pending
             assert not sidecar_server.pool.attempts
             del sidecar_server.pool.message
-            assert (await ask(sidecar.port, message("order", "cd"))).code == 200
+            assert (await send_request(sidecar.port, request_message("order", "cd"))).code == 200
 
     run(play())
 
 
 def test_a_client_that_left_frees_its_attempt(tmp_path):
     async def play():
-        fake = await Fake(silent).start()
+        fake = await FakePeer(never_respond).start()
         async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
             _, writer = await asyncio.open_connection(HOST, sidecar.port)
-            writer.write(message("order", "ab"))
-            await until(lambda: fake.got)
+            writer.write(request_message("order", "ab"))
+            await wait_until(lambda: fake.received)
             writer.close()
-            await until(lambda: fake.ended == 1, "its attempt is called off")
+            await wait_until(lambda: fake.closed_connections == 1, "its attempt is called off")
             sidecar_server = sidecar.server
-            await until(
+            await wait_until(
                 lambda: (
                     not sidecar_server.pool.pending
                     and not sidecar_server.pool.attempts
@@ -301,9 +307,9 @@
 
 def test_a_rejection_comes_at_once_and_states_when_to_retry(tmp_path):
     async def play():
-        fake = await Fake(say(reply(500))).start()
+        fake = await FakePeer(say(http_response(500))).start()
         async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
-            got = await ask(sidecar.port, message("lookup", "ab"))
+            got = await send_request(sidecar.port, request_message("lookup", "ab"))
         assert got.code == 503
         assert 0.0 < float(got.headers["retry-after"]) <= 2.0
 
@@ -312,7 +318,7 @@
 
 def test_a_report_is_read_by_names_and_only_whole(tmp_path):
     async def play():
-        async with Sidecar(tmp_path / "c", config(news(1))) as sidecar:
+        async with Sidecar(tmp_path / "c", config(list_update(1))) as sidecar:
             read = sidecar.server.pool.reports.read
             assert read(b"cpu=0.25, rps=3") == (3.0, 0.25)
             assert read(b"qps=3,util=0.25,more=1") == (3.0, 0.25)
@@ -338,28 +344,28 @@
 
 def test_probe_requests_the_load_report_and_returns_its_result(tmp_path):
     async def play():
-        act = first_then_ok(say(reply(200, b"rps=7,cpu=0.5")))
+        act = first_then_ok(say(http_response(200, b"rps=7,cpu=0.5")))
 
         async def acting(message, reader, writer):
-            assert message.first == "GET /-/load HTTP/1.1"
+            assert message.start_line == "GET /-/load HTTP/1.1"
             assert "x-request-id" not in message.headers
             await act(message, reader, writer)
 
-        fake = await Fake(acting).start()
+        fake = await FakePeer(acting).start()
         async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
             heard = []
             sidecar_server = sidecar.server
             (server,) = sidecar_server.pool.upstreams.endpoints
             sidecar_server.pool.balancer.handle = lambda now, event: heard.append(event) or []
             sidecar_server.pool.carry_out[Probe](Probe(server))
-            await until(lambda: heard)
+            await wait_until(lambda: heard)
             assert heard[0].status is Status.OK
             assert heard[0].report == (7.0, 0.5)
             sidecar_server.pool.carry_out[CloseIdle](CloseIdle(server))
             assert not sidecar_server.pool.upstreams.connections
             fake.server.close()
             sidecar_server.pool.carry_out[Probe](Probe(server))
-            await until(lambda: len(heard) > 1)
+            await wait_until(lambda: len(heard) > 1)
             assert heard[1].status is Status.CONNECT_FAILED
             assert heard[1].report == ()
 
@@ -369,7 +375,9 @@
 def test_since_is_on_the_scale_of_the_clock_and_zero_stays_zero(tmp_path):
     async def play():
         since = int(time.time() * 1000) - 2000
-        known = news(1, entry("s1", f"{HOST}:9"), entry("s2", f"{HOST}:10", since_ms=since))
+        known = list_update(
+            1, endpoint_entry("s1", f"{HOST}:9"), endpoint_entry("s2", f"{HOST}:10", since_ms=since)
+        )
         async with Sidecar(tmp_path / "c", config(known)) as sidecar:
             started = sorted(server.started_ns for server in sidecar.server.pool.balancer.servers.values())
             assert started[0] == 0
@@ -386,21 +394,21 @@
 
         async def act(message, reader, writer):
             await go.wait()
-            writer.write(reply(200, b"ok"))
+            writer.write(http_response(200, b"ok"))
 
-        fake = await Fake(act).start()
-        data = config(news(1, entry("s0", fake.address)))
+        fake = await FakePeer(act).start()
+        data = config(list_update(1, endpoint_entry("s0", fake.address)))
         async with Sidecar(tmp_path / "config.json", data) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-            writer.write(message("lookup", "a") + message("lookup", "b"))
-            await until(lambda: fake.got)
+            writer.write(request_message("lookup", "a") + request_message("lookup", "b"))
+            await wait_until(lambda: fake.received)
             sidecar.server.draining, sidecar.server.accepting_requests = True, False
             sidecar.server.shutdown.answer_all()
             got = [await read_message(reader), await read_message(reader)]
             assert [one.code for one in got] == [504, 503]
             assert "retry-after" in got[1].headers
             assert got[1].headers["connection"] == "close"
-            assert len(fake.got) == 1
+            assert len(fake.received) == 1
             go.set()
             writer.close()
 
--- a/tests/net/test_start_times.py
+++ b/tests/net/test_start_times.py
@@ -6,7 +6,17 @@
 
 import pytest
 from helpers import MS, SECOND, endpoint, make, settings
-from net_helpers import HOST, Fake, Sidecar, config, entry, news, on_loop, reply, until
+from net_helpers import (
+    HOST,
+    FakePeer,
+    Sidecar,
+    async_test,
+    config,
+    endpoint_entry,
+    http_response,
+    list_update,
+    wait_until,
+)
 
 from dykefold.balancer.events import Endpoint, ListKind, Membership, State
 from dykefold.net.start_times import LIST_LAG_NS, StartTimes
@@ -207,7 +217,7 @@
 
 @pytest.mark.parametrize("where", ["here before the start", "here while running", "at the server"])
 @pytest.mark.parametrize("step", WALL.values(), ids=WALL)
-@on_loop
+@async_test
 async def test_a_new_start_is_cold_and_old_ones_are_not_through_a_whole_sidecar(
     step, where, tmp_path, monkeypatch
 ):
@@ -217,29 +227,29 @@
     tell = asyncio.Event()
 
     async def act(message, reader, writer):
-        if len(listing.got) == 1:
-            writer.write(reply(200, json.dumps(news(2, snapshot=False)).encode()))
-        elif len(listing.got) == 2:
+        if len(listing.received) == 1:
+            writer.write(http_response(200, json.dumps(list_update(2, snapshot=False)).encode()))
+        elif len(listing.received) == 2:
             await tell.wait()
             since_ms = int(time.time() * 1000) + (step * 1000 if where == "at the server" else 0)
-            told = news(3, entry("s2", f"{HOST}:9", since_ms=since_ms), snapshot=False)
-            writer.write(reply(200, json.dumps(told).encode()))
+            told = list_update(3, endpoint_entry("s2", f"{HOST}:9", since_ms=since_ms), snapshot=False)
+            writer.write(http_response(200, json.dumps(told).encode()))
         else:
             await reader.read()
 
-    listing = await Fake(act).start()
+    listing = await FakePeer(act).start()
     if where == "here before the start":
         wall["step"] = step
     old_ms = int(time.time() * 1000) - 2 * 3600 * 1000
-    data = config(news(1, entry("s1", f"{HOST}:9", since_ms=old_ms)), listing.address)
+    data = config(list_update(1, endpoint_entry("s1", f"{HOST}:9", since_ms=old_ms)), listing.address)
     data["settings"]["rules"] |= {"start-capacity": 0.14, "warm-within-ns": 22 * SECOND}
     async with Sidecar(tmp_path / "c", data) as sidecar:
         pool = sidecar.server.pool
-        await until(lambda: len(listing.got) == 2)
+        await wait_until(lambda: len(listing.received) == 2)
         if where == "here while running":
             wall["step"] = step
         tell.set()
-        await until(lambda: "s2" in pool.endpoint_numbers())
+        await wait_until(lambda: "s2" in pool.endpoint_numbers())
         balancer, named = pool.balancer, pool.endpoint_numbers()
         assert pool.settings.warm_within_ns == 22 * SECOND
         old, new = balancer.servers[named["s1"]], balancer.servers[named["s2"]]
--- a/tests/net/test_upstream_connections.py
+++ b/tests/net/test_upstream_connections.py
@@ -10,7 +10,17 @@
 from dataclasses import replace
 
 import pytest
-from net_helpers import HOST, WAIT, Fake, answer_ok, reply, reset, run, silent, until
+from net_helpers import (
+    HOST,
+    WAIT_TIMEOUT_S,
+    FakePeer,
+    http_response,
+    never_respond,
+    reset_connection,
+    respond_ok,
+    run,
+    wait_until,
+)
 
 from dykefold.admission.budget import DescriptorAllowance
 from dykefold.balancer.events import State, Status
@@ -25,7 +35,7 @@
 PAYLOAD = b"GET /lookup HTTP/1.1\r\nX-Request-Id: ab\r\n\r\n"
 
 
-def make(address, connect_timeout=5.0, limit=1024, idle=60.0):
+def make_pool(address, connect_timeout=5.0, limit=1024, idle=60.0):
     limits = ConnectionLimits(DescriptorAllowance(limit), MemoryBudget(192 * MB), connect_timeout, idle)
     pool = ConnectionPool(asyncio.get_running_loop(), limits)
     pool.update(1, address, 0, State.READY)
@@ -38,7 +48,7 @@
     pool.resources = replace(pool.resources, monotonic=monotonic)
 
 
-def start(pool, server=1, timeout=WAIT, payload=PAYLOAD):
+def start_exchange(pool, server=1, timeout=WAIT_TIMEOUT_S, payload=PAYLOAD):
     """An exchange and the future of its end."""
     end = asyncio.get_running_loop().create_future()
     exchange = Exchange(payload, lambda _, status, answer: end.set_result((status, answer)), 64 * 1024)
@@ -46,16 +56,16 @@
     return exchange, end
 
 
-def listener(backlog=16):
+def listening_socket(backlog=16):
     sock = socket.socket()
     sock.bind((HOST, 0))
     sock.listen(backlog)
     return sock
 
 
-def full_listener():
+def full_backlog_listener():
     """A server at which new connections never come up."""
-    sock = listener(0)
+    sock = listening_socket(0)
     fill = []
     for _ in range(4):
         filler = socket.socket()
@@ -69,20 +79,20 @@
     """Guards the race with a server that closes idle connections just as a request comes."""
 
     async def play():
-        server = listener()
+        server = listening_socket()
         server.setblocking(False)
         loop = asyncio.get_running_loop()
-        pool = make(server.getsockname())
-        _, end = start(pool)
+        pool = make_pool(server.getsockname())
+        _, end = start_exchange(pool)
         first, _ = await loop.sock_accept(server)
         assert await loop.sock_recv(first, 4096) == PAYLOAD
-        await loop.sock_sendall(first, reply())
+        await loop.sock_sendall(first, http_response())
         assert (await end)[0] is Status.OK
         first.close()  # the end is in the kernel by now; the loop has had no turn to see it
-        _, end = start(pool)
+        _, end = start_exchange(pool)
         second, _ = await loop.sock_accept(server)
         assert await loop.sock_recv(second, 4096) == PAYLOAD
-        await loop.sock_sendall(second, reply())
+        await loop.sock_sendall(second, http_response())
         assert (await end)[0] is Status.OK
         pool.close()
         second.close()
@@ -95,7 +105,7 @@
 def test_an_idle_connection_ends_at_once_on_its_end_or_on_stray_bytes(stray):
     async def play():
         async def act(message, reader, writer):
-            writer.write(reply())
+            writer.write(http_response())
             await go.wait()
             writer.write(stray)
             if not stray:
@@ -104,12 +114,12 @@
                 await reader.read()
 
         go = asyncio.Event()
-        fake = await Fake(act).start()
-        pool = make((HOST, fake.port))
-        assert (await start(pool)[1])[0] is Status.OK
+        fake = await FakePeer(act).start()
+        pool = make_pool((HOST, fake.port))
+        assert (await start_exchange(pool)[1])[0] is Status.OK
         assert len(pool.connections) == 1
         go.set()
-        await until(lambda: not pool.connections)
+        await wait_until(lambda: not pool.connections)
         assert not pool.endpoints[1].idle
         assert not pool.allowance.in_use
 
@@ -119,11 +129,11 @@
 def test_answer_followed_by_surplus_bytes_is_complete_but_its_connection_is_closed():
     async def play():
         async def act(message, reader, writer):
-            writer.write(reply() + reply(200, b"of whom?"))
+            writer.write(http_response() + http_response(200, b"of whom?"))
 
-        fake = await Fake(act).start()
-        pool = make((HOST, fake.port))
-        status, answer = await start(pool)[1]
+        fake = await FakePeer(act).start()
+        pool = make_pool((HOST, fake.port))
+        status, answer = await start_exchange(pool)[1]
         assert (status, answer.body) == (Status.OK, b"ok")
         assert not pool.connections
 
@@ -132,17 +142,17 @@
 
 def test_the_latest_used_connection_is_used_first_and_old_ones_are_closed():
     async def play():
-        fake = await Fake(answer_ok).start()
-        pool = make((HOST, fake.port), idle=60.0)
-        ends = [start(pool)[1] for _ in range(3)]
+        fake = await FakePeer(respond_ok).start()
+        pool = make_pool((HOST, fake.port), idle=60.0)
+        ends = [start_exchange(pool)[1] for _ in range(3)]
         for end in ends:
             assert (await end)[0] is Status.OK
-        await until(
+        await wait_until(
             lambda: len(pool.endpoints[1].idle) == 3
         )  # one may have taken another's, its own comes yet
         latest = next(reversed(pool.endpoints[1].idle))
-        await until(lambda: time.monotonic() - latest.idle_since_s > 0.01)  # so long that it has rested
-        _, end = start(pool)
+        await wait_until(lambda: time.monotonic() - latest.idle_since_s > 0.01)  # so long that it has rested
+        _, end = start_exchange(pool)
         assert latest.exchange is not None
         await end
         next(iter(pool.endpoints[1].idle)).idle_since_s -= 60.0 * upstream.IDLE_FRACTION
@@ -156,9 +166,9 @@
 
 def test_a_connect_that_hangs_is_given_up_in_time_and_never_ran():
     async def play():
-        server, fill = full_listener()
-        pool = make(server.getsockname(), connect_timeout=0.1)
-        assert await start(pool)[1] == (Status.CONNECT_FAILED, None)
+        server, fill = full_backlog_listener()
+        pool = make_pool(server.getsockname(), connect_timeout=0.1)
+        assert await start_exchange(pool)[1] == (Status.CONNECT_FAILED, None)
         assert not pool.connections
         assert not pool.endpoints[1].opening
         assert not pool.allowance.in_use
@@ -173,16 +183,16 @@
     """Guards drains: the first byte of such a request would go out after the server was told off."""
 
     async def play():
-        server, fill = full_listener()
-        pool = make(server.getsockname(), connect_timeout=WAIT)
-        exchange, end = start(pool)
+        server, fill = full_backlog_listener()
+        pool = make_pool(server.getsockname(), connect_timeout=WAIT_TIMEOUT_S)
+        exchange, end = start_exchange(pool)
         await asyncio.sleep(0)
         if how == "time-out":
             exchange.give_up(Status.TIMEOUT)
         else:
             pool.update(1, server.getsockname(), 0, State.DRAINING if how == "drain" else State.GONE)
         assert await end == (Status.CONNECT_FAILED, None)
-        await until(lambda: not pool.connections and not pool.endpoints[1].opening)
+        await wait_until(lambda: not pool.connections and not pool.endpoints[1].opening)
         for sock in fill:
             sock.close()
         server.setblocking(False)
@@ -201,41 +211,41 @@
     async def play():
         async def act(message, reader, writer):
             await go.wait()
-            writer.write(reply())
+            writer.write(http_response())
 
         go = asyncio.Event()
         go.set()
-        fake = await Fake(act).start()
+        fake = await FakePeer(act).start()
         address = (HOST, fake.port)
-        pool = make(address)
-        assert (await start(pool)[1])[0] is Status.OK
+        pool = make_pool(address)
+        assert (await start_exchange(pool)[1])[0] is Status.OK
         pool.update(1, address, 5, State.READY)  # restarted
         assert not pool.endpoints[1].idle
         go.clear()
-        _, end = start(pool)
-        await until(lambda: len(fake.got) == 2)
+        _, end = start_exchange(pool)
+        await wait_until(lambda: len(fake.received) == 2)
         pool.update(1, address, 5, State.DRAINING)
         go.set()
         assert (await end)[0] is Status.OK  # what it had it finishes
         assert not pool.connections
-        assert (await start(pool)[1])[0] is Status.CONNECT_FAILED
-        assert len(fake.got) == 2
+        assert (await start_exchange(pool)[1])[0] is Status.CONNECT_FAILED
+        assert len(fake.received) == 2
 
     run(play())
 
 
 def test_a_break_before_the_last_byte_is_written_never_ran():
     async def play():
-        server = listener()
+        server = listening_socket()
         server.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         server.setblocking(False)
         loop = asyncio.get_running_loop()
-        pool = make(server.getsockname())
+        pool = make_pool(server.getsockname())
         body = b"x" * (16 * 1024 * 1024)  # more than the kernel takes in
         head = b"POST /order HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % len(body)
-        exchange, end = start(pool, payload=head + body)
+        exchange, end = start_exchange(pool, payload=head + body)
         got, _ = await loop.sock_accept(server)
-        await until(lambda: exchange.connection is not None)
+        await wait_until(lambda: exchange.connection is not None)
         assert exchange.connection.unwritten
         await loop.sock_recv(got, 4096)
         got.close()  # with bytes unread: a reset
@@ -247,11 +257,11 @@
 
 def test_giving_up_closes_the_connection_and_says_whether_it_may_have_run():
     async def play():
-        fake = await Fake(silent).start()
-        pool = make((HOST, fake.port))
-        _, end = start(pool, timeout=0.1)
+        fake = await FakePeer(never_respond).start()
+        pool = make_pool((HOST, fake.port))
+        _, end = start_exchange(pool, timeout=0.1)
         assert await end == (Status.TIMEOUT, None)
-        await until(lambda: fake.ended == 1)
+        await wait_until(lambda: fake.closed_connections == 1)
         assert not pool.connections
 
     run(play())
@@ -265,26 +275,26 @@
                 writer.write(b"x" * 65536)
                 await writer.drain()
 
-        fake = await Fake(act).start()
-        pool = make((HOST, fake.port))
-        assert await start(pool)[1] == (Status.RESET, None)
+        fake = await FakePeer(act).start()
+        pool = make_pool((HOST, fake.port))
+        assert await start_exchange(pool)[1] == (Status.RESET, None)
 
     run(play())
 
 
 def test_out_of_descriptors_costs_one_request_and_not_the_process(monkeypatch):
     async def play():
-        fake = await Fake(answer_ok).start()
-        pool = make((HOST, fake.port))
+        fake = await FakePeer(respond_ok).start()
+        pool = make_pool((HOST, fake.port))
         real = socket.socket
 
         def exhausted(*_):
             raise OSError(errno.EMFILE, "Too many open files")
 
         monkeypatch.setattr(socket, "socket", exhausted)
-        assert await start(pool)[1] == (Status.NOT_ATTEMPTED, None)  # it says nothing of the server
+        assert await start_exchange(pool)[1] == (Status.NOT_ATTEMPTED, None)  # it says nothing of the server
         monkeypatch.setattr(socket, "socket", real)
-        assert (await start(pool)[1])[0] is Status.OK
+        assert (await start_exchange(pool)[1])[0] is Status.OK
         pool.close()
 
     run(play())
@@ -292,18 +302,18 @@
 
 def test_at_the_cap_the_longest_idle_connection_makes_room():
     async def play():
-        fake, other = await Fake(answer_ok).start(), await Fake(silent).start()
-        pool = make((HOST, fake.port), limit=8)
+        fake, other = await FakePeer(respond_ok).start(), await FakePeer(never_respond).start()
+        pool = make_pool((HOST, fake.port), limit=8)
         pool.update(2, (HOST, other.port), 0, State.READY)
-        ends = [start(pool)[1] for _ in range(8)]
+        ends = [start_exchange(pool)[1] for _ in range(8)]
         for end in ends:
             assert (await end)[0] is Status.OK
-        await until(lambda: len(pool.endpoints[1].idle) == 8)
-        waits = [start(pool, 2)[1] for _ in range(8)]
-        await until(lambda: len(other.got) == 8)
+        await wait_until(lambda: len(pool.endpoints[1].idle) == 8)
+        waits = [start_exchange(pool, 2)[1] for _ in range(8)]
+        await wait_until(lambda: len(other.received) == 8)
         assert not pool.endpoints[1].idle
         assert pool.allowance.in_use == 8
-        assert await start(pool, 2)[1] == (Status.NOT_ATTEMPTED, None)
+        assert await start_exchange(pool, 2)[1] == (Status.NOT_ATTEMPTED, None)
         assert not any(end.done() for end in waits)
         pool.close()
         for end in waits:
@@ -312,7 +322,7 @@
     run(play())
 
 
-OK = reply(200, b"second")
+OK = http_response(200, b"second")
 
 
 @pytest.mark.parametrize(
@@ -350,11 +360,11 @@
             closed.set()
 
         closed = asyncio.Event()
-        fake = await Fake(act).start()
-        pool = make((HOST, fake.port))
-        assert await start(pool)[1] == (Status.RESET, None)
+        fake = await FakePeer(act).start()
+        pool = make_pool((HOST, fake.port))
+        assert await start_exchange(pool)[1] == (Status.RESET, None)
         await closed.wait()
-        status, answer = await start(pool)[1]
+        status, answer = await start_exchange(pool)[1]
         assert status is Status.OK
         assert answer.body == b"second"
         assert not pool.resources.memory.reserved_bytes
@@ -371,10 +381,10 @@
                 b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + OK
             )
 
-        fake = await Fake(act).start()
-        pool = make((HOST, fake.port))
+        fake = await FakePeer(act).start()
+        pool = make_pool((HOST, fake.port))
         for _ in range(3):
-            status, answer = await start(pool)[1]
+            status, answer = await start_exchange(pool)[1]
             assert status is Status.OK
             assert answer.body == b"second"
             assert [name for name, _ in answer.headers] == []
@@ -387,14 +397,14 @@
 def test_answers_over_the_memory_of_all_are_cut_off():
     async def play():
         async def act(message, reader, writer):
-            writer.write(reply(200, b"x" * 5000))
+            writer.write(http_response(200, b"x" * 5000))
 
-        fake = await Fake(act).start()
-        pool = make((HOST, fake.port))
+        fake = await FakePeer(act).start()
+        pool = make_pool((HOST, fake.port))
         pool.resources.memory.capacity_bytes = 4000
-        assert await start(pool)[1] == (Status.RESET, None)
+        assert await start_exchange(pool)[1] == (Status.RESET, None)
         pool.resources.memory.capacity_bytes = 6000
-        assert (await start(pool)[1])[0] is Status.OK
+        assert (await start_exchange(pool)[1])[0] is Status.OK
         assert pool.resources.memory.reserved_bytes == 0
         pool.close()
 
@@ -404,23 +414,23 @@
 def test_one_that_waits_for_a_connection_takes_one_that_comes_free():
     async def play():
         async def act(message, reader, writer):
-            if len(fake.got) == 1:
+            if len(fake.received) == 1:
                 await go.wait()
-            writer.write(reply())
+            writer.write(http_response())
 
         go = asyncio.Event()
-        fake = await Fake(act).start()
-        pool = make((HOST, fake.port))
-        _, first = start(pool)
-        await until(lambda: fake.got)
+        fake = await FakePeer(act).start()
+        pool = make_pool((HOST, fake.port))
+        _, first = start_exchange(pool)
+        await wait_until(lambda: fake.received)
         real, pool.loop = pool.loop, SlowConnects(pool.loop)
-        _, second = start(pool)
+        _, second = start_exchange(pool)
         go.set()
         assert (await first)[0] is Status.OK
         assert (await second)[0] is Status.OK
-        assert {got.connection for got in fake.got} == {1}
+        assert {got.connection for got in fake.received} == {1}
         pool.loop.go.set()
-        await until(lambda: len(pool.endpoints[1].idle) == 2)  # the other one is kept
+        await wait_until(lambda: len(pool.endpoints[1].idle) == 2)  # the other one is kept
         assert not pool.endpoints[1].opening
         pool.loop = real
         pool.close()
@@ -447,9 +457,9 @@
     """Guards the memory of a long day: what refers to itself is freed only when the collector comes."""
 
     async def play():
-        fake = await Fake(answer_ok).start()
-        pool = make((HOST, fake.port))
-        exchange, end = start(pool)
+        fake = await FakePeer(respond_ok).start()
+        pool = make_pool((HOST, fake.port))
+        exchange, end = start_exchange(pool)
         await end
         (connection,) = pool.connections
         seen = weakref.ref(connection)
@@ -458,7 +468,7 @@
         del connection, exchange
         gc.disable()
         try:
-            await until(lambda: seen() is None)
+            await wait_until(lambda: seen() is None)
         finally:
             gc.enable()
         assert exchange_gone
@@ -476,17 +486,17 @@
             idle = clock[0] - last.get(message.connection, clock[0])
             last[message.connection] = clock[0]
             if idle > 0.3:
-                reset(writer)  # as the system does where nobody reads any more
+                reset_connection(writer)  # as the system does where nobody reads any more
             else:
-                writer.write(reply(200, b"ok"))
+                writer.write(http_response(200, b"ok"))
 
-        fake = await Fake(act).start()
-        pool = make((HOST, fake.port))
+        fake = await FakePeer(act).start()
+        pool = make_pool((HOST, fake.port))
         set_clock(pool, lambda: clock[0])
         outcomes = []
         for gap in [0.01] * 20 + [0.5] * 8:
             clock[0] += gap
-            outcomes.append((await start(pool)[1])[0])
+            outcomes.append((await start_exchange(pool)[1])[0])
         assert outcomes[:20] == [Status.OK] * 20
         assert outcomes.count(Status.RESET) == 2, outcomes  # enough to tell it from chance
         assert outcomes[-3:] == [Status.OK] * 3
@@ -509,15 +519,15 @@
                 held.append(writer)
                 if len(held) == 3:
                     for one in held:
-                        one.write(reply(200, b"ok"))
+                        one.write(http_response(200, b"ok"))
             else:
-                writer.write(reply(503, b"", "X-Not-Run: 1", "Connection: close"))
+                writer.write(http_response(503, b"", "X-Not-Run: 1", "Connection: close"))
 
         held = []
-        fake = await Fake(act).start()
-        pool = make((HOST, fake.port))
+        fake = await FakePeer(act).start()
+        pool = make_pool((HOST, fake.port))
         set_clock(pool, lambda: clock[0])
-        ends = [start(pool)[1] for _ in range(3)]
+        ends = [start_exchange(pool)[1] for _ in range(3)]
         assert [(await end)[0] for end in ends] == [Status.OK] * 3
         kept = list(pool.endpoints[1].idle)
         assert len(kept) == 3
@@ -525,7 +535,7 @@
         clock[0] += 20.0
         pool.sweep()
         assert len(pool.endpoints[1].idle) == 3  # nobody lacks them
-        assert (await start(pool, server=2)[1])[0] is Status.FULL
+        assert (await start_exchange(pool, server=2)[1])[0] is Status.FULL
         pool.sweep()
         assert not pool.endpoints[1].idle
         pool.close()
@@ -549,14 +559,14 @@
         deadlines.start(items[0], 0.02, now)
         deadlines.start(items[1], 0.01, now)
         deadlines.start(items[2], 30.0, now)
-        await until(lambda: len(rung) == 2)
+        await wait_until(lambda: len(rung) == 2)
         assert not items[0].tick
         assert items[2].tick
         assert len(deadlines.buckets) <= 2
         # The last of its tick starts the next one, as an attempt that is late leads to another.
         last = Exchange(b"", lambda *_: deadlines.start(items[3], 0.01, time.monotonic()), 1)
         deadlines.start(last, 0.01, time.monotonic())
-        await until(lambda: len(rung) == 3)
+        await wait_until(lambda: len(rung) == 3)
 
     run(play())
 
@@ -566,15 +576,15 @@
 
     async def play():
         async def act(message, reader, writer):
-            writer.write(reply())
+            writer.write(http_response())
             await asyncio.sleep(0.15)
             writer.close()
 
-        fake = await Fake(act).start()
-        pool = make((HOST, fake.port))
+        fake = await FakePeer(act).start()
+        pool = make_pool((HOST, fake.port))
         for _ in range(2):
-            assert (await start(pool)[1])[0] is Status.OK
-            await until(lambda: not pool.connections)
+            assert (await start_exchange(pool)[1])[0] is Status.OK
+            await wait_until(lambda: not pool.connections)
         assert pool.endpoints[1].ages.limit_s <= 0.2
         pool.close()
 
--- a/tests/net/test_upstream_syscalls.py
+++ b/tests/net/test_upstream_syscalls.py
@@ -17,21 +17,21 @@
 from helpers import make as balanced
 from net_helpers import (
     HOST,
-    WAIT,
-    Fake,
+    WAIT_TIMEOUT_S,
+    FakePeer,
     Sidecar,
-    answer_ok,
-    ask,
     config,
-    entry,
-    message,
-    news,
-    reply,
+    endpoint_entry,
+    http_response,
+    list_update,
+    never_respond,
+    request_message,
+    respond_ok,
     run,
-    silent,
-    until,
+    send_request,
+    wait_until,
 )
-from test_upstream_connections import listener, start
+from test_upstream_connections import listening_socket, start_exchange
 
 from dykefold.admission.budget import DescriptorAllowance
 from dykefold.balancer.actions import Fail, Refuse, Send
@@ -63,7 +63,7 @@
 
 async def nothing_left(pool, system):
     pool.close()
-    await until(lambda: not system.open_ones(), "all descriptors closed")
+    await wait_until(lambda: not system.open_ones(), "all descriptors closed")
     assert not pool.allowance.in_use
     assert not pool.connections
     assert not pool.unneeded
@@ -74,14 +74,14 @@
 @pytest.mark.parametrize("number", OWN + THEIRS)
 def test_a_connect_that_fails_by_this_machine_says_nothing_of_the_server(number, play_on):
     async def play():
-        fake, system = await Fake(answer_ok).start(), FaultySystem()
+        fake, system = await FakePeer(respond_ok).start(), FaultySystem()
         pool = make((HOST, fake.port), system)
         system.faults.on("connect", number, times=1)
-        assert await start(pool)[1] == (
+        assert await start_exchange(pool)[1] == (
             Status.NOT_ATTEMPTED if number in OWN else Status.CONNECT_FAILED,
             None,
         )
-        assert (await start(pool)[1])[0] is Status.OK
+        assert (await start_exchange(pool)[1])[0] is Status.OK
         await nothing_left(pool, system)
 
     play_on(play())
@@ -103,10 +103,10 @@
 )
 def test_a_call_that_fails_once_and_breaks_nothing_costs_no_request(call, number, play_on):
     async def play():
-        fake, system = await Fake(answer_ok).start(), FaultySystem()
+        fake, system = await FakePeer(respond_ok).start(), FaultySystem()
         pool = make((HOST, fake.port), system)
         system.faults.on(call, number, times=1)
-        assert (await start(pool)[1])[0] is Status.OK
+        assert (await start_exchange(pool)[1])[0] is Status.OK
         await nothing_left(pool, system)
 
     play_on(play())
@@ -115,11 +115,11 @@
 @pytest.mark.parametrize("number", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EACCES])
 def test_a_socket_that_is_not_given_says_nothing_of_the_server(number):
     async def play():
-        fake, system = await Fake(answer_ok).start(), FaultySystem()
+        fake, system = await FakePeer(respond_ok).start(), FaultySystem()
         pool = make((HOST, fake.port), system)
         system.faults.on("socket", number, times=1)
-        assert await start(pool)[1] == (Status.NOT_ATTEMPTED, None)
-        assert (await start(pool)[1])[0] is Status.OK
+        assert await start_exchange(pool)[1] == (Status.NOT_ATTEMPTED, None)
+        assert (await start_exchange(pool)[1])[0] is Status.OK
         await nothing_left(pool, system)
 
     run(play())
@@ -168,16 +168,16 @@
     """The system's own errors: EADDRNOTAVAIL, ENETUNREACH, EMFILE."""
 
     async def play():
-        fake = await Fake(answer_ok).start()
+        fake = await FakePeer(respond_ok).start()
         system, address, give_back = lack((HOST, fake.port))
         pool = make(address, system)
         try:
-            end = start(pool)[1]
+            end = start_exchange(pool)[1]
             assert await end == (Status.NOT_ATTEMPTED, None)
         finally:
             give_back()
         if lack is descriptors_run_out:
-            assert (await start(pool)[1])[0] is Status.OK
+            assert (await start_exchange(pool)[1])[0] is Status.OK
         await nothing_left(pool, system)
 
     run(play())
@@ -187,15 +187,15 @@
     """The options that asyncio's loop sets itself fail after the connect has come up."""
 
     async def play():
-        fake, system = await Fake(answer_ok).start(), FaultySystem()
+        fake, system = await FakePeer(respond_ok).start(), FaultySystem()
         pool = make((HOST, fake.port), system)
         system.faults.on("setsockopt", errno.ENOBUFS, after=2)
-        assert await start(pool)[1] == (Status.NOT_ATTEMPTED, None)
+        assert await start_exchange(pool)[1] == (Status.NOT_ATTEMPTED, None)
         assert not system.open_ones()
         assert not pool.allowance.in_use
         system.faults.clear()
         gc.collect()  # of what asyncio's loop still knows by the descriptor's number
-        assert (await start(pool)[1])[0] is Status.OK
+        assert (await start_exchange(pool)[1])[0] is Status.OK
         await nothing_left(pool, system)
 
     run_plain(play())
@@ -204,7 +204,7 @@
 @pytest.mark.parametrize("late", [False, True])
 def test_refused_connect_counts_as_refused_however_late_it_is_noticed(late):
     async def play():
-        server, system = listener(), FaultySystem()
+        server, system = listening_socket(), FaultySystem()
         address = server.getsockname()
         server.close()
         pool = make(address, system, 0.03)
@@ -216,7 +216,7 @@
             return told(call)
 
         system.faults.meet = meet
-        assert await start(pool)[1] == (Status.CONNECT_FAILED, None)
+        assert await start_exchange(pool)[1] == (Status.CONNECT_FAILED, None)
         await nothing_left(pool, system)
 
     run(play())
@@ -236,7 +236,7 @@
 
         system.faults.meet = meet
         system.faults.on("connect", number)
-        assert await start(pool)[1] == (Status.CONNECT_FAILED, None)
+        assert await start_exchange(pool)[1] == (Status.CONNECT_FAILED, None)
         await nothing_left(pool, system)
 
     run(play())
@@ -244,9 +244,9 @@
 
 def test_one_that_is_given_up_before_its_connect_began_leaves_nothing():
     async def play():
-        fake, system = await Fake(answer_ok).start(), FaultySystem()
+        fake, system = await FakePeer(respond_ok).start(), FaultySystem()
         pool = make((HOST, fake.port), system)
-        exchange, end = start(pool)
+        exchange, end = start_exchange(pool)
         exchange.give_up(Status.CANCELLED)
         assert await end == (Status.CONNECT_FAILED, None)
         await asyncio.sleep(0)
@@ -265,17 +265,17 @@
         async def act(_, reader, writer):
             seen.append(await reader.read())
 
-        fake, system = await Fake(act).start(), FaultySystem()
+        fake, system = await FakePeer(act).start(), FaultySystem()
         pool = make((HOST, fake.port), system)
-        exchange, end = start(pool)
-        await until(lambda: fake.got)
+        exchange, end = start_exchange(pool)
+        await wait_until(lambda: fake.received)
         system.faults.on("setsockopt", number)
         shut = []
         system.made[0].shutdown = shut.append
         exchange.give_up(Status.TIMEOUT)
         assert shut == [socket.SHUT_RDWR]
         assert await end == (Status.TIMEOUT, None)
-        await until(lambda: seen == [b""])
+        await wait_until(lambda: seen == [b""])
         await nothing_left(pool, system)
 
     run(play())
@@ -288,10 +288,10 @@
 @pytest.mark.parametrize("number", BROKEN)
 def test_an_answer_that_can_not_be_read_leaves_open_whether_it_ran(number):
     async def play():
-        fake, system = await Fake(answer_ok).start(), FaultySystem()
+        fake, system = await FakePeer(respond_ok).start(), FaultySystem()
         pool = make((HOST, fake.port), system)
         system.faults.on("recv", number)
-        assert await start(pool)[1] == (Status.RESET, None)
+        assert await start_exchange(pool)[1] == (Status.RESET, None)
         await nothing_left(pool, system)
 
     run_plain(play())
@@ -303,18 +303,20 @@
     """Of 41 bytes the kernel takes some, and no more; the last one is let go of by itself."""
 
     async def play():
-        fake, system = await Fake(silent).start(), FaultySystem()
+        fake, system = await FakePeer(never_respond).start(), FaultySystem()
         pool = make((HOST, fake.port), system)
         if taken:
             system.faults.on("send", short=taken, times=1)
         else:
             system.faults.on("send", errno.EAGAIN, times=1)
         system.faults.on("send", number)
-        status, answer = await start(pool, payload=b"GET /lookup HTTP/1.1\r\nX-Request-Id: a\r\n\r\n")[1]
+        status, answer = await start_exchange(
+            pool, payload=b"GET /lookup HTTP/1.1\r\nX-Request-Id: a\r\n\r\n"
+        )[1]
         # All before its last byte had gone: it may have left with the write that failed.
         never = Status.CONNECT_FAILED if number in PATHS else Status.NOT_ATTEMPTED
         assert (status, answer) == (Status.RESET if taken == 40 else never, None)
-        assert not fake.got
+        assert not fake.received
         await nothing_left(pool, system)
 
     run_plain(play())
@@ -322,12 +324,12 @@
 
 def test_short_writes_and_reads_cost_nothing():
     async def play():
-        fake, system = await Fake(answer_ok).start(), FaultySystem()
+        fake, system = await FakePeer(respond_ok).start(), FaultySystem()
         pool = make((HOST, fake.port), system)
         system.faults.on("send", short=3).on("recv", short=1)
-        payload = message("order", body=b"x" * 300)
+        payload = request_message("order", body=b"x" * 300)
         for _ in range(3):
-            status, answer = await start(pool, payload=payload)[1]
+            status, answer = await start_exchange(pool, payload=payload)[1]
             assert status is Status.OK
             assert answer.body == b"served " + b"x" * 300
         assert fake.connections == 1
@@ -344,11 +346,11 @@
     async def play():
         async def act(asked, reader, writer):
             closes = int(asked.headers["x-request-id"]) % 3
-            writer.write(reply(200, b"ok", *(["Connection: close"] if closes else [])))
+            writer.write(http_response(200, b"ok", *(["Connection: close"] if closes else [])))
             if closes:
                 writer.close()
 
-        fake, system = await Fake(act).start(), FaultySystem()
+        fake, system = await FakePeer(act).start(), FaultySystem()
         system.faults.chance.seed(seed)
         pool = make((HOST, fake.port), system)
         system.faults.by_seed(
@@ -376,11 +378,11 @@
         ends = []
         for number in range(200):
             payload = b"GET /lookup/%d HTTP/1.1\r\nX-Request-Id: %d\r\n\r\n" % (number, number)
-            ends.append(start(pool, payload=payload)[1])
+            ends.append(start_exchange(pool, payload=payload)[1])
             if number % 4 == 3:
-                async with asyncio.timeout(WAIT):
+                async with asyncio.timeout(WAIT_TIMEOUT_S):
                     await asyncio.gather(*ends[-4:])
-        ran = {int(got.headers["x-request-id"]) for got in fake.got}
+        ran = {int(got.headers["x-request-id"]) for got in fake.received}
         for number, end in enumerate(ends):
             status, _ = end.result()
             assert status in (Status.OK, Status.NOT_ATTEMPTED, Status.CONNECT_FAILED, Status.RESET)
@@ -404,18 +406,18 @@
     """Guards the next request against a late second answer, where no server is known to give two."""
 
     async def play():
-        fake, system = await Fake(answer_ok).start(), FaultySystem()
+        fake, system = await FakePeer(respond_ok).start(), FaultySystem()
         pool = make((HOST, fake.port), system)
-        for end in [start(pool)[1] for _ in range(1 + spare)]:
+        for end in [start_exchange(pool)[1] for _ in range(1 + spare)]:
             assert (await end)[0] is Status.OK
-        await until(lambda: len(pool.endpoints[1].idle) == 1 + spare)
-        monkeypatch.setattr(upstream, "QUARANTINE_MIN_S", WAIT)  # however late this machine is
+        await wait_until(lambda: len(pool.endpoints[1].idle) == 1 + spare)
+        monkeypatch.setattr(upstream, "QUARANTINE_MIN_S", WAIT_TIMEOUT_S)  # however late this machine is
         for connection in pool.endpoints[1].idle:
-            connection.idle_since_s -= WAIT
-        exchange, end = start(pool)
+            connection.idle_since_s -= WAIT_TIMEOUT_S
+        exchange, end = start_exchange(pool)
         first = exchange.connection
         await end
-        next_one, end = start(pool)
+        next_one, end = start_exchange(pool)
         assert (next_one.connection is not first) == spare
         assert (await end)[0] is Status.OK
         assert fake.connections == 1 + spare
@@ -435,7 +437,9 @@
 
     async def one():
         began = time.monotonic()
-        got = await ask(sidecar.port, message("lookup", f"{next(NUMBERS):016x}", f"{PATIENT_MS}m"))
+        got = await send_request(
+            sidecar.port, request_message("lookup", f"{next(NUMBERS):016x}", f"{PATIENT_MS}m")
+        )
         return got.code, time.monotonic() - began
 
     asked = []
@@ -460,16 +464,16 @@
     async def play():
         async def act(_, reader, writer):
             await asyncio.sleep(0.01)  # a usual time beside which a pause of this machine is none
-            writer.write(reply(200, b"ok", "Connection: close"))
+            writer.write(http_response(200, b"ok", "Connection: close"))
             writer.close()
 
-        fakes = [await Fake(act).start() for _ in range(6)]
+        fakes = [await FakePeer(act).start() for _ in range(6)]
         system = FaultySystem()
         monkeypatch.setattr(
             "dykefold.__main__.SidecarServer", functools.partial(SidecarServer, system=system)
         )
-        entries = [entry(f"s{at}", fake.address) for at, fake in enumerate(fakes)]
-        async with Sidecar(tmp_path / "c", config(news(1, *entries))) as sidecar:
+        entries = [endpoint_entry(f"s{at}", fake.address) for at, fake in enumerate(fakes)]
+        async with Sidecar(tmp_path / "c", config(list_update(1, *entries))) as sidecar:
             warm = await ask_through(sidecar, 40, 0.01)
             assert all(code == 200 for code, _ in warm)
             balancer = sidecar.server.pool.balancer
@@ -528,7 +532,7 @@
         before = len([what for what in heard if what == (0, b"x")])
         ends[1].send(b"back", 0)
         ends[0].send(b"last", 1)
-        await until(lambda: (1, b"back") in heard and (0, b"last") in heard)
+        await wait_until(lambda: (1, b"back") in heard and (0, b"last") in heard)
         assert before <= 20
         assert not problems
         assert not any(end.transport.is_closing() for end in ends)
@@ -570,10 +574,12 @@
 def test_discovery_continues_to_poll_when_its_calls_fail_on_this_machine(call, pushed):
     async def play():
         async def act(asked, reader, writer):
-            writer.write(reply(200, b'{"index": 7, "snapshot": true, "endpoints": []}', "Connection: close"))
+            writer.write(
+                http_response(200, b'{"index": 7, "snapshot": true, "endpoints": []}', "Connection: close")
+            )
             writer.close()
 
-        fake, system, heard = await Fake(act).start(), FaultySystem(), []
+        fake, system, heard = await FakePeer(act).start(), FaultySystem(), []
         discovery = DiscoveryClient(
             asyncio.get_running_loop(),
             DiscoveryOrigin((HOST, fake.port), 1, pushed),
@@ -590,9 +596,9 @@
         discovery.on_update = hear
         system.faults.on(call, errno.ENOBUFS, times=3)
         discovery.watch(True)
-        await until(lambda: any(told is not None and told.version == 7 for told in heard))
+        await wait_until(lambda: any(told is not None and told.version == 7 for told in heard))
         discovery.close()
-        await until(lambda: not system.open_ones())
+        await wait_until(lambda: not system.open_ones())
 
     run(play())
 
--- a/tests/net_helpers.py
+++ b/tests/net_helpers.py
@@ -1,4 +1,4 @@
-"""Small fake peers and a sidecar in the test's own loop, on loopback with ports that the system picks."""
+"""Fake peers and a sidecar in the test's event loop, on loopback addresses with ephemeral ports."""
 
 import asyncio
 import contextlib
@@ -16,99 +16,121 @@
 
 HOST = "127.0.0.1"
 MS = 1_000_000
-WAIT = 20.0  # seconds until a test that waits for an event gives up
+WAIT_TIMEOUT_S = 20.0  # a test that waits for an event fails after this time
 
 
 def run(coroutine):
-    """Run a test on the loop that the sidecar uses, with an end in any case."""
+    """Run a test coroutine on the kind of event loop that the sidecar uses, with a time limit."""
 
     async def bounded():
-        async with asyncio.timeout(3 * WAIT):
+        async with asyncio.timeout(3 * WAIT_TIMEOUT_S):
             return await coroutine
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         return runner.run(bounded())
 
 
-def on_loop(test):
-    """A test that is a coroutine, run as `run` does."""
+def async_test(test):
+    """Decorate a coroutine test function so that `run` executes it."""
 
     @functools.wraps(test)
-    def played(*args, **named):
-        return run(test(*args, **named))
+    def wrapper(*args, **kwargs):
+        return run(test(*args, **kwargs))
 
-    return played
+    return wrapper
 
 
-async def until(true, what="the condition"):
-    """Wait for something that shows only in state."""
-    async with asyncio.timeout(WAIT):
-        while not true():
+async def wait_until(condition, description="the condition"):
+    """Poll a condition that only shows in state until it holds; fail after `WAIT_TIMEOUT_S`."""
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
+        while not condition():
             await asyncio.sleep(0.005)
-    assert true(), what
+    assert condition(), description
 
 
-def stand_still(loop, seconds, meanwhile):
-    """Keep the loop from its next turn, in the midst of reading sockets: timers come first after that."""
-    ours, theirs = socket.socketpair()
+def block_event_loop(loop, duration_s, callback):
+    """Block the event loop while it handles readable sockets, so that due timers run first afterwards.
 
-    def read():
-        loop.remove_reader(theirs.fileno())
-        meanwhile()
-        time.sleep(seconds)
-        ours.close()
-        theirs.close()
+    Args:
+        loop: Event loop to block.
+        duration_s: Time to block after the callback, in seconds.
+        callback: Function called just before the loop blocks.
+    """
+    local_sock, remote_sock = socket.socketpair()
 
-    loop.add_reader(theirs.fileno(), read)
-    ours.send(b"x")
+    def on_readable():
+        loop.remove_reader(remote_sock.fileno())
+        callback()
+        time.sleep(duration_s)
+        local_sock.close()
+        remote_sock.close()
+
+    loop.add_reader(remote_sock.fileno(), on_readable)
+    local_sock.send(b"x")
 
 
 @dataclass
-class Got:
-    """A message as a fake peer or client received it."""
+class ReceivedMessage:
+    """An HTTP message as received by a fake peer or a client.
+
+    Attributes:
+        start_line: Request line or status line.
+        headers: Header values by lower-case name.
+        body: Message body.
+        connection: Number of the fake peer's connection that it came on, from 1; 0 at a client.
+    """
 
-    first: str
+    start_line: str
     headers: dict[str, str]
     body: bytes
     connection: int = 0
 
     @property
     def code(self):
-        return int(self.first.split()[1])
+        return int(self.start_line.split()[1])
 
 
 async def read_message(reader, connection=0):
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
-    headers = dict(_header(line) for line in head[1:] if line)
+    headers = dict(_parse_header(line) for line in head[1:] if line)
     body = await reader.readexactly(int(headers.get("content-length", 0)))
-    return Got(head[0], headers, body, connection)
+    return ReceivedMessage(head[0], headers, body, connection)
 
 
-def _header(line):
+def _parse_header(line):
     name, value = line.split(":", 1)
     return name.lower(), value.strip()
 
 
-def reply(code=200, body=b"ok", *lines):
-    head = [f"HTTP/1.1 {code} X", f"Content-Length: {len(body)}", *lines]
+def http_response(code=200, body=b"ok", *header_lines):
+    head = [f"HTTP/1.1 {code} X", f"Content-Length: {len(body)}", *header_lines]
     return "\r\n".join(head).encode() + b"\r\n\r\n" + body
 
 
-def reset(writer):
-    """Break a connection as a process that dies does."""
+def reset_connection(writer):
+    """Close a connection with a TCP reset, as when the peer process dies."""
     sock = writer.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
 
 
 @dataclass
-class Fake:
-    """A peer that does with each message what `act` says, a coroutine of (message, reader, writer)."""
-
-    act: object
-    got: list[Got] = field(default_factory=list)
+class FakePeer:
+    """An HTTP server that passes each received message to a handler.
+
+    Attributes:
+        handler: Coroutine function called with (message, reader, writer).
+        received: All messages, in the order of their arrival.
+        connections: Number of accepted connections.
+        closed_connections: Number of accepted connections that are closed again.
+        server: Listening server; None before `start`.
+        port: Port of the listening socket; 0 before `start`.
+    """
+
+    handler: object
+    received: list[ReceivedMessage] = field(default_factory=list)
     connections: int = 0
-    ended: int = 0
+    closed_connections: int = 0
     server: asyncio.Server | None = None
     port: int = 0
 
@@ -123,9 +145,9 @@
         with contextlib.suppress(OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
             while not writer.is_closing():
                 message = await read_message(reader, number)
-                self.got.append(message)
-                await self.act(message, reader, writer)
-        self.ended += 1
+                self.received.append(message)
+                await self.handler(message, reader, writer)
+        self.closed_connections += 1
         writer.close()
 
     @property
@@ -133,26 +155,26 @@
         return f"{HOST}:{self.port}"
 
 
-async def answer_ok(message, reader, writer):
-    writer.write(reply(200, b"served " + message.body))
+async def respond_ok(message, reader, writer):
+    writer.write(http_response(200, b"served " + message.body))
 
 
-def gated():
-    """An act that answers once the event is set."""
-    go = asyncio.Event()
+def gated_handler():
+    """Return an event and a handler that responds once the event is set."""
+    release = asyncio.Event()
 
-    async def act(message, reader, writer):
-        await go.wait()
-        await answer_ok(message, reader, writer)
+    async def handler(message, reader, writer):
+        await release.wait()
+        await respond_ok(message, reader, writer)
 
-    return go, act
+    return release, handler
 
 
-async def silent(message, reader, writer):
+async def never_respond(message, reader, writer):
     await reader.read()
 
 
-def entry(name, address, status="SERVING", since_ms=0, group=1, zone="a"):
+def endpoint_entry(name, address, status="SERVING", since_ms=0, group=1, zone="a"):
     return {
         "name": name,
         "address": address,
@@ -165,16 +187,17 @@
     }
 
 
-def news(index, *entries, snapshot=True):
+def list_update(index, *entries, snapshot=True):
+    """Return an endpoint list update as the discovery service sends it."""
     return {"index": index, "snapshot": snapshot, "endpoints": list(entries)}
 
 
-def _request_class(name, repeat):
+def _request_class(name, retry_mode):
     return {
         "name": name,
         "deadline-ns": 4000 * MS,
         "objective-ns": 1000 * MS,
-        "repeat": repeat,
+        "repeat": retry_mode,
         "key-scope": "cell",
         "window-ns": 2000 * MS,
         "points": 1.0,
@@ -183,8 +206,14 @@
     }
 
 
-def config(known, discovery=f"{HOST}:9", **more):
-    """A configuration as the platform would write it."""
+def config(initial_list, discovery=f"{HOST}:9", **overrides):
+    """Return a sidecar configuration as the platform writes it.
+
+    Args:
+        initial_list: Endpoint list update that the sidecar starts with.
+        discovery: Address of the discovery service.
+        **overrides: Top-level keys that replace or extend the defaults.
+    """
     data = {
         "name": "n0",
         "listen": f"{HOST}:0",
@@ -192,7 +221,7 @@
         "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "peers": [],
-        "known": known,
+        "known": initial_list,
         "settings": {
             "accounts": [],
             "ceilings": {
@@ -220,18 +249,18 @@
             "tick-ns": 5 * MS,
         },
     }
-    data.update(more)
+    data.update(overrides)
     return data
 
 
 class Sidecar:
-    """An sidecar_server with its listening socket in the test's loop."""
+    """A sidecar with its listening socket in the test's event loop."""
 
-    def __init__(self, path, data):
-        path.write_text(json.dumps(data))
-        config = read_config(str(path))
+    def __init__(self, config_path, data):
+        config_path.write_text(json.dumps(data))
+        config = read_config(str(config_path))
         self.server = start_sidecar(asyncio.get_running_loop(), config)
-        self.reload = Reload(self.server, config, str(path), None)  # as at SIGHUP
+        self.reload = Reload(self.server, config, str(config_path), None)  # what SIGHUP runs
         self.port = 0
 
     async def __aenter__(self):
@@ -245,31 +274,32 @@
 
 
 @contextlib.asynccontextmanager
-async def one_server(tmp_path, act):
-    """A sidecar in front of one server that acts so: both."""
-    fake = await Fake(act).start()
-    async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
+async def sidecar_with_endpoint(tmp_path, handler):
+    """Yield a sidecar and its only endpoint, a fake peer with this handler."""
+    fake = await FakePeer(handler).start()
+    async with Sidecar(tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))) as sidecar:
         yield sidecar, fake
 
 
-def message(cls, ident="9b1f03aa5c7e2d41", deadline="3000m", body=b"", *lines):
-    method = "GET" if cls == "lookup" else "POST"
-    head = [f"{method} /{cls}/part?x=1 HTTP/1.1", "Host: origin.svc", f"X-Request-Id: {ident}"]
+def request_message(request_class, request_id="9b1f03aa5c7e2d41", deadline="3000m", body=b"", *header_lines):
+    """Return a client's request of a class, with the headers that the class requires."""
+    method = "GET" if request_class == "lookup" else "POST"
+    head = [f"{method} /{request_class}/part?x=1 HTTP/1.1", "Host: origin.svc", f"X-Request-Id: {request_id}"]
     if deadline:
         head.append(f"X-Deadline: {deadline}")
-    if cls == "hold":
-        head.append(f"Idempotency-Key: key-of-{ident}")
+    if request_class == "hold":
+        head.append(f"Idempotency-Key: key-of-{request_id}")
     if method == "POST":
         head.append(f"Content-Length: {len(body)}")
-    return "\r\n".join([*head, *lines]).encode() + b"\r\n\r\n" + body
+    return "\r\n".join([*head, *header_lines]).encode() + b"\r\n\r\n" + body
 
 
-async def ask(port, data):
-    """One message on a connection of its own: its answer."""
+async def send_request(port, data):
+    """Send one request on a new connection and return the response."""
     reader, writer = await asyncio.open_connection(HOST, port)
     try:
         writer.write(data)
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             return await read_message(reader)
     finally:
         writer.close()
--- a/tests/routing/services_rig.py
+++ b/tests/routing/services_rig.py
@@ -15,20 +15,20 @@
 MB = 1024 * 1024
 
 
-def pool_text(name, *ports, **more):
+def pool_toml(name, *ports, **more):
     lines = [f"[pools.{name}]", f"servers = {json.dumps([f'{HOST}:{port}' for port in ports])}"]
     lines += [f"{key} = {json.dumps(value)}" for key, value in more.items()]
     lines += ["[[routes]]", f'name = "{name}"', f'pool = "{name}"', f'prefix = "/{name}"']
     return "\n".join(lines) + "\n"
 
 
-def plan_of(text):
+def parse_plan(text):
     plan, problems = read_plan(tomllib.loads(text))
     assert plan is not None, problems
     return plan
 
 
-class Node:
+class SidecarNode:
     """A node with services in the test's own loop."""
 
     def __init__(self, text, sockets=512):
@@ -37,7 +37,7 @@
         self.apply(text, sockets)
 
     def apply(self, text, sockets=512):
-        self.services.apply(plan_of(text), sockets, AddressLimits())
+        self.services.apply(parse_plan(text), sockets, AddressLimits())
 
     def pool(self, name):
         return self.services.by_name[name].pool
@@ -51,9 +51,9 @@
         self.server.close()
 
 
-def get(path, *lines, method="GET", host="parts.example"):
+def get_request(path, *lines, method="GET", host="parts.example"):
     return "\r\n".join([f"{method} {path} HTTP/1.1", f"Host: {host}", *lines]).encode() + b"\r\n\r\n"
 
 
-def post(path, body=b"order"):
-    return get(path, f"Content-Length: {len(body)}", method="POST") + body
+def post_request(path, body=b"order"):
+    return get_request(path, f"Content-Length: {len(body)}", method="POST") + body
--- a/tests/routing/test_services.py
+++ b/tests/routing/test_services.py
@@ -8,9 +8,21 @@
 import weakref
 
 import pytest
-from net_helpers import HOST, Fake, answer_ok, ask, gated, read_message, reply, reset, run, silent, until
-from process_helpers import in_time
-from services_rig import Node, get, pool_text, post
+from net_helpers import (
+    HOST,
+    FakePeer,
+    gated_handler,
+    http_response,
+    never_respond,
+    read_message,
+    reset_connection,
+    respond_ok,
+    run,
+    send_request,
+    wait_until,
+)
+from process_helpers import first_valid_run
+from services_rig import SidecarNode, get_request, pool_toml, post_request
 
 from dykefold.balancer.settings import Effect
 from dykefold.net.loop_lag import MIN_LOGGED_S
@@ -31,7 +43,7 @@
         loop = asyncio.get_running_loop()
         while self.going:
             began = loop.time()
-            writer.write(get(path))
+            writer.write(get_request(path))
             try:
                 code = (await read_message(reader)).code
             except asyncio.IncompleteReadError:
@@ -52,11 +64,15 @@
 
 
 def paths_of(fake):
-    return {got.first.split()[1].split("/")[1] for got in fake.got if not got.first.startswith("GET /-/")}
+    return {
+        got.start_line.split()[1].split("/")[1]
+        for got in fake.received
+        if not got.start_line.startswith("GET /-/")
+    }
 
 
 async def refuse(message, reader, writer):
-    writer.write(reply(503, b"full", "X-Not-Run: 1"))
+    writer.write(http_response(503, b"full", "X-Not-Run: 1"))
 
 
 async def garbage(message, reader, writer):
@@ -64,13 +80,13 @@
 
 
 async def broken(message, reader, writer):
-    reset(writer)
+    reset_connection(writer)
 
 
-@pytest.mark.parametrize("failure", [refuse, silent, garbage, broken], ids=lambda act: act.__name__)
+@pytest.mark.parametrize("failure", [refuse, never_respond, garbage, broken], ids=lambda act: act.__name__)
 def test_a_failing_pool_does_not_affect_the_others(failure):
     async def play():
-        acts = {"catalogue": answer_ok, "stock": answer_ok, "orders": answer_ok}
+        acts = {"catalogue": respond_ok, "stock": respond_ok, "orders": respond_ok}
 
         def act_of(name):
             async def act(message, reader, writer):
@@ -78,14 +94,14 @@
 
             return act
 
-        fakes = {name: await Fake(act_of(name)).start() for name in acts}
-        text = "".join(pool_text(name, fake.port, deadline_ms=2000) for name, fake in fakes.items())
-        async with Node(text) as node:
+        fakes = {name: await FakePeer(act_of(name)).start() for name in acts}
+        text = "".join(pool_toml(name, fake.port, deadline_ms=2000) for name, fake in fakes.items())
+        async with SidecarNode(text) as node:
             loads = {name: Load(node.port, f"/{name}/x") for name in acts}
-            await until(lambda: all(load.answered > 100 for load in loads.values()))
+            await wait_until(lambda: all(load.answered > 100 for load in loads.values()))
             acts["orders"] = failure
             before = {name: load.answered for name, load in loads.items()}
-            await until(
+            await wait_until(
                 lambda: all(loads[name].answered > before[name] + 300 for name in ("catalogue", "stock"))
             )
             for name in ("catalogue", "stock"):
@@ -101,21 +117,21 @@
 
 def test_a_request_keeps_its_pool_while_the_table_changes():
     async def play():
-        go, act = gated()
-        old, new = await Fake(act).start(), await Fake(answer_ok).start()
-        async with Node(pool_text("a", old.port)) as node:
+        go, act = gated_handler()
+        old, new = await FakePeer(act).start(), await FakePeer(respond_ok).start()
+        async with SidecarNode(pool_toml("a", old.port)) as node:
             pool = node.pool("a")
-            held = asyncio.create_task(ask(node.port, post("/a/1")))
-            await until(lambda: old.got)
-            node.apply(pool_text("a", new.port, attempts_most=2))  # other settings: another pool
+            held = asyncio.create_task(send_request(node.port, post_request("/a/1")))
+            await wait_until(lambda: old.received)
+            node.apply(pool_toml("a", new.port, attempts_most=2))  # other settings: another pool
             assert node.pool("a") is not pool
             assert pool in node.server.pools
-            assert (await ask(node.port, post("/a/2"))).code == 200
-            assert len(new.got) == 1
+            assert (await send_request(node.port, post_request("/a/2"))).code == 200
+            assert len(new.received) == 1
             go.set()
             assert (await held).code == 200
-            assert len(old.got) == 1
-            await until(lambda: pool not in node.server.pools)
+            assert len(old.received) == 1
+            await wait_until(lambda: pool not in node.server.pools)
             assert pool.closed
             assert not pool.upstreams.connections
 
@@ -124,22 +140,22 @@
 
 def test_a_pool_that_stays_keeps_its_balancer_and_connections():
     async def play():
-        fake, other = await Fake(answer_ok).start(), await Fake(answer_ok).start()
-        async with Node(pool_text("a", fake.port)) as node:
+        fake, other = await FakePeer(respond_ok).start(), await FakePeer(respond_ok).start()
+        async with SidecarNode(pool_toml("a", fake.port)) as node:
             pool = node.pool("a")
-            assert (await ask(node.port, get("/a"))).code == 200
+            assert (await send_request(node.port, get_request("/a"))).code == 200
             node.apply(
-                pool_text("a", fake.port).replace('prefix = "/a"', 'prefix = "/b"')
-                + pool_text("c", other.port)
+                pool_toml("a", fake.port).replace('prefix = "/a"', 'prefix = "/b"')
+                + pool_toml("c", other.port)
             )
             assert node.pool("a") is pool
-            assert (await ask(node.port, get("/a"))).code == 404
-            assert (await ask(node.port, get("/b"))).code == 200
+            assert (await send_request(node.port, get_request("/a"))).code == 404
+            assert (await send_request(node.port, get_request("/b"))).code == 200
             assert fake.connections == 1
-            node.apply(pool_text("a", other.port))  # another list: the same pool
+            node.apply(pool_toml("a", other.port))  # another list: the same pool
             assert node.pool("a") is pool
-            assert (await ask(node.port, get("/a"))).code == 200
-            assert len(other.got) == 1
+            assert (await send_request(node.port, get_request("/a"))).code == 200
+            assert len(other.received) == 1
 
     run(play())
 
@@ -152,41 +168,45 @@
 
         async def break_later(message, reader, writer):
             await go.wait()
-            reset(writer)
+            reset_connection(writer)
 
-        first, second = await Fake(break_later).start(), await Fake(break_later).start()
+        first, second = await FakePeer(break_later).start(), await FakePeer(break_later).start()
         classes = '[pools.a.classes.sale]\neffect = "{}"\naim_ms = 500\ndeadline_ms = 3000\n'
 
         def text(effect):
-            routes = pool_text("a", first.port, second.port).partition("[[routes]]")
+            routes = pool_toml("a", first.port, second.port).partition("[[routes]]")
             return (
                 routes[0] + classes.format(effect) + routes[1] + routes[2] + 'classes = { POST = "sale" }\n'
             )
 
-        async with Node(text("unsafe")) as node:
-            held = asyncio.create_task(ask(node.port, post("/a/1")))
-            await until(lambda: first.got or second.got)
+        async with SidecarNode(text("unsafe")) as node:
+            held = asyncio.create_task(send_request(node.port, post_request("/a/1")))
+            await wait_until(lambda: first.received or second.received)
             node.apply(text("safe"))
             assert node.pool("a").settings.classes[0].effect is Effect.SAFE
             go.set()
             assert (await held).code == 502
-            assert len(first.got) + len(second.got) == 1
+            assert len(first.received) + len(second.received) == 1
 
     run(play())
 
 
 def test_pool_removed_and_re_added_under_its_name_inherits_nothing():
     async def play():
-        go, act = gated()
-        old, new, rest = await Fake(act).start(), await Fake(answer_ok).start(), await Fake(answer_ok).start()
-        async with Node(pool_text("a", old.port) + pool_text("b", rest.port)) as node:
-            held = asyncio.create_task(ask(node.port, post("/a/1")))
-            await until(lambda: old.got)
-            node.apply(pool_text("b", rest.port))
-            assert (await ask(node.port, get("/a"))).code == 404
-            node.apply(pool_text("a", new.port) + pool_text("b", rest.port))
-            assert (await ask(node.port, get("/a"))).code == 200
-            assert len(old.got) == 1
+        go, act = gated_handler()
+        old, new, rest = (
+            await FakePeer(act).start(),
+            await FakePeer(respond_ok).start(),
+            await FakePeer(respond_ok).start(),
+        )
+        async with SidecarNode(pool_toml("a", old.port) + pool_toml("b", rest.port)) as node:
+            held = asyncio.create_task(send_request(node.port, post_request("/a/1")))
+            await wait_until(lambda: old.received)
+            node.apply(pool_toml("b", rest.port))
+            assert (await send_request(node.port, get_request("/a"))).code == 404
+            node.apply(pool_toml("a", new.port) + pool_toml("b", rest.port))
+            assert (await send_request(node.port, get_request("/a"))).code == 200
+            assert len(old.received) == 1
             go.set()
             assert (await held).code == 200
 
@@ -195,33 +215,36 @@
 
 def test_two_services_may_share_a_server():
     async def play():
-        fake = await Fake(answer_ok).start()
-        async with Node(pool_text("a", fake.port) + pool_text("b", fake.port)) as node:
+        fake = await FakePeer(respond_ok).start()
+        async with SidecarNode(pool_toml("a", fake.port) + pool_toml("b", fake.port)) as node:
             same = "X-Request-Id: 1"  # ids are told apart by pool
-            answers = await asyncio.gather(ask(node.port, get("/a", same)), ask(node.port, get("/b", same)))
+            answers = await asyncio.gather(
+                send_request(node.port, get_request("/a", same)),
+                send_request(node.port, get_request("/b", same)),
+            )
             assert [got.code for got in answers] == [200, 200]
-            node.apply(pool_text("b", fake.port))
-            assert (await ask(node.port, get("/b"))).code == 200
+            node.apply(pool_toml("b", fake.port))
+            assert (await send_request(node.port, get_request("/b"))).code == 200
 
     run(play())
 
 
 def test_a_bad_plan_changes_nothing():
     async def play():
-        fake = await Fake(answer_ok).start()
-        async with Node(pool_text("a", fake.port)) as node:
+        fake = await FakePeer(respond_ok).start()
+        async with SidecarNode(pool_toml("a", fake.port)) as node:
             grammar, pools = node.server.parser, dict(node.services.by_name)
             with pytest.raises(ValueError, match="minima"):
-                node.apply(pool_text("a", fake.port, open_least=9000) + pool_text("b", fake.port))
+                node.apply(pool_toml("a", fake.port, open_least=9000) + pool_toml("b", fake.port))
             assert node.server.parser is grammar
             assert node.services.by_name == pools
-            assert (await ask(node.port, get("/a"))).code == 200
-            text = pool_text("a", fake.port, open_least=100)
+            assert (await send_request(node.port, get_request("/a"))).code == 200
+            text = pool_toml("a", fake.port, open_least=100)
             node.apply(text)
             with pytest.raises(ValueError, match="minima"):
                 node.apply(text, sockets=128)  # judged by the limit that comes with it
             assert node.server.budget.upstreams.limit == node.services.reservations.total > 100
-            node.apply(pool_text("a", fake.port), sockets=128)
+            node.apply(pool_toml("a", fake.port), sockets=128)
             assert node.server.budget.upstreams.limit == node.services.reservations.total < 100
 
     run(play())
@@ -229,18 +252,20 @@
 
 def test_a_hundred_reloads_under_load_lose_nothing():
     async def play():
-        fakes = [await Fake(answer_ok).start() for _ in range(3)]
+        fakes = [await FakePeer(respond_ok).start() for _ in range(3)]
         texts = [
-            pool_text("a", fakes[0].port) + pool_text("b", fakes[1].port),
-            pool_text("a", fakes[0].port, fakes[2].port) + pool_text("b", fakes[1].port, attempts_most=2),
-            pool_text("b", fakes[2].port, attempts_most=4) + pool_text("a", fakes[1].port, idle_ms=900),
+            pool_toml("a", fakes[0].port) + pool_toml("b", fakes[1].port),
+            pool_toml("a", fakes[0].port, fakes[2].port) + pool_toml("b", fakes[1].port, attempts_most=2),
+            pool_toml("b", fakes[2].port, attempts_most=4) + pool_toml("a", fakes[1].port, idle_ms=900),
         ]
-        async with Node(texts[0]) as node:
+        async with SidecarNode(texts[0]) as node:
             loads = [Load(node.port, f"/{name}/x") for name in "ab"]
             for number in range(100):
                 before = [load.answered for load in loads]
                 node.apply(texts[number % 3])
-                await until(lambda: all(load.answered > n for load, n in zip(loads, before, strict=True)))  # noqa: B023
+                await wait_until(
+                    lambda: all(load.answered > n for load, n in zip(loads, before, strict=True))  # noqa: B023
+                )
             for load in loads:
                 await load.end()
             # Where the machine took the core away some are refused, as ever; that is no loss, and no pass.
@@ -249,40 +274,40 @@
             void = 503 in codes and late_s >= MIN_LOGGED_S
             assert codes <= ({200, 503} if void else {200})
             assert not any(load.lost for load in loads)
-            ids = [got.headers["x-request-id"] for fake in fakes for got in fake.got]
+            ids = [got.headers["x-request-id"] for fake in fakes for got in fake.received]
             served = sum(load.codes[200] for load in loads)
             assert len(ids) == len(set(ids)) == served
-            await until(lambda: len(node.server.pools) == 2)
+            await wait_until(lambda: len(node.server.pools) == 2)
         return None, f"the loop was late by {late_s:.2f} s, and some were refused" if void else None
 
-    in_time(lambda: run(play()))
+    first_valid_run(lambda: run(play()))
 
 
 def test_a_thousand_pools_added_and_removed_leave_nothing_behind(caplog):
     caplog.set_level(logging.WARNING, "dykefold")  # lines that the test keeps would count
 
     async def play():
-        fake = await Fake(answer_ok).start()
-        base = pool_text("a", fake.port)
-        async with Node(base) as node:
-            assert (await ask(node.port, get("/a"))).code == 200
+        fake = await FakePeer(respond_ok).start()
+        base = pool_toml("a", fake.port)
+        async with SidecarNode(base) as node:
+            assert (await send_request(node.port, get_request("/a"))).code == 200
             gone = []
 
             async def rounds(count):
                 for number in range(count):
-                    node.apply(base + pool_text(f"p{number}", fake.port))
+                    node.apply(base + pool_toml(f"p{number}", fake.port))
                     if number % 50 == 0:
-                        assert (await ask(node.port, get(f"/p{number}"))).code == 200
+                        assert (await send_request(node.port, get_request(f"/p{number}"))).code == 200
                         gone.append(weakref.ref(node.pool(f"p{number}")))
                     node.apply(base)
-                await until(lambda: len(node.server.pools) == 1)
+                await wait_until(lambda: len(node.server.pools) == 1)
 
             await rounds(100)
             gc.collect()
             blocks, files = sys.getallocatedblocks(), len(os.listdir("/proc/self/fd"))
             await rounds(1000)
-            await until(lambda: len(os.listdir("/proc/self/fd")) <= files + 2)
-            await until(lambda: gc.collect() is not None and all(ref() is None for ref in gone))
+            await wait_until(lambda: len(os.listdir("/proc/self/fd")) <= files + 2)
+            await wait_until(lambda: gc.collect() is not None and all(ref() is None for ref in gone))
             assert sys.getallocatedblocks() < blocks + 5_000  # five to a pool would show
             assert node.server.budget.reservations == 0
             assert not node.server.budget.upstreams.in_use > 1
@@ -293,21 +318,21 @@
 
 def test_a_pool_that_uses_all_descriptors_leaves_the_others_their_minimum():
     async def play():
-        mute, fake = await Fake(silent).start(), await Fake(answer_ok).start()
-        text = pool_text("a", mute.port, deadline_ms=20_000) + pool_text("b", fake.port, open_least=10)
-        async with Node(text, sockets=160) as node:
+        mute, fake = await FakePeer(never_respond).start(), await FakePeer(respond_ok).start()
+        text = pool_toml("a", mute.port, deadline_ms=20_000) + pool_toml("b", fake.port, open_least=10)
+        async with SidecarNode(text, sockets=160) as node:
             most = node.server.budget.upstreams.limit
             writers = []
             for number in range(most + 20):
                 _, writer = await asyncio.open_connection(HOST, node.port)
-                writer.write(get(f"/a/{number}"))
+                writer.write(get_request(f"/a/{number}"))
                 writers.append(writer)
                 if len(node.pool("a").pending) >= most - 10:
                     break
                 await asyncio.sleep(0)
-            await until(lambda: node.services.reservations.shared > 0)
+            await wait_until(lambda: node.services.reservations.shared > 0)
             for _ in range(30):
-                assert (await ask(node.port, get("/b"))).code == 200
+                assert (await send_request(node.port, get_request("/b"))).code == 200
             for writer in writers:
                 writer.close()
 
@@ -316,18 +341,18 @@
 
 def test_a_client_that_shut_down_its_side_receives_the_whole_response():
     async def play():
-        go, act = gated()
-        fake = await Fake(act).start()
-        async with Node(pool_text("a", fake.port)) as node:
+        go, act = gated_handler()
+        fake = await FakePeer(act).start()
+        async with SidecarNode(pool_toml("a", fake.port)) as node:
             reader, writer = await asyncio.open_connection(HOST, node.port)
-            writer.write(get("/a/1"))
-            await until(lambda: fake.got)
+            writer.write(get_request("/a/1"))
+            await wait_until(lambda: fake.received)
             writer.write_eof()
             await asyncio.sleep(0.02)
             go.set()
             assert (await read_message(reader)).code == 200
             assert await reader.read() == b""
             writer.close()
-            await until(lambda: not node.server.clients.all)
+            await wait_until(lambda: not node.server.clients.all)
 
     run(play())
--- a/tests/routing/test_streams.py
+++ b/tests/routing/test_streams.py
@@ -8,9 +8,9 @@
 
 import httpx
 import pytest
-from net_helpers import HOST, read_message, reply, reset, run, until
-from services_rig import Node, get, pool_text
-from stream_helpers import BIG, KB, Server, digest
+from net_helpers import HOST, http_response, read_message, reset_connection, run, wait_until
+from services_rig import SidecarNode, get_request, pool_toml
+from stream_helpers import KB, LARGE_BODY, StreamingEndpoint, respond_with_digest
 
 from dykefold.admission.budget import DescriptorAllowance
 from dykefold.balancer.events import State, Status
@@ -22,37 +22,37 @@
 
 
 def head(length, *lines, path="/a/x", method="PUT"):
-    return get(path, f"Content-Length: {length}", *lines, method=method)
+    return get_request(path, f"Content-Length: {length}", *lines, method=method)
 
 
 async def big(headers, reader, writer):
-    writer.write(reply(200, BIG, 'ETag: "big"'))
+    writer.write(http_response(200, LARGE_BODY, 'ETag: "big"'))
     await writer.drain()
 
 
 async def pieces(headers, reader, writer):
     writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-    for at in range(0, len(BIG), 10_000):
-        piece = BIG[at : at + 10_000]
+    for at in range(0, len(LARGE_BODY), 10_000):
+        piece = LARGE_BODY[at : at + 10_000]
         writer.write(b"%x\r\n%s\r\n" % (len(piece), piece))
         await writer.drain()
     writer.write(b"0\r\n\r\n")
 
 
 async def breaks(headers, reader, writer):
-    writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(BIG) + BIG[: 300 * KB])
+    writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LARGE_BODY) + LARGE_BODY[: 300 * KB])
     await writer.drain()
-    reset(writer)
+    reset_connection(writer)
 
 
 async def no_body_wanted(headers, reader, writer):
-    writer.write(reply(403, b"not yours"))
+    writer.write(http_response(403, b"not yours"))
     await reader.read()
 
 
 async def breaks_in_body(headers, reader, writer):
     await reader.readexactly(100 * KB)
-    reset(writer)
+    reset_connection(writer)
 
 
 async def waits(headers, reader, writer):
@@ -61,12 +61,12 @@
 
 @asynccontextmanager
 async def served(*acts, **more):
-    servers = [await Server(act).start() for act in acts]
-    text = pool_text("a", *(server.port for server in servers))
+    servers = [await StreamingEndpoint(act).start() for act in acts]
+    text = pool_toml("a", *(server.port for server in servers))
     text += "idempotent = true\n" + "".join(f"{key} = {value}\n" for key, value in more.items())
-    async with Node(text) as node:
+    async with SidecarNode(text) as node:
         yield node, servers
-        await until(lambda: not node.pool("a").pending and not node.pool("a").attempts)
+        await wait_until(lambda: not node.pool("a").pending and not node.pool("a").attempts)
     assert node.server.memory.reserved_bytes == 0
     assert node.server.budget.reservations == 0
 
@@ -77,17 +77,17 @@
 
 def test_large_bodies_reach_the_server_whole_in_both_framings():
     async def in_pieces():
-        for at in range(0, len(BIG), 7_000):
-            yield BIG[at : at + 7_000]
+        for at in range(0, len(LARGE_BODY), 7_000):
+            yield LARGE_BODY[at : at + 7_000]
 
     async def play():
-        async with served(digest) as (node, (server,)), httpx.AsyncClient() as client:
-            for content in (BIG, in_pieces(), b"small"):
+        async with served(respond_with_digest) as (node, (server,)), httpx.AsyncClient() as client:
+            for content in (LARGE_BODY, in_pieces(), b"small"):
                 got = await client.put(f"http://{HOST}:{node.port}/a/x", content=content)
-                whole = b"small" if content == b"small" else BIG
+                whole = b"small" if content == b"small" else LARGE_BODY
                 assert (got.status_code, got.text) == (200, hashlib.sha256(whole).hexdigest())
             assert [headers.get("content-length") for _, headers in server.heads] == [
-                str(len(BIG)),
+                str(len(LARGE_BODY)),
                 None,
                 "5",
             ]
@@ -103,7 +103,7 @@
             for _ in range(2):
                 got = await client.get(f"http://{HOST}:{node.port}/a/x")
                 assert got.status_code == 200
-                assert got.content == BIG
+                assert got.content == LARGE_BODY
             assert len(node.server.clients.all) == 1
             assert len(node.pool("a").upstreams.connections) == 1
 
@@ -114,22 +114,22 @@
     async def play():
         async with served(big) as (node, (server,)):
             reader, writer = await asyncio.open_connection(HOST, node.port, limit=4 * KB)
-            writer.write(get("/a/x"))
+            writer.write(get_request("/a/x"))
             await reader.readuntil(b"\r\n\r\n")
             connections = node.pool("a").upstreams.connections
-            await until(lambda: any(connection.blocked for connection in connections))
+            await wait_until(lambda: any(connection.blocked for connection in connections))
             assert node.server.memory.reserved_bytes < 64 * KB
-            assert await reader.readexactly(len(BIG)) == BIG
+            assert await reader.readexactly(len(LARGE_BODY)) == LARGE_BODY
             writer.close()
             assert len(server.heads) == 1
 
     # The sockets of the machine would take the whole of a smaller answer.
-    global BIG
-    small, BIG = BIG, BIG * 16
+    global LARGE_BODY
+    small, LARGE_BODY = LARGE_BODY, LARGE_BODY * 16
     try:
         run(play())
     finally:
-        BIG = small
+        LARGE_BODY = small
 
 
 def test_body_that_has_begun_to_stream_is_never_retried():
@@ -138,7 +138,7 @@
     async def play():
         async with served(breaks_in_body, breaks_in_body) as (node, servers):
             reader, writer = await opened(node)
-            writer.write(head(len(BIG)) + BIG)
+            writer.write(head(len(LARGE_BODY)) + LARGE_BODY)
             assert (await read_message(reader)).code == 502
             assert sum(len(server.heads) for server in servers) == 1
             writer.close()
@@ -148,14 +148,14 @@
 
 def test_a_body_of_which_nothing_was_sent_is_retried_at_another_endpoint():
     async def play():
-        async with served(digest) as (node, (server,)):
-            dead = await Server(digest).start()
+        async with served(respond_with_digest) as (node, (server,)):
+            dead = await StreamingEndpoint(respond_with_digest).start()
             dead.server.close()
             await dead.server.wait_closed()
-            node.apply(pool_text("a", dead.port, server.port) + "idempotent = true\n")
+            node.apply(pool_toml("a", dead.port, server.port) + "idempotent = true\n")
             for _ in range(8):
                 reader, writer = await opened(node)
-                writer.write(head(len(BIG)) + BIG)
+                writer.write(head(len(LARGE_BODY)) + LARGE_BODY)
                 assert (await read_message(reader)).code == 200
                 writer.close()
 
@@ -166,10 +166,10 @@
     async def play():
         async with served(breaks, breaks) as (node, servers):
             reader, writer = await opened(node)
-            writer.write(get("/a/x"))
+            writer.write(get_request("/a/x"))
             await reader.readuntil(b"\r\n\r\n")
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
-                await reader.readexactly(len(BIG))
+                await reader.readexactly(len(LARGE_BODY))
             assert sum(len(server.heads) for server in servers) == 1
             writer.close()
 
@@ -180,7 +180,7 @@
     async def play():
         async with served(no_body_wanted) as (node, _):
             reader, writer = await opened(node)
-            writer.write(head(len(BIG)) + BIG[: 200 * KB])
+            writer.write(head(len(LARGE_BODY)) + LARGE_BODY[: 200 * KB])
             got = await read_message(reader)
             assert (got.code, got.body, got.headers["connection"]) == (403, b"not yours", "close")
             assert await reader.read() == b""
@@ -192,17 +192,17 @@
 @pytest.mark.parametrize("framing", ["announced", "chunks", "chunks after it has begun"])
 def test_bodies_over_the_routes_limit_are_rejected_with_one_response(framing):
     async def play():
-        async with served(digest, body_most_bytes=128 * KB) as (node, (server,)):
+        async with served(respond_with_digest, body_most_bytes=128 * KB) as (node, (server,)):
             reader, writer = await opened(node)
             if framing == "announced":
-                writer.write(head(len(BIG)))
+                writer.write(head(len(LARGE_BODY)))
             else:
-                writer.write(get("/a/x", "Transfer-Encoding: chunked", method="PUT"))
+                writer.write(get_request("/a/x", "Transfer-Encoding: chunked", method="PUT"))
                 for _ in range(40 if framing == "chunks" else 20):
-                    writer.write(b"%x\r\n%s\r\n" % (4 * KB, BIG[: 4 * KB]))
+                    writer.write(b"%x\r\n%s\r\n" % (4 * KB, LARGE_BODY[: 4 * KB]))
                 if framing == "chunks after it has begun":
-                    await until(lambda: server.heads)
-                    writer.write(b"%x\r\n%s\r\n" % (64 * KB, BIG[: 64 * KB]))
+                    await wait_until(lambda: server.heads)
+                    writer.write(b"%x\r\n%s\r\n" % (64 * KB, LARGE_BODY[: 64 * KB]))
             assert (await read_message(reader)).code == 413
             assert await reader.read() == b""
             writer.close()
@@ -216,10 +216,10 @@
             ends = []
             node.pool("a").on_attempt_end = lambda endpoint, status, took_ns, goal_ns: ends.append(status)
             _, writer = await opened(node)
-            writer.write(head(len(BIG)) + BIG[: 300 * KB])
-            await until(lambda: server.heads)
+            writer.write(head(len(LARGE_BODY)) + LARGE_BODY[: 300 * KB])
+            await wait_until(lambda: server.heads)
             writer.transport.abort()
-            await until(lambda: not node.pool("a").attempts)
+            await wait_until(lambda: not node.pool("a").attempts)
             assert not node.pool("a").upstreams.connections
             assert ends == [Status.CANCELLED]  # a part of a body may have had an effect here
 
@@ -228,11 +228,11 @@
 
 def test_a_body_that_stops_is_answered_in_seconds_and_its_endpoint_is_not_blamed():
     async def play():
-        async with served(digest, deadline_ms=60_000) as (node, _):
+        async with served(respond_with_digest, deadline_ms=60_000) as (node, _):
             balancer, pressed = node.pool("a").balancer, []
             balancer.congestion.add_latency = lambda *about: pressed.append(about)
             reader, writer = await opened(node)
-            writer.write(head(len(BIG)) + BIG[: 100 * KB])
+            writer.write(head(len(LARGE_BODY)) + LARGE_BODY[: 100 * KB])
             assert (await read_message(reader)).code == 408
             assert not any(server.failure_score for server in balancer.endpoints.all.values())
             assert not pressed  # nor does it cut what others may have in flight
@@ -243,11 +243,11 @@
 
 def test_pipelined_requests_are_answered_in_order_round_a_stream():
     async def play():
-        async with served(digest) as (node, _):
+        async with served(respond_with_digest) as (node, _):
             reader, writer = await opened(node)
-            parts = [head(2) + b"ab", head(len(BIG)) + BIG, head(2) + b"cd"]
+            parts = [head(2) + b"ab", head(len(LARGE_BODY)) + LARGE_BODY, head(2) + b"cd"]
             writer.write(b"".join(parts))
-            wanted = [hashlib.sha256(body).hexdigest().encode() for body in (b"ab", BIG, b"cd")]
+            wanted = [hashlib.sha256(body).hexdigest().encode() for body in (b"ab", LARGE_BODY, b"cd")]
             assert [(await read_message(reader)).body for _ in wanted] == wanted
             writer.close()
 
@@ -263,7 +263,7 @@
 
     def send_response_piece(self, data):
         self.got += len(data)
-        if self.got == len(BIG):
+        if self.got == len(LARGE_BODY):
             self.connection.block(True)
 
 
@@ -271,7 +271,7 @@
     """Red when it is kept with its reading stopped: the next answer on it would never be read."""
 
     async def play():
-        server = await Server(big).start()
+        server = await StreamingEndpoint(big).start()
         loop = asyncio.get_running_loop()
         pool = ConnectionPool(
             loop, ConnectionLimits(DescriptorAllowance(8), MemoryBudget(192 * KB * KB), 5.0, 60.0)
@@ -279,8 +279,10 @@
         pool.update(1, (HOST, server.port), 0, State.READY)
         for _ in range(2):
             end = loop.create_future()
-            exchange = HeldUp(get("/a/x"), lambda _, status, answer, end=end: end.set_result(status), 64 * KB)
-            exchange.profile, exchange.max_streamed_bytes = HttpProfile.GENERIC, 2 * len(BIG)
+            exchange = HeldUp(
+                get_request("/a/x"), lambda _, status, answer, end=end: end.set_result(status), 64 * KB
+            )
+            exchange.profile, exchange.max_streamed_bytes = HttpProfile.GENERIC, 2 * len(LARGE_BODY)
             pool.start(1, exchange, 5.0)
             assert await end is Status.OK
         assert len(pool.connections) == 1
@@ -294,9 +296,9 @@
     """Guards against a request that is hidden in the body of another (RFC 9112, 6.1)."""
 
     async def play():
-        async with served(digest) as (node, (server,)):
+        async with served(respond_with_digest) as (node, (server,)):
             reader, writer = await opened(node)
-            writer.write(head(length, "Transfer-Encoding: chunked") + b"0\r\n\r\n" + get("/a/hidden"))
+            writer.write(head(length, "Transfer-Encoding: chunked") + b"0\r\n\r\n" + get_request("/a/hidden"))
             assert (await read_message(reader)).code == 400
             assert await reader.read() == b""
             assert not server.heads
@@ -311,13 +313,13 @@
     async def play():
         async with served(big) as (node, _):
             reader, writer = await asyncio.open_connection(HOST, node.port, limit=4 * KB)
-            writer.write(get("/a/x"))
+            writer.write(get_request("/a/x"))
             await reader.readuntil(b"\r\n\r\n")
             front = weakref.ref(next(iter(node.server.clients.all.values())))
             gc.disable()
             try:
                 writer.transport.abort()
-                await until(lambda: front() is None)
+                await wait_until(lambda: front() is None)
             finally:
                 gc.enable()
 
--- a/tests/routing/test_usual_clients.py
+++ b/tests/routing/test_usual_clients.py
@@ -10,15 +10,15 @@
 import pytest
 import requests
 import urllib3
-from net_helpers import HOST, Fake, read_message, reply, run, until
-from services_rig import Node, get, pool_text
+from net_helpers import HOST, FakePeer, http_response, read_message, run, wait_until
+from services_rig import SidecarNode, get_request, pool_toml
 
 pytestmark = pytest.mark.processes
 
 
 async def act(message, reader, writer):
     """A usual server: what it was asked, back as JSON; some paths have answers of their own."""
-    method, target, _ = message.first.split()
+    method, target, _ = message.start_line.split()
     head = [f"ETag: {message.headers.get('x-request-id', '')}", "Content-Type: application/json"]
     body = json.dumps({"method": method, "target": target, "body": message.body.decode()}).encode()
     match target.rpartition("/")[2]:
@@ -27,11 +27,11 @@
         case "unchanged":
             writer.write(b'HTTP/1.1 304 Not Modified\r\nETag: "1"\r\n\r\n')
         case "moved":
-            writer.write(reply(302, b"", "Location: /a/here"))
+            writer.write(http_response(302, b"", "Location: /a/here"))
         case "missing":
-            writer.write(reply(404, b"no such part", *head))
+            writer.write(http_response(404, b"no such part", *head))
         case "broken":
-            writer.write(reply(500, b"out of order", *head))
+            writer.write(http_response(500, b"out of order", *head))
         case "pieces":
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n")
             for piece in (b"ab", b"cde"):
@@ -40,14 +40,14 @@
         case _ if method == "HEAD":
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1234\r\nX-Kept: yes\r\n\r\n")
         case _:
-            writer.write(reply(200, body, *head))
+            writer.write(http_response(200, body, *head))
 
 
 @asynccontextmanager
 async def served():
-    fake = await Fake(act).start()
-    text = pool_text("a", fake.port) + "idempotent = true\n"
-    async with Node(text) as node:
+    fake = await FakePeer(act).start()
+    text = pool_toml("a", fake.port) + "idempotent = true\n"
+    async with SidecarNode(text) as node:
         yield fake, node, f"http://{HOST}:{node.port}/a"
 
 
@@ -82,7 +82,7 @@
             assert (await client.get(f"{base}/pieces")).text == "abcde"
             assert (await client.options(f"{base}/x")).status_code == 200
             assert len(node.server.clients.all) == 1  # one connection for all of them
-            ids = [got.headers["x-request-id"] for got in fake.got]
+            ids = [got.headers["x-request-id"] for got in fake.received]
             assert len(set(ids)) == len(ids)
 
     run(play())
@@ -128,7 +128,7 @@
     async def play():
         async with served() as (_, node, base):
             await asyncio.to_thread({"requests": with_requests, "urllib3": with_urllib3}[library], base)
-            await until(lambda: not node.server.clients.all)
+            await wait_until(lambda: not node.server.clients.all)
 
     run(play())
 
@@ -168,7 +168,7 @@
     async def play():
         async with served() as (_, node, _):
             reader, writer = await asyncio.open_connection(HOST, node.port)
-            writer.write(b"".join(get(f"/a/{number}") for number in range(10)))
+            writer.write(b"".join(get_request(f"/a/{number}") for number in range(10)))
             for number in range(10):
                 assert json.loads((await read_message(reader)).body)["target"] == f"/a/{number}"
             writer.close()
@@ -181,7 +181,7 @@
         async with served() as (_, node, _):
             reader, writer = await asyncio.open_connection(HOST, node.port)
             for target, code in (("/none", b"404"), ("/a//x", b"400"), ("/a/x", b"200")):
-                writer.write(get(target, method="HEAD"))
+                writer.write(get_request(target, method="HEAD"))
                 head = await reader.readuntil(b"\r\n\r\n")
                 assert head.split()[1] == code
                 assert head.lower().count(b"content-length") == 1
@@ -196,9 +196,9 @@
     async def play():
         async with served() as (fake, node, _):
             reader, writer = await asyncio.open_connection(HOST, node.port)
-            writer.write(get("/a/x", "Host: other.example"))
+            writer.write(get_request("/a/x", "Host: other.example"))
             assert (await read_message(reader)).code == 400
-            assert not fake.got
+            assert not fake.received
             writer.close()
 
     run(play())
--- a/tests/sim/test_network.py
+++ b/tests/sim/test_network.py
@@ -16,7 +16,7 @@
 ADDRESS = ("10.0.0.2", 80)
 
 
-class Pair:
+class HostPair:
     """Two processes on two hosts, the second one listening."""
 
     def __init__(self, seed=1):
@@ -41,7 +41,7 @@
 
 
 def test_bytes_arrive_in_order_whatever_the_pieces():
-    pair = Pair()
+    pair = HostPair()
     one, other = pair.connected()
     data = bytes(range(256)) * 100
     left, got = data, b""
@@ -55,7 +55,7 @@
 
 
 def test_a_full_window_takes_no_more_until_it_is_read():
-    pair = Pair()
+    pair = HostPair()
     one, other = pair.connected()
     sent = 0
     while sent < WINDOW_BYTES:
@@ -71,7 +71,7 @@
 
 
 def test_an_end_of_stream_arrives_after_the_bytes_before_it():
-    pair = Pair()
+    pair = HostPair()
     one, other = pair.connected()
     one.send(b"last words")
     one.shutdown(socket.SHUT_WR)
@@ -87,7 +87,7 @@
 
 @pytest.mark.parametrize("how", ["unread", "linger", "killed"])
 def test_after_a_reset_bytes_that_have_arrived_can_still_be_read(how):
-    pair = Pair()
+    pair = HostPair()
     one, other = pair.connected()
     one.send(b"arrived")
     other.send(b"never read")
@@ -107,7 +107,7 @@
 
 
 def test_connects_are_refused_or_wait_for_room_in_the_backlog():
-    pair = Pair()
+    pair = HostPair()
     refused = pair.network.socket(pair.client)
     told = []
     refused.connect(("10.0.0.2", 81), told.append)
@@ -124,7 +124,7 @@
 
 
 def test_a_cut_is_silent_and_what_was_sent_arrives_when_it_is_over():
-    pair = Pair()
+    pair = HostPair()
     one, other = pair.connected()
     pair.network.part("client", "server")
     one.send(b"waits")
@@ -136,7 +136,7 @@
 
 
 def test_descriptors_are_counted_by_process():
-    pair = Pair()
+    pair = HostPair()
     pair.connected()
     pair.network.descriptors["client"] = 2
     pair.network.socket(pair.client)
@@ -173,7 +173,7 @@
 
 
 def test_an_abort_leaves_the_descriptor_open_for_two_turns_as_uvloop_does():
-    pair = Pair()
+    pair = HostPair()
     one, other = pair.connected()
     transport = SimTransport(pair.client, one, Recorder())
     pair.client.wake(transport.begin)
@@ -188,7 +188,7 @@
 
 
 def test_writer_is_paused_while_its_bytes_wait_and_resumed_when_they_are_sent():
-    pair = Pair()
+    pair = HostPair()
     one, other = pair.connected()
     protocol = Recorder()
     transport = SimTransport(pair.client, one, protocol)
@@ -208,7 +208,7 @@
 
 def test_call_soon_is_first_in_first_out_and_timers_of_one_time_are_not():
     def order(seed):
-        pair = Pair(seed)
+        pair = HostPair(seed)
         soon, rung = [], []
         pair.client.wake(lambda: [pair.client.call_soon(soon.append, number) for number in range(20)])
         pair.client.wake(lambda: [pair.client.call_later(0.01, rung.append, number) for number in range(20)])
@@ -221,7 +221,7 @@
 
 
 def test_a_paused_process_takes_no_turn_and_a_dead_one_none_at_all():
-    pair = Pair()
+    pair = HostPair()
     ran = []
     pair.client.pause(100 * MS)
     pair.client.wake(ran.append, "woken")
@@ -236,7 +236,7 @@
 
 
 def test_the_programs_own_time_outs_work_on_the_virtual_loop():
-    pair = Pair()
+    pair = HostPair()
     ends = []
 
     async def waits():
--- a/tests/sim/test_reality.py
+++ b/tests/sim/test_reality.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 
 import pytest
-from net_helpers import HOST, Fake, ask, entry, news, reply, run
+from net_helpers import HOST, FakePeer, endpoint_entry, http_response, list_update, run, send_request
 
 from dykefold.net.discovery.codec import NameTable, parse_endpoint_update
 from dykefold.net.loop_lag import MIN_LOGGED_S
@@ -41,15 +41,15 @@
             await reader.read()
             return
         if self.held >= nodes.MAX_QUEUED:
-            writer.write(reply(503, b"full", "X-Not-Run: 1"))
+            writer.write(http_response(503, b"full", "X-Not-Run: 1"))
             return
         self.held += 1
-        cls = CLASSES.index(message.first.split("/")[1])
+        cls = CLASSES.index(message.start_line.split("/")[1])
         async with self.cores:
             took_ms = nodes.WORK_MS[cls] * min(self.random.expovariate(1.0), 4.0)
             await asyncio.sleep(took_ms / 1000)
         self.held -= 1
-        writer.write(reply(200, b"done"))
+        writer.write(http_response(200, b"done"))
 
 
 def shares(counts):
@@ -70,13 +70,15 @@
 async def real(scenario, wrong):
     loop = asyncio.get_running_loop()
     fakes = [
-        await Fake(RealNode(number, wrong if number == 0 else None).act).start()
+        await FakePeer(RealNode(number, wrong if number == 0 else None).act).start()
         for number in range(scenario.servers)
     ]
     sidecar_server = SidecarServer(loop, SidecarLimits(256, 64 * MB))
     settings = settings_of(scenario)
     names = NameTable(settings.zones, ["std"])
-    known = news(10, *(entry(f"n{n}", fake.address, group=n % 2) for n, fake in enumerate(fakes)))
+    known = list_update(
+        10, *(endpoint_entry(f"n{n}", fake.address, group=n % 2) for n, fake in enumerate(fakes))
+    )
     transport = Transport(["std"], 15 * SECOND, 10_000)
     known_update = parse_endpoint_update(known, names)
     sidecar_server.serve_one(PoolConfig(settings, transport, 7, (HOST, 9), names, known_update))
@@ -85,7 +87,7 @@
 
     async def one(arrival):
         await asyncio.sleep(arrival.at_ns / 1e9)
-        got = await ask(port, encode_request(arrival, f"{arrival.number:x}", arrival.deadline_ms))
+        got = await send_request(port, encode_request(arrival, f"{arrival.number:x}", arrival.deadline_ms))
         counts[arrival.class_number, end_of(got.code)] += 1
 
     await asyncio.gather(*(one(arrival) for arrival in scenario.arrivals))
--- a/tests/sim/test_syscalls.py
+++ b/tests/sim/test_syscalls.py
@@ -3,7 +3,7 @@
 import errno
 
 import pytest
-from test_network import ADDRESS, Pair
+from test_network import ADDRESS, HostPair
 
 from dykefold.sim.kernel import SECOND
 from dykefold.sim.network import Network
@@ -13,7 +13,7 @@
 HOSTS = {SystemCall.ACCEPT: "server"}
 
 
-class Failing(Pair):
+class Failing(HostPair):
     """The client's calls fail, all of them; an accept is the server's."""
 
     def fail(self, *calls):
@@ -114,14 +114,14 @@
 
 
 def test_without_system_call_faults_nothing_is_drawn():
-    network: Network = Pair().network
+    network: Network = HostPair().network
     before = network.failing.random.getstate()
     assert not any(network.failing.error("client", call) for call in SystemCall)
     assert network.failing.random.getstate() == before
 
 
 def test_a_clock_that_steps_moves_no_other():
-    pair = Pair()
+    pair = HostPair()
     pair.network.clock_steps_ns["client"] = -3600 * SECOND
     apart_ns = pair.network.wall_ns("server") - pair.network.wall_ns("client")
     assert apart_ns == 3600 * SECOND
--- a/tests/stream_helpers.py
+++ b/tests/stream_helpers.py
@@ -1,16 +1,16 @@
-"""Servers that see a request's head before its body, for long messages."""
+"""Endpoints that handle a request's head before its body arrives, for streamed messages."""
 
 import asyncio
 import hashlib
 
-from net_helpers import HOST, reply
+from net_helpers import HOST, http_response
 
 KB = 1024
-BIG = bytes(range(256)) * 4 * KB  # 1 MiB
+LARGE_BODY = bytes(range(256)) * 4 * KB  # 1 MiB
 
 
 async def read_body(reader, headers):
-    """A request's body, in either framing."""
+    """Read a request body framed by Content-Length or by chunked transfer coding."""
     if "transfer-encoding" not in headers:
         return await reader.readexactly(int(headers.get("content-length", 0)))
     body = b""
@@ -21,13 +21,19 @@
     return body
 
 
-class Server:
-    """A server whose `act` gets each request's head before its body is read."""
+class StreamingEndpoint:
+    """An endpoint whose handler gets each request's headers before the body is read.
 
-    def __init__(self, act):
-        self.act = act
+    Attributes:
+        handler: Coroutine function called with (headers, reader, writer).
+        heads: Request line and headers of each request.
+        closed_connections: Number of accepted connections that are closed again.
+    """
+
+    def __init__(self, handler):
+        self.handler = handler
         self.heads = []
-        self.ended = 0
+        self.closed_connections = 0
 
     async def start(self):
         self.server = await asyncio.start_server(self._serve, HOST, 0, limit=16 * KB)
@@ -38,16 +44,18 @@
         try:
             while True:
                 lines = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
-                headers = {name.lower(): value for name, value in (x.split(": ", 1) for x in lines[1:] if x)}
+                headers = {
+                    name.lower(): value for name, value in (line.split(": ", 1) for line in lines[1:] if line)
+                }
                 self.heads.append((lines[0], headers))
-                await self.act(headers, reader, writer)
+                await self.handler(headers, reader, writer)
         except (OSError, EOFError):
             pass
         finally:
-            self.ended += 1
+            self.closed_connections += 1
             writer.close()
 
 
-async def digest(headers, reader, writer):
+async def respond_with_digest(headers, reader, writer):
     body = await read_body(reader, headers)
-    writer.write(reply(200, hashlib.sha256(body).hexdigest().encode()))
+    writer.write(http_response(200, hashlib.sha256(body).hexdigest().encode()))
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -16,20 +16,20 @@
 from net_helpers import (
     HOST,
     MS,
-    Fake,
+    FakePeer,
     Sidecar,
-    answer_ok,
-    ask,
     config,
-    entry,
-    message,
-    news,
+    endpoint_entry,
+    http_response,
+    list_update,
     read_message,
-    reply,
+    request_message,
+    respond_ok,
     run,
-    until,
+    send_request,
+    wait_until,
 )
-from process_helpers import Process
+from process_helpers import SidecarProcess
 
 from dykefold.net.shutdown import shutdown_times
 from dykefold.settings import nested_settings, parse_settings
@@ -45,26 +45,28 @@
         async def act(message, reader, writer):
             if message.headers["x-request-id"] == "held":
                 await go.wait()
-            writer.write(reply(200, b"served"))
+            writer.write(http_response(200, b"served"))
 
         go = asyncio.Event()
-        fake = await Fake(act).start()
-        async with Process(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
-            got = await ask(sidecar.port, READY)
+        fake = await FakePeer(act).start()
+        async with SidecarProcess(
+            tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))
+        ) as sidecar:
+            got = await send_request(sidecar.port, READY)
             assert got.code == 200
             assert "connection" not in got.headers
             idle_reader, idle_writer = await asyncio.open_connection(HOST, sidecar.port)
             used_reader, used_writer = await asyncio.open_connection(HOST, sidecar.port)
             held_reader, held_writer = await asyncio.open_connection(HOST, sidecar.port)
-            held_writer.write(message("order", "held"))
-            await until(lambda: fake.got)
+            held_writer.write(request_message("order", "held"))
+            await wait_until(lambda: fake.received)
             sidecar.process.send_signal(signal.SIGTERM)
-            assert (await ask(sidecar.port, READY)).code == 503
-            assert (await ask(sidecar.port, message("order", "new"))).code == 200
+            assert (await send_request(sidecar.port, READY)).code == 503
+            assert (await send_request(sidecar.port, request_message("order", "new"))).code == 200
             loop = asyncio.get_running_loop()
             start, served = loop.time(), 0
             while loop.time() < start + 1.0:  # well after new connections have ended
-                used_writer.write(message("order", f"kept{served}"))
+                used_writer.write(request_message("order", f"kept{served}"))
                 got = await read_message(used_reader)
                 assert got.code == 200
                 assert "connection" not in got.headers
@@ -102,11 +104,11 @@
         async def silent_always(message, reader, writer):
             await reader.read()
 
-        fake = await Fake(silent_always).start()
-        data = config(news(1, entry("s1", fake.address)))
+        fake = await FakePeer(silent_always).start()
+        data = config(list_update(1, endpoint_entry("s1", fake.address)))
         for spec in data["settings"]["classes"]:
             spec["deadline-ns"] = 1000 * MS
-        async with Process(tmp_path / "c", data) as sidecar:
+        async with SidecarProcess(tmp_path / "c", data) as sidecar:
             asked = answered = 0
 
             async def desk(number):
@@ -114,14 +116,14 @@
                 reader, writer = await asyncio.open_connection(HOST, sidecar.port)
                 with contextlib.suppress(OSError, asyncio.IncompleteReadError):
                     for count in range(100_000):
-                        writer.write(message("order", f"{number}-{count}", "200m"))
+                        writer.write(request_message("order", f"{number}-{count}", "200m"))
                         asked += 1
                         await read_message(reader)
                         answered += 1
                 writer.close()
 
             desks = [asyncio.create_task(desk(number)) for number in range(8)]
-            await until(lambda: answered > 8)
+            await wait_until(lambda: answered > 8)
             loop = asyncio.get_running_loop()
             start = loop.time()
             sidecar.process.send_signal(signal.SIGTERM)
@@ -142,10 +144,12 @@
         async def silent_always(message, reader, writer):
             await reader.read()
 
-        fake = await Fake(silent_always).start()
-        async with Process(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
-            held = asyncio.create_task(ask(sidecar.port, message("order", "held", "30000m")))
-            await until(lambda: fake.got)
+        fake = await FakePeer(silent_always).start()
+        async with SidecarProcess(
+            tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))
+        ) as sidecar:
+            held = asyncio.create_task(send_request(sidecar.port, request_message("order", "held", "30000m")))
+            await wait_until(lambda: fake.received)
             loop = asyncio.get_running_loop()
             start = loop.time()
             sidecar.process.send_signal(signal.SIGTERM)
@@ -158,10 +162,11 @@
 
 def test_it_survives_running_out_of_descriptors(tmp_path):
     async def play():
-        fake = await Fake(answer_ok).start()
-        data = config(news(1, entry("s1", fake.address)))  # says 1,024; the process gets far fewer
-        async with Process(tmp_path / "c", data, descriptors=40) as sidecar:
-            assert (await ask(sidecar.port, message("lookup", "before"))).code == 200
+        fake = await FakePeer(respond_ok).start()
+        # says 1,024; the process gets far fewer
+        data = config(list_update(1, endpoint_entry("s1", fake.address)))
+        async with SidecarProcess(tmp_path / "c", data, max_descriptors=40) as sidecar:
+            assert (await send_request(sidecar.port, request_message("lookup", "before"))).code == 200
             flood = []
             for _ in range(60):
                 flood.append(await asyncio.open_connection(HOST, sidecar.port))
@@ -170,7 +175,7 @@
 
             async def served():
                 try:
-                    return (await ask(sidecar.port, message("lookup", "after"))).code == 200
+                    return (await send_request(sidecar.port, request_message("lookup", "after"))).code == 200
                 except (OSError, asyncio.IncompleteReadError):
                     return False
 
@@ -205,7 +210,7 @@
     elif change is None:
         del env["GW_CONFIG"]
     else:
-        path.write_text(json.dumps({**config(news(1)), **change}))
+        path.write_text(json.dumps({**config(list_update(1)), **change}))
     done = subprocess.run(
         [sys.executable, "-m", "dykefold"], cwd=ROOT, env=env, capture_output=True, timeout=60, check=False
     )
@@ -216,12 +221,12 @@
 
 def test_it_is_ready_while_discovery_is_down(tmp_path):
     async def play():
-        fake = await Fake(answer_ok).start()
+        fake = await FakePeer(respond_ok).start()
         async with Sidecar(
-            tmp_path / "c", config(news(1, entry("s1", fake.address)), f"{HOST}:9")
+            tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)), f"{HOST}:9")
         ) as sidecar:
-            assert (await ask(sidecar.port, READY)).code == 200
-            assert (await ask(sidecar.port, message("order", "ab"))).code == 200
+            assert (await send_request(sidecar.port, READY)).code == 200
+            assert (await send_request(sidecar.port, request_message("order", "ab"))).code == 200
 
     run(play())
 
@@ -274,37 +279,41 @@
             left.set()
 
         async def new_watch(message, reader, writer):
-            if len(moved.got) > 1:
+            if len(moved.received) > 1:
                 await reader.read()
             else:  # its index is far behind the old one's
-                writer.write(reply(200, json.dumps(news(2, entry("s2", after.address))).encode()))
+                writer.write(
+                    http_response(
+                        200, json.dumps(list_update(2, endpoint_entry("s2", after.address))).encode()
+                    )
+                )
 
         left = asyncio.Event()
-        before = await Fake(answer_ok).start()
-        after = await Fake(answer_ok).start()
-        old, moved = await Fake(old_watch).start(), await Fake(new_watch).start()
-        data = config(news(900, entry("s1", before.address)), old.address)
-        async with Process(tmp_path / "c", data) as sidecar:
-            await until(lambda: old.got)
+        before = await FakePeer(respond_ok).start()
+        after = await FakePeer(respond_ok).start()
+        old, moved = await FakePeer(old_watch).start(), await FakePeer(new_watch).start()
+        data = config(list_update(900, endpoint_entry("s1", before.address)), old.address)
+        async with SidecarProcess(tmp_path / "c", data) as sidecar:
+            await wait_until(lambda: old.received)
             sidecar.path.write_text("{")
             sidecar.process.send_signal(signal.SIGHUP)
-            assert (await ask(sidecar.port, message("order", "a1"))).code == 200
-            assert len(before.got) == 1
+            assert (await send_request(sidecar.port, request_message("order", "a1"))).code == 200
+            assert len(before.received) == 1
             sidecar.path.write_text(json.dumps({**data, "discovery": moved.address}))
             for _ in range(50):
                 sidecar.process.send_signal(signal.SIGHUP)
             await left.wait()
-            await until(lambda: len(moved.got) == 2)
-            assert moved.got[0].first == "GET /api/targets HTTP/1.1"
-            assert "after=2&" in moved.got[1].first
-            assert (await ask(sidecar.port, message("order", "a2"))).code == 200
-            assert len(after.got) == 1
+            await wait_until(lambda: len(moved.received) == 2)
+            assert moved.received[0].start_line == "GET /api/targets HTTP/1.1"
+            assert "after=2&" in moved.received[1].start_line
+            assert (await send_request(sidecar.port, request_message("order", "a2"))).code == 200
+            assert len(after.received) == 1
             sidecar.process.send_signal(signal.SIGTERM)
             sidecar.process.send_signal(signal.SIGHUP)
             assert await sidecar.process.wait() == 0
             log = await sidecar.log
             assert b"Traceback" not in log
-            assert len(old.got) == 1
+            assert len(old.received) == 1
             assert log.count(b"stays as it was") in (0, 1)
             assert log.count(b"discovery address changed to") == 1
 
@@ -313,7 +322,7 @@
 
 def test_a_bad_operators_file_ends_the_start_with_2_and_says_what_is_wrong(tmp_path):
     path, service = tmp_path / "c", tmp_path / "service.toml"
-    path.write_text(json.dumps(config(news(1))))
+    path.write_text(json.dumps(config(list_update(1))))
     service.write_text("[admission]\nreserve = -1\n")
     environment = {**os.environ, "GW_CONFIG": str(path), "DYKEFOLD_SERVICE": str(service)}
     done = subprocess.run(
@@ -326,7 +335,7 @@
 def test_the_platform_s_process_imports_none_of_the_operators_libraries(tmp_path):
     """Guards the platform's memory, 32 MB on some days."""
     path = tmp_path / "c"
-    path.write_text(json.dumps(config(news(1))))
+    path.write_text(json.dumps(config(list_update(1))))
     code = (
         "import sys, dykefold.__main__ as program; program.read_config(sys.argv[1]);"
         "print([name for name in sys.modules if name.split('.')[0] in"
--- a/tests/test_process_kill.py
+++ b/tests/test_process_kill.py
@@ -8,8 +8,20 @@
 import signal
 
 import pytest
-from net_helpers import HOST, MS, Fake, config, entry, message, news, read_message, run, silent, until
-from process_helpers import Process
+from net_helpers import (
+    HOST,
+    MS,
+    FakePeer,
+    config,
+    endpoint_entry,
+    list_update,
+    never_respond,
+    read_message,
+    request_message,
+    run,
+    wait_until,
+)
+from process_helpers import SidecarProcess
 
 pytestmark = pytest.mark.processes
 
@@ -30,7 +42,7 @@
 
     def request(self, name):
         self.asked.add(name)
-        return message("order", name, self.deadline)
+        return request_message("order", name, self.deadline)
 
     async def ask(self, reader, writer, *names):
         for name in names:
@@ -59,7 +71,7 @@
     async def stop_midway(self, name):
         """Stop in the middle of a request: what comes after that."""
         reader, writer = await asyncio.open_connection(HOST, self.port)
-        writer.write(message("order", name, self.deadline, b"body")[:-2])
+        writer.write(request_message("order", name, self.deadline, b"body")[:-2])
         found = await read_message(reader)
         assert await reader.read() == b""
         writer.close()
@@ -81,18 +93,20 @@
 )
 def test_it_has_ended_when_sigkill_comes_and_all_that_it_read_is_answered(tmp_path, deadline_s, held_up):
     async def play():
-        fakes = [await Fake(silent).start() for _ in range(3)]
-        data = config(news(1, *(entry(f"s{n}", fake.address) for n, fake in enumerate(fakes))))
+        fakes = [await FakePeer(never_respond).start() for _ in range(3)]
+        data = config(
+            list_update(1, *(endpoint_entry(f"s{n}", fake.address) for n, fake in enumerate(fakes)))
+        )
         for spec in data["settings"]["classes"]:
             spec["deadline-ns"] = int(deadline_s * 1000 * MS)
             spec["objective-ns"] = spec["deadline-ns"] // 2
-        async with Process(tmp_path / "c", data) as sidecar:
+        async with SidecarProcess(tmp_path / "c", data) as sidecar:
             loop = asyncio.get_running_loop()
             clients = Clients(sidecar.port, deadline_s)
             tasks = [asyncio.create_task(clients.stay(f"one{n}", 1, 0.0)) for n in range(6)]
             tasks += [asyncio.create_task(clients.stay(f"rests{n}", 1, 0.07 * (n + 1))) for n in range(6)]
             tasks += [asyncio.create_task(clients.stay(f"ahead{n}", 4, 0.0)) for n in range(4)]
-            await until(lambda: any(fake.got for fake in fakes))
+            await wait_until(lambda: any(fake.received for fake in fakes))
             await asyncio.sleep(0.3)
             halves = [asyncio.create_task(clients.stop_midway(f"half{n}")) for n in range(4)]
             began = loop.time()
@@ -107,7 +121,7 @@
             await asyncio.gather(*tasks)
             assert {await half for half in halves} <= {408, 503}
             assert b"Traceback" not in await sidecar.log
-            read = {got.headers["x-request-id"] for fake in fakes for got in fake.got}
+            read = {got.headers["x-request-id"] for fake in fakes for got in fake.received}
             assert read
             assert not read - set(clients.told)
             # What else has no answer crossed the end of its connection, unread: the latest of each at most.
