--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import pytest
-from net_helpers import HOST, Fake, answer_ok, ask, run
+from net_helpers import HOST, FakePeer, respond_ok, run, send_request
 from typer.testing import CliRunner
 
 from dykefold.cli.app import app
@@ -71,7 +71,7 @@
 
 def test_serve_reloads_on_sighup_keeps_a_bad_file_out_and_ends_on_sigterm(tmp_path):
     async def test():
-        first, second = await Fake(answer_ok).start(), await Fake(answer_ok).start()
+        first, second = await FakePeer(respond_ok).start(), await FakePeer(respond_ok).start()
         path = tmp_path / "service.toml"
         path.write_text(good(first.port))
         process = await asyncio.create_subprocess_exec(
@@ -96,17 +96,17 @@
 
         async with asyncio.timeout(30):
             port = int(re.search(r":(\d+)$", await line_with("sidecar accepts clients: name="))[1])
-            assert (await ask(port, b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")).code == 200
+            assert (await send_request(port, b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")).code == 200
             path.write_text(good(first.port).replace('pool = "a"', 'pool = "b"'))
             process.send_signal(signal.SIGHUP)
             assert "routes.a.pool = 'b'" in await line_with("stay as they were")
-            assert (await ask(port, b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")).code == 200
-            assert len(first.got) == 2
+            assert (await send_request(port, b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")).code == 200
+            assert len(first.received) == 2
             path.write_text(good(second.port))
             process.send_signal(signal.SIGHUP)
             await line_with("sidecar replaced the route table: number=2")
-            assert (await ask(port, b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")).code == 200
-            assert len(second.got) == 1
+            assert (await send_request(port, b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")).code == 200
+            assert len(second.received) == 1
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
         assert all(line["level"] in ("info", "warning") for line in seen)
--- a/tests/cli/test_control.py
+++ b/tests/cli/test_control.py
@@ -4,8 +4,8 @@
 import json
 
 import pytest
-from net_helpers import HOST, Fake, answer_ok, config, entry, news, run
-from process_helpers import Process
+from net_helpers import HOST, FakePeer, config, endpoint_entry, list_update, respond_ok, run
+from process_helpers import SidecarProcess
 from test_cli import run_command
 
 pytestmark = pytest.mark.processes
@@ -13,9 +13,9 @@
 
 def test_calls_their_exit_codes_and_their_json(tmp_path):
     async def scene():
-        fake = await Fake(answer_ok).start()
-        data = config(news(1, entry("s:1/a", fake.address)), control=f"{HOST}:0")
-        async with Process(tmp_path / "c", data, TMPDIR=str(tmp_path)) as sidecar:
+        fake = await FakePeer(respond_ok).start()
+        data = config(list_update(1, endpoint_entry("s:1/a", fake.address)), control=f"{HOST}:0")
+        async with SidecarProcess(tmp_path / "c", data, TMPDIR=str(tmp_path)) as sidecar:
 
             async def call(*arguments):
                 return await asyncio.to_thread(
--- a/tests/control/test_background_writes.py
+++ b/tests/control/test_background_writes.py
@@ -7,7 +7,7 @@
 
 import pytest
 from hot_restart_rig import FakeSidecarServer, ManualClocks, SidecarProcess
-from net_helpers import HOST, run, until
+from net_helpers import HOST, run, wait_until
 
 from dykefold.control import admin_server, process_lifecycle
 from dykefold.control.file_system import FileSystem
@@ -69,7 +69,7 @@
         async with serving(tmp_path, disk) as (_, admin):
             disk.hangs = True
             order = asyncio.ensure_future(call(admin, "POST /servers/s0/maint"))
-            await until(lambda: disk.syncs)
+            await wait_until(lambda: disk.syncs)
             began = time.monotonic()
             served = []
             while len(served) < 5:
@@ -99,7 +99,7 @@
             disk.hangs = True
             before = disk.syncs
             orders = [asyncio.ensure_future(call(admin, f"POST /servers/s0/{first}"))]
-            await until(lambda: disk.syncs > before)
+            await wait_until(lambda: disk.syncs > before)
             assert out() == ["s0"]  # put back only once that is written
             orders.append(asyncio.ensure_future(call(admin, f"POST /servers/s0/{second}")))
             for _ in range(3):
@@ -136,7 +136,7 @@
         async with serving(tmp_path, disk) as (lifecycle, admin):
             disk.hangs = True
             order = asyncio.ensure_future(call(admin, "POST /servers/s0/maint"))
-            await until(lambda: disk.syncs)
+            await wait_until(lambda: disk.syncs)
             monkeypatch.setattr(process_lifecycle, "MAX_LAST_WRITE_S", 0.05)
             await lifecycle.finish_writing()
             assert not order.done()
--- a/tests/net/test_idle_sweep.py
+++ b/tests/net/test_idle_sweep.py
@@ -1,6 +1,6 @@
 """The sweep of idle connections costs what is idle, not what is listed (3,200 servers and more)."""
 
-from net_helpers import HOST, Fake, answer_ok, run
+from net_helpers import HOST, FakePeer, respond_ok, run
 from test_upstream_connections import make_pool, set_clock, start_exchange
 
 from dykefold.balancer.events import State, Status
@@ -11,7 +11,7 @@
 
 def test_a_sweep_looks_at_servers_with_idle_connections_alone(monkeypatch):
     async def play():
-        fake = await Fake(answer_ok).start()
+        fake = await FakePeer(respond_ok).start()
         pool = make_pool((HOST, fake.port))
         set_clock(pool, lambda: clock[0])
         for server in range(2, LISTED):
--- a/tests/routing/test_usual_clients.py
+++ b/tests/routing/test_usual_clients.py
@@ -10,7 +10,7 @@
 import pytest
 import requests
 import urllib3
-from net_helpers import HOST, Fake, read_message, reply, run, until
+from net_helpers import HOST, FakePeer, http_response, read_message, run, wait_until
 from services_rig import InProcessSidecar, get_request, pool_toml
 
 pytestmark = pytest.mark.processes
@@ -18,7 +18,7 @@
 
 async def act(message, reader, writer):
     """A usual server: what it was asked, back as JSON; some paths have answers of their own."""
-    method, target, _ = message.first.split()
+    method, target, _ = message.start_line.split()
     head = [f"ETag: {message.headers.get('x-request-id', '')}", "Content-Type: application/json"]
     body = json.dumps({"method": method, "target": target, "body": message.body.decode()}).encode()
     match target.rpartition("/")[2]:
@@ -27,11 +27,11 @@
         case "unchanged":
             writer.write(b'HTTP/1.1 304 Not Modified\r\nETag: "1"\r\n\r\n')
         case "moved":
-            writer.write(reply(302, b"", "Location: /a/here"))
+            writer.write(http_response(302, b"", "Location: /a/here"))
         case "missing":
-            writer.write(reply(404, b"no such part", *head))
+            writer.write(http_response(404, b"no such part", *head))
         case "broken":
-            writer.write(reply(500, b"out of order", *head))
+            writer.write(http_response(500, b"out of order", *head))
         case "pieces":
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n")
             for piece in (b"ab", b"cde"):
@@ -40,12 +40,12 @@
         case _ if method == "HEAD":
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1234\r\nX-Kept: yes\r\n\r\n")
         case _:
-            writer.write(reply(200, body, *head))
+            writer.write(http_response(200, body, *head))
 
 
 @asynccontextmanager
 async def served():
-    fake = await Fake(act).start()
+    fake = await FakePeer(act).start()
     text = pool_toml("a", fake.port) + "idempotent = true\n"
     async with InProcessSidecar(text) as node:
         yield fake, node, f"http://{HOST}:{node.port}/a"
@@ -82,7 +82,7 @@
             assert (await client.get(f"{base}/pieces")).text == "abcde"
             assert (await client.options(f"{base}/x")).status_code == 200
             assert len(node.server.clients.all) == 1  # one connection for all of them
-            ids = [got.headers["x-request-id"] for got in fake.got]
+            ids = [got.headers["x-request-id"] for got in fake.received]
             assert len(set(ids)) == len(ids)
 
     run(play())
@@ -128,7 +128,7 @@
     async def play():
         async with served() as (_, node, base):
             await asyncio.to_thread({"requests": with_requests, "urllib3": with_urllib3}[library], base)
-            await until(lambda: not node.server.clients.all)
+            await wait_until(lambda: not node.server.clients.all)
 
     run(play())
 
@@ -198,7 +198,7 @@
             reader, writer = await asyncio.open_connection(HOST, node.port)
             writer.write(get_request("/a/x", "Host: other.example"))
             assert (await read_message(reader)).code == 400
-            assert not fake.got
+            assert not fake.received
             writer.close()
 
     run(play())
