--- a/benchmarks/coldstart.py
+++ b/benchmarks/coldstart.py
@@ -9,12 +9,12 @@
 import sys
 from dataclasses import dataclass
 
-from dykefold.fleet.rate_limits import SECOND
+from dykefold.fleet.rate_limits import NS_PER_S
 from dykefold.sim.callers import Callers
 
 SIZES = (30, 100, 300, 1000, 3000)
 SEEDS = 5
-SPAN_NS = 40 * SECOND
+SPAN_NS = 40 * NS_PER_S
 FIXED_RATE = 160.0  # calls a second
 RATE_EACH = 0.8  # calls a second, of the service that grows with the fleet
 RATE_PER_WAITING = 5  # calls a second of the service for each call that it lets wait
@@ -71,8 +71,8 @@
         figures.worst_second = max(figures.worst_second, max(seen.calls.values()) / rate)
         figures.turned_away += seen.turned_away
         figures.calls += seen.calls.total()
-        figures.half_s += listed_ns[size // 2] / SECOND / SEEDS
-        figures.all_s = max(figures.all_s, listed_ns[-1] / SECOND)
+        figures.half_s += listed_ns[size // 2] / NS_PER_S / SEEDS
+        figures.all_s = max(figures.all_s, listed_ns[-1] / NS_PER_S)
     return figures
 
 
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -19,11 +19,11 @@
 from unittest import mock
 
 from dykefold.balancer.actions import Send
-from dykefold.balancer.events import Endpoint, ListKind, Membership, Outcome, Request, State, Status
+from dykefold.balancer.events import Endpoint, EndpointListUpdate, ListKind, Outcome, Request, State, Status
 from dykefold.balancer.settings import Effect, RequestClass, Settings
 from dykefold.net.service import pool
 from dykefold.sim import schedule
-from dykefold.sim.kernel import MS, SECOND
+from dykefold.sim.kernel import NS_PER_MS, NS_PER_S
 from dykefold.sim.nodes import Node
 from dykefold.sim.schedule import Fault, Kind, draw
 from dykefold.sim.world import Running
@@ -34,11 +34,11 @@
 SERVERS = (15, 60, 600)
 RATE = 300.0  # requests a second, of all sidecars together
 SPAN_S = 8.0
-SPAN_NS = int(SPAN_S * SECOND)
+SPAN_NS = int(SPAN_S * NS_PER_S)
 FIRST_SEED = 100
 REQUESTS = 4000  # in the module, for each turn of the last table
-REQUEST_EVERY_NS = 50 * MS
-ANSWER_AFTER_NS = 40 * MS
+REQUEST_EVERY_NS = 50 * NS_PER_MS
+ANSWER_AFTER_NS = 40 * NS_PER_MS
 TURNS = 5
 
 
@@ -77,7 +77,7 @@
 def play(balancer_type: BalancerFactory, sidecars: int, seed: int) -> Figures:
     """Play one run of the fleet while six in ten servers are replaced."""
     with simulated_fleet(balancer_type, sidecars):
-        fault = Fault(2 * SECOND, Kind.REPLACE, seed % 10, 0, 4 * SECOND)
+        fault = Fault(2 * NS_PER_S, Kind.REPLACE, seed % 10, 0, 4 * NS_PER_S)
         scenario = dataclasses.replace(draw("fleet", seed, SPAN_NS), faults=(fault,))
         running = Running(scenario)
         nodes: set[Node] = set(running.nodes)
@@ -87,8 +87,8 @@
             open_connections.extend(len(node.connections) for node in running.nodes)
 
         # Two events, as the kernel draws once for each: with one the runs are others than those on record.
-        running.kernel.at(SPAN_NS - MS, lambda: nodes.update(running.nodes))
-        running.kernel.at(SPAN_NS - MS, count_open)
+        running.kernel.at(SPAN_NS - NS_PER_MS, lambda: nodes.update(running.nodes))
+        running.kernel.at(SPAN_NS - NS_PER_MS, count_open)
         breaches = running.play()
     server_seconds = len(running.nodes) * SPAN_S
     counts = running.rules.counts
@@ -104,16 +104,16 @@
 
 def cost(balancer_type: BalancerFactory, servers: int) -> float:
     """Processor seconds for `REQUESTS` requests, each answered, in one module of a fleet of 40."""
-    spec = RequestClass("lookup", 500 * MS, 2 * SECOND, 1.0, 0.2, Effect.SAFE)
+    spec = RequestClass("lookup", 500 * NS_PER_MS, 2 * NS_PER_S, 1.0, 0.2, Effect.SAFE)
     settings = Settings(classes=[spec], zones=list("abcde"), max_attempts=3, fleet_size=40)
     balancer = balancer_type(settings, 1)
-    now_ns = 1_000 * SECOND
+    now_ns = 1_000 * NS_PER_S
     entries = [Endpoint(number, number % 5, 0, 0, State.READY) for number in range(servers)]
-    balancer.handle(now_ns, Membership(ListKind.CACHED, 1, entries))
+    balancer.handle(now_ns, EndpointListUpdate(ListKind.CACHED, 1, entries))
     began_s = time.process_time()
     for request_id in range(REQUESTS):
         now_ns += REQUEST_EVERY_NS
-        actions = balancer.handle(now_ns, Request(request_id, 0, 0, now_ns + 2 * SECOND))
+        actions = balancer.handle(now_ns, Request(request_id, 0, 0, now_ns + 2 * NS_PER_S))
         sent = next(action for action in actions if isinstance(action, Send))
         outcome = Outcome(request_id, 0, sent.endpoint_number, Status.OK, ANSWER_AFTER_NS, True)
         balancer.handle(now_ns + ANSWER_AFTER_NS, outcome)
--- a/benchmarks/view.py
+++ b/benchmarks/view.py
@@ -18,17 +18,17 @@
 from typing import Any, NamedTuple
 
 from dykefold.fleet.member_state import LIVE, State
-from dykefold.fleet.rate_limits import SECOND, RateLimits
+from dykefold.fleet.rate_limits import NS_PER_S, RateLimits
 from dykefold.sim.views import Views
 
 SIZES, LOSSES = "10,200,2000,10000", "0,0.1,0.3"
-FIRST_PROBES_NS = 3 * SECOND  # until the first probes are answered
+FIRST_PROBES_NS = 3 * NS_PER_S  # until the first probes are answered
 QUIET_S = {10: 120, 200: 30, 2000: 8, 10000: 3}  # in which nothing happens, by size
 QUIET_OTHERWISE_S = 30
 DEATHS = 5
 MEMBERS_PER_DEATH = 3  # at the least
 OBSERVERS = 40  # whose changes are noted
-DEATHS_KNOWN_WITHIN_NS = 60 * SECOND
+DEATHS_KNOWN_WITHIN_NS = 60 * NS_PER_S
 SECONDS_PER_HOUR = 3600
 HEARTBEAT_NS = RateLimits().period_ns  # silence for as long as a suspicion stands is a death
 HEARTBEAT_BYTES = 21
@@ -68,7 +68,7 @@
     span_s = QUIET_S.get(world.size, QUIET_OTHERWISE_S)
     world.changes.clear()
     sent, sent_bytes = world.sent, world.sent_bytes
-    world.run(span_s * SECOND)
+    world.run(span_s * NS_PER_S)
     changes = [change for _, change in world.changes]
     suspected = {(change.member, change.incarnation) for change in changes if change.after is State.SUSPECT}
     gone = {change.member for change in changes if change.after is State.GONE}
@@ -118,10 +118,10 @@
     for observer, change in world.changes:
         if change.member in dead and change.after not in LIVE:
             noticed_ns.setdefault((observer, change.member), change.at_ns)
-    settled_s = (world.now_ns - died_ns) / SECOND
+    settled_s = (world.now_ns - died_ns) / NS_PER_S
     return DeathFigures(
         whole=whole,
-        noticed_s=[(at_ns - died_ns) / SECOND for at_ns in noticed_ns.values()],
+        noticed_s=[(at_ns - died_ns) / NS_PER_S for at_ns in noticed_ns.values()],
         settled_s=settled_s,
         datagrams=(world.sent - sent) / len(alive) / max(settled_s, 1.0),
     )
@@ -143,7 +143,7 @@
         "gone_p50_s": percentile(deaths.noticed_s, 0.5),
         "gone_p99_s": percentile(deaths.noticed_s, 0.99),
         "settled_s": round(deaths.settled_s, 2),
-        "bound_s": round(world.pace.settled_ns(size) / SECOND, 1),
+        "bound_s": round(world.pace.settled_ns(size) / NS_PER_S, 1),
         "suspected_per_member_hour": round(suspected_per_hour, 1),
         "falsely_gone": quiet.gone,
         "datagrams_per_member_s": round(quiet.datagrams, 1),
@@ -162,11 +162,11 @@
         last_ns = -generator.random() * HEARTBEAT_NS  # the heartbeat before the death
         while generator.random() < loss:
             last_ns -= HEARTBEAT_NS
-        noticed_s.append((last_ns + generator.randint(*DELAY_NS) + suspicion_ns) / SECOND)
+        noticed_s.append((last_ns + generator.randint(*DELAY_NS) + suspicion_ns) / NS_PER_S)
     lost_in_a_row = int(suspicion_ns // HEARTBEAT_NS)
     pairs = size * (size - 1)
-    heartbeats_per_hour = pairs * SECONDS_PER_HOUR * SECOND / HEARTBEAT_NS
-    datagrams = (size - 1) * SECOND / HEARTBEAT_NS
+    heartbeats_per_hour = pairs * SECONDS_PER_HOUR * NS_PER_S / HEARTBEAT_NS
+    datagrams = (size - 1) * NS_PER_S / HEARTBEAT_NS
     return {
         "beats_gone_p50_s": percentile(noticed_s, 0.5),
         "beats_gone_p99_s": percentile(noticed_s, 0.99),
--- a/dykefold/__main__.py
+++ b/dykefold/__main__.py
@@ -94,10 +94,10 @@
             sidecar.change_settings(config.settings, config.transport)
         except (ConfigError, ValueError) as error:
             # Operators' pages promise this text.
-            log.warning("the configuration stays as it was: %s", error)
+            log.warning("configuration rejected: problem=%s", error)
             return
         self.config = config
-        sidecar.memory_limit = config.memory_bytes
+        sidecar.memory_limit_bytes = config.memory_bytes
         sidecar.change_limits(config.max_descriptors, config.address_limits)
         if sidecar.peers is not None:
             sidecar.peers.change_addresses(
@@ -215,7 +215,7 @@
         services.apply(plan, min(plan.sockets, system_limit()), service.address_limits)
     except (ConfigError, ValueError) as error:
         # Operators' pages promise this text.
-        log.warning("the services stay as they were: %s", error)
+        log.warning("route table rejected: problem=%s", error)
 
 
 def _plan_of(service: Service, path: str, problem: str) -> Plan:
--- a/dykefold/admission/addresses.py
+++ b/dykefold/admission/addresses.py
@@ -113,26 +113,26 @@
     """All addresses that are in use, and bounded memories of those that were, and of those learned.
 
     Attributes:
-        caps: Limits of each address.
+        limits: Limits of each address.
         active: Records of addresses that have a connection, by key.
         inactive: Records of addresses without a connection, the longest unused first.
         learned: Keys of learned addresses, the longest without success first.
     """
 
-    def __init__(self, caps: AddressLimits) -> None:
+    def __init__(self, limits: AddressLimits) -> None:
         self.active: dict[AddressKey, AddressRecord] = {}
         self.inactive: OrderedDict[AddressKey, AddressRecord] = OrderedDict()
         self.learned: OrderedDict[AddressKey, None] = OrderedDict()
-        self.apply(caps)
+        self.apply(limits)
 
-    def apply(self, caps: AddressLimits) -> None:
+    def apply(self, limits: AddressLimits) -> None:
         """Take other limits: which addresses are known changes at once, what is used stays counted."""
-        self.caps = caps
-        self._known_networks = NetworkSet(caps.known)
-        self.key = AddressPrefixes(caps.v4_prefix, caps.v6_prefix).key
-        while len(self.learned) > caps.max_learned or (self.learned and not caps.learn_requests):
+        self.limits = limits
+        self._known_networks = NetworkSet(limits.known)
+        self.key = AddressPrefixes(limits.v4_prefix, limits.v6_prefix).key
+        while len(self.learned) > limits.max_learned or (self.learned and not limits.learn_requests):
             self._forget_learned(next(iter(self.learned)))
-        while len(self.inactive) > caps.max_remembered:
+        while len(self.inactive) > limits.max_remembered:
             self.inactive.popitem(last=False)
 
     def find(self, host: str, now_s: float) -> AddressRecord:
@@ -150,8 +150,8 @@
         key = self.key(host)
         address = self.active.get(key) or self.inactive.get(key)
         if address is None:
-            address = AddressRecord(key, self.caps.new_burst, now_s)
-        if self.caps.known and host in self._known_networks:
+            address = AddressRecord(key, self.limits.new_burst, now_s)
+        if self.limits.known and host in self._known_networks:
             address.trust = AddressTrust.CONFIGURED
         else:
             address.trust = AddressTrust.LEARNED if key in self.learned else AddressTrust.UNKNOWN
@@ -173,16 +173,16 @@
         self.active.pop(address.key, None)
         self.inactive[address.key] = address
         self.inactive.move_to_end(address.key)
-        if len(self.inactive) > self.caps.max_remembered:
+        if len(self.inactive) > self.limits.max_remembered:
             self.inactive.popitem(last=False)
 
     def take_token(self, address: AddressRecord, now_s: float) -> bool:
         """Count one more new connection; return False, and count none, beyond the rate."""
-        rate = self.caps.new_per_s
+        rate = self.limits.new_per_s
         if rate is None or address.trust is AddressTrust.CONFIGURED:
             return True
         passed_s = max(now_s - address.tokens_at_s, 0.0)
-        address.tokens = min(address.tokens + passed_s * rate, self.caps.new_burst)
+        address.tokens = min(address.tokens + passed_s * rate, self.limits.new_burst)
         address.tokens_at_s = now_s
         if address.tokens < 1.0:
             return False
@@ -191,7 +191,7 @@
 
     def record_success(self, address: AddressRecord, now_s: float) -> None:
         """Count a served request; enough of them make the address known."""
-        if not self.caps.learn_requests:
+        if not self.limits.learn_requests:
             return
         if not address.served:
             address.served_since_s = now_s
@@ -200,12 +200,12 @@
             self.learned.move_to_end(address.key)
         elif (
             address.trust is AddressTrust.UNKNOWN
-            and address.served >= self.caps.learn_requests
-            and now_s - address.served_since_s >= self.caps.learn_after_s
+            and address.served >= self.limits.learn_requests
+            and now_s - address.served_since_s >= self.limits.learn_after_s
         ):
             self.learned[address.key] = None
             address.trust = AddressTrust.LEARNED
-            if len(self.learned) > self.caps.max_learned:
+            if len(self.learned) > self.limits.max_learned:
                 self._forget_learned(next(iter(self.learned)))
 
     def record_violation(self, address: AddressRecord, now_s: float) -> None:
--- a/dykefold/admission/clients.py
+++ b/dykefold/admission/clients.py
@@ -108,14 +108,16 @@
         """Count bytes of a message no longer as unfinished."""
         self.admission.release_unfinished(client, size)
 
-    def resize(self, limits: ConnectionLimits, caps: AddressLimits) -> None:
+    def resize(self, limits: ConnectionLimits, address_limits: AddressLimits) -> None:
         """Take other limits, and close the connections beyond them that may be evicted.
 
         Args:
             limits: Limits on all client connections together.
-            caps: Limits of each address.
+            address_limits: Limits of each address.
         """
-        self._close_all(self.admission.resize(limits, caps, self.monotonic(), self._has_unread_input))
+        self._close_all(
+            self.admission.resize(limits, address_limits, self.monotonic(), self._has_unread_input)
+        )
 
     def evict(self) -> bool:
         """Close one connection since the system has no descriptor left; return whether one could be."""
--- a/dykefold/admission/controller.py
+++ b/dykefold/admission/controller.py
@@ -31,7 +31,7 @@
     """Decides on each connection.
 
     Args:
-        caps: Limits of each address.
+        address_limits: Limits of each address.
 
     Attributes:
         limits: Limits on all client connections together.
@@ -42,9 +42,9 @@
         request_gaps: Estimate of the time for which clients leave a connection idle between requests.
     """
 
-    def __init__(self, limits: ConnectionLimits, caps: AddressLimits) -> None:
+    def __init__(self, limits: ConnectionLimits, address_limits: AddressLimits) -> None:
         self.limits = limits
-        self.addresses = AddressTable(caps)
+        self.addresses = AddressTable(address_limits)
         self.eviction = EvictionOrder()
         self._groups = self.eviction.groups  # looked up for each request
         self.message_timeouts = MessageTimeouts()
@@ -52,9 +52,9 @@
         self.request_gaps = RequestGaps()
 
     @property
-    def caps(self) -> AddressLimits:
+    def address_limits(self) -> AddressLimits:
         """What each address may use."""
-        return self.addresses.caps
+        return self.addresses.limits
 
     @property
     def count(self) -> int:
@@ -64,7 +64,7 @@
     def resize(
         self,
         limits: ConnectionLimits,
-        caps: AddressLimits,
+        address_limits: AddressLimits,
         now_s: float,
         has_unread_input: HasUnreadInput = never_unread,
     ) -> list[Client]:
@@ -72,7 +72,7 @@
 
         Args:
             limits: Limits on all client connections together.
-            caps: Limits of each address.
+            address_limits: Limits of each address.
             now_s: Current monotonic time in seconds.
             has_unread_input: Returns whether a client has sent input that was not read yet.
 
@@ -81,7 +81,7 @@
         """
         self.limits = limits
         self.working_set.resize(limits.with_requests)
-        self.addresses.apply(caps)
+        self.addresses.apply(address_limits)
         evicted = []
         while self.count > limits.connections and (client := self.evict(now_s, has_unread_input)):
             evicted.append(client)
@@ -103,8 +103,8 @@
             ValueError: `host` is no IPv4 or IPv6 address.
         """
         address = self.addresses.find(host, now_s)
-        caps, known = self.addresses.caps, address.known
-        max_of_address = caps.known_connections if known else caps.connections
+        limits, known = self.addresses.limits, address.known
+        max_of_address = limits.known_connections if known else limits.connections
         if max_of_address is not None and address.connections >= max_of_address:
             self.addresses.record_violation(address, now_s)
             return AdmissionDecision(None, RejectionReason.CONNECTIONS_OF_ADDRESS, None)
@@ -134,7 +134,7 @@
         if self.count >= max_connections:
             return True
         # However large the reserve, one unknown address may connect when nobody else is there.
-        reserve = min(self.addresses.caps.reserve, max_connections - 1)
+        reserve = min(self.addresses.limits.reserve, max_connections - 1)
         return not known and self._groups[False].count >= max_connections - reserve
 
     def remove(self, client: Client) -> None:
@@ -260,7 +260,7 @@
     def open_request(self, client: Client, now_s: float) -> RejectionReason | None:
         """Count a request as open; return the limit for which it is rejected, if any."""
         address = client.address
-        max_open = self.addresses.caps.open_requests
+        max_open = self.addresses.limits.open_requests
         if max_open is not None and address.open_requests >= max_open:
             self.addresses.record_violation(address, now_s)
             return RejectionReason.OPEN_REQUESTS_OF_ADDRESS
@@ -284,7 +284,7 @@
     def reserve_unfinished(self, client: Client, size: int, now_s: float) -> bool:
         """Count bytes of an unfinished message; return False, and count none, beyond the address's limit."""
         address = client.address
-        max_bytes = self.addresses.caps.unfinished_bytes
+        max_bytes = self.addresses.limits.unfinished_bytes
         if max_bytes is not None and address.unfinished_bytes + size > max_bytes:
             self.addresses.record_violation(address, now_s)
             return False
--- a/dykefold/balancer/balancer.py
+++ b/dykefold/balancer/balancer.py
@@ -99,7 +99,7 @@
             events.Outcome: self.on_outcome,
             events.Timer: self.on_timer,
             events.ClientDisconnected: self.on_client_disconnected,
-            events.Membership: self.list_updater.on_membership,
+            events.EndpointListUpdate: self.list_updater.on_list_update,
             events.PeerMessage: self.quotas.on_peer,
             events.ProbeResult: self.on_probe_result,
             events.StreamStarted: self.on_stream_started,
@@ -298,7 +298,7 @@
         self.context.actions = actions
 
     @property
-    def servers(self) -> dict[int, EndpointState]:
+    def known_endpoints(self) -> dict[int, EndpointState]:
         """Return all known endpoints, by number."""
         return self.endpoints.all
 
@@ -322,6 +322,6 @@
         """Return the number of own attempts in flight, without those at ejected endpoints."""
         return self.limit.in_flight
 
-    def regroup(self) -> None:
+    def rebuild_endpoint_lists(self) -> None:
         """Rebuild the lists of endpoints after a caller has set their state."""
         self.endpoints.rebuild()
--- a/dykefold/balancer/concurrency_limit.py
+++ b/dykefold/balancer/concurrency_limit.py
@@ -60,7 +60,7 @@
         answered_units: Sum of the wanted latencies of all answers since the latest correction, nanoseconds.
         wanted_in_flight: Requests that the rate of answers would keep in flight at the wanted latency.
         started_ns: Time of the first correction; 0 before.
-        good: Limit after the first of the latest consecutive cuts.
+        limit_after_cut: Limit after the first of the latest consecutive cuts.
         cutting: True if the latest change of the limit was a cut.
         interval_ns: Time between two corrections.
     """
@@ -84,7 +84,7 @@
         self.answered_units = 0.0
         self.wanted_in_flight = 0.0
         self.started_ns = 0
-        self.good = 0.0
+        self.limit_after_cut = 0.0
         self.cutting = False
         self.apply_settings()
 
@@ -147,7 +147,7 @@
         """Scale the limit with the number of endpoints, before late answers show the change."""
         self.limit *= factor
         self.wanted_in_flight *= factor
-        self.good *= factor
+        self.limit_after_cut *= factor
 
     def correct(self) -> None:
         """Correct the limit by the rate and the latencies of answers."""
@@ -179,7 +179,7 @@
             congestion.restart()
             if not self.cutting:  # Later cuts follow from the few answers that the first one leaves.
                 self.cutting = True
-                self.good = limit
+                self.limit_after_cut = limit
             return limit
         if congestion.cut_ns and not congestion.weight:
             return self.limit  # No attempt that was sent since the cut has an answer or is overdue.
@@ -198,7 +198,7 @@
 
     def _growth(self) -> float:
         """Return the factor by which the limit grows; it is small beyond the known good limit."""
-        known_good = max(self.wanted_in_flight, KNOWN_GOOD_FRACTION * self.good)
+        known_good = max(self.wanted_in_flight, KNOWN_GOOD_FRACTION * self.limit_after_cut)
         caution_ns = CAUTION_AFTER_REJECTION_DEADLINES * self.context.shortest_ns
         cautious = self.corrected_ns - self.rejected_ns < caution_ns
         if cautious and self.limit >= known_good:
--- a/dykefold/balancer/endpoints.py
+++ b/dykefold/balancer/endpoints.py
@@ -30,7 +30,7 @@
         kind: Number of its kind of machine.
         cell: Number of the group of endpoints that know each other's idempotency keys.
         started_ns: Time of its start by the endpoint list; 0 for long ago.
-        ramp_from_ns: Time at which its slow start began.
+        slow_start_began_ns: Time at which its slow start began.
         relative_latency: Smoothed relative latency. It is 1.0 before any answer, also while the endpoint is
             warming up, because slow start protects it then.
         samples: Number of results taken into `relative_latency`.
@@ -69,13 +69,13 @@
         "lost",
         "probation_ns",
         "probation_pending",
-        "ramp_from_ns",
         "rank",
         "ready",
         "relative_latency",
         "reported_load",
         "sampled",
         "samples",
+        "slow_start_began_ns",
         "slow_start_ceiling_tokens",
         "slow_start_ns",
         "slow_start_sent",
@@ -101,7 +101,7 @@
         self.cell = entry.cell
         self.ready = entry.state is State.READY
         self.started_ns = entry.started_ns
-        self.ramp_from_ns = entry.ramp_from_ns or entry.started_ns
+        self.slow_start_began_ns = entry.slow_start_began_ns or entry.started_ns
         self.relative_latency = 1.0
         self.samples = 0
         self.last_sample_ns = 0
--- a/dykefold/balancer/events.py
+++ b/dykefold/balancer/events.py
@@ -56,7 +56,8 @@
         state: State of the endpoint.
         weight: Capacity relative to other endpoints, where the settings say that weights mean anything.
         started_ns: Time of its start; 0 for long ago. Another value means another start.
-        ramp_from_ns: Time at which its slow start began; 0 for `started_ns`, which is on the same clock.
+        slow_start_began_ns: Time at which its slow start began; 0 for `started_ns`, which is on the same
+            clock.
     """
 
     number: int
@@ -66,11 +67,11 @@
     state: State
     weight: float = 1.0
     started_ns: int = 0
-    ramp_from_ns: int = 0
+    slow_start_began_ns: int = 0
 
 
 @dataclass(slots=True)
-class Membership:
+class EndpointListUpdate:
     """An update of the endpoint list.
 
     Attributes:
@@ -255,7 +256,7 @@
 
 
 Event = (
-    Membership
+    EndpointListUpdate
     | Request
     | Outcome
     | StreamStarted
--- a/dykefold/balancer/membership.py
+++ b/dykefold/balancer/membership.py
@@ -5,7 +5,7 @@
 from .concurrency_limit import ConcurrencyLimit
 from .context import BalancerContext
 from .endpoints import EndpointState
-from .events import Endpoint, ListKind, Membership, State
+from .events import Endpoint, EndpointListUpdate, ListKind, State
 from .poll_schedule import PollSchedule
 from .subsetting import EndpointSet
 
@@ -34,7 +34,7 @@
         self.limit = limit
         self.polls = polls
 
-    def on_membership(self, event: Membership) -> None:
+    def on_list_update(self, event: EndpointListUpdate) -> None:
         """Apply a complete list, a change, or the failure of a poll."""
         if event.kind is ListKind.FAILED:
             self.polls.on_failure()
--- a/dykefold/balancer/slow_start.py
+++ b/dykefold/balancer/slow_start.py
@@ -61,7 +61,7 @@
         """Return the fraction of its capacity that an endpoint has at least by now, by the settings."""
         settings = self.context.settings
         start, warm = settings.start_capacity, settings.warm_within_ns
-        age = self.context.now_ns - endpoint.ramp_from_ns
+        age = self.context.now_ns - endpoint.slow_start_began_ns
         if not endpoint.started_ns or age >= warm:
             return 1.0
         return max(start + (1.0 - start) * max(age, 0) / warm, MIN_CAPACITY_FRACTION)
--- a/dykefold/balancer/subsetting.py
+++ b/dykefold/balancer/subsetting.py
@@ -93,7 +93,7 @@
         self.ready_count = len(ready)
         self.throughput.update_half_life(self.ready_count)
         self.ejected = [endpoint for endpoint in ready if endpoint.ejected]
-        starts = (one.ramp_from_ns if one.started_ns else 0 for one in ready if not one.ejected)
+        starts = (one.slow_start_began_ns if one.started_ns else 0 for one in ready if not one.ejected)
         self.oldest_start_ns = min(starts, default=0)
         own_zone = self.context.settings.zone
         near = [endpoint for endpoint in ready if endpoint.zone == own_zone and not endpoint.ejected]
--- a/dykefold/cli/simulation.py
+++ b/dykefold/cli/simulation.py
@@ -12,7 +12,7 @@
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeElapsedColumn
 from rich.table import Table
 
-from ..sim.kernel import MS, SECOND
+from ..sim.kernel import NS_PER_MS, NS_PER_S
 from ..sim.minimise import minimise
 from ..sim.run import Result, Sum, play, play_seed, play_steps, search
 from ..sim.schedule import WORLDS, Scenario, draw
@@ -93,7 +93,7 @@
                 "seed": result.seed,
                 "digest": result.digest,
                 "breaches": [
-                    {"at_ms": breach.at_ns / MS, "rule": breach.rule, "text": breach.text}
+                    {"at_ms": breach.at_ns / NS_PER_MS, "rule": breach.rule, "text": breach.text}
                     for breach in result.breaches
                 ],
             }
@@ -114,7 +114,7 @@
     for result in total.broken[:MAX_LISTED_RUNS]:
         first = result.breaches[0]
         place = f"{result.world} seed {result.seed}"
-        console.print(f"{place}: {first.rule}: {first.text} at {first.at_ns / MS:.3f} ms")
+        console.print(f"{place}: {first.rule}: {first.text} at {first.at_ns / NS_PER_MS:.3f} ms")
     if not total.broken:
         console.print("no rule broken")
 
@@ -122,7 +122,7 @@
 def _explain(result: Result, options: Options) -> None:
     """Print the trace of a run that broke a rule; with `--minimise`, of its smallest form."""
     console = Console()
-    scenario = draw(result.world, result.seed, int(options.span_s * SECOND))
+    scenario = draw(result.world, result.seed, int(options.span_s * NS_PER_S))
     if options.minimise:
         rule = result.breaches[0].rule
         scenario = minimise(
@@ -130,7 +130,7 @@
         )
         result = play(scenario)
         _print_scenario(console, scenario)
-    first_ms = result.breaches[0].at_ns / MS
+    first_ms = result.breaches[0].at_ns / NS_PER_MS
     lines = [
         line for line in result.trace if float(line.split(None, 1)[0]) <= first_ms + TRACE_AFTER_VIOLATION_MS
     ]
@@ -142,5 +142,5 @@
 def _print_scenario(console: Console, scenario: Scenario) -> None:
     console.print(f"smallest form: {len(scenario.faults)} faults, {len(scenario.arrivals)} requests")
     for fault in scenario.faults:
-        line = f"  {fault.at_ns / MS:10.3f} {fault.kind} server {fault.server} sidecar {fault.sidecar}"
-        console.print(f"{line} for {fault.span_ns / MS:.0f} ms", highlight=False, markup=False)
+        line = f"  {fault.at_ns / NS_PER_MS:10.3f} {fault.kind} server {fault.server} sidecar {fault.sidecar}"
+        console.print(f"{line} for {fault.span_ns / NS_PER_MS:.0f} ms", highlight=False, markup=False)
--- a/dykefold/control/admin_operations.py
+++ b/dykefold/control/admin_operations.py
@@ -120,7 +120,7 @@
             answer(OK)
             return
         times = [pool.maintenance.order_time(name, pool.now()) for pool in affected]
-        order = MaintenanceOrder(max(times, default=0), out=False)
+        order = MaintenanceOrder(max(times, default=0), out_of_service=False)
         self.order_store.record_orders(
             {name: order} if affected else {},
             lambda recorded: answer(self._finish_putting_back(affected, name, order, recorded)),
@@ -150,4 +150,4 @@
     def _override_order(self, pools: Iterable[Pool], name: str, order: MaintenanceOrder) -> None:
         """Override an order back whose write has failed, since the record may have it nevertheless."""
         for pool in pools:
-            pool.merge_maintenance({name: MaintenanceOrder(order.ordered_ns + 1, out=True)})
+            pool.merge_maintenance({name: MaintenanceOrder(order.ordered_ns + 1, out_of_service=True)})
--- a/dykefold/control/balancer_snapshot.py
+++ b/dykefold/control/balancer_snapshot.py
@@ -27,7 +27,7 @@
 
     Attributes:
         key: Stored key.
-        attribute: Path of the attribute from the owner, such as `limit.good`.
+        attribute: Path of the attribute from the owner, such as `limit.limit_after_cut`.
         is_time: Whether the value is a time on the clock of the process, in nanoseconds; 0 stands for never.
     """
 
@@ -52,7 +52,7 @@
     StoredField("cut_at", "congestion.cut_ns", is_time=True),
     StoredField("demand", "endpoints.demand"),
     StoredField("demand_at", "endpoints.demand_ns", is_time=True),
-    StoredField("good", "limit.good"),
+    StoredField("good", "limit.limit_after_cut"),
     StoredField("inflight_lately", "limit.peak_in_flight"),
     StoredField("limit", "limit.limit"),
     StoredField("limit_at", "limit.corrected_ns", is_time=True),
@@ -91,7 +91,7 @@
     StoredField("last_ok", "last_alive_ns", is_time=True),
     StoredField("load", "reported_load"),
     StoredField("load_at", "load_reported_ns", is_time=True),
-    StoredField("ramp_from", "ramp_from_ns", is_time=True),
+    StoredField("ramp_from", "slow_start_began_ns", is_time=True),
     StoredField("rel", "relative_latency"),
     StoredField("samples", "samples"),
     StoredField("strikes", "failure_score"),
@@ -112,15 +112,15 @@
 
 def snapshot(balancer: Balancer, names: NameTable) -> Values:
     """Return the estimates of endpoints, classes and load in the form that `restore` reads."""
-    servers = {number: name for name, number in names.servers.items()}
-    kinds = {number: name for name, number in names.kinds.items()}
+    servers = {number: name for name, number in names.endpoints.items()}
+    kinds = {number: name for name, number in names.machine_types.items()}
     return {
         "whole": _values(balancer, BALANCER_FIELDS),
         "asks": list(balancer.quotas.rates),
         "classes": {stats.spec.name: _values(stats, CLASS_FIELDS) for stats in balancer.live_classes},
         "servers": {
             servers[endpoint.id]: {"started": endpoint.started_ns, **_values(endpoint, ENDPOINT_FIELDS)}
-            for endpoint in balancer.servers.values()
+            for endpoint in balancer.known_endpoints.values()
             if endpoint.id in servers and endpoint.listed
         },
         "groups": [
@@ -153,14 +153,14 @@
     for stats in balancer.live_classes:
         _set(stats, CLASS_FIELDS, values["classes"].get(stats.spec.name))
     for name, stored in values["servers"].items():
-        endpoint = balancer.servers.get(names.servers[name]) if name in names.servers else None
+        endpoint = balancer.known_endpoints.get(names.endpoints[name]) if name in names.endpoints else None
         if endpoint is not None and stored.get("started") == endpoint.started_ns:
             _set(endpoint, ENDPOINT_FIELDS, stored)
     for stored in values["groups"]:
-        if stored.get("kind") in names.kinds:
-            key = (names.kinds[stored["kind"]], bool(stored.get("far")))
+        if stored.get("kind") in names.machine_types:
+            key = (names.machine_types[stored["kind"]], bool(stored.get("far")))
             _set(balancer.endpoints.groups.setdefault(key, EndpointGroup()), GROUP_FIELDS, stored)
-    balancer.regroup()
+    balancer.rebuild_endpoint_lists()
     return True
 
 
--- a/dykefold/control/hot_restart_state.py
+++ b/dykefold/control/hot_restart_state.py
@@ -38,12 +38,12 @@
 from dataclasses import dataclass
 from enum import Enum
 
-MS = 1_000_000
-OBSERVATION_INTERVAL_NS = 100 * MS
+NS_PER_MS = 1_000_000
+OBSERVATION_INTERVAL_NS = 100 * NS_PER_MS
 # Far longer than an event loop is ever late, and shorter than the shortest graceful shutdown.
-MAX_HEARTBEAT_AGE_NS = 1_500 * MS
+MAX_HEARTBEAT_AGE_NS = 1_500 * NS_PER_MS
 # The wait for older processes to make way. The platform allows 6 s until a process must serve.
-MAX_CAPACITY_WAIT_NS = 800 * MS
+MAX_CAPACITY_WAIT_NS = 800 * NS_PER_MS
 # After a failed write others may not know this process yet, and it may not know others that failed to write.
 UNSEEN_AFTER_FAILURE_NS = 3 * OBSERVATION_INTERVAL_NS
 MAX_OTHER_HEARTBEATS = 8
--- a/dykefold/control/process_records.py
+++ b/dykefold/control/process_records.py
@@ -100,7 +100,7 @@
 
 def maintenance_record(orders: Mapping[str, MaintenanceOrder]) -> dict[str, Any]:
     """Return the stored form of maintenance orders; `parse_maintenance_orders` reads it."""
-    return {"said": {name: [order.ordered_ns, order.out] for name, order in orders.items()}}
+    return {"said": {name: [order.ordered_ns, order.out_of_service] for name, order in orders.items()}}
 
 
 def parse_heartbeat(record: Record) -> ProcessHeartbeat | None:
--- a/dykefold/control/state_directory.py
+++ b/dykefold/control/state_directory.py
@@ -385,4 +385,9 @@
         """Log a failed operation once for each record, since it is retried many times a second."""
         if name not in self.logged_records and len(self.logged_records) < MAX_LOGGED_RECORDS:
             self.logged_records.add(name)
-            log.warning("process can't %s record: file %s, %s", operation, self._record_path(name), reason)
+            log.warning(
+                "state record operation failed: operation=%s file=%s error=%s",
+                operation,
+                self._record_path(name),
+                reason,
+            )
--- a/dykefold/failover/controller.py
+++ b/dykefold/failover/controller.py
@@ -10,7 +10,7 @@
 
 from ..balancer.events import Status
 from ..fleet.membership import Membership
-from ..fleet.rate_limits import SECOND
+from ..fleet.rate_limits import NS_PER_S
 from ..system import SYSTEM, System
 from .health_samples import AttemptResult, HealthSample, HealthSampler
 from .settings import FailoverSettings
@@ -195,7 +195,7 @@
         zone = self.plan.zone_of(order.index(own_number) / len(order))
         if zone != self.working_zone:
             name = self.settings.name
-            log.info("sidecar works in zone %s now, not in %s", name(zone), name(self.working_zone))
+            log.info("sidecar changed working zone: zone=%s previous=%s", name(zone), name(self.working_zone))
             self.working_zone = zone
             self.pool.set_home_zone(zone)
 
@@ -238,7 +238,7 @@
             "works_in": name(self.working_zone),
             "state": plan.state.value,
             "cause": plan.cause,
-            "since_s": round((now_ns - plan.since_ns) / SECOND, 3),
+            "since_s": round((now_ns - plan.since_ns) / NS_PER_S, 3),
             "level": plan.level,
             "away": round(plan.away_fraction, 3),
             "to": {name(zone): round(part, 3) for zone, part in plan.destinations.items()},
--- a/dykefold/failover/health_samples.py
+++ b/dykefold/failover/health_samples.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass
 from enum import Enum, auto
 
-from ..fleet.rate_limits import SECOND
+from ..fleet.rate_limits import NS_PER_S
 
-ATTEMPT_HALF_LIFE_NS = SECOND  # Of the weight of an attempt.
+ATTEMPT_HALF_LIFE_NS = NS_PER_S  # Of the weight of an attempt.
 MAX_ZONES = 31  # Zones with counts of their own.
 ATTEMPTS_PER_EJECTION = 2.0  # Weight of an ejected endpoint in a sample.
 
--- a/dykefold/failover/traffic_plan.py
+++ b/dykefold/failover/traffic_plan.py
@@ -25,18 +25,18 @@
 from typing import NamedTuple
 
 from ..fleet.hashing import hash_pair
-from ..fleet.rate_limits import SECOND
+from ..fleet.rate_limits import NS_PER_S
 from ..fleet.statistics import lower_median
 from .zone_health import ZoneHealth, ZonePair
 
-CONFIRM_NS = SECOND // 2  # A shorter failure moves no traffic.
-RETURN_NS = 2 * SECOND
-MAX_RETURN_NS = 60 * SECOND
+CONFIRM_NS = NS_PER_S // 2  # A shorter failure moves no traffic.
+RETURN_NS = 2 * NS_PER_S
+MAX_RETURN_NS = 60 * NS_PER_S
 MAX_RETURN_DOUBLINGS = 8
-FORGET_MOVES_NS = 60 * SECOND  # Without a move; after that earlier moves no longer delay the return.
-STEP_NS = 2 * SECOND
+FORGET_MOVES_NS = 60 * NS_PER_S  # Without a move; after that earlier moves no longer delay the return.
+STEP_NS = 2 * NS_PER_S
 RETURN_STEPS = 3  # Each returns half of the traffic that is away; one more step returns the rest.
-DISSENT_NS = 5 * SECOND  # Longer than the lifetime of a report.
+DISSENT_NS = 5 * NS_PER_S  # Longer than the lifetime of a report.
 CANARY_FRACTION = 0.125  # Of a zone's sidecars; at least one stays.
 LEAVE_STATES = frozenset((ZoneHealth.DOWN, ZoneHealth.UNREACHABLE))
 RETURN_STATES = frozenset((ZoneHealth.HEALTHY, ZoneHealth.SLOW))
--- a/dykefold/failover/zone_reports.py
+++ b/dykefold/failover/zone_reports.py
@@ -8,13 +8,13 @@
 
 from ..fleet.datagrams import Record
 from ..fleet.membership import Membership
-from ..fleet.rate_limits import SECOND
+from ..fleet.rate_limits import NS_PER_S
 from ..fleet.record_store import Topic
 from .health_samples import HealthSample
 from .traffic_plan import LAST_LEVEL
 from .zone_health import ZonePair, quorum
 
-PUBLISH_INTERVAL_NS = SECOND
+PUBLISH_INTERVAL_NS = NS_PER_S
 REPORTERS = 5  # Sidecars of a zone that report: the first in the staying order.
 
 
--- a/dykefold/fleet/admin.py
+++ b/dykefold/fleet/admin.py
@@ -10,7 +10,7 @@
 from . import peer_observations
 from .agent import FleetAgent, describe
 from .member_state import incarnation_of, state_of, zone_of
-from .rate_limits import SECOND
+from .rate_limits import NS_PER_S
 
 OK, NOT_FOUND, UNAVAILABLE = 200, 404, 503  # of HTTP
 
@@ -71,7 +71,7 @@
             _member_report(agent, number, number in live, now_ns) for number in range(len(membership.table))
         ],
         "changes": [
-            {"s_ago": round((now_ns - change.at_ns) / SECOND, 3), "what": describe(change)}
+            {"s_ago": round((now_ns - change.at_ns) / NS_PER_S, 3), "what": describe(change)}
             for change in agent.latest_changes
         ],
     }
@@ -103,5 +103,5 @@
         "state": state_of(encoded).name.lower(),
         "live": is_live,
         "incarnation": incarnation_of(encoded),
-        "heard_s": None if received_ns is None else round((now_ns - received_ns) / SECOND, 3),
+        "heard_s": None if received_ns is None else round((now_ns - received_ns) / NS_PER_S, 3),
     }
--- a/dykefold/fleet/agent.py
+++ b/dykefold/fleet/agent.py
@@ -17,7 +17,7 @@
 from .member_state import State
 from .membership import LocalMember, MembershipChange
 from .protocol import MembershipProtocol
-from .rate_limits import SECOND, RateLimits, TokenBucket
+from .rate_limits import NS_PER_S, RateLimits, TokenBucket
 
 log = logging.getLogger("dykefold.fleet")
 
@@ -111,7 +111,7 @@
             self.link.tick(now_ns)
         due_ns = self.protocol.tick(now_ns)
         self._flush()
-        self._timer = self.loop.call_later((due_ns - now_ns) / SECOND, self._tick)
+        self._timer = self.loop.call_later((due_ns - now_ns) / NS_PER_S, self._tick)
 
     def _hand_over(self) -> None:
         """Stop. Two processes at one address would each receive only some of the member's datagrams."""
--- a/dykefold/fleet/balancer_link.py
+++ b/dykefold/fleet/balancer_link.py
@@ -13,11 +13,11 @@
 from ..system import System
 from . import peer_observations
 from .membership import Membership
-from .rate_limits import RESTART_NS, SECOND
+from .rate_limits import NS_PER_S, RESTART_NS
 from .subsetting import EndpointRanking
 
 MAX_ANNOUNCE_DELAY_S = 4.0  # Of a new list's version. The announcement is dropped if others come first.
-LATENCY_REPORT_INTERVAL_NS = 10 * SECOND
+LATENCY_REPORT_INTERVAL_NS = 10 * NS_PER_S
 EVENT_DELAY_S = 0.5  # Changes of the fleet within this time become one event of the balancer.
 
 
@@ -106,7 +106,7 @@
             self._next_latencies_ns = now_ns + LATENCY_REPORT_INTERVAL_NS
             latencies = self.pool.typical_latencies()
             peer_observations.publish_typical_latencies(self.membership, now_ns, latencies)
-        known = (self.pool.names.next_server, self.pool.version)
+        known = (self.pool.names.next_endpoint, self.pool.version)
         if known == self._known:
             return
         self._known = known
@@ -134,7 +134,7 @@
             peer_observations.membership_event(self.membership, now_ns, endpoints, classes, self._ranking)
         )
         if self.membership.departed_ns and self._recount is None:
-            self._recount = self.loop.call_later(RESTART_NS / SECOND, self._recount_members)
+            self._recount = self.loop.call_later(RESTART_NS / NS_PER_S, self._recount_members)
 
     def _recount_members(self) -> None:
         """Inform the balancer again when departed members have had time to restart."""
@@ -148,7 +148,7 @@
             peer_observations.announce_list_version(self.membership, now_ns, self.pool.version)
 
     def _on_health_hint(self, endpoint: int, answers: bool) -> None:
-        for name, number in self.pool.names.servers.items():
+        for name, number in self.pool.names.endpoints.items():
             if number == endpoint:
                 now_ns = self.system.monotonic_ns()
                 peer_observations.report_endpoint(self.membership, now_ns, name, answers)
--- a/dykefold/fleet/endpoint_list_sync.py
+++ b/dykefold/fleet/endpoint_list_sync.py
@@ -11,7 +11,7 @@
 from . import peer_observations
 from .membership import Membership
 from .poll_schedule import CoordinatedPollSchedule, PollSettings
-from .rate_limits import SECOND
+from .rate_limits import NS_PER_S
 
 log = logging.getLogger("dykefold.fleet")
 
@@ -49,14 +49,14 @@
         """Return the seconds until a watch may be opened."""
         now_ns = self.system.monotonic_ns()
         self._opens_watch = True
-        return (self.schedule.open_watch_ns(now_ns, self.version) - now_ns) / SECOND
+        return (self.schedule.open_watch_ns(now_ns, self.version) - now_ns) / NS_PER_S
 
     def next_call_delay_s(self) -> float:
         """Return the seconds until the next call of a watch, after an answer."""
         now_ns = self.system.monotonic_ns()
         due_ns = self.schedule.continue_watch_ns(now_ns, self.version)
         self._opens_watch = due_ns > now_ns
-        return (due_ns - now_ns) / SECOND
+        return (due_ns - now_ns) / NS_PER_S
 
     def called(self) -> None:
         """Record that a poll begins."""
@@ -76,7 +76,7 @@
         if self.schedule.on_failure(self.system.monotonic_ns()):
             self._announce()
 
-    def moved(self) -> None:
+    def address_changed(self) -> None:
         """Record that discovery has moved to another address."""
         now_ns = self.system.monotonic_ns()
         self._cancel_extra_poll()
@@ -113,7 +113,7 @@
             return
         due_ns = self._extra_poll_ns(now_ns, reports.last_answered_ns)
         if due_ns is not None:
-            wait_s = (due_ns - now_ns) / SECOND
+            wait_s = (due_ns - now_ns) / NS_PER_S
             self._extra_poll = asyncio.get_running_loop().call_later(wait_s, self._poll_extra)
 
     def _extra_poll_ns(self, now_ns: int, last_answered_ns: int | None) -> int | None:
--- a/dykefold/fleet/poll_schedule.py
+++ b/dykefold/fleet/poll_schedule.py
@@ -17,20 +17,20 @@
 from dataclasses import dataclass
 
 from .hashing import hash_pair
-from .rate_limits import SECOND
+from .rate_limits import NS_PER_S
 
 MAX_SPREAD_FRACTION = 0.4  # Of the maximum poll interval, so that a failed poll leaves time for another.
-MAX_MOVED_SPREAD_NS = 2 * SECOND  # After a new configuration, whose list is binding 4 s later (STANDING).
+MAX_MOVED_SPREAD_NS = 2 * NS_PER_S  # After a new configuration, whose list is binding 4 s later (STANDING).
 MAX_FAILED_SPREAD_NS = (
-    2 * SECOND
+    2 * NS_PER_S
 )  # after a failure: a change counts as notified 6 s later, a poll takes 3.5 s
 WATCH_PAUSE_NS = 150_000_000  # A watch continues if the next poll follows an answer within 200 ms (PROTOCOL).
 BACKOFF_FACTOR = 2.0  # Of the spread after a failure, if the fleet had an answer since the last one.
 MAX_BACKOFF = 64.0
-BACKOFF_HALF_LIFE_NS = 5 * SECOND  # Without a failure.
+BACKOFF_HALF_LIFE_NS = 5 * NS_PER_S  # Without a failure.
 QUEUED_ANSWER_NS = 100_000_000  # A first answer of a watch that takes longer was queued at discovery.
-MAX_QUEUED_ANSWER_NS = 2 * SECOND  # Beyond this discovery rather waited for a change.
-SILENT_POLL_NS = 2 * SECOND  # A poll is silent if others have had a newer list for this time (rules: 6 s).
+MAX_QUEUED_ANSWER_NS = 2 * NS_PER_S  # Beyond this discovery rather waited for a change.
+SILENT_POLL_NS = 2 * NS_PER_S  # A poll is silent if others have had a newer list for this time (rules: 6 s).
 MAX_WRONG_REPORTS = 2  # Number of members whose wrong reports have no effect.
 
 
@@ -143,7 +143,7 @@
         if self.failed_ns is not None:
             max_ns = min(max_ns, MAX_FAILED_SPREAD_NS)
         fleet_s = max(self.settings.fleet_size, 1) / self.settings.calls_per_s
-        return min(max(int(fleet_s * self._backoff * SECOND), self._peer_spread_ns), max_ns)
+        return min(max(int(fleet_s * self._backoff * NS_PER_S), self._peer_spread_ns), max_ns)
 
     def _decay_backoff(self, now_ns: int) -> None:
         if self._backoff > 1.0 and self.failed_ns is None:
--- a/dykefold/fleet/rate_limits.py
+++ b/dykefold/fleet/rate_limits.py
@@ -8,9 +8,9 @@
 import math
 from dataclasses import dataclass
 
-SECOND = 1_000_000_000
+NS_PER_S = 1_000_000_000
 
-PERIOD_NS = SECOND // 2  # Each member probes one other member per period.
+PERIOD_NS = NS_PER_S // 2  # Each member probes one other member per period.
 DEFAULT_DATAGRAM_PRICE = 0.02  # A higher price in the settings lengthens the period in proportion.
 MAX_PERIOD_FACTOR = 4.0
 
@@ -42,10 +42,10 @@
 ISOLATED_ALONE_PERIODS = 20.0  # Without any datagram; then no other member counts as live.
 MAX_DELAY_PERIODS = 0.5  # A process that runs later than this loses confidence in its observations.
 
-LEAVING_NS = 10 * SECOND  # Longer than any graceful shutdown.
-RESTART_NS = 30 * SECOND  # A member that has left may be started again within this time.
+LEAVING_NS = 10 * NS_PER_S  # Longer than any graceful shutdown.
+RESTART_NS = 30 * NS_PER_S  # A member that has left may be started again within this time.
 REFUTATION_PERIODS = 0.5  # Between two incarnations of one process.
-LEGACY_LIVE_NS = 10 * SECOND  # After a message, a process without membership counts as live.
+LEGACY_LIVE_NS = 10 * NS_PER_S  # After a message, a process without membership counts as live.
 
 SEND_LIMIT_PER_S = 60.0  # Datagrams, answers included; the burst is twice that.
 RECEIVE_LIMIT_PER_S = 600.0  # Decoded datagrams; the burst is the same. Decoding then takes 5 % of a core.
@@ -115,7 +115,7 @@
     def take(self, now_ns: int, reserve: float = 0.0) -> bool:
         """Take a token if `reserve` tokens remain after that; return whether it was taken."""
         elapsed_ns = max(now_ns - self.updated_ns, 0)
-        self.tokens = min(self.burst, self.tokens + self.rate * elapsed_ns / SECOND)
+        self.tokens = min(self.burst, self.tokens + self.rate * elapsed_ns / NS_PER_S)
         self.updated_ns = now_ns
         if self.tokens < 1.0 + reserve:
             return False
--- a/dykefold/fleet/record_store.py
+++ b/dykefold/fleet/record_store.py
@@ -16,7 +16,7 @@
 
 from .datagrams import Record
 from .gossip_queue import GossipQueue
-from .rate_limits import SECOND
+from .rate_limits import NS_PER_S
 
 MAX_RECORDS = 8192  # These take some MB.
 MAX_SEQUENCE = (1 << 32) - 1
@@ -55,13 +55,13 @@
 
 
 LIMITS = {
-    Topic.LIST_VERSION: TopicLimits(60 * SECOND, 1, 1000, 7),
-    Topic.ENDPOINT_FAILED: TopicLimits(10 * SECOND, 8, 5),
-    Topic.ENDPOINT_ANSWERED: TopicLimits(10 * SECOND, 8, 5),
-    Topic.POLL_SPREAD: TopicLimits(10 * SECOND, 1, 5, 7),
-    Topic.TYPICAL_LATENCY: TopicLimits(60 * SECOND, 16, 0),
-    Topic.ZONE_HEALTH: TopicLimits(4 * SECOND, 31, 96, 4),
-    Topic.FAILOVER_LEVEL: TopicLimits(4 * SECOND, 1, 96, 4),
+    Topic.LIST_VERSION: TopicLimits(60 * NS_PER_S, 1, 1000, 7),
+    Topic.ENDPOINT_FAILED: TopicLimits(10 * NS_PER_S, 8, 5),
+    Topic.ENDPOINT_ANSWERED: TopicLimits(10 * NS_PER_S, 8, 5),
+    Topic.POLL_SPREAD: TopicLimits(10 * NS_PER_S, 1, 5, 7),
+    Topic.TYPICAL_LATENCY: TopicLimits(60 * NS_PER_S, 16, 0),
+    Topic.ZONE_HEALTH: TopicLimits(4 * NS_PER_S, 31, 96, 4),
+    Topic.FAILOVER_LEVEL: TopicLimits(4 * NS_PER_S, 1, 96, 4),
 }
 TOPICS = frozenset(Topic)
 
--- a/dykefold/lab/fleet/member.py
+++ b/dykefold/lab/fleet/member.py
@@ -12,7 +12,7 @@
 from ..scenario import ClassTable
 from .process import EXTRA_DESCRIPTORS, OWN_TREE, Address, Peak, Process
 
-MS = 1_000_000
+NS_PER_MS = 1_000_000
 EFFECTS = {"safe": "pure", "keyed": "token", "unsafe": "side_effect"}
 LOOPBACK = "127.0.0.1"
 CROSS_ZONE_PRICE = 0.05  # Of a request to another zone, relative to the weight of one served in time.
@@ -50,9 +50,9 @@
         "accounts": [],
         "ceilings": {
             "cancel": True,
-            "conn-idle-ns": 15_000 * MS,
-            "connect-timeout-ns": 250 * MS,
-            "max-retry-after-ns": 1000 * MS,
+            "conn-idle-ns": 15_000 * NS_PER_MS,
+            "connect-timeout-ns": 250 * NS_PER_MS,
+            "max-retry-after-ns": 1000 * NS_PER_MS,
             "retry-after": True,
             "peers": peers,
             "second-copies": hedges,
@@ -61,11 +61,11 @@
         "classes": [
             {
                 "name": name,
-                "deadline-ns": table.deadline_ms * MS,
-                "objective-ns": table.aim_ms * MS,
+                "deadline-ns": table.deadline_ms * NS_PER_MS,
+                "objective-ns": table.aim_ms * NS_PER_MS,
                 "repeat": EFFECTS[table.effect],
                 "key-scope": "cell",
-                "window-ns": table.window_ms * MS,
+                "window-ns": table.window_ms * NS_PER_MS,
                 "points": 10.0 if table.effect == "unsafe" else 1.0,
                 "late-value": 0.25,
                 "stream": False,
@@ -79,16 +79,16 @@
         "discovery": "ask",
         "fleet-size": fleet,
         "rules": {
-            "must-ask-in-ns": 10_000 * MS,
-            "drain-grace-ns": 500 * MS,
+            "must-ask-in-ns": 10_000 * NS_PER_MS,
+            "drain-grace-ns": 500 * NS_PER_MS,
             "overload-factor": fall[0],
-            "overload-for-ns": int(fall[1] * 1000 * MS),
+            "overload-for-ns": int(fall[1] * 1000 * NS_PER_MS),
             "start-capacity": cold[0],
-            "warm-within-ns": int(cold[1] * 1000 * MS),
+            "warm-within-ns": int(cold[1] * 1000 * NS_PER_MS),
         },
         "prices": {"cross-zone": CROSS_ZONE_PRICE},
         "telemetry": {"columns": ["rps", "cpu"], "how": "piggyback"},
-        "tick-ns": 1 * MS,
+        "tick-ns": 1 * NS_PER_MS,
     }
 
 
--- a/dykefold/lab/fleet/run.py
+++ b/dykefold/lab/fleet/run.py
@@ -30,7 +30,7 @@
 READY_S = 30.0  # Clients come when all members are ready, or after this time (DEPLOY).
 QUIET_S = 0.3  # After the last request.
 RESTARTING_FAULTS = frozenset(("kill", "term", "upgrade"))
-ZONE_MOVE_LOG = "works in zone"
+ZONE_MOVE_LOG = "sidecar changed working zone"
 
 
 @contextlib.asynccontextmanager
--- a/dykefold/net/clock.py
+++ b/dykefold/net/clock.py
@@ -4,8 +4,8 @@
 
 from ..system import SYSTEM, System
 
-MS = 1_000_000
-SECOND = 1_000_000_000
+NS_PER_MS = 1_000_000
+NS_PER_S = 1_000_000_000
 
 
 class Clock:
@@ -38,4 +38,4 @@
         Returns:
             Time of this clock, in nanoseconds.
         """
-        return self.offset + int(now_s * SECOND)
+        return self.offset + int(now_s * NS_PER_S)
--- a/dykefold/net/discovery/client.py
+++ b/dykefold/net/discovery/client.py
@@ -39,7 +39,7 @@
     """One call of discovery."""
 
     __slots__ = ()
-    read_within = LIST_READ_GRACE_S
+    read_grace_s = LIST_READ_GRACE_S
 
 
 @dataclass(frozen=True, slots=True)
@@ -149,7 +149,7 @@
         self.latest_call = None
         self.watching = False
         if self.schedule is not None:
-            self.schedule.moved()
+            self.schedule.address_changed()
         self.watch(True)
 
     def change_settings(self, pushed: bool) -> None:
--- a/dykefold/net/discovery/codec.py
+++ b/dykefold/net/discovery/codec.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Any, TypeVar
 
-from ...balancer.events import Endpoint, ListKind, Membership, State
+from ...balancer.events import Endpoint, EndpointListUpdate, ListKind, State
 
 STATE_BY_STATUS = {"SERVING": State.READY, "DRAINING": State.DRAINING, "DELETED": State.GONE}
 MAX_NAMES = 256  # Of zones and of machine types each; all further names share one number.
@@ -78,14 +78,14 @@
     complete: bool
     entries: list[EndpointRecord]
 
-    def membership(self, kind: ListKind | None = None) -> Membership:
+    def to_event(self, kind: ListKind | None = None) -> EndpointListUpdate:
         """Return the event for the balancer.
 
         Args:
             kind: Way in which the list was obtained; None if it came from a watch.
         """
         kind = kind or (ListKind.FULL if self.complete else ListKind.DELTA)
-        return Membership(kind, self.version, [entry.endpoint for entry in self.entries])
+        return EndpointListUpdate(kind, self.version, [entry.endpoint for entry in self.entries])
 
 
 class NameTable:
@@ -93,27 +93,27 @@
 
     Args:
         zones: Zones of the settings, which get the first numbers in their order.
-        kinds: Machine types of the settings, which get the first numbers in their order.
+        machine_types: Machine types of the settings, which get the first numbers in their order.
 
     Attributes:
-        servers: Numbers of endpoints by name.
+        endpoints: Numbers of endpoints by name.
         zones: Numbers of zones by name.
-        kinds: Numbers of machine types by name.
-        next_server: Number of the next new endpoint.
+        machine_types: Numbers of machine types by name.
+        next_endpoint: Number of the next new endpoint.
     """
 
-    def __init__(self, zones: list[str], kinds: list[str]) -> None:
-        self.servers: dict[str, int] = {}
+    def __init__(self, zones: list[str], machine_types: list[str]) -> None:
+        self.endpoints: dict[str, int] = {}
         self.zones = {name: number for number, name in enumerate(zones)}
-        self.kinds = {name: number for number, name in enumerate(kinds)}
-        self.next_server = 1
+        self.machine_types = {name: number for number, name in enumerate(machine_types)}
+        self.next_endpoint = 1
 
-    def server(self, name: str) -> int:
+    def endpoint(self, name: str) -> int:
         """Return the number of an endpoint; a new name gets the next number."""
-        number = self.servers.get(name)
+        number = self.endpoints.get(name)
         if number is None:
-            number = self.servers[name] = self.next_server
-            self.next_server += 1
+            number = self.endpoints[name] = self.next_endpoint
+            self.next_endpoint += 1
         return number
 
     def zone(self, name: str) -> int:
@@ -122,11 +122,11 @@
 
     def kind(self, name: str) -> int:
         """Return the number of a machine type; all names beyond `MAX_NAMES` share one."""
-        return _number(self.kinds, name)
+        return _number(self.machine_types, name)
 
     def keep(self, numbers: set[int]) -> None:
         """Remove the names of all endpoints except those with these numbers."""
-        self.servers = {name: number for name, number in self.servers.items() if number in numbers}
+        self.endpoints = {name: number for name, number in self.endpoints.items() if number in numbers}
 
 
 def _number(numbers: dict[str, int], name: str) -> int:
@@ -139,12 +139,12 @@
     return numbers.get(name, len(numbers))
 
 
-def split_address(text: object, least_port: int = 1) -> tuple[str, int]:
+def split_address(text: object, min_port: int = 1) -> tuple[str, int]:
     """Parse a numeric IPv4 address with a port.
 
     Args:
         text: Address in the form `host:port`.
-        least_port: Lowest valid port.
+        min_port: Lowest valid port.
 
     Returns:
         Host and port.
@@ -157,7 +157,7 @@
         socket.inet_pton(socket.AF_INET, host)
     except (OSError, ValueError):  # A host with a null character or a lone surrogate raises ValueError.
         raise AddressError(text) from None
-    if not (port.isascii() and port.isdigit() and least_port <= int(port) <= MAX_PORT):
+    if not (port.isascii() and port.isdigit() and min_port <= int(port) <= MAX_PORT):
         raise AddressError(text)
     return host, int(port)
 
@@ -185,7 +185,7 @@
     entries = [_read_entry(number, entry) for number, entry in enumerate(endpoints)]
     for record, zone, kind in entries:
         endpoint = record.endpoint
-        endpoint.number = names.server(record.name)
+        endpoint.number = names.endpoint(record.name)
         endpoint.zone, endpoint.kind = names.zone(zone), names.kind(kind)
     return EndpointUpdate(version, complete, [record for record, _, _ in entries])
 
@@ -204,7 +204,7 @@
         Object for JSON that `parse_endpoint_update` can read.
     """
     zones = {number: name for name, number in names.zones.items()}
-    kinds = {number: name for name, number in names.kinds.items()}
+    machine_types = {number: name for name, number in names.machine_types.items()}
     return {
         "index": version,
         "snapshot": True,
@@ -213,7 +213,7 @@
                 "name": entry.name,
                 "address": f"{entry.address[0]}:{entry.address[1]}",
                 "zone": zones.get(entry.endpoint.zone, ""),
-                "type": kinds.get(entry.endpoint.kind, ""),
+                "type": machine_types.get(entry.endpoint.kind, ""),
                 "group": entry.endpoint.cell,
                 "status": "SERVING" if entry.endpoint.state is State.READY else "DRAINING",
                 "weight": entry.endpoint.weight,
--- a/dykefold/net/discovery/watch_schedule.py
+++ b/dykefold/net/discovery/watch_schedule.py
@@ -54,6 +54,6 @@
         """Record that a call failed, or was answered with an invalid list."""
         ...
 
-    def moved(self) -> None:
+    def address_changed(self) -> None:
         """Record that the address of discovery has changed."""
         ...
--- a/dykefold/net/downstream/connection.py
+++ b/dykefold/net/downstream/connection.py
@@ -106,7 +106,7 @@
 
     def eof_received(self) -> bool:
         """Close, unless the client still awaits responses; return whether the transport stays open."""
-        between_messages = not self.assembler.message_unfinished and self.reader.unfed is None
+        between_messages = not self.assembler.message_unfinished and self.reader.unparsed is None
         self.half_closed = self.handler.half_close and self.busy and between_messages
         if not self.half_closed:
             self.close()
@@ -296,7 +296,7 @@
         While another request is waiting or unfinished, it stays open in a graceful shutdown too.
         """
         assembler = self.assembler
-        if assembler.waiting or self.reader.unfed is not None or assembler.message_begun:
+        if assembler.waiting or self.reader.unparsed is not None or assembler.message_begun:
             return True
         if self.half_closed:
             return False
@@ -385,7 +385,7 @@
         """Return whether bytes of the client, or its close, have arrived and were not read yet."""
         if self.lifecycle.state is CLOSED:
             return False
-        return self.reader.unfed is not None or (not self.half_closed and self.close_detector.poll() != 0)
+        return self.reader.unparsed is not None or (not self.half_closed and self.close_detector.poll() != 0)
 
     def client_has_closed(self) -> bool:
         """Return whether the client has closed, also behind input that was not read yet."""
--- a/dykefold/net/downstream/protocols.py
+++ b/dykefold/net/downstream/protocols.py
@@ -54,7 +54,7 @@
         clients: Open connections of all clients.
         memory: Memory budget of all messages.
         read_scheduler: Queue of the connections whose input waits to be parsed.
-        lag: Monitor that is notified of the time that parsing takes.
+        lag_monitor: Monitor that is notified of the time that parsing takes.
         parser: Parser of messages by the present settings.
         draining: Whether the graceful shutdown has begun.
         handing_over: Whether a newer process takes over in a hot restart; clients reconnect to it after
@@ -67,7 +67,7 @@
     clients: ClientConnections
     memory: MemoryBudget
     read_scheduler: ReadScheduler
-    lag: LoopLagMonitor
+    lag_monitor: LoopLagMonitor
     parser: MessageReader
     draining: bool
     handing_over: bool
--- a/dykefold/net/downstream/request_assembler.py
+++ b/dykefold/net/downstream/request_assembler.py
@@ -16,7 +16,7 @@
 import httptools
 
 from ...admission.client import Client
-from ..streaming import BUFFER_BYTES, MAX_FRAMING_FACTOR, Upload
+from ..streaming import MAX_FRAMING_FACTOR, UPLOAD_HIGH_WATER_BYTES, Upload
 from ..upstream.http_fields import BLANKS, HOP_BY_HOP, gather
 from .protocols import InputControl, ItemReceiver, ServerContext
 from .request_parser import MAX_BUFFERED_BODY_BYTES, Message, ParsedRequest, RequestError
@@ -306,7 +306,7 @@
             return
         if (length or self._body_bytes) > request.max_body_bytes:
             self.reject(413, "the body is too large")
-        elif self._reserve(max(BUFFER_BYTES - self._message_reserved_bytes, 0)):
+        elif self._reserve(max(UPLOAD_HIGH_WATER_BYTES - self._message_reserved_bytes, 0)):
             self.upload = request.upload = Upload(length, bytes(self._body), self._input.resume)
             self._body = b""
             self.max_message_bytes = MAX_HEADERS_BYTES + MAX_FRAMING_FACTOR * request.max_body_bytes
@@ -348,7 +348,7 @@
         """Discard the rest of a body; its request, which is accepted or waiting, gets this answer."""
         self.discarding_input = True
         self.upload = None
-        upload.spoil(code, text)
+        upload.fail(code, text)
 
 
 def _exceeds_max_body(length: bytes) -> bool:
--- a/dykefold/net/downstream/request_parser.py
+++ b/dykefold/net/downstream/request_parser.py
@@ -53,7 +53,7 @@
     """A complete message of a client, before it is parsed as a request.
 
     Attributes:
-        now: Time in nanoseconds at which its last byte arrived, on the clock of deadlines.
+        received_ns: Time in nanoseconds at which its last byte arrived, on the clock of deadlines.
         method: HTTP method.
         target: Request target as the client sent it.
         headers: Values by lower-case name; of a repeated header the last one.
@@ -63,7 +63,7 @@
         is_http_1_0: Whether the client speaks HTTP/1.0; always False if bodies are not streamed.
     """
 
-    now: int
+    received_ns: int
     method: bytes
     target: bytes
     headers: dict[bytes, bytes]
@@ -78,7 +78,7 @@
     """A request as the client sent it.
 
     Attributes:
-        ident: Value of X-Request-Id.
+        x_request_id: Value of X-Request-Id.
         method: HTTP method.
         target: Request target as the client sent it.
         headers: Complete header lines that are forwarded.
@@ -102,7 +102,7 @@
         upload: Streamed request body; None if the body is buffered.
     """
 
-    ident: bytes
+    x_request_id: bytes
     method: bytes
     target: bytes
     headers: list[bytes]
@@ -174,8 +174,8 @@
         settings: Settings with the classes and tenants.
         pool: Service pool that serves the requests.
         retired: Numbers of classes that are no longer accepted.
-        before: Parser of the previous settings, for requests that do not fit the present ones; None if there
-            is none.
+        previous: Parser of the previous settings, for requests that do not fit the present ones; None if
+            there is none.
 
     Attributes:
         streams: Whether larger bodies may be streamed.
@@ -192,7 +192,7 @@
         settings: Settings,
         pool: object,
         retired: Collection[int] = (),
-        before: RequestParser | None = None,
+        previous: RequestParser | None = None,
     ) -> None:
         self.pool = pool
         self.classes = {
@@ -201,10 +201,10 @@
             if number not in retired
         }
         self.tenants = {tenant.name.encode(): number for number, tenant in enumerate(settings.tenants)}
-        self.before = before
+        self.previous = previous
         self.until_ns = 0
 
-    def lingers(self, now_ns: int, until_ns: int) -> RequestParser:
+    def keep_as_fallback(self, now_ns: int, until_ns: int) -> RequestParser:
         """Permit that the next parser falls back on this one; drop expired older parsers.
 
         Args:
@@ -216,11 +216,11 @@
         """
         self.until_ns = until_ns
         parser = self
-        while parser.before is not None:
-            if parser.before.until_ns <= now_ns:
-                parser.before = None
+        while parser.previous is not None:
+            if parser.previous.until_ns <= now_ns:
+                parser.previous = None
                 break
-            parser = parser.before
+            parser = parser.previous
         return self
 
     def read(self, message: Message) -> ParsedRequest:
@@ -232,13 +232,13 @@
         try:
             return self._read(message)
         except MalformedRequestError:
-            if self.before is None:
+            if self.previous is None:
                 raise
-            if message.now >= self.before.until_ns:
-                self.before = None
+            if message.received_ns >= self.previous.until_ns:
+                self.previous = None
                 raise
             try:
-                return self.before.read(message)
+                return self.previous.read(message)
             except RequestError:
                 pass  # The client gets the error by the present settings, which it can correct.
             raise
@@ -258,8 +258,8 @@
             raise MalformedRequestError(404, "unknown class")
         if message.method != form.method:
             raise MalformedRequestError(405, "the method is not that of the class")
-        ident = headers.get(b"x-request-id")
-        if not ident:
+        x_request_id = headers.get(b"x-request-id")
+        if not x_request_id:
             raise RequestError(400, "X-Request-Id is missing")
         # Without the key no endpoint could recognize a retry, and the effect could occur twice.
         if form.needs_key and not headers.get(b"idempotency-key"):
@@ -275,7 +275,7 @@
             tenant = self.tenants[tenant_name]
         cost, key = headers.get(b"x-cost-hint"), headers.get(b"x-key")
         return ParsedRequest(
-            ident,
+            x_request_id,
             message.method,
             target,
             message.lines,
@@ -283,7 +283,7 @@
             form.number,
             tenant,
             _hash_key(key) if key else 0,
-            message.now + wait_ns,
+            message.received_ns + wait_ns,
             wait_ns,
             _parse_cost(cost) if cost is not None else 0,
             headers.get(b"x-retry") == b"1",
--- a/dykefold/net/downstream/request_reader.py
+++ b/dykefold/net/downstream/request_reader.py
@@ -31,7 +31,7 @@
         assembler: Assembler of the items.
         transport: Transport of the connection; None before it exists.
         paused: Whether reading is paused.
-        unfed: Bytes that were read and not parsed; None if there are none.
+        unparsed: Bytes that were read and not parsed; None if there are none.
         scheduled: Whether the reader is in the queue of the read scheduler.
     """
 
@@ -45,7 +45,7 @@
         "paused",
         "scheduled",
         "transport",
-        "unfed",
+        "unparsed",
     )
 
     def __init__(
@@ -59,7 +59,7 @@
         self.assembler = RequestAssembler(server, client, receiver, self)
         self.transport: asyncio.Transport | None = None
         self.paused = False
-        self.unfed: memoryview | None = None
+        self.unparsed: memoryview | None = None
         self.scheduled = False
 
     def data_received(self, data: bytes) -> None:
@@ -69,7 +69,7 @@
         if len(data) <= SLICE_BYTES:
             began_s = self._server.monotonic()
             self._parse(data)
-            self._server.lag.took(began_s, "a client's message")
+            self._server.lag_monitor.record_duration(began_s, "a client's message")
             return
         # The first slice may cause the rest to be discarded; then no memory is needed for it.
         self._parse(data[:SLICE_BYTES])
@@ -80,7 +80,7 @@
             self.assembler.reject(503, "too much is held")
             self._dispatch()
             return
-        self.unfed = rest
+        self.unparsed = rest
         self.pause()
         self.resume()
 
@@ -88,22 +88,22 @@
         """Parse the next slice; return whether another one can be parsed in the loop's next iteration."""
         if self._lifecycle.state in ENDED:  # A request can no longer be answered, so none may be accepted.
             self.drop_unfed()
-        if self.unfed is not None:
-            data, self.unfed = cut(self.unfed)
+        if self.unparsed is not None:
+            data, self.unparsed = cut(self.unparsed)
             self._server.memory.release(len(data))
             self._parse(data)
         if self.assembler.discarding_input:
             self.drop_unfed()
-        self.scheduled = self.unfed is not None and not self._is_full()
+        self.scheduled = self.unparsed is not None and not self._is_full()
         if not self.scheduled:
             self.resume()
         return self.scheduled
 
     def drop_unfed(self) -> None:
         """Discard input that was read and not parsed."""
-        if self.unfed is not None:
-            self._server.memory.release(len(self.unfed))
-            self.unfed = None
+        if self.unparsed is not None:
+            self._server.memory.release(len(self.unparsed))
+            self.unparsed = None
 
     def _parse(self, data: bytes) -> None:
         """Parse a slice, for which the parser calls the `on_...` methods of the assembler."""
@@ -140,13 +140,13 @@
                 self.assembler.upload.stopped_ns = self._server.now()
 
     def resume(self) -> None:
-        """Resume reading, first from `unfed`, unless too many requests await their responses."""
+        """Resume reading, first from `unparsed`, unless too many requests await their responses."""
         if not self.paused:
             return
         self._count_unread()
         if self._is_full() and not self.assembler.discarding_input:
             return
-        if self.unfed is not None:
+        if self.unparsed is not None:
             if not self.scheduled:
                 self.scheduled = True
                 self._server.read_scheduler.add(self)
@@ -161,8 +161,8 @@
         if self.transport is not None and not self.transport.is_closing():
             sock = self.transport.get_extra_info("socket")
             in_kernel_bytes = self._server.system.unread(sock) if sock is not None else 0
-            unfed_bytes = len(self.unfed) if self.unfed is not None else 0
-            self._arrivals.mark(self._server.now(), unfed_bytes + in_kernel_bytes)
+            unparsed_bytes = len(self.unparsed) if self.unparsed is not None else 0
+            self._arrivals.mark(self._server.now(), unparsed_bytes + in_kernel_bytes)
 
     def _is_full(self) -> bool:
         """Return whether reading must pause."""
--- a/dykefold/net/loop_lag.py
+++ b/dykefold/net/loop_lag.py
@@ -55,7 +55,7 @@
         """Worst lateness, in seconds."""
         return max(self.worst_now_s, self.worst_before_s)
 
-    def took(self, began_s: float, what: str) -> None:
+    def record_duration(self, began_s: float, what: str) -> None:
         """Record the time that a callback took.
 
         Args:
--- a/dykefold/net/read_scheduler.py
+++ b/dykefold/net/read_scheduler.py
@@ -25,10 +25,10 @@
     """A connection whose input may have to wait.
 
     Attributes:
-        unfed: Input that waits, in order; None if nothing waits.
+        unparsed: Input that waits, in order; None if nothing waits.
     """
 
-    unfed: memoryview | None
+    unparsed: memoryview | None
 
     def feed_slice(self) -> bool:
         """Parse at most a slice of the input; return whether more can be parsed in the next turn."""
@@ -40,16 +40,19 @@
 
     Args:
         loop: Event loop of the turns.
-        lag: Monitor that is notified of how long each turn took; None if that is not measured.
+        lag_monitor: Monitor that is notified of how long each turn took; None if that is not measured.
         system: The clock.
     """
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, lag: LoopLagMonitor | None = None, system: System = SYSTEM
+        self,
+        loop: asyncio.AbstractEventLoop,
+        lag_monitor: LoopLagMonitor | None = None,
+        system: System = SYSTEM,
     ) -> None:
         self.loop = loop
         self.monotonic = system.monotonic
-        self.lag = lag
+        self.lag_monitor = lag_monitor
         self.queue: deque[Reader] = deque()
 
     def add(self, reader: Reader) -> None:
@@ -66,8 +69,8 @@
                 self.queue.append(reader)
         if self.queue:
             self.loop.call_soon(self._turn)
-        if self.lag is not None:
-            self.lag.took(began_s, "slices of long input")
+        if self.lag_monitor is not None:
+            self.lag_monitor.record_duration(began_s, "slices of long input")
 
 
 def cut(data: memoryview) -> tuple[bytes, memoryview | None]:
--- a/dykefold/net/service/attempt.py
+++ b/dykefold/net/service/attempt.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterator
 
 from ...balancer.events import BodySent, Status, StreamStarted
-from ..clock import MS, SECOND
+from ..clock import NS_PER_MS, NS_PER_S
 from ..downstream.request_parser import MAX_BUFFERED_BODY_BYTES, ParsedRequest
 from ..upstream.classify import HttpProfile, Response
 from ..upstream.exchange import Exchange
@@ -19,9 +19,9 @@
 # A streamed body or answer must progress within this time, where the endpoint is the one to act.
 STREAM_STALL_S = 3.0
 # The announced time may exceed the client's remaining time by at most this when the last byte is written.
-MAX_OVERSTATED_NS = 50 * MS
+MAX_OVERSTATED_NS = 50 * NS_PER_MS
 # An attempt with less time left is not written: this is the shortest time that can be announced.
-MIN_ANNOUNCED_NS = MS
+MIN_ANNOUNCED_NS = NS_PER_MS
 # For a streamed body, one part in this many of the client's time is not announced.
 STREAM_MARGIN_DIVISOR = 4
 
@@ -85,7 +85,7 @@
 
     def stall_ns(self) -> int:
         """Return the nanoseconds within which a body that still arrives must progress."""
-        return int(STREAM_STALL_S * SECOND)
+        return int(STREAM_STALL_S * NS_PER_S)
 
     def expire(self) -> None:
         """Give the attempt up, unless its body or answer is being streamed and has progressed.
@@ -105,7 +105,7 @@
         """Return whether bytes were streamed since the last check, or the client is the one to act."""
         if self.connection is None:
             return False  # nothing is written yet, and the time for connecting is over
-        before, self.last_progress = self.last_progress, self.connection.moved()
+        before, self.last_progress = self.last_progress, self.connection.transferred_bytes()
         if self.answer_began_ns:
             return self.connection.blocked or self.last_progress != before
         return not self.connection.unwritten or self.last_progress != before
@@ -133,7 +133,7 @@
     def compose(self) -> bytes:
         """Return the message to write; if connecting took long, it announces the time that is left now."""
         now_ns = self.host.now()
-        if now_ns - self.sent_ns >= MS:
+        if now_ns - self.sent_ns >= NS_PER_MS:
             self.announce(
                 self.expires_ns - now_ns if self.expires_ns else stream_time_ns(self.request.parsed, now_ns)
             )
@@ -185,7 +185,7 @@
             host, self.answer_began_ns = self.host, self.host.now()
             host.timer_wheel.stop(request)  # its final answer has begun in time
             took_ns = self.answer_began_ns - max(
-                self.sent_ns, self.upload.whole_ns if self.upload is not None else 0
+                self.sent_ns, self.upload.completed_ns if self.upload is not None else 0
             )
             report = host.reports.read(load) if load and host.reports.columns else ()
             host.post(
@@ -230,4 +230,4 @@
     the time is not announced, since a slow socket may delay the last byte.
     """
     announced_ns = request.wait_ns - request.wait_ns // STREAM_MARGIN_DIVISOR
-    return max(min(announced_ns, request.deadline_ns - now_ns), MS)
+    return max(min(announced_ns, request.deadline_ns - now_ns), NS_PER_MS)
--- a/dykefold/net/service/attempts.py
+++ b/dykefold/net/service/attempts.py
@@ -9,7 +9,7 @@
 from ...balancer.actions import Cancel, Send
 from ...balancer.events import Outcome, Status
 from ...balancer.settings import Effect
-from ..clock import SECOND
+from ..clock import NS_PER_S
 from ..streaming import Upload
 from ..upstream.classify import HttpProfile, Response
 from ..upstream.connection_pool import ConnectionPool
@@ -77,7 +77,7 @@
         attempt.expires_ns = 0 if body_arriving else now_ns + timeout_ns
         # The deadline of a streamed body counts from its last byte, which the endpoint gets later.
         attempt.announce(stream_time_ns(parsed, now_ns) if body_arriving else timeout_ns)
-        self.upstreams.start(action.endpoint_number, attempt, timeout_ns / SECOND)
+        self.upstreams.start(action.endpoint_number, attempt, timeout_ns / NS_PER_S)
 
     def _idempotency_window_end(self, request: PendingRequest, attempt: Attempt) -> int:
         """Return the time from which endpoints may have forgotten the idempotency key; 0 without a key.
@@ -130,7 +130,7 @@
         if request.awaiting_answer and (request.streaming_answer or (upload is not None and upload.begun)):
             self.requests.end_streamed(request, status)
         # The client sets the pace of a streamed body, so the endpoint's time counts from the body's end.
-        took_ns = self.now() - max(attempt.sent_ns, upload.whole_ns if upload is not None else 0)
+        took_ns = self.now() - max(attempt.sent_ns, upload.completed_ns if upload is not None else 0)
         if host.on_attempt_end is not None:
             objective_ns = host.settings.classes[request.parsed.class_number].objective_ns
             host.on_attempt_end(attempt.endpoint_number, status, took_ns, objective_ns)
--- a/dykefold/net/service/endpoint_registry.py
+++ b/dykefold/net/service/endpoint_registry.py
@@ -14,7 +14,7 @@
 
 from ...balancer.actions import Probe
 from ...balancer.endpoints import EndpointState
-from ...balancer.events import ListKind, Membership, ProbeResult, State, Status
+from ...balancer.events import EndpointListUpdate, ListKind, ProbeResult, State, Status
 from ..discovery.codec import (
     EndpointRecord,
     EndpointUpdate,
@@ -61,7 +61,7 @@
         self.loop = process.loop
         self.clock = process.clock
         self.monotonic = process.system.monotonic
-        self.lag = process.lag
+        self.lag_monitor = process.lag_monitor
         self.names = names
         self.known = known
         self.maintenance: Maintenance[EndpointRecord] = Maintenance(
@@ -76,8 +76,8 @@
         if self.host.closed:
             return
         if update is None:
-            self.start_times.broke()
-            self.host.post(Membership(ListKind.FAILED, 0, []))
+            self.start_times.watch_failed()
+            self.host.post(EndpointListUpdate(ListKind.FAILED, 0, []))
         else:
             self.apply_list(update)
 
@@ -126,13 +126,13 @@
 
     def _apply(self, update: EndpointUpdate, kind: ListKind | None = None) -> None:
         began_s = self.monotonic()
-        membership = update.membership(kind)
+        event = update.to_event(kind)
         starts = ((entry.name, entry.endpoint) for entry in update.entries)
         source, called_ns = "", 0
         if self.discovery is not None:
             source, called_ns = self.discovery.listed_by, self.clock.at(self.discovery.called)
-        self.start_times.place(self.clock.now(), membership.kind, source, starts, called_ns)
-        self.host.post(membership)
+        self.start_times.place(self.clock.now(), event.kind, source, starts, called_ns)
+        self.host.post(event)
         upstreams = self.upstreams
         if update.complete:
             listed = {entry.endpoint.number for entry in update.entries}
@@ -142,7 +142,9 @@
             self._apply_entry(entry)
         # Names are dropped after changes too, since a complete list may never come.
         self.names.keep(set(self.known) | set(upstreams.endpoints))
-        self.lag.took(began_s, f"an endpoint list update of {len(update.entries)} endpoints")
+        self.lag_monitor.record_duration(
+            began_s, f"an endpoint list update of {len(update.entries)} endpoints"
+        )
 
     def _apply_entry(self, entry: EndpointRecord) -> None:
         endpoint, upstreams = entry.endpoint, self.upstreams
@@ -213,7 +215,7 @@
 
     def numbers_by_name(self) -> dict[str, int]:
         """Return the numbers of the balancer's endpoints, by name."""
-        return {name: number for name, number in self.names.servers.items() if number in self.known}
+        return {name: number for name, number in self.names.endpoints.items() if number in self.known}
 
     def ready_by_zone(self) -> dict[int, int]:
         """Count the ready endpoints by zone."""
--- a/dykefold/net/service/http_encoding.py
+++ b/dykefold/net/service/http_encoding.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..clock import MS, SECOND
+from ..clock import NS_PER_MS, NS_PER_S
 from ..downstream.request_parser import ParsedRequest
 
 # Requests with these methods have a Content-Length even if their body is empty.
@@ -29,7 +29,7 @@
         request.method,
         request.target,
         b"".join(request.headers),
-        max(time_left_ns // MS, 1),
+        max(time_left_ns // NS_PER_MS, 1),
         length,
         request.body,
     )
@@ -46,4 +46,4 @@
     Args:
         after_ns: Nanoseconds to wait, written in seconds with three decimals.
     """
-    return b"Retry-After: %.3f\r\n" % (after_ns / SECOND)
+    return b"Retry-After: %.3f\r\n" % (after_ns / NS_PER_S)
--- a/dykefold/net/service/maintenance.py
+++ b/dykefold/net/service/maintenance.py
@@ -41,11 +41,11 @@
     Attributes:
         ordered_ns: Time of the order, nanoseconds on the clock of this process (`net.clock.Clock`). The time
             of another process's order is converted to this clock before the order is merged.
-        out: Whether the endpoint was taken out of service; otherwise it was put back.
+        out_of_service: Whether the endpoint was taken out of service; otherwise it was put back.
     """
 
     ordered_ns: int
-    out: bool
+    out_of_service: bool
 
 
 class Maintenance(Generic[E]):
@@ -66,12 +66,12 @@
 
     def out_of_service(self) -> list[str]:
         """Return the names of the endpoints that are out of service."""
-        return [name for name, order in self.orders.items() if order.out]
+        return [name for name, order in self.orders.items() if order.out_of_service]
 
     def is_out(self, name: str) -> bool:
         """Return whether an endpoint is out of service."""
         order = self.orders.get(name)
-        return order is not None and order.out
+        return order is not None and order.out_of_service
 
     def knows(self, name: str) -> bool:
         """Return whether an order may name this endpoint."""
@@ -103,7 +103,7 @@
         order = self.orders.get(entry.name)
         if order is None or entry.endpoint.state is State.GONE:
             return entry
-        if order.out:
+        if order.out_of_service:
             if entry.endpoint.state is not State.READY:
                 return entry
             return self.copy(entry, replace(entry.endpoint, state=State.DRAINING))
@@ -148,7 +148,7 @@
         for name, order in orders.items():
             own = self.orders.get(name)
             if own is None or order.ordered_ns > own.ordered_ns:
-                if order.out and self.is_full(name):
+                if order.out_of_service and self.is_full(name):
                     continue
                 notified += self._set(name, order)
         return notified
@@ -156,12 +156,12 @@
     def _set(self, name: str, order: MaintenanceOrder) -> list[E]:
         self.orders.pop(name, None)
         self.orders[name] = order
-        if not order.out:
+        if not order.out_of_service:
             self._forget_earliest_returns()
         entry = self.listed.get(name)
         return [] if entry is None else [self._with_order(entry)]
 
     def _forget_earliest_returns(self) -> None:
-        returns = [name for name, order in self.orders.items() if not order.out]
+        returns = [name for name, order in self.orders.items() if not order.out_of_service]
         for name in returns[: max(len(returns) - MAX_REMEMBERED_RETURNS, 0)]:
             del self.orders[name]
--- a/dykefold/net/service/pending_requests.py
+++ b/dykefold/net/service/pending_requests.py
@@ -10,19 +10,19 @@
 
 from ...balancer.actions import Fail, Refuse
 from ...balancer.events import ClientDisconnected, Request, Status
-from ..clock import MS, SECOND
+from ..clock import NS_PER_MS, NS_PER_S
 from ..downstream.request_parser import ParsedRequest
 from ..upstream.classify import Response
-from ..upstream.exchange import READ_WITHIN, Exchange
+from ..upstream.exchange import READ_GRACE_S, Exchange
 from .attempt import AttemptsInFlight
 from .http_encoding import header_lines, retry_after
 from .pending_request import PendingRequest
 from .protocols import DescriptorReservations, PoolHost, RequestHost, ResponseSink
 
 # The last attempt is given up at this time before the client's deadline.
-ATTEMPT_MARGIN_NS = 15 * MS
+ATTEMPT_MARGIN_NS = 15 * NS_PER_MS
 # A request that still has no final answer gets one at this time before its deadline.
-GUARD_MARGIN_NS = 8 * MS
+GUARD_MARGIN_NS = 8 * NS_PER_MS
 FIRST_ERROR_CODE = 400  # HTTP status codes from here on do not count as served
 
 
@@ -69,10 +69,10 @@
         self.next_id += 1
         self.by_id[request.id] = request
         if parsed.upload is not None and not parsed.upload.ended:
-            parsed.upload.on_whole = request.on_body_complete
+            parsed.upload.on_complete = request.on_body_complete
         else:
             if parsed.upload is not None:
-                parsed.deadline_ns = parsed.upload.whole_ns + parsed.wait_ns
+                parsed.deadline_ns = parsed.upload.completed_ns + parsed.wait_ns
             self._start_guard(request)
         self.post(
             Request(
@@ -90,7 +90,7 @@
     def _start_guard(self, request: PendingRequest) -> None:
         now_s = self.monotonic()
         left_ns = max(request.parsed.deadline_ns - GUARD_MARGIN_NS - self.clock.at(now_s), 0)
-        self.timer_wheel.start(request, left_ns / SECOND, now_s)
+        self.timer_wheel.start(request, left_ns / NS_PER_S, now_s)
 
     def start_deadline(self, request: PendingRequest) -> None:
         """Give a request whose streamed body is complete the time that its client stated."""
@@ -98,12 +98,12 @@
             return
         parsed = request.parsed
         assert parsed.upload is not None
-        parsed.deadline_ns = parsed.upload.whole_ns + parsed.wait_ns
+        parsed.deadline_ns = parsed.upload.completed_ns + parsed.wait_ns
         self._start_guard(request)
         left_ns = parsed.deadline_ns - self.clock.now()
         for attempt in self.attempts.of(request):
             attempt.expires_ns = parsed.deadline_ns - ATTEMPT_MARGIN_NS
-            attempt.restart_timer(max(left_ns - ATTEMPT_MARGIN_NS, MS) / SECOND)
+            attempt.restart_timer(max(left_ns - ATTEMPT_MARGIN_NS, NS_PER_MS) / NS_PER_S)
             if parsed.upload.begun:
                 attempt.body_sent()
 
@@ -117,7 +117,7 @@
         answers_waiting = [attempt.read_first() for attempt in attempts]
         if any(answers_waiting):
             self.timer_wheel.stop(request)
-            self.timer_wheel.start(request, READ_WITHIN, self.monotonic())
+            self.timer_wheel.start(request, READ_GRACE_S, self.monotonic())
             return
         for attempt in attempts:
             attempt.give_up(Status.TIMEOUT)
--- a/dykefold/net/service/pool.py
+++ b/dykefold/net/service/pool.py
@@ -35,14 +35,14 @@
 from ...balancer.latency import LEARNING_ANSWERS
 from ...balancer.settings import Settings
 from ...settings import Transport
-from ..clock import MS, SECOND
+from ..clock import NS_PER_MS, NS_PER_S
 from ..discovery.client import DiscoveryClient, DiscoveryOrigin
 from ..discovery.codec import EndpointRecord, EndpointUpdate
 from ..downstream.request_parser import ParsedRequest
 from ..peers import Address
 from ..start_times import StartTimes
 from ..upstream.connection_pool import ConnectionPool
-from ..upstream.connector import LATE_S
+from ..upstream.connector import MAX_LOOP_LAG_S
 from ..upstream.limits import ConnectionLimits
 from .attempt import Attempt, AttemptsInFlight
 from .attempts import AttemptRunner
@@ -77,7 +77,7 @@
         version: Version of the latest endpoint list, as discovery counts.
         closed: Whether the pool has closed its sockets.
         retiring: Whether the pool closes once nothing is pending or in flight.
-        max_open: Number of requests that may be pending at once.
+        max_pending: Number of requests that may be pending at once.
         on_attempt_end: Callback for the end of each attempt. Its arguments are the endpoint's number, the
             status, the duration and the latency objective in nanoseconds.
         on_health_hint: Callback that notifies other sidecars of an endpoint's health. Its arguments are the
@@ -109,7 +109,7 @@
         self.on_health_hint: Callable[[int, bool], None] = lambda _endpoint_number, _answers: None
         self.events: deque[Event] = deque()
         self.handling = False
-        self.max_open = config.transport.max_open
+        self.max_pending = config.transport.max_pending
         self.names = config.names
         self.version = config.known.version
         self._use_settings(config.settings, frozenset())
@@ -120,7 +120,7 @@
         self.requests = PendingRequests(self, process, self.budget, attempts, self.upstreams.abandon)
         self.attempt_runner = AttemptRunner(self, self.requests, attempts, self.upstreams)
         self.accept = self.requests.accept  # bound here, so that a request costs no forwarding call
-        self.endpoints = EndpointRegistry(self, process, config.names, self.balancer.servers)
+        self.endpoints = EndpointRegistry(self, process, config.names, self.balancer.known_endpoints)
         self.carry_out = self._actions()
         self.endpoints.apply_list(config.known, ListKind.CACHED)
         if not config.settings.poll_required:
@@ -131,7 +131,7 @@
         self.reports = LoadReportParser(settings.report_columns)
 
     def _connect_timeout_s(self) -> float:
-        return self.settings.connect_timeout_ns / SECOND or DEFAULT_CONNECT_TIMEOUT_S
+        return self.settings.connect_timeout_ns / NS_PER_S or DEFAULT_CONNECT_TIMEOUT_S
 
     def _connection_pool(
         self, transport: Transport, close_in_other_pools: Callable[[], bool] | None
@@ -143,7 +143,7 @@
                 process.budget.upstreams,
                 process.memory,
                 self._connect_timeout_s(),
-                transport.conn_idle_ns / SECOND,
+                transport.connection_idle_timeout_ns / NS_PER_S,
             ),
             process.read_scheduler,
             process.timer_wheel,
@@ -205,7 +205,7 @@
 
     def _set_timer(self, action: SetTimer) -> None:
         # The loop counts in whole milliseconds; rounded up, since a timer that fires early is useless.
-        after_s = -(-action.after_ns // MS) / 1000
+        after_s = -(-action.after_ns // NS_PER_MS) / 1000
         self.loop.call_later(after_s, self._on_timer, action.token, self.monotonic() + after_s)
 
     def _on_timer(self, token: int, due_s: float) -> None:
@@ -215,7 +215,7 @@
         """
         if self.closed:
             return
-        if self.monotonic() - due_s > LATE_S:
+        if self.monotonic() - due_s > MAX_LOOP_LAG_S:
             self.loop.call_later(NEXT_TURN_S, self._on_timer, token, math.inf)
         else:
             self.post(Timer(token))
@@ -275,8 +275,10 @@
 
     def change_transport(self, transport: Transport) -> None:
         """Change the limits and the idle timeout of sockets."""
-        self.max_open = transport.max_open
-        self.upstreams.change_settings(self._connect_timeout_s(), transport.conn_idle_ns / SECOND)
+        self.max_pending = transport.max_pending
+        self.upstreams.change_settings(
+            self._connect_timeout_s(), transport.connection_idle_timeout_ns / NS_PER_S
+        )
 
     def renumber_zones(self, settings: Settings) -> Settings:
         """Return settings whose own zone has the number that this pool knows it by."""
--- a/dykefold/net/service/protocols.py
+++ b/dykefold/net/service/protocols.py
@@ -82,7 +82,7 @@
         memory: Bytes of messages that the process may hold.
         read_scheduler: Connections whose input waits to be parsed.
         timer_wheel: Time limits of requests and attempts.
-        lag: Monitor of the event loop's delay.
+        lag_monitor: Monitor of the event loop's delay.
         peers: Datagram channel to other sidecars; None without one.
     """
 
@@ -93,7 +93,7 @@
     memory: MemoryBudget
     read_scheduler: ReadScheduler
     timer_wheel: TimerWheel
-    lag: LoopLagMonitor
+    lag_monitor: LoopLagMonitor
     peers: PeerChannel | None
 
     def log_exception(self, text: str) -> None:
--- a/dykefold/net/shutdown.py
+++ b/dykefold/net/shutdown.py
@@ -13,7 +13,7 @@
 
 from ..admission.clients import ClientConnections
 from ..admission.listener import Listener
-from .clock import SECOND
+from .clock import NS_PER_S
 from .service.pool import Pool
 
 log = logging.getLogger("dykefold")
@@ -124,7 +124,7 @@
         longest_ns = max(
             (spec.deadline_ns for pool in server.pools for spec in pool.settings.classes), default=0
         )
-        times = shutdown_times(longest_ns / SECOND)
+        times = shutdown_times(longest_ns / NS_PER_S)
         self.answer_at = server.monotonic() + times.answer_s
         self.loop.call_later(times.stop_requests_s, self.stop_requests)
         self.loop.call_later(times.answer_s, self.answer_all)
--- a/dykefold/net/sidecar.py
+++ b/dykefold/net/sidecar.py
@@ -23,7 +23,7 @@
 from ..settings import Transport
 from ..system import SYSTEM, System
 from .class_generations import LINGER_NS, ClassGeneration
-from .clock import MS, Clock
+from .clock import NS_PER_MS, Clock
 from .downstream.connection import ClientConnection
 from .downstream.protocols import MessageReader
 from .downstream.request_parser import ParsedRequest, RequestParser
@@ -44,7 +44,7 @@
 # The id of a finished request can't be used again for this time, as long as it is among the latest ones.
 RECENT_ID_S = 4.0
 MAX_RECENT_IDS = 8192
-RETRY_AFTER_NS = 500 * MS  # Retry-After of a rejection for lack of capacity in this process
+RETRY_AFTER_NS = 500 * NS_PER_MS  # Retry-After of a rejection for lack of capacity in this process
 FAULT_LOG_INTERVAL_S = 1.0  # shortest time between two logged exceptions
 
 
@@ -80,10 +80,10 @@
         generation: Settings of that pool with numbered request classes; set by `serve_one`.
         half_close: Whether a client that has closed its sending side may still wait for responses.
         sockets: Number of descriptors that all processes of the sidecar may hold together.
-        memory_limit: Bytes of messages that all processes of the sidecar may hold together.
+        memory_limit_bytes: Bytes of messages that all processes of the sidecar may hold together.
         process_count: Number of live processes of the sidecar, among which the memory is divided equally.
         max_descriptors: Number of descriptors that this process may hold.
-        lag: Monitor of the event loop's delay.
+        lag_monitor: Monitor of the event loop's delay.
         read_scheduler: Connections whose input waits to be parsed.
         timer_wheel: Time limits of requests and attempts.
         peers: Datagram channel to other sidecars; None without one.
@@ -110,7 +110,7 @@
         self.parser: MessageReader
         self.pools: dict[Pool, None] = {}
         self.half_close = False
-        self.sockets, self.memory_limit = limits.sockets, limits.memory_bytes
+        self.sockets, self.memory_limit_bytes = limits.sockets, limits.memory_bytes
         self.process_count = 1
         self.max_descriptors = limits.sockets
         self.budget = DescriptorBudget(limits.sockets, limits.set_aside)
@@ -118,8 +118,8 @@
         self.clients = ClientConnections(
             AdmissionController(self._connection_limits(), limits.addresses), system
         )
-        self.lag = LoopLagMonitor(loop, system)
-        self.read_scheduler = ReadScheduler(loop, self.lag, system)
+        self.lag_monitor = LoopLagMonitor(loop, system)
+        self.read_scheduler = ReadScheduler(loop, self.lag_monitor, system)
         self.timer_wheel = TimerWheel(loop, system)
         self.peers: PeerChannel | None = None
         self.ids: set[bytes] = set()
@@ -169,11 +169,11 @@
         if generation == self.generation:
             pool.change_transport(transport)
             return
-        log.info("request classes changed to %s", ", ".join(generation.numbers()))
+        log.info("request classes changed: classes=%s", ", ".join(generation.numbers()))
         self.generation = generation
         pool.change_settings(generation.settings, transport, frozenset(generation.retired))
         assert isinstance(self.parser, RequestParser)
-        previous = self.parser.lingers(now_ns, now_ns + LINGER_NS)
+        previous = self.parser.keep_as_fallback(now_ns, now_ns + LINGER_NS)
         self.parser = RequestParser(generation.settings, pool, generation.retired, previous)
 
     def forget(self, pool: Pool) -> None:
@@ -210,16 +210,16 @@
             # Clients may send requests ahead on a connection that is never idle. A request that is accepted
             # now would still be pending when the process stops.
             return 503, _retry_after_header(request.pool), b"this sidecar ends\n"
-        if request.ident in self.ids:
+        if request.x_request_id in self.ids:
             return 409, b"", b"a request with this id is open or has just been\n"
         pool: Pool = request.pool
         if not self.clients.open_request(connection.client):
             return 429, _retry_after_header(pool), b"too many open requests from this address\n"
-        if len(pool.pending) >= pool.max_open or pool.closed or not pool.budget.reserve():
+        if len(pool.pending) >= pool.max_pending or pool.closed or not pool.budget.reserve():
             self.clients.close_request(connection.client, served=False)
             self.clients.rejections.add(RejectionReason.ALL_OPEN_REQUESTS, connection.client.host)
             return 503, _retry_after_header(pool), b"too many open requests\n"
-        self.ids.add(request.ident)
+        self.ids.add(request.x_request_id)
         return None
 
     def accept(self, connection: ClientConnection, request: ParsedRequest) -> None:
@@ -229,7 +229,7 @@
     def on_request_end(self, sink: ResponseSink, request: ParsedRequest, served: bool) -> None:
         """Release what a finished request had reserved of the process."""
         self.clients.close_request(sink.client, served)
-        self.finished_ids.append((self.monotonic(), request.ident))
+        self.finished_ids.append((self.monotonic(), request.x_request_id))
         if self.draining:
             self.shutdown.end_if_done()
 
@@ -272,7 +272,7 @@
         self.sockets = sockets
         min_clients = self.clients.admission.count if self.process_count > 1 else 0
         self.budget.resize(min(self.max_descriptors, sockets), sockets, min_clients)
-        self.memory.resize(self.memory_limit // self.process_count)
+        self.memory.resize(self.memory_limit_bytes // self.process_count)
         self.clients.resize(self._connection_limits(), addresses)
         for pool in self.pools:
             pool.upstreams.shrink()
@@ -290,7 +290,7 @@
         """
         if (process_count, max_descriptors) != (self.process_count, self.max_descriptors):
             self.process_count, self.max_descriptors = process_count, max_descriptors
-            self.change_limits(self.sockets, self.clients.admission.caps)
+            self.change_limits(self.sockets, self.clients.admission.address_limits)
 
     # Housekeeping and shutdown
 
@@ -319,7 +319,7 @@
 
     def close(self) -> None:
         """Close all sockets."""
-        self.lag.close()
+        self.lag_monitor.close()
         for pool in self.pools:
             pool.close()
         if self.peers is not None and self.peers.transport is not None:
--- a/dykefold/net/start_times.py
+++ b/dykefold/net/start_times.py
@@ -67,7 +67,7 @@
         entries: Iterable[tuple[str, Endpoint]],
         called_ns: int = 0,
     ) -> None:
-        """Set `ramp_from_ns` of the endpoints of a list or of a change of it.
+        """Set `slow_start_began_ns` of the endpoints of a list or of a change of it.
 
         Args:
             now_ns: Present time on the scale of `Clock`, in nanoseconds.
@@ -88,7 +88,7 @@
             )
         for name, endpoint in entries:
             if endpoint.started_ns:
-                endpoint.ramp_from_ns = self._slow_start_ns(
+                endpoint.slow_start_began_ns = self._slow_start_ns(
                     now_ns, behind_ns, name, endpoint.started_ns, max_age_ns
                 )
         while len(self.known) > max(self.max_starts, len(entries)):
@@ -96,7 +96,7 @@
         if answered:
             self.last_answer_ns, self.source, self.live = now_ns, source, True
 
-    def broke(self) -> None:
+    def watch_failed(self) -> None:
         """Record that the watch failed: the next notified start may be as old as the last answer."""
         self.live = False
 
--- a/dykefold/net/streaming.py
+++ b/dykefold/net/streaming.py
@@ -11,7 +11,7 @@
 from typing import Protocol
 
 # Reading of an upload pauses while this many bytes or more wait for its endpoint.
-BUFFER_BYTES = 64 * 1024
+UPLOAD_HIGH_WATER_BYTES = 64 * 1024
 # Within this time after reading resumes, what the kernel has buffered of the body is read.
 SOCKET_READ_NS = 50_000_000
 # A chunked body may take this many bytes on the wire for each byte of its own, as a buffered body may.
@@ -27,11 +27,11 @@
 
     unwritten: bool
 
-    def write_on(self, data: bytes) -> None:
+    def write(self, data: bytes) -> None:
         """Write the next bytes."""
         ...
 
-    def may_end(self) -> bool:
+    def may_send_last_byte(self) -> bool:
         """Return whether the last byte may still be sent; if not, the attempt has been ended."""
         ...
 
@@ -42,7 +42,7 @@
     Args:
         length: Bytes of the body as announced; None for a chunked body.
         prefix: Bytes of the body that have been read already.
-        on_drain: Callback for the moment when less than `BUFFER_BYTES` waits again.
+        on_drain: Callback for the moment when less than `UPLOAD_HIGH_WATER_BYTES` waits again.
 
     Attributes:
         buffered: Pieces of the body that wait for the endpoint.
@@ -50,10 +50,10 @@
         begun: Whether the body has begun to flow to an endpoint, so that it can't be sent again.
         sent: Whether the last byte has been written to the endpoint's connection.
         passed: Bytes of the body that have been written to the endpoint's connection.
-        whole_ns: Time at which the last byte came from the client, nanoseconds of `Clock`; 0 before.
+        completed_ns: Time at which the last byte came from the client, nanoseconds of `Clock`; 0 before.
         stopped_ns: Time at which reading was last paused, nanoseconds of `Clock`; 0 if it never was.
         resumed_ns: Time at which reading was last resumed, nanoseconds of `Clock`; 0 if it never was.
-        on_whole: Callback for the moment when the last byte has come from the client.
+        on_complete: Callback for the moment when the last byte has come from the client.
         problem: Code and text of the response if the rest of the body can't be read.
         sink: Connection that the body flows to; None while there is none.
         stop: Callback that cancels the attempt that the body flows to.
@@ -62,9 +62,10 @@
     __slots__ = (
         "begun",
         "buffered",
+        "completed_ns",
         "length",
+        "on_complete",
         "on_drain",
-        "on_whole",
         "passed",
         "problem",
         "resumed_ns",
@@ -73,7 +74,6 @@
         "size",
         "stop",
         "stopped_ns",
-        "whole_ns",
     )
 
     def __init__(self, length: int | None, prefix: bytes, on_drain: Callable[[], None]) -> None:
@@ -81,10 +81,10 @@
         self.buffered: list[bytes] = [prefix] if prefix else []
         self.size = len(prefix)
         self.on_drain = on_drain
-        self.on_whole: Callable[[], None] | None = None
+        self.on_complete: Callable[[], None] | None = None
         self.begun = self.sent = False
         self.passed = 0
-        self.whole_ns = self.stopped_ns = self.resumed_ns = 0
+        self.completed_ns = self.stopped_ns = self.resumed_ns = 0
         self.problem: tuple[int, bytes] | None = None
         self.sink: Sink | None = None
         self.stop: Callable[[], None] | None = None
@@ -92,7 +92,7 @@
     @property
     def full(self) -> bool:
         """Whether reading from the client must pause."""
-        return self.size >= BUFFER_BYTES
+        return self.size >= UPLOAD_HIGH_WATER_BYTES
 
     def feed(self, data: bytes) -> None:
         """Accept the next bytes of the body, and forward what the endpoint can take."""
@@ -103,7 +103,7 @@
     @property
     def ended(self) -> bool:
         """Whether the last byte has come from the client."""
-        return self.whole_ns > 0
+        return self.completed_ns > 0
 
     def finish(self, now_ns: int) -> None:
         """Record that the body is complete, and forward its last byte if possible.
@@ -116,12 +116,12 @@
         """
         paused = self.resumed_ns < self.stopped_ns
         came_before_pause = self.stopped_ns and (paused or now_ns - self.resumed_ns < SOCKET_READ_NS)
-        self.whole_ns = self.stopped_ns if came_before_pause else now_ns
-        if self.on_whole is not None:  # sets the deadline, which is checked before the last byte is written
-            self.on_whole()
+        self.completed_ns = self.stopped_ns if came_before_pause else now_ns
+        if self.on_complete is not None:  # sets the deadline, checked before the last byte is written
+            self.on_complete()
         self.flow()
 
-    def spoil(self, code: int, text: str) -> None:
+    def fail(self, code: int, text: str) -> None:
         """Record that the rest of the body can't be read, and cancel the attempt.
 
         Args:
@@ -159,18 +159,18 @@
 
         An endpoint begins with a request when its last byte has arrived (PROTOCOL, sidecars to servers). So
         that byte is not written until the body is complete, the kernel has accepted the rest, and
-        `Sink.may_end` has confirmed the deadline.
+        `Sink.may_send_last_byte` has confirmed the deadline.
         """
         sink = self.sink
         if sink is None or sink.unwritten or self.sent:
             return
         was_full = self.full
         self._forward(sink)
-        if self.ended and not sink.unwritten and sink.may_end():
+        if self.ended and not sink.unwritten and sink.may_send_last_byte():
             self.sent = True
             last, self.buffered, self.size = b"".join(self.buffered), [], 0
             self.passed += len(last)
-            sink.write_on(last if self.length is not None else b"0\r\n\r\n")
+            sink.write(last if self.length is not None else b"0\r\n\r\n")
         if was_full and not self.full:
             self.on_drain()
 
@@ -182,4 +182,4 @@
         self.buffered, self.size = [last] if last else [], len(last)
         if data:
             self.passed += len(data)
-            sink.write_on(data if self.length is not None else b"%x\r\n%s\r\n" % (len(data), data))
+            sink.write(data if self.length is not None else b"%x\r\n%s\r\n" % (len(data), data))
--- a/dykefold/net/upstream/connection.py
+++ b/dykefold/net/upstream/connection.py
@@ -28,7 +28,7 @@
 import socket
 
 from ...balancer.events import Status
-from ...system import Watch, is_own
+from ...system import Watch, is_local_error
 from ..read_scheduler import SLICE_BYTES, cut
 from .abort import abort_connection
 from .classify import classify, classify_break
@@ -56,7 +56,7 @@
 
     Attributes:
         generation: Generation of the endpoint when the connection was begun.
-        lag: Monitor that is notified of how long the parsing took; None if that is not measured.
+        lag_monitor: Monitor that is notified of how long the parsing took; None if that is not measured.
         reader: Reader of the responses.
         exchange: Exchange on the connection; None between exchanges.
         transport: Transport that the loop has made of the socket; None while it connects.
@@ -66,7 +66,7 @@
         idle_since_s: Time in seconds at which the connection last became idle; `NEVER_IDLE_S` before.
         idle_before_s: Seconds for which the connection was idle before its exchange; None for the first one.
         sent_at_s: Time in seconds at which the latest exchange was written; None before the first one.
-        unfed: Bytes that wait to be parsed in slices.
+        unparsed: Bytes that wait to be parsed in slices.
         scheduled: Whether the read scheduler will parse the next slice.
         blocked: Whether reading is stopped because the client takes no more of a streamed response.
         stalled: Timer that runs while more of a buffered response is awaited.
@@ -81,7 +81,7 @@
         "generation",
         "idle_before_s",
         "idle_since_s",
-        "lag",
+        "lag_monitor",
         "last_byte",
         "monotonic",
         "owner",
@@ -93,7 +93,7 @@
         "sock",
         "stalled",
         "transport",
-        "unfed",
+        "unparsed",
         "unwritten",
         "upstream",
     )
@@ -108,7 +108,7 @@
         self.resources = resources
         self.owner = resources.owner
         self.monotonic = resources.monotonic
-        self.lag = resources.read_scheduler.lag
+        self.lag_monitor = resources.read_scheduler.lag_monitor
         self.reader = ResponseReader(resources.memory)
         self.upstream = upstream
         self.generation = upstream.generation
@@ -120,7 +120,7 @@
         self.idle_since_s = NEVER_IDLE_S
         self.idle_before_s: float | None = None
         self.sent_at_s: float | None = None
-        self.unfed: memoryview | None = None
+        self.unparsed: memoryview | None = None
         self.unwritten = self.closed = self.scheduled = self.blocked = False
         self.stalled: asyncio.TimerHandle | None = None
 
@@ -142,13 +142,13 @@
         """Write the last byte or more of the body, as the transport has written all that it had."""
         self.unwritten = False
         if self.last_byte:
-            if self.may_end():  # From here on the exchange may have run.
+            if self.may_send_last_byte():  # From here on the exchange may have run.
                 last, self.last_byte = self.last_byte, b""
-                self.write_on(last)
+                self.write(last)
         elif self.exchange is not None and self.exchange.upload is not None:
             self.exchange.upload.flow()
 
-    def may_end(self) -> bool:
+    def may_send_last_byte(self) -> bool:
         """Return whether the last byte of the exchange may still be written.
 
         An exchange that was wanted when its first byte was written may not be wanted any more, and its
@@ -181,12 +181,12 @@
         upload = self.exchange.upload if self.exchange is not None else None
         return bool(self.last_byte) or (upload is not None and not upload.sent)
 
-    def write_on(self, data: bytes) -> None:
+    def write(self, data: bytes) -> None:
         """Write the next bytes of the exchange."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
-    def moved(self) -> int:
+    def transferred_bytes(self) -> int:
         """Return the bytes of the exchange that were read, or that the kernel has accepted of its body."""
         exchange = self.exchange
         if exchange is None or exchange.upload is None or self.transport is None:
@@ -198,12 +198,12 @@
         if len(data) <= SLICE_BYTES or self.reader.expects_only_body(len(data)):
             began_s = self.monotonic()
             self._feed(data, False)
-            if self.lag is not None:
-                self.lag.took(began_s, "a response of an endpoint")
+            if self.lag_monitor is not None:
+                self.lag_monitor.record_duration(began_s, "a response of an endpoint")
             return
         assert self.transport is not None
         self.transport.pause_reading()
-        self.unfed = memoryview(data)
+        self.unparsed = memoryview(data)
         self._schedule()
 
     def _schedule(self) -> None:
@@ -213,14 +213,14 @@
 
     def feed_slice(self) -> bool:
         """Parse the next slice; return whether more remain."""
-        if self.closed or self.unfed is None or self.blocked:
+        if self.closed or self.unparsed is None or self.blocked:
             self.scheduled = False
             return False
-        if self.reader.expects_only_body(len(self.unfed)):
-            data, self.unfed = bytes(self.unfed), None
+        if self.reader.expects_only_body(len(self.unparsed)):
+            data, self.unparsed = bytes(self.unparsed), None
         else:
-            data, self.unfed = cut(self.unfed)
-        more = self.unfed is not None
+            data, self.unparsed = cut(self.unparsed)
+        more = self.unparsed is not None
         self._feed(data, more)
         if not more and not self.closed and not self.blocked and self.transport is not None:
             self.transport.resume_reading()
@@ -234,7 +234,7 @@
         self.blocked = on
         if on:
             self.transport.pause_reading()
-        elif self.unfed is not None:
+        elif self.unparsed is not None:
             self._schedule()
         else:
             self.transport.resume_reading()
@@ -270,14 +270,14 @@
     def _check_stall(self, before: int) -> None:
         """Fail if no byte has been read since `before` bytes had been."""
         # Bytes that wait in the socket, or to be parsed, have come in time: only this loop is late.
-        if self.reader.size == before and self.unfed is None and not self.readiness.poll(0):
+        if self.reader.size == before and self.unparsed is None and not self.readiness.poll(0):
             self._fail()
         else:
             self._start_stall_timer()
 
     def eof_received(self) -> None:
         """Complete a response without a length, as the endpoint closes the connection; else fail."""
-        if self.exchange is not None and self.unfed is None and self.reader.finish():
+        if self.exchange is not None and self.unparsed is None and self.reader.finish():
             self._complete()
             return
         if self.exchange is None and not self.closed and self.idle_since_s:
@@ -310,7 +310,7 @@
         try:
             sent = self.sock.send(payload)
         except OSError as error:
-            if not is_own(error):
+            if not is_local_error(error):
                 return False
             sent = 0  # The connection is up: its transport writes when it can, or reports that it can't.
         self.reader.begin(exchange)
@@ -366,11 +366,11 @@
             self.stalled.cancel()
             self.stalled = None
         self.reader.release()
-        self.unfed = None
+        self.unparsed = None
 
     def _fail(self, error: Exception | None = None) -> None:
         """Close the connection, which `error` may have broken; its exchange ends without a response."""
-        never, own = self.incomplete, is_own(error)
+        never, own = self.incomplete, is_local_error(error)
         exchange = self.exchange
         self.detach_exchange()
         if exchange is not None and not own:
--- a/dykefold/net/upstream/connection_pool.py
+++ b/dykefold/net/upstream/connection_pool.py
@@ -47,7 +47,7 @@
         scarcity: Idle limit while other sidecars may lack connections.
         quarantine: Time for which a connection rests after a response.
         ages: Idle statistics of all endpoints.
-        kinds: Idle statistics by number of the kind of endpoints.
+        ages_by_kind: Idle statistics by number of the kind of endpoints.
         endpoints: Endpoints by number.
         resources: Collaborators that all connections share.
         connections: Connections that are not closed.
@@ -75,7 +75,7 @@
         self.scarcity = ScarcityLimit(self.max_idle_s)
         self.quarantine = Quarantine()
         self.ages = IdleAgeStats(self.max_idle_s)
-        self.kinds: dict[int, IdleAgeStats] = {}
+        self.ages_by_kind: dict[int, IdleAgeStats] = {}
         self.endpoints: dict[int, Upstream[UpstreamConnection]] = {}
         self.connections: dict[UpstreamConnection, None] = {}
         self.idle: OrderedDict[UpstreamConnection, None] = OrderedDict()
@@ -101,7 +101,7 @@
         if endpoint_idle_s * IDLE_FRACTION == self.max_idle_s:
             return
         self.max_idle_s = endpoint_idle_s * IDLE_FRACTION
-        ages = [self.ages, *self.kinds.values(), *(target.ages for target in self.endpoints.values())]
+        ages = [self.ages, *self.ages_by_kind.values(), *(target.ages for target in self.endpoints.values())]
         limits: list[ScarcityLimit | IdleAgeStats] = [self.scarcity, *ages]
         for limited in limits:
             limited.max_s = self.max_idle_s
@@ -122,7 +122,7 @@
         target = self.endpoints.get(endpoint_number)
         if target is None:
             # Kinds are numbered by discovery's names, of which there is a bounded number.
-            same_kind = self.kinds.setdefault(kind, IdleAgeStats(self.max_idle_s, self.ages))
+            same_kind = self.ages_by_kind.setdefault(kind, IdleAgeStats(self.max_idle_s, self.ages))
             target = self.endpoints[endpoint_number] = Upstream(
                 address, since_ms, IdleAgeStats(self.max_idle_s, same_kind)
             )
--- a/dykefold/net/upstream/connector.py
+++ b/dykefold/net/upstream/connector.py
@@ -14,7 +14,7 @@
 import socket
 
 from ...balancer.events import Status
-from ...system import is_own
+from ...system import is_local_error
 from .connection import UpstreamConnection
 from .endpoint_connections import Upstream
 from .exchange import Exchange
@@ -23,7 +23,7 @@
 # One read returns no more than the kernel's buffer, and a slow client occupies as much.
 RECEIVE_BUFFER_BYTES = 128 * 1024
 # A loop that is later than this for a time limit can't tell whether the limit was kept.
-LATE_S = 0.02
+MAX_LOOP_LAG_S = 0.02
 
 
 def tune(sock: socket.socket) -> None:
@@ -89,7 +89,7 @@
     except (OSError, asyncio.CancelledError) as error:
         # In a late loop the timeout may fire before the loop sees that the connection is up, or before it
         # has called connect(2): that says nothing of the endpoint.
-        late = pool.monotonic() - began_s > pool.connect_timeout_s + LATE_S
+        late = pool.monotonic() - began_s > pool.connect_timeout_s + MAX_LOOP_LAG_S
         if (status := _connect_end(sock, error, late)) is not None:
             upstream.opening.pop(exchange, None)
             pool.on_connect_ended(connection)
@@ -121,7 +121,7 @@
         connection.close()
         if connection.transport is None:
             connection.sock.close()
-        if is_own(error):
+        if is_local_error(error):
             return Status.NOT_ATTEMPTED
     return Status.CONNECT_FAILED
 
@@ -171,4 +171,4 @@
         if not error_number:  # The loop may have called connect(2) only just now.
             return Status.NOT_ATTEMPTED
         error = OSError(error_number, os.strerror(error_number))
-    return Status.NOT_ATTEMPTED if is_own(error) else Status.CONNECT_FAILED
+    return Status.NOT_ATTEMPTED if is_local_error(error) else Status.CONNECT_FAILED
--- a/dykefold/net/upstream/exchange.py
+++ b/dykefold/net/upstream/exchange.py
@@ -34,7 +34,7 @@
 from .protocols import ExchangeConnection
 
 # Seconds more for a response that waits unread at the time limit: a late loop runs timers before sockets.
-READ_WITHIN = 0.004
+READ_GRACE_S = 0.004
 
 Done = Callable[["Exchange", Status, Response | None], None]
 
@@ -55,7 +55,7 @@
         connection: Connection that carries the exchange, once the first byte has been written.
         opening: Task that makes a connection for the exchange, as long as the task may be cancelled.
         timer_wheel: Wheel on which the time limit runs.
-        read_within: Seconds for which a response that waits in its socket at the time limit is awaited.
+        read_grace_s: Seconds for which a response that waits in its socket at the time limit is awaited.
     """
 
     __slots__ = (
@@ -69,7 +69,7 @@
         "timer_wheel",
         "upload",
     )
-    read_within = READ_WITHIN
+    read_grace_s = READ_GRACE_S
 
     def __init__(self, payload: bytes, done: Done, max_response_bytes: int) -> None:
         self.tick = 0
@@ -117,7 +117,7 @@
         as failed. The time is extended once: after the first byte of a response has been read it is not.
 
         Returns:
-            Whether there is such a response; its time limit then starts again, with `read_within` seconds.
+            Whether there is such a response; its time limit then starts again, with `read_grace_s` seconds.
         """
         connection = self.connection
         if (
@@ -128,7 +128,7 @@
         ):
             return False
         self.timer_wheel.stop(self)
-        self.timer_wheel.start(self, self.read_within, connection.monotonic())
+        self.timer_wheel.start(self, self.read_grace_s, connection.monotonic())
         return True
 
     def wanted(self) -> bool:
--- a/dykefold/net/upstream/protocols.py
+++ b/dykefold/net/upstream/protocols.py
@@ -41,7 +41,7 @@
         """Stop or resume reading."""
         ...
 
-    def moved(self) -> int:
+    def transferred_bytes(self) -> int:
         """Return the bytes of the exchange that were read, or that the kernel has accepted of its body."""
         ...
 
--- a/dykefold/routing/config.py
+++ b/dykefold/routing/config.py
@@ -81,7 +81,7 @@
 ) -> tuple[Plan | None, list[str]]:
     """Return the plan of tables that are right each by itself, and what does not fit together."""
     try:
-        listen = split_address(node.listen, least_port=0)
+        listen = split_address(node.listen, min_port=0)
     except ValueError as error:
         return None, [f"node.listen = {node.listen!r}: expected ADDRESS:PORT ({error})"]
     plan = Plan(
--- a/dykefold/routing/plan.py
+++ b/dykefold/routing/plan.py
@@ -9,9 +9,9 @@
 from .route import Route, RouteTableError
 from .table import RouteTable
 
-MS = 1_000_000
+NS_PER_MS = 1_000_000
 MB = 1024 * 1024
-SECOND = 1_000 * MS
+NS_PER_S = 1_000 * NS_PER_MS
 
 # Methods by what RFC 9110 says of them (9.2.1, 9.2.2); all others may never run twice.
 SAFE_METHODS = frozenset(("GET", "HEAD", "OPTIONS", "TRACE"))
--- a/dykefold/routing/plan_builder.py
+++ b/dykefold/routing/plan_builder.py
@@ -5,7 +5,7 @@
 from ..balancer.settings import Effect, RequestClass, Scope, Settings, Tenant
 from ..net.discovery.codec import split_address
 from .config_tables import ClassConfig, PoolConfig, RouteConfig
-from .plan import MS, PoolPlan, RouteOptions, default_classes
+from .plan import NS_PER_MS, PoolPlan, RouteOptions, default_classes
 from .reservations import ReservationLimits
 from .route import HeaderCondition, Route
 
@@ -26,15 +26,15 @@
     """
     classes = [_make_class(key, spec) for key, spec in pool.classes.items()]
     settings = Settings(
-        classes=classes or default_classes(pool.objective_ms * MS, pool.deadline_ms * MS),
+        classes=classes or default_classes(pool.objective_ms * NS_PER_MS, pool.deadline_ms * NS_PER_MS),
         zones=[ZONE_NAME],
         tenants=_make_tenants(pool),
         over_quota_weight_fraction=pool.over_share_worth,
         max_attempts=pool.max_attempts,
         can_cancel=True,
         retry_after=pool.max_retry_after_ms > 0,
-        max_retry_after_ns=pool.max_retry_after_ms * MS,
-        connect_timeout_ns=pool.connect_timeout_ms * MS,
+        max_retry_after_ns=pool.max_retry_after_ms * NS_PER_MS,
+        connect_timeout_ns=pool.connect_timeout_ms * NS_PER_MS,
     )
     return PoolPlan(
         name=name,
@@ -42,7 +42,7 @@
         servers=tuple(split_address(text) for text in pool.servers),
         discovery=split_address(pool.discovery) if pool.discovery is not None else None,
         limits=ReservationLimits(pool.min_open, pool.max_open),
-        idle_ns=pool.idle_ms * MS,
+        idle_ns=pool.idle_ms * NS_PER_MS,
     )
 
 
@@ -70,7 +70,7 @@
         classes=route.classes,
         idempotent=route.idempotent,
         make_ids=route.make_ids,
-        deadline_ns=route.deadline_ms * MS,
+        deadline_ns=route.deadline_ms * NS_PER_MS,
         key_header=route.key_header.lower(),
         tenant_header=route.tenant_header.lower(),
         max_body_bytes=route.max_body_bytes,
@@ -81,13 +81,13 @@
 def _make_class(name: str, spec: ClassConfig) -> RequestClass:
     return RequestClass(
         name=name,
-        objective_ns=spec.objective_ms * MS,
-        deadline_ns=spec.deadline_ms * MS,
+        objective_ns=spec.objective_ms * NS_PER_MS,
+        deadline_ns=spec.deadline_ms * NS_PER_MS,
         priority_weight=spec.worth,
         late_weight_fraction=spec.late_worth,
         effect=EFFECTS[spec.effect],
         scope=SCOPES[spec.scope],
-        window_ns=spec.window_ms * MS,
+        window_ns=spec.window_ms * NS_PER_MS,
     )
 
 
--- a/dykefold/routing/requests.py
+++ b/dykefold/routing/requests.py
@@ -91,7 +91,7 @@
         """
         if self._options.platform:
             request = self._platform_parser.read(message)
-            request.ident = self._id_prefix + request.ident
+            request.x_request_id = self._id_prefix + request.x_request_id
             return request
         headers, method = message.headers, message.method
         number, spec = self._class_of(method)
@@ -110,7 +110,7 @@
             wait_ns = parse_deadline(value)
         wait_ns = min(wait_ns, spec.deadline_ns)
         return ParsedRequest(
-            ident=self._id_prefix + ident,
+            x_request_id=self._id_prefix + ident,
             method=method,
             target=message.target,
             headers=message.lines,
@@ -118,7 +118,7 @@
             class_number=number,
             tenant=self._tenant_of(headers),
             key=0,
-            deadline_ns=message.now + wait_ns,
+            deadline_ns=message.received_ns + wait_ns,
             wait_ns=wait_ns,
             cost_ns=0,
             is_retry=headers.get(b"x-retry") == b"1",
--- a/dykefold/routing/services.py
+++ b/dykefold/routing/services.py
@@ -97,13 +97,13 @@
         self.table = RouteTable(0, (), ())
         sidecar.half_close = True
 
-    def apply(self, plan: Plan, sockets: int, caps: AddressLimits) -> None:
+    def apply(self, plan: Plan, sockets: int, address_limits: AddressLimits) -> None:
         """Apply another plan, and other limits with it.
 
         Args:
             plan: Pools and routes of the new configuration.
             sockets: Number of descriptors that the process may open from now on.
-            caps: Limits of each client address.
+            address_limits: Limits of each client address.
 
         Raises:
             RouteTableError: The routes are invalid; nothing has changed then.
@@ -112,7 +112,7 @@
         table = plan.table(self.table.number + 1)
         total = DescriptorBudget(sockets).upstreams.limit
         PoolReservations(total).resize(total, {name: pool.limits for name, pool in plan.pools.items()})
-        self._sidecar.change_limits(sockets, caps)
+        self._sidecar.change_limits(sockets, address_limits)
         retired = self._replace_services(plan)
         self.reservations.resize(
             total, {service.budget: service.plan.limits for service in self.by_name.values()}
@@ -172,7 +172,7 @@
     def _update(self, service: Service, plan: PoolPlan) -> Service:
         """Let a pool go on with what it knows, under another list, address or limit."""
         before, service.plan = service.plan, plan
-        service.pool.max_open = plan.limits.max
+        service.pool.max_pending = plan.limits.max
         if plan.discovery is not None and service.pool.discovery is not None:
             service.pool.discovery.change_address(plan.discovery)
         elif plan.servers != before.servers:
@@ -186,7 +186,7 @@
     entries = []
     for address in plan.servers:
         name = f"{address[0]}:{address[1]}"
-        endpoint = Endpoint(names.server(name), 0, 0, 0, State.READY)
+        endpoint = Endpoint(names.endpoint(name), 0, 0, 0, State.READY)
         entries.append(EndpointRecord(name, endpoint, address, 0))
     return EndpointUpdate(version, True, entries)
 
--- a/dykefold/service_config.py
+++ b/dykefold/service_config.py
@@ -201,12 +201,12 @@
 
 
 def _address(text: str | None) -> tuple[str, int] | None:
-    return split_address(text, least_port=0) if text else None
+    return split_address(text, min_port=0) if text else None
 
 
 def _address_problem(table: str, text: str) -> str | None:
     try:
-        split_address(text, least_port=0)
+        split_address(text, min_port=0)
     except ValueError:
         return f"{table}.listen: {text!r}: expected an address such as 127.0.0.1:9000"
     return None
--- a/dykefold/settings.py
+++ b/dykefold/settings.py
@@ -39,14 +39,14 @@
     """Settings of the sockets, which the balancer need not know.
 
     Attributes:
-        kinds: Names of the machine types.
-        conn_idle_ns: Idle timeout of connections to endpoints, in nanoseconds.
-        max_open: Number of requests that may be pending at once.
+        machine_types: Names of the machine types.
+        connection_idle_timeout_ns: Idle timeout of connections to endpoints, in nanoseconds.
+        max_pending: Number of requests that may be pending at once.
     """
 
-    kinds: list[str]
-    conn_idle_ns: int
-    max_open: int
+    machine_types: list[str]
+    connection_idle_timeout_ns: int
+    max_pending: int
 
 
 def canonical_column(name: str) -> str:
@@ -187,9 +187,9 @@
     """
     reader = _nested_reader(nested)
     transport = Transport(
-        kinds=reader.names("kinds"),
-        conn_idle_ns=reader.integer("ceilings.conn-idle-ns", DEFAULT_CONNECTION_IDLE_NS),
-        max_open=reader.integer("ceilings.max-open", DEFAULT_MAX_OPEN),
+        machine_types=reader.names("kinds"),
+        connection_idle_timeout_ns=reader.integer("ceilings.conn-idle-ns", DEFAULT_CONNECTION_IDLE_NS),
+        max_pending=reader.integer("ceilings.max-open", DEFAULT_MAX_OPEN),
     )
     reader.finish()
     return transport
--- a/dykefold/sidecar_config.py
+++ b/dykefold/sidecar_config.py
@@ -259,7 +259,7 @@
     no_address = ("0.0.0.0", 0)
     settings = checked.need("settings", nested_settings, Settings([], [""]))
     transport = checked.read("settings", nested_transport, Transport([], 0, 0))
-    names = NameTable(settings.zones, transport.kinds)
+    names = NameTable(settings.zones, transport.machine_types)
     max_descriptors, memory_bytes = checked.read("limits", _limits, (DEFAULT_SOCKETS, DEFAULT_MEMORY_MB * MB))
     return Config(
         name=checked.need("name", str, ""),
@@ -285,7 +285,7 @@
 
 
 def _any_port(text: object) -> Address:
-    return split_address(text, least_port=0)
+    return split_address(text, min_port=0)
 
 
 def _optional_address(text: object) -> Address | None:
--- a/dykefold/sim/callers.py
+++ b/dykefold/sim/callers.py
@@ -9,17 +9,17 @@
 from dataclasses import dataclass, field
 
 from ..fleet.poll_schedule import CoordinatedPollSchedule, PollSettings
-from ..fleet.rate_limits import SECOND
-from .kernel import MS
+from ..fleet.rate_limits import NS_PER_S
+from .kernel import NS_PER_MS
 
-MUST_POLL_NS = 10 * SECOND
-FIRST_POLL_NS = SECOND // 2  # The balancer spreads its first call over this time.
+MUST_POLL_NS = 10 * NS_PER_S
+FIRST_POLL_NS = NS_PER_S // 2  # The balancer spreads its first call over this time.
 MIN_BACKOFF, MAX_BACKOFF = 0.05, 0.4  # of the time to poll, after one call that failed and after many
 MIN_JITTER = 0.1  # Of a backoff.
 CALLS_PER_S = 125.0  # Calls that a fleet may make of discovery.
 REPORTED_SPREADS = 5  # Number of the longest spreads that sidecars report to each other.
-READY_NS = 300 * MS  # Processes that start together begin to call within this time.
-GOSSIP_NS = 300 * MS  # Until a report of one sidecar has reached the others.
+READY_NS = 300 * NS_PER_MS  # Processes that start together begin to call within this time.
+GOSSIP_NS = 300 * NS_PER_MS  # Until a report of one sidecar has reached the others.
 
 
 @dataclass(slots=True)
@@ -58,7 +58,7 @@
         reported: bool = False,
     ) -> None:
         self.size, self.reported = size, reported
-        self.work_ns, self.max_waiting = int(SECOND / service_per_s), max_waiting
+        self.work_ns, self.max_waiting = int(NS_PER_S / service_per_s), max_waiting
         self.random = random.Random(seed)
         self.queue: list[tuple[int, int, Callable[[], None]]] = []
         self.last_order = 0
@@ -97,7 +97,7 @@
         self._at(due_ns, lambda: self._call(number))
 
     def _call(self, number: int) -> None:
-        self.seen.calls[self.now_ns // SECOND] += 1
+        self.seen.calls[self.now_ns // NS_PER_S] += 1
         if self.schedules:
             self.schedules[number].on_poll(self.now_ns, number not in self.seen.listed_ns)
         waiting = (self.free_ns - self.now_ns) / self.work_ns
--- a/dykefold/sim/clients.py
+++ b/dykefold/sim/clients.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections import deque
 
-from .kernel import MS, SECOND, stream
+from .kernel import NS_PER_MS, NS_PER_S, stream
 from .loop import SimLoop
 from .messages import Message, Messages
 from .network import network_of
@@ -16,7 +16,7 @@
 from .sockets import SimSocket
 from .transport import SimTransport
 
-RECONNECT_NS = 60 * MS  # After a refused connect: the sidecar may be starting.
+RECONNECT_NS = 60 * NS_PER_MS  # After a refused connect: the sidecar may be starting.
 RETRIED = 0.5  # Fraction of the refused requests that a client sends again.
 DEFAULT_RETRY_AFTER_S = 0.02  # If the answer has no Retry-After.
 MAX_RETRY_AFTER_S = 1.0
@@ -145,7 +145,7 @@
     # Requests
 
     def _send_request(self, arrival: Arrival, ident: str, retry: bool) -> None:
-        due_ns = self.world.kernel.now_ns + arrival.deadline_ms * MS
+        due_ns = self.world.kernel.now_ns + arrival.deadline_ms * NS_PER_MS
         connection = self._pick_connection(pipelined=arrival.pipelined and not retry)
         if connection is not None:
             self._send(connection, arrival, ident, due_ns)
@@ -168,7 +168,7 @@
         except OSError:
             sock.close()
             if self.world.kernel.now_ns + RECONNECT_NS < due_ns:
-                self.loop.call_later(RECONNECT_NS / SECOND, self._reconnect, arrival, ident, due_ns)
+                self.loop.call_later(RECONNECT_NS / NS_PER_S, self._reconnect, arrival, ident, due_ns)
             return
         connection = ClientConnection(self)
         self.connections[connection] = None
@@ -182,11 +182,11 @@
     def _send(self, connection: ClientConnection, arrival: Arrival, ident: str, due_ns: int) -> None:
         kernel, rules = self.world.kernel, self.world.rules
         rules.request_sent(kernel.now_ns, ident, arrival.class_number)
-        left_ms = max((due_ns - kernel.now_ns) // MS, 1)
+        left_ms = max((due_ns - kernel.now_ns) // NS_PER_MS, 1)
         data = encode_request(arrival, ident, left_ms)
         request = self._open_request(connection, arrival, ident, due_ns, len(data))
         head_bytes = request.end_bytes - len(data) + data.index(HEAD_END) + len(HEAD_END)
-        rules.deadline_set(ident, left_ms * MS, 2 if connection.open else 1)
+        rules.deadline_set(ident, left_ms * NS_PER_MS, 2 if connection.open else 1)
         assert connection.peer is not None
         self.world.observer.mark_read(
             connection.peer, head_bytes, lambda: rules.deadline_started(kernel.now_ns, ident)
@@ -198,7 +198,7 @@
         if arrival.leaves_ms:
             self.loop.call_later(arrival.leaves_ms / 1000, self._leave, connection, request)
         wait_ns = request.due_ns - kernel.now_ns + ANSWER_SLACK_NS
-        self.loop.call_later(wait_ns / SECOND + 0.001, self._give_up, connection, request)
+        self.loop.call_later(wait_ns / NS_PER_S + 0.001, self._give_up, connection, request)
 
     def _open_request(
         self, connection: ClientConnection, arrival: Arrival, ident: str, due_ns: int, size: int
@@ -273,7 +273,7 @@
         if connection.open[0] is not request:
             over_ns = 0  # its time begins when the one ahead of it is answered
         if over_ns < ANSWER_SLACK_NS:
-            wait_s = (ANSWER_SLACK_NS - over_ns) / SECOND + 0.001
+            wait_s = (ANSWER_SLACK_NS - over_ns) / NS_PER_S + 0.001
             self.loop.call_later(wait_s, self._give_up, connection, request)
             return
         peer = connection.peer
--- a/dykefold/sim/discovery_faults.py
+++ b/dykefold/sim/discovery_faults.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from .fault_world import FaultGroup, FaultHandler
-from .kernel import MS
+from .kernel import NS_PER_MS
 from .schedule import Fault, Kind
 
-CLOSE_FORMER_NS = 1_500 * MS  # After a move, until the former address closes its connections.
+CLOSE_FORMER_NS = 1_500 * NS_PER_MS  # After a move, until the former address closes its connections.
 
 
 class DiscoveryFaults(FaultGroup):
--- a/dykefold/sim/kernel.py
+++ b/dykefold/sim/kernel.py
@@ -15,12 +15,12 @@
 
 import numpy as np
 
-MS = 1_000_000
-SECOND = 1_000 * MS
+NS_PER_MS = 1_000_000
+NS_PER_S = 1_000 * NS_PER_MS
 MAX_TRACE_LINES = (
     20_000  # lines that are kept to be shown: the last seconds before a failure; the digest has all
 )
-EPOCH_NS = 1_700_000_000 * SECOND  # Unix time at the start of every world.
+EPOCH_NS = 1_700_000_000 * NS_PER_S  # Unix time at the start of every world.
 
 
 def stream(seed: int, *names: int | str) -> random.Random:
@@ -75,6 +75,6 @@
 
     def note(self, text: str) -> None:
         """Record what happened."""
-        line = f"{self.now_ns / MS:12.3f} {text}"
+        line = f"{self.now_ns / NS_PER_MS:12.3f} {text}"
         self.lines.append(line)
         self.digest.update(line.encode())
--- a/dykefold/sim/loop.py
+++ b/dykefold/sim/loop.py
@@ -18,7 +18,7 @@
 from contextvars import Context
 from typing import Any, TypeVar, cast
 
-from .kernel import MS, Kernel, stream
+from .kernel import NS_PER_MS, Kernel, stream
 from .network import Network
 from .sockets import Address, SimSocket
 from .transport import SimTransport
@@ -77,7 +77,7 @@
         self.turn_at_ns = -1
         self.turn_number = 0
         self.local_ns = 0
-        self.ms = kernel.now_ns // MS
+        self.ms = kernel.now_ns // NS_PER_MS
         self.count = 0
         self.stalled_ns = 0
         self.in_turn = False
@@ -110,7 +110,7 @@
             return
         self.turn_at_ns, self.in_turn = -1, True
         self.local_ns = TURN_NS
-        self.ms = self.kernel.now_ns // MS
+        self.ms = self.kernel.now_ns // NS_PER_MS
         events._set_running_loop(self.for_asyncio)
         try:
             phases = [self._run_timers, self._run_ready, self._run_io]
@@ -121,7 +121,7 @@
             events._set_running_loop(None)
             self.in_turn = False
         if self.random.random() < (LONG_EDGE if self.at_edge else LONG_TURN):
-            long_ns = int(self.random.uniform(*LONG_TURN_MS) * MS)
+            long_ns = int(self.random.uniform(*LONG_TURN_MS) * NS_PER_MS)
             self.local_ns += long_ns
             self.stalled_ns += long_ns
         self.free_at_ns = self.kernel.now_ns + self.local_ns
@@ -133,7 +133,7 @@
         if self.ready or self.waiting_io:
             self._plan(self.free_at_ns)
         elif self.timers:
-            self._plan(self.timers[0][0] * MS)
+            self._plan(self.timers[0][0] * NS_PER_MS)
 
     def _spend(self) -> None:
         self.kernel.steps += 1
@@ -227,7 +227,7 @@
         handle = asyncio.TimerHandle(due_ms / 1000, callback, args, self.for_asyncio, context)
         self.count += 1
         heapq.heappush(self.timers, (due_ms, self.random.random(), self.count, handle))
-        self._plan(due_ms * MS)
+        self._plan(due_ms * NS_PER_MS)
         return handle
 
     def _timer_handle_cancelled(self, handle: asyncio.TimerHandle) -> None:
--- a/dykefold/sim/machine.py
+++ b/dykefold/sim/machine.py
@@ -7,7 +7,7 @@
 from typing import cast
 
 from ..system import System, Watch
-from .kernel import SECOND
+from .kernel import NS_PER_S
 from .loop import SimLoop
 from .sockets import SimSocket
 
@@ -70,7 +70,7 @@
 
     def monotonic(self) -> float:
         """Return the monotonic clock, in seconds."""
-        return self.monotonic_ns() / SECOND
+        return self.monotonic_ns() / NS_PER_S
 
     def time_ns(self) -> int:
         """Return Unix time by the machine's wall clock, which may be wrong."""
--- a/dykefold/sim/membership_rules.py
+++ b/dykefold/sim/membership_rules.py
@@ -7,10 +7,10 @@
 from ..fleet.member_state import LIVE, State
 from ..fleet.membership import Membership
 from ..fleet.rate_limits import RateLimits
-from .kernel import SECOND
+from .kernel import NS_PER_S
 from .rules import Rules
 
-START_NS = 2 * SECOND  # Within this time a process that has started is heard.
+START_NS = 2 * NS_PER_S  # Within this time a process that has started is heard.
 
 
 class MembershipRules:
--- a/dykefold/sim/minimise.py
+++ b/dykefold/sim/minimise.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import TypeVar
 
-from .kernel import SECOND
+from .kernel import NS_PER_S
 from .schedule import Scenario
 from .world import without
 
@@ -51,7 +51,7 @@
 
 def _until(scenario: Scenario, end_ns: int) -> Scenario:
     arrivals = tuple(arrival for arrival in scenario.arrivals if arrival.at_ns <= end_ns)
-    faults = tuple(fault for fault in scenario.faults if fault.at_ns <= end_ns + SECOND)
+    faults = tuple(fault for fault in scenario.faults if fault.at_ns <= end_ns + NS_PER_S)
     return without(scenario, faults, arrivals)
 
 
--- a/dykefold/sim/network.py
+++ b/dykefold/sim/network.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from functools import partial
 
-from .kernel import EPOCH_NS, MS, Kernel, stream
+from .kernel import EPOCH_NS, NS_PER_MS, Kernel, stream
 from .sockets import (
     Address,
     DatagramReceiver,
@@ -26,7 +26,7 @@
 from .syscalls import FailingCalls, SystemCall
 
 BACKLOG = 128  # Connections that a listener holds until they are accepted.
-SYN_RETRY_NS = 1_000 * MS  # After a connect that found the backlog full (RFC 6298).
+SYN_RETRY_NS = 1_000 * NS_PER_MS  # After a connect that found the backlog full (RFC 6298).
 MAX_DATAGRAM_BYTES = 1500
 MAX_ROUTE_FAILURE_MS = 400.0  # Until a connect that no host answers fails.
 LOCAL_LATENCY_NS = 20_000  # Minimum latency within a host; the draw is up to twice as much.
@@ -214,7 +214,7 @@
             return
         code = self.failing.error(sock.loop.host, SystemCall.ROUTE)
         if code:
-            late_ns = int(self.failing.random.random() * MAX_ROUTE_FAILURE_MS * MS)
+            late_ns = int(self.failing.random.random() * MAX_ROUTE_FAILURE_MS * NS_PER_MS)
             self._deliver(sock, self.kernel.now_ns + late_ns, partial(self._connected, sock, code))
             return
         listener = self._pick_listener(sock.remote)
@@ -261,7 +261,7 @@
         if len(data) > 1 and self.random.random() < SPLIT_SHARE:
             middle = self.random.randrange(1, len(data))
             self._deliver(sock, at_ns, partial(self._bytes_arrive, sock, data[:middle]))
-            later_ns = at_ns + int(self.random.random() * MS)
+            later_ns = at_ns + int(self.random.random() * NS_PER_MS)
             self._deliver(sock, later_ns, partial(self._bytes_arrive, sock, data[middle:]))
         else:
             self._deliver(sock, at_ns, partial(self._bytes_arrive, sock, data))
@@ -329,7 +329,7 @@
         if len(data) > MAX_DATAGRAM_BYTES or self.random.random() < DATAGRAM_LOSS:
             return
         hosts = frozenset((sender.loop.host, self.owners.get(address[0], address[0])))
-        delay_ns = int(MS * (1 + 20 * self.random.random()))  # so that one may overtake another
+        delay_ns = int(NS_PER_MS * (1 + 20 * self.random.random()))  # so that one may overtake another
         if hosts not in self.cut and self.passes(sender.loop.host, self.owners.get(address[0], "")):
             self.kernel.after(delay_ns, self._datagram_arrives, data, sender.local, address)
 
--- a/dykefold/sim/network_faults.py
+++ b/dykefold/sim/network_faults.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable
 
 from .fault_world import DISCOVERY_HOST, FaultGroup, FaultHandler
-from .kernel import MS
+from .kernel import NS_PER_MS
 from .schedule import SYSTEM_CALL_FAULTS, Fault, Kind
 from .syscalls import SystemCall
 
-EXTRA_LATENCY_NS = 30 * MS
+EXTRA_LATENCY_NS = 30 * NS_PER_MS
 SILENT_CONNECTIONS = 80
 SPARED_DESCRIPTORS = 4  # A process may hold this number fewer than it has open while descriptors are scarce.
 MIN_DESCRIPTORS = 24  # A process may always hold this number.
--- a/dykefold/sim/nodes.py
+++ b/dykefold/sim/nodes.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from .kernel import MS, SECOND, Kernel, stream
+from .kernel import NS_PER_MS, NS_PER_S, Kernel, stream
 from .loop import SimLoop
 from .messages import Message, Messages
 from .network import Network
@@ -24,8 +24,8 @@
 LARGE = bytes(100_000)  # Appended to the first line of an answer that is too long to be buffered.
 MAX_QUEUED = 24  # Requests that wait or run.
 CORES = 2
-IDLE_NS = 15 * SECOND
-SHORT_IDLE_NS = 150 * MS  # Idle timeout while a server closes idle connections early.
+IDLE_NS = 15 * NS_PER_S
+SHORT_IDLE_NS = 150 * NS_PER_MS  # Idle timeout while a server closes idle connections early.
 SWEEP_S = 0.05  # Between two checks for idle connections.
 RUNS_SILENTLY = 0.5  # Fraction of the requests that a silent server runs.
 MUTE_SHARE = 0.5  # Fraction of the answers that a mute server does not send.
@@ -229,7 +229,7 @@
 
     def _draw_work_ns(self, class_number: int, begins_ns: int) -> int:
         factor = min(self.random.expovariate(1.0), MAX_WORK_FACTOR)
-        work_ns = int(WORK_MS[class_number] * MS * factor)
+        work_ns = int(WORK_MS[class_number] * NS_PER_MS * factor)
         if self.has_fault(Kind.SLOW):
             work_ns *= SLOW_FACTOR
         if self.warm_up is not None:
--- a/dykefold/sim/notified_lists.py
+++ b/dykefold/sim/notified_lists.py
@@ -5,13 +5,13 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-from .kernel import MS, SECOND
+from .kernel import NS_PER_MS, NS_PER_S
 from .registry import Entry
 from .rules import Rules
 
 ListVersion = tuple[int, int]  # the registry's number, and its version of the list
 FAILED_FACTOR = 4  # After a failed call a sidecar may use its list for this many poll intervals.
-POLL_SLACK_NS = 500 * MS  # For the way of a call, and until a check notices it.
+POLL_SLACK_NS = 500 * NS_PER_MS  # For the way of a call, and until a check notices it.
 
 
 @dataclass(slots=True)
@@ -116,5 +116,5 @@
         """Judge a sidecar that lives and does not watch, while discovery can be called."""
         since_ns = max(self.called_ns.get(sidecar, 0), began_ns, self.changed_ns)
         if now_ns - since_ns - self.must_poll_in_ns > POLL_SLACK_NS:
-            text = f"{sidecar} has not asked for {(now_ns - since_ns) / SECOND:.1f} s"
+            text = f"{sidecar} has not asked for {(now_ns - since_ns) / NS_PER_S:.1f} s"
             self.rules.report(now_ns, "lists", text)
--- a/dykefold/sim/observer.py
+++ b/dykefold/sim/observer.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from ..net.downstream.request_parser import MAX_BUFFERED_BODY_BYTES
-from .kernel import MS, Kernel
+from .kernel import NS_PER_MS, Kernel
 from .rule_records import Attempt, AttemptStart
 from .rules import Rules
 from .sockets import SimSocket
@@ -206,4 +206,4 @@
     """Return the time in an `X-Deadline` header (milliseconds `m` or microseconds `u`); 0 for none."""
     if not value:
         return 0
-    return int(float(value[:-1]) * (MS if value[-1] == "m" else US))
+    return int(float(value[:-1]) * (NS_PER_MS if value[-1] == "m" else US))
--- a/dykefold/sim/open_requests.py
+++ b/dykefold/sim/open_requests.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from .kernel import MS, Kernel
+from .kernel import NS_PER_MS, Kernel
 from .network import Network
 from .observer import WireObserver
 from .rules import Rules
@@ -50,4 +50,4 @@
 
     def wait_from(self, now_ns: int) -> None:
         """Have its whole time from now on, if that is later."""
-        self.due_ns = max(self.due_ns, now_ns + self.arrival.deadline_ms * MS)
+        self.due_ns = max(self.due_ns, now_ns + self.arrival.deadline_ms * NS_PER_MS)
--- a/dykefold/sim/process.py
+++ b/dykefold/sim/process.py
@@ -24,7 +24,7 @@
 from ..routing.plan import Plan
 from ..routing.services import Services
 from ..settings import Transport
-from .kernel import MS, SECOND, Kernel, stream
+from .kernel import NS_PER_MS, NS_PER_S, Kernel, stream
 from .loop import SimLoop
 from .machine import SimSystem, as_socket
 from .network import Network, network_of
@@ -37,8 +37,8 @@
 PEER_PORT = 7946
 MAX_DESCRIPTORS = 256
 MEMORY_BYTES = 64 * MB
-KILL_AFTER_NS = 1_950 * MS  # After SIGTERM: the longest deadline and 0.7 s (PROTOCOL, figures).
-IDLE_NS = 15 * SECOND
+KILL_AFTER_NS = 1_950 * NS_PER_MS  # After SIGTERM: the longest deadline and 0.7 s (PROTOCOL, figures).
+IDLE_NS = 15 * NS_PER_S
 MAX_PENDING = 10_000
 MAX_BOOT_S = 10**6  # Uptime of a machine at the start of the world.
 
@@ -135,7 +135,7 @@
         if self.process_number:
             key.append(self.process_number)
         generator = stream(self.world.kernel.seed, "sidecar", *key)
-        boot_ns = generator.randrange(1, MAX_BOOT_S) * SECOND
+        boot_ns = generator.randrange(1, MAX_BOOT_S) * NS_PER_S
         self.system = SimSystem(self.loop, others[0].system.boot_ns if others else boot_ns)
         self.seed = generator.getrandbits(63)
         self.loop.wake(self._boot)
@@ -259,7 +259,7 @@
         if self.fleet is not None:
             self.fleet.close()
         self.server.close()
-        self.world.kernel.after(MS, self._exit, self.incarnation)
+        self.world.kernel.after(NS_PER_MS, self._exit, self.incarnation)
 
     def _exit(self, incarnation: int) -> None:
         if self.incarnation == incarnation and self.alive:
@@ -270,7 +270,7 @@
             return
         for pool in self.server.pools:
             for request in pool.pending.values():
-                ident = request.parsed.ident.decode()
+                ident = request.parsed.x_request_id.decode()
                 self.world.rules.request_lost(
                     self.world.kernel.now_ns, ident, "held when a planned end was over"
                 )
--- a/dykefold/sim/registry.py
+++ b/dykefold/sim/registry.py
@@ -8,7 +8,7 @@
 from typing import Protocol, TypedDict
 from urllib.parse import parse_qs, urlsplit
 
-from .kernel import MS, Kernel, stream
+from .kernel import NS_PER_MS, Kernel, stream
 from .loop import SimLoop
 from .messages import Messages
 from .network import Network
@@ -17,7 +17,7 @@
 
 PORT = 8500
 DELAY_MS = (50.0, 900.0)  # From a change of a server to the list that contains it.
-STALE_RETRY_NS = 100 * MS  # Between two attempts to change a stale list.
+STALE_RETRY_NS = 100 * NS_PER_MS  # Between two attempts to change a stale list.
 MAX_CHANGES = 50  # Latest changes, kept for partial lists.
 WHOLE_LIST_SHARE = 0.1  # Fraction of the answers that are complete lists although the changes would do.
 ABORT_SHARE = 0.5  # Fraction of the calls that are reset during an outage; the others get no answer.
@@ -145,7 +145,7 @@
 
     def announce(self, entry: Entry) -> None:
         """A server has changed; the list tells it some time later."""
-        delay_ns = int(self.random.uniform(*DELAY_MS) * MS)
+        delay_ns = int(self.random.uniform(*DELAY_MS) * NS_PER_MS)
         self.world.kernel.after(delay_ns, self.loop.wake, self._change, entry)
 
     def _change(self, entry: Entry) -> None:
--- a/dykefold/sim/rules.py
+++ b/dykefold/sim/rules.py
@@ -12,14 +12,14 @@
 from ..balancer.settings import Effect, RequestClass, Scope
 from .rule_records import Attempt, AttemptStart, RequestTrace, Violation, WarmUp
 
-MS = 1_000_000
-SECOND = 1_000 * MS
-ANSWER_SLACK_NS = 50 * MS  # Added to a client's time, as PROTOCOL says of each limit on sockets.
-LEFT_SLACK_NS = 100 * MS  # After a client's close; an attempt that begins later breaks a rule (STANDING).
-ANNOUNCED_SLACK_NS = 150 * MS  # Added to the time that the client has left (STANDING).
-DRAIN_SLACK_NS = 50 * MS
+NS_PER_MS = 1_000_000
+NS_PER_S = 1_000 * NS_PER_MS
+ANSWER_SLACK_NS = 50 * NS_PER_MS  # Added to a client's time, as PROTOCOL says of each limit on sockets.
+LEFT_SLACK_NS = 100 * NS_PER_MS  # After a client's close; a later attempt breaks a rule (STANDING).
+ANNOUNCED_SLACK_NS = 150 * NS_PER_MS  # Added to the time that the client has left (STANDING).
+DRAIN_SLACK_NS = 50 * NS_PER_MS
 WARM_UP_SLACK_REQUESTS = 3.0  # Beyond the budget of a cold server, for random bursts.
-TRACE_LIFETIME_NS = 20 * SECOND  # Longer than any deadline, window or grace time.
+TRACE_LIFETIME_NS = 20 * NS_PER_S  # Longer than any deadline, window or grace time.
 HTTP_OK = 200
 HTTP_REFUSED = frozenset((429, 503))
 COUNTS = (
@@ -86,7 +86,7 @@
         if trace.answers > 1:
             self.report(at_ns, "one answer", f"{ident} was answered {trace.answers} times")
         if at_ns > due_ns + ANSWER_SLACK_NS:
-            self.report(at_ns, "in time", f"{ident} was answered {(at_ns - due_ns) / MS:.1f} ms late")
+            self.report(at_ns, "in time", f"{ident} was answered {(at_ns - due_ns) / NS_PER_MS:.1f} ms late")
         if code == HTTP_OK:
             self.counts["served"] += 1
             name, _, server = body.partition(" ")
@@ -202,12 +202,12 @@
                 self.report(at_ns, "no effect twice", what)
             first_ns = min(attempt.began_ns for attempt in trace.attempts if attempt.may_have_run)
             if at_ns > first_ns + spec.window_ns + ANSWER_SLACK_NS:
-                what = f"{ident} ({spec.name}) was repeated {(at_ns - first_ns) / MS:.0f} ms later"
+                what = f"{ident} ({spec.name}) was repeated {(at_ns - first_ns) / NS_PER_MS:.0f} ms later"
                 self.report(at_ns, "no effect twice", what)
 
     def _check_client_waits(self, start: AttemptStart, trace: RequestTrace) -> None:
         if 0 <= trace.left_ns < start.at_ns - LEFT_SLACK_NS:
-            late_ms = (start.at_ns - trace.left_ns) / MS
+            late_ms = (start.at_ns - trace.left_ns) / NS_PER_MS
             what = f"{start.ident} went to {start.server} {late_ms:.0f} ms after its client"
             self.report(start.at_ns, "clients that left", what)
 
@@ -219,8 +219,8 @@
         left_ns = trace.allowed_ns if trace.awaited_events > 0 else trace.due_ns - start.at_ns
         if start.announced_ns > left_ns + ANNOUNCED_SLACK_NS:
             what = (
-                f"{start.ident} told {start.server} {start.announced_ns / MS:.0f} ms, "
-                f"its client has {left_ns / MS:.0f} ms left"
+                f"{start.ident} told {start.server} {start.announced_ns / NS_PER_MS:.0f} ms, "
+                f"its client has {left_ns / NS_PER_MS:.0f} ms left"
             )
             self.report(start.at_ns, "deadlines", what)
 
@@ -232,7 +232,7 @@
             return
         self.counts["drained"] += 1
         if start.at_ns > since_ns + self.grace_ns + DRAIN_SLACK_NS:
-            late_ms = (start.at_ns - since_ns) / MS
+            late_ms = (start.at_ns - since_ns) / NS_PER_MS
             what = f"{start.sidecar} sent {start.ident} to {start.server} {late_ms:.0f} ms after it was told"
             self.report(start.at_ns, "drains", what)
 
@@ -291,7 +291,7 @@
         knowing = sum(known for _, known in arrivals)
         if knowing * 3 < len(arrivals) * 2:
             return  # less than two thirds of it can be held against the sidecars
-        duration_s = self.overload_ns / SECOND
+        duration_s = self.overload_ns / NS_PER_S
         budget = self.overload_factor * warm_up.capacity(at_ns) * duration_s + WARM_UP_SLACK_REQUESTS
         self.max_cold_budget_fraction = max(self.max_cold_budget_fraction, len(arrivals) / budget)
         if len(arrivals) > budget:
--- a/dykefold/sim/run.py
+++ b/dykefold/sim/run.py
@@ -9,7 +9,7 @@
 from concurrent.futures import FIRST_COMPLETED, Future, ProcessPoolExecutor, wait
 from dataclasses import dataclass, field
 
-from .kernel import SECOND
+from .kernel import NS_PER_S
 from .rule_records import Violation
 from .schedule import Scenario, draw
 from .world import Running
@@ -78,7 +78,7 @@
 
 def play_seed(world: str, seed: int, span_s: float = SPAN_S) -> Result:
     """Play what is drawn from a seed."""
-    return play(draw(world, seed, int(span_s * SECOND)))
+    return play(draw(world, seed, int(span_s * NS_PER_S)))
 
 
 def play_steps(world: str, seed: int, steps: int, span_s: float = SPAN_S) -> Iterator[Result]:
--- a/dykefold/sim/scenario_player.py
+++ b/dykefold/sim/scenario_player.py
@@ -6,7 +6,7 @@
 
 from .discovery_faults import DiscoveryFaults
 from .fault_world import FaultHandler, FaultWorld
-from .kernel import MS, SECOND
+from .kernel import NS_PER_MS, NS_PER_S
 from .membership_rules import MembershipRules
 from .network_faults import NetworkFaults
 from .notified_lists import PollRules
@@ -17,9 +17,9 @@
 from .server_faults import ServerFaults
 from .sidecar_faults import SidecarFaults
 
-QUIET_NS = 9 * SECOND  # After the last request: every fault ends, every deadline and idle timeout passes.
-BEFORE_CLOSE_NS = QUIET_NS - 3 * SECOND  # Until clients close their connections.
-CHECK_NS = 250 * MS  # Between two checks.
+QUIET_NS = 9 * NS_PER_S  # After the last request: every fault ends, every deadline and idle timeout passes.
+BEFORE_CLOSE_NS = QUIET_NS - 3 * NS_PER_S  # Until clients close their connections.
+CHECK_NS = 250 * NS_PER_MS  # Between two checks.
 
 
 class PlayedWorld(FaultWorld, Protocol):
--- a/dykefold/sim/schedule.py
+++ b/dykefold/sim/schedule.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from .kernel import MS, SECOND, stream
+from .kernel import NS_PER_MS, NS_PER_S, stream
 
 
 class Kind(StrEnum):
@@ -88,7 +88,7 @@
     Kind.REPLACE: (3000, 7000),
 }
 USUAL_DURATION_MS = (300, 6000)  # Of all other kinds.
-LOAD_BEGINS_NS = 200 * MS
+LOAD_BEGINS_NS = 200 * NS_PER_MS
 EDGE_SHARE = 0.35  # Fraction of the faults that begin at the beginning or end of a recent fault.
 RECENT_EDGES = 6  # Number of recent beginnings and ends.
 BURST_SHARE = 0.15  # Fraction of the gaps between two requests that belong to a burst.
@@ -98,7 +98,7 @@
 FULL_TIME_SHARE = 0.6
 PIECES = (1, 1, 1, 1, 2, 5)  # Numbers of writes of a request, with equal probability.
 SIDECAR_SHIFT = 24  # Bits of a request's number below the number of its sidecar.
-CLOCK_STEPS_NS = tuple(seconds * SECOND for seconds in (3600, -3600, 3, -3))
+CLOCK_STEPS_NS = tuple(seconds * NS_PER_S for seconds in (3600, -3600, 3, -3))
 
 
 @dataclass(frozen=True, slots=True)
@@ -205,7 +205,7 @@
     failover: bool = False
     wrong_clocks: bool = False
     start_capacity: float = 0.25
-    warm_ns: int = 4 * SECOND
+    warm_ns: int = 4 * NS_PER_S
 
 
 PLATFORM_FAULTS = tuple(
@@ -263,7 +263,7 @@
     "clocks": WorldSpec(
         4, 30, 6.0, 1.5,
         (*CLOCK_FAULTS, *[Kind.CRASH] * 3, Kind.DRAIN, Kind.KILL, Kind.TERM, Kind.MOVE),
-        (1000, 800, 1200), (0.6, 0.25, 0.15), wrong_clocks=True, start_capacity=0.14, warm_ns=22 * SECOND,
+        (1000, 800, 1200), (0.6, 0.25, 0.15), wrong_clocks=True, start_capacity=0.14, warm_ns=22 * NS_PER_S,
     ),
     "syscalls": WorldSpec(
         4, 2, 40.0, 2.5, (*SYSTEM_CALL_FAULTS, Kind.TERM, Kind.CRASH, Kind.DRAIN, Kind.MOVE),
@@ -300,7 +300,7 @@
     edges_ns: list[int] = []
     at_ns = LOAD_BEGINS_NS
     while True:
-        at_ns += int(generator.expovariate(spec.faults_per_s) * SECOND)
+        at_ns += int(generator.expovariate(spec.faults_per_s) * NS_PER_S)
         if at_ns >= span_ns:
             return tuple(sorted(faults, key=lambda fault: fault.at_ns))
         begin_ns = at_ns
@@ -314,8 +314,8 @@
 def _near_edge(spec: WorldSpec, generator: random.Random, edges_ns: list[int]) -> int:
     """Draw a time at an edge of a late fault, or by the longest deadline behind it."""
     edge_ns = generator.choice(edges_ns[-RECENT_EDGES:])
-    longest_ns = max(spec.deadlines_ms) * MS
-    return edge_ns + generator.choice((0, 0, MS, longest_ns - MS, longest_ns))
+    longest_ns = max(spec.deadlines_ms) * NS_PER_MS
+    return edge_ns + generator.choice((0, 0, NS_PER_MS, longest_ns - NS_PER_MS, longest_ns))
 
 
 def _draw_fault(spec: WorldSpec, generator: random.Random, begin_ns: int) -> Fault:
@@ -326,7 +326,7 @@
         kind,
         generator.randrange(spec.servers),
         generator.randrange(spec.sidecars),
-        int(generator.uniform(min_ms, max_ms) * MS),
+        int(generator.uniform(min_ms, max_ms) * NS_PER_MS),
     )
 
 
@@ -346,7 +346,7 @@
     while True:
         # Bursts, since a queue that forms and goes meets more edges than an even flow.
         rate = spec.rate * (BURST_RATE if generator.random() < BURST_SHARE else USUAL_RATE)
-        at_ns += int(generator.expovariate(rate) * SECOND)
+        at_ns += int(generator.expovariate(rate) * NS_PER_S)
         if at_ns >= span_ns:
             return
         number += 1
--- a/dykefold/sim/server_faults.py
+++ b/dykefold/sim/server_faults.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from .fault_world import FaultGroup, FaultHandler
-from .kernel import MS
+from .kernel import NS_PER_MS
 from .nodes import Node
 from .schedule import Fault, Kind
 
-GRACE_NS = 500 * MS  # After the notice of a drain; until then new requests are allowed.
+GRACE_NS = 500 * NS_PER_MS  # After the notice of a drain; until then new requests are allowed.
 REPLACED_OF_TEN = 6
 
 
--- a/dykefold/sim/service_plans.py
+++ b/dykefold/sim/service_plans.py
@@ -8,7 +8,7 @@
 from ..balancer.settings import Effect, RequestClass
 from ..routing.config import read_plan
 from ..routing.plan import Plan
-from .kernel import MS
+from .kernel import NS_PER_MS
 from .nodes import PORT, Node
 from .requests import CLASSES, LOOKUP, POOLS
 
@@ -51,10 +51,10 @@
         f"open_least = {MIN_OPEN + number % 2}",
         f"[pools.{pool}.classes.{name}]",
         f'effect = "{EFFECT_NAMES[spec.effect]}"',
-        f"aim_ms = {spec.objective_ns // MS}",
-        f"deadline_ms = {spec.deadline_ns // MS + more_ms}",
+        f"aim_ms = {spec.objective_ns // NS_PER_MS}",
+        f"deadline_ms = {spec.deadline_ns // NS_PER_MS + more_ms}",
         'scope = "all"',
-        f"window_ms = {spec.window_ns // MS}",
+        f"window_ms = {spec.window_ns // NS_PER_MS}",
         "[[routes]]",
         f'name = "{pool}"',
         f'pool = "{pool}"',
--- a/dykefold/sim/sidecar_faults.py
+++ b/dykefold/sim/sidecar_faults.py
@@ -5,14 +5,14 @@
 from ..control.admin_operations import AdminOperations
 from ..control.admin_requests import Action, AdminRequest
 from .fault_world import FaultGroup, FaultHandler
-from .kernel import MS, SECOND
+from .kernel import NS_PER_MS, NS_PER_S
 from .nodes import Node
 from .process import Sidecar
 from .schedule import Fault, Kind
 
-TAKE_OVER_NS = 6 * SECOND  # Within this time a newer process accepts clients (DAYS).
-LOOK_NS = 50 * MS  # Between two checks whether it does.
-RESTART_NS = 2 * SECOND  # Minimum time after the beginning of a graceful shutdown.
+TAKE_OVER_NS = 6 * NS_PER_S  # Within this time a newer process accepts clients (DAYS).
+LOOK_NS = 50 * NS_PER_MS  # Between two checks whether it does.
+RESTART_NS = 2 * NS_PER_S  # Minimum time after the beginning of a graceful shutdown.
 KILLED_OF_TEN = 7
 HTTP_OK = 200
 
--- a/dykefold/sim/views.py
+++ b/dykefold/sim/views.py
@@ -12,9 +12,9 @@
 from ..fleet.member_state import LIVE, State
 from ..fleet.membership import LocalMember, MembershipChange
 from ..fleet.protocol import MembershipProtocol
-from ..fleet.rate_limits import SECOND, RateLimits
+from ..fleet.rate_limits import NS_PER_S, RateLimits
 
-MS = 1_000_000
+NS_PER_MS = 1_000_000
 EPOCH_MS = 1_700_000_000_000  # Wall clock at the start of a world.
 
 
@@ -35,7 +35,7 @@
         size: int,
         seed: int,
         loss: float = 0.0,
-        delay_ns: tuple[int, int] = (MS, 40 * MS),
+        delay_ns: tuple[int, int] = (NS_PER_MS, 40 * NS_PER_MS),
         pace: RateLimits | None = None,
         zones: int = 3,
     ) -> None:
@@ -43,7 +43,7 @@
         self.size, self.loss, self.delay_ns, self.zones = size, loss, delay_ns, zones
         self.pace = pace or RateLimits()
         self.random = random.Random(seed)
-        self.now_ns = SECOND  # of a clock that runs alike for all
+        self.now_ns = NS_PER_S  # of a clock that runs alike for all
         self.roster = [(f"10.3.{number >> 8}.{number & 255}", 7946) for number in range(size)]
         self.living: dict[int, MembershipProtocol] = {}
         self.stopped_until: dict[int, int] = {}
@@ -61,7 +61,7 @@
 
     def start(self, number: int) -> MembershipProtocol:
         """Start a member, again if it has run before."""
-        wall_ms = EPOCH_MS + self.now_ns // MS + self.clock_off_ms.get(number, 0)
+        wall_ms = EPOCH_MS + self.now_ns // NS_PER_MS + self.clock_off_ms.get(number, 0)
         generator = random.Random(self.random.getrandbits(64))
         local = LocalMember(self.roster, number, number % self.zones)
         protocol = MembershipProtocol(local, wall_ms, self.pace, generator, self.now_ns)
@@ -101,7 +101,9 @@
 
     # The run
 
-    def run(self, for_ns: int, until: Callable[[], bool] | None = None, look_ns: int = 50 * MS) -> bool:
+    def run(
+        self, for_ns: int, until: Callable[[], bool] | None = None, look_ns: int = 50 * NS_PER_MS
+    ) -> bool:
         """Go on for so long, or until this holds, looked at so often; whether it came to hold."""
         end_ns, look = self.now_ns + for_ns, self.now_ns
         queue = self.queue
--- a/dykefold/sim/world.py
+++ b/dykefold/sim/world.py
@@ -9,7 +9,7 @@
 from ..routing.plan import Plan
 from .clients import Clients
 from .fault_world import DISCOVERY_HOST
-from .kernel import EPOCH_NS, MS, SECOND, Kernel, stream
+from .kernel import EPOCH_NS, NS_PER_MS, NS_PER_S, Kernel, stream
 from .membership_rules import MembershipRules
 from .network import Network
 from .nodes import PORT as NODE_PORT
@@ -35,12 +35,12 @@
 def settings_of(scenario: Scenario) -> Settings:
     """Return what the sidecars of a scenario are told, as a platform would."""
     spec = scenario.spec
-    lookup_ns, hold_ns, order_ns = (deadline_ms * MS for deadline_ms in spec.deadlines_ms)
+    lookup_ns, hold_ns, order_ns = (deadline_ms * NS_PER_MS for deadline_ms in spec.deadlines_ms)
     scope = Scope.ALL if scenario.world == "services" else Scope.CELL
     return Settings(
         classes=[
             RequestClass("lookup", lookup_ns // 3, lookup_ns, 1.0, 0.25, Effect.SAFE),
-            RequestClass("hold", hold_ns // 3, hold_ns, 3.0, 0.25, Effect.KEYED, scope, 700 * MS),
+            RequestClass("hold", hold_ns // 3, hold_ns, 3.0, 0.25, Effect.KEYED, scope, 700 * NS_PER_MS),
             RequestClass("order", order_ns // 3, order_ns, 10.0, 0.25, Effect.UNSAFE),
         ],
         zones=list(spec.zones),
@@ -50,13 +50,13 @@
         start_capacity=spec.start_capacity,
         warm_within_ns=spec.warm_ns,
         overload_factor=3.0,
-        overload_for_ns=2 * SECOND,
+        overload_for_ns=2 * NS_PER_S,
         max_attempts=3,
         can_cancel=True,
         can_message_peers=True,
         retry_after=True,
-        max_retry_after_ns=2 * SECOND,
-        connect_timeout_ns=250 * MS,
+        max_retry_after_ns=2 * NS_PER_S,
+        connect_timeout_ns=250 * NS_PER_MS,
         report_columns=("qps", "util"),
     )
 
@@ -224,8 +224,8 @@
         operators' affair, and either clock may be wrong.
         """
         host = node.name if _last_byte(node) % 2 else DISCOVERY_HOST
-        start_ms = self.network.wall_ns(host) // MS
-        self.true_start_of[node.name, start_ms] = (EPOCH_NS + self.kernel.now_ns) // MS
+        start_ms = self.network.wall_ns(host) // NS_PER_MS
+        self.true_start_of[node.name, start_ms] = (EPOCH_NS + self.kernel.now_ns) // NS_PER_MS
         return start_ms
 
     def true_start_ms(self, entry: Entry) -> int:
@@ -247,7 +247,7 @@
         """Have the wall clock of a host step."""
         steps_ns = self.network.clock_steps_ns
         steps_ns[host] = steps_ns.get(host, 0) + step_ns
-        self.kernel.note(f"the clock of {host} steps by {step_ns // SECOND} s")
+        self.kernel.note(f"the clock of {host} steps by {step_ns // NS_PER_S} s")
 
     # Discovery
 
--- a/dykefold/simulator_adapter.py
+++ b/dykefold/simulator_adapter.py
@@ -31,9 +31,9 @@
 from .balancer.events import (
     ClientDisconnected,
     Endpoint,
+    EndpointListUpdate,
     Event,
     ListKind,
-    Membership,
     Outcome,
     PeerMessage,
     ProbeResult,
@@ -270,17 +270,17 @@
             raise FrameError(problem)
         return decode(body, at)
 
-    def _membership(self, body: bytes, at: int) -> Membership | None:
+    def _membership(self, body: bytes, at: int) -> EndpointListUpdate | None:
         scope, version, number = ENDPOINTS.unpack_from(body, at)
         kind = LIST_KINDS.get(scope)
         if kind is None:
             return None
         if kind is ListKind.FAILED:
-            return Membership(kind, version, [])
+            return EndpointListUpdate(kind, version, [])
         if number not in self.lists:
             problem = f"list {number} was never sent"
             raise FrameError(problem)
-        return Membership(kind, version, self.lists[number])
+        return EndpointListUpdate(kind, version, self.lists[number])
 
     def _rows(self, body: bytes, at: int, tail_at: int) -> None:
         list_number, offset, count = SNAPSHOT_ROWS.unpack_from(body, at)
--- a/dykefold/system.py
+++ b/dykefold/system.py
@@ -36,7 +36,7 @@
 )
 
 
-def is_own(error: BaseException | None) -> bool:
+def is_local_error(error: BaseException | None) -> bool:
     """Return whether the cause of a failed system call is this machine, and not the peer or the network.
 
     Refusals, resets, ETIMEDOUT and EHOSTUNREACH come from the peer or the network.
--- a/standins/decision_world.py
+++ b/standins/decision_world.py
@@ -38,9 +38,9 @@
     BodySent,
     ClientDisconnected,
     Endpoint,
+    EndpointListUpdate,
     Event,
     ListKind,
-    Membership,
     MembershipChanged,
     Outcome,
     PeerMessage,
@@ -446,12 +446,12 @@
         rng = self.rng
         self.version += 1
         if kind is ListKind.FAILED:
-            return Membership(kind, self.version, [])
+            return EndpointListUpdate(kind, self.version, [])
         changed = self.changes()
         whole = kind in (ListKind.FULL, ListKind.CACHED)
         entries = list(self.listed.values()) if whole else changed
         rng.shuffle(entries)
-        return Membership(kind, self.version, entries)
+        return EndpointListUpdate(kind, self.version, entries)
 
     def changes(self) -> list[Endpoint]:
         """Some endpoints come, drain, go, start again, hang or reject all."""
@@ -462,7 +462,7 @@
             known = self.listed.get(server)
             state, started = State.READY, self.now
             if known:
-                started = known.ramp_from_ns or known.started_ns
+                started = known.slow_start_began_ns or known.started_ns
             if draw < 0.15:
                 state = State.GONE
             elif draw < 0.3:
@@ -559,8 +559,8 @@
 
 def _kind(event: Event) -> str:
     """What the coverage counts: the type of an event, with the kind of a list and the status of an end."""
-    if isinstance(event, Membership):
-        return f"Membership {event.kind.name}"
+    if isinstance(event, EndpointListUpdate):
+        return f"EndpointListUpdate {event.kind.name}"
     if isinstance(event, Outcome | ProbeResult | StreamStarted):
         return f"{type(event).__name__} {event.status.name}"
     if isinstance(event, Request):
--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -444,7 +444,7 @@
     @rule(max_connections=st.integers(2, 12))
     def resize(self, max_connections):
         for client in self.admission.resize(
-            ConnectionLimits(max_connections, max_connections), self.admission.caps, self.now
+            ConnectionLimits(max_connections, max_connections), self.admission.address_limits, self.now
         ):
             self.clients.remove(client)
         self.allowed = max(max_connections, len(self.clients))  # requests are open on all beyond it
--- a/tests/balancer/test_concerns.py
+++ b/tests/balancer/test_concerns.py
@@ -10,7 +10,7 @@
 from dykefold.balancer import congestion, outlier_detection, poll_schedule, quotas, retry_policy, slow_start
 from dykefold.balancer.actions import SendToPeer, SetTimer, Watch
 from dykefold.balancer.endpoints import EndpointState
-from dykefold.balancer.events import ListKind, Membership, MembershipChanged, PeerMessage
+from dykefold.balancer.events import EndpointListUpdate, ListKind, MembershipChanged, PeerMessage
 from dykefold.balancer.picker import random_below
 from dykefold.balancer.requests import PendingRequest
 from dykefold.balancer.settings import Effect, Tenant
@@ -258,7 +258,9 @@
 def test_the_subset_follows_demand_and_the_number_of_sidecars(fleet_size, demand, near, far, sees_little):
     balancer = fresh(fleet_size=fleet_size)
     balancer.endpoints.demand = demand
-    balancer.handle(START_NS, Membership(ListKind.FULL, 1, [make_endpoint(n, n % 2) for n in range(60)]))
+    balancer.handle(
+        START_NS, EndpointListUpdate(ListKind.FULL, 1, [make_endpoint(n, n % 2) for n in range(60)])
+    )
     found = balancer.endpoints
     assert (len(found.near), len(found.far), found.sees_little) == (near, far, sees_little)
     assert len(found.rest) == 60 - near - far
--- a/tests/balancer/test_concurrency_limit.py
+++ b/tests/balancer/test_concurrency_limit.py
@@ -36,7 +36,7 @@
     balancer, feed = fleet()
     feed.run(3.0, OFFERED, lambda server: IN_TIME)
     state, signal = balancer.limit, balancer.congestion
-    state.limit, state.good, state.wanted_in_flight = limit, good, wanted
+    state.limit, state.limit_after_cut, state.wanted_in_flight = limit, good, wanted
     signal.weight, signal.total = seen, min(late, 4.0 * seen)
     signal.cut_ns = feed.now - cut_ago
     state.rejected_ns = feed.now
--- a/tests/balancer/test_golden_actions.py
+++ b/tests/balancer/test_golden_actions.py
@@ -10,7 +10,7 @@
 import pytest
 
 from dykefold.balancer.actions import Action
-from dykefold.balancer.events import Endpoint, Event, ListKind, Membership, State, Status
+from dykefold.balancer.events import Endpoint, EndpointListUpdate, Event, ListKind, State, Status
 from dykefold.control.balancer_snapshot import restore, snapshot
 from dykefold.net.discovery.codec import NameTable
 from standins.decision_world import PROFILES, ZONES, DecisionWorld, play
@@ -46,7 +46,7 @@
     kinds = {name.split()[0] for name in events}
     assert kinds == {kind.__name__ for kind in Event.__args__}
     assert {name.split()[1] for name in events if name.startswith("Outcome")} == ENDS
-    assert {name.split()[1] for name in events if name.startswith("Membership ")} == {
+    assert {name.split()[1] for name in events if name.startswith("EndpointListUpdate ")} == {
         k.name for k in ListKind
     }
     assert set(actions) == {kind.__name__ for kind in Action.__args__} - NEVER_TAKEN
@@ -59,7 +59,7 @@
     world = DecisionWorld(profile, seed)
     world.play(SNAPSHOT_EVENTS)
     names = NameTable(list(ZONES), ["small", "large"])
-    names.servers = {f"s{number}": number for number in world.speed}
+    names.endpoints = {f"s{number}": number for number in world.speed}
     return world, names
 
 
@@ -93,6 +93,6 @@
         Endpoint(one.id, one.zone, one.kind, one.cell, State.READY, 1.0, one.started_ns)
         for one in world.balancer.endpoints.all.values()
     ]
-    fresh.handle(world.now, Membership(ListKind.FULL, 1, entries))
+    fresh.handle(world.now, EndpointListUpdate(ListKind.FULL, 1, entries))
     assert restore(fresh, names, golden_snapshot(profile, seed))
     assert as_text(snapshot(fresh, names)) == as_text(golden_snapshot(profile, seed))
--- a/tests/balancer/test_many_balancers.py
+++ b/tests/balancer/test_many_balancers.py
@@ -6,7 +6,7 @@
 from helpers import MS, SECOND, make_balancer, make_endpoint, make_request, submit_request
 
 from dykefold.balancer.actions import Send
-from dykefold.balancer.events import ListKind, Membership, Outcome, Status
+from dykefold.balancer.events import EndpointListUpdate, ListKind, Outcome, Status
 from dykefold.balancer.settings import Effect
 
 ZONES = 5
@@ -95,7 +95,7 @@
     entries = [make_endpoint(n, zone=n % ZONES, cell=n // 4) for n in range(60)]
     entries[7] = make_endpoint(7, zone=7 % ZONES, cell=1, started_ns=now)
     for balancer in made:
-        balancer.handle(now, Membership(ListKind.FULL, 2, entries))
+        balancer.handle(now, EndpointListUpdate(ListKind.FULL, 2, entries))
     chance, count = random.Random(3), 0
     for ident in range(100_000, 100_800):  # two seconds
         now += int(SECOND / 400)
--- a/tests/balancer/test_many_endpoints.py
+++ b/tests/balancer/test_many_endpoints.py
@@ -6,7 +6,7 @@
 from helpers import MS, SECOND, make_balancer, make_endpoint, make_request
 
 from dykefold.balancer.actions import Send
-from dykefold.balancer.events import ListKind, Membership, Outcome, State, Status
+from dykefold.balancer.events import EndpointListUpdate, ListKind, Outcome, State, Status
 
 ZONES = ["a", "b", "c"]
 SPAN_S = 20
@@ -63,7 +63,7 @@
     before = {one.id for one in balancer.endpoints.near}
     gone = sorted(before)[:10]
     news = [make_endpoint(n, zone=0, state=State.DRAINING) for n in gone]
-    balancer.handle(now + 6 * SECOND, Membership(ListKind.DELTA, 2, news))
+    balancer.handle(now + 6 * SECOND, EndpointListUpdate(ListKind.DELTA, 2, news))
     after = {one.id for one in balancer.endpoints.near}
     assert len(after) == len(before)
     assert before - after == set(gone)
--- a/tests/balancer/test_overload.py
+++ b/tests/balancer/test_overload.py
@@ -16,7 +16,15 @@
 
 from dykefold import Balancer
 from dykefold.balancer.actions import Refuse, Send, SendToPeer, SetTimer
-from dykefold.balancer.events import ListKind, Membership, Outcome, PeerMessage, Request, Status, Timer
+from dykefold.balancer.events import (
+    EndpointListUpdate,
+    ListKind,
+    Outcome,
+    PeerMessage,
+    Request,
+    Status,
+    Timer,
+)
 from dykefold.balancer.settings import Effect, RequestClass, Tenant
 
 
@@ -128,9 +136,13 @@
     """Incident i8cc3a0: two servers got what seven had carried until their answers were late."""
     feed.run(5, 100, fast)
     before = feed.balancer.limit.limit
-    feed.balancer.handle(feed.now, Membership(ListKind.FULL, 2, [make_endpoint(100), make_endpoint(101)]))
+    feed.balancer.handle(
+        feed.now, EndpointListUpdate(ListKind.FULL, 2, [make_endpoint(100), make_endpoint(101)])
+    )
     assert feed.balancer.limit.limit < 0.4 * before
-    feed.balancer.handle(feed.now, Membership(ListKind.FULL, 3, [make_endpoint(100 + n) for n in range(6)]))
+    feed.balancer.handle(
+        feed.now, EndpointListUpdate(ListKind.FULL, 3, [make_endpoint(100 + n) for n in range(6)])
+    )
     assert feed.balancer.limit.limit < 0.4 * before  # more servers show by their answers
 
 
@@ -280,7 +292,7 @@
         effect=Effect.UNSAFE, tenants=tenants, can_message_peers=True, fleet_size=2, index=0
     )
     balancer = Balancer(config, 1)
-    balancer.handle(START_NS, Membership(ListKind.FULL, 1, [make_endpoint(n) for n in range(4)]))
+    balancer.handle(START_NS, EndpointListUpdate(ListKind.FULL, 1, [make_endpoint(n) for n in range(4)]))
     feed = SteadyLoad(balancer, START_NS)
     told = [a.data for _, a in feed.run(5, 20, fast, tenant=lambda n: 0) if isinstance(a, SendToPeer)]
     assert told
--- a/tests/balancer/test_property.py
+++ b/tests/balancer/test_property.py
@@ -14,8 +14,8 @@
 from dykefold.balancer.attempt_rules import AttemptRules
 from dykefold.balancer.events import (
     ClientDisconnected,
+    EndpointListUpdate,
     ListKind,
-    Membership,
     Outcome,
     ProbeResult,
     Request,
@@ -176,10 +176,10 @@
                 make_endpoint(n, n % 3, n // 3, rng.choice(states), rng.choice([0, 0, self.now]))
                 for n in some
             ]
-        return Membership(kind, 2, entries)
+        return EndpointListUpdate(kind, 2, entries)
 
     def run(self, requests):
-        self.feed(Membership(ListKind.CACHED, 1, [make_endpoint(n, n % 3, n // 3) for n in range(9)]))
+        self.feed(EndpointListUpdate(ListKind.CACHED, 1, [make_endpoint(n, n % 3, n // 3) for n in range(9)]))
         for ident in range(requests):
             self.later(
                 START_NS + ident * self.rng.randrange(1, 40) * MS, lambda ident=ident: self.arrive(ident)
--- a/tests/balancer/test_rules.py
+++ b/tests/balancer/test_rules.py
@@ -18,8 +18,8 @@
 from dykefold.balancer.actions import Cancel, Fail, Refuse, Send, SetTimer, Watch
 from dykefold.balancer.events import (
     ClientDisconnected,
+    EndpointListUpdate,
     ListKind,
-    Membership,
     Outcome,
     PeerMessage,
     ProbeResult,
@@ -52,7 +52,7 @@
 def test_waiting_request_is_sent_when_an_endpoint_appears():
     balancer, now = make_balancer(endpoints=[])
     actions = balancer.handle(now, make_request(1, now))
-    actions += balancer.handle(now, Membership(ListKind.DELTA, 2, [make_endpoint(7)]))
+    actions += balancer.handle(now, EndpointListUpdate(ListKind.DELTA, 2, [make_endpoint(7)]))
     done = run_timers(balancer, now, actions, now + SECOND)
     assert [a.endpoint_number for _, a in done if isinstance(a, Send)][:1] == [7]
 
@@ -73,10 +73,10 @@
     first = submit_request(balancer, now, 1)
     other = 3 - first.endpoint_number
     actions = balancer.handle(now, Outcome(1, 0, first.endpoint_number, Status.FULL, MS, False))
-    balancer.handle(now, Membership(ListKind.DELTA, 2, [make_endpoint(other, state=State.DRAINING)]))
+    balancer.handle(now, EndpointListUpdate(ListKind.DELTA, 2, [make_endpoint(other, state=State.DRAINING)]))
     done = run_timers(balancer, now, actions, now + SECOND)
     assert {a.endpoint_number for _, a in done if isinstance(a, Send)} <= {first.endpoint_number}
-    balancer.handle(now, Membership(ListKind.FULL, 3, [make_endpoint(other)]))
+    balancer.handle(now, EndpointListUpdate(ListKind.FULL, 3, [make_endpoint(other)]))
     for n in range(2, 12):
         sends = actions_of_type(balancer.handle(now, make_request(n, now)), Send)
         assert {a.endpoint_number for a in sends} <= {other}
@@ -212,7 +212,7 @@
     for ident in range(600):
         now += 10 * MS
         if ident == 300:
-            balancer.handle(now, Membership(ListKind.DELTA, 2, [make_endpoint(9, started_ns=now)]))
+            balancer.handle(now, EndpointListUpdate(ListKind.DELTA, 2, [make_endpoint(9, started_ns=now)]))
         for action in actions_of_type(balancer.handle(now, make_request(ident, now)), Send):
             if action.endpoint_number == 9:
                 cold_sends += 1
@@ -229,7 +229,7 @@
     balancer, now = make_balancer(endpoints=entries)
     now, _ = serve_requests(balancer, now, range(100), 50 * MS)
     arrived = [make_endpoint(server, started_ns=now) for server in (200, 201, 202)]
-    balancer.handle(now, Membership(ListKind.FULL, 2, entries + arrived))
+    balancer.handle(now, EndpointListUpdate(ListKind.FULL, 2, entries + arrived))
     now, reached = serve_requests(balancer, now, range(100, 200), 50 * MS)
     assert reached >= {200, 201, 202}
 
@@ -262,11 +262,11 @@
             Balancer(make_settings(poll_required=True, max_poll_interval_ns=10 * SECOND), seed),
             START_NS,
         )
-        armed = balancer.handle(now, Membership(ListKind.CACHED, 1, [make_endpoint(1)]))
+        armed = balancer.handle(now, EndpointListUpdate(ListKind.CACHED, 1, [make_endpoint(1)]))
         done = run_timers(balancer, now, armed, now + 10 * SECOND)
         asked = [when for when, a in done if isinstance(a, Watch)]
         starts.add(asked[0])
-        failed = balancer.handle(asked[0], Membership(ListKind.FAILED, 0, []))
+        failed = balancer.handle(asked[0], EndpointListUpdate(ListKind.FAILED, 0, []))
         again = run_timers(balancer, asked[0], failed, asked[0] + 10 * SECOND)
         assert [a for _, a in again if isinstance(a, Watch)]
     assert len(starts) > 8
--- a/tests/balancer/test_slow_start_budget.py
+++ b/tests/balancer/test_slow_start_budget.py
@@ -17,7 +17,7 @@
 
 from dykefold import Balancer
 from dykefold.balancer.actions import Probe, Send, SetTimer
-from dykefold.balancer.events import ListKind, Membership, Outcome, Request, Status, Timer
+from dykefold.balancer.events import EndpointListUpdate, ListKind, Outcome, Request, Status, Timer
 from dykefold.balancer.settings import Effect, RequestClass
 
 ZONES = 3
@@ -87,7 +87,7 @@
                 can_hedge=day.hedged,
             )
             self.made.append(Balancer(values, self.chance.getrandbits(32)))
-            self._later(START_NS, number, Membership(ListKind.CACHED, 1, entries))
+            self._later(START_NS, number, EndpointListUpdate(ListKind.CACHED, 1, entries))
 
     def _later(self, when: int, number: int, event) -> None:
         self.order += 1
@@ -99,10 +99,10 @@
             told_ns = self.cold_ns + int(self.chance.uniform(0.0, day.told_s) * SECOND)
             older_ns = int(self.chance.uniform(0.0, day.apart_s) * SECOND)
             changed = [
-                replace(self.entries[n], started_ns=self.cold_ns, ramp_from_ns=told_ns - older_ns)
+                replace(self.entries[n], started_ns=self.cold_ns, slow_start_began_ns=told_ns - older_ns)
                 for n in range(day.cold)
             ]
-            self._later(told_ns, number, Membership(ListKind.DELTA, 2, changed))
+            self._later(told_ns, number, EndpointListUpdate(ListKind.DELTA, 2, changed))
 
     def _arrive(self) -> None:
         now, day = START_NS, self.day
--- a/tests/balancer/test_slow_start_quick_servers.py
+++ b/tests/balancer/test_slow_start_quick_servers.py
@@ -10,7 +10,7 @@
 from helpers import MS, SECOND, START_NS, make_balancer, make_endpoint, make_request
 
 from dykefold.balancer.actions import Send
-from dykefold.balancer.events import ListKind, Membership, Outcome, Status
+from dykefold.balancer.events import EndpointListUpdate, ListKind, Outcome, Status
 from dykefold.lab.fleet.judge import SlowStart, SlowStartCall, slow_start_load
 
 SERVERS, COLD = 6, 100
@@ -43,7 +43,7 @@
         if now >= began and not told:
             told = True
             for balancer in balancers:
-                news = Membership(ListKind.DELTA, 2, [make_endpoint(COLD, started_ns=began)])
+                news = EndpointListUpdate(ListKind.DELTA, 2, [make_endpoint(COLD, started_ns=began)])
                 balancer.handle(now, news)
         if sidecar >= 0:
             balancers[sidecar].handle(now, Outcome(ident, 0, server, Status.OK, TOOK, True))
--- a/tests/balancer/test_sparse_traffic.py
+++ b/tests/balancer/test_sparse_traffic.py
@@ -17,8 +17,8 @@
 from dykefold.balancer.events import (
     ClientDisconnected,
     Endpoint,
+    EndpointListUpdate,
     ListKind,
-    Membership,
     Outcome,
     ProbeResult,
     State,
@@ -126,7 +126,7 @@
         balancer, now = make(endpoints=warm, seed=seed)
         now, _ = trickle(balancer, now, range(10), lambda server: 50 * MS, SECOND // 2)
         assert now == cold
-        balancer.handle(now, Membership(ListKind.DELTA, 2, [make_endpoint(9, started_ns=now)]))
+        balancer.handle(now, EndpointListUpdate(ListKind.DELTA, 2, [make_endpoint(9, started_ns=now)]))
         _, used = trickle(balancer, now, range(10, 30), lambda server: 50 * MS, SECOND // 2)
         if 9 in used:
             first.append(used.index(9))
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -4,7 +4,7 @@
 """
 
 from dykefold.balancer.actions import Cancel, Fail, Probe, Refuse, Send
-from dykefold.balancer.events import Membership, Outcome, Request, State, Status, StreamStarted
+from dykefold.balancer.events import EndpointListUpdate, Outcome, Request, State, Status, StreamStarted
 from dykefold.balancer.settings import Effect, Scope
 
 NOT_EXECUTED_STATUSES = (Status.FULL, Status.CONNECT_FAILED, Status.NOT_ATTEMPTED)
@@ -31,7 +31,7 @@
         self.success_times_ns = []
 
     def record_event(self, now_ns, event):
-        if isinstance(event, Membership):
+        if isinstance(event, EndpointListUpdate):
             if event.kind.name in ("FULL", "CACHED"):
                 self.ready_endpoints = set()
             for endpoint in event.entries:
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -99,7 +99,7 @@
             assert (await send_request(port, b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")).code == 200
             path.write_text(good(first.port).replace('pool = "a"', 'pool = "b"'))
             process.send_signal(signal.SIGHUP)
-            assert "routes.a.pool = 'b'" in await line_with("stay as they were")
+            assert "routes.a.pool = 'b'" in await line_with("route table rejected: problem=")
             assert (await send_request(port, b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")).code == 200
             assert len(first.received) == 2
             path.write_text(good(second.port))
--- a/tests/control/hot_restart_rig.py
+++ b/tests/control/hot_restart_rig.py
@@ -45,7 +45,7 @@
 
     def __init__(self, clock):
         self.names = NameTable(["a", "b"], ["std"])
-        endpoints = [make_endpoint(self.names.server(name)) for name in ENDPOINT_NAMES]
+        endpoints = [make_endpoint(self.names.endpoint(name)) for name in ENDPOINT_NAMES]
         self.balancer, _ = make_balancer(endpoints=endpoints)
         self.balancer.now = clock.now()
         self.now = clock.now
--- a/tests/control/test_admin_server.py
+++ b/tests/control/test_admin_server.py
@@ -96,7 +96,7 @@
             assert len(used.received) == 1
             assert len(other.received) == 20
             assert await sidecar.back(name) == 200
-            server = pool.balancer.servers[pool.names.servers[name]]
+            server = pool.balancer.known_endpoints[pool.names.endpoints[name]]
             assert server.ready
             assert abs(server.started_ns - pool.now()) < 5e9
             assert await sidecar.out(rest) == 200
--- a/tests/control/test_hot_restart.py
+++ b/tests/control/test_hot_restart.py
@@ -308,10 +308,10 @@
             for number in range(30):
                 assert (await send_request(one.port, request_message("lookup", f"a{number}"))).code == 200
             old, new = one.server.pool, two.server.pool
-            old.balancer.servers[old.names.servers["s1"]].relative_latency = 2.5
+            old.balancer.known_endpoints[old.names.endpoints["s1"]].relative_latency = 2.5
             values = json.loads(json.dumps(snapshot(old.balancer, old.names)))
             assert restore(new.balancer, new.names, values)
-            assert new.balancer.servers[new.names.servers["s1"]].relative_latency == 2.5
+            assert new.balancer.known_endpoints[new.names.endpoints["s1"]].relative_latency == 2.5
             assert new.balancer.limit.limit == old.balancer.limit.limit
             assert new.balancer.throughput.answers_per_s == old.balancer.throughput.answers_per_s
             assert (
@@ -322,7 +322,7 @@
             values["servers"]["s0"]["started"] += 1
             values["servers"]["s0"]["rel"] = 9.0
             assert restore(new.balancer, new.names, values)
-            assert new.balancer.servers[new.names.servers["s0"]].relative_latency != 9.0
+            assert new.balancer.known_endpoints[new.names.endpoints["s0"]].relative_latency != 9.0
             limit = new.balancer.limit.limit
             for spoilt in (None, [], {"whole": {"limit": 1.0}}, {**values, "whole": {"limit": "x"}}):
                 assert not restore(new.balancer, new.names, spoilt)
--- a/tests/control/test_hot_restart_state.py
+++ b/tests/control/test_hot_restart_state.py
@@ -12,7 +12,7 @@
 from dykefold.control.hot_restart_state import (
     MAX_CAPACITY_WAIT_NS,
     MAX_HEARTBEAT_AGE_NS,
-    MS,
+    NS_PER_MS,
     OBSERVATION_INTERVAL_NS,
     TRANSITIONS,
     HotRestartEvent,
@@ -156,9 +156,9 @@
 
 def test_one_that_stands_still_before_it_shows_its_claim_takes_nothing_of_it():
     """Guards the whole against two that grow at once: each has read before the other has written."""
-    one, other = Life(0, 0), Life(1, MS)
-    one.read(MS, [])  # nobody else is there yet; now it is stopped
-    now = MS
+    one, other = Life(0, 0), Life(1, NS_PER_MS)
+    one.read(NS_PER_MS, [])  # nobody else is there yet; now it is stopped
+    now = NS_PER_MS
     while other.parts is None:
         now += OBSERVATION_INTERVAL_NS
         other.look(now, [one, other])
@@ -227,14 +227,14 @@
     def looks_in_any_order(self, order):
         lives = list(self.lives)
         order.shuffle(lives)
-        self.now += MS
+        self.now += NS_PER_MS
         for life in lives:
             life.look(self.now, self.lives)
 
     @rule()
     def looks_at_once(self):
         """All have read before any has written."""
-        self.now += MS
+        self.now += NS_PER_MS
         signs = [life.shown for life in self.lives]
         for life in self.lives:
             life.read(self.now, [sign for sign in signs if sign is not life.shown])
