--- a/tests/admission/test_flood.py
+++ b/tests/admission/test_flood.py
@@ -104,7 +104,7 @@
             assert "/dev/null" in files
             # Its own files still open: it rereads the configuration under the flood.
             data["discovery"] = f"{HOST}:{fake.port}"
-            sidecar.path.write_text(json.dumps(data))
+            sidecar.config_path.write_text(json.dumps(data))
             sidecar.process.send_signal(signal.SIGHUP)
             await wait_until(
                 lambda: any(got.start_line.startswith("GET /api/targets") for got in fake.received)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -295,11 +295,11 @@
         data = config(list_update(900, endpoint_entry("s1", before.address)), old.address)
         async with SidecarProcess(tmp_path / "c", data) as sidecar:
             await wait_until(lambda: old.received)
-            sidecar.path.write_text("{")
+            sidecar.config_path.write_text("{")
             sidecar.process.send_signal(signal.SIGHUP)
             assert (await send_request(sidecar.port, request_message("order", "a1"))).code == 200
             assert len(before.received) == 1
-            sidecar.path.write_text(json.dumps({**data, "discovery": moved.address}))
+            sidecar.config_path.write_text(json.dumps({**data, "discovery": moved.address}))
             for _ in range(50):
                 sidecar.process.send_signal(signal.SIGHUP)
             await left.wait()
