--- a/tests/balancer/test_overload_degradation.py
+++ b/tests/balancer/test_overload_degradation.py
@@ -1,7 +1,8 @@
-"""Servers that a crowd wears, and what the limit makes of it.
+"""Endpoints that slow down under overload, and the concurrency limit that prevents it.
 
-A small fleet of four-core servers in virtual time: one that has had more than `WORN_AT` requests for each
-core waiting for `WORN_AFTER` turns `WORN` times slower until it has been nearly idle for `RESTED`.
+A small fleet of four-core endpoints in virtual time. An endpoint on which more than `MAX_WAITING_PER_CORE`
+requests per core have waited for `DEGRADE_AFTER_NS` becomes slower by `DEGRADED_WORK_FACTOR` until it has
+been nearly idle for `RECOVER_AFTER_NS`.
 """
 
 import heapq
@@ -14,122 +15,146 @@
 from dykefold.balancer.settings import Effect, RequestClass
 
 CORES = 4
-WORK_S = 0.12  # mean of an exponential distribution
-WORN_AT = 2.5  # waiting for each core
-WORN_AFTER = 1500 * MS
-WORN = 2.7
-RESTED = 3 * SECOND
+MEAN_WORK_S = 0.12  # of an exponential distribution
+MAX_WAITING_PER_CORE = 2.5  # requests
+DEGRADE_AFTER_NS = 1500 * MS
+DEGRADED_WORK_FACTOR = 2.7
+RECOVER_AFTER_NS = 3 * SECOND
 CLASSES = [
     RequestClass("lookup", 1200 * MS, 6 * SECOND, 1.0, 0.0, Effect.SAFE),
     RequestClass("post", 750 * MS, 1500 * MS, 3.0, 0.0, Effect.UNSAFE),
 ]
 
 
-class Worker:
-    """One server: a queue before its cores."""
+class SimulatedEndpoint:
+    """An endpoint with a queue in front of its cores."""
 
     def __init__(self):
         self.waiting = []
         self.running = 0
-        self.crowded_since = None
-        self.idle_since = None
-        self.worn = False
-        self.times_worn = 0
-
-    def judge(self, now):
-        if len(self.waiting) <= WORN_AT * CORES:
-            self.crowded_since = None
-        elif self.crowded_since is None:
-            self.crowded_since = now
-        elif now - self.crowded_since >= WORN_AFTER and not self.worn:
-            self.worn = True
-            self.times_worn += 1
+        self.crowded_since_ns = None
+        self.idle_since_ns = None
+        self.degraded = False
+        self.degradations = 0
+
+    def update_state(self, now_ns):
+        if len(self.waiting) <= MAX_WAITING_PER_CORE * CORES:
+            self.crowded_since_ns = None
+        elif self.crowded_since_ns is None:
+            self.crowded_since_ns = now_ns
+        elif now_ns - self.crowded_since_ns >= DEGRADE_AFTER_NS and not self.degraded:
+            self.degraded = True
+            self.degradations += 1
         if self.running > 1:
-            self.idle_since = None
-        elif self.idle_since is None:
-            self.idle_since = now
-        elif now - self.idle_since >= RESTED:
-            self.worn = False
+            self.idle_since_ns = None
+        elif self.idle_since_ns is None:
+            self.idle_since_ns = now_ns
+        elif now_ns - self.idle_since_ns >= RECOVER_AFTER_NS:
+            self.degraded = False
 
 
 class Fleet:
-    """Sidecars that share servers; requests arrive as a Poisson process and are not asked again."""
+    """Sidecars that share endpoints; requests arrive as a Poisson process, without client retries."""
 
-    def __init__(self, sidecars=4, servers=8, seed=1):
-        entries = [make_endpoint(100 + n) for n in range(servers)]
+    def __init__(self, sidecar_count=4, endpoint_count=8, seed=1):
+        entries = [make_endpoint(100 + n) for n in range(endpoint_count)]
         self.random = random.Random(seed)
         self.balancers = [
-            make_balancer(endpoints=entries, classes=CLASSES, seed=n, fleet_size=sidecars, index=n)[0]
-            for n in range(sidecars)
+            make_balancer(endpoints=entries, classes=CLASSES, seed=n, fleet_size=sidecar_count, index=n)[0]
+            for n in range(sidecar_count)
         ]
-        self.workers = {entry.number: Worker() for entry in entries}
-        self.now = START_NS
+        self.endpoints = {entry.number: SimulatedEndpoint() for entry in entries}
+        self.now_ns = START_NS
         self.events = []
-        self.tie = 0
-        self.ident = 0
+        self.event_order = 0
+        self.last_request_id = 0
         self.served = self.offered = 0
 
-    def at(self, when, call, *args):
-        self.tie += 1
-        heapq.heappush(self.events, (when, self.tie, call, args))
+    def schedule(self, at_ns, callback, *args):
+        self.event_order += 1
+        heapq.heappush(self.events, (at_ns, self.event_order, callback, args))
 
-    def tell(self, sidecar, event):
-        for action in self.balancers[sidecar].handle(self.now, event):
+    def handle_event(self, sidecar, event):
+        for action in self.balancers[sidecar].handle(self.now_ns, event):
             if isinstance(action, SetTimer):
-                self.at(self.now + action.after_ns, self.tell, sidecar, Timer(action.token))
+                self.schedule(self.now_ns + action.after_ns, self.handle_event, sidecar, Timer(action.token))
             elif isinstance(action, Send):
-                self.arrive(sidecar, action.id, action.endpoint_number)
-
-    def arrive(self, sidecar, ident, server):
-        worker = self.workers[server]
-        worker.waiting.append((sidecar, ident, self.now))
-        self.begin(server)
-
-    def begin(self, server):
-        worker = self.workers[server]
-        worker.judge(self.now)
-        while worker.waiting and worker.running < CORES:
-            worker.running += 1
-            work = self.random.expovariate(1 / WORK_S) * (WORN if worker.worn else 1.0)
-            self.at(self.now + int(work * SECOND), self.end, server, worker.waiting.pop(0))
-
-    def end(self, server, item):
-        sidecar, ident, sent = item
-        self.workers[server].running -= 1
-        self.begin(server)
-        open_ = self.balancers[sidecar].pending.get(ident)
-        took = self.now - sent
-        self.served += open_ is not None and took <= open_.spec.objective_ns
-        self.tell(sidecar, Outcome(ident, 0, server, Status.OK, took, open_ is not None))
-
-    def run(self, seconds, load):
-        """Offer this part of what the rested fleet can do; the share that was answered within its aim."""
+                self.receive_attempt(sidecar, action.id, action.endpoint_number)
+
+    def receive_attempt(self, sidecar, request_id, endpoint_number):
+        endpoint = self.endpoints[endpoint_number]
+        endpoint.waiting.append((sidecar, request_id, self.now_ns))
+        self.start_waiting_requests(endpoint_number)
+
+    def start_waiting_requests(self, endpoint_number):
+        endpoint = self.endpoints[endpoint_number]
+        endpoint.update_state(self.now_ns)
+        while endpoint.waiting and endpoint.running < CORES:
+            endpoint.running += 1
+            work_s = self.random.expovariate(1 / MEAN_WORK_S) * (
+                DEGRADED_WORK_FACTOR if endpoint.degraded else 1.0
+            )
+            self.schedule(
+                self.now_ns + int(work_s * SECOND),
+                self.finish_attempt,
+                endpoint_number,
+                endpoint.waiting.pop(0),
+            )
+
+    def finish_attempt(self, endpoint_number, waiting_attempt):
+        sidecar, request_id, sent_ns = waiting_attempt
+        self.endpoints[endpoint_number].running -= 1
+        self.start_waiting_requests(endpoint_number)
+        pending_request = self.balancers[sidecar].pending.get(request_id)
+        latency_ns = self.now_ns - sent_ns
+        self.served += pending_request is not None and latency_ns <= pending_request.spec.objective_ns
+        self.handle_event(
+            sidecar,
+            Outcome(request_id, 0, endpoint_number, Status.OK, latency_ns, pending_request is not None),
+        )
+
+    def run(self, seconds, load_fraction):
+        """Offer load for a time.
+
+        Args:
+            seconds: Duration in seconds.
+            load_fraction: Offered load relative to the capacity of the fleet without degraded endpoints.
+
+        Returns:
+            The fraction of the requests that were answered within their latency objective.
+        """
         self.served = self.offered = 0
-        per_s = load * len(self.workers) * CORES / WORK_S
-        end = self.now + int(seconds * SECOND)
-        arrival = self.now
-        while arrival < end:
-            arrival += int(self.random.expovariate(per_s) * SECOND)
-            while self.events and self.events[0][0] <= arrival:
-                self.now, _, call, args = heapq.heappop(self.events)
-                call(*args)
-            self.now = arrival
-            self.ident += 1
+        requests_per_s = load_fraction * len(self.endpoints) * CORES / MEAN_WORK_S
+        end_ns = self.now_ns + int(seconds * SECOND)
+        arrival_ns = self.now_ns
+        while arrival_ns < end_ns:
+            arrival_ns += int(self.random.expovariate(requests_per_s) * SECOND)
+            while self.events and self.events[0][0] <= arrival_ns:
+                self.now_ns, _, callback, args = heapq.heappop(self.events)
+                callback(*args)
+            self.now_ns = arrival_ns
+            self.last_request_id += 1
             self.offered += 1
-            cls = self.ident % 2
-            due = self.now + CLASSES[cls].deadline_ns
-            self.tell(self.ident % len(self.balancers), Request(self.ident, cls, 0, due))
+            class_number = self.last_request_id % 2
+            deadline_ns = self.now_ns + CLASSES[class_number].deadline_ns
+            self.handle_event(
+                self.last_request_id % len(self.balancers),
+                Request(self.last_request_id, class_number, 0, deadline_ns),
+            )
         return self.served / self.offered
 
 
-def test_an_overload_from_the_start_wears_no_server():
-    """The fleet was kept at half the aim, some requests waiting for each core: most servers were worn."""
+def test_overload_from_the_start_degrades_no_endpoint():
+    """Guards against a limit that keeps the fleet at half the latency objective.
+
+    Some requests waited for each core then, and most endpoints degraded.
+    """
     fleet = Fleet()
     fleet.run(4, 1.3)
     assert fleet.run(10, 1.3) > 0.6
-    assert sum(worker.times_worn for worker in fleet.workers.values()) == 0
+    assert sum(endpoint.degradations for endpoint in fleet.endpoints.values()) == 0
 
 
-def test_a_fleet_within_what_it_can_do_refuses_nearly_nothing():
+def test_load_within_capacity_is_almost_all_answered_in_time():
     fleet = Fleet()
     assert fleet.run(15, 0.7) > 0.97
--- a/tests/balancer/test_property.py
+++ b/tests/balancer/test_property.py
@@ -1,4 +1,4 @@
-"""Long random legal sequences against the outside checker, and proof that the checker can fail."""
+"""Long random sequences of legal events against the rule checker, and tests that the checker can fail."""
 
 import heapq
 import random
@@ -29,7 +29,7 @@
 from dykefold.balancer.slow_start import SlowStart
 from dykefold.balancer.subsetting import EndpointSet
 
-TICK = 5 * MS
+TICK_NS = 5 * MS
 STATUSES = [Status.OK] * 6 + [
     Status.ERROR,
     Status.FULL,
@@ -61,9 +61,9 @@
         zone=rng.randrange(3),
         tenants=tenants,
         over_quota_weight_fraction=0.1,
-        tick_ns=TICK,
+        tick_ns=TICK_NS,
         poll_required=rng.random() < 0.5,
-        answer_slack_ns=4 * TICK,
+        answer_slack_ns=4 * TICK_NS,
         start_capacity=rng.choice([0.1, 0.5]),
         warm_within_ns=rng.randrange(2, 20) * SECOND,
         max_attempts=rng.randrange(1, 7),
@@ -79,165 +79,185 @@
     )
 
 
-class World:
-    """Legal events in random order: the wire's promises are kept, nothing else."""
+class RandomEvents:
+    """Feeds a balancer random events that keep only the guarantees of the wire protocol."""
 
-    def __init__(self, rng, config, balancer):
+    def __init__(self, rng, balancer_settings, balancer):
         self.rng = rng
-        self.config = config
+        self.balancer_settings = balancer_settings
         self.balancer = balancer
-        self.checker = RuleChecker(config)
-        self.now = START_NS
-        self.queue = []  # (time, tie, event maker)
-        self.tie = 0
-        self.ended = set()
-        self.attempts = {}
-        self.settled = set()
-        self.deadlines = {}
-        self.state = {}
-
-    def later(self, when, make):
-        self.tie += 1
-        heapq.heappush(self.queue, (max(when, self.now + 1), self.tie, make))
-
-    def feed(self, event):
-        self.checker.record_event(self.now, event)
-        actions = self.balancer.handle(self.now, event)
-        self.checker.check_actions(self.now, actions)
+        self.checker = RuleChecker(balancer_settings)
+        self.now_ns = START_NS
+        self.pending_events = []  # (time in ns, order among equal times, function that creates the event)
+        self.event_order = 0
+        self.answered_requests = set()
+        self.last_attempts = {}
+        self.finished_attempts = set()
+        self.deadlines_ns = {}
+        self.sent_attempts = {}
+
+    def schedule(self, due_ns, make_event):
+        self.event_order += 1
+        heapq.heappush(self.pending_events, (max(due_ns, self.now_ns + 1), self.event_order, make_event))
+
+    def handle_event(self, event):
+        self.checker.record_event(self.now_ns, event)
+        actions = self.balancer.handle(self.now_ns, event)
+        self.checker.check_actions(self.now_ns, actions)
         for action in actions:
             if isinstance(action, SetTimer):
                 assert action.after_ns > 0
-                self.later(self.now + action.after_ns, lambda token=action.token: Timer(token))
+                self.schedule(self.now_ns + action.after_ns, lambda token=action.token: Timer(token))
             elif isinstance(action, Refuse | Fail):
-                self.ended.add(action.id)
+                self.answered_requests.add(action.id)
             elif isinstance(action, Send):
-                self._sent(action)
+                self._record_attempt(action)
             elif isinstance(action, Probe):
-                took = int(self.rng.expovariate(1) * 15 * MS) + 1
+                latency_ns = int(self.rng.expovariate(1) * 15 * MS) + 1
                 status = self.rng.choice(STATUSES)
-                report = self.report() if status is Status.OK else ()
-                made = ProbeResult(action.endpoint_number, status, took, report)
-                self.later(self.now + took, lambda made=made: made)
+                load_report = self.random_load_report() if status is Status.OK else ()
+                probe_result = ProbeResult(action.endpoint_number, status, latency_ns, load_report)
+                self.schedule(self.now_ns + latency_ns, lambda probe_result=probe_result: probe_result)
             elif isinstance(action, Cancel):
-                key = action.id, action.attempt
-                self.later(self.now + TICK, lambda key=key: self._settle(*key, Status.CANCELLED))
-
-    def report(self):
-        odd = [float("nan"), float("inf"), -1.0]
-        pick = self.rng.choice([0.0, 1.0, 7.0, *odd])
-        return (pick,) * self.rng.randrange(len(self.config.report_columns) + 1)
-
-    def _sent(self, action):
-        number = self.attempts[action.id] = self.attempts.get(action.id, -1) + 1
-        key = action.id, number
-        self.state[key] = action.endpoint_number, self.now
+                attempt_key = action.id, action.attempt
+                self.schedule(
+                    self.now_ns + TICK_NS,
+                    lambda attempt_key=attempt_key: self._finish_attempt(*attempt_key, Status.CANCELLED),
+                )
+
+    def random_load_report(self):
+        invalid_loads = [float("nan"), float("inf"), -1.0]
+        load = self.rng.choice([0.0, 1.0, 7.0, *invalid_loads])
+        return (load,) * self.rng.randrange(len(self.balancer_settings.report_columns) + 1)
+
+    def _record_attempt(self, action):
+        attempt = self.last_attempts[action.id] = self.last_attempts.get(action.id, -1) + 1
+        attempt_key = action.id, attempt
+        self.sent_attempts[attempt_key] = action.endpoint_number, self.now_ns
         status = self.rng.choice(STATUSES)
-        deadline = self.deadlines[action.id]
-        took = int(self.rng.expovariate(1) * 150 * MS) + 1
-        limit = min(deadline, self.now + action.timeout_ns if action.timeout_ns else deadline)
-        if status is Status.TIMEOUT or self.now + took > limit or self.rng.random() < 0.03:
-            status, took = Status.TIMEOUT, limit - self.now
-        self.later(self.now + took, lambda: self._settle(*key, status))
-
-    def _settle(self, ident, number, status):
-        if (ident, number) in self.settled:
+        deadline_ns = self.deadlines_ns[action.id]
+        latency_ns = int(self.rng.expovariate(1) * 150 * MS) + 1
+        latest_end_ns = min(
+            deadline_ns, self.now_ns + action.timeout_ns if action.timeout_ns else deadline_ns
+        )
+        if status is Status.TIMEOUT or self.now_ns + latency_ns > latest_end_ns or self.rng.random() < 0.03:
+            status, latency_ns = Status.TIMEOUT, latest_end_ns - self.now_ns
+        self.schedule(self.now_ns + latency_ns, lambda: self._finish_attempt(*attempt_key, status))
+
+    def _finish_attempt(self, request_id, attempt, status):
+        if (request_id, attempt) in self.finished_attempts:
             return None
-        self.settled.add((ident, number))
-        server, sent = self.state[ident, number]
+        self.finished_attempts.add((request_id, attempt))
+        endpoint_number, sent_ns = self.sent_attempts[request_id, attempt]
         if status is Status.OK:
-            self.ended.add(ident)
-        return Outcome(ident, number, server, status, self.now - sent, ident in self.ended, self.report())
-
-    def arrive(self, ident):
-        cls = self.rng.randrange(len(self.config.classes))
-        length = int(self.config.classes[cls].deadline_ns * self.rng.uniform(0.0, 1.0))
-        tenant = self.rng.randrange(max(len(self.config.tenants), 1))
-        self.deadlines[ident] = self.now + length
+            self.answered_requests.add(request_id)
+        return Outcome(
+            request_id,
+            attempt,
+            endpoint_number,
+            status,
+            self.now_ns - sent_ns,
+            request_id in self.answered_requests,
+            self.random_load_report(),
+        )
+
+    def _receive_request(self, request_id):
+        class_number = self.rng.randrange(len(self.balancer_settings.classes))
+        timeout_ns = int(
+            self.balancer_settings.classes[class_number].deadline_ns * self.rng.uniform(0.0, 1.0)
+        )
+        tenant = self.rng.randrange(max(len(self.balancer_settings.tenants), 1))
+        self.deadlines_ns[request_id] = self.now_ns + timeout_ns
         if self.rng.random() < 0.02:
-            self.later(self.now + int(length * self.rng.random()), lambda: self._drop(ident))
-        return Request(ident, cls, tenant, self.now + length)
+            self.schedule(
+                self.now_ns + int(timeout_ns * self.rng.random()), lambda: self._disconnect_client(request_id)
+            )
+        return Request(request_id, class_number, tenant, self.now_ns + timeout_ns)
 
-    def _drop(self, ident):
-        if ident in self.ended:
+    def _disconnect_client(self, request_id):
+        if request_id in self.answered_requests:
             return None
-        self.ended.add(ident)
-        self.checker.requests[ident][2] = True
-        return ClientDisconnected(ident)
+        self.answered_requests.add(request_id)
+        self.checker.requests[request_id][2] = True
+        return ClientDisconnected(request_id)
 
-    def change_list(self):
+    def _update_endpoint_list(self):
         rng = self.rng
         kind = rng.choice([ListKind.DELTA, ListKind.DELTA, ListKind.FULL, ListKind.FAILED])
         entries = []
         if kind is not ListKind.FAILED:
-            some = rng.sample(range(12), rng.randrange(0, 12))
+            endpoint_numbers = rng.sample(range(12), rng.randrange(0, 12))
             states = [State.READY] * 3 + [State.DRAINING]
             states += [State.GONE] if kind is ListKind.DELTA else []
             entries = [
-                make_endpoint(n, n % 3, n // 3, rng.choice(states), rng.choice([0, 0, self.now]))
-                for n in some
+                make_endpoint(n, n % 3, n // 3, rng.choice(states), rng.choice([0, 0, self.now_ns]))
+                for n in endpoint_numbers
             ]
         return EndpointListUpdate(kind, 2, entries)
 
-    def run(self, requests):
-        self.feed(EndpointListUpdate(ListKind.CACHED, 1, [make_endpoint(n, n % 3, n // 3) for n in range(9)]))
-        for ident in range(requests):
-            self.later(
-                START_NS + ident * self.rng.randrange(1, 40) * MS, lambda ident=ident: self.arrive(ident)
+    def run(self, request_count):
+        self.handle_event(
+            EndpointListUpdate(ListKind.CACHED, 1, [make_endpoint(n, n % 3, n // 3) for n in range(9)])
+        )
+        for request_id in range(request_count):
+            self.schedule(
+                START_NS + request_id * self.rng.randrange(1, 40) * MS,
+                lambda request_id=request_id: self._receive_request(request_id),
             )
         for n in range(12):
-            self.later(START_NS + n * SECOND // 2 + 7, self.change_list)
-        end = START_NS + 40 * SECOND
-        while self.queue and self.queue[0][0] < end:
-            when, _, make = heapq.heappop(self.queue)
-            self.now = when
-            event = make()
+            self.schedule(START_NS + n * SECOND // 2 + 7, self._update_endpoint_list)
+        end_ns = START_NS + 40 * SECOND
+        while self.pending_events and self.pending_events[0][0] < end_ns:
+            due_ns, _, make_event = heapq.heappop(self.pending_events)
+            self.now_ns = due_ns
+            event = make_event()
             if event is not None:
-                self.feed(event)
-        self.now = end
-        self.checker.check_all_answered(end)
+                self.handle_event(event)
+        self.now_ns = end_ns
+        self.checker.check_all_answered(end_ns)
 
 
 @settings(max_examples=120, derandomize=True, deadline=None, database=None)
 @given(st.integers(0, 2**32))
-def test_the_rules_hold_whatever_happens(seed):
+def test_the_rules_hold_for_any_legal_event_sequence(seed):
     rng = random.Random(seed)
-    config = make_settings(rng)
-    World(rng, config, Balancer(config, seed)).run(250)
+    balancer_settings = make_settings(rng)
+    RandomEvents(rng, balancer_settings, Balancer(balancer_settings, seed)).run(250)
 
 
-def broken_send_gate(monkeypatch):
-    def only_list_and_pace(self, req, endpoint):
+def break_attempt_rules(monkeypatch):
+    def check_only_state_and_slow_start(self, req, endpoint):
         return endpoint.listed and endpoint.ready and self.slow_start.allows(endpoint, req.stats)
 
-    monkeypatch.setattr(AttemptRules, "may_send", only_list_and_pace)
+    monkeypatch.setattr(AttemptRules, "may_send", check_only_state_and_slow_start)
 
 
-def broken_refusal_gate(monkeypatch):
+def break_rejection_rule(monkeypatch):
     monkeypatch.setattr(AttemptRules, "may_reject", lambda self, req: True)
 
 
-def broken_list(monkeypatch):
+def ignore_endpoint_states(monkeypatch):
     original = AttemptRules.may_send
 
-    def deaf(self, req, endpoint):
-        kept = endpoint.ready, endpoint.listed
+    def allow_unready_endpoints(self, req, endpoint):
+        saved = endpoint.ready, endpoint.listed
         endpoint.ready = endpoint.listed = True
-        answer = original(self, req, endpoint)
-        endpoint.ready, endpoint.listed = kept
-        return answer
+        allowed = original(self, req, endpoint)
+        endpoint.ready, endpoint.listed = saved
+        return allowed
 
-    def everyone(self):
+    def use_all_endpoints(self):
         self.near, self.far, self.ejected = list(self.all.values()), [], []
 
-    monkeypatch.setattr(AttemptRules, "may_send", deaf)
-    monkeypatch.setattr(EndpointSet, "rebuild", everyone)
+    monkeypatch.setattr(AttemptRules, "may_send", allow_unready_endpoints)
+    monkeypatch.setattr(EndpointSet, "rebuild", use_all_endpoints)
 
 
-def broken_answers(monkeypatch):
+def omit_final_answers(monkeypatch):
     monkeypatch.setattr(FinalAnswers, "end", lambda self, req: None)
 
 
-def broken_pace(monkeypatch):
+def disable_slow_start(monkeypatch):
     monkeypatch.setattr(SlowStart, "allows", lambda self, endpoint, stats: True)
     monkeypatch.setattr(SlowStart, "charge", lambda self, endpoint, stats: None)
     monkeypatch.setattr(
@@ -246,19 +266,19 @@
 
 
 @pytest.mark.parametrize(
-    ("plant", "text"),
+    ("break_rule", "violation"),
     [
-        (broken_send_gate, "possible second effect|hedged request|more attempts than allowed"),
-        (broken_refusal_gate, "rejection of a request that may have been executed"),
-        (broken_list, "not ready"),
-        (broken_answers, "never answered"),
-        (broken_pace, "overload of an endpoint in slow start"),
+        (break_attempt_rules, "possible second effect|hedged request|more attempts than allowed"),
+        (break_rejection_rule, "rejection of a request that may have been executed"),
+        (ignore_endpoint_states, "not ready"),
+        (omit_final_answers, "never answered"),
+        (disable_slow_start, "overload of an endpoint in slow start"),
     ],
 )
-def test_the_checker_catches_a_planted_violation(monkeypatch, plant, text):
-    plant(monkeypatch)
-    with pytest.raises(RuleViolationError, match=text):
+def test_the_checker_reports_a_broken_rule(monkeypatch, break_rule, violation):
+    break_rule(monkeypatch)
+    with pytest.raises(RuleViolationError, match=violation):
         for seed in range(80):
             rng = random.Random(seed)
-            config = make_settings(rng)
-            World(rng, config, Balancer(config, seed)).run(250)
+            balancer_settings = make_settings(rng)
+            RandomEvents(rng, balancer_settings, Balancer(balancer_settings, seed)).run(250)
--- a/tests/balancer/test_sparse_traffic.py
+++ b/tests/balancer/test_sparse_traffic.py
@@ -1,4 +1,4 @@
-"""Sidecars that see little: one small test for each failure found at full size."""
+"""Sidecars with little traffic: one small test for each failure found in a fleet of full size."""
 
 from helpers import (
     MS,
@@ -28,206 +28,245 @@
 from dykefold.balancer.settings import Effect
 
 
-def make(**more):
-    return make_balancer(fleet_size=400, **more)
+def make_fleet_member(**overrides):
+    return make_balancer(fleet_size=400, **overrides)
 
 
-def trickle(balancer, now, idents, took, gap=SECOND):
-    """One request at a time, far apart; the servers used, in order."""
-    used = []
-    for ident in idents:
-        now += gap
-        sent = submit_request(balancer, now, ident)
-        used.append(sent.endpoint_number)
-        latency = took(sent.endpoint_number)
-        balancer.handle(now + latency, Outcome(ident, 0, sent.endpoint_number, Status.OK, latency, True))
-    return now, used
-
+def serve_sparse_requests(balancer, now_ns, request_ids, latency_ns_of, interval_ns=SECOND):
+    """Serve single requests at long intervals.
 
-def test_a_sidecar_that_sends_little_keeps_to_few_servers_and_a_busy_one_to_all():
-    """Every server was met twice a minute, so none was ever known as slow or hung."""
+    Returns:
+        The time of the last request in nanoseconds, and the numbers of the endpoints used, in order.
+    """
+    used = []
+    for request_id in request_ids:
+        now_ns += interval_ns
+        attempt = submit_request(balancer, now_ns, request_id)
+        used.append(attempt.endpoint_number)
+        latency_ns = latency_ns_of(attempt.endpoint_number)
+        balancer.handle(
+            now_ns + latency_ns, Outcome(request_id, 0, attempt.endpoint_number, Status.OK, latency_ns, True)
+        )
+    return now_ns, used
+
+
+def test_quiet_sidecar_uses_few_endpoints_and_busy_sidecar_uses_all():
+    """Guards against using each endpoint only twice a minute, so that none is ever found slow or hung."""
     entries = [make_endpoint(n) for n in range(40)]
-    quiet, now = make(endpoints=entries)
-    assert len(set(trickle(quiet, now, range(60), lambda server: 40 * MS)[1])) <= 4
-    busy, now = make(endpoints=entries)
-    assert len(serve_requests(busy, now, range(1500), 10 * MS)[1]) == 40
+    quiet_sidecar, now_ns = make_fleet_member(endpoints=entries)
+    assert (
+        len(set(serve_sparse_requests(quiet_sidecar, now_ns, range(60), lambda endpoint_number: 40 * MS)[1]))
+        <= 4
+    )
+    busy_sidecar, now_ns = make_fleet_member(endpoints=entries)
+    assert len(serve_requests(busy_sidecar, now_ns, range(1500), 10 * MS)[1]) == 40
 
 
-def test_where_servers_outnumber_sidecars_all_are_sampled_however_little_is_sent():
-    """A restarted one of four sidecars, with half the traffic to come, began as if it saw little."""
-    balancer, now = make_balancer(endpoints=[make_endpoint(n) for n in range(40)], fleet_size=4)
-    assert len(set(trickle(balancer, now, range(60), lambda server: 40 * MS)[1])) > 20
+def test_quiet_sidecar_samples_all_endpoints_if_they_outnumber_the_sidecars():
+    """Guards against a restarted sidecar, one of four with half the traffic, that starts as a quiet one."""
+    balancer, now_ns = make_balancer(endpoints=[make_endpoint(n) for n in range(40)], fleet_size=4)
+    assert (
+        len(set(serve_sparse_requests(balancer, now_ns, range(60), lambda endpoint_number: 40 * MS)[1])) > 20
+    )
 
 
-def test_sidecars_keep_to_different_servers():
+def test_quiet_sidecars_use_different_endpoints():
     entries = [make_endpoint(n) for n in range(40)]
     used = set()
     for seed in range(60):
-        balancer, now = make(endpoints=entries, seed=seed)
-        used |= set(trickle(balancer, now, range(6), lambda server: 40 * MS)[1])
+        balancer, now_ns = make_fleet_member(endpoints=entries, seed=seed)
+        used |= set(serve_sparse_requests(balancer, now_ns, range(6), lambda endpoint_number: 40 * MS)[1])
     assert len(used) > 30
 
 
-def test_a_request_reaches_beyond_the_set_when_none_of_it_is_fit():
-    """A keyed repeat may only go to the group of its first server, of which the set may hold no other."""
+def test_request_goes_beyond_the_subset_if_no_endpoint_of_it_is_usable():
+    """A keyed retry has to stay in the cell of its first endpoint, of which the subset may hold no other."""
     entries = [make_endpoint(n, cell=n // 2) for n in range(40)]
-    again = []
+    retry_offsets = []
     for seed in range(20):
-        balancer, now = make(endpoints=entries, effect=Effect.KEYED, seed=seed)
-        first = submit_request(balancer, now, 1).endpoint_number
-        actions = balancer.handle(now + MS, Outcome(1, 0, first, Status.RESET, MS, False))
-        done = run_timers(balancer, now + MS, actions, now + SECOND)
-        again += [action.endpoint_number - first for _, action in done if isinstance(action, Send)]
-    assert len(again) == 20
-    assert {abs(step) for step in again} == {1}
-
-
-def test_an_overrun_zone_and_a_slow_kind_get_less_within_tens_of_answers():
-    """A zone with 61% of the traffic and 31% of the capacity stood choked, whole, two seconds into a day."""
-    for name in ("zone", "kind"):
+        balancer, now_ns = make_fleet_member(endpoints=entries, effect=Effect.KEYED, seed=seed)
+        first_endpoint = submit_request(balancer, now_ns, 1).endpoint_number
+        actions = balancer.handle(now_ns + MS, Outcome(1, 0, first_endpoint, Status.RESET, MS, False))
+        timed_actions = run_timers(balancer, now_ns + MS, actions, now_ns + SECOND)
+        retry_offsets += [
+            action.endpoint_number - first_endpoint for _, action in timed_actions if isinstance(action, Send)
+        ]
+    assert len(retry_offsets) == 20
+    assert {abs(step) for step in retry_offsets} == {1}
+
+
+def test_slow_zone_or_kind_gets_less_within_tens_of_responses():
+    """Guards against a zone with 61% of the traffic and 31% of the capacity that is overloaded within 2 s."""
+    for slow_group in ("zone", "kind"):
         entries = [
-            Endpoint(n, n % 2 if name == "zone" else 0, n % 2 if name == "kind" else 0, 0, State.READY)
+            Endpoint(
+                n, n % 2 if slow_group == "zone" else 0, n % 2 if slow_group == "kind" else 0, 0, State.READY
+            )
             for n in range(40)
         ]
-        early = late = 0
-        leans = 0.0
+        early_attempts = late_attempts = 0
+        weight_difference = 0.0
         for seed in range(30):
-            balancer, now = make(endpoints=entries, seed=seed)
-            _, used = trickle(balancer, now, range(40), lambda server: (40 if server % 2 else 120) * MS)
-            early += sum(1 - server % 2 for server in used[:5])
-            late += sum(1 - server % 2 for server in used[-5:])
+            balancer, now_ns = make_fleet_member(endpoints=entries, seed=seed)
+            _, used = serve_sparse_requests(
+                balancer, now_ns, range(40), lambda endpoint_number: (40 if endpoint_number % 2 else 120) * MS
+            )
+            early_attempts += sum(1 - endpoint_number % 2 for endpoint_number in used[:5])
+            late_attempts += sum(1 - endpoint_number % 2 for endpoint_number in used[-5:])
             endpoints = balancer.endpoints
-            leans += endpoints.group(endpoints.all[1]).log_weight
-            leans -= endpoints.group(endpoints.all[0]).log_weight
-        assert late < 0.4 * 150
-        assert late < 0.8 * early
-        assert leans > 30 * 0.3  # by the sampling too, not by the pick alone
+            weight_difference += endpoints.group(endpoints.all[1]).log_weight
+            weight_difference -= endpoints.group(endpoints.all[0]).log_weight
+        assert late_attempts < 0.4 * 150
+        assert late_attempts < 0.8 * early_attempts
+        assert weight_difference > 30 * 0.3  # by the sampling too, not by the choice among samples alone
 
 
-def test_an_unheard_server_counts_at_the_mean_of_its_kind():
+def test_endpoint_without_samples_has_the_mean_latency_of_its_kind():
     entries = [Endpoint(n, 0, n % 2, 0, State.READY) for n in range(40)]
-    balancer, now = make(endpoints=entries)
-    now, _ = trickle(balancer, now, range(40), lambda server: (40 if server % 2 else 120) * MS)
-    unheard = {
-        server.kind: balancer.latency.relative_latency(server)
-        for server in balancer.endpoints.rest
-        if not server.samples
+    balancer, now_ns = make_fleet_member(endpoints=entries)
+    now_ns, _ = serve_sparse_requests(
+        balancer, now_ns, range(40), lambda endpoint_number: (40 if endpoint_number % 2 else 120) * MS
+    )
+    latency_without_samples = {
+        endpoint.kind: balancer.latency.relative_latency(endpoint)
+        for endpoint in balancer.endpoints.rest
+        if not endpoint.samples
     }
-    assert unheard[1] < unheard[0]
-    assert unheard[1] == balancer.endpoints.groups[1, False].relative_latency < 1.0
+    assert latency_without_samples[1] < latency_without_samples[0]
+    assert latency_without_samples[1] == balancer.endpoints.groups[1, False].relative_latency < 1.0
+
 
+def test_restarted_endpoint_is_used_once_listed_but_not_by_all_sidecars_at_once():
+    """Guards against endpoints that stay idle for 14 s after a crash of a third of the fleet.
 
-def test_restarted_servers_are_used_from_their_listing_on_but_not_by_all_at_once():
-    """A third of a fleet came back from a crash and stood idle for 14 s: first tokens took so long."""
-    warm = [make_endpoint(n) for n in range(1, 9)]
-    cold = START_NS + 5 * SECOND
-    first = []
+    The first slow-start tokens took so long.
+    """
+    warm_endpoints = [make_endpoint(n) for n in range(1, 9)]
+    cold_start_ns = START_NS + 5 * SECOND
+    first_uses = []
     for seed in range(200):
-        balancer, now = make(endpoints=warm, seed=seed)
-        now, _ = trickle(balancer, now, range(10), lambda server: 50 * MS, SECOND // 2)
-        assert now == cold
-        balancer.handle(now, EndpointListUpdate(ListKind.DELTA, 2, [make_endpoint(9, started_ns=now)]))
-        _, used = trickle(balancer, now, range(10, 30), lambda server: 50 * MS, SECOND // 2)
+        balancer, now_ns = make_fleet_member(endpoints=warm_endpoints, seed=seed)
+        now_ns, _ = serve_sparse_requests(
+            balancer, now_ns, range(10), lambda endpoint_number: 50 * MS, SECOND // 2
+        )
+        assert now_ns == cold_start_ns
+        balancer.handle(now_ns, EndpointListUpdate(ListKind.DELTA, 2, [make_endpoint(9, started_ns=now_ns)]))
+        _, used = serve_sparse_requests(
+            balancer, now_ns, range(10, 30), lambda endpoint_number: 50 * MS, SECOND // 2
+        )
         if 9 in used:
-            first.append(used.index(9))
-    assert len([when for when in first if when < 6]) > 10
-    assert len([when for when in first if when == 0]) <= 10
-
-
-def test_one_long_silence_outweighs_answers_of_long_ago():
-    balancer, now = make(endpoints=[make_endpoint(n) for n in range(40)], effect=Effect.UNSAFE)
-    now, used = trickle(balancer, now, range(40), lambda server: 40 * MS)
-    server = balancer.endpoints.all[used[-1]]
-    before = server.relative_latency
-    balancer.latency.add_sample(server, 10.0)  # at once: one of many
-    small = server.relative_latency - before
-    server.relative_latency = before
+            first_uses.append(used.index(9))
+    assert len([index for index in first_uses if index < 6]) > 10
+    assert len([index for index in first_uses if index == 0]) <= 10
+
+
+def test_sample_after_a_long_pause_outweighs_old_samples():
+    balancer, now_ns = make_fleet_member(
+        endpoints=[make_endpoint(n) for n in range(40)], effect=Effect.UNSAFE
+    )
+    now_ns, used = serve_sparse_requests(balancer, now_ns, range(40), lambda endpoint_number: 40 * MS)
+    endpoint = balancer.endpoints.all[used[-1]]
+    before = endpoint.relative_latency
+    balancer.latency.add_sample(endpoint, 10.0)  # at once: it counts as one of many
+    change_at_once = endpoint.relative_latency - before
+    endpoint.relative_latency = before
     balancer.context.now_ns += 20 * SECOND
-    balancer.latency.add_sample(server, 10.0)
-    assert server.relative_latency - before > 4 * small
+    balancer.latency.add_sample(endpoint, 10.0)
+    assert endpoint.relative_latency - before > 4 * change_at_once
+
 
+def make_crowded_sidecar(**overrides):
+    """Make a sidecar whose latencies equal its objective, and send it a request that allows load probes.
 
-def crowded(**more):
-    """A sidecar whose answers take as long as its aim, and a request that it may ask servers for."""
-    more = {"can_probe": True, "report_columns": ("qps", "inflight"), "price_probe": 1.0, **more}
-    balancer, now = make(endpoints=[make_endpoint(n) for n in range(40)], **more)
-    now, _ = trickle(balancer, now, range(30), lambda server: 20 * MS)
-    now += SECOND
-    balancer.settings.price_probe = more["price_probe"] / 100
+    Returns:
+        The sidecar's balancer, the time in nanoseconds, the load probes and the attempts of the request.
+    """
+    overrides = {"can_probe": True, "report_columns": ("qps", "inflight"), "price_probe": 1.0, **overrides}
+    balancer, now_ns = make_fleet_member(endpoints=[make_endpoint(n) for n in range(40)], **overrides)
+    now_ns, _ = serve_sparse_requests(balancer, now_ns, range(30), lambda endpoint_number: 20 * MS)
+    now_ns += SECOND
+    balancer.settings.price_probe = overrides["price_probe"] / 100
     balancer.context.classes[0].mean_latency_ns = 500 * MS
-    actions = balancer.handle(now, make_request(99, now))
-    return balancer, now, actions_of_type(actions, Probe), actions_of_type(actions, Send)
+    actions = balancer.handle(now_ns, make_request(99, now_ns))
+    return balancer, now_ns, actions_of_type(actions, Probe), actions_of_type(actions, Send)
 
 
 def test_crowded_sidecar_probes_two_endpoints_and_picks_the_less_loaded_one():
-    """At full size the queue that a request met was of now, what was known of it of seconds ago."""
-    balancer, now, probes, sends = crowded()
+    """Guards against choices by load reports of seconds ago while queues change from request to request."""
+    balancer, now_ns, probes, sends = make_crowded_sidecar()
     assert len({probe.endpoint_number for probe in probes}) == 2
     assert not sends
-    full, idle = (probe.endpoint_number for probe in probes)
-    assert not balancer.handle(now + MS, ProbeResult(full, Status.OK, MS, (1.0, 30.0)))
-    done = balancer.handle(now + 2 * MS, ProbeResult(idle, Status.OK, MS, (1.0, 0.0)))
-    assert [action.endpoint_number for action in actions_of_type(done, Send)] == [idle]
-    assert not actions_of_type(balancer.handle(now + SECOND, Timer(balancer.timers.token)), Send)
-
-
-def test_a_server_that_does_not_tell_in_time_is_passed_over_and_two_do_not_hold_a_request():
-    balancer, now, probes, _ = crowded()
-    told = probes[1].endpoint_number
-    balancer.handle(now + MS, ProbeResult(told, Status.OK, MS, (1.0, 3.0)))
-    done = balancer.handle(now + 100 * MS, Timer(balancer.timers.token))
-    assert [action.endpoint_number for action in actions_of_type(done, Send)] == [told]
-    balancer, now, probes, _ = crowded()
+    loaded_endpoint, idle_endpoint = (probe.endpoint_number for probe in probes)
+    assert not balancer.handle(now_ns + MS, ProbeResult(loaded_endpoint, Status.OK, MS, (1.0, 30.0)))
+    actions = balancer.handle(now_ns + 2 * MS, ProbeResult(idle_endpoint, Status.OK, MS, (1.0, 0.0)))
+    assert [action.endpoint_number for action in actions_of_type(actions, Send)] == [idle_endpoint]
+    assert not actions_of_type(balancer.handle(now_ns + SECOND, Timer(balancer.timers.token)), Send)
+
+
+def test_late_load_probe_is_ignored_and_two_failed_probes_do_not_delay_a_request():
+    balancer, now_ns, probes, _ = make_crowded_sidecar()
+    answering_endpoint = probes[1].endpoint_number
+    balancer.handle(now_ns + MS, ProbeResult(answering_endpoint, Status.OK, MS, (1.0, 3.0)))
+    actions = balancer.handle(now_ns + 100 * MS, Timer(balancer.timers.token))
+    assert [action.endpoint_number for action in actions_of_type(actions, Send)] == [answering_endpoint]
+    balancer, now_ns, probes, _ = make_crowded_sidecar()
     for probe in probes:
-        balancer.handle(now + MS, ProbeResult(probe.endpoint_number, Status.TIMEOUT, MS))
-    done = balancer.handle(now + 100 * MS, Timer(balancer.timers.token))
-    assert len(actions_of_type(done, Send)) == 1
+        balancer.handle(now_ns + MS, ProbeResult(probe.endpoint_number, Status.TIMEOUT, MS))
+    actions = balancer.handle(now_ns + 100 * MS, Timer(balancer.timers.token))
+    assert len(actions_of_type(actions, Send)) == 1
 
 
 def test_no_load_probe_is_sent_if_it_is_not_allowed_or_does_not_pay():
-    assert not crowded(can_probe=False)[2]
-    assert not crowded(report_columns=())[2]
-    assert not crowded(price_probe=1000.0)[2]
-    quick, now, _, _ = crowded()
-    quick.context.classes[0].mean_latency_ns = 20 * MS
-    assert not actions_of_type(quick.handle(now + SECOND, make_request(100, now + SECOND)), Probe)
+    assert not make_crowded_sidecar(can_probe=False)[2]
+    assert not make_crowded_sidecar(report_columns=())[2]
+    assert not make_crowded_sidecar(price_probe=1000.0)[2]
+    fast_sidecar, now_ns, _, _ = make_crowded_sidecar()
+    fast_sidecar.context.classes[0].mean_latency_ns = 20 * MS
+    assert not actions_of_type(
+        fast_sidecar.handle(now_ns + SECOND, make_request(100, now_ns + SECOND)), Probe
+    )
 
 
 def test_request_cancelled_during_its_load_probes_is_not_sent():
-    balancer, now, probes, _ = crowded()
-    balancer.handle(now + MS, ClientDisconnected(99))
-    done = [
-        balancer.handle(now + MS, ProbeResult(p.endpoint_number, Status.OK, MS, (1.0, 0.0))) for p in probes
+    balancer, now_ns, probes, _ = make_crowded_sidecar()
+    balancer.handle(now_ns + MS, ClientDisconnected(99))
+    action_lists = [
+        balancer.handle(now_ns + MS, ProbeResult(probe.endpoint_number, Status.OK, MS, (1.0, 0.0)))
+        for probe in probes
     ]
-    done.append(balancer.handle(now + SECOND, Timer(balancer.timers.token)))
+    action_lists.append(balancer.handle(now_ns + SECOND, Timer(balancer.timers.token)))
     assert not [
-        actions_of_type(actions, Send, Refuse) for actions in done if actions_of_type(actions, Send, Refuse)
+        actions_of_type(actions, Send, Refuse)
+        for actions in action_lists
+        if actions_of_type(actions, Send, Refuse)
     ]
 
 
-def test_reports_that_are_no_numbers_change_nothing():
-    balancer, _, probes, _ = crowded()
-    server = balancer.endpoints.all[probes[0].endpoint_number]
-    before = server.reported_load, server.load_reported_ns
-    for odd in ((), (1.0,), (1.0, float("nan")), (1.0, -3.0), (1.0, float("inf"))):
-        balancer.load_reports.record(server, odd)
-    assert (server.reported_load, server.load_reported_ns) == before
-
-
-def test_a_sidecar_with_a_request_now_and_then_sheds_in_overload_and_recovers():
-    """Incident i032b0e: 1476 sidecars, each with one in flight at the most, kept 88 servers choked."""
-    balancer, now = make(endpoints=[make_endpoint(n) for n in range(40)], effect=Effect.UNSAFE)
-    refused = {}
-    ident = 0
-    for phase, latency in (("before", 40 * MS), ("crowded", 900 * MS), ("after", 40 * MS)):
-        refused[phase] = 0
+def test_invalid_load_reports_are_ignored():
+    balancer, _, probes, _ = make_crowded_sidecar()
+    endpoint = balancer.endpoints.all[probes[0].endpoint_number]
+    before = endpoint.reported_load, endpoint.load_reported_ns
+    for invalid_report in ((), (1.0,), (1.0, float("nan")), (1.0, -3.0), (1.0, float("inf"))):
+        balancer.load_reports.record(endpoint, invalid_report)
+    assert (endpoint.reported_load, endpoint.load_reported_ns) == before
+
+
+def test_quiet_sidecar_sheds_in_overload_and_recovers():
+    """Incident i032b0e: 1476 sidecars, each with at most one request in flight, overloaded 88 endpoints."""
+    balancer, now_ns = make_fleet_member(
+        endpoints=[make_endpoint(n) for n in range(40)], effect=Effect.UNSAFE
+    )
+    rejections = {}
+    request_id = 0
+    for phase, latency_ns in (("before", 40 * MS), ("overload", 900 * MS), ("after", 40 * MS)):
+        rejections[phase] = 0
         for step in range(60):
-            now += SECOND
-            ident += 1
-            sent = actions_of_type(balancer.handle(now, make_request(ident, now)), Send)
-            refused[phase] += not sent and step >= 20
-            for action in sent:
-                done = Outcome(ident, 0, action.endpoint_number, Status.OK, latency, True)
-                balancer.handle(now + latency, done)
-    assert refused["before"] == refused["after"] == 0
-    assert 4 < refused["crowded"] < 36
+            now_ns += SECOND
+            request_id += 1
+            attempts = actions_of_type(balancer.handle(now_ns, make_request(request_id, now_ns)), Send)
+            rejections[phase] += not attempts and step >= 20
+            for action in attempts:
+                outcome = Outcome(request_id, 0, action.endpoint_number, Status.OK, latency_ns, True)
+                balancer.handle(now_ns + latency_ns, outcome)
+    assert rejections["before"] == rejections["after"] == 0
+    assert 4 < rejections["overload"] < 36
