--- a/tests/balancer/test_many_balancers.py
+++ b/tests/balancer/test_many_balancers.py
@@ -1,4 +1,4 @@
-"""A fleet of modules in one process: what each does that is fine alone and hurts once all of them do it."""
+"""A fleet of balancers in one process: behaviour that is harmless in one and harmful in all of them."""
 
 import random
 
@@ -12,107 +12,116 @@
 ZONES = 5
 
 
-def fleet(sidecars, servers, **more):
-    """Sidecars of all zones with one list, and the time."""
-    entries = [make_endpoint(n, zone=n % ZONES, cell=n // 4) for n in range(servers)]
-    made = []
-    for number in range(sidecars):
-        balancer, now = make_balancer(
+def make_fleet(sidecar_count, endpoint_count, **overrides):
+    """Make sidecars of all zones with the same endpoint list; return them and the time in nanoseconds."""
+    entries = [make_endpoint(n, zone=n % ZONES, cell=n // 4) for n in range(endpoint_count)]
+    balancers = []
+    for sidecar in range(sidecar_count):
+        balancer, now_ns = make_balancer(
             endpoints=entries,
-            seed=number,
+            seed=sidecar,
             zones=list("abcde"),
-            zone=number % ZONES,
-            fleet_size=sidecars,
+            zone=sidecar % ZONES,
+            fleet_size=sidecar_count,
             can_hedge=False,
-            **more,
+            **overrides,
         )
-        made.append(balancer)
-    return made, now
-
-
-def day(made, now, rate, seconds, seed=7, took=40 * MS):
-    """Requests at this total rate, spread over the sidecars; the time after them."""
-    chance = random.Random(seed)
-    for ident in range(1, int(rate * seconds)):
-        now += int(SECOND / rate)
-        number = chance.randrange(len(made))
-        sent = submit_request(made[number], now, ident)
-        made[number].handle(now + took, Outcome(ident, 0, sent.endpoint_number, Status.OK, took, True))
-    return now
-
-
-def test_pairs_of_sidecar_and_server_do_not_grow_with_the_fleet():
-    """Guards servers against handshakes: at equal traffic each server met every sidecar, and a new one was
-    greeted by forty first connections before it had answered ten requests."""
-    pairs = {}
-    for sidecars in (5, 40, 80):
-        made, now = fleet(sidecars, 120)
-        day(made, now, 400.0, 12)
-        pairs[sidecars] = sum(len(balancer.endpoints.near) + len(balancer.endpoints.far) for balancer in made)
-    assert pairs[5] == 5 * 120  # few enough to know all
-    assert pairs[40] < 0.4 * 40 * 120
-    assert pairs[80] < 0.3 * 80 * 120
-
-
-def test_every_server_is_known_to_some_sidecars_of_other_zones():
-    """Guards the load of a server against hanging on the one or two sidecars that happen to sample it."""
-    made, now = fleet(40, 60)
-    day(made, now, 200.0, 8)
-    known = dict.fromkeys(range(60), 0)
-    for balancer in made:
+        balancers.append(balancer)
+    return balancers, now_ns
+
+
+def send_random_requests(balancers, now_ns, requests_per_s, seconds, seed=7, latency_ns=40 * MS):
+    """Send requests at this total rate by random sidecars; return the time after them in nanoseconds."""
+    rng = random.Random(seed)
+    for request_id in range(1, int(requests_per_s * seconds)):
+        now_ns += int(SECOND / requests_per_s)
+        sidecar = rng.randrange(len(balancers))
+        attempt = submit_request(balancers[sidecar], now_ns, request_id)
+        balancers[sidecar].handle(
+            now_ns + latency_ns, Outcome(request_id, 0, attempt.endpoint_number, Status.OK, latency_ns, True)
+        )
+    return now_ns
+
+
+def test_endpoints_per_sidecar_shrink_as_the_fleet_grows():
+    """Guards endpoints against handshakes.
+
+    At equal traffic each endpoint was used by every sidecar: a new one had forty first connections before it
+    had answered ten requests.
+    """
+    connection_counts = {}
+    for sidecar_count in (5, 40, 80):
+        balancers, now_ns = make_fleet(sidecar_count, 120)
+        send_random_requests(balancers, now_ns, 400.0, 12)
+        connection_counts[sidecar_count] = sum(
+            len(balancer.endpoints.near) + len(balancer.endpoints.far) for balancer in balancers
+        )
+    assert connection_counts[5] == 5 * 120  # few enough to use all
+    assert connection_counts[40] < 0.4 * 40 * 120
+    assert connection_counts[80] < 0.3 * 80 * 120
+
+
+def test_every_endpoint_is_sampled_by_sidecars_of_other_zones():
+    """Guards against an endpoint whose load depends on the one or two sidecars that happen to sample it."""
+    balancers, now_ns = make_fleet(40, 60)
+    send_random_requests(balancers, now_ns, 200.0, 8)
+    sampling_sidecars = dict.fromkeys(range(60), 0)
+    for balancer in balancers:
         assert len(balancer.endpoints.near) == 12
         assert len(balancer.endpoints.far) < 48 * 0.4
-        for server in balancer.endpoints.far:
-            known[server.id] += 1
-    assert min(known.values()) >= 1
-    assert sum(known.values()) >= 4 * 60
+        for endpoint in balancer.endpoints.far:
+            sampling_sidecars[endpoint.id] += 1
+    assert min(sampling_sidecars.values()) >= 1
+    assert sum(sampling_sidecars.values()) >= 4 * 60
 
 
-def test_a_small_fleet_samples_all_however_little_is_sent():
-    made, now = fleet(4, 15)
-    day(made, now, 4.0, 10)
-    assert all(len(balancer.endpoints.near) + len(balancer.endpoints.far) == 15 for balancer in made)
+def test_small_fleet_samples_all_endpoints_even_with_little_traffic():
+    balancers, now_ns = make_fleet(4, 15)
+    send_random_requests(balancers, now_ns, 4.0, 10)
+    assert all(len(balancer.endpoints.near) + len(balancer.endpoints.far) == 15 for balancer in balancers)
 
 
 @pytest.mark.parametrize("effect", list(Effect))
-def test_a_request_goes_beyond_the_set_where_none_of_it_is_fit(effect):
-    """Guards a zone that is lost while the sampled servers elsewhere drain: the others are still there."""
-    made, now = fleet(40, 60, effect=effect)
-    balancer = made[0]
-    submit_request(balancer, now, 1)
+def test_request_goes_beyond_the_subset_if_none_of_it_is_ready(effect):
+    """Guards against the loss of a zone while the sampled endpoints elsewhere drain: others are ready."""
+    balancers, now_ns = make_fleet(40, 60, effect=effect)
+    balancer = balancers[0]
+    submit_request(balancer, now_ns, 1)
     assert balancer.endpoints.rest
-    for server in balancer.endpoints.near + balancer.endpoints.far:
-        server.ready = False  # as between two lists, before the sets are made anew
-    actions = balancer.handle(now + MS, make_request(2, now + MS))
-    sent = next(action for action in actions if isinstance(action, Send))
-    assert sent.endpoint_number in {server.id for server in balancer.endpoints.rest}
+    for endpoint in balancer.endpoints.near + balancer.endpoints.far:
+        endpoint.ready = False  # as between two endpoint lists, before the subset is rebuilt
+    actions = balancer.handle(now_ns + MS, make_request(2, now_ns + MS))
+    attempt = next(action for action in actions if isinstance(action, Send))
+    assert attempt.endpoint_number in {endpoint.id for endpoint in balancer.endpoints.rest}
 
 
-def test_a_cold_server_gets_a_fair_share_of_its_ramp_from_the_whole_fleet():
-    """Guards the fourth rule: those who sample a server carry the part of those who do not, no more."""
-    made, now = fleet(40, 60)
-    now = day(made, now, 400.0, 6)
+def test_warming_up_endpoint_gets_its_part_from_the_fleet_together():
+    """Guards rule 4: sidecars that sample an endpoint send the part of those that do not, but no more."""
+    balancers, now_ns = make_fleet(40, 60)
+    now_ns = send_random_requests(balancers, now_ns, 400.0, 6)
     entries = [make_endpoint(n, zone=n % ZONES, cell=n // 4) for n in range(60)]
-    entries[7] = make_endpoint(7, zone=7 % ZONES, cell=1, started_ns=now)
-    for balancer in made:
-        balancer.handle(now, EndpointListUpdate(ListKind.FULL, 2, entries))
-    chance, count = random.Random(3), 0
-    for ident in range(100_000, 100_800):  # two seconds
-        now += int(SECOND / 400)
-        balancer = made[chance.randrange(40)]
-        sent = submit_request(balancer, now, ident)
-        count += sent.endpoint_number == 7
-        balancer.handle(now + 40 * MS, Outcome(ident, 0, sent.endpoint_number, Status.OK, 40 * MS, True))
-    fair = 2 * 400 / 60  # a warm server's share in that time; this one begins at a fifth of what that can do
-    assert 1 <= count <= 3.0 * 0.2 * fair
-
-
-def test_a_quiet_sidecar_that_turns_busy_samples_more_at_once():
-    """Guards the few sampled servers against all the traffic of a sidecar whose client has woken up."""
-    made, now = fleet(40, 60)
-    balancer = made[0]
-    now = day([balancer], now, 2.0, 20)
-    few = len(balancer.endpoints.far)
-    assert few == 6
-    now = day([balancer], now, 200.0, 3)
-    assert len(balancer.endpoints.far) > 2 * few
+    entries[7] = make_endpoint(7, zone=7 % ZONES, cell=1, started_ns=now_ns)
+    for balancer in balancers:
+        balancer.handle(now_ns, EndpointListUpdate(ListKind.FULL, 2, entries))
+    rng, attempt_count = random.Random(3), 0
+    for request_id in range(100_000, 100_800):  # two seconds
+        now_ns += int(SECOND / 400)
+        balancer = balancers[rng.randrange(40)]
+        attempt = submit_request(balancer, now_ns, request_id)
+        attempt_count += attempt.endpoint_number == 7
+        balancer.handle(
+            now_ns + 40 * MS, Outcome(request_id, 0, attempt.endpoint_number, Status.OK, 40 * MS, True)
+        )
+    equal_part = 2 * 400 / 60  # of a warm endpoint in that time; this one starts at a fifth of its capacity
+    assert 1 <= attempt_count <= 3.0 * 0.2 * equal_part
+
+
+def test_quiet_sidecar_that_becomes_busy_samples_more_endpoints():
+    """Guards the few sampled endpoints against all traffic of a sidecar whose client becomes active."""
+    balancers, now_ns = make_fleet(40, 60)
+    balancer = balancers[0]
+    now_ns = send_random_requests([balancer], now_ns, 2.0, 20)
+    initial_size = len(balancer.endpoints.far)
+    assert initial_size == 6
+    now_ns = send_random_requests([balancer], now_ns, 200.0, 3)
+    assert len(balancer.endpoints.far) > 2 * initial_size
--- a/tests/balancer/test_many_endpoints.py
+++ b/tests/balancer/test_many_endpoints.py
@@ -1,4 +1,4 @@
-"""Sixteen times the endpoints: a sidecar meets the part of them that its demand keeps in use."""
+"""Sixteen times the endpoints: a sidecar uses as many of them as its demand requires."""
 
 import random
 
@@ -9,77 +9,88 @@
 from dykefold.balancer.events import EndpointListUpdate, ListKind, Outcome, State, Status
 
 ZONES = ["a", "b", "c"]
-SPAN_S = 20
-
-
-def play(balancer, now, rate=30.0, span_s=SPAN_S, took=40 * MS, seed=1):
-    """Requests at their times, each answered; how often each endpoint was met."""
-    chance, met, ident, end = random.Random(seed), {}, 0, now + span_s * SECOND
-    while (now := now + int(chance.expovariate(rate) * SECOND)) < end:
-        ident += 1
-        for sent in [one for one in balancer.handle(now, make_request(ident, now)) if isinstance(one, Send)]:
-            met[sent.endpoint_number] = met.get(sent.endpoint_number, 0) + 1
-            balancer.handle(now + took, Outcome(ident, 0, sent.endpoint_number, Status.OK, took, True))
-    return met
-
-
-def sidecar(servers, fleet_size, seed=1):
-    entries = [make_endpoint(n, zone=n % 3) for n in range(servers)]
+DURATION_S = 20
+
+
+def send_random_requests(
+    balancer, now_ns, requests_per_s=30.0, duration_s=DURATION_S, latency_ns=40 * MS, seed=1
+):
+    """Send random requests and answer each; return the number of attempts by endpoint number."""
+    rng, attempt_counts, request_id, end_ns = random.Random(seed), {}, 0, now_ns + duration_s * SECOND
+    while (now_ns := now_ns + int(rng.expovariate(requests_per_s) * SECOND)) < end_ns:
+        request_id += 1
+        for attempt in [
+            a for a in balancer.handle(now_ns, make_request(request_id, now_ns)) if isinstance(a, Send)
+        ]:
+            attempt_counts[attempt.endpoint_number] = attempt_counts.get(attempt.endpoint_number, 0) + 1
+            balancer.handle(
+                now_ns + latency_ns,
+                Outcome(request_id, 0, attempt.endpoint_number, Status.OK, latency_ns, True),
+            )
+    return attempt_counts
+
+
+def make_sidecar(endpoint_count, fleet_size, seed=1):
+    entries = [make_endpoint(n, zone=n % 3) for n in range(endpoint_count)]
     return make_balancer(
         endpoints=entries, seed=seed, zones=ZONES, fleet_size=fleet_size, price_cross_zone=0.5
     )
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_sixteen_times_the_endpoints_cost_a_bounded_number_of_connections(seed):
-    usual = len(play(*sidecar(200, 200, seed)))
-    large = len(play(*sidecar(3200, 200, seed)))
-    assert large <= 2.5 * usual + 40
-
-
-@pytest.mark.parametrize(("servers", "fleet_size"), [(200, 200), (60, 40), (3200, 1), (3200, 10), (3200, 20)])
-def test_all_endpoints_of_the_zone_are_sampled_at_usual_sizes_and_by_few_sidecars(servers, fleet_size):
-    balancer, now = sidecar(servers, fleet_size)
-    play(balancer, now, span_s=2)
-    in_zone = sum(n % 3 == 0 for n in range(servers))
-    wanted = min(in_zone, 10 * servers / fleet_size) if servers == 3200 else in_zone
-    assert len(balancer.endpoints.near) >= wanted
-
-
-def test_all_sidecars_together_reach_all_endpoints_and_none_has_far_more_than_its_part():
-    samplers = dict.fromkeys(range(0, 3200, 3), 0)
-    for seed in range(67):  # of one zone
-        balancer, _ = sidecar(3200, 200, seed)
-        for one in balancer.endpoints.near:
-            samplers[one.id] += 1
-    counts = sorted(samplers.values())
+def test_sixteen_times_the_endpoints_need_a_bounded_number_of_connections(seed):
+    typical_count = len(send_random_requests(*make_sidecar(200, 200, seed)))
+    large_count = len(send_random_requests(*make_sidecar(3200, 200, seed)))
+    assert large_count <= 2.5 * typical_count + 40
+
+
+@pytest.mark.parametrize(
+    ("endpoint_count", "fleet_size"), [(200, 200), (60, 40), (3200, 1), (3200, 10), (3200, 20)]
+)
+def test_all_endpoints_of_the_zone_are_sampled_at_typical_sizes_and_by_small_fleets(
+    endpoint_count, fleet_size
+):
+    balancer, now_ns = make_sidecar(endpoint_count, fleet_size)
+    send_random_requests(balancer, now_ns, duration_s=2)
+    in_zone = sum(n % 3 == 0 for n in range(endpoint_count))
+    min_sampled = min(in_zone, 10 * endpoint_count / fleet_size) if endpoint_count == 3200 else in_zone
+    assert len(balancer.endpoints.near) >= min_sampled
+
+
+def test_all_sidecars_together_sample_all_endpoints_about_evenly():
+    sampling_sidecars = dict.fromkeys(range(0, 3200, 3), 0)
+    for seed in range(67):  # sidecars of one zone
+        balancer, _ = make_sidecar(3200, 200, seed)
+        for endpoint in balancer.endpoints.near:
+            sampling_sidecars[endpoint.id] += 1
+    counts = sorted(sampling_sidecars.values())
     assert counts[len(counts) // 100] >= 2
     assert counts[-1] <= 3 * sum(counts) / len(counts)
 
 
-def test_what_drains_is_replaced_and_the_others_stay():
-    balancer, now = sidecar(3200, 200)
-    play(balancer, now, span_s=5)
-    before = {one.id for one in balancer.endpoints.near}
-    gone = sorted(before)[:10]
-    news = [make_endpoint(n, zone=0, state=State.DRAINING) for n in gone]
-    balancer.handle(now + 6 * SECOND, EndpointListUpdate(ListKind.DELTA, 2, news))
-    after = {one.id for one in balancer.endpoints.near}
+def test_draining_endpoints_are_replaced_and_the_others_stay():
+    balancer, now_ns = make_sidecar(3200, 200)
+    send_random_requests(balancer, now_ns, duration_s=5)
+    before = {endpoint.id for endpoint in balancer.endpoints.near}
+    draining = sorted(before)[:10]
+    changed_entries = [make_endpoint(n, zone=0, state=State.DRAINING) for n in draining]
+    balancer.handle(now_ns + 6 * SECOND, EndpointListUpdate(ListKind.DELTA, 2, changed_entries))
+    after = {endpoint.id for endpoint in balancer.endpoints.near}
     assert len(after) == len(before)
-    assert before - after == set(gone)
+    assert before - after == set(draining)
 
 
-def test_the_subset_does_not_churn_with_the_demand():
-    balancer, now = sidecar(3200, 200)
-    play(balancer, now, span_s=10)
+def test_subset_size_is_stable_while_demand_varies():
+    balancer, now_ns = make_sidecar(3200, 200)
+    send_random_requests(balancer, now_ns, duration_s=10)
     sizes = set()
-    for turn, rate in enumerate((24.0, 30.0, 36.0, 30.0)):
-        play(balancer, now + (10 + 10 * turn) * SECOND, rate, 10, seed=turn)
+    for phase, requests_per_s in enumerate((24.0, 30.0, 36.0, 30.0)):
+        send_random_requests(balancer, now_ns + (10 + 10 * phase) * SECOND, requests_per_s, 10, seed=phase)
         sizes.add(len(balancer.endpoints.near))
     assert len(sizes) == 1
 
 
-def test_the_part_grows_with_what_is_in_flight():
-    balancer, now = sidecar(3200, 200)
-    play(balancer, now, rate=600.0, span_s=3, took=400 * MS)
-    assert len(balancer.endpoints.near) > 2 * 160  # the fleet's share: ten sidecars for each endpoint
+def test_subset_grows_with_the_requests_in_flight():
+    balancer, now_ns = make_sidecar(3200, 200)
+    send_random_requests(balancer, now_ns, requests_per_s=600.0, duration_s=3, latency_ns=400 * MS)
+    assert len(balancer.endpoints.near) > 2 * 160  # the minimum in this fleet: ten sidecars for each endpoint
--- a/tests/balancer/test_slow_start_budget.py
+++ b/tests/balancer/test_slow_start_budget.py
@@ -1,9 +1,10 @@
-"""What cold servers get from many modules together, against the budget of the fourth rule.
+"""The load that many balancers together send to endpoints in slow start, against the budget of rule 4.
 
-N is what the settings allow a server over their span for overload at its capacity then: its least capacity
-by `start_capacity` and `warm_within`, times `overload_factor`. All that reaches it counts, by its work in
-means of the classes: first attempts, retries and hedged ones. The servers here answer at once whatever they
-get, so that no slow answer helps the modules: one that accepts quickly and then collapses looks like that.
+N is the number of requests that the settings allow an endpoint in the span `overload_for`: its minimum
+capacity at that age, by `start_capacity` and `warm_within`, times `overload_factor`. Every attempt that
+reaches it counts with its work relative to the mean of the classes: first attempts, retries and hedged
+requests. The endpoints in slow start answer all attempts without queueing, so that no slow response helps
+the balancers: an endpoint that accepts quickly and then collapses looks like this.
 """
 
 import heapq
@@ -21,182 +22,247 @@
 from dykefold.balancer.settings import Effect, RequestClass
 
 ZONES = 3
-START_CAPACITY, WARM_S, FACTOR, SPAN_S = 0.14, 22.0, 3.0, 3.0
+START_CAPACITY, WARM_S, OVERLOAD_FACTOR, SPAN_S = 0.14, 22.0, 3.0, 3.0
 
 
 @dataclass(frozen=True)
 class Scenario:
-    """One case: how many processes, and what happens on top."""
+    """The sidecars, endpoints and faults of one run.
+
+    Attributes:
+        sidecars: Number of sidecars.
+        endpoints: Number of endpoints.
+        starting_endpoints: Number of endpoints that start together, `lead_s` after the beginning of the run.
+        requests_per_s: Mean requests per second for each endpoint.
+        utilization: Fraction of a warm endpoint's capacity that this rate uses.
+        burst_fraction: Size of the burst in each second relative to the requests of a second; the first burst
+            is at the start.
+        failing_fraction: Fraction of the attempts at warm endpoints that cannot connect.
+        unanswered_fraction: Fraction of the attempts at warm endpoints that are not answered.
+        can_hedge: Whether hedged requests are allowed.
+        max_clock_difference_s: Maximum in seconds by which a sidecar takes the start for older than it is.
+        max_notification_delay_s: Maximum delay in seconds until a sidecar is notified of the start.
+        has_expensive_class: Whether there is a second class, of nine times the work.
+        lead_s: Seconds before the start.
+        observed_s: Seconds from the start to the end of the run.
+    """
 
     sidecars: int
-    servers: int = 12
-    cold: int = 1  # servers that start together, at COLD_AT_S
-    per_s: float = 15.0  # requests for each server, on the mean
-    used: float = 0.85  # of the capacity of a warm server, by that
-    burst: float = 0.0  # requests at once, in parts of a second's, each second, the first with the start
-    failing: float = 0.0  # part of the attempts at warm servers that find no connection
-    silent: float = 0.0  # ... and that are not answered
-    hedged: bool = False
-    apart_s: float = 0.0  # starts count as up to so much older at some sidecars
-    told_s: float = 0.0  # sidecars hear of the start within this
-    dear: bool = False  # a second class of nine times the work
-    warm_up_s: float = 4.0
-    cold_s: float = 6.0
-
-
-def budget(n: float) -> float:
-    """What may reach a server to which N requests are allowed."""
-    return n + 2 * math.sqrt(n) + 2 if n >= 30 else n + 3 * math.sqrt(n) + 3
+    endpoints: int = 12
+    starting_endpoints: int = 1
+    requests_per_s: float = 15.0
+    utilization: float = 0.85
+    burst_fraction: float = 0.0
+    failing_fraction: float = 0.0
+    unanswered_fraction: float = 0.0
+    can_hedge: bool = False
+    max_clock_difference_s: float = 0.0
+    max_notification_delay_s: float = 0.0
+    has_expensive_class: bool = False
+    lead_s: float = 4.0
+    observed_s: float = 6.0
+
+
+def request_budget(allowed_requests: float) -> float:
+    """Return the number of requests that may reach an endpoint to which `allowed_requests` are allowed."""
+    return (
+        allowed_requests + 2 * math.sqrt(allowed_requests) + 2
+        if allowed_requests >= 30
+        else allowed_requests + 3 * math.sqrt(allowed_requests) + 3
+    )
 
 
 class ScenarioRun:
-    """A day of many modules that share servers; `most` is the largest part of its budget that one got."""
-
-    def __init__(self, day: Scenario, seed: int = 1) -> None:
-        self.day, self.chance = day, random.Random(seed)
-        self.queue: list = []
-        self.order = 0
-        self.ident = 0
-        self.rate = day.per_s * day.servers
-        self.cold_ns = START_NS + int(day.warm_up_s * SECOND)
-        self.end_ns = self.cold_ns + int(day.cold_s * SECOND)
-        self.came: dict[int, deque] = {number: deque() for number in range(day.cold)}
-        self.work = dict.fromkeys(range(day.cold), 0.0)
-        self.most, self.total = 0.0, 0
-        spec = make_settings().classes[0]
-        self.classes = [spec]
-        self.took = [40 * MS]
-        if day.dear:
-            self.classes = [spec, RequestClass("dear", 1500 * MS, 4 * SECOND, 2.0, 0.2, Effect.SAFE)]
-            self.took = [20 * MS, 180 * MS]
-        self.mean = sum(self.took) / len(self.took)
-        entries = [make_endpoint(n, zone=n % ZONES, cell=n // 4) for n in range(day.servers)]
+    """Run a scenario of many balancers that share endpoints.
+
+    Attributes:
+        max_budget_use: Maximum over the endpoints in slow start of work received relative to the budget.
+        attempt_count: Number of attempts that reached these endpoints after their start.
+    """
+
+    def __init__(self, scenario: Scenario, seed: int = 1) -> None:
+        self.scenario, self.random = scenario, random.Random(seed)
+        self.events: list = []
+        self.event_order = 0
+        self.last_request_id = 0
+        self.requests_per_s = scenario.requests_per_s * scenario.endpoints
+        self.started_ns = START_NS + int(scenario.lead_s * SECOND)
+        self.end_ns = self.started_ns + int(scenario.observed_s * SECOND)
+        self.arrivals: dict[int, deque] = {
+            endpoint: deque() for endpoint in range(scenario.starting_endpoints)
+        }
+        self.recent_work = dict.fromkeys(range(scenario.starting_endpoints), 0.0)
+        self.max_budget_use, self.attempt_count = 0.0, 0
+        request_class = make_settings().classes[0]
+        self.classes = [request_class]
+        self.latencies_ns = [40 * MS]
+        if scenario.has_expensive_class:
+            self.classes = [
+                request_class,
+                RequestClass("expensive", 1500 * MS, 4 * SECOND, 2.0, 0.2, Effect.SAFE),
+            ]
+            self.latencies_ns = [20 * MS, 180 * MS]
+        self.mean_latency_ns = sum(self.latencies_ns) / len(self.latencies_ns)
+        entries = [make_endpoint(n, zone=n % ZONES, cell=n // 4) for n in range(scenario.endpoints)]
         self.entries = entries
-        self.made = []
-        for number in range(day.sidecars):
-            zone = number % ZONES
-            values = make_settings(
+        self.balancers = []
+        for sidecar in range(scenario.sidecars):
+            zone = sidecar % ZONES
+            balancer_settings = make_settings(
                 classes=self.classes,
                 zones=["a", "b", "c"],
                 zone=zone,
-                fleet_size=day.sidecars,
+                fleet_size=scenario.sidecars,
                 start_capacity=START_CAPACITY,
                 warm_within_ns=int(WARM_S * SECOND),
-                overload_factor=FACTOR,
+                overload_factor=OVERLOAD_FACTOR,
                 overload_for_ns=int(SPAN_S * SECOND),
-                can_hedge=day.hedged,
+                can_hedge=scenario.can_hedge,
             )
-            self.made.append(Balancer(values, self.chance.getrandbits(32)))
-            self._later(START_NS, number, EndpointListUpdate(ListKind.CACHED, 1, entries))
+            self.balancers.append(Balancer(balancer_settings, self.random.getrandbits(32)))
+            self._schedule(START_NS, sidecar, EndpointListUpdate(ListKind.CACHED, 1, entries))
 
-    def _later(self, when: int, number: int, event) -> None:
-        self.order += 1
-        heapq.heappush(self.queue, (when, self.order, number, event))
+    def _schedule(self, at_ns: int, sidecar: int, event) -> None:
+        self.event_order += 1
+        heapq.heappush(self.events, (at_ns, self.event_order, sidecar, event))
 
     def _notify(self) -> None:
-        day = self.day
-        for number in range(day.sidecars):
-            told_ns = self.cold_ns + int(self.chance.uniform(0.0, day.told_s) * SECOND)
-            older_ns = int(self.chance.uniform(0.0, day.apart_s) * SECOND)
+        scenario = self.scenario
+        for sidecar in range(scenario.sidecars):
+            notified_ns = self.started_ns + int(
+                self.random.uniform(0.0, scenario.max_notification_delay_s) * SECOND
+            )
+            clock_difference_ns = int(self.random.uniform(0.0, scenario.max_clock_difference_s) * SECOND)
             changed = [
-                replace(self.entries[n], started_ns=self.cold_ns, slow_start_began_ns=told_ns - older_ns)
-                for n in range(day.cold)
+                replace(
+                    self.entries[n],
+                    started_ns=self.started_ns,
+                    slow_start_began_ns=notified_ns - clock_difference_ns,
+                )
+                for n in range(scenario.starting_endpoints)
             ]
-            self._later(told_ns, number, EndpointListUpdate(ListKind.DELTA, 2, changed))
-
-    def _arrive(self) -> None:
-        now, day = START_NS, self.day
-        while now < self.end_ns:
-            now += int(self.chance.expovariate(self.rate) * SECOND)
-            self._request(now)
-        if day.burst:
-            for second in range(int(day.cold_s)):
-                for _ in range(int(day.burst * self.rate)):
-                    self._request(self.cold_ns + second * SECOND + self.chance.randrange(20 * MS))
-
-    def _request(self, now: int) -> None:
-        self.ident += 1
-        cls = self.chance.randrange(len(self.classes))
-        event = Request(self.ident, cls, 0, now + self.classes[cls].deadline_ns)
-        self._later(now, self.chance.randrange(self.day.sidecars), event)
-
-    def play(self) -> float:
+            self._schedule(notified_ns, sidecar, EndpointListUpdate(ListKind.DELTA, 2, changed))
+
+    def _schedule_requests(self) -> None:
+        now_ns, scenario = START_NS, self.scenario
+        while now_ns < self.end_ns:
+            now_ns += int(self.random.expovariate(self.requests_per_s) * SECOND)
+            self._schedule_request(now_ns)
+        if scenario.burst_fraction:
+            for second in range(int(scenario.observed_s)):
+                for _ in range(int(scenario.burst_fraction * self.requests_per_s)):
+                    self._schedule_request(self.started_ns + second * SECOND + self.random.randrange(20 * MS))
+
+    def _schedule_request(self, now_ns: int) -> None:
+        self.last_request_id += 1
+        class_number = self.random.randrange(len(self.classes))
+        event = Request(
+            self.last_request_id, class_number, 0, now_ns + self.classes[class_number].deadline_ns
+        )
+        self._schedule(now_ns, self.random.randrange(self.scenario.sidecars), event)
+
+    def run(self) -> float:
         self._notify()
-        self._arrive()
-        cls, attempts = {}, {}
-        while self.queue:
-            now, _, number, event = heapq.heappop(self.queue)
-            if now > self.end_ns:
+        self._schedule_requests()
+        class_numbers, attempt_numbers = {}, {}
+        while self.events:
+            now_ns, _, sidecar, event = heapq.heappop(self.events)
+            if now_ns > self.end_ns:
                 break
             if type(event) is Request:
-                cls[event.id], attempts[event.id] = event.class_number, 0
-            for action in self.made[number].handle(now, event):
+                class_numbers[event.id], attempt_numbers[event.id] = event.class_number, 0
+            for action in self.balancers[sidecar].handle(now_ns, event):
                 if type(action) is SetTimer:
-                    self._later(now + action.after_ns, number, Timer(action.token))
+                    self._schedule(now_ns + action.after_ns, sidecar, Timer(action.token))
                 elif type(action) is Send:
-                    self._sent(now, number, action, cls[action.id], attempts[action.id])
-                    attempts[action.id] += 1
+                    self._handle_attempt(
+                        now_ns, sidecar, action, class_numbers[action.id], attempt_numbers[action.id]
+                    )
+                    attempt_numbers[action.id] += 1
                 else:
                     assert type(action) is not Probe
-        return self.most
+        return self.max_budget_use
 
-    def _sent(self, now: int, number: int, action: Send, cls: int, attempt: int) -> None:
-        took = self.took[cls]
-        if action.endpoint_number in self.came and now >= self.cold_ns:
-            self._count(now, action.endpoint_number, took / self.mean)
+    def _handle_attempt(
+        self, now_ns: int, sidecar: int, action: Send, class_number: int, attempt: int
+    ) -> None:
+        latency_ns = self.latencies_ns[class_number]
+        if action.endpoint_number in self.arrivals and now_ns >= self.started_ns:
+            self._count_arrival(now_ns, action.endpoint_number, latency_ns / self.mean_latency_ns)
             status = Status.OK
         else:
-            luck = self.chance.random()
+            draw = self.random.random()
             status = Status.OK
-            if luck < self.day.failing:
-                status, took = Status.CONNECT_FAILED, MS
-            elif luck < self.day.failing + self.day.silent:
-                status, took = Status.TIMEOUT, self.classes[cls].deadline_ns
-        ended = Outcome(action.id, attempt, action.endpoint_number, status, took, status is Status.OK)
-        self._later(now + took, number, ended)
-
-    def _count(self, now: int, server: int, work: float) -> None:
-        came = self.came[server]
-        came.append((now, work))
-        self.work[server] += work
-        self.total += 1
-        while came[0][0] <= now - SPAN_S * SECOND:
-            self.work[server] -= came.popleft()[1]
-        age_s = (now - self.cold_ns) / SECOND
-        part = min(START_CAPACITY + (1.0 - START_CAPACITY) * age_s / WARM_S, 1.0)
-        n = FACTOR * part * self.day.per_s * (1.0 + self.day.burst) / self.day.used * SPAN_S
-        self.most = max(self.most, self.work[server] / budget(n))
-
-
-FEW, ALL = (1, 5, 30, 200), (1, 2, 5, 20, 30, 60, 200)
-DAYS = {
-    "steady": (ALL, {}),
-    "fewer than 30 requests are allowed": (FEW, {"per_s": 2.5, "servers": 30}),
-    "bursts, the first with the start": (FEW, {"burst": 0.5}),
-    "four start together": (FEW, {"cold": 4}),
-    "warm servers fail, and it is tried again": (ALL, {"failing": 0.2}),
-    "hedged requests": (FEW, {"silent": 0.05, "hedged": True}),
-    "clocks a second apart": (FEW, {"apart_s": 1.0}),
-    "told within two seconds": (FEW, {"told_s": 2.0}),
-    "work of two sizes": (FEW, {"dear": True}),
-    "all at once": (
-        FEW,
-        {"cold": 3, "burst": 0.5, "failing": 0.1, "silent": 0.05, "hedged": True, "apart_s": 1.0},
+            if draw < self.scenario.failing_fraction:
+                status, latency_ns = Status.CONNECT_FAILED, MS
+            elif draw < self.scenario.failing_fraction + self.scenario.unanswered_fraction:
+                status, latency_ns = Status.TIMEOUT, self.classes[class_number].deadline_ns
+        outcome = Outcome(action.id, attempt, action.endpoint_number, status, latency_ns, status is Status.OK)
+        self._schedule(now_ns + latency_ns, sidecar, outcome)
+
+    def _count_arrival(self, now_ns: int, endpoint_number: int, work: float) -> None:
+        arrivals = self.arrivals[endpoint_number]
+        arrivals.append((now_ns, work))
+        self.recent_work[endpoint_number] += work
+        self.attempt_count += 1
+        while arrivals[0][0] <= now_ns - SPAN_S * SECOND:
+            self.recent_work[endpoint_number] -= arrivals.popleft()[1]
+        age_s = (now_ns - self.started_ns) / SECOND
+        capacity_fraction = min(START_CAPACITY + (1.0 - START_CAPACITY) * age_s / WARM_S, 1.0)
+        allowed_requests = (
+            OVERLOAD_FACTOR
+            * capacity_fraction
+            * self.scenario.requests_per_s
+            * (1.0 + self.scenario.burst_fraction)
+            / self.scenario.utilization
+            * SPAN_S
+        )
+        self.max_budget_use = max(
+            self.max_budget_use, self.recent_work[endpoint_number] / request_budget(allowed_requests)
+        )
+
+
+FEW_SIDECAR_COUNTS, ALL_SIDECAR_COUNTS = (1, 5, 30, 200), (1, 2, 5, 20, 30, 60, 200)
+SCENARIOS = {
+    "steady": (ALL_SIDECAR_COUNTS, {}),
+    "fewer than 30 allowed requests": (FEW_SIDECAR_COUNTS, {"requests_per_s": 2.5, "endpoints": 30}),
+    "bursts, the first at the start": (FEW_SIDECAR_COUNTS, {"burst_fraction": 0.5}),
+    "four endpoints start together": (FEW_SIDECAR_COUNTS, {"starting_endpoints": 4}),
+    "retries after failures of warm endpoints": (ALL_SIDECAR_COUNTS, {"failing_fraction": 0.2}),
+    "hedged requests": (FEW_SIDECAR_COUNTS, {"unanswered_fraction": 0.05, "can_hedge": True}),
+    "clocks differ by up to a second": (FEW_SIDECAR_COUNTS, {"max_clock_difference_s": 1.0}),
+    "notified within two seconds": (FEW_SIDECAR_COUNTS, {"max_notification_delay_s": 2.0}),
+    "two classes of different work": (FEW_SIDECAR_COUNTS, {"has_expensive_class": True}),
+    "all faults together": (
+        FEW_SIDECAR_COUNTS,
+        {
+            "starting_endpoints": 3,
+            "burst_fraction": 0.5,
+            "failing_fraction": 0.1,
+            "unanswered_fraction": 0.05,
+            "can_hedge": True,
+            "max_clock_difference_s": 1.0,
+        },
     ),
 }
 
 
 @pytest.mark.parametrize(
-    "name, sidecars", [(name, sidecars) for name, (counts, _) in DAYS.items() for sidecars in counts]
+    "scenario_name, sidecars",
+    [
+        (scenario_name, sidecars)
+        for scenario_name, (sidecar_counts, _) in SCENARIOS.items()
+        for sidecars in sidecar_counts
+    ],
 )
-def test_cold_servers_get_no_more_than_their_budget(name, sidecars):
-    """An answer gave back more than the request had cost: one answer, and a process was paced no more."""
-    assert ScenarioRun(Scenario(sidecars=sidecars, **DAYS[name][1])).play() <= 1.0
+def test_warming_up_endpoints_get_no_more_than_their_budget(scenario_name, sidecars):
+    """Guards against a response that earns more than its request cost: one response lifted the limit."""
+    assert ScenarioRun(Scenario(sidecars=sidecars, **SCENARIOS[scenario_name][1])).run() <= 1.0
 
 
-@pytest.mark.parametrize("sidecars", ALL)
-def test_cold_servers_are_not_left_idle(sidecars):
-    """The other side: with a fleet of any size each gets something within seconds of its start."""
-    day = ScenarioRun(Scenario(sidecars=sidecars, servers=40, cold=8, warm_up_s=3.0))
-    day.play()
-    assert sum(bool(came) for came in day.came.values()) >= 7
+@pytest.mark.parametrize("sidecars", ALL_SIDECAR_COUNTS)
+def test_warming_up_endpoints_are_not_left_idle(sidecars):
+    """Guards against too strict limits: in a fleet of any size endpoints get requests within seconds."""
+    scenario_run = ScenarioRun(Scenario(sidecars=sidecars, endpoints=40, starting_endpoints=8, lead_s=3.0))
+    scenario_run.run()
+    assert sum(bool(arrivals) for arrivals in scenario_run.arrivals.values()) >= 7
--- a/tests/balancer/test_slow_start_quick_servers.py
+++ b/tests/balancer/test_slow_start_quick_servers.py
@@ -1,6 +1,7 @@
-"""A cold server that answers at once, and collapses beyond its budget, is not pushed over by all sidecars.
+"""Slow start of an endpoint that answers fast and collapses beyond its budget.
 
-By the decision modules alone, on a clock of their own; the plays by processes are in tests/fleet.
+All sidecars together must not push it over. The balancers run alone, in virtual time; tests/fleet has the
+same with processes.
 """
 
 import heapq
@@ -13,19 +14,19 @@
 from dykefold.balancer.events import EndpointListUpdate, ListKind, Outcome, Status
 from dykefold.lab.fleet.judge import SlowStart, SlowStartCall, slow_start_load
 
-SERVERS, COLD = 6, 100
-RATE = 450.0  # requests a second to all servers, of which ...
-FULL = 125.0  # ... each can do so many when warm
+ENDPOINTS, STARTING_ENDPOINT = 6, 100
+REQUESTS_PER_S = 450.0  # to all endpoints together
+CAPACITY_PER_S = 125.0  # of each endpoint when warm
 START_CAPACITY, WARM_S = 0.04, 30.0
-TOOK = 8 * MS  # of every answer, cold or warm
-SPAN_S = 10.0  # that is played, from a second before the cold server starts
+LATENCY_NS = 8 * MS  # of every response, in slow start or not
+DURATION_S = 10.0  # from a second before the start of the endpoint
 
 
 @pytest.mark.parametrize(("factor", "span_s"), [(3.0, 2.0), (2.0, 1.0)])
 @pytest.mark.parametrize("sidecars", [1, 2, 5, 20, 30, 60, 200])
-def test_the_sum_of_all_sidecars_stays_within_the_budget(sidecars, factor, span_s):
-    chance = random.Random(1)
-    rules = {
+def test_load_of_all_sidecars_together_stays_within_the_budget(sidecars, factor, span_s):
+    rng = random.Random(1)
+    slow_start_settings = {
         "start_capacity": START_CAPACITY,
         "warm_within_ns": int(WARM_S * SECOND),
         "overload_factor": factor,
@@ -33,30 +34,40 @@
         "fleet_size": sidecars,
         "can_hedge": False,
     }
-    warm = [make_endpoint(COLD + number) for number in range(1, SERVERS)]
-    balancers = [make_balancer(endpoints=warm, seed=number, **rules)[0] for number in range(sidecars)]
-    began = START_NS + SECOND
-    todo = [(START_NS + int(chance.expovariate(RATE) * SECOND), 0, -1, 0, 0)]
-    calls, count, told = [], 0, False
-    while todo[0][0] < START_NS + SPAN_S * SECOND:
-        now, _, sidecar, ident, server = heapq.heappop(todo)
-        if now >= began and not told:
-            told = True
+    warm_endpoints = [make_endpoint(STARTING_ENDPOINT + number) for number in range(1, ENDPOINTS)]
+    balancers = [
+        make_balancer(endpoints=warm_endpoints, seed=number, **slow_start_settings)[0]
+        for number in range(sidecars)
+    ]
+    started_ns = START_NS + SECOND
+    events = [(START_NS + int(rng.expovariate(REQUESTS_PER_S) * SECOND), 0, -1, 0, 0)]
+    calls, request_count, notified = [], 0, False
+    while events[0][0] < START_NS + DURATION_S * SECOND:
+        now_ns, _, sidecar, request_id, endpoint_number = heapq.heappop(events)
+        if now_ns >= started_ns and not notified:
+            notified = True
             for balancer in balancers:
-                news = EndpointListUpdate(ListKind.DELTA, 2, [make_endpoint(COLD, started_ns=began)])
-                balancer.handle(now, news)
+                update = EndpointListUpdate(
+                    ListKind.DELTA, 2, [make_endpoint(STARTING_ENDPOINT, started_ns=started_ns)]
+                )
+                balancer.handle(now_ns, update)
         if sidecar >= 0:
-            balancers[sidecar].handle(now, Outcome(ident, 0, server, Status.OK, TOOK, True))
+            balancers[sidecar].handle(
+                now_ns, Outcome(request_id, 0, endpoint_number, Status.OK, LATENCY_NS, True)
+            )
             continue
-        count += 1
-        chosen = chance.randrange(sidecars)
-        for action in balancers[chosen].handle(now, make_request(count, now)):
+        request_count += 1
+        chosen = rng.randrange(sidecars)
+        for action in balancers[chosen].handle(now_ns, make_request(request_count, now_ns)):
             if isinstance(action, Send):
-                heapq.heappush(todo, (now + TOOK, count, chosen, count, action.endpoint_number))
-                if action.endpoint_number == COLD:
-                    calls.append(SlowStartCall(now / SECOND, chosen))
-        heapq.heappush(todo, (now + int(chance.expovariate(RATE) * SECOND), 0, -1, 0, 0))
-    slow_start = SlowStart(FULL, START_CAPACITY, WARM_S, factor, span_s)
-    worst, _ = slow_start_load(calls, began / SECOND, slow_start, dict.fromkeys(range(sidecars), 0.0))
-    assert worst.calls > 0
-    assert not worst.falls, worst
+                heapq.heappush(
+                    events,
+                    (now_ns + LATENCY_NS, request_count, chosen, request_count, action.endpoint_number),
+                )
+                if action.endpoint_number == STARTING_ENDPOINT:
+                    calls.append(SlowStartCall(now_ns / SECOND, chosen))
+        heapq.heappush(events, (now_ns + int(rng.expovariate(REQUESTS_PER_S) * SECOND), 0, -1, 0, 0))
+    slow_start = SlowStart(CAPACITY_PER_S, START_CAPACITY, WARM_S, factor, span_s)
+    max_load, _ = slow_start_load(calls, started_ns / SECOND, slow_start, dict.fromkeys(range(sidecars), 0.0))
+    assert max_load.calls > 0
+    assert not max_load.falls, max_load
--- a/tests/fleet/test_token_bucket.py
+++ b/tests/fleet/test_token_bucket.py
@@ -5,7 +5,7 @@
 from dykefold.fleet.rate_limits import NS_PER_S, TokenBucket
 
 
-def test_a_bucket_gives_its_rate_and_its_burst() -> None:
+def test_token_bucket_allows_its_burst_and_then_its_rate() -> None:
     bucket = TokenBucket(10.0, 2.0, 0)
     assert [bucket.take(0) for _ in range(3)] == [True, True, False]
     assert not bucket.take(NS_PER_S // 20)
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -1,4 +1,4 @@
-"""The README's example, determinism, what decisions may import, memory and work per event."""
+"""The README example, determinism, imports of the balancer package, memory and work per event."""
 
 import ast
 import random
@@ -18,23 +18,23 @@
 ROOT = Path(__file__).parent.parent
 
 
-def test_the_readme_example_runs():
+def test_readme_example_runs():
     code = re.search(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.S).group(1)
-    space = {}
-    exec(code, space)
-    assert space["send"].endpoint_number in (1, 2, 3)
-    assert not space["balancer"].pending
+    namespace = {}
+    exec(code, namespace)
+    assert namespace["send"].endpoint_number in (1, 2, 3)
+    assert not namespace["balancer"].pending
 
 
-BALANCER = sorted((ROOT / "dykefold" / "balancer").glob("*.py"))
-PURE = {"__future__", "collections", "copy", "dataclasses", "enum", "heapq", "math", "operator"}
-PURE |= {"struct", "typing"}
-MAY_NAME_RANDOM = {"context", "picker"}  # where the seeded source is made, and where it is handed on
-EFFECTS = {"open", "print", "exec", "eval", "input", "__import__"}
+BALANCER_MODULES = sorted((ROOT / "dykefold" / "balancer").glob("*.py"))
+ALLOWED_IMPORTS = {"__future__", "collections", "copy", "dataclasses", "enum", "heapq", "math", "operator"}
+ALLOWED_IMPORTS |= {"struct", "typing"}
+MODULES_WITH_RANDOM = {"context", "picker"}  # which create the seeded generator and pass it on
+FORBIDDEN_CALLS = {"open", "print", "exec", "eval", "input", "__import__"}
 
 
-def _imports(path):
-    """The modules that a file imports, and those of the package by their names from its folder."""
+def _imported_modules(path):
+    """Yield the names of the modules that a file imports, relative imports with their leading dots."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
@@ -42,31 +42,31 @@
             yield "." * node.level + (node.module or "")
 
 
-def test_the_deploy_file_names_the_decisions():
+def test_deploy_file_lists_all_balancer_modules():
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-    assert [ROOT / name for name in deploy["policy"]] == sorted(BALANCER[0].parent.glob("*.py"))
-    assert len(BALANCER) > 20
+    assert [ROOT / name for name in deploy["policy"]] == sorted(BALANCER_MODULES[0].parent.glob("*.py"))
+    assert len(BALANCER_MODULES) > 20
 
 
-@pytest.mark.parametrize("path", BALANCER, ids=lambda path: path.stem)
-def test_decisions_import_nothing_that_does_io_or_knows_the_time(path):
-    """Only pure modules and those of the package itself; of `random` only the type of a seeded source."""
-    outside = {name for name in _imports(path) if not re.fullmatch(r"\.\w*", name)}
-    pure = PURE | ({"random"} if path.stem in MAY_NAME_RANDOM else set())
-    assert {name.partition(".")[0] for name in outside} <= pure
+@pytest.mark.parametrize("path", BALANCER_MODULES, ids=lambda path: path.stem)
+def test_balancer_module_imports_nothing_for_io_or_time(path):
+    """Only pure modules and those of the package; of `random` only the class, with the given seed."""
+    external_imports = {name for name in _imported_modules(path) if not re.fullmatch(r"\.\w*", name)}
+    allowed = ALLOWED_IMPORTS | ({"random"} if path.stem in MODULES_WITH_RANDOM else set())
+    assert {name.partition(".")[0] for name in external_imports} <= allowed
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Attribute) and isinstance(node.value, ast.Name) and node.value.id == "random":
             assert node.attr == "Random"
         if isinstance(node, ast.ImportFrom) and node.module == "random":
             assert {alias.name for alias in node.names} == {"Random"}
         if isinstance(node, ast.Call) and isinstance(node.func, ast.Name):
-            assert node.func.id not in EFFECTS
+            assert node.func.id not in FORBIDDEN_CALLS
         if isinstance(node, ast.Call) and ast.unparse(node.func) == "random.Random":
             assert [ast.unparse(argument) for argument in node.args] == ["seed"]
 
 
-@pytest.mark.parametrize("path", BALANCER, ids=lambda path: path.stem)
-def test_decisions_stand_in_short_files_of_short_documented_functions(path):
+@pytest.mark.parametrize("path", BALANCER_MODULES, ids=lambda path: path.stem)
+def test_balancer_module_has_bounded_length_and_short_documented_functions(path):
     text = path.read_text()
     assert len(text.splitlines()) <= 400
     tree = ast.parse(text)
@@ -80,80 +80,80 @@
             ), node.name
 
 
-def _record(seed, others=0):
+def _record_actions(seed, other_count=0):
     rng = random.Random(5)
-    made = [Balancer(make_settings(effect=Effect.SAFE), seed + n) for n in range(others + 1)]
-    log = []
-    now = START_NS
-    for balancer in made:
+    balancers = [Balancer(make_settings(effect=Effect.SAFE), seed + n) for n in range(other_count + 1)]
+    recorded_actions = []
+    now_ns = START_NS
+    for balancer in balancers:
         balancer.handle(
-            now, EndpointListUpdate(ListKind.CACHED, 1, [make_endpoint(n, n % 2) for n in range(8)])
+            now_ns, EndpointListUpdate(ListKind.CACHED, 1, [make_endpoint(n, n % 2) for n in range(8)])
         )
-    for ident in range(300):
-        now += 7 * MS
-        for balancer in made:
-            actions = balancer.handle(now, make_request(ident, now))
-            if balancer is made[0]:
-                log += actions
-        for action in [a for a in log[-3:] if isinstance(a, Send) and a.id == ident]:
+    for request_id in range(300):
+        now_ns += 7 * MS
+        for balancer in balancers:
+            actions = balancer.handle(now_ns, make_request(request_id, now_ns))
+            if balancer is balancers[0]:
+                recorded_actions += actions
+        for action in [a for a in recorded_actions[-3:] if isinstance(a, Send) and a.id == request_id]:
             status = rng.choice([Status.OK, Status.FULL, Status.RESET])
-            log += made[0].handle(
-                now, Outcome(ident, 0, action.endpoint_number, status, 5 * MS, status is Status.OK)
+            recorded_actions += balancers[0].handle(
+                now_ns, Outcome(request_id, 0, action.endpoint_number, status, 5 * MS, status is Status.OK)
             )
-    return log
+    return recorded_actions
 
 
-def test_same_events_same_actions_alone_or_beside_others():
-    assert _record(3) == _record(3)
-    assert _record(3) == _record(3, others=2)
-    assert _record(3) != _record(4)
+def test_same_events_and_seed_give_the_same_actions_beside_other_balancers():
+    assert _record_actions(3) == _record_actions(3)
+    assert _record_actions(3) == _record_actions(3, other_count=2)
+    assert _record_actions(3) != _record_actions(4)
 
 
-def _drive(balancer, now, count, per_request=None):
-    """Answer every request after 40 ms, with the timers rung."""
-    waiting = []
+def _serve_requests(balancer, now_ns, count, per_request=None):
+    """Serve requests, each answered after 40 ms, and run the timers that are due."""
+    in_flight = []
     timers = []
-    for ident in range(count):
-        now += 10 * MS
+    for request_id in range(count):
+        now_ns += 10 * MS
         actions = []
-        for due, token in [t for t in timers if t[0] <= now]:
-            timers.remove((due, token))
-            actions += balancer.handle(now, Timer(token))
-        while waiting and waiting[0][0] <= now:
-            _, key, server = waiting.pop(0)
-            balancer.handle(now, Outcome(key, 0, server, Status.OK, 40 * MS, True))
+        for due_ns, token in [t for t in timers if t[0] <= now_ns]:
+            timers.remove((due_ns, token))
+            actions += balancer.handle(now_ns, Timer(token))
+        while in_flight and in_flight[0][0] <= now_ns:
+            _, sent_id, endpoint_number = in_flight.pop(0)
+            balancer.handle(now_ns, Outcome(sent_id, 0, endpoint_number, Status.OK, 40 * MS, True))
         if per_request:
-            per_request(ident, now)
-        actions += balancer.handle(now, make_request(ident, now))
+            per_request(request_id, now_ns)
+        actions += balancer.handle(now_ns, make_request(request_id, now_ns))
         for action in actions:
             if isinstance(action, SetTimer):
-                timers.append((now + action.after_ns, action.token))
+                timers.append((now_ns + action.after_ns, action.token))
             elif isinstance(action, Send):
-                waiting.append((now + 40 * MS, action.id, action.endpoint_number))
-    return now
+                in_flight.append((now_ns + 40 * MS, action.id, action.endpoint_number))
+    return now_ns
 
 
-def test_memory_stays_bounded_while_servers_come_and_go():
-    balancer, now = make_balancer(effect=Effect.UNSAFE)
+def test_memory_is_bounded_while_endpoints_are_replaced():
+    balancer, now_ns = make_balancer(effect=Effect.UNSAFE)
     sizes = []
 
-    def roll(ident, when):
-        if ident % 50 == 0:
-            entries = [make_endpoint(ident + n) for n in range(6)]
-            balancer.handle(when, EndpointListUpdate(ListKind.FULL, ident, entries))
+    def replace_endpoints(request_id, at_ns):
+        if request_id % 50 == 0:
+            entries = [make_endpoint(request_id + n) for n in range(6)]
+            balancer.handle(at_ns, EndpointListUpdate(ListKind.FULL, request_id, entries))
             sizes.append((len(balancer.known_endpoints), len(balancer.timers.heap), len(balancer.pending)))
 
-    _drive(balancer, now, 4000, roll)
+    _serve_requests(balancer, now_ns, 4000, replace_endpoints)
     assert max(size[0] for size in sizes) <= 60
     assert max(size[1] for size in sizes[40:]) <= 2 * max(size[1] for size in sizes[:40])
     assert max(size[2] for size in sizes) < 50
 
 
-def _operations(open_requests):
-    """Python function calls for 50 more requests while so many are open."""
-    balancer, now = make_balancer(effect=Effect.UNSAFE)
-    for ident in range(open_requests):
-        balancer.handle(now, make_request(10_000 + ident, now, 60 * SECOND))
+def _count_calls(open_requests):
+    """Return the number of Python function calls for 50 more requests beside this many open requests."""
+    balancer, now_ns = make_balancer(effect=Effect.UNSAFE)
+    for request_id in range(open_requests):
+        balancer.handle(now_ns, make_request(10_000 + request_id, now_ns, 60 * SECOND))
     calls = 0
 
     def count(frame, event, arg):
@@ -162,12 +162,12 @@
 
     sys.setprofile(count)
     try:
-        for ident in range(50):
-            balancer.handle(now + ident, make_request(ident, now))
+        for request_id in range(50):
+            balancer.handle(now_ns + request_id, make_request(request_id, now_ns))
     finally:
         sys.setprofile(None)
     return calls
 
 
 def test_work_per_event_does_not_grow_with_open_requests():
-    assert _operations(2000) <= 1.5 * _operations(100)
+    assert _count_calls(2000) <= 1.5 * _count_calls(100)
