--- a/tests/balancer/test_overload.py
+++ b/tests/balancer/test_overload.py
@@ -299,7 +299,7 @@
 
 
 def test_retry_after_lies_within_the_latency_objective_unless_that_has_passed():
-    """Incident i8cc3a0: after a longer Retry-After the next attempt can only be late, as many there were."""
+    """Incident i8cc3a0: many responses were late, as they are if Retry-After ends after the objective."""
     steady_load = SteadyLoad(
         *make_balancer(endpoint_count=6, effect=Effect.UNSAFE, max_retry_after_ns=10 * SECOND)
     )
@@ -358,12 +358,12 @@
     balancer.handle(steady_load.now, PeerMessage(1, peer_messages[-1][:3]))
     balancer.handle(steady_load.now, PeerMessage(1, peer_messages[-1]))
     steady_load.run(2, 20, fast_latency_ns, tenant_of=lambda n: 0)
-    assert balancer.quotas.over_quota[0] > 0.5  # 20 here and 20 there, of 10
+    assert balancer.quotas.over_quota[0] > 0.5  # 20 per second here and 20 at the peer, of 10
     assert balancer.quotas.over_quota[1] == 0.0
 
 
 def test_surge_is_admitted_only_as_far_as_responses_justify():
-    """Incident ibe9fc7: a limit of four times the recent in-flight count grew with the surge: all hung."""
+    """Incident ibe9fc7: four times the recent in-flight count as limit grew with the surge until all hung."""
     steady_load = SteadyLoad(*make_balancer(endpoint_count=40, effect=Effect.UNSAFE, fleet_size=8))
     steady_load.run(5, 50, fast_latency_ns)
     steady_load.run(0.4, 1000, lambda endpoint_number: None)  # all endpoints hang, which no timeout shows yet
@@ -416,7 +416,7 @@
 
 
 def test_attempts_with_lost_responses_do_not_fill_the_limit():
-    """Guards against a network that drops responses: their attempts filled the limit, all was rejected."""
+    """Guards against lost responses in the network: such attempts filled the limit, all was rejected."""
     balancer, now_ns = make_balancer(endpoint_count=4, effect=Effect.UNSAFE, can_hedge=False)
     sent = {}
     for request_id in range(400):
--- a/tests/balancer/test_rules.py
+++ b/tests/balancer/test_rules.py
@@ -227,8 +227,8 @@
 
 
 def test_warming_up_endpoint_gets_less_than_an_equal_part_until_it_answers():
-    warmed_up = [make_endpoint(n) for n in range(1, 5)]
-    balancer, now_ns = make_balancer(endpoints=warmed_up, effect=Effect.UNSAFE)
+    warm_endpoints = [make_endpoint(n) for n in range(1, 5)]
+    balancer, now_ns = make_balancer(endpoints=warm_endpoints, effect=Effect.UNSAFE)
     warming_up_attempts = 0
     for request_id in range(600):
         now_ns += 10 * MS
