--- a/dykefold/net/upstream/__init__.py
+++ b/dykefold/net/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to endpoints: pooling, exchanges, classification of what came back."""
+"""Connections to endpoints: pooling, exchanges and classification of responses."""
--- a/dykefold/net/upstream/classify.py
+++ b/dykefold/net/upstream/classify.py
@@ -1,4 +1,4 @@
-"""What a response, or a connection that broke, proves of the request."""
+"""Classification of responses and broken connections: whether the request succeeded or may have run."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 from ...balancer.events import Status
 
 HTTP_OK = 200
-# The endpoint has failed from this status code on.
+# Lowest status code that is a failure of the endpoint.
 HTTP_SERVER_ERROR = 500
-# These status codes are a rejection if the header says that the request did not run.
+# Status codes of a rejection if the header states that the request never ran.
 CODES_NOT_RUN = (503, 504)
 
 
 @dataclass(slots=True)
 class Response:
-    """A whole response.
+    """A complete response.
 
     Attributes:
         code: Status code.
-        headers: Names and values as received, without the hop-by-hop ones.
-        body: Content, decoded from its transfer coding.
-        not_run: True if `X-Not-Run: 1` says that the request never ran.
-        load: Load report of the endpoint, the value of `X-Load`; empty if there is none.
+        headers: Names and values as received, without hop-by-hop headers.
+        body: Content, without its transfer coding.
+        not_run: Whether `X-Not-Run: 1` states that the request never ran.
+        load: Load report of the endpoint, i.e. the value of `X-Load`; empty if there is none.
     """
 
     code: int
@@ -34,12 +34,12 @@
 
 
 class HttpProfile(IntEnum):
-    """How the responses of an endpoint are classified. Only `PLATFORM` is false as a condition.
+    """Rules by which the responses of an endpoint are classified. Only `PLATFORM` is falsy.
 
     Attributes:
         PLATFORM: 200 is a success, 503 or 504 with `X-Not-Run` a rejection, any other status code a failure.
-        GENERIC: Each status code under 500 is a success.
-        HEAD: As `GENERIC`, for responses to HEAD, which have no body (RFC 9110, section 9.3.2).
+        GENERIC: Each status code below 500 is a success.
+        HEAD: Same as `GENERIC`, for responses to HEAD, which have no body (RFC 9110, section 9.3.2).
     """
 
     PLATFORM = 0
@@ -48,16 +48,16 @@
 
 
 def classify(response: Response, profile: HttpProfile = HttpProfile.PLATFORM) -> Status:
-    """Return what a response proves.
+    """Return the status of a request that got a complete response.
 
-    Only the header proves that a request never ran; the status code alone does not.
+    Only the header `X-Not-Run` proves that a request never ran; the status code alone does not.
 
     Args:
-        response: The whole response.
+        response: The complete response.
         profile: Rules by which responses of the endpoint are classified.
 
     Returns:
-        `OK`, `FULL` where the request is known not to have run, or `ERROR` where it may have.
+        `OK`, `FULL` if the request is known not to have run, or `ERROR` if it may have run.
     """
     if response.code == HTTP_OK or (profile and response.code < HTTP_SERVER_ERROR):
         return Status.OK
@@ -66,16 +66,16 @@
     return Status.ERROR
 
 
-def classify_break(incomplete: bool, own: bool) -> Status:
-    """Return what the break of a connection proves of the request on it, which has no whole response.
+def classify_break(incomplete: bool, is_local: bool) -> Status:
+    """Return the status of a request whose connection broke before a complete response.
 
     Args:
-        incomplete: True if the last byte of the request was withheld.
-        own: True if this machine lacked a resource, which says nothing of the endpoint.
+        incomplete: Whether the last byte of the request was withheld.
+        is_local: Whether this machine lacked a resource, so that the endpoint is not at fault.
 
     Returns:
-        `RESET` where it may have run, `NOT_ATTEMPTED` or `CONNECT_FAILED` where it never ran.
+        `RESET` if the request may have run, `NOT_ATTEMPTED` or `CONNECT_FAILED` if it never ran.
     """
     if not incomplete:
         return Status.RESET
-    return Status.NOT_ATTEMPTED if own else Status.CONNECT_FAILED
+    return Status.NOT_ATTEMPTED if is_local else Status.CONNECT_FAILED
--- a/dykefold/net/upstream/connection.py
+++ b/dykefold/net/upstream/connection.py
@@ -3,23 +3,24 @@
 States of a connection:
 
 ==========  ==================================================  ============================================
-state       in the attributes                                   goes on to
+state       attributes                                          next state
 ==========  ==================================================  ============================================
 connecting  `transport` is None                                 sending, idle or closed
-idle        `exchange` is None, it stands in `upstream.idle`    sending, or closed: too old, closed by its
-                                                                endpoint, or bytes that belong to no request
+idle        `exchange` is None, listed in `upstream.idle`       sending; or closed: idle for too long, closed
+                                                                by its endpoint, or got unexpected bytes
 sending     `exchange` is set, `incomplete` is true             receiving, or closed
-receiving   `exchange` is set, `incomplete` is false            idle after a whole response that permits it,
-                                                                else closed
-closed      `closed` is true                                    nothing
+receiving   `exchange` is set, `incomplete` is false            idle after a complete response that permits
+                                                                reuse, otherwise closed
+closed      `closed` is true                                    none
 ==========  ==================================================  ============================================
 
-A response may come before the request is written whole: it ends the exchange, and its connection is closed.
+A response may arrive before the request is completely written: it ends the exchange, and the connection is
+closed.
 
 `incomplete` is the line between "never ran" and "may have run", which the module `exchange` describes. The
-transport may have written its buffer before it reports that (uvloop reports it a turn of the loop later), so
-the last byte of a request is withheld until all bytes before it have been written, and is written by itself.
-Where the body follows as its client sends it, `Upload` withholds the last byte likewise.
+transport may have written its buffer before it reports that (uvloop reports it one loop iteration later), so
+the last byte of a request is withheld until all bytes before it have been written, and is written separately.
+For a body that is streamed from the client, `Upload` withholds the last byte in the same way.
 """
 
 from __future__ import annotations
@@ -37,42 +38,44 @@
 from .resources import ConnectionResources
 from .response_reader import ResponseReader
 
-# Seconds without a byte of a response that has begun; endpoints write a response when it is ready.
+# Maximum time without a byte of a response that has begun; endpoints write a response once it is ready.
 MAX_STALL_S = 0.5
-# A connection that is reset sooner after the request was written was dead before: nothing read the request.
-DEAD_WITHIN_S = 0.05
-# Value of `idle_since_s` before a connection is idle for the first time; each request reads that attribute.
+# A reused connection that breaks within this time after its request was written counts as dead before.
+DEAD_RESET_WINDOW_S = 0.05
+# Value of `idle_since_s` before the first idle time; not None because each request reads that attribute.
 NEVER_IDLE_S = 0.0
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """A connection to an endpoint: writes requests, has responses read, and closes once.
+    """A connection to an endpoint: writes requests, feeds the response reader, and closes once.
 
     Args:
-        resources: Collaborators that all connections of the pool share.
-        upstream: The endpoint.
+        resources: Collaborators shared by all connections of the pool.
+        upstream: Endpoint of the connection.
         sock: Socket of the connection, which `connector.establish` connects.
-        readiness: Watch on the socket: whether bytes or its end wait to be read (`poll(0)`).
+        readiness: Watch on the socket; `poll(0)` tells whether data or the end of the stream can be read.
 
     Attributes:
-        generation: Generation of the endpoint when the connection was begun.
-        lag_monitor: Monitor that is notified of how long the parsing took; None if that is not measured.
+        generation: Generation of the endpoint when the connection was opened.
+        lag_monitor: Monitor that is notified of parsing times; None if they are not measured.
         reader: Reader of the responses.
         exchange: Exchange on the connection; None between exchanges.
-        transport: Transport that the loop has made of the socket; None while it connects.
-        unwritten: Whether bytes wait in the transport.
-        last_byte: Last byte of the request, withheld until all bytes before it have been written.
-        closed: Whether the connection is neither counted nor used any more.
-        idle_since_s: Time in seconds at which the connection last became idle; `NEVER_IDLE_S` before.
-        idle_before_s: Seconds for which the connection was idle before its exchange; None for the first one.
-        sent_at_s: Time in seconds at which the latest exchange was written; None before the first one.
-        unparsed: Bytes that wait to be parsed in slices.
+        transport: Transport of the socket; None while it connects.
+        unwritten: Whether bytes are buffered in the transport.
+        last_byte: Last byte of the request, withheld until all bytes before it have been written; otherwise
+            empty.
+        closed: Whether the connection is closed, and no longer counted.
+        idle_since_s: Time at which the connection last became idle, in seconds; `NEVER_IDLE_S` before.
+        idle_before_s: Idle time before the latest exchange, in seconds; None for the first exchange.
+        sent_at_s: Time at which the latest exchange was written, in seconds; None before the first one.
+        unparsed: Bytes that are waiting to be parsed in slices; None if there are none.
         scheduled: Whether the read scheduler will parse the next slice.
-        blocked: Whether reading is stopped because the client takes no more of a streamed response.
-        stalled: Timer that runs while more of a buffered response is awaited.
+        blocked: Whether reading is paused because the client reads a streamed response too slowly.
+        stalled: Timer that runs while more of a buffered response is awaited; None otherwise.
     """
 
-    # A dictionary of more than 30 attributes shares no keys (CPython 3.11), and its look-ups cost a hash.
+    # In CPython 3.11, instance dictionaries of more than 30 attributes share no keys, so that each attribute
+    # access needs a hash lookup.
     __slots__ = (
         "__weakref__",
         "blocked",
@@ -126,33 +129,33 @@
 
     @property
     def size(self) -> int:
-        """Bytes that have been read for the exchange."""
+        """Number of bytes that have been read for the exchange."""
         return self.reader.size
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Store the transport, and have it report whenever bytes wait to be written."""
+        """Store the transport, and have it report whenever its write buffer is not empty."""
         self.transport = transport  # type: ignore[assignment]
         transport.set_write_buffer_limits(high=0)  # type: ignore[attr-defined]
 
     def pause_writing(self) -> None:
-        """Record that bytes wait in the transport."""
+        """Record that bytes are buffered in the transport."""
         self.unwritten = True
 
     def resume_writing(self) -> None:
-        """Write the last byte or more of the body, as the transport has written all that it had."""
+        """Write the last byte, or more of the body, now that the transport has written its buffer."""
         self.unwritten = False
         if self.last_byte:
             if self.may_send_last_byte():  # From here on the exchange may have run.
-                last, self.last_byte = self.last_byte, b""
-                self.write(last)
+                last_byte, self.last_byte = self.last_byte, b""
+                self.write(last_byte)
         elif self.exchange is not None and self.exchange.upload is not None:
             self.exchange.upload.flow()
 
     def may_send_last_byte(self) -> bool:
-        """Return whether the last byte of the exchange may still be written.
+        """Return whether the last byte of the exchange is still to be written.
 
-        An exchange that was wanted when its first byte was written may not be wanted any more, and its
-        endpoint should not begin it. Such an exchange is ended here, as not attempted.
+        An exchange that was needed when its first byte was written may not be needed any more, and its
+        endpoint should not start it. Such an exchange is ended here, as not attempted.
         """
         assert self.exchange is not None
         if self.exchange.wanted():
@@ -163,7 +166,7 @@
     def withdraw(self) -> None:
         """End the exchange, whose last byte was withheld, as not attempted.
 
-        Its endpoint did nothing wrong: nobody waits for the response any more, or it would come too late.
+        The endpoint is not at fault: the response is not needed any more, or would arrive too late.
         """
         exchange = self.exchange
         assert exchange is not None
@@ -172,12 +175,12 @@
         exchange.end(Status.NOT_ATTEMPTED)
 
     def detach_exchange(self) -> None:
-        """Carry the exchange no more, without reporting its end."""
+        """Remove the exchange from the connection without reporting its end."""
         self.exchange = self.reader.consumer = None
 
     @property
     def incomplete(self) -> bool:
-        """Whether the last byte of the exchange is not written: the request cannot have run."""
+        """Whether the last byte of the exchange is not written yet, so that the request cannot have run."""
         upload = self.exchange.upload if self.exchange is not None else None
         return bool(self.last_byte) or (upload is not None and not upload.sent)
 
@@ -187,14 +190,14 @@
             self.transport.write(data)
 
     def transferred_bytes(self) -> int:
-        """Return the bytes of the exchange that were read, or that the kernel has accepted of its body."""
+        """Return the number of bytes read for the exchange, plus those of its body accepted by the kernel."""
         exchange = self.exchange
         if exchange is None or exchange.upload is None or self.transport is None:
             return self.reader.size
         return self.reader.size + exchange.upload.passed - self.transport.get_write_buffer_size()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what was read: at once, or in slices where that would block the loop."""
+        """Parse the received bytes: immediately, or in slices if that would block the event loop."""
         if len(data) <= SLICE_BYTES or self.reader.expects_only_body(len(data)):
             began_s = self.monotonic()
             self._feed(data, False)
@@ -212,7 +215,7 @@
             self.resources.read_scheduler.add(self)
 
     def feed_slice(self) -> bool:
-        """Parse the next slice; return whether more remain."""
+        """Parse the next slice; return whether there are more."""
         if self.closed or self.unparsed is None or self.blocked:
             self.scheduled = False
             return False
@@ -228,7 +231,7 @@
         return self.scheduled
 
     def block(self, on: bool) -> None:
-        """Stop reading (`on`) or resume it: a response is streamed no faster than its client takes it."""
+        """Pause (`on`) or resume reading: a response is streamed no faster than the client reads it."""
         if self.closed or self.transport is None or on == self.blocked:
             return
         self.blocked = on
@@ -240,53 +243,53 @@
             self.transport.resume_reading()
 
     def _feed(self, data: bytes, more: bool) -> None:
-        """Parse the next bytes and act on the result; with `more`, further bytes have been read already."""
+        """Parse the next bytes and handle the result; `more` tells if further bytes wait to be parsed."""
         if self.exchange is None:
             if self.idle_since_s:
                 now_s = self.monotonic()
                 self.resources.quarantine.record_surplus(now_s - self.idle_since_s, now_s)
-            self.close()  # These bytes belong to no request, and could be taken for the next response.
+            self.close()  # Bytes that belong to no request could be taken for the next response.
             return
         reader = self.reader
-        completable = reader.feed(data)
+        can_complete = reader.feed(data)
         if self.closed:
             return
         if reader.response is not None:
             reader.surplus |= more
             self._complete()
-        elif not completable:
+        elif not can_complete:
             self._fail()
         elif reader.streamed is None:
             if self.stalled is None:
                 self._start_stall_timer()
-        elif self.stalled is not None:  # The rest of a streamed response is awaited up to the deadline.
+        elif self.stalled is not None:  # The rest of a streamed response is awaited until the deadline.
             self.stalled.cancel()
             self.stalled = None
 
     def _start_stall_timer(self) -> None:
-        """Check again later: a response that is never completed would be awaited up to the deadline."""
+        """Schedule the stall check: an incomplete response would otherwise be awaited until the deadline."""
         self.stalled = self.resources.loop.call_later(MAX_STALL_S, self._check_stall, self.reader.size)
 
     def _check_stall(self, before: int) -> None:
-        """Fail if no byte has been read since `before` bytes had been."""
-        # Bytes that wait in the socket, or to be parsed, have come in time: only this loop is late.
+        """Fail the exchange if no byte was read beyond the first `before` bytes."""
+        # Bytes that are waiting in the socket or to be parsed have arrived in time: the event loop is late.
         if self.reader.size == before and self.unparsed is None and not self.readiness.poll(0):
             self._fail()
         else:
             self._start_stall_timer()
 
     def eof_received(self) -> None:
-        """Complete a response without a length, as the endpoint closes the connection; else fail."""
+        """Complete a response that ends with the connection; fail the exchange otherwise."""
         if self.exchange is not None and self.unparsed is None and self.reader.finish():
             self._complete()
             return
         if self.exchange is None and not self.closed and self.idle_since_s:
             now_s = self.monotonic()
-            self.upstream.ages.record_close(now_s - self.idle_since_s, now_s)
+            self.upstream.idle_stats.record_close(now_s - self.idle_since_s, now_s)
         self._fail()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the exchange, as the transport has closed."""
+        """End the exchange, now that the transport is closed."""
         self._fail(exc)
         # The reader and its parser refer to each other: the cycle would be left to the garbage collector.
         del self.reader.parser
@@ -296,14 +299,14 @@
 
         Args:
             exchange: Exchange that has not ended.
-            now_s: Time, in seconds of `monotonic`.
+            now_s: Current time, in seconds of `monotonic`.
 
         Returns:
-            False if the connection was found dead with nothing of the exchange sent.
+            False if the connection was found dead before any byte of the exchange was sent.
         """
         assert not exchange.ended, "an exchange that has ended is never written"
-        # The endpoint may have closed an idle connection while the loop was busy: a request written after
-        # that end would count as one that may have run.
+        # The endpoint may have closed an idle connection while the event loop was busy: a request written
+        # after the close would count as one that may have run.
         if self.readiness.poll(0):
             return False
         payload = exchange.compose()
@@ -312,7 +315,7 @@
         except OSError as error:
             if not is_local_error(error):
                 return False
-            sent = 0  # The connection is up: its transport writes when it can, or reports that it can't.
+            sent = 0  # The connection is established: the transport will write, or report a failure.
         self.reader.begin(exchange)
         self.sent_at_s = now_s
         self.idle_before_s = now_s - self.idle_since_s if self.idle_since_s else None
@@ -330,7 +333,7 @@
         assert self.transport is not None
         self.unwritten = True
         rest = memoryview(payload)[sent:]
-        if exchange.upload is None:  # Else the last byte is that of the body, which the upload withholds.
+        if exchange.upload is None:  # Otherwise the upload withholds the last byte.
             rest, self.last_byte = rest[:-1], payload[-1:]
         if rest:
             self.transport.write(rest)
@@ -338,18 +341,18 @@
             self.resume_writing()
 
     def _complete(self) -> None:
-        """End the exchange with its whole response, and keep the connection if that is safe."""
+        """End the exchange with its complete response, and keep the connection if it is safe to reuse."""
         reader, exchange, response = self.reader, self.exchange, self.reader.response
         assert exchange is not None
         assert response is not None
         self.exchange = reader.consumer = None
         now_s = self.monotonic()
         if self.idle_before_s is not None:
-            self.upstream.ages.record_use(self.idle_before_s, False, now_s)
+            self.upstream.idle_stats.record_use(self.idle_before_s, False, now_s)
         elif response.not_run and not reader.keep_alive:
             self.resources.scarcity.record_rejection(now_s)
         self._release()
-        if self.blocked:  # By its last piece: nobody would resume reading, and the connection is reused.
+        if self.blocked:  # By the last piece: nothing else would resume reading on the reused connection.
             self.block(False)
         written = not self.unwritten and (exchange.upload is None or exchange.upload.sent)
         if reader.surplus:
@@ -361,7 +364,7 @@
         exchange.end(classify(response, exchange.profile), response)
 
     def _release(self) -> None:
-        """Release what the response used while it was read."""
+        """Release the stall timer and the buffers of the response."""
         if self.stalled is not None:
             self.stalled.cancel()
             self.stalled = None
@@ -369,28 +372,29 @@
         self.unparsed = None
 
     def _fail(self, error: Exception | None = None) -> None:
-        """Close the connection, which `error` may have broken; its exchange ends without a response."""
-        never, own = self.incomplete, is_local_error(error)
+        """Close the connection, and end its exchange without a response; `error` is the cause, if known."""
+        never_ran, is_local = self.incomplete, is_local_error(error)
         exchange = self.exchange
         self.detach_exchange()
-        if exchange is not None and not own:
-            self._note_dead(self.monotonic())
+        if exchange is not None and not is_local:
+            self._record_dead(self.monotonic())
         self.close()
         if exchange is not None:
-            exchange.end(classify_break(never, own and exchange.upload is None))
+            exchange.end(classify_break(never_ran, is_local and exchange.upload is None))
 
-    def _note_dead(self, now_s: float) -> None:
+    def _record_dead(self, now_s: float) -> None:
         """Count a reused connection that was dead before its exchange was written."""
         if self.idle_before_s is None or self.sent_at_s is None or self.reader.size:
             return
-        if now_s - self.sent_at_s < DEAD_WITHIN_S:
-            self.upstream.ages.record_use(self.idle_before_s, True, now_s)
+        if now_s - self.sent_at_s < DEAD_RESET_WINDOW_S:
+            self.upstream.idle_stats.record_use(self.idle_before_s, True, now_s)
 
     def close(self, discard: bool = False) -> None:
-        """Close the connection at once; every close is made here, before the exchange's end is reported.
+        """Close the connection immediately. Every close is done here, before the exchange's end is reported.
 
         Args:
-            discard: Whether bytes that the kernel has not sent yet are dropped, not sent after a partition.
+            discard: Whether bytes that the kernel has not sent yet are dropped; otherwise they may be sent
+                after a network partition has ended.
         """
         if self.closed:
             return
--- a/dykefold/net/upstream/endpoint_connections.py
+++ b/dykefold/net/upstream/endpoint_connections.py
@@ -1,4 +1,4 @@
-"""The record of one endpoint: its address and its connections that carry no exchange."""
+"""The state of one endpoint: its address, its idle connections and its waiting exchanges."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
 
 
 class Upstream(Generic[ConnectionT]):
-    """An endpoint as an address with its connections, which it stores and does not use.
+    """An endpoint with its idle connections and the exchanges that are waiting for a connection.
 
     Args:
         address: Host and port.
-        since_ms: Start time of the endpoint as discovery lists it, Unix time in milliseconds.
-        ages: Statistics of the ages at which idle connections to the endpoint were still usable.
+        since_ms: Start time of the endpoint as listed by discovery, Unix time in milliseconds.
+        idle_stats: Statistics of reused connections by idle time.
 
     Attributes:
-        generation: Number of restarts and moves so far; connections of an earlier generation are not reused.
+        generation: Number of restarts and moves; connections of an earlier generation are not reused.
         takes_new: Whether the endpoint accepts new exchanges; false once it drains or is gone.
         idle: Idle connections, the most recently used one last.
-        opening: Exchanges that wait for a connection, in order, each with the one that is made for it.
+        opening: Exchanges that are waiting for a connection, in order, each with the one opened for it.
     """
 
-    def __init__(self, address: tuple[str, int], since_ms: int, ages: IdleAgeStats) -> None:
+    def __init__(self, address: tuple[str, int], since_ms: int, idle_stats: IdleAgeStats) -> None:
         self.address = address
-        self.ages = ages
+        self.idle_stats = idle_stats
         self.since_ms = since_ms
         self.generation = 0
         self.takes_new = True
         self.idle: OrderedDict[ConnectionT, None] = OrderedDict()
         self.opening: dict[Exchange, ConnectionT] = {}
 
-    def fail_waiting(self) -> None:
-        """End the exchanges that wait for a connection, as never run."""
+    def fail_waiting_exchanges(self) -> None:
+        """End the exchanges that are waiting for a connection, as never run."""
         for exchange in list(self.opening):
             exchange.give_up(Status.CONNECT_FAILED)
--- a/dykefold/net/upstream/exchange.py
+++ b/dykefold/net/upstream/exchange.py
@@ -1,12 +1,12 @@
-"""An exchange: one request on its way to one endpoint, until its one end.
+"""An exchange: one request sent to one endpoint, with exactly one result.
 
-An exchange is written once and ends once. The exchange never retries: the balancer judges what may have
-run and whether to retry, so the end of each exchange says exactly what is known.
+An exchange is written at most once and ends once. It never retries: the balancer decides whether the request
+may have run and whether to retry it, so the status of each ended exchange says exactly what is known.
 
-States, and what an end in each of them proves:
+States, and what is known of the request if the exchange ends in each of them:
 
 ========================  ================================================================  ===============
-state                     in the attributes                                                 the request ...
+state                     attributes                                                        the request ...
 ========================  ================================================================  ===============
 waiting for a connection  `connection` is None, `done` is set                               never ran
 being written             `connection` is set, `connection.incomplete` is true              never ran
@@ -15,10 +15,10 @@
 ========================  ================================================================  ===============
 
 The line between "never ran" and "may have run" is the last byte of the request. An endpoint cannot have run
-a request whose last byte it never got, so that byte is withheld until all bytes before it have left this
-process. The statuses `NOT_ATTEMPTED` and `CONNECT_FAILED` mean that the request never ran: with the first one
-the endpoint has no part in it, with the second one it did not accept the connection or the bytes. `RESET` and
-`TIMEOUT` of a written exchange mean that it may have run. With a whole response, `classify` decides.
+a request whose last byte it never received, so that byte is withheld until all bytes before it have left this
+process. The statuses `NOT_ATTEMPTED` and `CONNECT_FAILED` mean that the request never ran: with the former
+the endpoint is not at fault, with the latter it did not accept the connection or the bytes. `RESET` and
+`TIMEOUT` of a written exchange mean that it may have run. For a complete response, `classify` decides.
 """
 
 from __future__ import annotations
@@ -33,29 +33,30 @@
 from .classify import HttpProfile, Response
 from .protocols import ExchangeConnection
 
-# Seconds more for a response that waits unread at the time limit: a late loop runs timers before sockets.
+# Extension of the timeout while a response is waiting unread in the socket: a late event loop runs timers
+# before it reads sockets.
 READ_GRACE_S = 0.004
 
 Done = Callable[["Exchange", Status, Response | None], None]
 
 
 class Exchange(Timed):
-    """One request on its way to one endpoint, until its one end.
+    """One request sent to one endpoint, with exactly one result.
 
     Args:
-        payload: Bytes of the request, or of its head if `upload` brings the body.
-        done: Callback at the end, with the exchange, its status and the response, if there is a whole one.
-        max_response_bytes: Maximum of a buffered response body, in bytes.
+        payload: Bytes of the request, or of its head if `upload` provides the body.
+        done: Callback at the end, called with the exchange, its status and the complete response or None.
+        max_response_bytes: Maximum size of a buffered response body, in bytes.
 
     Attributes:
         done: The callback; None once the exchange has ended.
-        max_streamed_bytes: Maximum of a response body that is streamed, in bytes; with 0 none is.
-        upload: Body that follows the payload as its client sends it.
+        max_streamed_bytes: Maximum size of a streamed response body, in bytes; 0 disables streaming.
+        upload: Body that is streamed after the payload while the client sends it; None if there is none.
         profile: Rules by which the response is classified.
-        connection: Connection that carries the exchange, once the first byte has been written.
-        opening: Task that makes a connection for the exchange, as long as the task may be cancelled.
-        timer_wheel: Wheel on which the time limit runs.
-        read_grace_s: Seconds for which a response that waits in its socket at the time limit is awaited.
+        connection: Connection that carries the exchange; None until the first byte is written.
+        opening: Task that opens a connection for the exchange; None once it must not be cancelled.
+        timer_wheel: Timer wheel of the timeout; None before the exchange is started.
+        read_grace_s: Extension of the timeout, in seconds, while a response is waiting unread in the socket.
     """
 
     __slots__ = (
@@ -85,17 +86,18 @@
 
     @property
     def ended(self) -> bool:
-        """Whether the end of the exchange was reported."""
+        """Whether the end of the exchange has been reported."""
         return self.done is None
 
     def end(self, status: Status, response: Response | None = None) -> None:
-        """Report the end; a second call does nothing.
+        """Report the end of the exchange; a second call has no effect.
 
         Args:
             status: What is known of the request.
-            response: The whole response, if there is one.
+            response: The complete response; None if there is none.
         """
-        # The callback refers to this exchange: without it no cycle is left to the garbage collector.
+        # The callback refers to this exchange: clearing it breaks a reference cycle, which would otherwise be
+        # left to the garbage collector.
         done, self.done = self.done, None
         if done is None:
             return
@@ -106,18 +108,18 @@
         done(self, status, response)
 
     def expire(self) -> None:
-        """Give up at the time limit, unless the response is there and only this loop is late."""
+        """Handle the timeout: give up, unless a response is waiting unread because the event loop is late."""
         if not self.read_first():
             self.give_up(Status.TIMEOUT)
 
     def read_first(self) -> bool:
-        """Give a response that waits in its socket the time to be read.
+        """Extend the timeout if a response is waiting unread in the socket.
 
-        In a late loop timers fire before sockets are read, and a request that was served would be reported
-        as failed. The time is extended once: after the first byte of a response has been read it is not.
+        A late event loop runs timers before it reads sockets, so a request that was served would be reported
+        as failed. The timeout is not extended after the first byte of a response has been read.
 
         Returns:
-            Whether there is such a response; its time limit then starts again, with `read_grace_s` seconds.
+            Whether the timeout was extended; it then expires in `read_grace_s` seconds.
         """
         connection = self.connection
         if (
@@ -132,29 +134,29 @@
         return True
 
     def wanted(self) -> bool:
-        """Return whether the exchange may still be written, now that a connection is there."""
+        """Return whether the exchange is still to be sent, now that a connection is available."""
         return True
 
     def compose(self) -> bytes:
-        """Return the bytes to write, now that a connection is there."""
+        """Return the bytes to write, now that a connection is available."""
         return self.payload
 
     def upload_begins(self) -> None:
-        """Handle the begin of the upload: the request can't be sent a second time."""
+        """Handle the start of the upload: from here on the request can't be sent again."""
 
     def begin_response(
         self, code: int, headers: list[tuple[bytes, bytes]], length: int | None, load: bytes
     ) -> bool:
-        """Handle the head of a response that is too long to be buffered whole.
+        """Handle the head of a response that is too long to be buffered.
 
         Args:
             code: Status code.
-            headers: Names and values, without the hop-by-hop ones.
-            length: Bytes of the body; None if the length is not known.
+            headers: Names and values, without hop-by-hop headers.
+            length: Length of the body in bytes; None if unknown.
             load: Load report of the endpoint.
 
         Returns:
-            Whether the exchange accepts the body piece by piece.
+            Whether the exchange accepts a streamed body.
         """
         return False
 
@@ -162,27 +164,27 @@
         """Handle the next bytes of a streamed response body."""
 
     def cancel_connect(self) -> None:
-        """Stop the connect for this exchange, if there is one.
+        """Cancel the connect for this exchange, if one is running.
 
-        A task that is cancelled before its first step never runs, and nobody would close its socket. Such
-        a task is not cancelled: its connect checks by itself whether it is still needed.
+        A task that is cancelled before its first step never runs, and its socket would stay open. Such a task
+        is not cancelled; it checks whether its connection is still needed before it connects.
         """
         task = self.opening
         if task is not None and inspect.getcoroutinestate(task.get_coro()) != inspect.CORO_CREATED:  # type: ignore[arg-type]
             task.cancel()
 
     def give_up(self, status: Status) -> None:
-        """Stop waiting, with a connection closed first, so that no later attempt overlaps with this one.
+        """End the exchange early, after closing its connection so that no later attempt overlaps with it.
 
         Args:
-            status: Status to report if the request may have run; else `CONNECT_FAILED` is reported.
+            status: Status to report if the request may have run; otherwise `CONNECT_FAILED` is reported.
         """
         if self.ended:
             return
         self.cancel_connect()
         connection = self.connection
         if connection is None or connection.incomplete:
-            status = Status.CONNECT_FAILED  # its last byte was never written: it cannot have run
+            status = Status.CONNECT_FAILED  # Its last byte was never written: it cannot have run.
         if connection is not None:
             connection.detach_exchange()
             connection.close(discard=True)
--- a/dykefold/net/upstream/http_fields.py
+++ b/dykefold/net/upstream/http_fields.py
@@ -1,8 +1,8 @@
-"""Parts of HTTP/1.1 messages that requests and responses have in common."""
+"""Helpers for HTTP/1.1 messages, common to requests and responses."""
 
 from __future__ import annotations
 
-# Blanks around a field's value are no part of it (RFC 9112, section 5); the parser leaves the trailing ones.
+# Whitespace around a field value is not part of it (RFC 9112, section 5); the parser keeps the trailing one.
 BLANKS = b" \t"
 HOP_BY_HOP = frozenset(
     (
@@ -21,16 +21,16 @@
 
 
 def gather(body: bytes | bytearray, data: bytes) -> bytes | bytearray:
-    """Add a piece to a body.
+    """Append a piece to a body.
 
-    The first piece is stored without a copy; later ones are added to one buffer, in linear time.
+    The first piece is stored without a copy; later ones are appended to one buffer, in linear time.
 
     Args:
         body: Body so far.
-        data: The next piece.
+        data: Next piece.
 
     Returns:
-        The body with the piece, which replaces the one passed in.
+        The extended body, which the caller stores in place of `body`.
     """
     if not body:
         return data
--- a/dykefold/net/upstream/idle_timeouts.py
+++ b/dykefold/net/upstream/idle_timeouts.py
@@ -1,9 +1,9 @@
-"""How long a connection to an endpoint may be idle and still be used. No I/O: ages and times are arguments.
+"""Limits on how long a connection to an endpoint may be idle before reuse. No I/O: times are arguments.
 
 An endpoint may close idle connections sooner than it announces, and the close may arrive after the next
-request was written. That request ends as a reset, which is a failure if it may not be retried. Therefore the
-ages at which reused connections turned out dead are counted, by endpoint, by kind and for all together. No
-connection is used beyond the first age at which clearly more of them are dead than of the youngest.
+request was written. That request ends as a reset, which is a failure if it must not be retried. Therefore
+dead connections are counted by idle time (their age), per endpoint, per kind of endpoint and in total. No
+connection is reused from the first age on at which clearly more are dead than of the youngest ones.
 """
 
 from __future__ import annotations
@@ -11,47 +11,49 @@
 import math
 from bisect import bisect_right
 
-AGE_CLASS_EDGES_S = (0.0, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8, 25.6)
-# Where endpoints reset at random, each class has the fraction of dead connections that the youngest have.
-YOUNG_CLASSES = 2
-# A dead connection costs an unsafe request, which is far more than a new connection.
+AGE_BUCKET_EDGES_S = (0.0, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8, 25.6)
+# Number of buckets taken as the baseline. If endpoints reset connections at random, the fraction of dead
+# ones is the same in all buckets.
+YOUNG_BUCKETS = 2
+# A dead connection fails a request that must not be retried, which costs far more than a new connection.
 MIN_EXCESS_DEAD_FRACTION = 0.04
-# A single dead connection, of those to all endpoints, is chance.
+# A single dead connection, counted over all endpoints of the parent, may be chance.
 MIN_DEAD_COUNT = 1.5
-# Weight of the statistics of all endpoints for one that has few uses of its own.
+# Weight of the parent's statistics, in uses, for an endpoint that has few uses of its own.
 PRIOR_USES = 4.0
-# Counts fade, since an endpoint may change its limit, and nothing else would show that.
+# Counts decay because an endpoint may change its idle timeout, which nothing else would reveal.
 HALF_LIFE_S = 20.0
-FADE_INTERVAL_S = 1.0
+DECAY_INTERVAL_S = 1.0
 
-# Three rejections reduce a limit of a minute to the minimum.
+# Three rejections reduce a limit of one minute to the minimum.
 SCARCITY_CUT_FACTOR = 0.25
-# With a lower limit nearly every request of a typical sidecar would need a new connection.
+# With a lower limit, nearly every request of a typical sidecar would need a new connection.
 SCARCITY_MIN_S = 1.0
-# The effect of one cut must show before the next one.
+# The effect of a cut must be visible before the next one.
 SCARCITY_CUT_INTERVAL_S = 1.0
-# The limit doubles in this time, far more slowly than it is cut.
+# Time in which the limit doubles; recovery is far slower than a cut.
 SCARCITY_DOUBLING_S = 10.0
 
 QUARANTINE_MIN_S = 0.005
-# Factor on the latest surplus that was seen after a response.
+# Multiple of the longest recent delay between a response and its surplus bytes.
 QUARANTINE_FACTOR = 2.0
-# Bytes that come later are no second response: they announce that the connection closes.
+# Bytes that arrive later are not a second response; they announce that the connection closes.
 QUARANTINE_MAX_S = 0.05
-# Time after the latest surplus until connections may be reused at once.
+# Time after the latest surplus bytes until connections may be reused immediately.
 QUARANTINE_LIFETIME_S = 60.0
 
 
 class Quarantine:
-    """How long a connection rests after a response before it carries the next request.
+    """Minimum idle time of a connection between a response and the next request.
 
-    An endpoint that answers twice, the second time some milliseconds late, answers the next request on that
-    connection with the response to the one before, and nothing in HTTP/1.1 shows that. Where endpoints were
-    seen to do so, a connection rests until surplus bytes of its last response would have come.
+    If an endpoint sends a response twice, the second one some milliseconds late, the next request on that
+    connection gets the response to the previous one, and nothing in HTTP/1.1 reveals that. After endpoints
+    have sent surplus bytes, a connection stays unused until surplus bytes of its last response would have
+    arrived.
 
     Attributes:
-        limit_s: Seconds for which a connection rests; with 0 it may be used at once.
-        seen_at_s: Time in seconds at which surplus bytes were seen most recently.
+        limit_s: Minimum idle time, in seconds; 0 if connections may be reused immediately.
+        seen_at_s: Time of the latest surplus bytes, in seconds; minus infinity before the first.
     """
 
     def __init__(self) -> None:
@@ -59,45 +61,44 @@
         self.seen_at_s = -math.inf
 
     def record_surplus(self, after_s: float, now_s: float) -> None:
-        """Record that bytes came beyond a response.
+        """Record that surplus bytes arrived after a complete response.
 
         Args:
-            after_s: Seconds between the end of the response and these bytes.
-            now_s: Time, in seconds.
+            after_s: Delay between the end of the response and these bytes, in seconds.
+            now_s: Current time, in seconds.
         """
         if after_s <= QUARANTINE_MAX_S:
             self.limit_s = max(self.limit(now_s), QUARANTINE_MIN_S, QUARANTINE_FACTOR * after_s)
             self.seen_at_s = now_s
 
     def limit(self, now_s: float) -> float:
-        """Return for how many seconds a connection rests."""
+        """Return the minimum idle time of a connection before reuse, in seconds."""
         if self.limit_s and now_s - self.seen_at_s > QUARANTINE_LIFETIME_S:
             self.limit_s = 0.0
         return self.limit_s
 
 
 class ScarcityLimit:
-    """How long a connection may be idle while other sidecars may lack one.
+    """Idle timeout that is reduced while endpoints reject new connections.
 
-    All sidecars share the connections that an endpoint accepts. A connection that one sidecar keeps for a
-    later request can't be opened by another one for a request that has come. A new connection that is
-    rejected at once shows that connections are scarce. All sidecars see that, and each closes the
-    connections that it used least recently: the limit is cut with each such rejection, and doubles in a
-    time far longer than a cut takes.
+    All sidecars share the connections that an endpoint accepts. A connection that one sidecar keeps idle
+    can't be opened by another one that has a pending request. A new connection that is rejected with its
+    first request shows that connections are scarce. All sidecars notice that, and each closes its least
+    recently used connections: each such rejection cuts the limit, which recovers far more slowly.
 
     Args:
-        max_s: Maximum of the limit, in seconds, with which it begins.
+        max_s: Maximum and initial value of the limit, in seconds.
 
     Attributes:
-        limit_s: Seconds for which a connection may be idle, as computed most recently.
-        grown_at_s: Time in seconds at which the limit was computed most recently.
-        cut_at_s: Time in seconds at which the limit was cut most recently.
+        limit_s: Idle timeout as of `updated_at_s`, in seconds.
+        updated_at_s: Time at which the limit was last computed, in seconds.
+        cut_at_s: Time at which the limit was last cut, in seconds; minus infinity before.
     """
 
     def __init__(self, max_s: float) -> None:
         self.max_s = max_s
         self.limit_s = max_s
-        self.grown_at_s = 0.0
+        self.updated_at_s = 0.0
         self.cut_at_s = -math.inf
 
     def record_rejection(self, now_s: float) -> None:
@@ -107,96 +108,98 @@
             self.cut_at_s = now_s
 
     def limit(self, now_s: float) -> float:
-        """Return the age, in seconds, from which on an idle connection is closed."""
-        doubled = max(now_s - self.grown_at_s, 0.0) / SCARCITY_DOUBLING_S
-        grown = self.limit_s * 2.0 ** min(doubled, 60.0)  # Bounded: a leap of the clock must not overflow.
-        self.limit_s = min(grown, self.max_s)
-        self.grown_at_s = now_s
+        """Return the current idle timeout, in seconds."""
+        doublings = max(now_s - self.updated_at_s, 0.0) / SCARCITY_DOUBLING_S
+        # The exponent is bounded: after a jump of the clock it could reach 1024, and the power would raise
+        # OverflowError.
+        grown_limit_s = self.limit_s * 2.0 ** min(doublings, 60.0)
+        self.limit_s = min(grown_limit_s, self.max_s)
+        self.updated_at_s = now_s
         return self.limit_s
 
 
 class IdleAgeStats:
-    """Counts of reused connections, and of dead ones among them, by class of age.
+    """Counts of reused connections, and of dead ones among them, by age (the idle time before reuse).
 
     Args:
-        max_s: Limit in seconds where no counts speak against it.
-        parent: Statistics of the endpoints of the kind, or of all kinds; None at the top.
+        max_s: Maximum of the idle timeout, in seconds, which applies unless the counts call for a lower one.
+        parent: Statistics of all endpoints of the kind, or of all kinds; None for the topmost.
 
     Attributes:
-        uses: Recent uses by class of age.
-        dead: Recent uses that found the connection dead, by class of age.
-        faded_at_s: Time in seconds at which the counts faded most recently; minus infinity before.
-        limit_s: Age in seconds up to which connections are used, as computed most recently.
+        uses: Decayed number of uses, by age bucket.
+        dead: Decayed number of uses that found the connection dead, by age bucket.
+        decayed_at_s: Time at which the counts last decayed, in seconds; minus infinity before.
+        limit_s: Idle timeout as of `decayed_at_s`, in seconds.
     """
 
     def __init__(self, max_s: float, parent: IdleAgeStats | None = None) -> None:
         self.max_s = max_s
         self.parent = parent
-        self.uses = [0.0] * len(AGE_CLASS_EDGES_S)
-        self.dead = [0.0] * len(AGE_CLASS_EDGES_S)
-        self.faded_at_s = -math.inf
+        self.uses = [0.0] * len(AGE_BUCKET_EDGES_S)
+        self.dead = [0.0] * len(AGE_BUCKET_EDGES_S)
+        self.decayed_at_s = -math.inf
         self.limit_s = max_s
 
     def record_use(self, age_s: float, dead: bool, now_s: float) -> None:
-        """Count a use of a connection.
+        """Count a reuse of a connection.
 
         Args:
-            age_s: Seconds for which the connection had been idle.
-            dead: True if the connection was found dead.
-            now_s: Time, in seconds.
+            age_s: Idle time of the connection before the reuse, in seconds.
+            dead: Whether the connection was found dead.
+            now_s: Current time, in seconds.
         """
         self._count(
-            bisect_right(AGE_CLASS_EDGES_S, age_s) - 1 if age_s >= AGE_CLASS_EDGES_S[1] else 0, dead, now_s
+            bisect_right(AGE_BUCKET_EDGES_S, age_s) - 1 if age_s >= AGE_BUCKET_EDGES_S[1] else 0, dead, now_s
         )
 
     def record_close(self, age_s: float, now_s: float) -> None:
         """Count that an endpoint closed an idle connection.
 
-        The close shows that a request at that age would have failed, before one has to fail. A connection
-        that has hardly been idle says nothing of an idle limit: its endpoint shuts down.
+        The close shows, before a request fails, that a reuse at that age would have failed. The close of a
+        connection that has hardly been idle is not due to an idle timeout: its endpoint is shutting down.
 
         Args:
-            age_s: Seconds for which the connection had been idle.
-            now_s: Time, in seconds.
+            age_s: Idle time of the connection, in seconds.
+            now_s: Current time, in seconds.
         """
-        if age_s >= AGE_CLASS_EDGES_S[YOUNG_CLASSES]:
+        if age_s >= AGE_BUCKET_EDGES_S[YOUNG_BUCKETS]:
             self.record_use(age_s, True, now_s)
 
-    def _count(self, age_class: int, dead: bool, now_s: float) -> None:
+    def _count(self, age_bucket: int, dead: bool, now_s: float) -> None:
         if self.parent is not None:
-            self.parent._count(age_class, dead, now_s)
-        self.uses[age_class] += 1.0
+            self.parent._count(age_bucket, dead, now_s)
+        self.uses[age_bucket] += 1.0
         if dead:
-            self.dead[age_class] += 1.0
-        if dead or now_s - self.faded_at_s >= FADE_INTERVAL_S:
+            self.dead[age_bucket] += 1.0
+        if dead or now_s - self.decayed_at_s >= DECAY_INTERVAL_S:
             self.limit(now_s)
 
     def limit(self, now_s: float) -> float:
-        """Compute the age, in seconds, up to which connections are used, and store it in `limit_s`."""
-        # Nothing fades in the first call: the first count would be lost.
-        passed_s = now_s - self.faded_at_s if self.faded_at_s > -math.inf else 0.0
-        fade = 0.5 ** (max(passed_s, 0.0) / HALF_LIFE_S)
-        self.faded_at_s = now_s
-        self.uses = [count * fade for count in self.uses]
-        self.dead = [count * fade for count in self.dead]
-        young = self._dead_fraction(range(YOUNG_CLASSES))
+        """Compute the idle timeout, in seconds, and store it in `limit_s`."""
+        # The first call does not decay the counts: the first count would be lost.
+        elapsed_s = now_s - self.decayed_at_s if self.decayed_at_s > -math.inf else 0.0
+        decay = 0.5 ** (max(elapsed_s, 0.0) / HALF_LIFE_S)
+        self.decayed_at_s = now_s
+        self.uses = [count * decay for count in self.uses]
+        self.dead = [count * decay for count in self.dead]
+        young_dead_fraction = self._dead_fraction(range(YOUNG_BUCKETS))
         self.limit_s = self.max_s
-        for age_class in range(YOUNG_CLASSES, len(AGE_CLASS_EDGES_S)):
+        for age_bucket in range(YOUNG_BUCKETS, len(AGE_BUCKET_EDGES_S)):
             if (
-                self._enough_dead(age_class)
-                and self._dead_fraction((age_class,)) - young > MIN_EXCESS_DEAD_FRACTION
+                self._has_enough_dead(age_bucket)
+                and self._dead_fraction((age_bucket,)) - young_dead_fraction > MIN_EXCESS_DEAD_FRACTION
             ):
-                self.limit_s = min(AGE_CLASS_EDGES_S[age_class], self.max_s)
+                self.limit_s = min(AGE_BUCKET_EDGES_S[age_bucket], self.max_s)
                 break
         return self.limit_s
 
-    def _enough_dead(self, age_class: int) -> bool:
-        return (self.parent or self).dead[age_class] >= MIN_DEAD_COUNT
+    def _has_enough_dead(self, age_bucket: int) -> bool:
+        return (self.parent or self).dead[age_bucket] >= MIN_DEAD_COUNT
 
-    def _dead_fraction(self, age_classes: range | tuple[int, ...]) -> float:
-        """Return the fraction of dead connections in some classes of age."""
-        uses = sum(self.uses[age_class] for age_class in age_classes)
-        dead = sum(self.dead[age_class] for age_class in age_classes)
+    def _dead_fraction(self, age_buckets: range | tuple[int, ...]) -> float:
+        """Return the fraction of dead connections in some age buckets."""
+        uses = sum(self.uses[age_bucket] for age_bucket in age_buckets)
+        dead = sum(self.dead[age_bucket] for age_bucket in age_buckets)
         if self.parent is None:
             return dead / uses if uses else 0.0
-        return (dead + PRIOR_USES * self.parent._dead_fraction(age_classes)) / (uses + PRIOR_USES)
+        return (dead + PRIOR_USES * self.parent._dead_fraction(age_buckets)) / (uses + PRIOR_USES)
--- a/dykefold/net/upstream/limits.py
+++ b/dykefold/net/upstream/limits.py
@@ -1,4 +1,4 @@
-"""What bounds the connections of one pool."""
+"""Limits of the connections of one pool."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionLimits:
-    """The budgets and timeouts of a pool's connections.
+    """Budgets and timeouts of a pool's connections.
 
     Attributes:
         allowance: Number of connections in use, and their maximum.
         memory: Budget of the bytes of buffered responses.
-        connect_timeout_s: Seconds until a connect is given up.
-        endpoint_idle_s: Seconds after which endpoints may close an idle connection.
+        connect_timeout_s: Connect timeout, in seconds.
+        endpoint_idle_s: Idle time after which endpoints may close a connection, in seconds.
     """
 
     allowance: DescriptorAllowance
--- a/dykefold/net/upstream/protocols.py
+++ b/dykefold/net/upstream/protocols.py
@@ -1,4 +1,4 @@
-"""What the parts of this folder need of those that own or carry them."""
+"""Interfaces between the classes of this package."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class ExchangeConnection(Protocol):
-    """The connection that carries an exchange, as the exchange and its owner see it.
+    """The connection that carries an exchange, as used by the exchange and its owner.
 
     Attributes:
-        blocked: Whether reading is stopped because the client takes no more of a streamed response.
-        unwritten: Whether bytes wait in the transport.
-        readiness: Watch on the socket: whether bytes or its end wait to be read.
+        blocked: Whether reading is paused because the client reads a streamed response too slowly.
+        unwritten: Whether bytes are buffered in the transport.
+        readiness: Watch on the socket; tells whether data or the end of the stream can be read.
         monotonic: Clock, in seconds.
     """
 
@@ -29,42 +29,42 @@
 
     @property
     def size(self) -> int:
-        """Bytes that have been read for the exchange."""
+        """Number of bytes that have been read for the exchange."""
         ...
 
     @property
     def incomplete(self) -> bool:
-        """Whether the last byte of the exchange is not written: the request cannot have run."""
+        """Whether the last byte of the exchange is not written yet, so that the request cannot have run."""
         ...
 
     def block(self, on: bool) -> None:
-        """Stop or resume reading."""
+        """Pause (`on`) or resume reading."""
         ...
 
     def transferred_bytes(self) -> int:
-        """Return the bytes of the exchange that were read, or that the kernel has accepted of its body."""
+        """Return the number of bytes read for the exchange, plus those of its body accepted by the kernel."""
         ...
 
     def withdraw(self) -> None:
-        """End the exchange, which is incomplete, as not attempted."""
+        """End the incomplete exchange as not attempted."""
         ...
 
     def detach_exchange(self) -> None:
-        """Carry the exchange no more, without reporting its end."""
+        """Remove the exchange from the connection without reporting its end."""
         ...
 
     def close(self, discard: bool = False) -> None:
-        """Close the connection at once."""
+        """Close the connection immediately; `discard` drops bytes that the kernel has not sent yet."""
         ...
 
 
 class ResponseConsumer(Protocol):
-    """The exchange, as the reader of its response sees it.
+    """The exchange, as used by the reader of its response.
 
     Attributes:
         profile: Rules by which the response is classified.
-        max_response_bytes: Maximum of a buffered response body, in bytes.
-        max_streamed_bytes: Maximum of a response body that is streamed, in bytes; with 0 none is.
+        max_response_bytes: Maximum size of a buffered response body, in bytes.
+        max_streamed_bytes: Maximum size of a streamed response body, in bytes; 0 disables streaming.
     """
 
     profile: HttpProfile
@@ -74,7 +74,7 @@
     def begin_response(
         self, code: int, headers: list[tuple[bytes, bytes]], length: int | None, load: bytes
     ) -> bool:
-        """Handle the head of a response too long to be buffered; return whether its body is wanted."""
+        """Handle the head of a response too long to be buffered; return whether its body is accepted."""
         ...
 
     def send_response_piece(self, data: bytes) -> None:
@@ -83,24 +83,24 @@
 
 
 class ConnectionOwner(Protocol[ConnectionT_contra]):
-    """The pool, as one of its connections sees it."""
+    """The pool, as used by one of its connections."""
 
     def keep_idle(self, connection: ConnectionT_contra, now_s: float) -> None:
-        """Reuse a connection that has become free, keep it idle, or close it."""
+        """Reuse an available connection for a waiting exchange, keep it idle, or close it."""
         ...
 
     def on_closed(self, connection: ConnectionT_contra) -> None:
-        """Remove a connection that closes from all counts."""
+        """Remove a closing connection from all counts."""
         ...
 
 
 class ConnectingOwner(Protocol[ConnectionT_contra]):
-    """The pool, as the connect of a new connection sees it.
+    """The pool, as used while a new connection is being established.
 
     Attributes:
         loop: Event loop that connects the socket.
         monotonic: Clock, in seconds.
-        connect_timeout_s: Seconds until a connect is given up.
+        connect_timeout_s: Connect timeout, in seconds.
     """
 
     loop: asyncio.AbstractEventLoop
@@ -108,13 +108,13 @@
     connect_timeout_s: float
 
     def keep_idle(self, connection: ConnectionT_contra, now_s: float) -> None:
-        """Reuse a connection that has become free, keep it idle, or close it."""
+        """Reuse an available connection for a waiting exchange, keep it idle, or close it."""
         ...
 
     def is_unneeded(self, connection: ConnectionT_contra) -> bool:
-        """Return whether a connection is made for an exchange that does not need it any more."""
+        """Return whether a connection is being opened for an exchange that no longer needs it."""
         ...
 
     def on_connect_ended(self, connection: ConnectionT_contra) -> None:
-        """Remove a connection whose connect has ended from those that may still be cancelled."""
+        """Remove a connection whose connect has ended from those whose connect may be cancelled."""
         ...
--- a/dykefold/net/upstream/resources.py
+++ b/dykefold/net/upstream/resources.py
@@ -1,4 +1,4 @@
-"""What the connections of one pool share."""
+"""Collaborators that the connections of one pool share."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionResources(Generic[ConnectionT]):
-    """What all connections of a pool share.
+    """Collaborators that all connections of a pool share.
 
     Attributes:
         owner: Pool that counts the connections and reuses them.
@@ -25,8 +25,8 @@
         monotonic: Clock, in seconds.
         memory: Budget of the bytes of buffered responses.
         read_scheduler: Scheduler that parses long responses in slices.
-        quarantine: Time for which a connection rests after a response.
-        scarcity: Idle limit while other sidecars may lack connections.
+        quarantine: Minimum idle time of a connection after a response.
+        scarcity: Idle timeout that is reduced while endpoints reject new connections.
     """
 
     owner: ConnectionOwner[ConnectionT]
--- a/dykefold/net/upstream/response_reader.py
+++ b/dykefold/net/upstream/response_reader.py
@@ -1,8 +1,8 @@
-"""The response that comes on a connection: what the parser reports of it, buffered or streamed.
+"""Reader of the responses on a connection, which buffers or streams them.
 
-A response is buffered until it is whole, within the maximum of its exchange and the memory budget. One that
-is too long for that is streamed, if the exchange accepts its pieces. Where neither is possible, or its end
-can't be known, it is unusable: its connection is closed as soon as that is seen.
+A response is buffered until it is complete, within the maximum of its exchange and the memory budget. One
+that is too long for that is streamed, if the exchange accepts that. If neither is possible, or the end of
+the response can't be determined, it is unusable: its connection is closed as soon as that is detected.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class ResponseReader:
-    """Makes responses of bytes, one after the other, each for the consumer that `begin` names.
+    """Parses the bytes of successive responses, each for the consumer that was passed to `begin`.
 
     Args:
         memory: Budget of the bytes of buffered responses.
@@ -27,20 +27,20 @@
     Attributes:
         consumer: Exchange that the response belongs to; None between exchanges.
         parser: HTTP parser, which calls the methods `on_...` from within its `feed_data`.
-        size: Bytes that were fed for the consumer.
-        headers: Names and values, without the hop-by-hop ones.
+        size: Number of bytes fed for the consumer.
+        headers: Names and values, without hop-by-hop headers.
         body: Buffered part of the body.
-        body_size: Bytes of the buffered part, as reserved in the memory budget.
+        body_size: Number of bytes reserved in the memory budget for `body`.
         in_body: Whether the headers are complete.
         length: Value of `Content-Length`; empty if there is none.
         encoding: Value of `Transfer-Encoding`; empty if there is none.
-        closes_after: Whether the endpoint announces that it closes the connection after this response.
-        not_run: Whether the endpoint says that the request never ran.
-        keep_alive: Whether the connection may carry a further exchange.
+        closes_after: Whether the endpoint announces that it will close the connection after this response.
+        not_run: Whether the endpoint states that the request never ran.
+        keep_alive: Whether the connection may carry another exchange.
         load: Load report of the endpoint.
-        response: The whole response; None before it is complete.
-        surplus: Whether bytes came beyond this response.
-        streamed: Bytes of the body that were streamed; None while the body is buffered.
+        response: The complete response; None until it is complete.
+        surplus: Whether bytes arrived after the complete response.
+        streamed: Number of body bytes that were streamed; None while the body is buffered.
         unusable: Whether the response can be neither buffered nor streamed.
     """
 
@@ -76,7 +76,7 @@
         self._begin_message()
 
     def begin(self, consumer: ResponseConsumer) -> None:
-        """Prepare for the response to a request that is about to be written."""
+        """Prepare for the response to the consumer's request."""
         self.consumer = consumer
         self.size = 0
         self.unusable = False
@@ -97,10 +97,10 @@
         self.surplus = False
 
     def feed(self, data: bytes) -> bool:
-        """Parse the next bytes; `response` is set once it is whole.
+        """Parse the next bytes; `response` is set once it is complete.
 
         Returns:
-            False if there will be no whole response: it is malformed, unusable or too long.
+            False if the response can't be completed: it is malformed, unusable or too long.
         """
         self.size += len(data)
         try:
@@ -114,13 +114,13 @@
             return True
         if self.unusable:
             return False
-        # Chunks may have any amount of framing: without a maximum they would fill the memory.
+        # Chunked framing may add any number of bytes: without a maximum it would exhaust the memory.
         return self.streamed is not None or self.size <= MAX_HEADERS_BYTES + (
             consumer.max_response_bytes if self.in_body else 0
         )
 
     def finish(self) -> bool:
-        """Complete a response without a length, as the stream has ended (RFC 9112, section 6.3).
+        """Complete a response without a length at the end of the stream (RFC 9112, section 6.3).
 
         Returns:
             Whether there was such a response.
@@ -139,14 +139,14 @@
         self.body, self.headers, self.response = b"", [], None
 
     def expects_only_body(self, size: int) -> bool:
-        """Return whether the next `size` bytes all belong to one body: these are cheap to parse at once."""
+        """Return whether the next `size` bytes all belong to one body, which makes them cheap to parse."""
         if not self.in_body or self.encoding or not self.length:
             return False
         received = self.body_size if self.streamed is None else self.streamed
         return int(self.length) - received >= size
 
     def on_message_begin(self) -> None:
-        """Record surplus bytes if a message begins after a whole response."""
+        """Record surplus bytes if a message begins after a complete response."""
         if self.response is not None:
             self.surplus = True
 
@@ -155,28 +155,29 @@
 
         Args:
             name: Name of the header, in any case.
-            value: Value as received, with the blanks behind it.
+            value: Value as received, with trailing whitespace.
         """
-        if self.response is not None or self.in_body:  # It belongs to a second response, or is a trailer.
+        if self.response is not None or self.in_body:  # It belongs to a second response or is a trailer.
             return
-        low, raw = name.lower(), value
+        lower_name, raw_value = name.lower(), value
         value = value.strip(BLANKS)
-        if low == b"x-not-run":
+        if lower_name == b"x-not-run":
             self.not_run = value.strip() == b"1"
-        elif low == b"x-load":
+        elif lower_name == b"x-load":
             self.load = value
-        elif low == b"content-length":
+        elif lower_name == b"content-length":
             self.length = value
-        elif low == b"connection":
+        elif lower_name == b"connection":
             self.closes_after = b"close" in value.lower()
-        elif low == b"transfer-encoding":
-            # The parser does not know a coding with a tab behind it, and would treat the framing as the body.
-            self.encoding = raw.strip(b" ")
-        elif low not in HOP_BY_HOP:
+        elif lower_name == b"transfer-encoding":
+            # A trailing tab is kept, which makes the response unusable: the parser does not recognize such a
+            # coding, and would treat the framing as the body.
+            self.encoding = raw_value.strip(b" ")
+        elif lower_name not in HOP_BY_HOP:
             self.headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Decide how the body is handled, now that all headers have come."""
+        """Decide how the body is handled, now that the headers are complete."""
         if self.response is not None or self.parser.get_status_code() < HTTP_OK:
             return
         self.in_body = True
@@ -184,28 +185,28 @@
         if self.consumer.profile:
             code = self.parser.get_status_code()
             if self.consumer.profile is HttpProfile.HEAD:
-                # The parser waits for a body that does not come: the connection can't be reused.
+                # The parser would wait for a body that never arrives, so the connection can't be reused.
                 headers = [*self.headers, (b"Content-Length", self.length)] if self.length else self.headers
                 self.response = Response(code, headers, b"", self.not_run, self.load)
                 return
             if code in CODES_WITHOUT_BODY:
                 return
-        # A body that can't fit, or whose end can't be known, is rejected before it comes.
+        # A body that is too long, or whose end can't be determined, is rejected before it arrives.
         if self.encoding:
             self.unusable = self.encoding.lower() != b"chunked"
         elif not self.length:
-            # The body reaches up to the end of the connection (RFC 9112, section 6.3), if its endpoint means
-            # to close it. Where it does not announce that, it has left the length out, and a connection that
-            # breaks would look like the end of the body.
+            # The body extends to the end of the connection (RFC 9112, section 6.3) if the endpoint announces
+            # that it will close it. Otherwise the endpoint has omitted the length, and a broken connection
+            # would look like the end of the body.
             self.unusable = not (self.closes_after or self.parser.get_http_version() == "1.0")
         elif int(self.length) > self.consumer.max_response_bytes:
             self.unusable = not self._stream(int(self.length))
 
     def _stream(self, length: int | None) -> bool:
-        """Stream the response from here on; return whether that is possible."""
+        """Begin to stream the response; return whether that is possible."""
         consumer, code = self.consumer, self.parser.get_status_code()
         assert consumer is not None
-        # A failure is for the balancer to judge, and a request that never ran may be retried elsewhere.
+        # A failure is left to the balancer, which may retry a request that never ran at another endpoint.
         if code >= HTTP_SERVER_ERROR or (length or 0) > consumer.max_streamed_bytes:
             return False
         if not consumer.begin_response(code, self.headers, length, self.load):
@@ -222,7 +223,7 @@
             self.consumer.send_response_piece(bytes(data))
 
     def on_body(self, data: bytes) -> None:
-        """Buffer the next piece of the body, or stream it."""
+        """Buffer or stream the next piece of the body."""
         consumer = self.consumer
         if self.response is not None or self.unusable or consumer is None:
             return
@@ -245,17 +246,17 @@
         self.body = gather(self.body, data)
 
     def on_message_complete(self) -> None:
-        """Complete the response, unless the message was an interim one."""
+        """Complete the response, unless the message is an interim response."""
         if self.response is not None:
             return
         code = self.parser.get_status_code()
         if code < HTTP_OK:
-            # The real response follows an interim one. `size` counts on, or there would be no maximum.
+            # The final response follows an interim one. `size` is not reset, or there would be no maximum.
             self._begin_message()
             return
         if self.unusable:
             return
-        # The parser must be queried here: after this callback it answers for the next message, always with
-        # no, and every request would need a connection of its own.
+        # The parser must be queried here: after this callback its answer is about the next message, and is
+        # always false, so that every request would need a new connection.
         self.keep_alive = self.parser.should_keep_alive()
         self.response = Response(code, self.headers, bytes(self.body), self.not_run, self.load)
--- a/tests/net/test_idle_timeouts.py
+++ b/tests/net/test_idle_timeouts.py
@@ -1,7 +1,7 @@
 """At what age idle connections turn out dead: learned per server, from all of them, and forgotten."""
 
 from dykefold.net.upstream.idle_timeouts import (
-    AGE_CLASS_EDGES_S,
+    AGE_BUCKET_EDGES_S,
     SCARCITY_DOUBLING_S,
     SCARCITY_MIN_S,
     IdleAgeStats,
@@ -34,7 +34,7 @@
 def test_resets_at_any_age_are_no_reason_to_close_old_ones():
     """Guards days on which servers reset kept connections at random: new ones fare no better."""
     ages = IdleAgeStats(MOST)
-    for age in AGE_CLASS_EDGES_S:
+    for age in AGE_BUCKET_EDGES_S:
         uses(ages, 100, age, 10)
     assert ages.limit(0.0) == MOST
 
--- a/tests/net/test_upstream_connections.py
+++ b/tests/net/test_upstream_connections.py
@@ -500,7 +500,7 @@
         assert outcomes[:20] == [Status.OK] * 20
         assert outcomes.count(Status.RESET) == 2, outcomes  # enough to tell it from chance
         assert outcomes[-3:] == [Status.OK] * 3
-        assert pool.endpoints[1].ages.limit_s == 0.4
+        assert pool.endpoints[1].idle_stats.limit_s == 0.4
         clock[0] += 0.5
         pool.sweep()  # closes what would not be used any more
         assert not pool.endpoints[1].idle
@@ -585,7 +585,7 @@
         for _ in range(2):
             assert (await start_exchange(pool)[1])[0] is Status.OK
             await wait_until(lambda: not pool.connections)
-        assert pool.endpoints[1].ages.limit_s <= 0.2
+        assert pool.endpoints[1].idle_stats.limit_s <= 0.2
         pool.close()
 
     run(play())
