--- a/dykefold/net/upstream/exchange.py
+++ b/dykefold/net/upstream/exchange.py
@@ -116,7 +116,7 @@
         """Extend the timeout if a response is waiting unread in the socket.
 
         A late event loop runs timers before it reads sockets, so a request that was served would be reported
-        as failed. The timeout is not extended after the first byte of a response has been read.
+        as failed. The timeout is not extended any more after the first byte of the response has been read.
 
         Returns:
             Whether the timeout was extended; it then expires in `read_grace_s` seconds.
--- a/tests/net/test_response_reader.py
+++ b/tests/net/test_response_reader.py
@@ -1,4 +1,4 @@
-"""The response reader alone: bytes in, a response or pieces of one out."""
+"""The response reader on its own, fed with bytes: buffered and streamed responses."""
 
 import pytest
 
@@ -10,33 +10,33 @@
 HEAD = b"HTTP/1.1 200 OK\r\n"
 
 
-class Consumer:
-    """Stands for the exchange; stores what is streamed to it."""
+class FakeConsumer:
+    """Stand-in for an exchange that stores what is streamed to it."""
 
     def __init__(self, profile=HttpProfile.PLATFORM, max_streamed_bytes=0):
         self.profile = profile
         self.max_response_bytes = MAX_BODY_BYTES
         self.max_streamed_bytes = max_streamed_bytes
-        self.begun = []
+        self.begin_calls = []
         self.pieces = []
 
     def begin_response(self, code, headers, length, load):
-        self.begun.append((code, headers, length, load))
+        self.begin_calls.append((code, headers, length, load))
         return True
 
     def send_response_piece(self, data):
         self.pieces.append(data)
 
 
-def reading(consumer=None):
+def make_reader(consumer=None):
     reader = ResponseReader(MemoryBudget(64 * MB))
-    reader.begin(consumer or Consumer())
+    reader.begin(consumer or FakeConsumer())
     return reader
 
 
 @pytest.mark.parametrize("piece_bytes", [1, 7, 1000])
 def test_response_is_the_same_in_pieces_of_any_size(piece_bytes):
-    reader = reading()
+    reader = make_reader()
     data = HEAD + b"X-Load: 3 \r\nX-A: b\r\nContent-Length: 5\r\n\r\nhello"
     for start in range(0, len(data), piece_bytes):
         assert reader.response is None
@@ -50,7 +50,7 @@
 
 
 def test_memory_is_reserved_for_a_buffered_body_and_released_once():
-    reader = reading()
+    reader = make_reader()
     assert reader.feed(HEAD + b"Content-Length: 5\r\n\r\nhell")
     assert reader.memory.reserved_bytes == 4
     reader.release()
@@ -59,15 +59,15 @@
 
 
 def test_bytes_behind_a_response_are_surplus():
-    reader = reading()
-    one = HEAD + b"Content-Length: 2\r\n\r\nab"
-    assert reader.feed(one + one.replace(b"ab", b"cd"))
+    reader = make_reader()
+    response = HEAD + b"Content-Length: 2\r\n\r\nab"
+    assert reader.feed(response + response.replace(b"ab", b"cd"))
     assert reader.response.body == b"ab"
     assert reader.surplus
 
 
 def test_interim_response_is_not_the_response():
-    reader = reading()
+    reader = make_reader()
     assert reader.feed(b"HTTP/1.1 103 Early Hints\r\nX-A: b\r\n\r\n")
     assert reader.response is None
     assert reader.feed(HEAD + b"Content-Length: 0\r\n\r\n")
@@ -83,58 +83,58 @@
         HEAD + b"\r\n",
         HEAD + b"X-Pad: y\r\n" * (MAX_HEADERS_BYTES // 10 + 1),
     ],
-    ids=["no HTTP", "too long", "unknown coding", "no length, and no close announced", "endless headers"],
+    ids=["not HTTP", "body too long", "unknown coding", "neither length nor close", "headers too long"],
 )
 def test_response_that_can_never_be_whole_is_reported(data):
-    reader = reading()
+    reader = make_reader()
     assert not reader.feed(data)
     assert reader.response is None
 
 
 def test_end_of_stream_completes_only_a_response_that_announces_its_close():
-    reader = reading()
+    reader = make_reader()
     assert reader.feed(HEAD + b"Connection: close\r\n\r\nhello")
     assert reader.response is None
     assert reader.finish()
     assert reader.response.body == b"hello"
-    reader = reading()
+    reader = make_reader()
     assert reader.feed(HEAD + b"Content-Length: 9\r\n\r\nhello")
     assert not reader.finish()
     assert reader.response is None
 
 
 def test_long_response_is_streamed_in_order_without_memory():
-    consumer = Consumer(HttpProfile.GENERIC, max_streamed_bytes=1000)
-    reader = reading(consumer)
+    consumer = FakeConsumer(HttpProfile.GENERIC, max_streamed_bytes=1000)
+    reader = make_reader(consumer)
     assert reader.feed(HEAD + b"Content-Length: 100\r\n\r\n" + b"a" * 40)
     assert reader.expects_only_body(60)
     assert not reader.expects_only_body(61)
     assert reader.feed(b"b" * 60)
-    assert consumer.begun == [(200, [], 100, b"")]
+    assert consumer.begin_calls == [(200, [], 100, b"")]
     assert b"".join(consumer.pieces) == b"a" * 40 + b"b" * 60
     assert reader.memory.reserved_bytes == 0
     assert (reader.streamed, reader.response.body) == (100, b"")
 
 
 def test_chunked_response_is_streamed_from_its_first_byte_once_it_is_too_long():
-    consumer = Consumer(HttpProfile.GENERIC, max_streamed_bytes=1000)
-    reader = reading(consumer)
+    consumer = FakeConsumer(HttpProfile.GENERIC, max_streamed_bytes=1000)
+    reader = make_reader(consumer)
     assert reader.feed(HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + b"28\r\n" + b"a" * 40 + b"\r\n")
-    assert (consumer.begun, reader.memory.reserved_bytes) == ([], 40)
+    assert (consumer.begin_calls, reader.memory.reserved_bytes) == ([], 40)
     assert reader.feed(b"28\r\n" + b"b" * 40 + b"\r\n0\r\n\r\n")
-    assert consumer.begun == [(200, [], None, b"")]
+    assert consumer.begin_calls == [(200, [], None, b"")]
     assert b"".join(consumer.pieces) == b"a" * 40 + b"b" * 40
     assert reader.memory.reserved_bytes == 0
 
 
 def test_consumer_that_gives_up_during_a_piece_gets_no_more():
-    class Leaving(Consumer):
+    class DetachingConsumer(FakeConsumer):
         def send_response_piece(self, data):
             super().send_response_piece(data)
             reader.consumer = None
 
-    consumer = Leaving(HttpProfile.GENERIC, max_streamed_bytes=1000)
-    reader = reading(consumer)
+    consumer = DetachingConsumer(HttpProfile.GENERIC, max_streamed_bytes=1000)
+    reader = make_reader(consumer)
     assert reader.feed(HEAD + b"Content-Length: 100\r\n\r\n" + b"a" * 40)
     reader.feed(b"b" * 60)
     assert consumer.pieces == [b"a" * 40]
--- a/tests/net/test_upstream_syscalls.py
+++ b/tests/net/test_upstream_syscalls.py
@@ -1,4 +1,4 @@
-"""System calls that fail towards servers: what is this machine's own says nothing of a server."""
+"""Failing system calls of connections to endpoints: local faults must not count against an endpoint."""
 
 import asyncio
 import errno
@@ -41,54 +41,54 @@
 from dykefold.net.memory_budget import MB, MemoryBudget
 from dykefold.net.peers import PeerChannel
 from dykefold.net.sidecar import SidecarServer
-from dykefold.net.upstream import connection_pool as upstream
+from dykefold.net.upstream import connection_pool
 from dykefold.net.upstream.connection_pool import ConnectionPool
 from dykefold.net.upstream.limits import ConnectionLimits
 
-OWN = [
+LOCAL_ERRORS = [
     errno.EADDRNOTAVAIL, errno.EADDRINUSE, errno.ENOBUFS, errno.ENOMEM, errno.ENETUNREACH, errno.ENETDOWN,
     errno.ENFILE, errno.EMFILE, errno.EAGAIN, errno.EPERM, errno.EACCES,
 ]  # fmt: skip
-THEIRS = [errno.ECONNREFUSED, errno.EHOSTUNREACH, errno.ETIMEDOUT, errno.ECONNRESET]
-LOOPS = [run, run_on_asyncio_loop]
+ENDPOINT_ERRORS = [errno.ECONNREFUSED, errno.EHOSTUNREACH, errno.ETIMEDOUT, errno.ECONNRESET]
+LOOP_RUNNERS = [run, run_on_asyncio_loop]
 
 
-def make(address, system, connect_timeout=0.25):
-    limits = ConnectionLimits(DescriptorAllowance(64), MemoryBudget(192 * MB), connect_timeout, 60.0)
+def make_pool_on(address, system, connect_timeout_s=0.25):
+    limits = ConnectionLimits(DescriptorAllowance(64), MemoryBudget(192 * MB), connect_timeout_s, 60.0)
     pool = ConnectionPool(asyncio.get_running_loop(), limits, system=system)
     pool.update(1, address, 0, State.READY)
     return pool
 
 
-async def nothing_left(pool, system):
+async def check_nothing_is_left(pool, system):
     pool.close()
     await wait_until(lambda: not system.open_sockets(), "all descriptors closed")
     assert not pool.allowance.in_use
     assert not pool.connections
     assert not pool.unneeded
-    assert not any(target.opening for target in pool.endpoints.values())
+    assert not any(upstream.opening for upstream in pool.endpoints.values())
 
 
-@pytest.mark.parametrize("play_on", LOOPS)
-@pytest.mark.parametrize("number", OWN + THEIRS)
-def test_a_connect_that_fails_by_this_machine_says_nothing_of_the_server(number, play_on):
-    async def play():
-        fake, system = await FakePeer(respond_ok).start(), FaultySystem()
-        pool = make((HOST, fake.port), system)
-        system.faults.add("connect", number, fault_count=1)
+@pytest.mark.parametrize("run_scenario", LOOP_RUNNERS)
+@pytest.mark.parametrize("error_number", LOCAL_ERRORS + ENDPOINT_ERRORS)
+def test_connect_failed_by_a_local_error_is_not_counted_against_the_endpoint(error_number, run_scenario):
+    async def scenario():
+        endpoint, system = await FakePeer(respond_ok).start(), FaultySystem()
+        pool = make_pool_on((HOST, endpoint.port), system)
+        system.faults.add("connect", error_number, fault_count=1)
         assert await start_exchange(pool)[1] == (
-            Status.NOT_ATTEMPTED if number in OWN else Status.CONNECT_FAILED,
+            Status.NOT_ATTEMPTED if error_number in LOCAL_ERRORS else Status.CONNECT_FAILED,
             None,
         )
         assert (await start_exchange(pool)[1])[0] is Status.OK
-        await nothing_left(pool, system)
+        await check_nothing_is_left(pool, system)
 
-    play_on(play())
+    run_scenario(scenario())
 
 
-@pytest.mark.parametrize("play_on", LOOPS)
+@pytest.mark.parametrize("run_scenario", LOOP_RUNNERS)
 @pytest.mark.parametrize(
-    ("call", "number"),
+    ("call", "error_number"),
     [
         ("connect", errno.EINTR),
         ("setsockopt", errno.ENOBUFS),
@@ -100,264 +100,268 @@
         ("recv", errno.EINTR),
     ],
 )
-def test_a_call_that_fails_once_and_breaks_nothing_costs_no_request(call, number, play_on):
-    async def play():
-        fake, system = await FakePeer(respond_ok).start(), FaultySystem()
-        pool = make((HOST, fake.port), system)
-        system.faults.add(call, number, fault_count=1)
+def test_harmless_failed_call_does_not_fail_the_request(call, error_number, run_scenario):
+    async def scenario():
+        endpoint, system = await FakePeer(respond_ok).start(), FaultySystem()
+        pool = make_pool_on((HOST, endpoint.port), system)
+        system.faults.add(call, error_number, fault_count=1)
         assert (await start_exchange(pool)[1])[0] is Status.OK
-        await nothing_left(pool, system)
+        await check_nothing_is_left(pool, system)
 
-    play_on(play())
+    run_scenario(scenario())
 
 
-@pytest.mark.parametrize("number", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EACCES])
-def test_a_socket_that_is_not_given_says_nothing_of_the_server(number):
-    async def play():
-        fake, system = await FakePeer(respond_ok).start(), FaultySystem()
-        pool = make((HOST, fake.port), system)
-        system.faults.add("socket", number, fault_count=1)
+@pytest.mark.parametrize(
+    "error_number", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EACCES]
+)
+def test_failed_socket_creation_is_not_counted_against_the_endpoint(error_number):
+    async def scenario():
+        endpoint, system = await FakePeer(respond_ok).start(), FaultySystem()
+        pool = make_pool_on((HOST, endpoint.port), system)
+        system.faults.add("socket", error_number, fault_count=1)
         assert await start_exchange(pool)[1] == (Status.NOT_ATTEMPTED, None)
         assert (await start_exchange(pool)[1])[0] is Status.OK
-        await nothing_left(pool, system)
+        await check_nothing_is_left(pool, system)
 
-    run(play())
+    run(scenario())
 
 
 IP_LOCAL_PORT_RANGE = 51  # linux/in.h, since 6.3
 
 
 def ports_run_out(address):
-    """A system with one local port, on which a connection to that address stands already."""
-    held = socket.socket()
-    held.connect(address)
-    only = held.getsockname()[1]
+    """Return a system with one local port, which is already in use for a connection to the address."""
+    connected = socket.socket()
+    connected.connect(address)
+    port = connected.getsockname()[1]
 
-    def narrowed(sock):
-        sock.setsockopt(socket.IPPROTO_IP, IP_LOCAL_PORT_RANGE, struct.pack("I", only << 16 | only))
+    def limit_ports(sock):
+        sock.setsockopt(socket.IPPROTO_IP, IP_LOCAL_PORT_RANGE, struct.pack("I", port << 16 | port))
         return sock
 
-    class OnePort(FaultySystem):
+    class OnePortSystem(FaultySystem):
         def tcp_socket(self):
-            return narrowed(super().tcp_socket())
+            return limit_ports(super().tcp_socket())
 
-    with socket.socket() as sock, pytest.raises(OSError) as met:
-        narrowed(sock).connect(address)
-    assert met.value.errno == errno.EADDRNOTAVAIL  # else nothing would be looked at
-    return OnePort(), address, held.close
+    with socket.socket() as sock, pytest.raises(OSError) as raised:
+        limit_ports(sock).connect(address)
+    assert raised.value.errno == errno.EADDRNOTAVAIL  # Otherwise the test would not cover the shortage.
+    return OnePortSystem(), address, connected.close
 
 
 def no_route(_):
-    """A machine has no route to a group of receivers over TCP."""
+    """Return a multicast address, to which there is no route over TCP."""
     return FaultySystem(), ("224.0.0.1", 9), lambda: None
 
 
 def descriptors_run_out(address):
-    """The limit of the process stands at what it has open."""
+    """Set the limit of open descriptors to what the process has open."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    gc.collect()  # Garbage of other tests may hold lower descriptors, which must not become free later.
-    spare = os.open(os.devnull, os.O_RDONLY)
-    os.close(spare)
-    resource.setrlimit(resource.RLIMIT_NOFILE, (spare, hard))
+    gc.collect()  # Garbage of other tests may have lower descriptors open, which must not be closed later.
+    lowest_free = os.open(os.devnull, os.O_RDONLY)
+    os.close(lowest_free)
+    resource.setrlimit(resource.RLIMIT_NOFILE, (lowest_free, hard))
     return FaultySystem(), address, lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
 
-@pytest.mark.parametrize("lack", [ports_run_out, no_route, descriptors_run_out])
-def test_what_this_machine_really_lacks_says_nothing_of_the_server(lack):
-    """The system's own errors: EADDRNOTAVAIL, ENETUNREACH, EMFILE."""
+@pytest.mark.parametrize("make_shortage", [ports_run_out, no_route, descriptors_run_out])
+def test_real_local_shortage_is_not_counted_against_the_endpoint(make_shortage):
+    """Errors raised by the kernel instead of injected ones: EADDRNOTAVAIL, ENETUNREACH, EMFILE."""
 
-    async def play():
-        fake = await FakePeer(respond_ok).start()
-        system, address, give_back = lack((HOST, fake.port))
-        pool = make(address, system)
+    async def scenario():
+        endpoint = await FakePeer(respond_ok).start()
+        system, address, end_shortage = make_shortage((HOST, endpoint.port))
+        pool = make_pool_on(address, system)
         try:
             end = start_exchange(pool)[1]
             assert await end == (Status.NOT_ATTEMPTED, None)
         finally:
-            give_back()
-        if lack is descriptors_run_out:
+            end_shortage()
+        if make_shortage is descriptors_run_out:
             assert (await start_exchange(pool)[1])[0] is Status.OK
-        await nothing_left(pool, system)
+        await check_nothing_is_left(pool, system)
 
-    run(play())
+    run(scenario())
 
 
-def test_a_connection_that_the_loop_cannot_take_over_is_closed():
-    """The options that asyncio's loop sets itself fail after the connect has come up."""
+def test_connection_whose_transport_cannot_be_created_is_closed():
+    """The socket options that asyncio's loop sets itself fail after the connection is established."""
 
-    async def play():
-        fake, system = await FakePeer(respond_ok).start(), FaultySystem()
-        pool = make((HOST, fake.port), system)
+    async def scenario():
+        endpoint, system = await FakePeer(respond_ok).start(), FaultySystem()
+        pool = make_pool_on((HOST, endpoint.port), system)
         system.faults.add("setsockopt", errno.ENOBUFS, skipped_calls=2)
         assert await start_exchange(pool)[1] == (Status.NOT_ATTEMPTED, None)
         assert not system.open_sockets()
         assert not pool.allowance.in_use
         system.faults.clear()
-        gc.collect()  # of what asyncio's loop still knows by the descriptor's number
+        gc.collect()  # Drops what asyncio's loop still stores under the descriptor's number.
         assert (await start_exchange(pool)[1])[0] is Status.OK
-        await nothing_left(pool, system)
+        await check_nothing_is_left(pool, system)
 
-    run_on_asyncio_loop(play())
+    run_on_asyncio_loop(scenario())
 
 
 @pytest.mark.parametrize("late", [False, True])
 def test_refused_connect_counts_as_refused_however_late_it_is_noticed(late):
-    async def play():
-        server, system = listening_socket(), FaultySystem()
-        address = server.getsockname()
-        server.close()
-        pool = make(address, system, 0.03)
-        told = system.faults.inject
-
-        def meet(call):
-            if late and call == "connect":  # the loop stands still before it hears what became of it
+    async def scenario():
+        listener, system = listening_socket(), FaultySystem()
+        address = listener.getsockname()
+        listener.close()
+        pool = make_pool_on(address, system, 0.03)
+        inject = system.faults.inject
+
+        def delaying_inject(call):
+            if late and call == "connect":  # Blocks the event loop before it notices the result.
                 asyncio.get_running_loop().call_soon(time.sleep, 0.1)
-            return told(call)
+            return inject(call)
 
-        system.faults.inject = meet
+        system.faults.inject = delaying_inject
         assert await start_exchange(pool)[1] == (Status.CONNECT_FAILED, None)
-        await nothing_left(pool, system)
+        await check_nothing_is_left(pool, system)
 
-    run(play())
+    run(scenario())
 
 
-@pytest.mark.parametrize("number", [errno.ECONNREFUSED, errno.ETIMEDOUT, errno.EHOSTUNREACH])
-def test_failed_connect_noticed_late_is_not_a_timeout_of_this_machine(number):
-    async def play():
+@pytest.mark.parametrize("error_number", [errno.ECONNREFUSED, errno.ETIMEDOUT, errno.EHOSTUNREACH])
+def test_failed_connect_noticed_late_is_not_a_timeout_of_this_machine(error_number):
+    async def scenario():
         system = FaultySystem()
-        pool = make((HOST, 9), system, 0.03)
-        told = system.faults.inject
+        pool = make_pool_on((HOST, 9), system, 0.03)
+        inject = system.faults.inject
 
-        def meet(call):
+        def delaying_inject(call):
             if call == "connect":
                 time.sleep(0.1)
-            return told(call)
+            return inject(call)
 
-        system.faults.inject = meet
-        system.faults.add("connect", number)
+        system.faults.inject = delaying_inject
+        system.faults.add("connect", error_number)
         assert await start_exchange(pool)[1] == (Status.CONNECT_FAILED, None)
-        await nothing_left(pool, system)
+        await check_nothing_is_left(pool, system)
 
-    run(play())
+    run(scenario())
 
 
-def test_one_that_is_given_up_before_its_connect_began_leaves_nothing():
-    async def play():
-        fake, system = await FakePeer(respond_ok).start(), FaultySystem()
-        pool = make((HOST, fake.port), system)
+def test_exchange_given_up_before_its_connect_starts_releases_everything():
+    async def scenario():
+        endpoint, system = await FakePeer(respond_ok).start(), FaultySystem()
+        pool = make_pool_on((HOST, endpoint.port), system)
         exchange, end = start_exchange(pool)
         exchange.give_up(Status.CANCELLED)
         assert await end == (Status.CONNECT_FAILED, None)
         await asyncio.sleep(0)
-        await nothing_left(pool, system)
+        await check_nothing_is_left(pool, system)
 
-    run(play())
+    run(scenario())
 
 
-@pytest.mark.parametrize("number", [errno.EINVAL, errno.ENOBUFS])
-def test_a_connection_ends_at_once_also_where_its_options_can_not_be_set(number):
-    """Guards against a repeat that overlaps with an attempt whose end was told and did not happen."""
+@pytest.mark.parametrize("error_number", [errno.EINVAL, errno.ENOBUFS])
+def test_connection_is_closed_immediately_even_if_its_options_cannot_be_set(error_number):
+    """Guards against a retry that overlaps with an attempt that was reported as ended but was not closed."""
 
-    async def play():
-        seen = []
+    async def scenario():
+        received = []
 
-        async def act(_, reader, writer):
-            seen.append(await reader.read())
+        async def handler(_, reader, writer):
+            received.append(await reader.read())
 
-        fake, system = await FakePeer(act).start(), FaultySystem()
-        pool = make((HOST, fake.port), system)
+        endpoint, system = await FakePeer(handler).start(), FaultySystem()
+        pool = make_pool_on((HOST, endpoint.port), system)
         exchange, end = start_exchange(pool)
-        await wait_until(lambda: fake.received)
-        system.faults.add("setsockopt", number)
-        shut = []
-        system.sockets[0].shutdown = shut.append
+        await wait_until(lambda: endpoint.received)
+        system.faults.add("setsockopt", error_number)
+        shutdowns = []
+        system.sockets[0].shutdown = shutdowns.append
         exchange.give_up(Status.TIMEOUT)
-        assert shut == [socket.SHUT_RDWR]
+        assert shutdowns == [socket.SHUT_RDWR]
         assert await end == (Status.TIMEOUT, None)
-        await wait_until(lambda: seen == [b""])
-        await nothing_left(pool, system)
+        await wait_until(lambda: received == [b""])
+        await check_nothing_is_left(pool, system)
 
-    run(play())
+    run(scenario())
 
 
-PATHS = [errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT, errno.EHOSTUNREACH]
-BROKEN = [*PATHS, errno.ENETUNREACH, errno.ENOBUFS]
+CONNECTION_ERRORS = [errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT, errno.EHOSTUNREACH]
+TRANSFER_ERRORS = [*CONNECTION_ERRORS, errno.ENETUNREACH, errno.ENOBUFS]
 
 
-@pytest.mark.parametrize("number", BROKEN)
-def test_an_answer_that_can_not_be_read_leaves_open_whether_it_ran(number):
-    async def play():
-        fake, system = await FakePeer(respond_ok).start(), FaultySystem()
-        pool = make((HOST, fake.port), system)
-        system.faults.add("recv", number)
+@pytest.mark.parametrize("error_number", TRANSFER_ERRORS)
+def test_request_with_unreadable_response_may_have_run(error_number):
+    async def scenario():
+        endpoint, system = await FakePeer(respond_ok).start(), FaultySystem()
+        pool = make_pool_on((HOST, endpoint.port), system)
+        system.faults.add("recv", error_number)
         assert await start_exchange(pool)[1] == (Status.RESET, None)
-        await nothing_left(pool, system)
+        await check_nothing_is_left(pool, system)
 
-    run_on_asyncio_loop(play())
+    run_on_asyncio_loop(scenario())
 
 
-@pytest.mark.parametrize("number", BROKEN)
-@pytest.mark.parametrize("taken", [0, 10, 39, 40])
-def test_what_broke_while_it_was_written_says_whether_its_last_byte_may_have_left(number, taken):
-    """Of 41 bytes the kernel takes some, and no more; the last one is let go of by itself."""
+@pytest.mark.parametrize("error_number", TRANSFER_ERRORS)
+@pytest.mark.parametrize("sent_bytes", [0, 10, 39, 40])
+def test_request_with_failed_write_may_have_run_only_after_its_last_byte_was_released(
+    error_number, sent_bytes
+):
+    """The kernel accepts only some of the 41 bytes; the last byte is written separately."""
 
-    async def play():
-        fake, system = await FakePeer(never_respond).start(), FaultySystem()
-        pool = make((HOST, fake.port), system)
-        if taken:
-            system.faults.add("send", max_bytes=taken, fault_count=1)
+    async def scenario():
+        endpoint, system = await FakePeer(never_respond).start(), FaultySystem()
+        pool = make_pool_on((HOST, endpoint.port), system)
+        if sent_bytes:
+            system.faults.add("send", max_bytes=sent_bytes, fault_count=1)
         else:
             system.faults.add("send", errno.EAGAIN, fault_count=1)
-        system.faults.add("send", number)
-        status, answer = await start_exchange(
+        system.faults.add("send", error_number)
+        status, response = await start_exchange(
             pool, payload=b"GET /lookup HTTP/1.1\r\nX-Request-Id: a\r\n\r\n"
         )[1]
-        # All before its last byte had gone: it may have left with the write that failed.
-        never = Status.CONNECT_FAILED if number in PATHS else Status.NOT_ATTEMPTED
-        assert (status, answer) == (Status.RESET if taken == 40 else never, None)
-        assert not fake.received
-        await nothing_left(pool, system)
+        # With 40 bytes sent, the last byte may have been sent by the write that failed.
+        never_ran = Status.CONNECT_FAILED if error_number in CONNECTION_ERRORS else Status.NOT_ATTEMPTED
+        assert (status, response) == (Status.RESET if sent_bytes == 40 else never_ran, None)
+        assert not endpoint.received
+        await check_nothing_is_left(pool, system)
 
-    run_on_asyncio_loop(play())
+    run_on_asyncio_loop(scenario())
 
 
-def test_short_writes_and_reads_cost_nothing():
-    async def play():
-        fake, system = await FakePeer(respond_ok).start(), FaultySystem()
-        pool = make((HOST, fake.port), system)
+def test_short_writes_and_reads_do_not_fail_requests():
+    async def scenario():
+        endpoint, system = await FakePeer(respond_ok).start(), FaultySystem()
+        pool = make_pool_on((HOST, endpoint.port), system)
         system.faults.add("send", max_bytes=3).add("recv", max_bytes=1)
         payload = request_message("order", body=b"x" * 300)
         for _ in range(3):
-            status, answer = await start_exchange(pool, payload=payload)[1]
+            status, response = await start_exchange(pool, payload=payload)[1]
             assert status is Status.OK
-            assert answer.body == b"served " + b"x" * 300
-        assert fake.connections == 1
-        await nothing_left(pool, system)
+            assert response.body == b"served " + b"x" * 300
+        assert endpoint.connections == 1
+        await check_nothing_is_left(pool, system)
 
-    run_on_asyncio_loop(play())
+    run_on_asyncio_loop(scenario())
 
 
-@pytest.mark.parametrize("play_on", LOOPS)
+@pytest.mark.parametrize("run_scenario", LOOP_RUNNERS)
 @pytest.mark.parametrize("seed", range(6))
-def test_any_calls_that_fail_leave_each_exchange_with_one_true_end(seed, play_on):
-    """The server closes after two of three answers; a part of all calls fails in all documented ways."""
-
-    async def play():
-        async def act(asked, reader, writer):
-            closes = int(asked.headers["x-request-id"]) % 3
-            writer.write(http_response(200, b"ok", *(["Connection: close"] if closes else [])))
-            if closes:
+def test_random_call_failures_leave_each_exchange_with_a_correct_status(seed, run_scenario):
+    """The endpoint closes after two of three responses, while random calls fail in all documented ways."""
+
+    async def scenario():
+        async def handler(message, reader, writer):
+            must_close = int(message.headers["x-request-id"]) % 3
+            writer.write(http_response(200, b"ok", *(["Connection: close"] if must_close else [])))
+            if must_close:
                 writer.close()
 
-        fake, system = await FakePeer(act).start(), FaultySystem()
+        endpoint, system = await FakePeer(handler).start(), FaultySystem()
         system.faults.random.seed(seed)
-        pool = make((HOST, fake.port), system)
+        pool = make_pool_on((HOST, endpoint.port), system)
         system.faults.add_random(
             0.1,
             socket=(errno.EMFILE, errno.ENOBUFS),
-            connect=(*OWN, *THEIRS, errno.EINTR),
-            # asyncio's own loop does not outlive an option that it can't set itself.
-            setsockopt=(errno.EINVAL, errno.ENOBUFS) if play_on is run else (),
+            connect=(*LOCAL_ERRORS, *ENDPOINT_ERRORS, errno.EINTR),
+            # asyncio's own loop does not survive a socket option that it fails to set itself.
+            setsockopt=(errno.EINVAL, errno.ENOBUFS) if run_scenario is run else (),
             getpeername=(errno.ENOTCONN,),
             getsockname=(errno.ENOBUFS,),
             shutdown=(errno.ENOTCONN,),
@@ -367,89 +371,92 @@
         system.faults.add("send", max_bytes=7, probability=0.2)
         problems = []
 
-        def note(_, context):
-            # asyncio 3.11 ends a transport twice where a write fails from within resume_writing.
+        def record_problem(_, context):
+            # asyncio 3.11 closes a transport twice if a write fails from within resume_writing.
             if "_call_connection_lost" not in context["message"]:
                 problems.append(context)
 
-        asyncio.get_running_loop().set_exception_handler(note)
-        never = 0
+        asyncio.get_running_loop().set_exception_handler(record_problem)
+        never_ran_count = 0
         ends = []
-        for number in range(200):
-            payload = b"GET /lookup/%d HTTP/1.1\r\nX-Request-Id: %d\r\n\r\n" % (number, number)
+        for request_number in range(200):
+            payload = b"GET /lookup/%d HTTP/1.1\r\nX-Request-Id: %d\r\n\r\n" % (
+                request_number,
+                request_number,
+            )
             ends.append(start_exchange(pool, payload=payload)[1])
-            if number % 4 == 3:
+            if request_number % 4 == 3:
                 async with asyncio.timeout(WAIT_TIMEOUT_S):
                     await asyncio.gather(*ends[-4:])
-        ran = {int(got.headers["x-request-id"]) for got in fake.received}
-        for number, end in enumerate(ends):
+        ran = {int(message.headers["x-request-id"]) for message in endpoint.received}
+        for request_number, end in enumerate(ends):
             status, _ = end.result()
             assert status in (Status.OK, Status.NOT_ATTEMPTED, Status.CONNECT_FAILED, Status.RESET)
             if status in (Status.NOT_ATTEMPTED, Status.CONNECT_FAILED):
-                never += 1
-                assert number not in ran, status
-        assert never
+                never_ran_count += 1
+                assert request_number not in ran, status
+        assert never_ran_count
         assert not problems
         assert sum(system.faults.counts.values()) > 50
         assert sum(end.result()[0] is Status.OK for end in ends) > 100
         system.faults.clear()
-        await nothing_left(pool, system)
+        await check_nothing_is_left(pool, system)
         del end, ends
         gc.collect()
 
-    play_on(play())
+    run_scenario(scenario())
 
 
-@pytest.mark.parametrize("spare", [False, True])
-def test_one_that_has_just_answered_rests_where_another_is_idle_and_no_new_one_is_made(spare, monkeypatch):
-    """Guards the next request against a late second answer, where no server is known to give two."""
+@pytest.mark.parametrize("has_spare", [False, True])
+def test_just_used_connection_is_reused_only_if_no_other_is_idle(has_spare, monkeypatch):
+    """Guards the next request against a late second response, while no endpoint is known to send two."""
 
-    async def play():
-        fake, system = await FakePeer(respond_ok).start(), FaultySystem()
-        pool = make((HOST, fake.port), system)
-        for end in [start_exchange(pool)[1] for _ in range(1 + spare)]:
+    async def scenario():
+        endpoint, system = await FakePeer(respond_ok).start(), FaultySystem()
+        pool = make_pool_on((HOST, endpoint.port), system)
+        for end in [start_exchange(pool)[1] for _ in range(1 + has_spare)]:
             assert (await end)[0] is Status.OK
-        await wait_until(lambda: len(pool.endpoints[1].idle) == 1 + spare)
-        monkeypatch.setattr(upstream, "QUARANTINE_MIN_S", WAIT_TIMEOUT_S)  # however late this machine is
+        await wait_until(lambda: len(pool.endpoints[1].idle) == 1 + has_spare)
+        monkeypatch.setattr(connection_pool, "QUARANTINE_MIN_S", WAIT_TIMEOUT_S)  # outlasts any delay
         for connection in pool.endpoints[1].idle:
             connection.idle_since_s -= WAIT_TIMEOUT_S
         exchange, end = start_exchange(pool)
         first = exchange.connection
         await end
-        next_one, end = start_exchange(pool)
-        assert (next_one.connection is not first) == spare
+        second, end = start_exchange(pool)
+        assert (second.connection is not first) == has_spare
         assert (await end)[0] is Status.OK
-        assert fake.connections == 1 + spare
-        await nothing_left(pool, system)
+        assert endpoint.connections == 1 + has_spare
+        await check_nothing_is_left(pool, system)
 
-    run(play())
+    run(scenario())
 
 
-# The whole sidecar
+# Complete sidecar
 
-PATIENT_MS = 1500
-NUMBERS = itertools.count(1)
+REQUEST_TIMEOUT_MS = 1500
+REQUEST_NUMBERS = itertools.count(1)
 
 
-async def ask_through(sidecar, count, apart_s):
-    """So many requests of a safe class, one after the other has begun: the codes and seconds of each."""
+async def send_lookups(sidecar, count, interval_s):
+    """Send requests of a safe class at an interval; return each one's status code and latency in seconds."""
 
-    async def one():
-        began = time.monotonic()
-        got = await send_request(
-            sidecar.port, request_message("lookup", f"{next(NUMBERS):016x}", f"{PATIENT_MS}m")
+    async def send_lookup():
+        started_s = time.monotonic()
+        response = await send_request(
+            sidecar.port, request_message("lookup", f"{next(REQUEST_NUMBERS):016x}", f"{REQUEST_TIMEOUT_MS}m")
         )
-        return got.code, time.monotonic() - began
+        return response.code, time.monotonic() - started_s
 
-    asked = []
+    lookups = []
     for _ in range(count):
-        asked.append(asyncio.ensure_future(one()))
-        await asyncio.sleep(apart_s)
-    return await asyncio.gather(*asked)
+        lookups.append(asyncio.ensure_future(send_lookup()))
+        await asyncio.sleep(interval_s)
+    return await asyncio.gather(*lookups)
 
 
 @pytest.mark.parametrize(
-    ("number", "for_s"),
+    ("error_number", "duration_s"),
     [
         (errno.EADDRNOTAVAIL, 0.3),
         (errno.ENETUNREACH, 0.3),
@@ -457,59 +464,61 @@
         (errno.ECONNREFUSED, 0.3),
     ],
 )
-def test_a_moment_without_local_ports_costs_no_server_and_hardly_a_request(
-    tmp_path, monkeypatch, number, for_s
+def test_brief_local_connect_errors_eject_no_endpoint_and_fail_few_requests(
+    tmp_path, monkeypatch, error_number, duration_s
 ):
-    async def play():
-        async def act(_, reader, writer):
-            await asyncio.sleep(0.01)  # a usual time beside which a pause of this machine is none
+    async def scenario():
+        async def handler(_, reader, writer):
+            await asyncio.sleep(0.01)  # typical latency, so that pauses of this machine are no outliers
             writer.write(http_response(200, b"ok", "Connection: close"))
             writer.close()
 
-        fakes = [await FakePeer(act).start() for _ in range(6)]
+        endpoints = [await FakePeer(handler).start() for _ in range(6)]
         system = FaultySystem()
         monkeypatch.setattr(
             "dykefold.__main__.SidecarServer", functools.partial(SidecarServer, system=system)
         )
-        entries = [endpoint_entry(f"s{at}", fake.address) for at, fake in enumerate(fakes)]
+        entries = [endpoint_entry(f"s{index}", endpoint.address) for index, endpoint in enumerate(endpoints)]
         async with Sidecar(tmp_path / "c", config(list_update(1, *entries))) as sidecar:
-            warm = await ask_through(sidecar, 40, 0.01)
-            assert all(code == 200 for code, _ in warm)
+            warm_up_results = await send_lookups(sidecar, 40, 0.01)
+            assert all(code == 200 for code, _ in warm_up_results)
             balancer = sidecar.server.pool.balancer
-            struck = []
-
-            def strike(server, weight, share):
-                if weight >= 1.0:  # for an end; a lesser one is a hint that an answer is late
-                    struck.append(server.id)
-
-            monkeypatch.setattr(balancer.outliers, "record_failure", strike)
-            system.faults.add("connect", number, duration_s=for_s)
-            got = await ask_through(sidecar, int(for_s / 0.01), 0.01)
-            served = sum(code == 200 for code, _ in got) / len(got)
-            print(f"{errno.errorcode[number]} for {for_s} s: served {served:.3f}, strikes {len(struck)}")
-            late = max(seconds for _, seconds in got)
-            if number in THEIRS:
-                assert struck
+            failed = []
+
+            def record_failure(endpoint_state, score, max_ejected):
+                if score >= 1.0:  # the result of an attempt; a lower score is a hint that a response is late
+                    failed.append(endpoint_state.id)
+
+            monkeypatch.setattr(balancer.outliers, "record_failure", record_failure)
+            system.faults.add("connect", error_number, duration_s=duration_s)
+            results = await send_lookups(sidecar, int(duration_s / 0.01), 0.01)
+            ok_rate = sum(code == 200 for code, _ in results) / len(results)
+            print(
+                f"{errno.errorcode[error_number]} for {duration_s} s: {ok_rate:.3f} OK, {len(failed)} failed"
+            )
+            max_latency_s = max(latency_s for _, latency_s in results)
+            if error_number in ENDPOINT_ERRORS:
+                assert failed
                 return
-            assert not struck
+            assert not failed
             assert not balancer.endpoints.ejected
-            assert late < PATIENT_MS / 1000
-            assert served == 1.0 if for_s < PATIENT_MS / 2000 else served >= 0.6
+            assert max_latency_s < REQUEST_TIMEOUT_MS / 1000
+            assert ok_rate == 1.0 if duration_s < REQUEST_TIMEOUT_MS / 2000 else ok_rate >= 0.6
 
-    run(play())
+    run(scenario())
 
 
 # Datagrams
 
-UNSENDABLE = [("255.255.255.255", 9), ("240.0.0.1", 9), (HOST, 0), ("224.0.0.1", 9)]
+UNREACHABLE_ADDRESSES = [("255.255.255.255", 9), ("240.0.0.1", 9), (HOST, 0), ("224.0.0.1", 9)]
 
 
-@pytest.mark.parametrize("play_on", LOOPS)
-def test_datagrams_that_can_not_be_sent_are_lost_and_nothing_else(play_on):
-    """EACCES (broadcast), ENETUNREACH, EINVAL, and ECONNREFUSED from an ICMP of a port that is closed."""
+@pytest.mark.parametrize("run_scenario", LOOP_RUNNERS)
+def test_unsendable_datagrams_do_not_affect_other_datagrams(run_scenario):
+    """EACCES (broadcast), ENETUNREACH, EINVAL, and ECONNREFUSED by ICMP from a closed port."""
 
-    async def play():
-        loop, heard, problems = asyncio.get_running_loop(), [], []
+    async def scenario():
+        loop, received, problems = asyncio.get_running_loop(), [], []
         loop.set_exception_handler(lambda _, context: problems.append(context))
         socks = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(3)]
         for sock in socks:
@@ -517,52 +526,53 @@
             sock.bind((HOST, 0))
         closed = socks.pop()
         addresses = [sock.getsockname() for sock in socks]
-        peers = [*addresses, closed.getsockname(), *UNSENDABLE]
+        peers = [*addresses, closed.getsockname(), *UNREACHABLE_ADDRESSES]
         closed.close()
-        ends = [
-            PeerChannel(at, peers, ("255.255.255.255", 9), lambda *what: heard.append(what)) for at in (0, 1)
+        channels = [
+            PeerChannel(index, peers, ("255.255.255.255", 9), lambda *datagram: received.append(datagram))
+            for index in (0, 1)
         ]
-        for end, sock in zip(ends, socks, strict=True):
-            await loop.create_datagram_endpoint(lambda end=end: end, sock=sock)
+        for channel, sock in zip(channels, socks, strict=True):
+            await loop.create_datagram_endpoint(lambda channel=channel: channel, sock=sock)
         for _ in range(20):
-            for number in [*range(len(peers)), None]:
-                ends[0].send(b"x", number)
+            for peer in [*range(len(peers)), None]:
+                channels[0].send(b"x", peer)
             await asyncio.sleep(0)
-        before = len([what for what in heard if what == (0, b"x")])
-        ends[1].send(b"back", 0)
-        ends[0].send(b"last", 1)
-        await wait_until(lambda: (1, b"back") in heard and (0, b"last") in heard)
-        assert before <= 20
+        received_count = len([datagram for datagram in received if datagram == (0, b"x")])
+        channels[1].send(b"back", 0)
+        channels[0].send(b"last", 1)
+        await wait_until(lambda: (1, b"back") in received and (0, b"last") in received)
+        assert received_count <= 20
         assert not problems
-        assert not any(end.transport.is_closing() for end in ends)
-        for end in ends:
-            end.transport.close()
+        assert not any(channel.transport.is_closing() for channel in channels)
+        for channel in channels:
+            channel.transport.close()
 
-    play_on(play())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize(
-    "number", [errno.ENOBUFS, errno.EPERM, errno.ECONNREFUSED, errno.EMSGSIZE, errno.EINTR]
+    "error_number", [errno.ENOBUFS, errno.EPERM, errno.ECONNREFUSED, errno.EMSGSIZE, errno.EINTR]
 )
-def test_a_datagram_whose_send_fails_is_lost_and_the_next_one_goes(number):
-    class Refusing:
-        """A transport whose sends raise, as a virtual one's or another loop's may."""
+def test_datagram_with_failed_send_is_lost_but_the_next_one_is_sent(error_number):
+    class FailingTransport:
+        """A transport whose sends raise, as those of a simulated or another event loop may."""
 
-        sent = 0
+        send_count = 0
 
         def is_closing(self):
             return False
 
         def sendto(self, data, address):
-            self.sent += 1
-            if self.sent < 3:
-                raise OSError(number, "no")
+            self.send_count += 1
+            if self.send_count < 3:
+                raise OSError(error_number, "injected")
 
-    peers = PeerChannel(0, [(HOST, 1), (HOST, 2)], None, lambda *_: None)
-    peers.transport = Refusing()
+    channel = PeerChannel(0, [(HOST, 1), (HOST, 2)], None, lambda *_: None)
+    channel.transport = FailingTransport()
     for _ in range(3):
-        peers.send(b"x", 1)
-    assert peers.transport.sent == 3
+        channel.send(b"x", 1)
+    assert channel.transport.send_count == 3
 
 
 # Discovery
@@ -571,60 +581,66 @@
 @pytest.mark.parametrize("pushed", [False, True])
 @pytest.mark.parametrize("call", ["socket", "connect", "setsockopt", "send"])
 def test_discovery_continues_to_poll_when_its_calls_fail_on_this_machine(call, pushed):
-    async def play():
-        async def act(asked, reader, writer):
+    async def scenario():
+        async def handler(message, reader, writer):
             writer.write(
                 http_response(200, b'{"index": 7, "snapshot": true, "endpoints": []}', "Connection: close")
             )
             writer.close()
 
-        fake, system, heard = await FakePeer(act).start(), FaultySystem(), []
+        endpoint, system, updates = await FakePeer(handler).start(), FaultySystem(), []
         discovery = DiscoveryClient(
             asyncio.get_running_loop(),
-            DiscoveryOrigin((HOST, fake.port), 1, pushed),
+            DiscoveryOrigin((HOST, endpoint.port), 1, pushed),
             NameTable([], []),
-            heard.append,
+            updates.append,
             system,
         )
 
-        def hear(told):
-            heard.append(told)
-            if told is None and not pushed:
-                discovery.watch(True)  # as the module does after a failure
+        def on_update(update):
+            updates.append(update)
+            if update is None and not pushed:
+                discovery.watch(True)  # as the balancer does after a failure
 
-        discovery.on_update = hear
+        discovery.on_update = on_update
         system.faults.add(call, errno.ENOBUFS, fault_count=3)
         discovery.watch(True)
-        await wait_until(lambda: any(told is not None and told.version == 7 for told in heard))
+        await wait_until(lambda: any(update is not None and update.version == 7 for update in updates))
         discovery.close()
         await wait_until(lambda: not system.open_sockets())
 
-    run(play())
+    run(scenario())
 
 
-# What the module makes of it
+# Reaction of the balancer
 
 
 @pytest.mark.parametrize("effect", list(Effect))
-def test_what_this_machine_could_not_send_spends_no_attempt_and_no_retry_token(effect):
-    balancer, now = make_balancer(effect=effect)
-    action = submit_request(balancer, now, 1)
-    tokens, sends, deadline = balancer.retries.budget, [], now + 4 * SECOND
-    for number in range(100):
+def test_locally_failed_send_consumes_no_attempt_and_no_retry_token(effect):
+    balancer, now_ns = make_balancer(effect=effect)
+    action = submit_request(balancer, now_ns, 1)
+    retry_budget, send_times_ns, deadline_ns = balancer.retries.budget, [], now_ns + 4 * SECOND
+    for attempt_number in range(100):
         actions = balancer.handle(
-            now, Outcome(1, number, action.endpoint_number, Status.NOT_ATTEMPTED, 0, False)
+            now_ns, Outcome(1, attempt_number, action.endpoint_number, Status.NOT_ATTEMPTED, 0, False)
+        )
+        timed_actions = [(now_ns, new_action) for new_action in actions] + run_timers(
+            balancer, now_ns, actions, deadline_ns
         )
-        later = [(now, one) for one in actions] + run_timers(balancer, now, actions, deadline)
-        ends = [(at, one) for at, one in later if isinstance(one, Send | Refuse | Fail)]
-        assert len(ends) == 1
-        assert ends[0][0] >= now
-        now, action = ends[0]
+        decisions = [
+            (at_ns, decision)
+            for at_ns, decision in timed_actions
+            if isinstance(decision, Send | Refuse | Fail)
+        ]
+        assert len(decisions) == 1
+        assert decisions[0][0] >= now_ns
+        now_ns, action = decisions[0]
         if not isinstance(action, Send):
             break
-        sends.append(now)
+        send_times_ns.append(now_ns)
     assert isinstance(action, Refuse)
-    assert 4 <= len(sends) <= 20
-    assert all(later > earlier for earlier, later in itertools.pairwise(sends))
-    assert balancer.retries.budget >= tokens
+    assert 4 <= len(send_times_ns) <= 20
+    assert all(later > earlier for earlier, later in itertools.pairwise(send_times_ns))
+    assert balancer.retries.budget >= retry_budget
     assert not balancer.endpoints.ejected
     assert not balancer.in_flight
