--- a/dykefold/balancer/__init__.py
+++ b/dykefold/balancer/__init__.py
@@ -1,12 +1,12 @@
-"""The decisions of a sidecar: which endpoint, whether to retry, what to shed. Events in, actions out, no I/O.
+"""Decisions of a sidecar: endpoint choice, retries, load shedding. It maps events to actions, without I/O.
 
 `events`, `settings` and `actions` define input and output. `endpoints`, `class_stats`, `requests` and
-`in_flight` define the state. `balancer` dispatches events. Every other module is one concern with its own
-constants.
-The time comes with each event, and random numbers depend on the seed alone.
+`in_flight` define the state. `balancer` dispatches events. Every other module implements one concern and
+defines its constants.
+Each event carries its time, and random numbers depend only on the seed.
 
-Units at the end of the names of constants: `_DEADLINES` are shortest deadlines of the live classes,
-`_OBJECTIVES` latency objectives and `_CLASS_MEANS` mean latencies of the request's class.
+Names of constants end in their unit: `_DEADLINES` stands for the shortest deadline of the live classes,
+`_OBJECTIVES` for the latency objective and `_CLASS_MEANS` for the mean latency of the request's class.
 """
 
 from .balancer import Balancer
--- a/dykefold/balancer/actions.py
+++ b/dykefold/balancer/actions.py
@@ -22,11 +22,11 @@
 
 @dataclass(slots=True)
 class Refuse:
-    """Reject a request as its final answer. It has had no harmful effect, so a retry does no harm.
+    """Reject a request as its final answer; it is safe for the client to retry it.
 
     Attributes:
         id: Number of the request.
-        retry_after_ns: Advice how long to wait before a retry; 0 for none.
+        retry_after_ns: Time that the client is advised to wait before a retry; 0 for no advice.
     """
 
     id: int
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Fail a request as its final answer, which says nothing of its effect.
+    """Fail a request as its final answer; the request may have been executed.
 
     Attributes:
         id: Number of the request.
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class Cancel:
-    """Cancel an attempt in flight; its end is still reported.
+    """Cancel an attempt in flight; an `Outcome` event still follows.
 
     Attributes:
         id: Number of the request.
@@ -94,11 +94,11 @@
 
 @dataclass(slots=True)
 class ReportEndpointHealth:
-    """Report to other sidecars that an endpoint has been ejected, or that it has answered again.
+    """Report to other sidecars that an endpoint has been ejected, or that it answers again.
 
     Attributes:
         endpoint_number: Number of the endpoint.
-        answers: True if it has answered again.
+        answers: True if it answers again.
     """
 
     endpoint_number: int
@@ -107,10 +107,10 @@
 
 @dataclass(slots=True)
 class Watch:
-    """Begin or end the watch of the endpoint list.
+    """Start or stop the watch of the endpoint list.
 
     Attributes:
-        on: True to begin.
+        on: True to start.
     """
 
     on: bool = True
@@ -123,11 +123,11 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Set the one timer, in place of the timer set before.
+    """Set the only timer of the balancer, which replaces the one set before.
 
     Attributes:
-        after_ns: Time until it is due.
-        token: Token that the `Timer` event returns.
+        after_ns: Time until the timer expires.
+        token: Token that the `Timer` event carries.
     """
 
     after_ns: int
--- a/dykefold/balancer/attempt_results.py
+++ b/dykefold/balancer/attempt_results.py
@@ -1,4 +1,4 @@
-"""The end of an attempt: it leaves the attempts in flight, and its result goes into the estimates."""
+"""The end of an attempt: it is no longer in flight, and its result updates the estimates."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
 from .slow_start import SlowStart
 from .subsetting import EndpointSet
 
-# A fast error does not make an endpoint look fast.
+# Otherwise, fast errors would make an endpoint look fast.
 MIN_FAILURE_RELATIVE_LATENCY = 4.0
-# A full endpoint is alive, but it should get fewer requests for a while.
+# A full endpoint is alive, but should receive fewer requests for a while.
 MIN_REJECTION_RELATIVE_LATENCY = 3.0
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptLearners:
-    """Parts of a balancer that learn from attempts.
+    """Parts of a balancer that are updated by the results of attempts.
 
     Attributes:
         latency: Latency estimates of endpoints and classes.
@@ -45,7 +45,7 @@
         slow_start: Token buckets of endpoints that are warming up.
         load_reports: Loads that endpoints report.
         outliers: Failure scores and ejections.
-        lost_attempts: Attempts whose response is not expected any more.
+        lost_attempts: Detection of attempts whose response is no longer expected.
     """
 
     latency: LatencyEstimator
@@ -57,13 +57,13 @@
 
 
 class AttemptResults:
-    """Takes ended attempts out of those in flight, and their results into the estimates.
+    """Removes attempts that ended from those in flight, and updates the estimates with their results.
 
     Args:
         context: State that all parts share.
         endpoints: Known endpoints.
         limit: Concurrency limit, which counts the attempts in flight.
-        learners: Parts that learn from the results.
+        learners: Parts that are updated by the results.
     """
 
     def __init__(
@@ -84,7 +84,7 @@
         self.lost_attempts = learners.lost_attempts
 
     def on_body_sent(self, event: BodySent, request: PendingRequest) -> None:
-        """Count an attempt as in flight from the moment at which its endpoint has the whole request body."""
+        """Count an attempt as in flight once its endpoint has received the complete request body."""
         endpoint = self.endpoints.all.get(event.endpoint_number)
         if endpoint is not None:
             now = self.context.now_ns
@@ -92,14 +92,14 @@
             self.limit.in_flight += not endpoint.ejected
 
     def on_end(self, event: Outcome | StreamStarted) -> None:
-        """Take an attempt out of those in flight, and its result into the estimates."""
+        """Remove an attempt from those in flight, and update the estimates with its result."""
         endpoint = self.endpoints.all.get(event.endpoint_number)
         if endpoint is None:
             return
         key = (event.id, event.attempt)
         attempt = endpoint.in_flight.pop(key, None)
         if attempt is None:
-            return  # The attempt left the attempts in flight when its body began.
+            return  # The attempt was removed when the transfer of its body began.
         lost, counted_late = key in endpoint.lost, key in endpoint.counted_late
         endpoint.lost.discard(key)
         endpoint.counted_late.discard(key)
@@ -114,13 +114,13 @@
         event: Outcome | StreamStarted,
         counted: bool,
     ) -> None:
-        """Take the result of an attempt into the estimates of its endpoint and class.
+        """Update the estimates of the endpoint and the class with the result of an attempt.
 
         Args:
-            endpoint: Endpoint that worked on it.
-            attempt: Attempt as its endpoint accounted for it.
-            event: End of the attempt.
-            counted: True if the attempt counted as late or lost before.
+            endpoint: Endpoint that it was sent to.
+            attempt: Record of the attempt in `EndpointState.in_flight`.
+            event: Event that ended the attempt.
+            counted: True if the attempt has already been counted as late or lost.
         """
         status = event.status
         if endpoint.ejected:
@@ -164,7 +164,7 @@
         endpoint.consecutive_rejections += 1
         if endpoint.consecutive_rejections < MAX_CONSECUTIVE_REJECTIONS:
             self.congestion.add(REJECTION_VALUE, attempt.sent_ns)
-        else:  # A full queue still accepts some requests; this endpoint is draining, which is no congestion.
+        else:  # A full queue still accepts some requests; this endpoint is draining and not congested.
             self.outliers.record_failure(endpoint, EJECTION_SCORE, MAX_EJECTED_ON_SILENCE_FRACTION)
 
     def _learn_failure(
@@ -182,7 +182,7 @@
             self.outliers.record_failure(endpoint, 1.0, MAX_EJECTED_FRACTION)
         elif endpoint.last_alive_ns <= sent_ns:
             self.outliers.record_failure(endpoint, 1.0, MAX_EJECTED_ON_SILENCE_FRACTION)
-        else:  # The endpoint has answered other attempts meanwhile, so all endpoints may be slow.
+        else:  # The endpoint has answered other attempts since, so all endpoints may be slow.
             if not counted:
                 self.congestion.add_latency(endpoint, stats, sent_ns, duration_ns, WANTED_WAIT_OBJECTIVES)
             self.latency.add_timeout(stats, duration_ns)
--- a/dykefold/balancer/attempt_rules.py
+++ b/dykefold/balancer/attempt_rules.py
@@ -1,4 +1,4 @@
-"""Rules for every attempt and rejection: no effect occurs twice, and a draining endpoint gets no requests."""
+"""Rules for every attempt and rejection: no duplicate effects, no requests to draining endpoints."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class AttemptRules:
-    """Checks every attempt by `may_send`, every rejection by `may_reject`.
+    """Checks each attempt with `may_send` and each rejection with `may_reject`.
 
     Args:
         context: State that all parts share.
@@ -22,7 +22,7 @@
         self.slow_start = slow_start
 
     def may_send(self, request: PendingRequest, endpoint: EndpointState) -> bool:
-        """Return whether this request may be sent to this endpoint now, by the rules and by slow start."""
+        """Return whether the rules and slow start allow this request to be sent to this endpoint now."""
         if not endpoint.ready or not endpoint.listed or request.streaming:
             return False
         if request.attempts and not self._may_retry_at(request, endpoint):
@@ -30,7 +30,7 @@
         return not endpoint.started_ns or self.slow_start.allows(endpoint, request.stats)
 
     def _may_retry_at(self, request: PendingRequest, endpoint: EndpointState) -> bool:
-        """Return whether another attempt may be sent to this endpoint beside the earlier ones."""
+        """Return whether another attempt may be sent to this endpoint, given the earlier attempts."""
         if not self.may_retry(request, self.context.now_ns):
             return False
         spec = request.spec
@@ -47,20 +47,20 @@
         return True
 
     def may_retry(self, request: PendingRequest, at_ns: int) -> bool:
-        """Return whether the rules allow another attempt at that time, to whichever endpoint."""
+        """Return whether the rules allow another attempt at that time, to any endpoint."""
         spec = request.spec
         if len(request.attempts) >= request.max_attempts:
             return False
         if spec.effect is Effect.SAFE:
             return True
-        # An endpoint knows an idempotency key for this time; a request without a key is never repeated.
+        # Endpoints remember an idempotency key for this time; a request without a key is never retried.
         window_ns = spec.window_ns - self.context.settings.tick_ns if spec.effect is Effect.KEYED else 0
         return all(
             attempt.state is NEVER_RAN or at_ns < attempt.sent_ns + window_ns for attempt in request.attempts
         )
 
     def may_reject(self, request: PendingRequest) -> bool:
-        """Return whether a rejection does no harm, although the client may send the request again."""
+        """Return whether a rejection is safe, given that the client may then retry the request."""
         spec = request.spec
         harmless = spec.effect is Effect.SAFE or (spec.effect is Effect.KEYED and spec.scope is Scope.ALL)
         return harmless or request.never_ran()
--- a/dykefold/balancer/attempts.py
+++ b/dykefold/balancer/attempts.py
@@ -1,4 +1,4 @@
-"""Sending attempts."""
+"""Sending of first attempts and of planned retries."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 class AttemptSender:
-    """Sends attempts, and accounts for them as in flight.
+    """Sends attempts, and counts them as in flight.
 
     Args:
         context: State that all parts share.
-        timers: Timers, by which overdue attempts are found.
-        latency: Latency estimates, by which an attempt is overdue.
+        timers: Timers that detect overdue attempts.
+        latency: Latency estimates, which determine when an attempt is overdue.
         limit: Concurrency limit, which counts the attempts in flight.
         slow_start: Token buckets of endpoints that are warming up.
     """
@@ -55,7 +55,7 @@
             self.limit.in_flight += 1
         if endpoint.started_ns:
             self.slow_start.charge(endpoint, stats)
-        # The attempt has no timeout of its own: once overdue, it is judged by the endpoint's other answers.
+        # The attempt has no timeout: once overdue, the endpoint's other answers decide what happens to it.
         self.context.actions.append(Send(request.id, endpoint.id))
         self.timers.add(now + overdue_ns, OVERDUE, request.id, number)
 
@@ -64,9 +64,9 @@
     """Sends planned retries.
 
     Args:
-        picker: Choice of the endpoint.
+        picker: Picker of the endpoint.
         sender: Sender of the attempt.
-        retries: Policy that plans another retry where no endpoint is available.
+        retries: Policy that plans another retry if no endpoint is available.
     """
 
     def __init__(self, picker: Picker, sender: AttemptSender, retries: RetryPolicy) -> None:
--- a/dykefold/balancer/balancer.py
+++ b/dykefold/balancer/balancer.py
@@ -1,7 +1,8 @@
-"""The balancer: one event in, actions out. It only dispatches; each decision has a module of its own.
+"""The balancer handles one event at a time and returns actions. It only dispatches to other modules.
 
-The usual path of a request is `on_request` -> `Picker.pick` -> `RequestValue.of` and `ConcurrencyLimit.admit`
--> `AttemptSender.send` -> `on_outcome`, and after a failed attempt `RetryPolicy.plan` -> `RetrySender.send`.
+The usual path of a request is `on_request` -> `Picker.pick` -> `RequestValue.estimate` and
+`ConcurrencyLimit.admit` -> `AttemptSender.send` -> `on_outcome`, and after a failed attempt
+`RetryPolicy.plan` -> `RetrySender.send`.
 """
 
 from __future__ import annotations
@@ -43,14 +44,14 @@
 
 Status = events.Status
 PROVES_NOT_RUN = frozenset((Status.FULL, Status.CONNECT_FAILED, Status.NOT_ATTEMPTED))
-UNWRITTEN = frozenset((Status.CONNECT_FAILED, Status.NOT_ATTEMPTED))
+NEVER_REACHED_STATUSES = frozenset((Status.CONNECT_FAILED, Status.NOT_ATTEMPTED))
 
 
 class Balancer:
     """All decisions of one sidecar for one service.
 
     Args:
-        settings: Settings that hold until a `SettingsChanged` event brings others.
+        settings: Settings until a `SettingsChanged` event replaces them.
         seed: Seed of the random generator; the same seed and events give the same actions.
     """
 
@@ -118,7 +119,7 @@
         return context.actions
 
     def on_request(self, event: events.Request) -> None:
-        """Send a client's request to an endpoint, delay it for a moment, or reject it."""
+        """Send a client's request to an endpoint, delay it briefly, or reject it."""
         context = self.context
         stats = context.classes[event.class_number]
         request = PendingRequest(event, stats, context.settings.max_attempts, context.now_ns)
@@ -130,12 +131,12 @@
         if event.deadline_ns <= context.now_ns:
             self.answers.end(request)
             return
-        probability = self.load_reports.probe_probability(stats) if self.endpoints.sees_little else 0.0
+        probability = self.load_reports.probe_probability(stats) if self.endpoints.has_sparse_traffic else 0.0
         probes = probability > 0.0 and context.random.random() < probability
         endpoint = None if probes else self.picker.pick(request)
         if endpoint is None and not probes:
             self.retries.plan(request)
-        elif not self.limit.admit(request, self.request_value.of(event, request)):
+        elif not self.limit.admit(request, self.request_value.estimate(event, request)):
             self.answers.end(request)
         elif endpoint is not None:
             self.sender.send(request, endpoint)
@@ -152,7 +153,7 @@
         self.timers.add(self.context.now_ns + wait_ns, RETRY, request.id)
 
     def _send_probed(self, request: PendingRequest) -> None:
-        """Send to the better endpoint of those that reported their load; to another one only if none did."""
+        """Send to the best endpoint among those that reported their load; to another one only if none did."""
         eligible = [one for one in request.probed if not one.ejected and self.rules.may_send(request, one)]
         eligible = [one for one in eligible if one.load_reported_ns >= request.probed_ns] or eligible
         request.probed = []
@@ -164,7 +165,7 @@
             self.retry_sender.send(request)
 
     def on_outcome(self, event: events.Outcome) -> None:
-        """Learn from an attempt that has ended, and retry it where that is allowed and useful."""
+        """Update the estimates after an attempt has ended, and retry it if that is allowed and useful."""
         self.results.on_end(event)
         request = self.answers.pending.get(event.id)
         if request is None:
@@ -173,16 +174,16 @@
         not_attempted = status is Status.NOT_ATTEMPTED
         if event.attempt < len(request.attempts):
             request.attempts[event.attempt].state = NEVER_RAN if status in PROVES_NOT_RUN else MAY_HAVE_RUN
-            request.written |= status not in UNWRITTEN
+            request.reached_endpoint |= status not in NEVER_REACHED_STATUSES
             if (
                 not_attempted
-            ):  # This machine could not send it, so it counts neither as an attempt nor as a retry.
+            ):  # This host could not send it, so it counts neither as an attempt nor as a retry.
                 request.max_attempts += 1
                 request.retry_paid = True
         if event.final:
             self.answers.forget(request)
         elif status is Status.ERROR:
-            self.answers.end(request)  # A plain error is an answer, which the design does not retry.
+            self.answers.end(request)  # An error response is an answer, and by design is not retried.
         elif not request.retry_planned:
             self.retries.plan(request, not_attempted)
 
@@ -193,10 +194,10 @@
             self.answers.forget(request)
 
     def on_stream_started(self, event: events.StreamStarted) -> None:
-        """End an attempt whose body has begun to be transferred, and send no other one for the request.
+        """End an attempt when the transfer of its body begins, and send no other attempt for the request.
 
         The duration of the transfer depends on the client. Guards the limit and the estimates against a
-        client that takes a minute for a long message.
+        client that takes a minute to transfer a long message.
         """
         self.results.on_end(event)
         request = self.answers.pending.get(event.id)
@@ -205,7 +206,7 @@
             self.answers.cancel_others(request, event.attempt)
 
     def on_body_sent(self, event: events.BodySent) -> None:
-        """Count an attempt as in flight once its endpoint has the whole streamed request body."""
+        """Count an attempt as in flight once its endpoint has received the complete streamed request body."""
         request = self.answers.pending.get(event.id)
         if request is not None:
             self.results.on_body_sent(event, request)
@@ -215,7 +216,7 @@
         endpoint = self.endpoints.all.get(event.endpoint_number)
         request_ids = self.load_reports.stop_waiting(event.endpoint_number)
         if endpoint is None or event.status is not Status.OK:
-            return  # The timers of the requests send them to other endpoints.
+            return  # The requests are sent to other endpoints when their timers expire.
         self.load_reports.record(endpoint, event.report)
         for request_id in request_ids:
             request = self.answers.pending.get(request_id)
@@ -225,7 +226,7 @@
                 self._send_probed(request)
 
     def on_timer(self, event: events.Timer) -> None:
-        """Carry out all that is due."""
+        """Handle all timers that are due."""
         self.timers.on_due(event.token)
         while due := self.timers.next_due():
             _, kind, request_id, attempt_number = due
@@ -244,7 +245,7 @@
                 self.retry_sender.send(request)
 
     def on_settings_changed(self, event: events.SettingsChanged) -> None:
-        """Apply other settings: classes keep their estimates by name, pending requests their settings."""
+        """Apply other settings; classes keep their estimates by name, pending requests their settings."""
         context = self.context
         classes = context.classes
         known = {stats.spec.name: stats for stats in context.live_classes}
@@ -263,7 +264,7 @@
         self.endpoints.rebuild()
 
     def on_membership_changed(self, event: events.MembershipChanged) -> None:
-        """Take over who the live sidecars are, and what several of them observed."""
+        """Apply the membership of the sidecars, and what several of them observed."""
         context = self.context
         context.fleet = event
         for number, typical_ns in event.typical_latency_ns.items():
@@ -281,16 +282,16 @@
     def _on_ejected(self, endpoint: EndpointState) -> None:
         self.stuck_attempts.retry_all_at(endpoint)
 
-    # These names are the interface to callers outside of the package.
+    # The following names are the interface to callers outside of this package.
 
     @property
     def settings(self) -> Settings:
-        """Return the settings that hold now."""
+        """Return the current settings."""
         return self.context.settings
 
     @property
     def actions(self) -> list[Action]:
-        """Return the actions of the current event; after an error, those up to it."""
+        """Return the actions of the current event; after an exception, those added before it."""
         return self.context.actions
 
     @actions.setter
@@ -309,19 +310,19 @@
 
     @property
     def classes(self) -> list[ClassStats]:
-        """Return all classes by number, retired ones too."""
+        """Return all classes by number, including retired ones."""
         return self.context.classes
 
     @property
     def live_classes(self) -> list[ClassStats]:
-        """Return the classes of new requests."""
+        """Return the classes that new requests may have."""
         return self.context.live_classes
 
     @property
     def in_flight(self) -> int:
-        """Return the number of own attempts in flight, without those at ejected endpoints."""
+        """Return the number of this sidecar's attempts in flight, except those at ejected endpoints."""
         return self.limit.in_flight
 
     def rebuild_endpoint_lists(self) -> None:
-        """Rebuild the lists of endpoints after a caller has set their state."""
+        """Rebuild the lists of endpoints after a caller has changed the state of endpoints."""
         self.endpoints.rebuild()
--- a/dykefold/balancer/class_stats.py
+++ b/dykefold/balancer/class_stats.py
@@ -1,4 +1,4 @@
-"""What this sidecar believes of the requests of one class."""
+"""Estimates of this sidecar for the requests of one class."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
     """Estimates of one request class; latencies in nanoseconds.
 
     Args:
-        spec: Class by the settings; its latency objective gives the initial estimates.
+        spec: Settings of the class; its latency objective determines the initial estimates.
 
     Attributes:
-        spec: Class by the settings.
+        spec: Settings of the class.
         mean_latency_ns: Smoothed latency of successful attempts.
         latency_deviation_ns: Smoothed mean deviation from `mean_latency_ns`.
         answers: Number of successful attempts.
-        typical_latency_ns: Latency without congestion, which changes slowly.
-        typical_updated_ns: Time of the latest change of `typical_latency_ns`; 0 for never.
-        first_timeout_ns: Timeout that most clients state for the first attempt of theirs.
-        first_timeout_votes: Late first attempts that stated `first_timeout_ns`, less those that did not.
-        limit_fraction: Fraction of the concurrency limit that is open to the class.
+        typical_latency_ns: Smoothed latency without congestion, which changes slowly.
+        typical_updated_ns: Time of the latest update of `typical_latency_ns`; 0 for never.
+        first_timeout_ns: Timeout that most clients state for their first attempt.
+        first_timeout_votes: Recent first attempts that stated `first_timeout_ns`, minus those that did not.
+        limit_fraction: Fraction of the concurrency limit that the class may use.
     """
 
     __slots__ = (
--- a/dykefold/balancer/context.py
+++ b/dykefold/balancer/context.py
@@ -1,4 +1,4 @@
-"""State that all parts of a balancer share: settings, time of the event, random generator, actions."""
+"""State that all parts of a balancer share: settings, time of the event, random generator and actions."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 
 
 class BalancerContext:
-    """State that every part reads. Only `Balancer` writes it, but all parts append to `actions`.
+    """State that all parts read. Only `Balancer` writes it, but all parts append to `actions`.
 
     Args:
         settings: Initial settings.
         seed: Seed of the random generator.
 
     Attributes:
-        settings: Settings that hold now.
-        random: Only source of randomness.
+        settings: Current settings.
+        random: The only source of randomness.
         now_ns: Time of the current event.
         actions: Actions of the current event, in order.
-        classes: Statistics of all classes by number, retired ones too.
-        live_classes: Statistics of the classes of new requests.
-        has_safe_class: True if requests of one of the live classes may run any number of times.
+        classes: Statistics of all classes by number, including retired ones.
+        live_classes: Statistics of the classes that new requests may have.
+        has_safe_class: True if requests of a live class may run any number of times.
         shortest_ns: Shortest deadline of the live classes, the unit of constants that end in `_DEADLINES`.
-        fleet: Membership of the sidecars; None without one.
-        log_due_ns: Time from which the next line may be logged.
+        fleet: Membership of the sidecars; None if there is no membership.
+        log_due_ns: Earliest time at which the next line may be logged.
     """
 
     __slots__ = (
@@ -55,7 +55,7 @@
         self.apply(settings, self.classes)
 
     def apply(self, settings: Settings, live_classes: list[ClassStats]) -> None:
-        """Apply settings, with the statistics of the classes of new requests."""
+        """Apply settings, with the statistics of the classes that new requests may have."""
         self.settings = settings
         self.live_classes = live_classes
         self.has_safe_class = any(stats.spec.effect is Effect.SAFE for stats in live_classes)
@@ -66,7 +66,7 @@
         return self.fleet.live_sidecars if self.fleet else self.settings.fleet_size
 
     def log(self, text: str) -> None:
-        """Add a log action; at most one a second, because reports keep only a few hundred lines."""
+        """Add a log action, at most one per second, because reports keep only a few hundred lines."""
         if self.now_ns >= self.log_due_ns:
             self.log_due_ns = self.now_ns + SECOND_NS
             self.actions.append(Log(text))
--- a/dykefold/balancer/endpoints.py
+++ b/dykefold/balancer/endpoints.py
@@ -1,7 +1,7 @@
-"""What this sidecar believes of endpoints and of groups of similar endpoints.
+"""State and estimates of endpoints and of groups of similar endpoints, as this sidecar sees them.
 
-State only: the modules that decide read and write it. Times are integer nanoseconds of the caller's clock,
-0 for never. Relative latencies are in units of the mean latency of the request's class.
+The modules that make decisions read and write this state. Times are integer nanoseconds of the caller's
+clock, 0 for never. Relative latencies are in units of the mean latency of the request's class.
 """
 
 from __future__ import annotations
@@ -11,44 +11,44 @@
 
 
 class EndpointState:
-    """What this sidecar believes of one endpoint.
+    """State and estimates of one endpoint, as this sidecar sees it.
 
     Args:
         entry: Entry of the endpoint list.
-        rank: Place in the order of sampling, from 0, below 1.
+        rank: Position in the order of sampling, from 0, below 1.
 
     Attributes:
         id: Number of the endpoint.
-        rank: Place in the order of sampling; it is random, so that each sidecar samples other endpoints.
-        in_flight: Attempts that are awaiting a response, in the order of sending.
-        lost: Attempts in flight whose response is not expected any more.
-        counted_late: Attempts in flight that already count as congestion.
+        rank: Position in the order of sampling; it is random, so that sidecars sample different endpoints.
+        in_flight: Attempts that await a response, in the order in which they were sent.
+        lost: Attempts in flight whose response is no longer expected.
+        counted_late: Attempts in flight that have already been counted as congestion.
         listed: True while the endpoint list contains it.
         sampled: True while it is in the subset of this sidecar.
-        ready: True while the endpoint list says that it takes requests.
+        ready: True while it is ready for requests according to the endpoint list.
         zone: Number of its zone.
-        kind: Number of its kind of machine.
-        cell: Number of the group of endpoints that know each other's idempotency keys.
-        started_ns: Time of its start by the endpoint list; 0 for long ago.
+        kind: Number of its machine type.
+        cell: Number of the group of endpoints that share idempotency keys.
+        started_ns: Time of its start according to the endpoint list; 0 for long ago.
         slow_start_began_ns: Time at which its slow start began.
-        relative_latency: Smoothed relative latency. It is 1.0 before any answer, also while the endpoint is
-            warming up, because slow start protects it then.
-        samples: Number of results taken into `relative_latency`.
-        last_sample_ns: Time of the latest of these results.
+        relative_latency: Smoothed relative latency. It is 1.0 before the first answer, even while the
+            endpoint is warming up, because slow start protects it then.
+        samples: Number of results that `relative_latency` includes.
+        last_sample_ns: Time of the latest such result.
         last_alive_ns: Time of the latest answer or rejection.
-        reported_load: Number of requests that it holds, by its latest load report.
+        reported_load: Number of requests at the endpoint according to its latest load report.
         load_reported_ns: Time of that load report.
-        latency_per_request: Smoothed relative latency for each request that it holds; 0 while unknown.
+        latency_per_request: Smoothed relative latency for each request at the endpoint; 0 while unknown.
         failure_score: Weighted consecutive failures without a success in between.
-        consecutive_rejections: Number of attempts in a row that it rejected.
-        ejected: True while outlier detection keeps requests from it.
-        ejections: Number of ejections and failed probation probes since it was last admitted.
-        probation_ns: Time from which one request may probe it while it is ejected.
+        consecutive_rejections: Number of consecutive attempts that it rejected.
+        ejected: True while outlier detection excludes it from requests.
+        ejections: 1 for the latest ejection, plus the number of failed probation probes since.
+        probation_ns: Time from which a request may probe it while it is ejected.
         probation_pending: True while that request is in flight.
-        slow_start_tokens: Work that it may be sent while it warms up, in requests of mean work.
-        slow_start_sent: Number of requests sent while it warmed up.
-        slow_start_ceiling_tokens: Work up to the ceiling, to which answers add nothing, in the same unit.
-        slow_start_ns: Time of the latest change of both numbers of tokens.
+        slow_start_tokens: Token bucket of the rate while it is warming up, in requests of mean work.
+        slow_start_sent: Number of requests sent while it was warming up.
+        slow_start_ceiling_tokens: Token bucket of the ceiling, which answers do not refill, in the same unit.
+        slow_start_ns: Time of the latest refill of both token buckets.
     """
 
     __slots__ = (
@@ -95,7 +95,7 @@
         self.reset(entry)
 
     def reset(self, entry: Endpoint) -> None:
-        """Discard all estimates, because the endpoint has started again or is ready again."""
+        """Discard all estimates, because the endpoint has restarted or has become ready."""
         self.zone = entry.zone
         self.kind = entry.kind
         self.cell = entry.cell
@@ -126,15 +126,15 @@
 
 
 class EndpointGroup:
-    """What this sidecar believes of endpoints of one kind that are all in the own zone or all in others.
+    """Estimates of all endpoints of one machine type that are in the local zone, or of those in other zones.
 
     Attributes:
         relative_latency: Smoothed relative latency.
-        samples: Number of answers taken into `relative_latency`.
-        mean_load: Smoothed number of requests that an endpoint holds, by load reports.
-        reports: Number of reports taken into `mean_load`.
-        latency_per_request: Smoothed relative latency for each request that an endpoint holds.
-        log_weight: Logarithm of the weight with which its endpoints are sampled.
+        samples: Number of answers that `relative_latency` includes.
+        mean_load: Smoothed number of requests at an endpoint according to load reports.
+        reports: Number of load reports that `mean_load` includes.
+        latency_per_request: Smoothed relative latency for each request at an endpoint.
+        log_weight: Logarithm of the sampling weight of its endpoints.
     """
 
     __slots__ = ("latency_per_request", "log_weight", "mean_load", "relative_latency", "reports", "samples")
--- a/dykefold/balancer/events.py
+++ b/dykefold/balancer/events.py
@@ -1,4 +1,4 @@
-"""Events that a balancer handles, with the endpoint records they carry.
+"""Events that a balancer handles, and the endpoint records in them.
 
 All times are integer nanoseconds of the caller's monotonic clock. Class, tenant, zone and kind are positions
 in the lists of `Settings`.
@@ -14,20 +14,20 @@
 
 
 class Status(IntEnum):
-    """How an attempt or a health check ended."""
+    """Result of an attempt or of a health check."""
 
     OK = 0
-    ERROR = 1  # The endpoint answered with an error; the attempt may have run.
+    ERROR = 1  # The endpoint returned an error; the attempt may have run.
     FULL = 2  # The endpoint rejected the attempt before it ran.
-    TIMEOUT = 3  # No answer came in time; the attempt may have run, or may be running.
-    CONNECT_FAILED = 4  # No connection was made.
+    TIMEOUT = 3  # No answer arrived in time; the attempt may have run, or may still be running.
+    CONNECT_FAILED = 4  # No connection was established.
     RESET = 5  # The connection broke; the attempt may have run.
     CANCELLED = 6  # This sidecar cancelled the attempt; it may have run.
     NOT_ATTEMPTED = 7  # The attempt was never sent.
 
 
 class State(IntEnum):
-    """What the endpoint list says of an endpoint."""
+    """State of an endpoint according to the endpoint list."""
 
     GONE = 0
     READY = 1
@@ -35,13 +35,13 @@
 
 
 class ListKind(IntEnum):
-    """What an update of the endpoint list holds."""
+    """Content of an update of the endpoint list."""
 
-    DELTA = 0  # The changed entries alone.
+    DELTA = 0  # Only the changed entries.
     FULL = 1  # The complete list.
-    CACHED = 2  # The complete list as last known, which may be outdated.
-    FAILED = 3  # No entries, because a poll failed or the watch broke.
-    LOCAL = 4  # The entries that operators changed; they do not come from the watch.
+    CACHED = 2  # The last known complete list, which may be outdated.
+    FAILED = 3  # No entries, because a poll or the watch failed.
+    LOCAL = 4  # The entries that operators changed; the watch did not deliver them.
 
 
 @dataclass(slots=True)
@@ -51,11 +51,11 @@
     Attributes:
         number: Number of the endpoint.
         zone: Number of its zone.
-        kind: Number of its kind of machine.
-        cell: Number of the group of endpoints that know each other's idempotency keys.
+        kind: Number of its machine type.
+        cell: Number of the group of endpoints that share idempotency keys.
         state: State of the endpoint.
-        weight: Capacity relative to other endpoints, where the settings say that weights mean anything.
-        started_ns: Time of its start; 0 for long ago. Another value means another start.
+        weight: Capacity relative to other endpoints, if `Settings.weighted` is set.
+        started_ns: Time of its start; 0 for long ago. A changed value means a restart.
         slow_start_began_ns: Time at which its slow start began; 0 for `started_ns`, which is on the same
             clock.
     """
@@ -77,7 +77,7 @@
     Attributes:
         kind: Kind of the update.
         version: Version of the list.
-        entries: All endpoints, or the changed ones, by `kind`.
+        entries: All endpoints or only the changed ones, depending on `kind`.
     """
 
     kind: ListKind
@@ -97,7 +97,7 @@
         key: Idempotency key; 0 for none.
         cost_ns: Expected work in nanoseconds; 0 while unknown.
         is_retry: True if the client marks it as a retry.
-        is_write: True if it changes anything.
+        is_write: True if it modifies data.
     """
 
     id: int
@@ -120,7 +120,7 @@
         endpoint_number: Number of the endpoint.
         status: Result of the attempt.
         duration_ns: Time from its sending to its end.
-        final: True if the request has its final answer by this attempt, or had it before.
+        final: True if the request has its final answer, from this attempt or an earlier one.
         report: Load report of the response, by column.
     """
 
@@ -135,13 +135,13 @@
 
 @dataclass(slots=True)
 class StreamStarted:
-    """A body has begun to be transferred: a response, which ends the attempt, or (NOT_ATTEMPTED) a request.
+    """The transfer of a body has begun: a response, which ends the attempt, or (NOT_ATTEMPTED) a request.
 
     Attributes:
         id: Number of the request.
         attempt: Number of the attempt, from 0.
         endpoint_number: Number of the endpoint.
-        duration_ns: Time from the sending of the attempt to the begin of the body.
+        duration_ns: Time from the sending of the attempt to the start of the transfer.
         status: Result of the attempt.
         report: Load report of the response, by column.
     """
@@ -156,7 +156,7 @@
 
 @dataclass(slots=True)
 class BodySent:
-    """An endpoint has received a streamed request body completely, and is working on the request from now on.
+    """An endpoint has received a streamed request body completely, and now processes the request.
 
     Attributes:
         id: Number of the request.
@@ -212,15 +212,15 @@
 
 @dataclass(slots=True)
 class MembershipChanged:
-    """The membership of the sidecars, and what several of them observed; see docs/design/view.md.
+    """The membership of the sidecars, and shared observations; see docs/design/view.md.
 
     Attributes:
         live_sidecars: Number of sidecars that carry traffic, or may do so again soon, this one included.
-        ranks: Place of this sidecar among those of its zone, by endpoint, from 0, below 1; no two are equal.
-        max_remote_rank: Rank below which endpoints of other zones are to be sampled.
+        ranks: Rank of this sidecar among those of its zone, by endpoint, from 0, below 1; all are different.
+        max_remote_rank: Upper bound (exclusive) on the rank of endpoints of other zones to sample.
         failing_endpoints: Endpoints that several other sidecars have ejected recently.
-        answering_endpoints: Endpoints that answered several other sidecars after that.
-        typical_latency_ns: Typical latency by class that others report to a sidecar that has just started.
+        answering_endpoints: Endpoints that have since answered several other sidecars.
+        typical_latency_ns: Typical latency by class that others report to a newly started sidecar.
     """
 
     live_sidecars: int
@@ -233,7 +233,7 @@
 
 @dataclass(slots=True)
 class Timer:
-    """The timer of a `SetTimer` action is due.
+    """The timer of a `SetTimer` action has expired.
 
     Attributes:
         token: Token of that action.
@@ -244,11 +244,11 @@
 
 @dataclass(slots=True)
 class SettingsChanged:
-    """Other settings hold from now on.
+    """The settings have changed.
 
     Attributes:
-        settings: Settings with the classes by number; the number of a pending request keeps its class.
-        retired: Numbers of classes that no new request has.
+        settings: New settings; class numbers of pending requests keep their meaning.
+        retired: Numbers of classes that no new request will have.
     """
 
     settings: Settings
--- a/dykefold/balancer/final_answers.py
+++ b/dykefold/balancer/final_answers.py
@@ -1,4 +1,4 @@
-"""The final answer of a request, and the cancelling of its attempts."""
+"""The final answer of a request, and the cancellation of its attempts."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from .context import BalancerContext
 from .requests import IN_FLIGHT, PendingRequest
 
-# Fraction of the remaining time, until the objective or the deadline, that a rejected client should wait.
+# Fraction of the time to the objective or the deadline that a rejected client should wait.
 RETRY_AFTER_FRACTION = 0.5
-# The advice is reduced at random down to this fraction, so that rejected clients do not return together.
+# Jitter reduces the advised time down to this fraction, so that rejected clients do not retry together.
 MIN_RETRY_AFTER_JITTER_FRACTION = 0.5
 NO_ATTEMPT = -1
 
@@ -19,7 +19,7 @@
 
     Args:
         context: State that all parts share.
-        rules: Rules that each rejection follows.
+        rules: Rules that each rejection must satisfy.
 
     Attributes:
         pending: Requests without a final answer, by number.
@@ -31,7 +31,7 @@
         self.pending: dict[int, PendingRequest] = {}
 
     def end(self, request: PendingRequest) -> None:
-        """Give the final answer: a rejection if that does no harm, else a failure."""
+        """Give the final answer: a rejection if that is safe, else a failure."""
         if self.rules.may_reject(request):
             self.context.actions.append(Refuse(request.id, self._retry_after(request)))
         else:
@@ -39,7 +39,7 @@
         self.forget(request)
 
     def _retry_after(self, request: PendingRequest) -> int:
-        """Return the time that a rejected client should wait, nanoseconds; 0 for no advice."""
+        """Return the time in nanoseconds that a rejected client should wait; 0 for no advice."""
         context = self.context
         if not context.settings.retry_after:
             return 0
@@ -56,7 +56,7 @@
         self.cancel_others(request, NO_ATTEMPT)
 
     def cancel_others(self, request: PendingRequest, attempt_number: int) -> None:
-        """Cancel the attempts in flight except for one, where the site allows it."""
+        """Cancel the attempts in flight except one, if the settings allow cancellation."""
         if not self.context.settings.can_cancel:
             return
         for number, attempt in enumerate(request.attempts):
--- a/dykefold/balancer/group_weights.py
+++ b/dykefold/balancer/group_weights.py
@@ -1,4 +1,4 @@
-"""Sampling weights of groups of endpoints, where there are more sidecars than endpoints."""
+"""Sampling weights of endpoint groups, for fleets with more sidecars than endpoints."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 # Weight of a new answer in the smoothed values of a group.
 GROUP_SMOOTHING = 0.1
-# Change of the log weight for each class mean by which an answer is later than the mean.
+# Change of the log weight for each class mean by which an answer is slower than the mean.
 LOG_WEIGHT_STEP_PER_CLASS_MEAN = 0.2
-# Fraction of the log weight that each answer removes, so that noise does not add up.
-LOG_WEIGHT_FADE_FRACTION = 0.01
+# Fraction by which each answer reduces the log weight, so that noise does not accumulate.
+LOG_WEIGHT_DECAY_FRACTION = 0.01
 MAX_EXCESS_CLASS_MEANS = 3.0
-# A group always keeps some requests; otherwise its recovery would not be noticed.
+# Each group always gets some requests; otherwise its recovery would not be detected.
 MAX_LOG_WEIGHT = 3.0
 # Latency objectives that a request to another zone adds, for each unit of its price.
 CROSSING_EXCESS_OBJECTIVES_PER_PRICE = 3.0
 
 
 class GroupWeights:
-    """Learns the sampling weights of the groups from answers.
+    """Adjusts the sampling weights of the groups by the latency of answers.
 
     Args:
         context: State that all parts share.
@@ -36,10 +36,10 @@
         self.mean_latency = 1.0
 
     def learn(self, endpoint: EndpointState, relative: float) -> None:
-        """Increase the weight of groups that answer sooner than the mean, by integral control.
+        """Increase the weight of groups that answer faster than the mean, by integral control.
 
-        Guards against the overload of a slow kind of machine, or of a zone with too few endpoints, within
-        seconds. The steps of one sidecar are noise, but the steps of all sidecars add up.
+        Guards within seconds against the overload of a slow machine type or of a zone with few endpoints.
+        The steps of a single sidecar are noise, but those of all sidecars add up.
 
         Args:
             endpoint: Endpoint that answered.
@@ -56,7 +56,7 @@
             objectives = CROSSING_EXCESS_OBJECTIVES_PER_PRICE * settings.price_cross_zone
             excess += objectives * self._objective_in_means()
         step = LOG_WEIGHT_STEP_PER_CLASS_MEAN * min(max(excess, -1.0), MAX_EXCESS_CLASS_MEANS)
-        log_weight = group.log_weight * (1.0 - LOG_WEIGHT_FADE_FRACTION) - step
+        log_weight = group.log_weight * (1.0 - LOG_WEIGHT_DECAY_FRACTION) - step
         group.log_weight = min(max(log_weight, -MAX_LOG_WEIGHT), MAX_LOG_WEIGHT)
 
     def _objective_in_means(self) -> float:
--- a/dykefold/balancer/hedging.py
+++ b/dykefold/balancer/hedging.py
@@ -1,4 +1,4 @@
-"""Overdue attempts: they count against silent endpoints or as congestion, and may be retried or hedged."""
+"""Overdue attempts: they count as failures or as congestion, and may be retried or hedged."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from .stuck_attempts import StuckAttempts
 from .timers import OVERDUE, TimerQueue
 
-# This bit of the attempt number in a timer marks an attempt that has been overdue before.
+# This bit of the attempt number in a timer marks an attempt that has already been overdue.
 RECHECK_FLAG = 1 << 16
 
 
 class Hedging:
-    """Decides what follows from an attempt whose response is late.
+    """Decides how to react to an attempt whose response is late.
 
     Args:
         context: State that all parts share.
-        timers: Timers, by which an overdue attempt is checked again.
-        learners: Parts that learn from overdue attempts.
+        timers: Timers that schedule the next check of an overdue attempt.
+        learners: Parts that are updated by overdue attempts.
         stuck_attempts: Retries of attempts at ejected endpoints.
     """
 
@@ -39,15 +39,15 @@
         self.stuck_attempts = stuck_attempts
 
     def on_overdue(self, request: PendingRequest, attempt_number: int) -> None:
-        """Count an overdue attempt against a silent endpoint, and retry it if its endpoint is ejected.
+        """Count an overdue attempt as a failure or as congestion, and retry it if its endpoint is ejected.
 
-        Guards against retry storms. At an endpoint that is not ejected, either the work is long, which a
-        retry would not shorten, or all endpoints are slow, which a retry would make worse. A sidecar with
-        little traffic finds nearly every endpoint silent, so silence alone is no reason to retry.
+        Guards against retry storms. If the endpoint is not ejected, either the work takes long, which a retry
+        would not shorten, or all endpoints are slow, which a retry would make worse. To a sidecar with sparse
+        traffic nearly every endpoint is silent, so silence alone is no reason to retry.
 
         Args:
             request: Pending request.
-            attempt_number: Number of the attempt, plus `RECHECK_FLAG` if it has been overdue before.
+            attempt_number: Number of the attempt, plus `RECHECK_FLAG` if it has already been overdue.
         """
         first, attempt_number = attempt_number < RECHECK_FLAG, attempt_number % RECHECK_FLAG
         attempt = request.attempts[attempt_number]
@@ -55,12 +55,12 @@
             return
         sent_ns, endpoint = attempt.sent_ns, attempt.endpoint
         silent = endpoint.last_alive_ns <= sent_ns
-        if first and silent:  # The score is below that of an ejection, because the work may just be long.
+        if first and silent:  # The score is too low for an ejection, because the work may just take long.
             self.outliers.record_failure(endpoint, OVERDUE_SCORE, MAX_EJECTED_ON_SILENCE_FRACTION)
         elif first:
             self._count_late(request, attempt_number)
         elif not silent:
-            self.lost_attempts.write_off(endpoint, (request.id, attempt_number))
+            self.lost_attempts.mark_lost(endpoint, (request.id, attempt_number))
         if endpoint.ejected:
             self.stuck_attempts.retry(request, attempt_number)
         next_check_ns = 2 * self.context.now_ns - sent_ns
--- a/dykefold/balancer/in_flight.py
+++ b/dykefold/balancer/in_flight.py
@@ -1,4 +1,4 @@
-"""Attempts in flight, as the endpoint that they were sent to accounts for them."""
+"""Attempts in flight, as `EndpointState.in_flight` records them."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 class InFlightAttempt:
-    """One attempt that is awaiting its response.
+    """An attempt that awaits its response.
 
     Args:
         sent_ns: Time at which it was sent.
         stats: Statistics of the class of its request.
 
     Attributes:
-        sent_ns: Time at which it was sent, or at which a streamed request body had reached the endpoint.
+        sent_ns: Time at which it was sent, or at which its endpoint had received the streamed request body.
         stats: Statistics of the class of its request.
-        overtaken: Number of responses to attempts that were sent later to the same endpoint.
+        overtaken: Number of responses to attempts that were later sent to the same endpoint.
     """
 
     __slots__ = ("overtaken", "sent_ns", "stats")
--- a/dykefold/balancer/load_reports.py
+++ b/dykefold/balancer/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports of endpoints, and the health checks by which a sidecar that sees little requests them."""
+"""Load reports of endpoints, and the health checks that request them where traffic is sparse."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from .requests import PendingRequest
 from .subsetting import EndpointSet
 
-# Two health checks avoid about half of the late answers; this is the fraction for one of them.
+# Two health checks prevent about half of the late answers; this is the fraction for each of them.
 PROBE_GAIN_FRACTION = 0.25
-# A few round trips; an endpoint that has not answered by then is passed over.
+# A few round trips; an endpoint that has not answered by then is skipped.
 PROBE_WAIT_OBJECTIVES = 0.03
 # Fraction of the remaining time.
 MAX_PROBE_WAIT_FRACTION = 0.25
@@ -25,15 +25,15 @@
 
 
 class LoadReports:
-    """Takes load reports into `EndpointState` and `EndpointGroup`, and requests them where that pays.
+    """Records load reports in `EndpointState` and `EndpointGroup`, and requests them where they are worth it.
 
     Args:
         context: State that all parts share.
         endpoints: Known endpoints, with their groups.
 
     Attributes:
-        column: Column of a report that is the load; None if there is none.
-        waiting: Numbers of the requests that are awaiting a report, by the number of the endpoint.
+        column: Column of a report that contains the load; None if there is none.
+        waiting: Numbers of the requests that await a report, by the number of the endpoint.
     """
 
     def __init__(self, context: BalancerContext, endpoints: EndpointSet) -> None:
@@ -49,7 +49,7 @@
         self.column = next((columns.index(name) for name in LOAD_COLUMNS if name in columns), None)
 
     def record(self, endpoint: EndpointState, report: tuple[float, ...], relative: float = 0.0) -> None:
-        """Take a load report, and the latency per request of the answer that contained it.
+        """Record a load report, and the latency per request of the answer that contained it.
 
         Args:
             endpoint: Endpoint that sent the report.
@@ -73,18 +73,18 @@
             endpoint.latency_per_request = known + ENDPOINT_SMOOTHING * (latency_per_request - known)
 
     def probe_probability(self, stats: ClassStats) -> float:
-        """Return the probability of health checks before a request, by their use and their price."""
+        """Return the probability of health checks before a request, by their benefit and their price."""
         settings = self.context.settings
         if not (settings.can_probe and self.column is not None):
             return 0.0
-        # Latencies are about exponentially distributed.
+        # Latencies are approximately exponentially distributed.
         late = math.exp(-stats.spec.objective_ns / stats.mean_latency_ns)
         return late * PROBE_GAIN_FRACTION / max(settings.price_probe, MIN_PROBE_PRICE)
 
     def probe(self, request: PendingRequest, candidates: list[EndpointState]) -> int:
-        """Request load reports for a request; return the time to wait for them, nanoseconds.
+        """Request load reports for a request; return the time to wait for them in nanoseconds.
 
-        Guards against a choice by old knowledge, since the queue of an endpoint changes within a deadline.
+        Guards against a choice by outdated data, since the queue of an endpoint changes within a deadline.
         """
         now = self.context.now_ns
         request.probed = candidates
@@ -97,5 +97,5 @@
         return int(min(PROBE_WAIT_OBJECTIVES * request.spec.objective_ns, max_wait_ns))
 
     def stop_waiting(self, endpoint_number: int) -> list[int]:
-        """Remove and return the numbers of the requests that are awaiting this endpoint's report."""
+        """Remove and return the numbers of the requests that await this endpoint's report."""
         return self.waiting.pop(endpoint_number, [])
--- a/dykefold/balancer/lost_attempts.py
+++ b/dykefold/balancer/lost_attempts.py
@@ -1,4 +1,4 @@
-"""Lost attempts: whether or not the endpoint did the work, no response is expected."""
+"""Lost attempts: no response is expected, whether or not the endpoint executed them."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 from .endpoints import EndpointState
 from .in_flight import AttemptKey
 
-# As three duplicate acknowledgements show TCP a lost segment (RFC 5681, 3.2).
+# As in TCP, where three duplicate acknowledgements indicate a lost segment (RFC 5681, 3.2).
 MIN_OVERTAKING_ANSWERS = 3
-# An endpoint with two cores answers short work before long work, although nothing is lost.
+# An endpoint with two cores answers short requests before longer earlier ones, although nothing is lost.
 MIN_WAIT_CLASS_MEANS = 2.0
 
 
 class LostAttempts:
-    """Takes attempts whose response is most likely lost out of those in flight.
+    """Removes attempts whose response is most likely lost from those in flight.
 
-    Guards against a network that drops answers. Little's law holds for attempts that are answered; lost ones
-    would fill a falling limit until their deadlines, and all requests would be rejected.
+    Guards against a network that drops answers. Little's law applies to attempts that are answered; lost ones
+    would use up a falling limit until their deadlines, and all requests would be rejected.
 
     Args:
         context: State that all parts share.
@@ -29,10 +29,10 @@
         self.limit = limit
 
     def on_answer(self, endpoint: EndpointState, sent_ns: int) -> None:
-        """Count an answer against the attempts that were sent earlier; after a few answers they are lost.
+        """Count an answer as overtaking the attempts sent earlier; after a few of them, an attempt is lost.
 
         Guards against a network or endpoints that drop some answers and send the others in time. Lost answers
-        must not count as late ones, which would cut the limit. The attempts are not retried for this reason.
+        must not count as late answers, which would cut the limit. Being lost is no reason for a retry.
         """
         now = self.context.now_ns
         overtaken: list[AttemptKey] = []
@@ -45,10 +45,10 @@
             if late and attempt.overtaken >= MIN_OVERTAKING_ANSWERS and key not in endpoint.lost:
                 overtaken.append(key)
         for key in overtaken:
-            self.write_off(endpoint, key)
+            self.mark_lost(endpoint, key)
 
-    def write_off(self, endpoint: EndpointState, attempt: AttemptKey) -> None:
-        """Count an attempt as lost, so that no response is expected any more."""
+    def mark_lost(self, endpoint: EndpointState, attempt: AttemptKey) -> None:
+        """Mark an attempt as lost, so that its response is no longer expected."""
         if attempt not in endpoint.lost:
             endpoint.lost.add(attempt)
             if not endpoint.ejected:
--- a/dykefold/balancer/membership.py
+++ b/dykefold/balancer/membership.py
@@ -9,7 +9,7 @@
 from .poll_schedule import PollSchedule
 from .subsetting import EndpointSet
 
-CHANGES_ONLY = frozenset((ListKind.DELTA, ListKind.LOCAL))
+INCREMENTAL_KINDS = frozenset((ListKind.DELTA, ListKind.LOCAL))
 
 
 class EndpointListUpdater:
@@ -18,8 +18,8 @@
     Args:
         context: State that all parts share.
         endpoints: Known endpoints.
-        limit: Concurrency limit, which follows the number of endpoints.
-        polls: Poll schedule, which follows the kind of each update.
+        limit: Concurrency limit, which is scaled with the number of endpoints.
+        polls: Poll schedule, which depends on the kind of each update.
     """
 
     def __init__(
@@ -35,7 +35,7 @@
         self.polls = polls
 
     def on_list_update(self, event: EndpointListUpdate) -> None:
-        """Apply a complete list, a change, or the failure of a poll."""
+        """Apply a complete list or a change, or handle the failure of a poll."""
         if event.kind is ListKind.FAILED:
             self.polls.on_failure()
             return
@@ -43,7 +43,7 @@
             self.polls.on_cached_list()
         elif event.kind is not ListKind.LOCAL:
             self.polls.on_list()
-        if event.kind not in CHANGES_ONLY:
+        if event.kind not in INCREMENTAL_KINDS:
             self._unlist_absent(event.entries)
         for entry in event.entries:
             self._apply(entry)
@@ -63,7 +63,7 @@
                 endpoint.listed = False
 
     def _apply(self, entry: Endpoint) -> None:
-        """Apply one entry of the list."""
+        """Apply an entry of the list."""
         endpoint = self.endpoints.all.get(entry.number)
         ready = entry.state is State.READY
         if endpoint is None:
--- a/dykefold/balancer/outlier_detection.py
+++ b/dykefold/balancer/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: failing endpoints are ejected for a while, and probed before they are readmitted."""
+"""Outlier detection: failing endpoints are ejected temporarily, and probed before they are readmitted."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 from .settings import Effect
 from .subsetting import EndpointSet
 
-# Consecutive failures without an answer in between.
+# Consecutive failures, without an answer in between.
 EJECTION_SCORE = 2.0
 # An overdue attempt counts as half a failure.
 OVERDUE_SCORE = 0.5
-# An endpoint that rejects this many attempts in a row is draining; the endpoint list says so later.
+# An endpoint that rejects this many consecutive attempts is draining; the endpoint list shows it later.
 MAX_CONSECUTIVE_REJECTIONS = 2
 EJECTION_DEADLINES = 1.0
 EJECTION_GROWTH_FACTOR = 2.0
 MAX_EJECTION_DEADLINES = 8.0
-# The ejection time varies at random in both directions, so that sidecars do not probe an endpoint together.
+# Jitter of the ejection time in both directions, so that sidecars do not probe an endpoint together.
 EJECTION_JITTER_FRACTION = 0.3
-# Fraction of the ready endpoints. If more of them break connections, the cause is likely the own network.
+# Fraction of the ready endpoints. If more of them reset connections, the likely cause is the local network.
 MAX_EJECTED_FRACTION = 0.7
-# The same for missing answers alone: if a third of the endpoints is silent, the cause is load.
+# The same if only answers are missing: if a third of the endpoints is silent, the cause is load.
 MAX_EJECTED_ON_SILENCE_FRACTION = 0.34
 MAX_READMITTED_RELATIVE_LATENCY = 3.0
 
@@ -37,8 +37,8 @@
     Args:
         context: State that all parts share.
         endpoints: Known endpoints, with their failure scores.
-        limit: Concurrency limit, which does not count attempts at ejected endpoints.
-        rules: Rules that a probation probe follows.
+        limit: Concurrency limit, which excludes attempts at ejected endpoints.
+        rules: Rules that a probation probe must satisfy.
         on_ejected: Callback for each ejected endpoint, after the lists of endpoints have been rebuilt.
     """
 
@@ -57,7 +57,7 @@
         self.on_ejected = on_ejected
 
     def record_failure(self, endpoint: EndpointState, score: float, max_ejected: float) -> None:
-        """Count a failure or an overdue attempt, and eject the endpoint by its score.
+        """Record a failure or an overdue attempt, and eject the endpoint if its score is high enough.
 
         Args:
             endpoint: Endpoint of the attempt.
@@ -83,13 +83,13 @@
     def suspect(self, endpoint: EndpointState) -> None:
         """Raise the failure score of an endpoint that other sidecars ejected.
 
-        One own failure is still needed to eject it.
+        This sidecar still has to observe one failure before it ejects the endpoint.
         """
         if not endpoint.ejected:
             endpoint.failure_score = max(endpoint.failure_score, EJECTION_SCORE - 1.0)
 
     def eject(self, endpoint: EndpointState) -> None:
-        """Eject an endpoint for a while, and retry its attempts in flight where that is allowed."""
+        """Eject an endpoint temporarily, and retry its attempts in flight where that is allowed."""
         endpoint.ejected = True
         self.limit.in_flight -= endpoint.expected_responses()
         endpoint.ejections = 0
@@ -113,8 +113,8 @@
     def probation_endpoint(self, request: PendingRequest) -> EndpointState | None:
         """Return an ejected endpoint that is due for a probation probe by this request, or None.
 
-        Where there is a safe class, only its requests are probes. Without one, requests of every class are;
-        otherwise a recovered endpoint would never be readmitted.
+        If there are safe classes, only their requests serve as probes. Otherwise requests of any class do,
+        because a recovered endpoint would never be readmitted without probes.
         """
         if request.attempts or (self.context.has_safe_class and request.spec.effect is not Effect.SAFE):
             return None
--- a/dykefold/balancer/picker.py
+++ b/dykefold/balancer/picker.py
@@ -1,4 +1,4 @@
-"""Choice of an endpoint: the one with the lower expected delay of two that are sampled."""
+"""Choice of an endpoint: the one with the lowest expected delay among a few sampled endpoints."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 # The power of two choices.
 CANDIDATES = 2
-# Latency objectives of delay that a request to another zone adds, for each unit of its price.
+# Delay, in latency objectives, that is added to a request to another zone for each unit of its price.
 CROSSING_DELAY_OBJECTIVES_PER_PRICE = 4.0
 
 
@@ -34,10 +34,10 @@
 
     Args:
         context: State that all parts share.
-        endpoints: Endpoints to sample from.
-        latency: Latency estimates, for expected delays.
-        rules: Rules that each attempt follows.
-        outliers: Outlier detection, for probation probes.
+        endpoints: Known endpoints, with the lists to sample from.
+        latency: Latency estimates, for the expected delay.
+        rules: Rules that each attempt must satisfy.
+        outliers: Outlier detection, which chooses endpoints for probation probes.
     """
 
     def __init__(
@@ -74,7 +74,7 @@
             best = self._best(request, ())
         if best is not None:
             return best
-        for endpoint in ejected:  # Without any other endpoint, an ejected one may have recovered.
+        for endpoint in ejected:  # There is no other endpoint, and an ejected one may have recovered.
             if not endpoint.probation_pending and self.rules.may_send(request, endpoint):
                 return endpoint
         return None
@@ -93,21 +93,25 @@
     def candidates(
         self, request: PendingRequest, tried: Container[EndpointState]
     ) -> list[tuple[EndpointState, float]]:
-        """Sample endpoints, each with the delay that stands for the price of crossing zones, nanoseconds."""
+        """Sample endpoints, each with the price of crossing zones expressed as a delay in nanoseconds."""
         endpoints = self.endpoints
-        if endpoints.sees_little:
-            return [(endpoint, 0.0) for endpoint in self._two_by_weight(request, tried)]
-        pairs = [(endpoint, 0.0) for endpoint in self._two(endpoints.near, request, tried)]
+        if endpoints.has_sparse_traffic:
+            return [(endpoint, 0.0) for endpoint in self._sample_weighted_pair(request, tried)]
+        pairs = [(endpoint, 0.0) for endpoint in self._sample_pair(endpoints.near, request, tried)]
         if endpoints.far:
             crossing_ns = self.crossing_objectives * request.spec.objective_ns
-            pairs += [(endpoint, crossing_ns) for endpoint in self._two(endpoints.far, request, tried)]
-        return pairs or [(endpoint, 0.0) for endpoint in self._two(endpoints.rest, request, tried)]
+            pairs += [
+                (endpoint, crossing_ns) for endpoint in self._sample_pair(endpoints.far, request, tried)
+            ]
+        return pairs or [(endpoint, 0.0) for endpoint in self._sample_pair(endpoints.rest, request, tried)]
 
-    def _two_by_weight(self, request: PendingRequest, tried: Container[EndpointState]) -> list[EndpointState]:
-        """Sample two endpoints of the subset by the weights of their groups, the price of crossing included.
+    def _sample_weighted_pair(
+        self, request: PendingRequest, tried: Container[EndpointState]
+    ) -> list[EndpointState]:
+        """Sample two endpoints of the subset by the weights of their groups, crossing price included.
 
-        A sidecar that sees little has too few answers of each endpoint to notice an overloaded zone or kind
-        of machine, so it learns about groups of endpoints.
+        With sparse traffic there are too few answers of each endpoint to detect an overloaded zone or machine
+        type, so weights are learned for groups of endpoints.
         """
         endpoints, may_send = self.endpoints, self.rules.may_send
         eligible = [
@@ -117,19 +121,17 @@
             eligible = [one for one in endpoints.rest if one not in tried and may_send(request, one)]
         if len(eligible) <= CANDIDATES:
             return eligible
-        own, represented = self.context.settings.zone, endpoints.represented
-        weights = [
-            math.exp(endpoints.group(one).log_weight) * represented[one.zone != own] for one in eligible
-        ]
+        local, ratios = self.context.settings.zone, endpoints.ready_per_sampled
+        weights = [math.exp(endpoints.group(one).log_weight) * ratios[one.zone != local] for one in eligible]
         choices = self.context.random.choices
         first = choices(range(len(eligible)), weights)[0]
         weights[first] = 0.0
         return [eligible[first], eligible[choices(range(len(eligible)), weights)[0]]]
 
-    def _two(
+    def _sample_pair(
         self, group: list[EndpointState], request: PendingRequest, tried: Container[EndpointState]
     ) -> list[EndpointState]:
-        """Sample up to two different endpoints of the list that may get this request now."""
+        """Sample up to two different endpoints of a list to which this request may be sent now."""
         found: list[EndpointState] = []
         size = len(group)
         if not size:
@@ -138,7 +140,7 @@
         start = random_below(source, size)
         step = 1 + random_below(source, size - 1) if size > CANDIDATES else 1
         for turn in range(size + 1):
-            # The first two are a uniform pair; the others are tried in order to replace those not allowed.
+            # The first two are a uniform random pair; the others, in order, replace any that is not allowed.
             endpoint = group[(start + (turn * step if turn < CANDIDATES else turn - 1)) % size]
             if endpoint in found or endpoint in tried or not may_send(request, endpoint):
                 continue
--- a/dykefold/balancer/poll_schedule.py
+++ b/dykefold/balancer/poll_schedule.py
@@ -1,4 +1,4 @@
-"""The poll schedule of discovery: at the start, and with backoff while the watch of the list fails."""
+"""Poll schedule of discovery: at the start, and with backoff while the watch of the list fails."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 from .timers import POLL, TimerQueue
 
 # Fractions are of `Settings.max_poll_interval_ns`.
-# The first poll is spread over this time; the first retry of a poll is too.
+# The first poll is delayed at random by up to this time; so is the first retry of a poll.
 BACKOFF_BASE_FRACTION = 0.05
 # Two polls fit into the interval.
 MAX_BACKOFF_FRACTION = 0.4
-# Smallest fraction of a backoff after jitter; it spares a registry that fails.
+# Minimum fraction of a backoff after jitter; it limits the load on a failing registry.
 MIN_JITTER_FRACTION = 0.1
-# After a failure, a sidecar counts as notified of a change 6 s later, whatever the poll interval is.
+# After a failure, a sidecar is expected to know of a change within 6 s, whatever the poll interval is.
 MAX_DELAY_S = 1.5
 
 
 class PollSchedule:
-    """Schedules polls; it does nothing where discovery need not be polled.
+    """Schedules polls; it does nothing if discovery need not be polled.
 
     Args:
         context: State that all parts share.
-        timers: Timers, by which polls are sent.
+        timers: Timers that trigger polls.
 
     Attributes:
         failures: Number of consecutive failures.
@@ -36,7 +36,7 @@
         self.watching = False
 
     def on_cached_list(self) -> None:
-        """Poll soon after a start, spread over time so that restarted sidecars do not poll at once."""
+        """Poll soon after a start, at a random time so that restarted sidecars do not poll simultaneously."""
         settings = self.context.settings
         if settings.poll_required:
             spread = settings.max_poll_interval_ns * BACKOFF_BASE_FRACTION
@@ -49,7 +49,7 @@
         self.failures = 0
 
     def on_failure(self) -> None:
-        """Poll after a backoff, because a poll failed or the watch broke."""
+        """Poll after a backoff, because a poll or the watch failed."""
         self.watching = False
         settings = self.context.settings
         if not settings.poll_required:
--- a/dykefold/balancer/quotas.py
+++ b/dykefold/balancer/quotas.py
@@ -1,4 +1,4 @@
-"""Quotas of tenants: requests of a tenant beyond its quota are shed first."""
+"""Quotas of tenants: requests over the quota of their tenant are shed first."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from .context import SECOND_NS, BalancerContext
 from .events import PeerMessage
 
-# Bursts rise within seconds.
+# Bursts develop within seconds.
 CHECK_INTERVAL_DEADLINES = 0.5
 # Weight of the latest interval in the smoothed rates.
 RATE_SMOOTHING = 0.5
-# Without messages of all peers, a tenant is within its quota up to this factor on the median tenant's use.
+# Without messages of all peers, a tenant may exceed the quota use of the median tenant by this factor.
 TYPICAL_USE_FACTOR = 1.3
-# A peer's message counts for this many check intervals.
+# Number of check intervals for which a peer's message is used.
 PEER_TIMEOUT_INTERVALS = 6.0
 # Resolution of the rates in a message to peers.
 STEPS_PER_REQUEST_PER_S = 64
@@ -22,7 +22,7 @@
 
 
 class Quotas:
-    """Counts first attempts by tenant, of this sidecar and of its peers.
+    """Counts first attempts by tenant, at this sidecar and at its peers.
 
     Args:
         context: State that all parts share.
@@ -31,7 +31,7 @@
         over_quota: Fraction of its traffic that is over its quota, by tenant; empty until the first check.
         counts: First attempts since the latest check, by tenant.
         rates: Smoothed first attempts per second, by tenant.
-        peer_rates: Time of the latest message and the rates in it, by peer.
+        peer_rates: Time of the latest message, and the rates in it, by peer.
         message: Format of a message to peers, with the rates by tenant.
         checked_ns: Time of the latest check.
     """
@@ -51,14 +51,14 @@
         self.message = struct.Struct(f"<{tenants}I")
 
     def count_request(self, tenant: int) -> None:
-        """Count a first attempt; at intervals, compare the rates of all tenants with their quotas."""
+        """Count a first attempt, and periodically compare the rates of all tenants with their quotas."""
         self.counts[tenant] += 1.0
         context = self.context
         elapsed = context.now_ns - self.checked_ns
         if elapsed < CHECK_INTERVAL_DEADLINES * context.shortest_ns:
             return
         previous_ns, self.checked_ns = self.checked_ns, context.now_ns
-        if previous_ns:  # The beginning of the first interval is unknown.
+        if previous_ns:  # The start of the first interval is unknown.
             for number, count in enumerate(self.counts):
                 rate = count * SECOND_NS / elapsed
                 self.rates[number] += RATE_SMOOTHING * (rate - self.rates[number])
@@ -81,11 +81,11 @@
         oldest_ns = self.context.now_ns - timeout_ns
         peers = [rates for received_ns, rates in self.peer_rates.values() if received_ns >= oldest_ns]
         if len(peers) + 1 >= self.context.sidecar_count():
-            # The rates of all sidecars are known, so the quotas hold as stated.
+            # The rates of all sidecars are known, so the full quotas apply.
             quota_fraction = 1.0
             total_rates = [sum(rates) for rates in zip(self.rates, *peers, strict=True)]
         else:
-            # Only the own traffic is known, so the median tenant gives the own fraction of each quota.
+            # Only this sidecar's traffic is known; the median tenant determines its fraction of each quota.
             total_rates = self.rates
             pairs = zip(total_rates, tenants, strict=True)
             used = sorted(rate / tenant.quota_per_s for rate, tenant in pairs if tenant.quota_per_s > 0.0)
--- a/dykefold/balancer/request_value.py
+++ b/dykefold/balancer/request_value.py
@@ -1,4 +1,4 @@
-"""The fraction of its priority weight that a request is still expected to have."""
+"""The fraction of its priority weight that the answer to a request is still expected to have."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from .events import Request
 from .requests import PendingRequest
 
-# Votes by which the timeout of first attempts must lead before ages are derived from it.
+# Minimum lead in votes of the timeout of first attempts before ages are derived from it.
 MIN_DECIDING_VOTES = 5
-# Limits the votes, so that a changed timeout is learnt after as many requests.
+# Maximum lead, so that a changed timeout is learned after this many requests.
 MAX_VOTES = 20
 # With this many typical latencies left, an answer in time is certain.
 CERTAIN_TYPICAL_LATENCIES = 1.5
 # With this many typical latencies left or fewer, no answer in time is expected.
 HOPELESS_TYPICAL_LATENCIES = 0.5
-# Fraction of the limit that stays open to work that comes too late; it is done where there is capacity.
+# Fraction of the limit that requests may use that are expected to be late; spare capacity serves them.
 MIN_VALUE_FRACTION = 0.2
 
 
@@ -36,11 +36,11 @@
     def __init__(self, context: BalancerContext) -> None:
         self.context = context
 
-    def of(self, event: Request, request: PendingRequest) -> float:
-        """Return the fraction of its priority weight that a request is expected to have, and set its age.
+    def estimate(self, event: Request, request: PendingRequest) -> float:
+        """Return the fraction of its priority weight that a request is expected to yield, and set its age.
 
         Objective and deadline of a class are counted from the client's first attempt, and the timeout of a
-        client's retry ends at that deadline, so a short timeout shows the age. Guards against overload in
+        client's retry ends at that deadline, so a short timeout reveals the age. Guards against overload in
         which most of the admitted requests are answered too late.
         """
         spec, stats = request.spec, request.stats
@@ -54,7 +54,7 @@
             request.age_ns = spec.deadline_ns - remaining_ns
             in_time = _success_probability(spec.objective_ns - request.age_ns, typical)
         elif event.is_retry and spec.deadline_ns > first:
-            # Its timeout is not shorter, so its age may be anything up to the difference.
+            # Its timeout is not shorter, so its age is unknown, up to the difference.
             in_time = min(max(spec.objective_ns - typical, 0.0) / (spec.deadline_ns - first), 1.0)
         else:
             in_time = 1.0
@@ -62,10 +62,10 @@
         return max(weight_fraction * _success_probability(remaining_ns, typical), MIN_VALUE_FRACTION)
 
     def _vote(self, stats: ClassStats, remaining_ns: int) -> None:
-        """Learn the timeout of first attempts as the one of the majority (Boyer and Moore, 1981).
+        """Learn the timeout of first attempts by majority vote (Boyer and Moore, 1981).
 
-        Guards against clients that do not mark their retries and wait longer for them. By the longest
-        timeout, all first attempts would seem old and be rejected.
+        Guards against clients that do not mark their retries and give them longer timeouts. If the longest
+        timeout were learned, all first attempts would seem old and would be rejected.
         """
         if abs(remaining_ns - stats.first_timeout_ns) <= 2 * self.context.settings.tick_ns:
             stats.first_timeout_votes = min(stats.first_timeout_votes + 1, MAX_VOTES)
--- a/dykefold/balancer/requests.py
+++ b/dykefold/balancer/requests.py
@@ -9,20 +9,20 @@
 from .endpoints import EndpointState
 from .events import Request
 
-# Fraction of the time until the deadline. A request that no endpoint has got by then is rejected, so that a
-# retry of its client can still succeed.
+# Fraction of the time to the deadline. A request that has not reached an endpoint by then is rejected, so
+# that a retry of its client can still succeed.
 MAX_UNSENT_FRACTION = 0.45
 
 
 class AttemptState(Enum):
-    """What is known of an attempt."""
+    """State of an attempt."""
 
     IN_FLIGHT = 0
-    NEVER_RAN = 1  # It is proven that no endpoint worked on it.
+    NEVER_RAN = 1  # It is certain that no endpoint executed it.
     MAY_HAVE_RUN = 2
 
 
-# Reading a name of the module takes a tenth of the time of an enum's member, which counts for every request.
+# Reading a module name takes a tenth of the time of an enum member, which matters for every request.
 IN_FLIGHT = AttemptState.IN_FLIGHT
 NEVER_RAN = AttemptState.NEVER_RAN
 MAY_HAVE_RUN = AttemptState.MAY_HAVE_RUN
@@ -30,12 +30,12 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt, as its request accounts for it.
+    """An attempt, as `PendingRequest.attempts` records it.
 
     Attributes:
         endpoint: Endpoint to which it was sent.
         sent_ns: Time at which it was sent.
-        state: Whether it is in flight, and whether it may have run after its end.
+        state: Whether it is in flight and, once it has ended, whether it may have run.
     """
 
     endpoint: EndpointState
@@ -44,7 +44,7 @@
 
 
 class PendingRequest:
-    """A request without a final answer, by the settings under which it was accepted.
+    """A request without a final answer, with the settings under which it was accepted.
 
     Args:
         request: Event of the request.
@@ -55,19 +55,19 @@
     Attributes:
         id: Number of the request.
         stats: Statistics of its class.
-        spec: Its class by the settings.
+        spec: Settings of its class.
         max_attempts: Number of attempts that it may have.
         tenant: Number of its tenant.
         deadline_ns: Time at which its client gives up.
-        send_by_ns: Time at which it is rejected unless it has reached an endpoint.
-        written: True once an attempt has reached an endpoint.
-        age_ns: Time since the client's first attempt, as far as it is known.
+        send_by_ns: Time at which it is rejected if it has not reached an endpoint.
+        reached_endpoint: True once an attempt has reached an endpoint.
+        age_ns: Time since the client's first attempt; 0 while unknown.
         attempts: Attempts by number.
         retries: Number of backoff delays so far.
-        retry_paid: True once the next retry has been taken from the retry budget.
-        retry_planned: True while a retry is awaiting its timer.
-        streaming: True once a body is transferred; no attempt may be sent after that.
-        probed: Endpoints whose load reports it is awaiting.
+        retry_paid: True once the next retry has been charged to the retry budget.
+        retry_planned: True while a retry awaits its timer.
+        streaming: True once the transfer of a body has begun; no further attempt may be sent.
+        probed: Endpoints whose load reports it awaits.
         probed_ns: Time at which these load reports were requested.
     """
 
@@ -79,6 +79,7 @@
         "max_attempts",
         "probed",
         "probed_ns",
+        "reached_endpoint",
         "retries",
         "retry_paid",
         "retry_planned",
@@ -87,7 +88,6 @@
         "stats",
         "streaming",
         "tenant",
-        "written",
     )
 
     def __init__(self, request: Request, stats: ClassStats, max_attempts: int, now_ns: int) -> None:
@@ -98,7 +98,7 @@
         self.spec = stats.spec
         self.deadline_ns = request.deadline_ns
         self.send_by_ns = now_ns + int(MAX_UNSENT_FRACTION * (self.deadline_ns - now_ns))
-        self.written = False
+        self.reached_endpoint = False
         self.age_ns = 0
         self.attempts: list[Attempt] = []
         self.retries = 0
@@ -109,9 +109,9 @@
         self.probed_ns = 0
 
     def any_in_flight(self) -> bool:
-        """Return whether an attempt may still be answered."""
+        """Return whether an attempt is still in flight."""
         return any(attempt.state is IN_FLIGHT for attempt in self.attempts)
 
     def never_ran(self) -> bool:
-        """Return whether each attempt is proven not to have run; one in flight may have."""
+        """Return whether it is certain that no attempt ran; an attempt in flight may have run."""
         return all(attempt.state is NEVER_RAN for attempt in self.attempts)
--- a/dykefold/balancer/settings.py
+++ b/dykefold/balancer/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a balancer: request classes, tenants, and the capabilities and prices of the site.
+"""Settings of a balancer: request classes, tenants, capabilities and prices.
 
 Durations are integer nanoseconds. Class, tenant, zone and kind are positions in the lists of `Settings`.
 """
@@ -18,7 +18,7 @@
 
 
 class Scope(IntEnum):
-    """Which endpoints drop a repeated idempotency key."""
+    """Which endpoints deduplicate requests with the same idempotency key."""
 
     ALL = 0
     ZONE = 1
@@ -34,11 +34,11 @@
         objective_ns: Latency objective, counted from the client's first attempt.
         deadline_ns: Time that a client waits, counted from its first attempt.
         priority_weight: Weight of an answer within the objective.
-        late_weight_fraction: Fraction of that weight that a later answer still has.
+        late_weight_fraction: Fraction of `priority_weight` that a later answer still has.
         effect: How often a request of the class may run.
-        scope: Endpoints that drop a repeated idempotency key.
-        window_ns: Time for which they know a key.
-        stream: True if responses may take long to be transferred.
+        scope: Endpoints that deduplicate requests with the same idempotency key.
+        window_ns: Time for which these endpoints remember a key.
+        stream: True if the transfer of responses may take long.
     """
 
     name: str
@@ -58,8 +58,8 @@
 
     Attributes:
         name: Unique name.
-        share: Fraction of the whole, as the site states it.
-        quota_per_s: First attempts per second over all sidecars together; 0 for no quota.
+        share: Configured fraction of the total.
+        quota_per_s: First attempts per second at all sidecars together; 0 for no quota.
     """
 
     name: str
@@ -74,34 +74,34 @@
     Attributes:
         classes: Request classes, by number.
         zones: Names of zones, by number.
-        zone: Number of the own zone.
+        zone: Number of the local zone, which is the one of this sidecar.
         tenants: Tenants, by number.
-        over_quota_weight_fraction: Fraction of its priority weight that a request over quota has.
-        weight_per_work: True if priority weights apply to each unit of work rather than to each request.
+        over_quota_weight_fraction: Fraction of its priority weight that a request over quota retains.
+        weight_per_work: True if priority weights are per unit of work rather than per request.
         index: Number of this sidecar.
-        fleet_size: Number of sidecars; it counts where there is no membership.
+        fleet_size: Number of sidecars; it is used if there is no membership.
         tick_ns: Resolution of the caller's time.
         poll_required: True if discovery answers only when polled.
-        max_poll_interval_ns: Longest time allowed between two polls of a sidecar.
+        max_poll_interval_ns: Maximum time between two polls of a sidecar.
         drain_grace_ns: Grace period in which a draining endpoint may still get requests.
-        answer_slack_ns: Time after a deadline in which an answer still counts.
-        start_capacity: Fraction of its capacity that an endpoint has when it starts.
-        warm_within_ns: Time from its start until it has all of its capacity.
-        overload_factor: Load, in capacities, that is fatal to an endpoint that is warming up.
-        overload_for_ns: Time for which that load has to last.
+        answer_slack_ns: Time after a deadline during which an answer still counts.
+        start_capacity: Fraction of its full capacity that an endpoint has when it starts.
+        warm_within_ns: Time from its start until it has its full capacity.
+        overload_factor: Load, as a multiple of its capacity, that is fatal to an endpoint that is warming up.
+        overload_for_ns: Time for which that load has to last to be fatal.
         max_attempts: Number of attempts that a request may have.
         can_hedge: True if hedged requests are allowed.
         can_cancel: True if attempts can be cancelled.
         can_probe: True if health checks can be sent.
         can_message_peers: True if messages to peers can be sent.
-        retry_after: True if a rejection may carry advice when to retry.
-        max_retry_after_ns: Longest time that such advice may name.
-        connect_timeout_ns: Time limit of a connection attempt; 0 for none.
+        retry_after: True if a rejection may advise the client when to retry.
+        max_retry_after_ns: Maximum of that time.
+        connect_timeout_ns: Timeout of a connection attempt; 0 for none.
         report_columns: Names of the columns of load reports.
-        weighted: True if listed weights mean anything.
+        weighted: True if the weights in the endpoint list are valid.
         goal_worst_class: Weight of the worst-served class in the goal of the service.
         price_cross_zone: Price of a request to another zone, relative to the priority weight of one request.
-        price_waste: Price of work that is done for nothing.
+        price_waste: Price of work whose result is not used.
         price_probe: Price of a health check.
         price_peer: Price of a message to a peer.
     """
--- a/dykefold/balancer/subsetting.py
+++ b/dykefold/balancer/subsetting.py
@@ -1,4 +1,4 @@
-"""The known endpoints, and the subset of them that this sidecar samples from."""
+"""All known endpoints, and the subset of them that this sidecar samples."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 from .endpoints import EndpointGroup, EndpointState
 from .throughput import Throughput
 
-# A pick of two needs two endpoints of each side (own zone, other zones).
+# The power of two choices needs two endpoints, both in the local zone and in other zones.
 MIN_SUBSET_SIZE = 2
-# The subset has as many endpoints as requests arrive in this time, so that each answers about once in it.
+# The subset has as many endpoints as requests arrive in this time; each then answers about once in it.
 SUBSET_INTERVAL_DEADLINES = 1.0
-# An endpoint's load must not depend on one or two sidecars of other zones.
+# An endpoint's load must not depend on only one or two sidecars of other zones.
 REMOTE_SIDECARS_PER_ENDPOINT = 5
-# Fraction of a subset that is in other zones. Each endpoint costs a connection, and most requests stay local.
+# Fraction of a subset in other zones. Each endpoint costs a connection, and most requests stay local.
 REMOTE_SUBSET_FRACTION = 0.25
-# With this many endpoints per sidecar, a sidecar begins to sample only a part of its own zone.
+# From this many endpoints per sidecar on, a sidecar samples only a part of its local zone.
 LOCAL_SUBSET_START_RATIO = 4.0
-# With fewer endpoints per sidecar, it samples the whole zone again.
+# With fewer endpoints per sidecar, it again samples all endpoints of the local zone.
 LOCAL_SUBSET_STOP_RATIO = 3.0
-# About this many sidecars sample each endpoint of the own zone; loads of endpoints then differ by a third.
+# About this many sidecars sample each endpoint of their zone; the loads of endpoints then differ by a third.
 LOCAL_SIDECARS_PER_ENDPOINT = 10.0
-# A local subset has at least this many endpoints for each own request in flight, so most of them are idle.
+# A local subset has at least this many endpoints for each request in flight, so most of them are idle.
 LOCAL_ENDPOINTS_PER_REQUEST_IN_FLIGHT = 4.0
-# The local subset changes its size only by large steps, because each change costs connections.
+# The local subset changes its size only in large steps, because each change costs connections.
 MIN_LOCAL_GROWTH_FACTOR = 1.5
 MAX_LOCAL_SHRINK_FACTOR = 0.5
 DEMAND_INTERVAL_DEADLINES = 5.0
@@ -35,28 +35,31 @@
 
 
 class EndpointSet:
-    """All known endpoints, and the lists to sample from.
+    """All known endpoints, and the lists that are sampled.
+
+    The local zone is the zone of this sidecar.
 
     Args:
         context: State that all parts share.
-        throughput: Rate of the own answers, which follows the number of ready endpoints.
+        throughput: Rate of answers, which is notified of the number of ready endpoints.
 
     Attributes:
         all: Known endpoints by number.
-        near: Endpoints of the subset in the own zone; none is ejected.
-        far: Endpoints of the subset in other zones; none is ejected.
-        rest: Ready endpoints outside of the subset.
+        near: Endpoints of the subset in the local zone, except ejected ones.
+        far: Endpoints of the subset in other zones, except ejected ones.
+        rest: Ready endpoints that are neither in the subset nor ejected.
         ejected: Ready endpoints that outlier detection has ejected.
-        ready_count: Number of endpoints that the list gives as ready.
-        oldest_start_ns: Earliest begin of a slow start of ready endpoints that are not ejected; 0 if one of
-            them has not started recently, or there is none.
-        crowded: True if there are more sidecars than endpoints.
-        sees_little: True if it is crowded and the own requests in a deadline are fewer than the endpoints.
-        subset_size: Number of endpoints to sample of each side (own zone, other zones), by the demand.
-        local_size: Number of endpoints of the own zone to sample; 0 for all of them.
-        represented: Ready endpoints for each sampled one, of the own zone and of others.
-        groups: Groups by the kind of machine and by whether they are in other zones.
-        demand: Rate of the own requests per second at `demand_ns`.
+        ready_count: Number of endpoints that are ready according to the endpoint list.
+        oldest_start_ns: Earliest time at which slow start began of a ready endpoint that is not ejected; 0 if
+            one of them has not started recently, or there is none.
+        sidecars_exceed_endpoints: True if there are more sidecars than ready endpoints.
+        has_sparse_traffic: True if `sidecars_exceed_endpoints`, and fewer requests than there are ready
+            endpoints arrive in a deadline.
+        subset_size: Number of endpoints to sample, by demand, in the local zone and as many in other zones.
+        local_size: Number of endpoints of the local zone to sample; 0 for all of them.
+        ready_per_sampled: Ratio of ready to sampled endpoints, in the local zone and in other zones.
+        groups: Groups by machine type and by whether they are in other zones.
+        demand: Rate of this sidecar's requests per second at `demand_ns`.
         demand_ns: Time of the latest request.
         first_request_ns: Time of the first request; 0 before.
     """
@@ -71,23 +74,23 @@
         self.ejected: list[EndpointState] = []
         self.ready_count = 0
         self.oldest_start_ns = 0
-        self.crowded = True
-        self.sees_little = True
+        self.sidecars_exceed_endpoints = True
+        self.has_sparse_traffic = True
         self.subset_size = 0
         self.local_size = 0
-        self.represented = [1.0, 1.0]
+        self.ready_per_sampled = [1.0, 1.0]
         self.groups: defaultdict[tuple[int, bool], EndpointGroup] = defaultdict(EndpointGroup)
         self.demand = 0.0
         self.demand_ns = 0
         self.first_request_ns = 0
 
     def group(self, endpoint: EndpointState) -> EndpointGroup:
-        """Return the group of an endpoint, which is created if the endpoint is the first one in it."""
+        """Return the group of an endpoint; it is created for its first endpoint."""
         return self.groups[endpoint.kind, endpoint.zone != self.context.settings.zone]
 
     def rebuild(self) -> None:
-        """Rebuild the lists to sample from, after an endpoint has changed its state."""
-        for endpoint in [one for one in self.all.values() if not one.listed and not one.in_flight]:
+        """Rebuild the lists that are sampled, after the state of an endpoint has changed."""
+        for endpoint in [known for known in self.all.values() if not known.listed and not known.in_flight]:
             del self.all[endpoint.id]
         ready = [endpoint for endpoint in self.all.values() if endpoint.ready and endpoint.listed]
         self.ready_count = len(ready)
@@ -95,24 +98,24 @@
         self.ejected = [endpoint for endpoint in ready if endpoint.ejected]
         starts = (one.slow_start_began_ns if one.started_ns else 0 for one in ready if not one.ejected)
         self.oldest_start_ns = min(starts, default=0)
-        own_zone = self.context.settings.zone
-        near = [endpoint for endpoint in ready if endpoint.zone == own_zone and not endpoint.ejected]
-        far = [endpoint for endpoint in ready if endpoint.zone != own_zone and not endpoint.ejected]
+        local_zone = self.context.settings.zone
+        near = [endpoint for endpoint in ready if endpoint.zone == local_zone and not endpoint.ejected]
+        far = [endpoint for endpoint in ready if endpoint.zone != local_zone and not endpoint.ejected]
         self.subset_size = self._wanted_size()
-        # With fewer sidecars than endpoints, the own requests are a large part of an endpoint's load.
-        self.crowded = self.ready_count < self.context.sidecar_count()
-        self.sees_little = self.crowded and self.subset_size < self.ready_count
+        # With fewer sidecars than endpoints, this sidecar's requests are a large part of an endpoint's load.
+        self.sidecars_exceed_endpoints = self.ready_count < self.context.sidecar_count()
+        self.has_sparse_traffic = self.sidecars_exceed_endpoints and self.subset_size < self.ready_count
         self.local_size = self._wanted_local_size(len(near))
         self._split(near, far)
         for endpoint in ready:
             endpoint.sampled = True
         for endpoint in self.rest:
             endpoint.sampled = False
-        self.represented = [len(near) / max(len(self.near), 1), len(far) / max(len(self.far), 1)]
+        self.ready_per_sampled = [len(near) / max(len(self.near), 1), len(far) / max(len(self.far), 1)]
 
     def _split(self, near: list[EndpointState], far: list[EndpointState]) -> None:
         """Choose the subset by rank, so that it stays the same while its endpoints are ready."""
-        if self.sees_little:
+        if self.has_sparse_traffic:
             near.sort(key=by_rank)
             far.sort(key=by_rank)
             near_size = far_size = self.subset_size
@@ -136,11 +139,10 @@
         return math.ceil(REMOTE_SIDECARS_PER_ENDPOINT * len(far) / self.context.sidecar_count())
 
     def _wanted_local_size(self, near_count: int) -> int:
-        """Return the number of endpoints of the own zone to sample; 0 for all of them.
+        """Return the number of endpoints of the local zone to sample; 0 for all of them.
 
-        Guards against a new connection for nearly each request, where a sidecar would return to an endpoint
-        only after its idle connection has been closed. All sidecars together still sample each endpoint
-        several times.
+        Guards against a new connection for nearly every request, if a sidecar returned to an endpoint only
+        after the idle timeout of its connection. Each endpoint is still sampled by several sidecars.
         """
         sidecars = max(self.context.sidecar_count(), 1)
         min_ratio = LOCAL_SUBSET_STOP_RATIO if self.local_size else LOCAL_SUBSET_START_RATIO
@@ -156,7 +158,7 @@
         return wanted if wanted < near_count else 0
 
     def _wanted_size(self) -> int:
-        """Return the number of endpoints to sample of a side, so that each answers about once in a deadline.
+        """Return the number of endpoints to sample, so that each answers about once in a deadline.
 
         Guards against hundreds of sidecars that each send to an endpoint once in half a minute, and so do not
         learn which endpoints are slow, overloaded or hung.
@@ -164,13 +166,13 @@
         requests = self.demand * SUBSET_INTERVAL_DEADLINES * self.context.shortest_ns / SECOND_NS
         return max(MIN_SUBSET_SIZE, int(requests))
 
-    def all_warm_up(self) -> bool:
+    def all_warming_up(self) -> bool:
         """Return whether every ready endpoint that is not ejected is warming up."""
         context, start = self.context, self.oldest_start_ns
         return bool(start) and context.now_ns - start < context.settings.warm_within_ns
 
     def count_request(self) -> None:
-        """Take one request into the demand, and rebuild the lists if the size of the subset changes."""
+        """Add a request to the demand, and rebuild the lists if the size of the subset changes."""
         context = self.context
         now, shortest = context.now_ns, context.shortest_ns
         if not self.first_request_ns:
--- a/dykefold/balancer/throughput.py
+++ b/dykefold/balancer/throughput.py
@@ -1,24 +1,24 @@
-"""The rate of the own answers, and the speed at which estimates age by it."""
+"""The rate of answers, and the half-life of estimates that follows from it."""
 
 from __future__ import annotations
 
 from .context import SECOND_NS, BalancerContext
 
-# An estimate of an endpoint halves its distance to the mean in the time of this many answers of it.
+# Half-life of an endpoint's estimate, in mean intervals between its answers.
 HALF_LIFE_ANSWER_INTERVALS = 20.0
 
 
 class Throughput:
-    """Rate of the answers that this sidecar gets.
+    """Rate of the answers that this sidecar receives.
 
     Args:
         context: State that all parts share.
 
     Attributes:
         answers_per_s: Answers per second, smoothed over the overload interval of the settings.
-        local_answers_per_s: The same for answers of endpoints of the own zone.
+        local_answers_per_s: The same for endpoints of the local zone.
         updated_ns: Time of the latest answer.
-        half_life_ns: Time in which a latency estimate halves its distance to the mean.
+        half_life_ns: Time in which the distance of a latency estimate to the mean halves.
     """
 
     def __init__(self, context: BalancerContext) -> None:
@@ -29,11 +29,11 @@
         self.half_life_ns = 1.0
 
     def count_answer(self, ready_count: int, *, local: bool) -> None:
-        """Take one answer into the rates.
+        """Add an answer to the rates.
 
         Args:
             ready_count: Number of ready endpoints.
-            local: True if the endpoint is of the own zone.
+            local: True if the endpoint is in the local zone.
         """
         now = self.context.now_ns
         interval_ns = self.context.settings.overload_for_ns
--- a/dykefold/balancer/timers.py
+++ b/dykefold/balancer/timers.py
@@ -1,4 +1,4 @@
-"""The timers of a balancer in one heap; the caller has a timer for the earliest of them."""
+"""The timers of a balancer in one heap; the caller sets one timer, for the earliest of them."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from .actions import SetTimer
 from .context import BalancerContext
 
-# Kinds of timers; of those due at the same time, the lower kind comes first.
+# Kinds of timers; among timers that are due at the same time, the lower kind is first.
 OVERDUE, RETRY, POLL = range(3)
 TOKEN_MASK = 0xFFFFFFFF
 
@@ -31,11 +31,11 @@
         self.token = 0
 
     def add(self, due_ns: int, kind: int, request: int = 0, attempt: int = 0) -> None:
-        """Add a timer that is due at that time."""
+        """Add a timer that is due at the given time."""
         heapq.heappush(self.heap, (due_ns, kind, request, attempt))
 
     def on_due(self, token: int) -> None:
-        """Record that the caller's timer is due; an earlier token is of a timer that has been replaced."""
+        """Record that the caller's timer has expired; any other token belongs to a replaced timer."""
         if token == self.token:
             self.armed_ns = 0
 
--- a/tests/balancer/test_concerns.py
+++ b/tests/balancer/test_concerns.py
@@ -80,7 +80,7 @@
         balancer = Balancer(make_settings(tick_ns=0), seed)
         balancer.context.now_ns = START_NS
         req = pending(balancer)
-        req.retries, req.written = retries, True
+        req.retries, req.reached_endpoint = retries, True
         balancer.answers.pending[1] = req
         balancer.retries.plan(req)
         (due, kind, ident, _) = balancer.timers.heap[0]
@@ -97,7 +97,7 @@
     balancer = fresh(tick_ns=0)
     balancer.context.classes[0].mean_latency_ns = 500.0 * MS
     req = pending(balancer, left)
-    req.written = True
+    req.reached_endpoint = True
     balancer.answers.pending[1] = req
     balancer.retries.plan(req)
     assert req.retry_planned is planned
@@ -157,7 +157,7 @@
 
 def test_attempts_sent_before_a_cut_do_not_count_as_congestion():
     balancer = fresh()
-    balancer.congestion.restart()
+    balancer.congestion.reset()
     balancer.congestion.add(4.0, START_NS - 1)
     assert balancer.congestion.weight == 0.0
 
@@ -224,7 +224,7 @@
     req = pending(balancer, left * MS)
     event = make_request(1, START_NS, left * MS)
     event.is_retry = is_retry
-    assert balancer.request_value.of(event, req) == pytest.approx(value)
+    assert balancer.request_value.estimate(event, req) == pytest.approx(value)
 
 
 @pytest.mark.parametrize("failures", [1, 2, 3, 8])
@@ -246,7 +246,7 @@
 
 
 @pytest.mark.parametrize(
-    ("fleet_size", "demand", "near", "far", "sees_little"),
+    ("fleet_size", "demand", "near", "far", "sparse"),
     [
         (1, 0.0, 30, 30, False),
         (6, 0.0, 30, 25, False),  # five sixths of the others, so that about five sidecars see each
@@ -255,14 +255,14 @@
         (300, 1_000.0, 30, 30, False),
     ],
 )
-def test_the_subset_follows_demand_and_the_number_of_sidecars(fleet_size, demand, near, far, sees_little):
+def test_the_subset_follows_demand_and_the_number_of_sidecars(fleet_size, demand, near, far, sparse):
     balancer = fresh(fleet_size=fleet_size)
     balancer.endpoints.demand = demand
     balancer.handle(
         START_NS, EndpointListUpdate(ListKind.FULL, 1, [make_endpoint(n, n % 2) for n in range(60)])
     )
     found = balancer.endpoints
-    assert (len(found.near), len(found.far), found.sees_little) == (near, far, sees_little)
+    assert (len(found.near), len(found.far), found.has_sparse_traffic) == (near, far, sparse)
     assert len(found.rest) == 60 - near - far
     assert all(one.sampled is (one not in found.rest) for one in found.all.values())
 
