--- a/dykefold/settings.py
+++ b/dykefold/settings.py
@@ -1,4 +1,4 @@
-"""Reads the settings from both of their forms: lines `path=value`, and a nested JSON object."""
+"""Parsing of settings in both of their forms: lines `path=value`, and a nested JSON object."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 EFFECTS = {"pure": Effect.SAFE, "token": Effect.KEYED, "side_effect": Effect.UNSAFE}
 SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
-# Fields of load reports under other names than the balancer's.
+# Names of load report fields that differ from the balancer's names.
 CANONICAL_COLUMNS = {
     "active": "inflight",
     "waiting": "queue",
@@ -31,12 +31,12 @@
 
 
 class SettingError(ValueError):
-    """Settings are missing or unreadable; the text names each of them."""
+    """Settings are missing or invalid; the message names each of them."""
 
 
 @dataclass(slots=True)
 class Transport:
-    """Settings of the sockets, which the balancer need not know.
+    """Settings of connections and sockets, which the balancer does not need.
 
     Attributes:
         machine_types: Names of the machine types.
@@ -50,7 +50,7 @@
 
 
 def canonical_column(name: str) -> str:
-    """Return the balancer's name of a field of load reports."""
+    """Return the balancer's name for a field of load reports."""
     return CANONICAL_COLUMNS.get(name, name)
 
 
@@ -60,13 +60,13 @@
 
 
 class _SettingReader:
-    """Reads settings by path; collects problems, and returns a substitute for a bad value.
+    """Reads settings by path; collects problems, and returns a substitute for an invalid value.
 
-    Without a default a setting is required.
+    A setting without a default is required.
 
     Args:
         values: Values by path.
-        typed: Whether numbers must be JSON numbers; otherwise they may be texts.
+        typed: True if numbers must be JSON numbers; otherwise they may be strings.
     """
 
     def __init__(self, values: Mapping[str, object], typed: bool) -> None:
@@ -78,7 +78,7 @@
         """Report the collected problems.
 
         Raises:
-            SettingError: There was a problem.
+            SettingError: There are problems.
         """
         if self.problems:
             raise SettingError("; ".join(self.problems))
@@ -101,7 +101,7 @@
     def _finite(self, raw: object) -> float:
         if isinstance(raw, bool) or not isinstance(raw, self.number_types):
             raise TypeError(raw)
-        value = float(raw)  # type: ignore[arg-type]  # of a type in `number_types`
+        value = float(raw)  # type: ignore[arg-type]  # its type is in `number_types`
         if not math.isfinite(value):
             raise ValueError(raw)
         return value
@@ -113,11 +113,11 @@
         return value
 
     def text(self, key: str, default: str | None = None) -> str:
-        """Return a text."""
+        """Return a string."""
         return self._convert(key, str, default, "")
 
     def integer(self, key: str, default: int | None = None) -> int:
-        """Return a number without its fraction."""
+        """Return a number, truncated to an integer."""
         return self._convert(key, lambda raw: int(self._finite(raw)), default, 1)
 
     def positive(self, key: str) -> int:
@@ -129,61 +129,61 @@
         return self._convert(key, self._finite, default, 1.0)
 
     def flag(self, key: str, default: bool | None = None) -> bool:
-        """Return a truth value."""
-        flags: dict[object, bool] = {"true": True, "false": False, True: True, False: False}
-        return self._convert(key, flags.__getitem__, default, False)
+        """Return a Boolean."""
+        options: dict[object, bool] = {"true": True, "false": False, True: True, False: False}
+        return self._convert(key, options.__getitem__, default, False)
 
     def choice(self, key: str, choices: Mapping[str, _Value], default: _Value | None = None) -> _Value:
-        """Return the value of one of the choices."""
+        """Return the value of the chosen option."""
         return self._convert(key, choices.__getitem__, default, next(iter(choices.values())))
 
     def names(self, key: str) -> list[str]:
-        """Return a list of names, which the text form joins with commas."""
+        """Return a list of names; in the text form they are separated by commas."""
         return self._convert(key, _name_list, [], [])
 
 
-def _request_class(reader: _SettingReader, at: str) -> RequestClass:
-    deadline = reader.positive(at + "deadline-ns")
+def _request_class(reader: _SettingReader, prefix: str) -> RequestClass:
+    deadline = reader.positive(prefix + "deadline-ns")
     return RequestClass(
-        name=reader.text(at + "name", ""),
-        objective_ns=reader.integer(at + "objective-ns", deadline),
+        name=reader.text(prefix + "name", ""),
+        objective_ns=reader.integer(prefix + "objective-ns", deadline),
         deadline_ns=deadline,
-        priority_weight=reader.number(at + "points", 1.0),
-        late_weight_fraction=reader.number(at + "late-value", 0.0),
-        effect=reader.choice(at + "repeat", EFFECTS),
-        scope=reader.choice(at + "key-scope", SCOPES, Scope.CELL),
-        window_ns=reader.integer(at + "window-ns", 0),
-        stream=reader.flag(at + "stream", False),
+        priority_weight=reader.number(prefix + "points", 1.0),
+        late_weight_fraction=reader.number(prefix + "late-value", 0.0),
+        effect=reader.choice(prefix + "repeat", EFFECTS),
+        scope=reader.choice(prefix + "key-scope", SCOPES, Scope.CELL),
+        window_ns=reader.integer(prefix + "window-ns", 0),
+        stream=reader.flag(prefix + "stream", False),
     )
 
 
 def parse_settings(text: str) -> Settings:
-    """Read the settings from their text form.
+    """Parse the text form of settings.
 
     Args:
         text: One line `path=value` for each setting; unknown settings are ignored.
 
     Raises:
-        SettingError: Settings are missing or unreadable; the error names all of them.
+        SettingError: Settings are missing or invalid; the message names all of them.
     """
     values = dict(line.split("=", 1) for line in text.splitlines() if "=" in line)
     return _read(_SettingReader(values, typed=False))
 
 
 def nested_settings(nested: object) -> Settings:
-    """Read the settings from the nested object in a sidecar's configuration.
+    """Parse the nested settings object in a sidecar's configuration.
 
     Raises:
-        SettingError: Settings are missing or unreadable; the error names all of them.
+        SettingError: Settings are missing or invalid; the message names all of them.
     """
     return _read(_nested_reader(nested))
 
 
 def nested_transport(nested: object) -> Transport:
-    """Read the settings of the sockets from that object.
+    """Parse the settings of connections and sockets in that object.
 
     Raises:
-        SettingError: Settings are unreadable; the error names all of them.
+        SettingError: Settings are invalid; the message names all of them.
     """
     reader = _nested_reader(nested)
     transport = Transport(
@@ -204,17 +204,17 @@
     return _SettingReader(values, typed=True)
 
 
-def _flatten(at: str, value: object, into: dict[str, object]) -> None:
-    """Store each value of a nested form under its path in the text form."""
+def _flatten(path: str, value: object, values: dict[str, object]) -> None:
+    """Store each value of the nested form under its path in the text form."""
     if isinstance(value, dict):
         for key, inner in value.items():
-            _flatten(f"{at}.{key}" if at else key, inner, into)
+            _flatten(f"{path}.{key}" if path else key, inner, values)
     elif isinstance(value, list) and value and all(isinstance(inner, dict) for inner in value):
-        into[f"{at}.count"] = len(value)
+        values[f"{path}.count"] = len(value)
         for number, inner in enumerate(value):
-            _flatten(f"{at}.{number}", inner, into)
+            _flatten(f"{path}.{number}", inner, values)
     else:
-        into[at] = value
+        values[path] = value
 
 
 def _read(reader: _SettingReader) -> Settings:
--- a/dykefold/simulator_adapter.py
+++ b/dykefold/simulator_adapter.py
@@ -1,7 +1,7 @@
-"""The adapter to the simulator: it decodes frames to events for balancers, and encodes their actions.
+"""Adapter to the simulator: it decodes frames into events for balancers, and encodes their actions.
 
-Input that is no frame of the protocol ends the process with one plain line on standard error and a
-non-zero exit code. An exception of a balancer is sent as the internal-error action of the protocol.
+Input that is not a frame of the protocol ends the process with one line on standard error and a non-zero
+exit code. An exception in a balancer is reported by the internal-error action of the protocol.
 """
 
 from __future__ import annotations
@@ -62,14 +62,14 @@
 BELL = struct.Struct("<I")
 FIRST = struct.Struct("<QBIQ")
 INSTANCE = struct.Struct("<xH")
-# The fields of an event begin behind code and instance.
+# The fields of an event follow its code and instance.
 EVENT_FIELDS_OFFSET = 3
 
 SHARE = struct.Struct("<BHIII9x")
 RETRACT = struct.Struct("<BHQB12x")
 FOLLOW = struct.Struct("<BHB20x")
-TEXT = struct.Struct("<BHII13x")  # Of INTERNAL_ERROR and TRACE.
-ONE_ENDPOINT = struct.Struct("<BHI17x")  # Of HANG_UP and TOUCH.
+TEXT = struct.Struct("<BHII13x")  # For INTERNAL_ERROR and TRACE.
+ONE_ENDPOINT = struct.Struct("<BHI17x")  # For HANG_UP and TOUCH.
 TURN_AWAY = struct.Struct("<BHQQ5x")
 RESOLVE = struct.Struct("<BH21x")
 DISPATCH = struct.Struct("<BHQQIx")
@@ -77,7 +77,7 @@
 SET_TIMER = struct.Struct("<BHQI9x")
 EVERY_PEER = 0xFFFFFFFF
 
-# Bits of an INBOUND record.
+# Flags of an INBOUND record.
 HAS_COST = 1
 IS_RETRY = 2
 IS_WRITE = 4
@@ -135,64 +135,74 @@
 
 
 class FrameError(Exception):
-    """The input is no frame of the protocol."""
+    """The input is not a frame of the protocol."""
 
 
-def _outcome(body: bytes, at: int) -> Outcome:
-    request_id, attempt, endpoint, reason, duration_ns, last, columns, *report = SETTLED.unpack_from(body, at)
+def _outcome(body: bytes, position: int) -> Outcome:
+    request_id, attempt, endpoint, reason, duration_ns, last, columns, *report = SETTLED.unpack_from(
+        body, position
+    )
     status = STATUS.get(reason, Status.ERROR)
     return Outcome(request_id, attempt, endpoint, status, duration_ns, last != 0, tuple(report[:columns]))
 
 
-def _request(body: bytes, at: int) -> Request:
-    request_id, class_number, tenant, key, deadline_ns, cost_ns, bits = INBOUND.unpack_from(body, at)
+def _request(body: bytes, position: int) -> Request:
+    request_id, class_number, tenant, key, deadline_ns, cost_ns, flags = INBOUND.unpack_from(body, position)
     return Request(
         request_id,
         class_number,
         tenant,
         deadline_ns,
         key,
-        cost_ns if bits & HAS_COST else 0,
-        is_retry=bits & IS_RETRY != 0,
-        is_write=bits & IS_WRITE != 0,
+        cost_ns if flags & HAS_COST else 0,
+        is_retry=flags & IS_RETRY != 0,
+        is_write=flags & IS_WRITE != 0,
     )
 
 
-def _probe_result(body: bytes, at: int) -> ProbeResult:
-    endpoint, reason, duration_ns, columns, *report = HEALTH.unpack_from(body, at)
+def _probe_result(body: bytes, position: int) -> ProbeResult:
+    endpoint, reason, duration_ns, columns, *report = HEALTH.unpack_from(body, position)
     return ProbeResult(endpoint, STATUS.get(reason, Status.ERROR), duration_ns, tuple(report[:columns]))
 
 
 DECODERS: dict[int, Callable[[bytes, int], Event]] = {
     EventCode.SETTLED: _outcome,
     EventCode.INBOUND: _request,
-    EventCode.BELL: lambda body, at: Timer(BELL.unpack_from(body, at)[0]),
-    EventCode.DROPPED: lambda body, at: ClientDisconnected(DROPPED.unpack_from(body, at)[0]),
+    EventCode.BELL: lambda body, position: Timer(BELL.unpack_from(body, position)[0]),
+    EventCode.DROPPED: lambda body, position: ClientDisconnected(DROPPED.unpack_from(body, position)[0]),
     EventCode.HEALTH: _probe_result,
-    EventCode.FIRST: lambda body, at: StreamStarted(*FIRST.unpack_from(body, at)),
+    EventCode.FIRST: lambda body, position: StreamStarted(*FIRST.unpack_from(body, position)),
 }
-# Encoders of actions to records, by the type of the action; the arguments are the instance and the action.
+# Encoders of actions into records, by the type of the action; arguments are the instance and the action.
 ENCODERS: dict[type[Action], Callable[[int, Any], bytes]] = {
-    Send: lambda i, act: DISPATCH.pack(ActionCode.DISPATCH, i, act.id, act.timeout_ns, act.endpoint_number),
-    SetTimer: lambda i, act: SET_TIMER.pack(ActionCode.SET_TIMER, i, act.after_ns, act.token),
-    Refuse: lambda i, act: TURN_AWAY.pack(ActionCode.TURN_AWAY, i, act.id, act.retry_after_ns),
-    Fail: lambda i, act: ABORT.pack(ActionCode.ABORT, i, act.id),
-    Cancel: lambda i, act: RETRACT.pack(ActionCode.RETRACT, i, act.id, act.attempt),
-    Probe: lambda i, act: ONE_ENDPOINT.pack(ActionCode.TOUCH, i, act.endpoint_number),
-    CloseIdle: lambda i, act: ONE_ENDPOINT.pack(ActionCode.HANG_UP, i, act.endpoint_number),
-    Watch: lambda i, act: FOLLOW.pack(ActionCode.FOLLOW, i, act.on),
-    Fetch: lambda i, act: RESOLVE.pack(ActionCode.RESOLVE, i),
+    Send: lambda instance, action: DISPATCH.pack(
+        ActionCode.DISPATCH, instance, action.id, action.timeout_ns, action.endpoint_number
+    ),
+    SetTimer: lambda instance, action: SET_TIMER.pack(
+        ActionCode.SET_TIMER, instance, action.after_ns, action.token
+    ),
+    Refuse: lambda instance, action: TURN_AWAY.pack(
+        ActionCode.TURN_AWAY, instance, action.id, action.retry_after_ns
+    ),
+    Fail: lambda instance, action: ABORT.pack(ActionCode.ABORT, instance, action.id),
+    Cancel: lambda instance, action: RETRACT.pack(ActionCode.RETRACT, instance, action.id, action.attempt),
+    Probe: lambda instance, action: ONE_ENDPOINT.pack(ActionCode.TOUCH, instance, action.endpoint_number),
+    CloseIdle: lambda instance, action: ONE_ENDPOINT.pack(
+        ActionCode.HANG_UP, instance, action.endpoint_number
+    ),
+    Watch: lambda instance, action: FOLLOW.pack(ActionCode.FOLLOW, instance, action.on),
+    Fetch: lambda instance, action: RESOLVE.pack(ActionCode.RESOLVE, instance),
 }
 
 
-class Host:
-    """Runs any number of balancers behind one pair of streams.
+class BalancerHost:
+    """Runs any number of balancers behind one pair of input and output streams.
 
     Attributes:
         balancers: Balancers by the number of their instance.
-        lists: Endpoint lists by the number under which they were sent.
+        lists: Endpoint lists by their number in the protocol.
         records: Records of the reply to the current frame.
-        tail: Bytes behind the records of that reply, to which records refer.
+        tail: Data after the records of that reply, to which records refer.
     """
 
     def __init__(self) -> None:
@@ -208,70 +218,72 @@
             body: Frame without its length field.
 
         Raises:
-            FrameError: The input is no frame of the protocol.
-            SettingError: The settings of a new instance are not valid.
+            FrameError: The input is not a frame of the protocol.
+            SettingError: The settings of a new instance are invalid.
         """
         if len(body) < HEADER.size:
             problem = "frame shorter than its header"
             raise FrameError(problem)
         now, count = HEADER.unpack_from(body)
-        tail_at = HEADER.size + count * EVENT_SIZE
-        if len(body) < tail_at:
+        tail_start = HEADER.size + count * EVENT_SIZE
+        if len(body) < tail_start:
             problem = f"frame of {len(body)} bytes cannot hold {count} records"
             raise FrameError(problem)
         self.records, self.tail = [], bytearray()
-        for at in range(HEADER.size, tail_at, EVENT_SIZE):
-            self._record(now, body, at, tail_at)
+        for position in range(HEADER.size, tail_start, EVENT_SIZE):
+            self._handle_record(now, body, position, tail_start)
         payload = b"".join(self.records) + self.tail
         return REPLY.pack(len(self.records), len(payload)) + payload
 
-    def _record(self, now: int, body: bytes, at: int, tail_at: int) -> None:
-        code = body[at]
+    def _handle_record(self, now: int, body: bytes, position: int, tail_start: int) -> None:
+        code = body[position]
         if code == EventCode.SNAPSHOT_ROWS:
-            self._rows(body, at, tail_at)
+            self._store_endpoint_list(body, position, tail_start)
             return
-        (instance,) = INSTANCE.unpack_from(body, at)
+        (instance,) = INSTANCE.unpack_from(body, position)
         try:
             if code == EventCode.NEW_INSTANCE:
-                self._new_instance(instance, body, at + EVENT_FIELDS_OFFSET, tail_at)
+                self._create_balancer(instance, body, position + EVENT_FIELDS_OFFSET, tail_start)
             elif code == EventCode.END_INSTANCE:
                 self.balancers.pop(instance, None)
             else:
-                self._event(now, instance, self._decode(code, body, at + EVENT_FIELDS_OFFSET, tail_at))
+                self._handle_event(
+                    now, instance, self._decode(code, body, position + EVENT_FIELDS_OFFSET, tail_start)
+                )
         except (FrameError, SettingError):
             raise
-        except Exception as error:  # The protocol has an action for any error of a balancer.
+        except Exception as error:  # The protocol has an action for errors in a balancer.
             traceback.print_exc(file=sys.stderr)
-            self._text(ActionCode.INTERNAL_ERROR, instance, f"{type(error).__name__}: {error}")
+            self._append_text_record(ActionCode.INTERNAL_ERROR, instance, f"{type(error).__name__}: {error}")
 
-    def _new_instance(self, instance: int, body: bytes, at: int, tail_at: int) -> None:
-        seed, offset, size = NEW_INSTANCE.unpack_from(body, at)
-        text = _slice(body, tail_at, offset, size).decode()
+    def _create_balancer(self, instance: int, body: bytes, position: int, tail_start: int) -> None:
+        seed, offset, size = NEW_INSTANCE.unpack_from(body, position)
+        text = _slice(body, tail_start, offset, size).decode()
         self.balancers[instance] = Balancer(parse_settings(text), seed)
 
-    def _event(self, now: int, instance: int, event: Event | None) -> None:
+    def _handle_event(self, now: int, instance: int, event: Event | None) -> None:
         balancer = self.balancers.get(instance)
         if event is None or balancer is None:
             return
         if type(event) is Request and event.class_number >= len(balancer.settings.classes):
             problem = f"request {event.id} is of unknown class {event.class_number}"
             raise FrameError(problem)
-        self._encode(instance, balancer.handle(now, event))
+        self._append_actions(instance, balancer.handle(now, event))
 
-    def _decode(self, code: int, body: bytes, at: int, tail_at: int) -> Event | None:
+    def _decode(self, code: int, body: bytes, position: int, tail_start: int) -> Event | None:
         if code == EventCode.ENDPOINTS:
-            return self._membership(body, at)
+            return self._decode_list_update(body, position)
         if code == EventCode.NOTE_FROM:
-            sender, offset, size = NOTE_FROM.unpack_from(body, at)
-            return PeerMessage(sender, _slice(body, tail_at, offset, size))
+            sender, offset, size = NOTE_FROM.unpack_from(body, position)
+            return PeerMessage(sender, _slice(body, tail_start, offset, size))
         decode = DECODERS.get(code)
         if decode is None:
             problem = f"event code {code} is unknown"
             raise FrameError(problem)
-        return decode(body, at)
+        return decode(body, position)
 
-    def _membership(self, body: bytes, at: int) -> EndpointListUpdate | None:
-        scope, version, number = ENDPOINTS.unpack_from(body, at)
+    def _decode_list_update(self, body: bytes, position: int) -> EndpointListUpdate | None:
+        scope, version, number = ENDPOINTS.unpack_from(body, position)
         kind = LIST_KINDS.get(scope)
         if kind is None:
             return None
@@ -282,36 +294,36 @@
             raise FrameError(problem)
         return EndpointListUpdate(kind, version, self.lists[number])
 
-    def _rows(self, body: bytes, at: int, tail_at: int) -> None:
-        list_number, offset, count = SNAPSHOT_ROWS.unpack_from(body, at)
-        rows = _slice(body, tail_at, offset, count * ENTRY.size)
+    def _store_endpoint_list(self, body: bytes, position: int, tail_start: int) -> None:
+        list_number, offset, count = SNAPSHOT_ROWS.unpack_from(body, position)
+        rows = _slice(body, tail_start, offset, count * ENTRY.size)
         self.lists[list_number] = [
             Endpoint(number, zone, kind, cell, STATES.get(phase, State.GONE), weight, started_ns)
             for number, zone, kind, cell, phase, weight, started_ns in ENTRY.iter_unpack(rows)
         ]
 
-    def _text(self, code: int, instance: int, text: str) -> None:
+    def _append_text_record(self, code: int, instance: int, text: str) -> None:
         data = text.encode()
         self.records.append(TEXT.pack(code, instance, len(self.tail), len(data)))
         self.tail += data
 
-    def _encode(self, instance: int, actions: list[Action]) -> None:
+    def _append_actions(self, instance: int, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, SendToPeer):
-                self._share(instance, action)
+                self._append_peer_message(instance, action)
             elif isinstance(action, Log):
-                self._text(ActionCode.TRACE, instance, action.text)
+                self._append_text_record(ActionCode.TRACE, instance, action.text)
             else:
                 self.records.append(ENCODERS[type(action)](instance, action))
 
-    def _share(self, instance: int, action: SendToPeer) -> None:
+    def _append_peer_message(self, instance: int, action: SendToPeer) -> None:
         peer = EVERY_PEER if action.peer is None else action.peer
         self.records.append(SHARE.pack(ActionCode.SHARE, instance, peer, len(self.tail), len(action.data)))
         self.tail += action.data
 
 
-def _slice(body: bytes, tail_at: int, offset: int, size: int) -> bytes:
-    start = tail_at + offset
+def _slice(body: bytes, tail_start: int, offset: int, size: int) -> bytes:
+    start = tail_start + offset
     if start + size > len(body):
         problem = f"tail ends before byte {offset + size}"
         raise FrameError(problem)
@@ -327,17 +339,17 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer frames until the input ends.
+    """Reply to frames until the input ends.
 
     Args:
-        source: Stream of frames.
-        sink: Stream of replies.
+        source: Input stream of frames.
+        sink: Output stream of replies.
 
     Raises:
-        FrameError: The input ends inside a frame, or is no frame of the protocol.
-        SettingError: The settings of a new instance are not valid.
+        FrameError: The input ends within a frame, or is not a frame of the protocol.
+        SettingError: The settings of a new instance are invalid.
     """
-    host = Host()
+    host = BalancerHost()
     while head := _read(source, LENGTH.size):
         size = LENGTH.unpack(head)[0]
         body = _read(source, size)
@@ -349,7 +361,7 @@
 
 
 def main() -> int:
-    """Answer frames of standard input; return the exit code, 1 if the input is no frame of the protocol."""
+    """Reply to frames on standard input; return the exit code, which is 1 after invalid input."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except (FrameError, SettingError) as error:
--- a/tests/balancer/test_attempt_rules.py
+++ b/tests/balancer/test_attempt_rules.py
@@ -1,4 +1,4 @@
-"""Which attempts and which rejections the rules allow, as tables."""
+"""Which attempts and rejections the rules allow, as tables of cases."""
 
 import pytest
 from helpers import MS, SECOND, START_NS, make_endpoint, make_request, make_settings
@@ -9,27 +9,27 @@
 from dykefold.balancer.requests import IN_FLIGHT, MAY_HAVE_RUN, NEVER_RAN, Attempt, PendingRequest
 from dykefold.balancer.settings import Effect, Scope
 
-WINDOW = 4 * SECOND
-TICK = 5 * MS
+WINDOW_NS = 4 * SECOND
+TICK_NS = 5 * MS
 SAFE, KEYED, UNSAFE = Effect.SAFE, Effect.KEYED, Effect.UNSAFE
 
 
-def set_up(effect, scope=Scope.CELL, states=(), sent_ago=0, **more):
-    """The rules, and a request with attempts in these states at an endpoint of zone 0, cell 0."""
-    balancer = Balancer(make_settings(effect, scope, tick_ns=TICK, **more), 1)
+def make_rules(effect, scope=Scope.CELL, states=(), sent_ns_ago=0, **overrides):
+    """Return the rules, and a request with attempts in these states at an endpoint of zone 0, cell 0."""
+    balancer = Balancer(make_settings(effect, scope, tick_ns=TICK_NS, **overrides), 1)
     balancer.context.now_ns = START_NS
-    req = PendingRequest(make_request(1, START_NS), balancer.context.classes[0], 3, START_NS)
-    used = EndpointState(make_endpoint(1), 0.5)
-    req.attempts = [Attempt(used, START_NS - sent_ago, state) for state in states]
-    return balancer.rules, req
+    request = PendingRequest(make_request(1, START_NS), balancer.context.classes[0], 3, START_NS)
+    first_endpoint = EndpointState(make_endpoint(1), 0.5)
+    request.attempts = [Attempt(first_endpoint, START_NS - sent_ns_ago, state) for state in states]
+    return balancer.rules, request
 
 
 @pytest.mark.parametrize(
-    ("effect", "states", "hedged", "allowed"),
+    ("effect", "states", "can_hedge", "allowed"),
     [
         (SAFE, [], True, True),
         (SAFE, [MAY_HAVE_RUN] * 2, True, True),
-        (SAFE, [NEVER_RAN] * 3, True, False),  # three attempts are all there are
+        (SAFE, [NEVER_RAN] * 3, True, False),  # the maximum is three attempts
         (SAFE, [IN_FLIGHT], True, True),
         (SAFE, [IN_FLIGHT], False, False),
         (KEYED, [MAY_HAVE_RUN], True, True),
@@ -41,9 +41,9 @@
         (UNSAFE, [NEVER_RAN, MAY_HAVE_RUN], True, False),
     ],
 )
-def test_a_further_attempt_is_allowed_by_effect_and_states(effect, states, hedged, allowed):
-    rules, req = set_up(effect, states=states, can_hedge=hedged)
-    assert rules.may_send(req, EndpointState(make_endpoint(2), 0.5)) is allowed
+def test_further_attempt_is_allowed_by_effect_and_attempt_states(effect, states, can_hedge, allowed):
+    rules, request = make_rules(effect, states=states, can_hedge=can_hedge)
+    assert rules.may_send(request, EndpointState(make_endpoint(2), 0.5)) is allowed
 
 
 @pytest.mark.parametrize(
@@ -56,17 +56,18 @@
         (Scope.CELL, 0, 1, False),
     ],
 )
-def test_a_keyed_retry_stays_among_endpoints_that_know_the_key(scope, zone, cell, allowed):
-    rules, req = set_up(KEYED, scope, [MAY_HAVE_RUN])
-    assert rules.may_send(req, EndpointState(make_endpoint(2, zone, cell), 0.5)) is allowed
+def test_keyed_retry_is_limited_to_endpoints_in_key_scope(scope, zone, cell, allowed):
+    rules, request = make_rules(KEYED, scope, [MAY_HAVE_RUN])
+    assert rules.may_send(request, EndpointState(make_endpoint(2, zone, cell), 0.5)) is allowed
 
 
 @pytest.mark.parametrize(
-    ("ago", "allowed"), [(0, True), (WINDOW - TICK - 1, True), (WINDOW - TICK, False), (WINDOW, False)]
+    ("sent_ns_ago", "allowed"),
+    [(0, True), (WINDOW_NS - TICK_NS - 1, True), (WINDOW_NS - TICK_NS, False), (WINDOW_NS, False)],
 )
-def test_a_keyed_retry_falls_within_the_window_less_a_tick(ago, allowed):
-    rules, req = set_up(KEYED, states=[MAY_HAVE_RUN], sent_ago=ago)
-    assert rules.may_retry(req, START_NS) is allowed
+def test_keyed_retry_is_limited_to_key_window_minus_tick(sent_ns_ago, allowed):
+    rules, request = make_rules(KEYED, states=[MAY_HAVE_RUN], sent_ns_ago=sent_ns_ago)
+    assert rules.may_retry(request, START_NS) is allowed
 
 
 @pytest.mark.parametrize(
@@ -78,13 +79,13 @@
         (State.READY, True, True, False),
     ],
 )
-def test_no_attempt_goes_to_a_draining_or_removed_endpoint_or_after_a_body_has_begun(
+def test_attempt_is_not_allowed_at_draining_or_removed_endpoint_or_while_streaming(
     state, listed, streaming, allowed
 ):
-    rules, req = set_up(SAFE)
+    rules, request = make_rules(SAFE)
     target = EndpointState(make_endpoint(2, state=state), 0.5)
-    target.listed, req.streaming = listed, streaming
-    assert rules.may_send(req, target) is allowed
+    target.listed, request.streaming = listed, streaming
+    assert rules.may_send(request, target) is allowed
 
 
 @pytest.mark.parametrize(
@@ -99,6 +100,6 @@
         (UNSAFE, Scope.ALL, [NEVER_RAN, IN_FLIGHT], False),
     ],
 )
-def test_a_rejection_is_given_only_where_a_new_attempt_does_no_harm(effect, scope, states, allowed):
-    rules, req = set_up(effect, scope, states)
-    assert rules.may_reject(req) is allowed
+def test_rejection_is_allowed_only_if_client_retry_is_safe(effect, scope, states, allowed):
+    rules, request = make_rules(effect, scope, states)
+    assert rules.may_reject(request) is allowed
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -5,7 +5,7 @@
 # Seconds of one core that tests take, by prefix of the node id; tests without an entry take less than 3 s.
 # A wrong or missing entry only makes the run longer. `pytest --durations` prints these times.
 LONG_TEST_DURATIONS_S = {
-    "tests/balancer/test_concurrency_limit.py::test_from_any_state": 25,
+    "tests/balancer/test_concurrency_limit.py::test_limit_recovers_from_any_state": 25,
     "tests/control/test_state_directory.py::test_whichever_file_call_fails": 20,
     "tests/sim/test_simulation.py::test_a_fixed_set_of_seeds_keeps_every_rule[zones": 8,
     "tests/sim/test_view_world.py::test_a_view_that_never_asks": 12,
