--- a/dykefold/balancer/picker.py
+++ b/dykefold/balancer/picker.py
@@ -61,16 +61,16 @@
         self.crossing_objectives = price * CROSSING_DELAY_OBJECTIVES_PER_PRICE
 
     def pick(self, request: PendingRequest) -> EndpointState | None:
-        """Return the best of two endpoints of the own zone and two of others, or None if there is none.
+        """Return the best of two endpoints of the local zone and two of other zones; None if there is none.
 
-        Endpoints of other zones have the price of the crossing added to their delay.
+        The price of crossing zones is added to the delay of endpoints of other zones.
         """
         ejected = self.endpoints.ejected
         if ejected and (probed := self.outliers.probation_endpoint(request)):
             return probed
-        tried = {attempt.endpoint for attempt in request.attempts} if request.attempts else ()
-        best = self._best(request, tried)
-        if best is None and tried:
+        attempted = {attempt.endpoint for attempt in request.attempts} if request.attempts else ()
+        best = self._best(request, attempted)
+        if best is None and attempted:
             best = self._best(request, ())
         if best is not None:
             return best
@@ -79,34 +79,36 @@
                 return endpoint
         return None
 
-    def _best(self, request: PendingRequest, tried: Container[EndpointState]) -> EndpointState | None:
+    def _best(self, request: PendingRequest, attempted: Container[EndpointState]) -> EndpointState | None:
         """Return the candidate with the lowest expected delay."""
         best = None
         lowest = 0.0
         expected_delay, stats = self.latency.expected_delay, request.stats
-        for endpoint, crossing_ns in self.candidates(request, tried):
+        for endpoint, crossing_ns in self.candidates(request, attempted):
             delay = expected_delay(endpoint, stats) + crossing_ns
             if best is None or delay < lowest:
                 best, lowest = endpoint, delay
         return best
 
     def candidates(
-        self, request: PendingRequest, tried: Container[EndpointState]
+        self, request: PendingRequest, attempted: Container[EndpointState]
     ) -> list[tuple[EndpointState, float]]:
         """Sample endpoints, each with the price of crossing zones expressed as a delay in nanoseconds."""
         endpoints = self.endpoints
         if endpoints.has_sparse_traffic:
-            return [(endpoint, 0.0) for endpoint in self._sample_weighted_pair(request, tried)]
-        pairs = [(endpoint, 0.0) for endpoint in self._sample_pair(endpoints.near, request, tried)]
+            return [(endpoint, 0.0) for endpoint in self._sample_weighted_pair(request, attempted)]
+        pairs = [(endpoint, 0.0) for endpoint in self._sample_pair(endpoints.near, request, attempted)]
         if endpoints.far:
             crossing_ns = self.crossing_objectives * request.spec.objective_ns
             pairs += [
-                (endpoint, crossing_ns) for endpoint in self._sample_pair(endpoints.far, request, tried)
+                (endpoint, crossing_ns) for endpoint in self._sample_pair(endpoints.far, request, attempted)
             ]
-        return pairs or [(endpoint, 0.0) for endpoint in self._sample_pair(endpoints.rest, request, tried)]
+        return pairs or [
+            (endpoint, 0.0) for endpoint in self._sample_pair(endpoints.rest, request, attempted)
+        ]
 
     def _sample_weighted_pair(
-        self, request: PendingRequest, tried: Container[EndpointState]
+        self, request: PendingRequest, attempted: Container[EndpointState]
     ) -> list[EndpointState]:
         """Sample two endpoints of the subset by the weights of their groups, crossing price included.
 
@@ -115,10 +117,10 @@
         """
         endpoints, may_send = self.endpoints, self.rules.may_send
         eligible = [
-            one for one in endpoints.near + endpoints.far if one not in tried and may_send(request, one)
+            one for one in endpoints.near + endpoints.far if one not in attempted and may_send(request, one)
         ]
         if not eligible:
-            eligible = [one for one in endpoints.rest if one not in tried and may_send(request, one)]
+            eligible = [one for one in endpoints.rest if one not in attempted and may_send(request, one)]
         if len(eligible) <= CANDIDATES:
             return eligible
         local, ratios = self.context.settings.zone, endpoints.ready_per_sampled
@@ -129,22 +131,22 @@
         return [eligible[first], eligible[choices(range(len(eligible)), weights)[0]]]
 
     def _sample_pair(
-        self, group: list[EndpointState], request: PendingRequest, tried: Container[EndpointState]
+        self, candidates: list[EndpointState], request: PendingRequest, attempted: Container[EndpointState]
     ) -> list[EndpointState]:
-        """Sample up to two different endpoints of a list to which this request may be sent now."""
-        found: list[EndpointState] = []
-        size = len(group)
+        """Sample up to two different endpoints of the candidates to which this request may be sent now."""
+        pair: list[EndpointState] = []
+        size = len(candidates)
         if not size:
-            return found
+            return pair
         source, may_send = self.context.random, self.rules.may_send
         start = random_below(source, size)
         step = 1 + random_below(source, size - 1) if size > CANDIDATES else 1
-        for turn in range(size + 1):
+        for index in range(size + 1):
             # The first two are a uniform random pair; the others, in order, replace any that is not allowed.
-            endpoint = group[(start + (turn * step if turn < CANDIDATES else turn - 1)) % size]
-            if endpoint in found or endpoint in tried or not may_send(request, endpoint):
+            endpoint = candidates[(start + (index * step if index < CANDIDATES else index - 1)) % size]
+            if endpoint in pair or endpoint in attempted or not may_send(request, endpoint):
                 continue
-            found.append(endpoint)
-            if len(found) == CANDIDATES:
+            pair.append(endpoint)
+            if len(pair) == CANDIDATES:
                 break
-        return found
+        return pair
