--- a/dykefold/net/downstream/__init__.py
+++ b/dykefold/net/downstream/__init__.py
@@ -1,1 +1,1 @@
-"""Connections of clients: requests are read from them, answers are written to them."""
+"""Client connections: requests are read from them and responses written to them."""
--- a/dykefold/net/downstream/arrivals.py
+++ b/dykefold/net/downstream/arrivals.py
@@ -1,22 +1,22 @@
-"""Arrival times of bytes that are parsed later than they arrive, since reading is paused. No I/O.
+"""Arrival times of bytes that arrive while reading is paused and are parsed later. No I/O.
 
 A client's deadline counts from the last byte of its request. While reading is paused, arriving bytes stay in
-the kernel, where they are counted from time to time. A byte that is missing from one count arrived after it.
+the kernel, where they are counted from time to time. A byte that a count does not include arrived after it.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-MAX_MARKS = 64  # Beyond that a new mark replaces the latest one.
+MAX_MARKS = 64  # Beyond this number, a new mark replaces the latest one.
 
 
 class Arrivals:
-    """Counts of one connection's bytes, with their times on the clock of deadlines.
+    """Byte counts of one connection, with their times on the clock of deadlines.
 
     Attributes:
-        read: Number of bytes that were parsed so far.
-        marks: Counts in order: time in nanoseconds, and total number of bytes that had arrived by then.
+        read: Number of bytes parsed so far.
+        marks: Counts in order of time: time in nanoseconds, and total number of bytes arrived by then.
     """
 
     __slots__ = ("marks", "read")
@@ -26,11 +26,11 @@
         self.marks: deque[tuple[int, int]] = deque()
 
     def mark(self, now_ns: int, unread: int) -> None:
-        """Record a count.
+        """Record a count of the bytes that have arrived.
 
         Args:
             now_ns: Time of the count in nanoseconds.
-            unread: Number of bytes that had arrived by then and were not parsed.
+            unread: Number of bytes that had arrived by then and were not yet parsed.
         """
         arrived_bytes = self.read + unread
         marks = self.marks
@@ -42,7 +42,7 @@
         """Return the earliest time at which the next byte to be parsed can have arrived.
 
         Args:
-            live: Whether reading is not paused; a byte that is in no count has just arrived then.
+            live: Whether reading is active, so that a byte that no count includes has just arrived.
 
         Returns:
             Time of a count in nanoseconds; 0 if the byte has just arrived.
--- a/dykefold/net/downstream/close_detector.py
+++ b/dykefold/net/downstream/close_detector.py
@@ -12,10 +12,10 @@
 
 
 class CloseDetector:
-    """Polls the socket of one client's connection for the client's close.
+    """Polls the socket of a client connection for the client's close.
 
     The transport reports a close late if reading is paused or the event loop was blocked. Polling the socket
-    spares endpoints the work for requests whose client has gone.
+    spares endpoints the work for requests whose client has disconnected.
 
     Args:
         system: Source of watches.
@@ -38,16 +38,16 @@
         try:
             if self._watch is None:
                 self._watch = self._system.watch_end(self.sock)
-            found = self._watch.poll(0)
-        except (OSError, ValueError):  # The kernel lacks memory, or the descriptor is closed.
+            events = self._watch.poll(0)
+        except (OSError, ValueError):  # The kernel is out of memory, or the descriptor is closed.
             return 0
-        return found[0][1] if found else 0
+        return events[0][1] if events else 0
 
     def has_closed(self, half_close: bool) -> bool:
         """Return whether the client has closed the connection.
 
         Args:
-            half_close: Whether a client that has closed its sending side may still await responses; only
-                the close of both sides counts then.
+            half_close: Whether a client that has closed its sending side may still await responses; if so,
+                only the close of both sides counts.
         """
         return bool(self.poll() & (FULL_CLOSE_EVENTS if half_close else HALF_CLOSE_EVENTS))
--- a/dykefold/net/downstream/connection.py
+++ b/dykefold/net/downstream/connection.py
@@ -1,16 +1,17 @@
-"""A client's connection: its parts, its lifecycle, and the dispatch of requests in order.
+"""A client connection: its parts, its lifecycle, and the dispatch of requests in order.
 
-`RequestReader` turns bytes into items, and `ResponseWriter` turns responses into bytes; neither knows the
-other. `ConnectionLifecycle` has the stage of the connection. The connection serves one item after another,
-gives the responses to the writer, and closes.
+`RequestReader` turns bytes into items, and `ResponseWriter` turns responses into bytes; they do not depend on
+each other. `ConnectionLifecycle` keeps the state of the connection. The connection serves one item after
+another, passes the responses to the writer, and closes.
 
-| state of the output | fields | next |
+| output state | fields | next |
 | --- | --- | --- |
 | idle | `current` is None, `assembler.waiting` is empty | serving |
-| serving: one request is served, others wait | `current` | idle; streaming |
-| streaming: the response body follows in pieces | `current`, `writer.source` | idle |
+| serving: one request is being served, others wait | `current` | idle; streaming |
+| streaming: the response body is sent in pieces | `current`, `writer.source` | idle |
 
-In each state the client may leave bytes unread (`writer.unread`); no further request is dispatched then.
+In each state the client may leave response bytes unread (`writer.unread`); meanwhile no request is
+dispatched.
 """
 
 from __future__ import annotations
@@ -30,26 +31,26 @@
 from .request_reader import RequestReader
 from .response_writer import ResponseWriter
 
-REJECTED_LINGER_S = 2.0  # A client whose input is discarded has this time to read the reason.
+REJECTED_LINGER_S = 2.0  # Time for a client whose input is discarded to read the reason.
 ANSWERED_LINGER_S = 0.3
 
 
 class ClientConnection(asyncio.Protocol):
-    """A client's connection: requests are served one after another, and answered in their order.
+    """A client connection: requests are served one after another, and answered in order.
 
     Args:
         handler: Server that accepts and answers the requests.
-        client: Record of the client, as admission created it.
+        client: Record of the client that admission created.
 
     Attributes:
         reader: Reader of the input.
-        assembler: Assembler of the requests that the reader reads.
+        assembler: Assembler of the requests in the input.
         writer: Writer of the responses.
-        lifecycle: Stage of the connection.
-        transport: Transport of the connection; None before it exists.
+        lifecycle: State machine of the connection.
+        transport: Transport of the connection; None until it exists.
         close_detector: Detector of the client's close.
         current: Request that is being served; None if there is none.
-        dispatching: Whether `dispatch` runs.
+        dispatching: Whether `dispatch` is running.
         half_closed: Whether the client has closed its sending side and awaits responses.
     """
 
@@ -88,7 +89,7 @@
         self.close_detector.sock = sock
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start reading, unless the connection was closed or the graceful shutdown began meanwhile."""
+        """Start reading, unless the connection was closed or a graceful shutdown began in the meantime."""
         self.transport = self.reader.transport = self.writer.transport = cast(asyncio.Transport, transport)
         self.close_detector.sock = transport.get_extra_info("socket")
         self.transport.set_write_buffer_limits(high=0)
@@ -101,11 +102,11 @@
             self.close_when_idle()
 
     def data_received(self, data: bytes) -> None:
-        """Read input of the client."""
+        """Read input from the client."""
         self.reader.data_received(data)
 
     def eof_received(self) -> bool:
-        """Close, unless the client still awaits responses; return whether the transport stays open."""
+        """Close unless the client still awaits responses; return whether the transport stays open."""
         between_messages = not self.assembler.message_unfinished and self.reader.unparsed is None
         self.half_closed = self.handler.half_close and self.busy and between_messages
         if not self.half_closed:
@@ -113,11 +114,11 @@
         return self.half_closed
 
     def pause_writing(self) -> None:
-        """Stop dispatching requests: a client that sends and does not read would fill the memory."""
+        """Stop dispatching requests, since a client that sends and does not read would exhaust the memory."""
         self.writer.pause()
 
     def resume_writing(self) -> None:
-        """Resume dispatching requests: all written data has been sent."""
+        """Resume dispatching requests, since all written data has been sent."""
         self.writer.resume()
         self.dispatch()
         if self.idle and (self.half_closed or not self.handler.accepting_requests):
@@ -127,13 +128,13 @@
         """Release all reservations, and report the request that was being served."""
         self.lifecycle.enter(CLOSED)
         request, self.current = self.current, None
-        # Without reference cycles the connection is freed at once; otherwise it stays in memory until the
-        # garbage collector runs.
+        # Without reference cycles the connection is freed immediately; otherwise it stays in memory until
+        # the garbage collector runs.
         self.writer.detach()
         self.reader.detach()
         self.handler.disconnected(self, request)
 
-    # State, as admission and the graceful shutdown see it
+    # State for admission and graceful shutdown
 
     @property
     def paused(self) -> bool:
@@ -142,7 +143,7 @@
 
     @property
     def discarding_input(self) -> bool:
-        """Whether input is discarded, since the start of the next message is unknown."""
+        """Whether input is discarded because the start of the next message is unknown."""
         return self.assembler.discarding_input
 
     @property
@@ -152,33 +153,33 @@
 
     @property
     def message_unfinished(self) -> bool:
-        """Whether a message has begun and not ended."""
+        """Whether a message has begun and is not complete."""
         return self.assembler.message_begun or self.assembler.upload is not None
 
     @property
     def idle(self) -> bool:
-        """Whether the connection can be closed without loss: nothing is pending or being discarded."""
+        """Whether the connection can be closed without loss: nothing is pending and no input is discarded."""
         return not self.busy and not self.assembler.discarding_input
 
     @property
     def busy(self) -> bool:
-        """Whether a request is pending, or the client leaves bytes of a response unread."""
+        """Whether a request is pending, or the client has not read all bytes of a response."""
         return self.current is not None or bool(self.assembler.waiting) or self.writer.unread
 
     def pending_requests(self) -> list[ParsedRequest]:
-        """Return the pending requests of this connection, in order of arrival."""
+        """Return the pending requests of the connection, in order of arrival."""
         waiting = [item for item in self.assembler.waiting if isinstance(item, ParsedRequest)]
         return waiting if self.current is None else [self.current, *waiting]
 
     # Requests
 
     def dispatch(self) -> None:
-        """Serve the waiting items, one at a time, and notify admission of the new state."""
+        """Serve the waiting items one at a time, and notify admission of the new state."""
         if not self.dispatching:
             self.dispatching = True
-            waiting, writer, stage = self.assembler.waiting, self.writer, self.lifecycle
+            waiting, writer, machine = self.assembler.waiting, self.writer, self.lifecycle
             try:
-                while waiting and self.current is None and not writer.unread and stage.state is not CLOSED:
+                while waiting and self.current is None and not writer.unread and machine.state is not CLOSED:
                     item = waiting.popleft()
                     if isinstance(item, ParsedRequest):
                         rejection: tuple[int, bytes, bytes] | None
@@ -193,7 +194,7 @@
                             self._answer_rejected(item, *rejection)
                     elif isinstance(item, RequestError):
                         keep_alive = item.keep_alive and not self.assembler.discarding_input
-                        self._respond(item.code, b"", f"{item}\n".encode(), keep_alive, item.head)
+                        self._respond(item.code, b"", f"{item}\n".encode(), keep_alive, item.is_head)
                     else:
                         code, text = (503, b"draining\n") if self.handler.draining else (200, b"ready\n")
                         self._respond(code, b"", text, item.keep_alive)
@@ -209,25 +210,25 @@
         self._respond(code, headers, text, request.keep_alive, request.profile is HttpProfile.HEAD)
 
     def _stop_upload(self, request: ParsedRequest) -> None:
-        """Discard the rest of a streamed body, since its request is answered already."""
+        """Discard the rest of a streamed body, since its request is already answered."""
         if request.upload is not None and not request.upload.ended:
             request.keep_alive = False
             self.assembler.stop_upload()
 
     def send_continue(self) -> None:
-        """Tell the client that it may send the body of its request (RFC 9110, 15.2.1)."""
+        """Send 100 Continue, after which the client sends the body of its request (RFC 9110, 15.2.1)."""
         self.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     # Responses
 
     def respond(self, request: ParsedRequest, code: int, headers: bytes, body: bytes) -> None:
-        """Write the final answer to the request that is being served.
+        """Write the final response to the request that is being served.
 
         Args:
-            request: The request; nothing is written if it is no longer being served.
+            request: Request; nothing is written if it is no longer being served.
             code: HTTP status of the response.
-            headers: Complete header lines, without those of the framing.
-            body: Complete body of the response.
+            headers: Complete header lines, without framing headers.
+            body: Complete response body.
         """
         if self.current is not request:
             return
@@ -243,14 +244,15 @@
     def begin_response(
         self, request: ParsedRequest, code: int, headers: bytes, length: int | None, source: FlowControlled
     ) -> bool:
-        """Begin the final answer to the request that is being served; its body follows in pieces.
+        """Begin the final response to the request that is being served; its body follows in pieces.
 
         Args:
             request: The request.
             code: HTTP status of the response.
-            headers: Complete header lines, without those of the framing.
-            length: Bytes of the body; None if the last chunk, or the close of the connection, marks its end.
-            source: Source of the body, which pauses while the client does not read.
+            headers: Complete header lines, without framing headers.
+            length: Bytes of the body; None if its end is marked by the last chunk or by the close of the
+                connection.
+            source: Source of the body, which is paused while the client does not read.
 
         Returns:
             False if the client no longer awaits the response.
@@ -259,7 +261,7 @@
             return False
         if request.upload is not None:
             self._stop_upload(request)
-        keep_alive = request.keep_alive and self._keeps_open()
+        keep_alive = request.keep_alive and self._should_keep_alive()
         self.writer.source = source
         headers += request.extra_response_headers
         self.writer.begin(code, headers, length, keep_alive, not request.is_http_1_0)
@@ -270,30 +272,30 @@
         if self.current is request and data:
             self.writer.send_piece(data)
 
-    def end_response(self, request: ParsedRequest, whole: bool) -> None:
+    def end_response(self, request: ParsedRequest, complete: bool) -> None:
         """End the streamed response.
 
         Args:
             request: The request.
-            whole: Whether the body is complete. If it is not, the connection is reset, which shows that to
-                the client in any framing.
+            complete: Whether the body is complete; otherwise the connection is reset, which shows that to the
+                client in any framing.
         """
         if self.current is not request:
             return
         self.current = self.writer.source = None
         self.assembler.release(request.size)
-        if not whole:
+        if not complete:
             self.close(reset=True)
             return
         self.writer.end()
         if not self.writer.keep_alive:
-            self._shut_down()
+            self._close_gracefully()
         self.dispatch()
 
-    def _keeps_open(self) -> bool:
+    def _should_keep_alive(self) -> bool:
         """Return whether the connection stays open after the next response.
 
-        While another request is waiting or unfinished, it stays open in a graceful shutdown too.
+        While another request is waiting or incomplete, it stays open during a graceful shutdown too.
         """
         assembler = self.assembler
         if assembler.waiting or self.reader.unparsed is not None or assembler.message_begun:
@@ -302,30 +304,32 @@
             return False
         return (self.handler.accepting_requests and not self.handler.handing_over) or self.has_unread_input()
 
-    def _respond(self, code: int, headers: bytes, body: bytes, keep_alive: bool, head: bool = False) -> None:
-        """Write a whole response, and close after it unless the connection stays open."""
-        keep_alive = keep_alive and self._keeps_open()
-        self.writer.respond(code, headers, body, keep_alive, head)
+    def _respond(
+        self, code: int, headers: bytes, body: bytes, keep_alive: bool, is_head: bool = False
+    ) -> None:
+        """Write a complete response, and close after it unless the connection stays open."""
+        keep_alive = keep_alive and self._should_keep_alive()
+        self.writer.respond(code, headers, body, keep_alive, is_head)
         if not keep_alive:
-            self._shut_down()
+            self._close_gracefully()
 
     # Lifecycle
 
     def close_when_idle(self) -> None:
-        """Close the connection, which is idle, unless the client has sent input that was not read yet."""
+        """Close the idle connection, unless the client has sent input that was not read yet."""
         if self.transport is not None and not self.has_unread_input():
-            self._shut_down()
+            self._close_gracefully()
             self.handler.clients.update(self)
 
     def evict(self) -> None:
-        """Close to make room for other clients; an unfinished message is rejected first."""
+        """Close the connection to make room for other clients; an incomplete message is rejected first."""
         unfinished = self.transport is not None and self.assembler.message_unfinished
         if unfinished:
             self.reject_unfinished("its place was needed")
         self.close(flush=unfinished)
 
     def reject_unfinished(self, text: str, code: int = 503) -> None:
-        """Reject the unfinished message; its response follows those to the earlier messages.
+        """Reject the incomplete message; its response follows those to earlier messages.
 
         Args:
             text: Reason that the client reads.
@@ -336,17 +340,17 @@
             self.dispatch()
 
     def expire(self) -> None:
-        """Reject the message that was not complete in time, or close the connection if it is idle."""
+        """Reject a message that was not complete in time, or close the connection if it is idle."""
         if self.assembler.message_unfinished:
             self.reject_unfinished("the request took too long to come", 408)
         elif self.idle:
             self.close_when_idle()
 
-    def _shut_down(self) -> None:
-        """Close the sending side after the last response, and the connection when the client has closed too.
+    def _close_gracefully(self) -> None:
+        """Close the sending side after the last response, and the connection once the client has closed too.
 
-        An immediate close would answer arriving bytes with a reset, which can destroy responses that are
-        still on their way (RFC 9112, 9.6). Input from here on is discarded.
+        After an immediate close, arriving bytes would cause a reset, which can destroy responses that are
+        still in transit (RFC 9112, 9.6). Input is discarded from now on.
         """
         if self.transport is None or self.transport.is_closing():
             return
@@ -359,12 +363,12 @@
             self.close()
 
     def close(self, reset: bool = False, flush: bool = False) -> None:
-        """Close the connection; all other methods that close it call this one.
+        """Close the connection; every other method that closes it calls this one.
 
         Args:
-            reset: Whether to close with a TCP reset; it shows the client in any framing that a response is
+            reset: Whether to close with a TCP reset, which shows the client in any framing that a response is
                 incomplete.
-            flush: Whether buffered data is sent before the close; otherwise it is dropped.
+            flush: Whether buffered data is sent before the close; otherwise it is discarded.
         """
         if self.lifecycle.state is CLOSED:
             return
@@ -372,7 +376,7 @@
         if self.transport is None:
             return
         if reset and (sock := self.transport.get_extra_info("socket")) is not None:
-            with contextlib.suppress(OSError):  # The connection is closed already.
+            with contextlib.suppress(OSError):  # The connection is already closed.
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
         if flush:
             self.transport.close()
@@ -382,13 +386,13 @@
     # Detection of the client's close
 
     def has_unread_input(self) -> bool:
-        """Return whether bytes of the client, or its close, have arrived and were not read yet."""
+        """Return whether bytes from the client, or its close, have arrived and were not read yet."""
         if self.lifecycle.state is CLOSED:
             return False
         return self.reader.unparsed is not None or (not self.half_closed and self.close_detector.poll() != 0)
 
     def client_has_closed(self) -> bool:
-        """Return whether the client has closed, also behind input that was not read yet."""
+        """Return whether the client has closed, even if input before the close was not read yet."""
         if self.lifecycle.state is CLOSED or self.transport is None:
             return self.lifecycle.state is CLOSED
         if not self.close_detector.has_closed(self.handler.half_close):
--- a/dykefold/net/downstream/lifecycle.py
+++ b/dykefold/net/downstream/lifecycle.py
@@ -1,4 +1,4 @@
-"""The lifecycle of a client's connection, as a table of states and permitted transitions."""
+"""Lifecycle of a client connection, as a table of states and permitted transitions."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Lifecycle(Enum):
-    """Stages of a connection, from accept to close."""
+    """State of a connection, from accept to close."""
 
     ACCEPTED = "the socket was accepted, the transport does not exist yet"
     OPEN = "the transport exists"
@@ -23,14 +23,14 @@
     CLOSING: frozenset((CLOSED,)),
     CLOSED: frozenset(),
 }
-ENDED = (CLOSING, CLOSED)
+CLOSING_OR_CLOSED = (CLOSING, CLOSED)
 
 
 class ConnectionLifecycle:
-    """The stage that one connection is in.
+    """State machine of one connection.
 
     Attributes:
-        state: Present stage; only `enter` sets it.
+        state: Current state; only `enter` changes it.
     """
 
     __slots__ = ("state",)
@@ -39,7 +39,7 @@
         self.state = ACCEPTED
 
     def enter(self, state: Lifecycle) -> None:
-        """Change the stage; the present stage is permitted too, and changes nothing."""
+        """Change the state; entering the current state is permitted and has no effect."""
         if state is not self.state:
             assert state in TRANSITIONS[self.state], f"{self.state.name} to {state.name}"
             self.state = state
--- a/dykefold/net/downstream/protocols.py
+++ b/dykefold/net/downstream/protocols.py
@@ -1,4 +1,4 @@
-"""What a client's connection needs of others: server, parser of messages, source of a streamed response."""
+"""Interfaces that a client connection needs: server, message parser, source of a streamed response."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class MessageReader(Protocol):
-    """Turns a whole message into a request, as `RequestParser` does.
+    """Turns a complete message into a request, as `RequestParser` does.
 
     Attributes:
         streams: Whether larger bodies may be streamed, each up to the `max_body_bytes` of its request.
@@ -29,37 +29,37 @@
         """Parse a message.
 
         Raises:
-            RequestError: The sidecar itself answers the message; no endpoint gets it.
+            RequestError: The message is answered by the sidecar itself, not by an endpoint.
         """
         ...
 
 
 class FlowControlled(Protocol):
-    """The source of a response body that is passed on piece by piece."""
+    """The source of a streamed response body."""
 
     def block(self, on: bool) -> None:
         """Pause or resume the source.
 
         Args:
-            on: Whether the source pauses.
+            on: Whether to pause the source; otherwise it resumes.
         """
         ...
 
 
 class ServerContext(Protocol):
-    """The server as its connections see it: what they share, and how far its shutdown has come.
+    """The server as its connections see it: shared resources and the state of its shutdown.
 
     Attributes:
         loop: Event loop of the process.
         clients: Open connections of all clients.
-        memory: Memory budget of all messages.
+        memory: Memory budget shared by all messages.
         read_scheduler: Queue of the connections whose input waits to be parsed.
-        lag_monitor: Monitor that is notified of the time that parsing takes.
-        parser: Parser of messages by the present settings.
+        lag_monitor: Event loop monitor that is notified of the duration of parsing.
+        parser: Parser of messages by the current settings.
         draining: Whether the graceful shutdown has begun.
-        handing_over: Whether a newer process takes over in a hot restart; clients reconnect to it after
-            their next response.
-        accepting_requests: Whether requests are still accepted.
+        handing_over: Whether a newer process takes over in a hot restart, so that clients are to reconnect
+            after their next response.
+        accepting_requests: Whether new requests are still accepted.
         half_close: Whether a client that has closed its sending side may still await responses.
     """
 
@@ -81,7 +81,7 @@
 
     @property
     def system(self) -> System:
-        """The machine's clocks and sockets."""
+        """Clocks and sockets of the operating system."""
         ...
 
     @property
@@ -90,41 +90,41 @@
         ...
 
     def log_exception(self, text: str) -> None:
-        """Log the exception that is being handled, at a limited rate."""
+        """Log the exception that is being handled, with a rate limit."""
         ...
 
 
 class RequestHandler(ServerContext, Protocol[_ConnectionT]):
-    """Accepts the requests of connections, which are of type `_ConnectionT`, and answers them."""
+    """Accepts and answers the requests of connections of type `_ConnectionT`."""
 
     def admit(self, connection: _ConnectionT, request: ParsedRequest) -> tuple[int, bytes, bytes] | None:
-        """Reserve what a request will need.
+        """Admit a request and reserve the resources that it needs.
 
         Returns:
-            None if it is admitted, else status code, header lines and text of its rejection.
+            None if it is admitted; otherwise status code, header lines and text of its rejection.
         """
         ...
 
     def accept(self, connection: _ConnectionT, request: ParsedRequest) -> None:
-        """Accept an admitted request; `respond` or `begin_response` of the connection is called once."""
+        """Accept an admitted request; the connection's `respond` or `begin_response` is then called once."""
         ...
 
     def disconnected(self, connection: _ConnectionT, request: ParsedRequest | None) -> None:
-        """Record that a client's connection is lost.
+        """Record that a client connection is lost.
 
         Args:
             connection: The connection.
-            request: Its request that was being served; None if there was none.
+            request: Request that was being served on it; None if there was none.
         """
         ...
 
 
 class ItemReceiver(Protocol):
-    """The connection as its input sees it: takes the items that were read."""
+    """The connection as its input side sees it: receiver of the assembled items."""
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is pending, and no input is discarded."""
+        """Whether no request is pending and no input is being discarded."""
         ...
 
     def dispatch(self) -> None:
@@ -132,17 +132,17 @@
         ...
 
     def send_continue(self) -> None:
-        """Tell the client that it may send the body of its request (RFC 9110, 15.2.1)."""
+        """Send 100 Continue, after which the client sends the body of its request (RFC 9110, 15.2.1)."""
         ...
 
 
 class InputControl(Protocol):
-    """The reader as the assembler sees it: it pauses while too much waits."""
+    """The reader as the assembler sees it: it pauses while too much is queued."""
 
     def pause(self) -> None:
         """Stop reading from the socket."""
         ...
 
     def resume(self) -> None:
-        """Resume reading, unless too much waits."""
+        """Resume reading, unless too much is still queued."""
         ...
--- a/dykefold/net/downstream/request_assembler.py
+++ b/dykefold/net/downstream/request_assembler.py
@@ -1,10 +1,10 @@
-"""Assembles the messages of a client's connection from the parser's callbacks, within their limits.
+"""Assembly of the messages on a client connection from parser callbacks, within size limits.
 
 | state | fields | next |
 | --- | --- | --- |
 | between messages | none of the fields below | in a message |
 | in a message | `message_begun` (then also `in_body`) | between messages; in an upload; discarded |
-| in an upload: the body is streamed to an endpoint | `upload` | between messages; discarded |
+| in an upload: the body is being streamed to an endpoint | `upload` | between messages; discarded |
 | discarded: the start of the next message is unknown | `discarding_input` | |
 """
 
@@ -22,11 +22,11 @@
 from .request_parser import MAX_BUFFERED_BODY_BYTES, Message, ParsedRequest, RequestError
 
 MAX_HEADERS_BYTES = 32 * 1024
-MAX_HEADER_LINES = 256  # Each line costs some hundred bytes of memory in addition to its text.
-MAX_MESSAGE_BYTES = 8 * MAX_BUFFERED_BODY_BYTES  # The framing of small chunks is larger than the body.
-MAX_WAITING_REQUESTS = 16  # Reading pauses while this number of pipelined requests waits.
+MAX_HEADER_LINES = 256  # Each line takes some hundred bytes of memory in addition to its text.
+MAX_MESSAGE_BYTES = 8 * MAX_BUFFERED_BODY_BYTES  # The framing of small chunks is larger than their data.
+MAX_WAITING_REQUESTS = 16  # Reading pauses while this many pipelined requests wait.
 READY_TARGET = b"/-/ready"
-# A request that repeats one of these is rejected: an endpoint could use another value than the sidecar.
+# A request that repeats one of these is rejected: an endpoint could use a different value than the sidecar.
 SINGLE_VALUE_HEADERS = frozenset(
     (b"x-request-id", b"idempotency-key", b"x-deadline", b"x-key", b"x-tenant", b"transfer-encoding")
 )
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class ReadinessCheck:
-    """A client's readiness check of this sidecar.
+    """A readiness check of this sidecar by a client.
 
     Attributes:
         keep_alive: Whether the client wants the connection to stay open.
@@ -45,27 +45,27 @@
 
 
 class RequestAssembler:
-    """Makes requests, readiness checks and errors of the input of one connection.
+    """Turns the input of one connection into requests, readiness checks and errors.
 
     Args:
         server: Server of the connection.
-        client: Record of the client, as admission created it.
+        client: Record of the client that admission created.
         receiver: Receiver of the items in `waiting`.
-        input_control: Reader of the input, which is paused while too much waits.
+        input_control: Reader of the input, which is paused while too much is queued.
 
     Attributes:
         parser: HTTP parser, which calls the `on_...` methods.
-        waiting: Requests, readiness checks and errors that wait for their turn, in order of arrival.
+        waiting: Queue of requests, readiness checks and errors that are not served yet, in order of arrival.
         messages: Number of complete messages received.
-        reserved_bytes: Bytes reserved of the memory budget, for all pending messages.
-        discarding_input: Whether input is discarded, since the start of the next message is unknown.
-        message_begun: Whether a message has begun and not ended, other than an upload.
-        in_body: Whether the headers of the present message are complete.
-        upload: Body of the present message if it is streamed; None otherwise.
+        reserved_bytes: Number of bytes reserved from the memory budget, for all pending messages.
+        discarding_input: Whether input is discarded because the start of the next message is unknown.
+        message_begun: Whether a message has begun and is not complete, other than an upload.
+        in_body: Whether the headers of the current message are complete.
+        upload: Body of the current message if it is streamed; None otherwise.
         arrived_ns: Time on the clock of deadlines, in nanoseconds, at which the bytes that are being parsed
             arrived; 0 if they have just arrived.
-        message_bytes: Number of bytes received of the present message, including its framing.
-        max_message_bytes: Number of bytes above which the present message is rejected.
+        message_bytes: Number of bytes received of the current message, including its framing.
+        max_message_bytes: Number of bytes above which the current message is rejected.
     """
 
     __slots__ = (
@@ -130,7 +130,7 @@
 
     @property
     def message_unfinished(self) -> bool:
-        """Whether a message has begun and not ended."""
+        """Whether a message has begun and is not complete."""
         return self.message_begun or self.upload is not None
 
     # Callbacks of the parser
@@ -144,24 +144,24 @@
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Store a header, both by its name and as the line that is forwarded."""
-        if self.in_body:  # Trailers are dropped.
+        """Store a header by its name, and as the line that is forwarded."""
+        if self.in_body:  # Trailers are discarded.
             return
         lower_name = name.lower()
-        # The parser does not accept `chunked` followed by a tab, so the tab must stay visible here.
+        # The parser does not accept `chunked` followed by a tab, so the tab must not be stripped here.
         value = value.strip(b" " if lower_name == b"transfer-encoding" else BLANKS)
         headers = self._headers
         if lower_name in headers:
             if lower_name in SINGLE_VALUE_HEADERS:
                 self._duplicate_header = True
             elif lower_name == b"host":
-                value = headers[lower_name] + b", " + value  # The result is no host, and matches no route.
+                value = headers[lower_name] + b", " + value  # The result is not a host, and matches no route.
         headers[lower_name] = value
         if lower_name not in NOT_FORWARDED:
             self._header_lines.append(b"%b: %b\r\n" % (name, value))
 
     def on_headers_complete(self) -> None:
-        """Check the limits of headers, and begin an upload if the announced body is too large to buffer."""
+        """Check the header limits, and begin an upload if the announced body is too large to buffer."""
         self.in_body = True
         self.max_message_bytes = MAX_MESSAGE_BYTES
         headers = self._headers
@@ -180,7 +180,7 @@
                 self._receiver.send_continue()
 
     def on_body(self, data: bytes) -> None:
-        """Buffer a piece of a body, or pass it on if the body is an upload."""
+        """Buffer a piece of a body, or pass it to the upload if the body is streamed."""
         if self.discarding_input:
             return
         self._body_bytes += len(data)
@@ -215,10 +215,10 @@
                 request = self._build_request(bytes(self._body))
                 request.size = self._message_reserved_bytes
                 self.waiting.append(request)
-            except RequestError as problem:
-                problem.keep_alive = keep_alive
-                problem.head = self.parser.get_method() == b"HEAD"
-                self.waiting.append(problem)
+            except RequestError as error:
+                error.keep_alive = keep_alive
+                error.is_head = self.parser.get_method() == b"HEAD"
+                self.waiting.append(error)
                 self.release(self._message_reserved_bytes)
         self._release_unfinished()
         self._reset_message()
@@ -228,12 +228,12 @@
     # Memory
 
     def release(self, size: int) -> None:
-        """Release bytes of the memory budget."""
+        """Release bytes to the memory budget."""
         self._memory.release(size)
         self.reserved_bytes -= size
 
     def _release_unfinished(self) -> None:
-        """Remove the present message from the client's count of unfinished bytes."""
+        """Remove the current message from the client's count of unfinished bytes."""
         self._clients.release_unfinished(self._client, self._message_reserved_bytes)
 
     # Messages
@@ -242,7 +242,7 @@
         """Return the message as a request.
 
         Raises:
-            RequestError: The sidecar itself answers the message; no endpoint gets it.
+            RequestError: The message is answered by the sidecar itself, not by an endpoint.
         """
         if self._duplicate_header:
             raise RequestError(400, "a header came twice")
@@ -260,7 +260,7 @@
         )
 
     def _reserve(self, size: int) -> bool:
-        """Reserve memory for more of a message; reject the message if there is no capacity."""
+        """Reserve memory for more of the message; reject the message if there is no capacity."""
         if not self._memory.reserve(size):
             self.reject(503, "too much is held")
             return False
@@ -272,10 +272,10 @@
         self._message_reserved_bytes += size
         return True
 
-    def reject(self, code: int, text: str, head: bool = False) -> None:
-        """Queue an error as the last response, and discard input: the next message's start is unknown."""
+    def reject(self, code: int, text: str, is_head: bool = False) -> None:
+        """Queue an error as the last response and discard input: the start of the next message is unknown."""
         if self.upload is not None and not self.discarding_input:
-            # The request of the upload is accepted or waiting; this error is its one answer.
+            # The request of the upload is accepted or waiting, and gets this error as its only response.
             self._fail_upload(self.upload, code, text)
         if not self.discarding_input:
             self.discarding_input = True
@@ -284,25 +284,25 @@
             self.release(self._message_reserved_bytes)
             self._message_reserved_bytes = 0
             self._body = b""
-            problem = RequestError(code, text)
-            problem.head = head
-            self.waiting.append(problem)
+            error = RequestError(code, text)
+            error.is_head = is_head
+            self.waiting.append(error)
 
     # Streamed bodies
 
     def _begin_upload(self, length: int | None) -> None:
-        """Queue a request whose body is too large to buffer; its bytes are streamed as they arrive.
+        """Queue a request whose body is too large to buffer and is streamed as it arrives.
 
         Args:
-            length: Bytes of the body; None if it is chunked.
+            length: Number of bytes of the body; None if it is chunked.
         """
         if not self._server.parser.streams:
             self.reject(413, "the body is too large")
             return
         try:
             request = self._build_request(b"")
-        except RequestError as problem:
-            self.reject(problem.code, str(problem), self.parser.get_method() == b"HEAD")
+        except RequestError as error:
+            self.reject(error.code, str(error), self.parser.get_method() == b"HEAD")
             return
         if (length or self._body_bytes) > request.max_body_bytes:
             self.reject(413, "the body is too large")
@@ -318,7 +318,7 @@
             self.waiting.append(request)
 
     def _feed_upload(self, upload: Upload, data: bytes) -> None:
-        """Pass on a piece of a body."""
+        """Pass a piece of a body to the upload."""
         if self._body_bytes > self._max_upload_bytes:
             self._fail_upload(upload, 413, "the body is too large")
             return
@@ -332,12 +332,12 @@
         self.discarding_input = True
 
     def stop_upload(self) -> None:
-        """Discard the rest of a body whose request is answered: the next message's start is unknown."""
+        """Discard the rest of a body whose request is answered: the start of the next message is unknown."""
         self.discarding_input = True
         self.upload = None
 
     def detach(self) -> None:
-        """Release all reservations, and drop all references that lead back to the connection."""
+        """Release all reservations, and clear all references that lead back to the connection."""
         self._release_unfinished()
         self.release(self.reserved_bytes)
         self.waiting.clear()
@@ -345,12 +345,12 @@
         del self.parser, self._receiver, self._input
 
     def _fail_upload(self, upload: Upload, code: int, text: str) -> None:
-        """Discard the rest of a body; its request, which is accepted or waiting, gets this answer."""
+        """Discard the rest of a body; its request, which is accepted or waiting, gets this response."""
         self.discarding_input = True
         self.upload = None
         upload.fail(code, text)
 
 
 def _exceeds_max_body(length: bytes) -> bool:
-    # The first digits suffice, since the parser limits their number.
+    # The first digits are enough, since the parser limits their number.
     return length.isdigit() and int(length[:12]) > MAX_BUFFERED_BODY_BYTES
--- a/dykefold/net/downstream/request_parser.py
+++ b/dykefold/net/downstream/request_parser.py
@@ -1,4 +1,4 @@
-"""Parses a client's message into a request, by the platform's HTTP headers and the settings. No I/O."""
+"""Parsing of client messages into requests, by the platform's HTTP headers and the settings. No I/O."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 MAX_STREAMED_BODY_BYTES = 40 * 1024 * 1024  # Limit of a streamed request or response body.
 DEADLINE_PATTERN = re.compile(rb"(\d{1,12}(?:\.\d{1,9})?)([mu])")
 NS_PER_DEADLINE_UNIT = {b"m": 1_000_000, b"u": 1_000}
-MAX_CACHED_DEADLINES = 256  # Clients send few different values.
+MAX_CACHED_DEADLINES = 256  # Clients send few distinct values.
 COST_PATTERN = re.compile(rb"\d{1,12}(?:\.\d{1,9})?")
 
 
 class RequestError(Exception):
-    """A message that the sidecar itself answers; no endpoint gets it.
+    """A message that the sidecar itself answers, without an endpoint.
 
     Args:
         code: HTTP status of the response.
@@ -34,33 +34,33 @@
     Attributes:
         code: HTTP status of the response.
         keep_alive: Whether the connection may stay open after the response.
-        head: Whether the response has no body, since the request's method is HEAD.
+        is_head: Whether the request is a HEAD request, whose response has no body.
     """
 
     def __init__(self, code: int, text: str) -> None:
         super().__init__(text)
         self.code = code
         self.keep_alive = True
-        self.head = False
+        self.is_head = False
 
 
 class MalformedRequestError(RequestError):
-    """A request whose class the settings do not have, or that is not in the form of its class."""
+    """A request of a class that the settings do not have, or that violates the requirements of its class."""
 
 
 @dataclass(slots=True)
 class Message:
-    """A complete message of a client, before it is parsed as a request.
+    """A complete client message, before it is parsed as a request.
 
     Attributes:
         received_ns: Time in nanoseconds at which its last byte arrived, on the clock of deadlines.
         method: HTTP method.
         target: Request target as the client sent it.
-        headers: Values by lower-case name; of a repeated header the last one.
+        headers: Header values by lower-case name; the last value of a repeated header.
         lines: Complete header lines that are forwarded.
         body: Buffered body; empty if the body is streamed.
-        keep_alive: Whether the client permits that the connection stays open.
-        is_http_1_0: Whether the client speaks HTTP/1.0; always False if bodies are not streamed.
+        keep_alive: Whether the client allows the connection to stay open.
+        is_http_1_0: Whether the message is HTTP/1.0; always False if bodies are not streamed.
     """
 
     received_ns: int
@@ -86,19 +86,19 @@
         class_number: Number of the request class in the settings.
         tenant: Number of the tenant in the settings.
         key: Hash of X-Key; 0 if the header is missing.
-        deadline_ns: Time in nanoseconds by which the client needs the answer, on the clock of deadlines.
-        wait_ns: Nanoseconds that the client waits, from the last byte of its request.
-        cost_ns: Cost that the client estimates, in nanoseconds; 0 if it states none.
-        is_retry: Whether the client itself repeats an earlier request.
-        keep_alive: Whether the connection may stay open after the answer.
-        size: Bytes reserved of the memory budget.
+        deadline_ns: Time in nanoseconds by which the client needs the response, on the clock of deadlines.
+        wait_ns: Time in nanoseconds that the client waits, from the last byte of its request.
+        cost_ns: Client's cost estimate in nanoseconds; 0 if there is none.
+        is_retry: Whether the request is a client's own retry of an earlier request.
+        keep_alive: Whether the connection may stay open after the response.
+        size: Number of bytes reserved from the memory budget.
         ticket: Number of the request in its pool; 0 before the pool accepts it.
-        pool: Service pool that serves the request; a change of the settings does not change it.
+        pool: Service pool that serves the request, also after a change of the settings.
         profile: Rules by which responses of endpoints are classified.
-        extra_response_headers: Header lines that are added to the answer.
+        extra_response_headers: Header lines that are added to the response.
         max_body_bytes: Largest size of a streamed request body, in bytes.
         max_response_bytes: Largest size of a streamed response body, in bytes.
-        is_http_1_0: Whether the client speaks HTTP/1.0.
+        is_http_1_0: Whether the request is HTTP/1.0.
         upload: Streamed request body; None if the body is buffered.
     """
 
@@ -128,7 +128,7 @@
 
 @lru_cache(maxsize=MAX_CACHED_DEADLINES)
 def parse_deadline(value: bytes) -> int:
-    """Return the nanoseconds of an X-Deadline value.
+    """Return an X-Deadline value in nanoseconds.
 
     Raises:
         RequestError: The value is malformed.
@@ -140,49 +140,49 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ClassForm:
-    """The form of the requests of one class.
+class ClassRequirements:
+    """Requirements for the requests of one class.
 
     Attributes:
         number: Number of the class in the settings.
-        method: HTTP method that every request of the class has.
-        needs_key: Whether a request must have an idempotency key.
-        deadline_ns: Longest time that a client may wait, in nanoseconds.
+        method: HTTP method that every request of the class must have.
+        requires_idempotency_key: Whether a request must have an idempotency key.
+        deadline_ns: Maximum time that a client waits, in nanoseconds.
     """
 
     number: int
     method: bytes
-    needs_key: bool
+    requires_idempotency_key: bool
     deadline_ns: int
 
     @classmethod
-    def of(cls, number: int, spec: RequestClass) -> ClassForm:
-        """Return the form of a class of the settings.
+    def of(cls, number: int, spec: RequestClass) -> ClassRequirements:
+        """Return the requirements of a class of the settings.
 
         Args:
             number: Number of the class.
-            spec: Class as the settings define it.
+            spec: Definition of the class in the settings.
         """
         method = b"GET" if spec.effect is Effect.SAFE else b"POST"
         return cls(number, method, spec.effect is Effect.KEYED, spec.deadline_ns)
 
 
 class RequestParser:
-    """Parses requests by one version of the settings: its classes and tenants.
+    """Parser of requests by the classes and tenants of one version of the settings.
 
     Args:
         settings: Settings with the classes and tenants.
         pool: Service pool that serves the requests.
         retired: Numbers of classes that are no longer accepted.
-        previous: Parser of the previous settings, for requests that do not fit the present ones; None if
-            there is none.
+        previous: Parser of the previous settings, for requests that do not match the current ones; None
+            if there is none.
 
     Attributes:
-        streams: Whether larger bodies may be streamed.
-        classes: Forms of requests, by the name of their class.
-        tenants: Numbers of tenants by name.
-        until_ns: Time in nanoseconds until which the next parser may fall back on this one, on the clock of
-            deadlines; 0 while this parser is the present one.
+        streams: Whether bodies too large to buffer are streamed.
+        classes: Requirements of the classes, by class name.
+        tenants: Tenant numbers by name.
+        fallback_until_ns: Time in nanoseconds until which the next parser may fall back on this one, on the
+            clock of deadlines; 0 while this parser is the current one.
     """
 
     streams = True
@@ -196,16 +196,16 @@
     ) -> None:
         self.pool = pool
         self.classes = {
-            spec.name.encode(): ClassForm.of(number, spec)
+            spec.name.encode(): ClassRequirements.of(number, spec)
             for number, spec in enumerate(settings.classes)
             if number not in retired
         }
         self.tenants = {tenant.name.encode(): number for number, tenant in enumerate(settings.tenants)}
         self.previous = previous
-        self.until_ns = 0
+        self.fallback_until_ns = 0
 
     def keep_as_fallback(self, now_ns: int, until_ns: int) -> RequestParser:
-        """Permit that the next parser falls back on this one; drop expired older parsers.
+        """Allow the next parser to fall back on this one, and drop expired older parsers.
 
         Args:
             now_ns: Time in nanoseconds, on the clock of deadlines.
@@ -214,59 +214,59 @@
         Returns:
             This parser.
         """
-        self.until_ns = until_ns
+        self.fallback_until_ns = until_ns
         parser = self
         while parser.previous is not None:
-            if parser.previous.until_ns <= now_ns:
+            if parser.previous.fallback_until_ns <= now_ns:
                 parser.previous = None
                 break
             parser = parser.previous
         return self
 
     def read(self, message: Message) -> ParsedRequest:
-        """Parse a message, by the previous settings if it does not fit the present ones.
+        """Parse a message, by the previous settings if it does not match the current ones.
 
         Raises:
-            RequestError: The sidecar itself answers the message; no endpoint gets it.
+            RequestError: The message is answered by the sidecar itself, not by an endpoint.
         """
         try:
-            return self._read(message)
+            return self._parse_by_current_settings(message)
         except MalformedRequestError:
             if self.previous is None:
                 raise
-            if message.received_ns >= self.previous.until_ns:
+            if message.received_ns >= self.previous.fallback_until_ns:
                 self.previous = None
                 raise
             try:
                 return self.previous.read(message)
             except RequestError:
-                pass  # The client gets the error by the present settings, which it can correct.
+                pass  # The client gets the error by the current settings, which it can correct.
             raise
 
-    def _read(self, message: Message) -> ParsedRequest:
-        """Parse a message by these settings alone.
+    def _parse_by_current_settings(self, message: Message) -> ParsedRequest:
+        """Parse a message by the settings of this parser alone.
 
-        The headers of all requests are read in this one function, since every request pays for each call.
+        All headers are read in this one function, since each function call would slow down every request.
         """
         headers, target = message.headers, message.target
         path = target if target.startswith(b"/") else _path_of_absolute_form(target)
         name = path[1:].split(b"/", 1)[0].split(b"?", 1)[0]
-        form = self.classes.get(name)
-        if form is None and b"%" in name:  # A path may have to escape the name (RFC 3986, 2.1).
-            form = self.classes.get(unquote_to_bytes(name))
-        if form is None:
+        requirements = self.classes.get(name)
+        if requirements is None and b"%" in name:  # The name may be percent-encoded (RFC 3986, 2.1).
+            requirements = self.classes.get(unquote_to_bytes(name))
+        if requirements is None:
             raise MalformedRequestError(404, "unknown class")
-        if message.method != form.method:
+        if message.method != requirements.method:
             raise MalformedRequestError(405, "the method is not that of the class")
         x_request_id = headers.get(b"x-request-id")
         if not x_request_id:
             raise RequestError(400, "X-Request-Id is missing")
-        # Without the key no endpoint could recognize a retry, and the effect could occur twice.
-        if form.needs_key and not headers.get(b"idempotency-key"):
+        # Without the key, endpoints could not recognize a retry, and the effect could occur twice.
+        if requirements.requires_idempotency_key and not headers.get(b"idempotency-key"):
             raise MalformedRequestError(400, "Idempotency-Key is missing")
-        wait_ns = form.deadline_ns
+        wait_ns = requirements.deadline_ns
         if (deadline := headers.get(b"x-deadline")) is not None:
-            # The deadline of the class covers all attempts; a client can shorten it and not extend it.
+            # The deadline of the class covers all attempts; a client can shorten it but not extend it.
             wait_ns = min(wait_ns, parse_deadline(deadline))
         tenant = 0
         if self.tenants and (tenant_name := headers.get(b"x-tenant")) is not None:
@@ -280,7 +280,7 @@
             target,
             message.lines,
             message.body,
-            form.number,
+            requirements.number,
             tenant,
             _hash_key(key) if key else 0,
             message.received_ns + wait_ns,
@@ -296,10 +296,10 @@
 
 
 def _path_of_absolute_form(target: bytes) -> bytes:
-    """Return the path of a target in the absolute form, which clients send to proxies (RFC 9112, 3.2.2).
+    """Return the path of a target in absolute form, which clients send to proxies (RFC 9112, 3.2.2).
 
     Raises:
-        RequestError: The target is neither a path nor in the absolute form.
+        RequestError: The target is neither a path nor in absolute form.
     """
     try:
         return httptools.parse_url(target).path or b"/"
@@ -308,7 +308,7 @@
 
 
 def _parse_cost(value: bytes) -> int:
-    """Return the nanoseconds of an X-Cost-Hint value, which is in microseconds.
+    """Return an X-Cost-Hint value, which is in microseconds, in nanoseconds.
 
     Raises:
         RequestError: The value is malformed.
@@ -319,5 +319,5 @@
 
 
 def _hash_key(value: bytes) -> int:
-    """Return the number that stands for an X-Key value in the balancer."""
+    """Return the 64-bit hash of an X-Key value that the balancer uses."""
     return int.from_bytes(blake2b(value, digest_size=8).digest(), "little")
--- a/dykefold/net/downstream/request_reader.py
+++ b/dykefold/net/downstream/request_reader.py
@@ -1,7 +1,7 @@
-"""Input of a client's connection: bytes are parsed in slices, and reading pauses while too much waits.
+"""Input of a client connection: bytes are parsed in slices, and reading pauses while too much is queued.
 
-The reader has no part in responses. `RequestAssembler` makes items of the parsed bytes, and the connection
-takes them from `RequestAssembler.waiting`.
+The reader is not involved in responses. `RequestAssembler` turns the parsed bytes into items, and the
+connection takes them from `RequestAssembler.waiting`.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from ...admission.client import Client
 from ..read_scheduler import SLICE_BYTES, cut
 from .arrivals import Arrivals
-from .lifecycle import CLOSED, ENDED, ConnectionLifecycle
+from .lifecycle import CLOSED, CLOSING_OR_CLOSED, ConnectionLifecycle
 from .protocols import ItemReceiver, ServerContext
 from .request_assembler import MAX_WAITING_REQUESTS, RequestAssembler
 
@@ -23,15 +23,15 @@
 
     Args:
         server: Server of the connection.
-        client: Record of the client, as admission created it.
-        lifecycle: Stage of the connection.
-        receiver: Receiver of the items that the assembler makes.
+        client: Record of the client that admission created.
+        lifecycle: State machine of the connection.
+        receiver: Receiver of the assembled items.
 
     Attributes:
         assembler: Assembler of the items.
-        transport: Transport of the connection; None before it exists.
+        transport: Transport of the connection; None until it exists.
         paused: Whether reading is paused.
-        unparsed: Bytes that were read and not parsed; None if there are none.
+        unparsed: Bytes that were read and are not parsed yet; None if there are none.
         scheduled: Whether the reader is in the queue of the read scheduler.
     """
 
@@ -71,7 +71,7 @@
             self._parse(data)
             self._server.lag_monitor.record_duration(began_s, "a client's message")
             return
-        # The first slice may cause the rest to be discarded; then no memory is needed for it.
+        # The first slice may cause the rest to be discarded, which then needs no memory.
         self._parse(data[:SLICE_BYTES])
         if self.assembler.discarding_input or self._lifecycle.state is CLOSED:
             return
@@ -85,28 +85,29 @@
         self.resume()
 
     def feed_slice(self) -> bool:
-        """Parse the next slice; return whether another one can be parsed in the loop's next iteration."""
-        if self._lifecycle.state in ENDED:  # A request can no longer be answered, so none may be accepted.
-            self.drop_unfed()
+        """Parse the next slice; return whether another one can be parsed in the next loop iteration."""
+        # A request can no longer be answered then, so none may be accepted.
+        if self._lifecycle.state in CLOSING_OR_CLOSED:
+            self.discard_unparsed()
         if self.unparsed is not None:
             data, self.unparsed = cut(self.unparsed)
             self._server.memory.release(len(data))
             self._parse(data)
         if self.assembler.discarding_input:
-            self.drop_unfed()
+            self.discard_unparsed()
         self.scheduled = self.unparsed is not None and not self._is_full()
         if not self.scheduled:
             self.resume()
         return self.scheduled
 
-    def drop_unfed(self) -> None:
-        """Discard input that was read and not parsed."""
+    def discard_unparsed(self) -> None:
+        """Discard input that was read and is not parsed yet."""
         if self.unparsed is not None:
             self._server.memory.release(len(self.unparsed))
             self.unparsed = None
 
     def _parse(self, data: bytes) -> None:
-        """Parse a slice, for which the parser calls the `on_...` methods of the assembler."""
+        """Parse a slice; the parser calls the `on_...` methods of the assembler."""
         assembler = self.assembler
         assembler.message_bytes += len(data)
         if self._arrivals.marks:
@@ -120,7 +121,7 @@
             assembler.reject(400, "unreadable request")
         except httptools.HttpParserError:
             assembler.reject(400, "malformed request")
-        # The parser itself has no limit on the length of a header line.
+        # The parser itself does not limit the length of a header line.
         if assembler.message_bytes > assembler.max_message_bytes:
             assembler.reject(431, "headers are too long")
         self._arrivals.read += len(data)
@@ -140,7 +141,7 @@
                 self.assembler.upload.stopped_ns = self._server.now()
 
     def resume(self) -> None:
-        """Resume reading, first from `unparsed`, unless too many requests await their responses."""
+        """Resume reading, first from `unparsed`, unless too much is still queued."""
         if not self.paused:
             return
         self._count_unread()
@@ -157,7 +158,7 @@
                 self.assembler.upload.resumed_ns = self._server.now()
 
     def _count_unread(self) -> None:
-        """Record how many unparsed bytes have arrived: the deadlines of requests in them count from now."""
+        """Record how many unparsed bytes have arrived; deadlines of the requests in them count from now."""
         if self.transport is not None and not self.transport.is_closing():
             sock = self.transport.get_extra_info("socket")
             in_kernel_bytes = self._server.system.unread(sock) if sock is not None else 0
@@ -165,18 +166,18 @@
             self._arrivals.mark(self._server.now(), unparsed_bytes + in_kernel_bytes)
 
     def _is_full(self) -> bool:
-        """Return whether reading must pause."""
+        """Return whether so much is queued that reading must pause."""
         waiting, upload = self.assembler.waiting, self.assembler.upload
         return len(waiting) >= MAX_WAITING_REQUESTS or (upload is not None and upload.full)
 
     def resume_for_close(self) -> None:
-        """Resume reading in any case: a paused transport does not report the client's close."""
+        """Resume reading unconditionally, since a paused transport does not report the client's close."""
         if self.paused and self.transport is not None:
             self.paused = False
             self.transport.resume_reading()
 
     def detach(self) -> None:
-        """Release all reservations, and drop all references that lead back to the connection."""
+        """Release all reservations, and clear all references that lead back to the connection."""
         self.assembler.detach()
-        self.drop_unfed()
+        self.discard_unparsed()
         del self._dispatch
--- a/dykefold/net/downstream/response_writer.py
+++ b/dykefold/net/downstream/response_writer.py
@@ -1,7 +1,7 @@
-"""Responses on a client's connection: their HTTP framing, and flow control towards the client.
+"""Responses on a client connection: their HTTP framing, and flow control towards the client.
 
-The writer knows no requests: the connection decides which response comes next, and whether the connection
-stays open after it.
+The writer does not know about requests: the connection decides which response is next, and whether the
+connection stays open after it.
 """
 
 from __future__ import annotations
@@ -12,25 +12,25 @@
 
 from .protocols import FlowControlled
 
-MAX_STALL_S = 5.0  # A client that reads no byte of a response in this time is disconnected.
-REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
+MAX_STALL_S = 5.0  # A client that reads no byte of a response for this long is disconnected.
+REASON_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
 BODILESS_STATUSES = frozenset((204, 304))  # These responses need no Content-Length (RFC 9110, 8.6).
 
 
 class ResponseWriter:
-    """Writes responses to the transport of one connection, in the order in which it gets them.
+    """Writes responses to the transport of one connection, in the order of the calls.
 
     Args:
-        loop: Event loop that runs the timer.
-        close: Called without arguments when the client has read nothing, or has not closed, in time.
+        loop: Event loop that runs the timers.
+        close: Callback without arguments for a client that has read nothing, or has not closed, in time.
 
     Attributes:
-        transport: Transport of the connection; None before it exists.
-        unread: Whether the client leaves bytes of responses unread.
+        transport: Transport of the connection; None until it exists.
+        unread: Whether written response bytes are still unsent, since the client does not read them.
         source: Source of the response that is being streamed; None if there is none.
         keep_alive: Whether the connection stays open after the streamed response.
-        linger_s: Seconds between the own close and the abort if the client does not close; 0 before
-            the own close.
+        linger_s: Seconds from the close of the sending side to the abort if the client does not close; 0
+            while the sending side is open.
     """
 
     __slots__ = (
@@ -61,57 +61,60 @@
         if self.transport is not None and not self.linger_s and not self.transport.is_closing():
             self.transport.write(data)
 
-    def respond(self, code: int, headers: bytes, body: bytes, keep_alive: bool, head: bool = False) -> None:
-        """Write a whole response.
+    def respond(
+        self, code: int, headers: bytes, body: bytes, keep_alive: bool, is_head: bool = False
+    ) -> None:
+        """Write a complete response.
 
         Args:
             code: HTTP status of the response.
-            headers: Complete header lines, without those of the framing.
-            body: Complete body of the response.
+            headers: Complete header lines, without framing headers.
+            body: Complete response body.
             keep_alive: Whether the connection stays open after the response.
-            head: Whether the body is left out, as responses to HEAD requests require.
+            is_head: Whether the request is a HEAD request, whose response has no body.
         """
-        if code in BODILESS_STATUSES or (head and b"Content-Length: " in headers):
+        if code in BODILESS_STATUSES or (is_head and b"Content-Length: " in headers):
             length = b""
         else:
             length = b"Content-Length: %d\r\n" % len(body)
-        self.write(_response_head(code, headers + length, keep_alive) + (b"" if head else body))
+        self.write(_response_head(code, headers + length, keep_alive) + (b"" if is_head else body))
 
     def begin(
-        self, code: int, headers: bytes, length: int | None, keep_alive: bool, has_chunks: bool
+        self, code: int, headers: bytes, length: int | None, keep_alive: bool, supports_chunked: bool
     ) -> None:
-        """Begin a streamed response; its body follows in pieces, and `source` is set by the caller.
+        """Begin a streamed response; its body follows in pieces, and the caller sets `source`.
 
         Args:
             code: HTTP status of the response.
-            headers: Complete header lines, without those of the framing.
-            length: Bytes of the body; None if the last chunk, or the close of the connection, marks its end.
+            headers: Complete header lines, without framing headers.
+            length: Bytes of the body; None if its end is marked by the last chunk or by the close of the
+                connection.
             keep_alive: Whether the connection may stay open after the response.
-            has_chunks: Whether the client understands chunks.
+            supports_chunked: Whether the client supports chunked transfer coding.
         """
         self.keep_alive = keep_alive
         self._final_chunk = None
         if length is not None:
             framing = b"Content-Length: %d\r\n" % length
-        elif has_chunks:
+        elif supports_chunked:
             framing, self._final_chunk = b"Transfer-Encoding: chunked\r\n", b"0\r\n\r\n"
         else:  # The close of the connection marks the end.
             framing, self.keep_alive = b"", False
         self.write(_response_head(code, headers + framing, self.keep_alive))
 
     def send_piece(self, data: bytes) -> None:
-        """Write the next bytes of the streamed response; there must be at least one."""
+        """Write the next bytes of the streamed response; `data` must not be empty."""
         self.write(data if self._final_chunk is None else b"%x\r\n%s\r\n" % (len(data), data))
 
     def end(self) -> None:
-        """End the streamed response, whose body is complete."""
+        """End the streamed response after its complete body."""
         if self._final_chunk is not None:
             self.write(self._final_chunk)
 
     # Flow control
 
     def pause(self) -> None:
-        """Pause the source: the transport could not send all written data."""
+        """Pause the source, since the transport could not send all written data."""
         self.unread = True
         if self.source is not None:
             self.source.block(True)
@@ -119,18 +122,18 @@
             self._watch_stall()
 
     def resume(self) -> None:
-        """Resume the source: all written data has been sent."""
+        """Resume the source, since all written data has been sent."""
         self.unread = False
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        if self.linger_s:  # The time to linger begins when the last byte has been sent.
+        if self.linger_s:  # The linger time starts when the last byte has been sent.
             self._timer = self._loop.call_later(self.linger_s, self._close)
         if self.source is not None:
             self.source.block(False)
 
     def _watch_stall(self) -> None:
-        """Schedule a check whether the client has read anything within `MAX_STALL_S`."""
+        """Schedule a check after `MAX_STALL_S` that the client has read anything."""
         assert self.transport is not None
         unsent_bytes = self.transport.get_write_buffer_size()
         self._timer = self._loop.call_later(MAX_STALL_S, self._check_stall, unsent_bytes)
@@ -145,10 +148,10 @@
     # Close
 
     def close_sending_side(self, linger_s: float) -> bool:
-        """Close the sending side after all written data, and abort later if the client does not close.
+        """Close the sending side after all written data, and abort if the client does not close in time.
 
         Args:
-            linger_s: Seconds from the last sent byte to the abort.
+            linger_s: Seconds from the last byte sent to the abort.
 
         Returns:
             False if the client has reset the connection.
@@ -156,7 +159,7 @@
         assert self.transport is not None
         self.linger_s = linger_s
         try:
-            self.transport.write_eof()  # The transport sends it after all buffered data.
+            self.transport.write_eof()  # The transport sends the FIN after all buffered data.
         except OSError:
             return False
         if self._timer is None:
@@ -164,7 +167,7 @@
         return True
 
     def detach(self) -> None:
-        """Stop the timer, and drop all references that lead back to the connection."""
+        """Cancel the timer, and clear all references that lead back to the connection."""
         if self._timer is not None:
             self._timer.cancel()
         self.source = None
@@ -172,6 +175,6 @@
 
 
 def _response_head(code: int, lines: bytes, keep_alive: bool) -> bytes:
-    """Return status line and header lines, including the empty line after them."""
+    """Return the status line and header lines, with the empty line after them."""
     close = b"" if keep_alive else b"Connection: close\r\n"
-    return b"HTTP/1.1 %d %s\r\n%s%s\r\n" % (code, REASONS.get(code, b"Unknown"), lines, close)
+    return b"HTTP/1.1 %d %s\r\n%s%s\r\n" % (code, REASON_PHRASES.get(code, b"Unknown"), lines, close)
