--- a/tests/net/test_client_connections.py
+++ b/tests/net/test_client_connections.py
@@ -1,4 +1,4 @@
-"""The application's side: framing, bad input, slow readers; none of it disturbs another connection."""
+"""Client connections of a sidecar: framing, invalid input, slow readers and limits."""
 
 import asyncio
 import contextlib
@@ -70,8 +70,8 @@
         (raw(b"GET /lookup", b"X-Many: y\r\n" * 4000), 431),
     ],
 )
-def test_bad_input_is_answered_and_disturbs_no_other_connection(tmp_path, data, code):
-    async def play():
+def test_invalid_input_gets_error_and_does_not_affect_other_connections(tmp_path, data, code):
+    async def scenario():
         fake = await FakePeer(respond_ok).start()
         async with Sidecar(
             tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))
@@ -82,16 +82,16 @@
             writer.write(request_message("order", "before")[-10:])
             assert (await read_message(reader)).code == 200
             writer.close()
-            assert [got.headers["x-request-id"] for got in fake.received] == ["before"]
+            assert [request.headers["x-request-id"] for request in fake.received] == ["before"]
             await wait_until(lambda: not sidecar.server.clients.all)
             assert sidecar.server.memory.reserved_bytes == 0
             assert sidecar.server.budget.upstreams.in_use == fake.connections
 
-    run(play())
+    run(scenario())
 
 
-def test_requests_in_single_bytes_and_several_at_once_are_answered_in_order(tmp_path):
-    async def play():
+def test_requests_sent_byte_by_byte_or_pipelined_are_answered_in_order(tmp_path):
+    async def scenario():
         fake = await FakePeer(respond_ok).start()
         async with Sidecar(
             tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))
@@ -101,8 +101,8 @@
                 writer.write(bytes([byte]))
                 await asyncio.sleep(0)
             assert (await read_message(reader)).body == b"served 1"
-            many = [request_message("order", f"id{n}", "3000m", b"%d" % n) for n in range(40)]
-            writer.write(b"".join(many) + raw(b"GET /nothing") + raw(b"GET /-/ready"))
+            pipelined = [request_message("order", f"id{n}", "3000m", b"%d" % n) for n in range(40)]
+            writer.write(b"".join(pipelined) + raw(b"GET /nothing") + raw(b"GET /-/ready"))
             for n in range(40):
                 assert (await read_message(reader)).body == b"served %d" % n
             assert (await read_message(reader)).code == 404
@@ -110,11 +110,11 @@
             writer.close()
         assert len(fake.received) == 41
 
-    run(play())
+    run(scenario())
 
 
-def test_chunked_and_full_sized_bodies_go_on_whole(tmp_path):
-    async def play():
+def test_chunked_and_maximum_size_bodies_are_forwarded_completely(tmp_path):
+    async def scenario():
         async def echo(message, reader, writer):
             writer.write(http_response(200, message.body))
 
@@ -122,13 +122,13 @@
         async with Sidecar(
             tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))
         ) as sidecar:
-            chunks = b"3\r\nabc\r\n2\r\nde\r\n0\r\nX-Deadline: bad\r\n\r\n"
-            data = raw(b"POST /order", ID + b"Transfer-Encoding: chunked\r\n", chunks)
+            chunked_body = b"3\r\nabc\r\n2\r\nde\r\n0\r\nX-Deadline: bad\r\n\r\n"
+            data = raw(b"POST /order", ID + b"Transfer-Encoding: chunked\r\n", chunked_body)
             assert (await send_request(sidecar.port, data)).body == b"abcde"
             body = b"x" * request_parser.MAX_BUFFERED_BODY_BYTES
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-            whole = request_message("order", "big", "3000m", body, "Expect: 100-continue")
-            writer.write(whole[: -len(body)])
+            message = request_message("order", "big", "3000m", body, "Expect: 100-continue")
+            writer.write(message[: -len(body)])
             assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100 ")
             writer.write(body)
             assert (await read_message(reader)).body == body
@@ -136,32 +136,32 @@
         assert fake.received[1].body == body
         assert "transfer-encoding" not in fake.received[0].headers
 
-    run(play())
+    run(scenario())
 
 
-def test_the_absolute_form_and_http_1_0_are_served(tmp_path):
-    async def play():
+def test_absolute_form_targets_and_http_1_0_requests_are_served(tmp_path):
+    async def scenario():
         fake = await FakePeer(respond_ok).start()
         async with Sidecar(
             tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))
         ) as sidecar:
             assert (await send_request(sidecar.port, raw(b"GET http://origin.svc/lookup/x?y=1"))).code == 200
-            got = await send_request(sidecar.port, b"GET /lookup HTTP/1.0\r\nX-Request-Id: cd\r\n\r\n")
-            assert got.code == 200
-            assert got.headers["connection"] == "close"
+            response = await send_request(sidecar.port, b"GET /lookup HTTP/1.0\r\nX-Request-Id: cd\r\n\r\n")
+            assert response.code == 200
+            assert response.headers["connection"] == "close"
 
-    run(play())
+    run(scenario())
 
 
-def test_a_client_that_stops_reading_is_closed_and_its_memory_bounded(tmp_path, monkeypatch):
-    """Answers that a client does not read must not fill the memory."""
+def test_client_that_stops_reading_is_disconnected_before_responses_exhaust_memory(tmp_path, monkeypatch):
+    """Responses that a client does not read must not exhaust the memory."""
     monkeypatch.setattr(response_writer, "MAX_STALL_S", 0.2)
 
-    async def play():
-        async def big(message, reader, writer):
+    async def scenario():
+        async def respond_with_large_body(message, reader, writer):
             writer.write(http_response(200, b"x" * 60_000))
 
-        fake = await FakePeer(big).start()
+        fake = await FakePeer(respond_with_large_body).start()
         async with Sidecar(
             tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))
         ) as sidecar:
@@ -175,11 +175,11 @@
             writer.transport.abort()
             assert (await send_request(sidecar.port, request_message("lookup", "other"))).code == 200
 
-    run(play())
+    run(scenario())
 
 
-def test_a_client_waits_no_longer_than_its_class(tmp_path):
-    async def play():
+def test_client_deadline_is_limited_to_deadline_of_its_class(tmp_path):
+    async def scenario():
         fake = await FakePeer(respond_ok).start()
         async with Sidecar(
             tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))
@@ -189,14 +189,14 @@
             ).code == 200
         assert int(fake.received[0].headers["x-deadline"].removesuffix("m")) <= 4000
 
-    run(play())
+    run(scenario())
 
 
-def test_bodies_are_bounded_all_together(tmp_path, monkeypatch):
+def test_request_bodies_share_one_memory_limit(tmp_path, monkeypatch):
     monkeypatch.setattr(MemoryBudget, "MIN_BYTES", 3000)
     monkeypatch.setattr(MemoryBudget, "MAX_BYTES", 3000)
 
-    async def play():
+    async def scenario():
         fake = await FakePeer(respond_ok).start()
         async with Sidecar(
             tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))
@@ -210,11 +210,11 @@
             await wait_until(lambda: not sidecar.server.clients.all)
             assert sidecar.server.memory.reserved_bytes == 0
 
-    run(play())
+    run(scenario())
 
 
-def test_more_open_requests_than_allowed_are_refused(tmp_path):
-    async def play():
+def test_requests_beyond_open_request_limit_are_rejected(tmp_path):
+    async def scenario():
         fake = await FakePeer(respond_ok).start()
         data = config(list_update(1, endpoint_entry("s1", fake.address)))
         data["settings"]["ceilings"]["max-open"] = 0
@@ -222,11 +222,11 @@
             assert (await send_request(sidecar.port, request_message("order", "ab"))).code == 503
         assert not fake.received
 
-    run(play())
+    run(scenario())
 
 
-def test_at_the_connection_limit_idle_clients_are_closed(tmp_path):
-    async def play():
+def test_idle_clients_are_closed_at_connection_limit(tmp_path):
+    async def scenario():
         fake = await FakePeer(respond_ok).start()
         data = config(list_update(1, endpoint_entry("s1", fake.address)), limits={"sockets": 80})
         async with Sidecar(tmp_path / "c", data) as sidecar:
@@ -237,18 +237,18 @@
             for _, writer in idle:
                 writer.close()
 
-    run(play())
+    run(scenario())
 
 
-def test_a_graceful_shutdown_cuts_no_answer_that_is_being_read(tmp_path, monkeypatch):
-    """A client that still reads its answer is not idle when idle clients are closed."""
+def test_graceful_shutdown_completes_responses_that_are_being_read(tmp_path, monkeypatch):
+    """A client that is still reading its responses is not idle when a shutdown closes idle clients."""
     monkeypatch.setattr(response_writer, "MAX_STALL_S", 60.0)
 
-    async def play():
-        async def big(message, reader, writer):
+    async def scenario():
+        async def respond_with_large_body(message, reader, writer):
             writer.write(http_response(200, b"x" * 60_000))
 
-        fake = await FakePeer(big).start()
+        fake = await FakePeer(respond_with_large_body).start()
         async with Sidecar(
             tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))
         ) as sidecar:
@@ -260,128 +260,129 @@
             await wait_until(lambda: sidecar.server.clients.all)
             (client,) = sidecar.server.clients.all.values()
             sent = 0
-            while not client.writer.unread:  # until the kernel holds no more for it
+            while not client.writer.unread:  # until the kernel buffers are full
                 await loop.sock_sendall(sock, request_message("lookup", f"id{sent}"))
                 sent += 1
                 await wait_until(lambda: len(fake.received) == sent and client.current is None)  # noqa: B023
             sidecar.server.draining = True
             sidecar.server.shutdown.stop_requests()
-            got = bytearray()
+            received = bytearray()
             while data := await loop.sock_recv(sock, 65536):
-                got += data
-            while got:
-                head, _, got = got.partition(b"\r\n\r\n")
+                received += data
+            while received:
+                head, _, received = received.partition(b"\r\n\r\n")
                 size = int(re.search(rb"Content-Length: (\d+)", head)[1])
-                assert len(got) >= size  # each answer is whole
-                del got[:size]
+                assert len(received) >= size  # each response is complete
+                del received[:size]
                 sent -= 1
             assert sent == 0
             sock.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_datagrams_are_accepted_from_known_peers_only():
-    async def play():
+    async def scenario():
         loop = asyncio.get_running_loop()
-        heard = []
+        datagrams = []
 
         async def open_peer(index, peers):
-            peer = PeerChannel(index, peers, None, lambda number, data: heard.append((number, data)))
+            peer = PeerChannel(index, peers, None, lambda number, data: datagrams.append((number, data)))
             transport, _ = await loop.create_datagram_endpoint(lambda: peer, local_addr=(HOST, 0))
             return peer, transport.get_extra_info("sockname")
 
-        known, known_at = await open_peer(1, [])
-        stranger, _ = await open_peer(1, [])
-        me, me_at = await open_peer(0, [(HOST, 9), known_at])
-        known.peers = stranger.peers = [me_at]
-        stranger.send(b"strange", 0)
-        known.transport.sendto(b"x" * 257, me_at)
-        known.send(b"y" * 257, 0)
-        known.send(b"nobody", 5)
-        known.send(b"z" * 256, 0)
-        await wait_until(lambda: heard)
-        assert heard == [(1, b"z" * 256)]
-        for peer in (known, stranger, me):
+        known_peer, known_address = await open_peer(1, [])
+        unknown_peer, _ = await open_peer(1, [])
+        receiver, receiver_address = await open_peer(0, [(HOST, 9), known_address])
+        known_peer.peers = unknown_peer.peers = [receiver_address]
+        unknown_peer.send(b"strange", 0)
+        known_peer.transport.sendto(b"x" * 257, receiver_address)
+        known_peer.send(b"y" * 257, 0)
+        known_peer.send(b"nobody", 5)
+        known_peer.send(b"z" * 256, 0)
+        await wait_until(lambda: datagrams)
+        assert datagrams == [(1, b"z" * 256)]
+        for peer in (known_peer, unknown_peer, receiver):
             peer.transport.close()
 
-    run(play())
+    run(scenario())
 
 
-def test_the_client_quota_and_the_memory_follow_the_configuration():
+def test_client_quota_and_memory_follow_configured_limits():
     for sockets in (256, 384, 1024):
         budget = DescriptorBudget(sockets)
-        assert budget.clients > budget.with_requests == sockets // 3  # what clients hold at most for requests
+        # `with_requests` is the maximum number of client connections on which a request has been sent.
+        assert budget.clients > budget.with_requests == sockets // 3
         assert budget.upstreams.limit > sockets / 3
     assert MemoryBudget(32 * MB).capacity_bytes <= 4 * MB
     assert MemoryBudget(192 * MB).capacity_bytes == MemoryBudget.MAX_BYTES
 
 
-def test_silent_clients_are_closed_first_and_leave_descriptors_for_attempts(tmp_path):
-    """Silent clients once used every descriptor, and pooled connections were closed for them."""
+def test_silent_clients_are_closed_first_and_leave_descriptors_to_attempts(tmp_path):
+    """Silent clients used every descriptor, so that pooled connections to endpoints were closed for them."""
 
-    async def play():
+    async def scenario():
         fake = await FakePeer(respond_ok).start()
         data = config(list_update(1, endpoint_entry("s1", fake.address)), limits={"sockets": 80})
         async with Sidecar(tmp_path / "c", data) as sidecar:
-            usual = [await asyncio.open_connection(HOST, sidecar.port) for _ in range(8)]
+            active = [await asyncio.open_connection(HOST, sidecar.port) for _ in range(8)]
             for number in range(4):
-                for place, (reader, writer) in enumerate(usual):
-                    writer.write(request_message("lookup", f"id{number}-{place}"))
+                for client_number, (reader, writer) in enumerate(active):
+                    writer.write(request_message("lookup", f"id{number}-{client_number}"))
                     assert (await read_message(reader)).code == 200
-                flood = [await asyncio.open_connection(HOST, sidecar.port) for _ in range(60)]
+                silent = [await asyncio.open_connection(HOST, sidecar.port) for _ in range(60)]
                 await wait_until(lambda: len(sidecar.server.clients.all) == sidecar.server.budget.clients)
-                for _, writer in flood:
+                for _, writer in silent:
                     writer.close()
-                await wait_until(lambda: len(sidecar.server.clients.all) == len(usual))
+                await wait_until(lambda: len(sidecar.server.clients.all) == len(active))
             assert fake.connections == 1
             assert not sidecar.server.budget.upstreams.full
-            for _, writer in usual:
+            for _, writer in active:
                 writer.close()
 
-    run(play())
+    run(scenario())
 
 
-def test_clients_that_never_end_a_message_are_answered_and_closed(tmp_path, monkeypatch):
+def test_clients_with_incomplete_messages_get_timeout_response_and_are_closed(tmp_path, monkeypatch):
     monkeypatch.setattr(message_timeouts, "MAX_HEAD_S", 0.3)
     monkeypatch.setattr(controller, "MAX_IDLE_S", 60.0)
 
-    async def play():
-        async def act(message, reader, writer):
-            await go.wait()
+    async def scenario():
+        async def respond_when_allowed(message, reader, writer):
+            await response_allowed.wait()
             writer.write(http_response(200, b"served"))
 
-        go = asyncio.Event()
-        fake = await FakePeer(act).start()
+        response_allowed = asyncio.Event()
+        fake = await FakePeer(respond_when_allowed).start()
         async with Sidecar(
             tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))
         ) as sidecar:
-            held_reader, held_writer = await asyncio.open_connection(HOST, sidecar.port)
-            held_writer.write(request_message("order", "held") + b"POST /order HTTP/1.1\r\nX-Half: ")
+            pending_reader, pending_writer = await asyncio.open_connection(HOST, sidecar.port)
+            pending_writer.write(request_message("order", "pending") + b"POST /order HTTP/1.1\r\nX-Half: ")
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-            assert await reader.read() == b""  # it said nothing
+            assert await reader.read() == b""  # it sent nothing
             writer.close()
-            for half in (
+            for incomplete in (
                 b"G",
                 request_message("lookup", "a")[:-2],
                 request_message("order", "b", "900m", b"body")[:-1],
             ):
-                assert (await send_request(sidecar.port, half)).code == 408
-            go.set()  # the accepted request is answered all the same
-            assert (await read_message(held_reader)).code == 200
-            assert (await read_message(held_reader)).code == 408
-            held_writer.close()
+                assert (await send_request(sidecar.port, incomplete)).code == 408
+            response_allowed.set()  # the accepted request is still answered
+            assert (await read_message(pending_reader)).code == 200
+            assert (await read_message(pending_reader)).code == 408
+            pending_writer.close()
             await wait_until(lambda: not sidecar.server.clients.all)
             assert not sidecar.server.memory.reserved_bytes
             assert len(fake.received) == 1
 
-    run(play())
+    run(scenario())
 
 
-def test_clients_that_stay_idle_after_one_request_are_closed(tmp_path, monkeypatch):
+def test_clients_idle_after_one_request_are_closed(tmp_path, monkeypatch):
     monkeypatch.setattr(controller, "MAX_IDLE_S", 0.2)
 
-    async def play():
+    async def scenario():
         fake = await FakePeer(respond_ok).start()
         async with Sidecar(
             tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))
@@ -395,13 +396,13 @@
             assert not sidecar.server.clients.admission.count
             assert not sidecar.server.clients.admission.message_timeouts.within_head_time
 
-    run(play())
+    run(scenario())
 
 
-def test_a_body_of_many_megabytes_is_refused_at_its_head_and_read_to_the_end(tmp_path):
-    """Closing with input unread would reset the connection before the client sees the answer."""
+def test_oversized_body_is_rejected_after_headers_and_discarded_to_its_end(tmp_path):
+    """A close with unread input would reset the connection before the client reads the response."""
 
-    async def play():
+    async def scenario():
         fake = await FakePeer(respond_ok).start()
         async with Sidecar(
             tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))
@@ -417,19 +418,19 @@
             assert not fake.received
             assert not sidecar.server.memory.reserved_bytes
 
-    run(play())
+    run(scenario())
 
 
-def test_request_with_an_open_or_recent_id_is_not_forwarded(tmp_path):
+def test_request_with_pending_or_recent_id_is_not_forwarded(tmp_path):
     """A duplicate is rejected, and the first request is not affected by it."""
 
-    async def play():
-        async def act(message, reader, writer):
-            await go.wait()
+    async def scenario():
+        async def respond_when_allowed(message, reader, writer):
+            await response_allowed.wait()
             writer.write(http_response(200, b"served " + message.body))
 
-        go = asyncio.Event()
-        fake = await FakePeer(act).start()
+        response_allowed = asyncio.Event()
+        fake = await FakePeer(respond_when_allowed).start()
         async with Sidecar(
             tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))
         ) as sidecar:
@@ -440,7 +441,7 @@
             assert (
                 await send_request(sidecar.port, request_message("order", "same", "3000m", b"2"))
             ).code == 409
-            go.set()
+            response_allowed.set()
             assert (await first).body == b"served 1"
             assert (
                 await send_request(sidecar.port, request_message("order", "same", "3000m", b"3"))
@@ -448,13 +449,13 @@
             assert len(fake.received) == 1
             assert not sidecar.server.memory.reserved_bytes
 
-    run(play())
+    run(scenario())
 
 
 def test_number_of_remembered_request_ids_is_bounded(tmp_path, monkeypatch):
     monkeypatch.setattr(sidecar_module, "MAX_RECENT_IDS", 100)
 
-    async def play():
+    async def scenario():
         fake = await FakePeer(respond_ok).start()
         async with Sidecar(
             tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))
@@ -469,52 +470,52 @@
             assert not sidecar.server.pool.pending
             assert not sidecar.server.pool.attempts
 
-    run(play())
+    run(scenario())
 
 
-WAYS = {
-    # what ends the connection: (does the client ask on, the states that it goes through)
-    "the client closes": (False, [Lifecycle.OPEN, Lifecycle.CLOSED]),
-    "an error that is answered": (True, [Lifecycle.OPEN, Lifecycle.LINGERING, Lifecycle.CLOSED]),
+CLOSE_CAUSES = {
+    # cause: (whether the client sends a request, expected states without CLOSING)
+    "client closes": (False, [Lifecycle.OPEN, Lifecycle.CLOSED]),
+    "malformed request": (True, [Lifecycle.OPEN, Lifecycle.LINGERING, Lifecycle.CLOSED]),
 }
 
 
-@pytest.mark.parametrize("way", WAYS)
-def test_a_connection_goes_on_to_no_state_that_the_table_does_not_name(way, tmp_path, monkeypatch):
-    seen, enter = [], ConnectionLifecycle.enter
+@pytest.mark.parametrize("cause", CLOSE_CAUSES)
+def test_closed_connection_has_passed_only_permitted_states(cause, tmp_path, monkeypatch):
+    entered, enter = [], ConnectionLifecycle.enter
 
-    def noted(lifecycle, state):
+    def recording_enter(lifecycle, state):
         enter(lifecycle, state)
-        seen.append(state)
+        entered.append(state)
 
-    async def play():
-        monkeypatch.setattr(ConnectionLifecycle, "enter", noted)
+    async def scenario():
+        monkeypatch.setattr(ConnectionLifecycle, "enter", recording_enter)
         async with Sidecar(tmp_path / "c", config(list_update(1))) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-            if asks:
+            if sends_request:
                 writer.write(b"this is no http\r\n\r\n")
                 await reader.read()
             else:
                 await wait_until(lambda: sidecar.server.clients.all)
             writer.close()
-            await wait_until(lambda: seen[-1:] == [Lifecycle.CLOSED])
+            await wait_until(lambda: entered[-1:] == [Lifecycle.CLOSED])
 
-    asks, states = WAYS[way]
-    run(play())
-    assert [state for state in seen if state is not Lifecycle.CLOSING] == states
+    sends_request, expected_states = CLOSE_CAUSES[cause]
+    run(scenario())
+    assert [state for state in entered if state is not Lifecycle.CLOSING] == expected_states
     assert set(TRANSITIONS) == set(Lifecycle)
 
 
 @pytest.mark.parametrize("state", Lifecycle)
-def test_every_state_of_a_connection_can_be_left_to_closed_and_closed_never(state):
+def test_every_state_leads_to_closed_and_only_to_permitted_states(state):
     lifecycle = ConnectionLifecycle()
     lifecycle.state = state
-    for following in Lifecycle:
+    for next_state in Lifecycle:
         lifecycle.state = state
-        if following is state or following in TRANSITIONS[state]:
-            lifecycle.enter(following)
-            assert lifecycle.state is following
+        if next_state is state or next_state in TRANSITIONS[state]:
+            lifecycle.enter(next_state)
+            assert lifecycle.state is next_state
         else:
             with pytest.raises(AssertionError):
-                lifecycle.enter(following)
+                lifecycle.enter(next_state)
     assert state is Lifecycle.CLOSED or Lifecycle.CLOSED in TRANSITIONS[state]
--- a/tests/net/test_connection_parts.py
+++ b/tests/net/test_connection_parts.py
@@ -1,4 +1,4 @@
-"""The parts of a client's connection, each alone: bytes in and items out, responses in and bytes out."""
+"""The parts of a client connection in isolation: bytes to items, responses to bytes, and both together."""
 
 import gc
 import weakref
@@ -23,7 +23,7 @@
 
 
 class Transport:
-    """A transport without a socket, which records what is done to it."""
+    """A transport without a socket that records the calls of its methods."""
 
     def __init__(self):
         self.written = b""
@@ -66,7 +66,7 @@
 
     def cancel(self):
         self.cancelled = True
-        self.callback = None  # as asyncio does
+        self.callback = None  # as in asyncio
 
 
 class Loop:
@@ -79,7 +79,7 @@
 
 
 class Server:
-    """A server that parses every message into a request, and records the accepted ones."""
+    """A server that parses every message into a request, and records accepted and lost requests."""
 
     draining = handing_over = half_close = False
     accepting_requests = True
@@ -135,7 +135,7 @@
 
 
 class Receiver:
-    """The connection as its reader sees it."""
+    """The connection as its reader sees it, with counts of the calls."""
 
     idle = True
 
@@ -157,14 +157,14 @@
     return reader, receiver
 
 
-@pytest.mark.parametrize("piece", [1, 7, 1000])
-def test_reader_gives_items_in_order_in_pieces_of_any_size(piece):
+@pytest.mark.parametrize("piece_bytes", [1, 7, 1000])
+def test_reader_gets_input_in_pieces_of_any_size_and_assembles_items_in_order(piece_bytes):
     server = Server()
     reader, receiver = make_reader(server)
     data = GET + POST + b"GET /-/ready HTTP/1.1\r\n\r\n"
-    pieces = [data[at : at + piece] for at in range(0, len(data), piece)]
-    for one in pieces:
-        reader.data_received(one)
+    pieces = [data[start : start + piece_bytes] for start in range(0, len(data), piece_bytes)]
+    for piece in pieces:
+        reader.data_received(piece)
     first, second, third = reader.assembler.waiting
     assert (first.method, first.target, first.headers) == (
         b"GET",
@@ -178,7 +178,7 @@
     assert server.memory.reserved_bytes == reader.assembler.reserved_bytes == first.size + second.size
 
 
-def test_reader_with_malformed_input_gives_one_error_and_discards_the_rest():
+def test_reader_gets_malformed_input_and_queues_one_error_and_discards_the_rest():
     server = Server()
     reader, _ = make_reader(server)
     reader.data_received(b"this is no http\r\n\r\n")
@@ -190,18 +190,18 @@
     assert not server.memory.reserved_bytes
 
 
-def test_reader_without_memory_rejects_the_message():
+def test_reader_without_available_memory_rejects_message():
     server = Server()
     reader, _ = make_reader(server)
-    taken = server.memory.capacity_bytes - 10
-    assert server.memory.reserve(taken)
+    other_bytes = server.memory.capacity_bytes - 10
+    assert server.memory.reserve(other_bytes)
     reader.data_received(GET)
     (error,) = reader.assembler.waiting
     assert error.code == 503
-    assert server.memory.reserved_bytes == taken
+    assert server.memory.reserved_bytes == other_bytes
 
 
-def test_reader_pauses_while_too_many_requests_wait_and_resumes_after_them():
+def test_reader_pauses_while_request_queue_is_full_and_resumes_afterwards():
     server = Server()
     server.system = SimpleNamespace(unread=lambda sock: 0)
     reader, _ = make_reader(server)
@@ -216,7 +216,7 @@
     assert reader.transport.reading
 
 
-def test_reader_asked_for_100_continue_sends_it_before_the_body():
+def test_reader_gets_expect_header_and_requests_100_continue_before_body():
     reader, receiver = make_reader(Server())
     reader.data_received(b"POST /order HTTP/1.1\r\nContent-Length: 5\r\nExpect: 100-continue\r\n\r\n")
     assert receiver.continued == 1
@@ -226,7 +226,7 @@
     assert receiver.continued == 1
 
 
-def test_reader_of_a_closed_connection_reads_nothing():
+def test_reader_of_closed_connection_ignores_input():
     reader, receiver = make_reader(Server())
     reader._lifecycle.enter(CLOSED)
     reader.data_received(GET)
@@ -260,7 +260,7 @@
 
 
 @pytest.mark.parametrize("kind", RESPONSES)
-def test_writer_frames_a_whole_response(kind):
+def test_writer_frames_complete_response(kind):
     response, expected = RESPONSES[kind]
     writer, _ = make_writer()
     writer.respond(*response)
@@ -270,12 +270,12 @@
 STREAMS = {
     "length": ((2, True, True), True, b"Content-Length: 2\r\n\r\nab"),
     "chunks": ((None, True, True), True, b"Transfer-Encoding: chunked\r\n\r\n1\r\na\r\n1\r\nb\r\n0\r\n\r\n"),
-    "close": ((None, True, False), False, b"Connection: close\r\n\r\nab"),
+    "connection close": ((None, True, False), False, b"Connection: close\r\n\r\nab"),
 }
 
 
 @pytest.mark.parametrize("framing", STREAMS)
-def test_writer_frames_a_streamed_response(framing):
+def test_writer_frames_streamed_response(framing):
     arguments, keep_alive, expected = STREAMS[framing]
     writer, _ = make_writer()
     writer.begin(200, b"", *arguments)
@@ -286,26 +286,26 @@
     assert writer.keep_alive is keep_alive
 
 
-@pytest.mark.parametrize("reads", [True, False])
-def test_writer_closes_a_client_that_reads_nothing(reads):
+@pytest.mark.parametrize("client_reads", [True, False])
+def test_writer_closes_connection_of_client_that_reads_nothing(client_reads):
     writer, closed = make_writer()
-    blocked = []
-    writer.source = SimpleNamespace(block=blocked.append)
+    pauses = []
+    writer.source = SimpleNamespace(block=pauses.append)
     writer.transport.unsent_bytes = 100
     writer.pause()
     assert writer.unread
-    assert blocked == [True]
-    writer.transport.unsent_bytes = 50 if reads else 100
+    assert pauses == [True]
+    writer.transport.unsent_bytes = 50 if client_reads else 100
     writer._loop.timers[0].callback()
-    assert closed == ([] if reads else [True])
-    assert len(writer._loop.timers) == (2 if reads else 1)
+    assert closed == ([] if client_reads else [True])
+    assert len(writer._loop.timers) == (2 if client_reads else 1)
     writer.resume()
     assert not writer.unread
-    assert blocked == [True, False]
+    assert pauses == [True, False]
     assert writer._loop.timers[-1].cancelled
 
 
-def test_writer_after_its_close_writes_nothing_and_lingers():
+def test_writer_after_closing_its_side_writes_nothing_and_lingers():
     writer, closed = make_writer()
     assert writer.close_sending_side(0.3)
     writer.respond(200, b"", b"late", True)
@@ -323,7 +323,7 @@
     return connection, transport
 
 
-def test_connection_answers_pipelined_requests_one_after_another():
+def test_connection_serves_pipelined_requests_one_after_another():
     server = Server()
     connection, transport = make_connection(server)
     connection.data_received(GET + GET)
@@ -339,9 +339,11 @@
 
 
 @pytest.mark.parametrize(
-    "data", [b"", GET, GET + GET[:30], b"no http\r\n\r\n"], ids=["no", "one", "begun", "bad"]
+    "data",
+    [b"", GET, GET + GET[:30], b"no http\r\n\r\n"],
+    ids=["empty", "complete", "incomplete", "malformed"],
 )
-def test_lost_connection_releases_its_memory_and_is_freed_without_the_collector(data):
+def test_lost_connection_releases_memory_and_is_freed_without_garbage_collector(data):
     server = Server()
     connection, _ = make_connection(server)
     connection.data_received(data)
