--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -17,7 +17,7 @@
     "tests/sim/test_simulation.py::test_a_fixed_set_of_seeds_keeps_every_rule": 8,
     "tests/control/test_state_directory.py::test_a_kill_at_any_file_call": 8,
     "tests/sim/test_reality.py::test_outcomes": 7,
-    "tests/net/test_hostile_messages.py::test_a_body_of_one_byte": 6,
+    "tests/net/test_hostile_messages.py::test_body_of_one_byte": 6,
     "tests/control/test_hot_restart_orders.py::test_no_order": 5,
     "tests/admission/test_controller.py::TestAdmission": 5,
     "tests/test_process_kill.py::": 5,
--- a/tests/net/test_client_disconnects.py
+++ b/tests/net/test_client_disconnects.py
@@ -1,7 +1,7 @@
-"""An attempt whose last byte goes out more than 0.1 s after its client's close is a lost request.
+"""No attempt sends its last byte more than 0.1 s after the close of its client: such a request is lost.
 
-Real connections; a raw server notes what came whole, and takes nothing until it is let. What holds an
-attempt back (a slow socket, a connection being made, a backoff, an upload on its way) ends after the close.
+The connections are real. A raw server records complete requests, and reads nothing until the test allows it.
+What delays an attempt (a slow socket, a pending connect, a backoff, an upload) ends only after the close.
 """
 
 import asyncio
@@ -34,56 +34,56 @@
 from dykefold.net.upstream.connection import UpstreamConnection
 from dykefold.system import System
 
-LATE_S = 0.15  # after a close; nothing may go out later than 0.1 s after it
+LATE_S = 0.15  # delay after a close, above the 0.1 s in which bytes may still be sent
 KB = 1024
-SMALL = 2 * KB  # bytes of the kernel's buffers on the way to a server
+SMALL_BUFFER_BYTES = 2 * KB  # size of the kernel's buffers between sidecar and endpoint
 
 
 class SmallBufferSystem(System):
-    """A machine whose sockets take little ahead of their readers."""
+    """A system whose sockets have small send buffers."""
 
     def tcp_socket(self):
         sock = super().tcp_socket()
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER_BYTES)
         return sock
 
 
 class SlowReadingServer:
-    """Takes in connections at once, and reads only once it is let; what each one brought."""
+    """Accepts connections immediately, and reads them once `go` is set; records the bytes of each one."""
 
     def __init__(self):
         self.sock = socket.socket()
-        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL)
+        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER_BYTES)
         self.sock.bind((HOST, 0))
         self.sock.listen()
         self.sock.setblocking(False)
         self.go = asyncio.Event()
-        self.brought = []
-        self.ended = 0
-        self.tasks = [asyncio.create_task(self._take())]
+        self.received = []
+        self.ended_connections = 0
+        self.tasks = [asyncio.create_task(self._accept())]
 
     @property
     def port(self):
         return self.sock.getsockname()[1]
 
-    async def _take(self):
+    async def _accept(self):
         loop = asyncio.get_running_loop()
         while True:
-            taken, _ = await loop.sock_accept(self.sock)
-            self.tasks.append(asyncio.create_task(self._read(taken)))
+            accepted, _ = await loop.sock_accept(self.sock)
+            self.tasks.append(asyncio.create_task(self._read(accepted)))
 
-    async def _read(self, taken):
+    async def _read(self, accepted):
         loop = asyncio.get_running_loop()
-        self.brought.append(got := bytearray())
-        with taken, contextlib.suppress(OSError):
+        self.received.append(received := bytearray())
+        with accepted, contextlib.suppress(OSError):
             await self.go.wait()
-            while data := await loop.sock_recv(taken, 64 * KB):
-                got += data
-        self.ended += 1
+            while data := await loop.sock_recv(accepted, 64 * KB):
+                received += data
+        self.ended_connections += 1
 
     def whole(self):
-        """Requests that came to their last byte."""
-        return [got for got in self.brought if _whole(bytes(got))]
+        """Return the requests that were received completely."""
+        return [received for received in self.received if _is_complete(bytes(received))]
 
     def close(self):
         for task in self.tasks:
@@ -91,22 +91,22 @@
         self.sock.close()
 
 
-def _whole(got):
-    head, blank, body = got.partition(b"\r\n\r\n")
+def _is_complete(received):
+    head, separator, body = received.partition(b"\r\n\r\n")
     if b"chunked" in head:
-        return got.endswith(b"\r\n0\r\n\r\n")
+        return received.endswith(b"\r\n0\r\n\r\n")
     length = next((line for line in head.split(b"\r\n") if line.startswith(b"Content-Length:")), b":0")
-    return bool(blank) and len(body) == int(length.split(b":")[1])
+    return bool(separator) and len(body) == int(length.split(b":")[1])
 
 
-def gone(sidecar):
+def has_no_clients(sidecar):
     return not sidecar.server.clients.all and not sidecar.server.pool.pending
 
 
-def end(sock, how):
-    if how == "reset":
+def disconnect(sock, mode):
+    if mode == "reset":
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
-    if how == "half":
+    if mode == "half-close":
         sock.shutdown(socket.SHUT_WR)
     else:
         sock.close()
@@ -121,60 +121,60 @@
     return data.replace(b"Content-Length: 0", b"Content-Length: %d" % len(body)) + body
 
 
-HELD_BACK = {
-    # what is sent: its body outgrows the sockets on the way to the server
-    "whole": lambda: request_message("order", "ab", "4000m", b"x" * 60 * KB),
-    "whole, requests behind it": lambda: (
+LARGE_REQUESTS = {
+    # what the client sends; the body does not fit into the buffers between sidecar and endpoint
+    "buffered": lambda: request_message("order", "ab", "4000m", b"x" * 60 * KB),
+    "buffered, then pipelined requests": lambda: (
         request_message("order", "ab", "4000m", b"x" * 60 * KB)
         + b"".join(request_message("order", f"id{n}") for n in range(2 * MAX_WAITING_REQUESTS))
     ),
     "upload": lambda: with_content_length(request_message("order", "ab", "4000m"), b"x" * 200 * KB),
-    "upload in chunks": lambda: with_chunked_body(request_message("order", "ab", "4000m"), b"x" * 200 * KB),
-    "upload, requests behind it": lambda: (
+    "chunked upload": lambda: with_chunked_body(request_message("order", "ab", "4000m"), b"x" * 200 * KB),
+    "upload, then pipelined requests": lambda: (
         with_content_length(request_message("order", "ab", "4000m"), b"x" * 80 * KB)
         + b"".join(request_message("order", f"id{n}") for n in range(2 * MAX_WAITING_REQUESTS))
     ),
 }
 
 
-@pytest.mark.parametrize("how", ["close", "reset", "half"])
-@pytest.mark.parametrize("cancel", [True, False], ids=["may-cancel", "may-not"])
-@pytest.mark.parametrize("kind", HELD_BACK)
+@pytest.mark.parametrize("mode", ["close", "reset", "half-close"])
+@pytest.mark.parametrize("cancel", [True, False], ids=["cancel", "no-cancel"])
+@pytest.mark.parametrize("kind", LARGE_REQUESTS)
 @async_test
-async def test_what_a_slow_socket_keeps_back_never_gets_whole_once_its_client_left(
-    tmp_path, kind, cancel, how
+async def test_request_delayed_by_slow_socket_is_never_completed_after_client_disconnects(
+    tmp_path, kind, cancel, mode
 ):
-    """A server begins a request with its last byte, and that is still here: the server has not failed."""
+    """As the sidecar still has the last byte, the endpoint has not started the request and has not failed."""
     server = SlowReadingServer()
     data = config(list_update(1, endpoint_entry("s1", f"{HOST}:{server.port}")))
     data["settings"]["ceilings"]["cancel"] = cancel
     async with Sidecar(tmp_path / "c", data) as sidecar:
         pool, loop = sidecar.server.pool, asyncio.get_running_loop()
-        ends = []
-        pool.on_attempt_end = lambda endpoint, status, took_ns, objective_ns: ends.append(status)
+        statuses = []
+        pool.on_attempt_end = lambda endpoint, status, took_ns, objective_ns: statuses.append(status)
         pool.upstreams.system = SmallBufferSystem()
         client = socket.socket()
         client.setblocking(False)
         await loop.sock_connect(client, (HOST, sidecar.port))
-        await loop.sock_sendall(client, HELD_BACK[kind]())
+        await loop.sock_sendall(client, LARGE_REQUESTS[kind]())
         await wait_until(lambda: any(a.connection and a.connection.unwritten for a in pool.attempts.values()))
-        await asyncio.sleep(LATE_S)  # all that will be read before the close has been
-        end(client, how)
+        await asyncio.sleep(LATE_S)  # all input that is read before the close is read by now
+        disconnect(client, mode)
         await asyncio.sleep(LATE_S)
         server.go.set()
-        await wait_until(lambda: gone(sidecar) and not pool.upstreams.connections)
-        await wait_until(lambda: server.ended == len(server.brought))
+        await wait_until(lambda: has_no_clients(sidecar) and not pool.upstreams.connections)
+        await wait_until(lambda: server.ended_connections == len(server.received))
         client.close()
         assert not server.whole()
-        assert set(ends) == {Status.NOT_ATTEMPTED}
+        assert set(statuses) == {Status.NOT_ATTEMPTED}
         assert pool.balancer.known_endpoints[1].failure_score == 0.0
     server.close()
 
 
 @async_test
-async def test_request_delayed_by_a_slow_socket_is_completed_while_its_client_waits(tmp_path):
-    """The other side of the table above: all kinds are served where the client stays."""
-    for kind in HELD_BACK.values():
+async def test_request_delayed_by_slow_socket_is_completed_while_client_waits(tmp_path):
+    """Counterpart of the test above: every kind of request is served if its client stays connected."""
+    for make_request in LARGE_REQUESTS.values():
         server = SlowReadingServer()
         async with Sidecar(
             tmp_path / "c", config(list_update(1, endpoint_entry("s1", f"{HOST}:{server.port}")))
@@ -184,7 +184,7 @@
             client = socket.socket()
             client.setblocking(False)
             await loop.sock_connect(client, (HOST, sidecar.port))
-            await loop.sock_sendall(client, kind())
+            await loop.sock_sendall(client, make_request())
             await wait_until(
                 lambda: any(a.connection and a.connection.unwritten for a in pool.attempts.values())  # noqa: B023
             )
@@ -194,74 +194,76 @@
         server.close()
 
 
-# What has not been written yet
+# Attempts that are not written yet
 
 
-async def turned_away(got, reader, writer):
+async def reject(message, reader, writer):
     writer.write(http_response(503, b"", "X-Not-Run: 1"))
 
 
-async def hang(got, reader, writer):
+async def wait_for_close(message, reader, writer):
     await reader.read()
 
 
-WAITS = {
-    # what the next attempt waits for: how servers act, and what the settings allow
-    "a repeat's backoff": (turned_away, {}),
-    "a hedged request's turn": (hang, {"second-copies": True}),
-    "a hedged request's turn, no cancel": (hang, {"second-copies": True, "cancel": False}),
+DELAYED_ATTEMPTS = {
+    # what the next attempt waits for: (behaviour of the endpoints, ceilings in the settings)
+    "retry backoff": (reject, {}),
+    "hedging delay": (wait_for_close, {"second-copies": True}),
+    "hedging delay, no cancel": (wait_for_close, {"second-copies": True, "cancel": False}),
 }
 
 
-@pytest.mark.parametrize("late", [0.0, LATE_S], ids=["in time", "late loop"])
-@pytest.mark.parametrize("paused", [False, True], ids=["read", "not read"])
-@pytest.mark.parametrize("how", ["close", "reset", "half"])
-@pytest.mark.parametrize("kind", WAITS)
+@pytest.mark.parametrize("loop_delay_s", [0.0, LATE_S], ids=["prompt loop", "late loop"])
+@pytest.mark.parametrize("paused", [False, True], ids=["reading", "reading paused"])
+@pytest.mark.parametrize("mode", ["close", "reset", "half-close"])
+@pytest.mark.parametrize("kind", DELAYED_ATTEMPTS)
 @async_test
-async def test_no_further_attempt_begins_once_its_client_left(tmp_path, monkeypatch, kind, how, paused, late):
-    act, limits = WAITS[kind]
+async def test_delayed_attempt_is_not_started_after_client_disconnects(
+    tmp_path, monkeypatch, kind, mode, paused, loop_delay_s
+):
+    respond, ceilings = DELAYED_ATTEMPTS[kind]
     written_s, send = [], UpstreamConnection.send
 
-    def noted(connection, exchange, now):
-        found = send(connection, exchange, now)
-        written_s.append(time.monotonic() if found else 0.0)
-        return found
+    def recording_send(connection, exchange, now):
+        sent = send(connection, exchange, now)
+        written_s.append(time.monotonic() if sent else 0.0)
+        return sent
 
-    monkeypatch.setattr(UpstreamConnection, "send", noted)
-    fakes = [await FakePeer(act).start() for _ in range(3)]
+    monkeypatch.setattr(UpstreamConnection, "send", recording_send)
+    fakes = [await FakePeer(respond).start() for _ in range(3)]
     data = config(list_update(1, *(endpoint_entry(f"s{n}", fake.address) for n, fake in enumerate(fakes))))
-    data["settings"]["ceilings"].update(limits)
+    data["settings"]["ceilings"].update(ceilings)
     async with Sidecar(tmp_path / "c", data) as sidecar:
         client, loop = socket.socket(), asyncio.get_running_loop()
         client.setblocking(False)
         await loop.sock_connect(client, (HOST, sidecar.port))
-        behind = 2 * MAX_WAITING_REQUESTS if paused else 0
-        asked = [request_message("lookup", f"id{number}", "2000m") for number in range(1 + behind)]
-        await loop.sock_sendall(client, b"".join(asked))
+        further = 2 * MAX_WAITING_REQUESTS if paused else 0
+        requests = [request_message("lookup", f"id{number}", "2000m") for number in range(1 + further)]
+        await loop.sock_sendall(client, b"".join(requests))
         await wait_until(lambda: any(fake.received for fake in fakes))
-        left_s = []
+        disconnected_s = []
 
         def leave():
-            end(client, how)
-            left_s.append(time.monotonic())
+            disconnect(client, mode)
+            disconnected_s.append(time.monotonic())
 
-        if late:
-            block_event_loop(loop, late, leave)
-            await wait_until(lambda: left_s)
+        if loop_delay_s:
+            block_event_loop(loop, loop_delay_s, leave)
+            await wait_until(lambda: disconnected_s)
         else:
             leave()
-        await wait_until(lambda: gone(sidecar) and not sidecar.server.pool.attempts)
+        await wait_until(lambda: has_no_clients(sidecar) and not sidecar.server.pool.attempts)
         client.close()
     assert any(written_s)
-    assert not [at for at in written_s if at > left_s[0] + 0.1]
+    assert not [time_s for time_s in written_s if time_s > disconnected_s[0] + 0.1]
 
 
-@pytest.mark.parametrize("paused", [False, True], ids=["read", "not read"])
-@pytest.mark.parametrize("how", ["close", "reset", "half"])
+@pytest.mark.parametrize("paused", [False, True], ids=["reading", "reading paused"])
+@pytest.mark.parametrize("mode", ["close", "reset", "half-close"])
 @async_test
-async def test_what_waits_for_a_connection_is_not_written_once_its_client_left(tmp_path, how, paused):
-    """One of its own that is being made, and one that another request's answer sets free."""
-    sock, fill = full_backlog_listener()
+async def test_attempt_waiting_for_connection_is_not_sent_after_client_disconnects(tmp_path, mode, paused):
+    """It waits for its own pending connect, or for a connection that another request's response releases."""
+    sock, fillers = full_backlog_listener()
     data = config(list_update(1, endpoint_entry("s1", f"{HOST}:{sock.getsockname()[1]}")))
     data["settings"]["ceilings"]["connect-timeout-ns"] = 20_000 * MS
     async with Sidecar(tmp_path / "c", data) as sidecar:
@@ -269,61 +271,61 @@
         client = socket.socket()
         client.setblocking(False)
         await loop.sock_connect(client, (HOST, sidecar.port))
-        asked = [
+        requests = [
             request_message("order", f"id{n}", "4000m") for n in range(1 + 2 * MAX_WAITING_REQUESTS * paused)
         ]
-        await loop.sock_sendall(client, b"".join(asked))
+        await loop.sock_sendall(client, b"".join(requests))
         opening = pool.upstreams.endpoints[1].opening
-        await wait_until(lambda: opening and all(made.sock.getsockname()[1] for made in opening.values()))
-        end(client, how)
-        for filler in fill:
+        await wait_until(lambda: opening and all(conn.sock.getsockname()[1] for conn in opening.values()))
+        disconnect(client, mode)
+        for filler in fillers:
             filler.close()
         sock.setblocking(False)
-        taken = []
+        accepted = []
 
-        async def take():
+        async def accept():
             while True:
-                taken.append((await loop.sock_accept(sock))[0])
+                accepted.append((await loop.sock_accept(sock))[0])
 
-        task = asyncio.create_task(take())
-        # Its system asks for the connection again after a second.
-        await wait_until(lambda: gone(sidecar) and not pool.attempts and pool.upstreams.idle)
+        task = asyncio.create_task(accept())
+        # The kernel retransmits the SYN after a second.
+        await wait_until(lambda: has_no_clients(sidecar) and not pool.attempts and pool.upstreams.idle)
         task.cancel()
-        for one in taken:
-            one.setblocking(False)
+        for upstream_sock in accepted:
+            upstream_sock.setblocking(False)
             with contextlib.suppress(OSError):
-                assert not one.recv(4096)
-            one.close()
+                assert not upstream_sock.recv(4096)
+            upstream_sock.close()
         client.close()
     sock.close()
 
 
-@pytest.mark.parametrize("how", ["close", "reset", "half"])
+@pytest.mark.parametrize("mode", ["close", "reset", "half-close"])
 @async_test
-async def test_what_meets_only_resting_connections_is_not_written_once_its_client_left(tmp_path, how):
-    """Where servers answer twice connections rest, and a request has a new one made."""
+async def test_attempt_connecting_during_quarantine_is_not_sent_after_client_disconnects(tmp_path, mode):
+    """After a surplus response, connections are quarantined, and a request opens a new one."""
     fake = await FakePeer(respond_ok).start()
     async with Sidecar(tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))) as sidecar:
         pool, loop = sidecar.server.pool, asyncio.get_running_loop()
         assert (await send_request(sidecar.port, request_message("order", "warm"))).code == 200
-        resting = pool.upstreams.quarantine
-        resting.limit_s, resting.seen_at_s = WAIT_TIMEOUT_S, time.monotonic()
+        quarantine = pool.upstreams.quarantine
+        quarantine.limit_s, quarantine.seen_at_s = WAIT_TIMEOUT_S, time.monotonic()
         client = socket.create_connection((HOST, sidecar.port))
         connect = loop.sock_connect
 
         class Loop:
-            """The loop, but that a connect takes a moment in which the client leaves."""
+            """The event loop, except that the client disconnects while a connect is pending."""
 
             def __getattr__(self, name):
-                return connect_and_leave if name == "sock_connect" else getattr(loop, name)
+                return connect_after_leave if name == "sock_connect" else getattr(loop, name)
 
-        async def connect_and_leave(*args):
-            end(client, how)
+        async def connect_after_leave(*args):
+            disconnect(client, mode)
             await connect(*args)
 
         pool.upstreams.loop = Loop()
         client.sendall(request_message("order", "ab"))
-        await wait_until(lambda: len(pool.upstreams.idle) == 2)  # the one that was made is kept beside
-        await wait_until(lambda: gone(sidecar) and not pool.attempts)
+        await wait_until(lambda: len(pool.upstreams.idle) == 2)  # the new connection is kept as well
+        await wait_until(lambda: has_no_clients(sidecar) and not pool.attempts)
         client.close()
-        assert [got.headers["x-request-id"] for got in fake.received] == ["warm"]
+        assert [request.headers["x-request-id"] for request in fake.received] == ["warm"]
--- a/tests/net/test_hostile_messages.py
+++ b/tests/net/test_hostile_messages.py
@@ -1,4 +1,4 @@
-"""Messages made to cost more than they weigh: work by the byte, in turns, with the same result."""
+"""Messages built to cost more work than their size: work per loop iteration is bounded by parsed bytes."""
 
 import asyncio
 import logging
@@ -17,12 +17,12 @@
 from dykefold.net.read_scheduler import MAX_SLICES_PER_TURN, SLICE_BYTES
 from dykefold.net.service.load_reports import LoadReportParser
 
-CALLS_A_BYTE = 1.5  # Python calls: the worst are requests of 18 bytes, with some twenty for each
-CALLS_AT_ONCE = 200  # ... and so many whatever comes
+MAX_CALLS_PER_BYTE = 1.5  # Python calls; requests of 18 bytes, the worst case, take some twenty calls each
+MAX_FIXED_CALLS = 200  # allowed in addition, regardless of the size
 
 
-class Wire:
-    """A transport that keeps what is written."""
+class FakeTransport:
+    """A transport without a socket that records written bytes."""
 
     def __init__(self):
         self.written = b""
@@ -53,8 +53,8 @@
     write_eof = abort = close
 
 
-class Meter:
-    """The most Python calls in one turn, over what its bytes allow."""
+class CallMeter:
+    """Counts Python calls: `worst` is the highest ratio of calls to the calls that the bytes allow."""
 
     def __init__(self):
         self.calls = 0
@@ -63,29 +63,29 @@
     def _count(self, frame, event, _):
         self.calls += event == "call"
 
-    def run(self, size, work, *args):
+    def run(self, size_bytes, function, *args):
         self.calls = 0
-        before = sys.getprofile()
+        previous_profile = sys.getprofile()
         sys.setprofile(self._count)
         try:
-            return work(*args)
+            return function(*args)
         finally:
-            sys.setprofile(before)
-            self.worst = max(self.worst, self.calls / (CALLS_AT_ONCE + CALLS_A_BYTE * size))
+            sys.setprofile(previous_profile)
+            self.worst = max(self.worst, self.calls / (MAX_FIXED_CALLS + MAX_CALLS_PER_BYTE * size_bytes))
 
 
 async def feed(sidecar, pieces):
-    """Give pieces to a client's connection as a transport would; its wire and the meter."""
+    """Pass pieces to a client connection as a transport does; return the transport and the call meter."""
     sidecar_server = sidecar.server
     client, _, _ = sidecar_server.clients.admit("127.9.9.9")
-    connection, wire, meter = ClientConnection(sidecar_server, client), Wire(), Meter()
+    connection, transport, meter = ClientConnection(sidecar_server, client), FakeTransport(), CallMeter()
     sidecar_server.clients.add(connection)
-    connection.connection_made(wire)
+    connection.connection_made(transport)
     turn = sidecar_server.read_scheduler._turn
     sidecar_server.read_scheduler._turn = lambda: meter.run(MAX_SLICES_PER_TURN * SLICE_BYTES, turn)
     for piece in pieces:
         async with asyncio.timeout(WAIT_TIMEOUT_S):
-            while not wire.reading and not wire.closing:
+            while not transport.reading and not transport.closing:
                 await asyncio.sleep(0)
         meter.run(min(len(piece), SLICE_BYTES), connection.data_received, piece)
     async with asyncio.timeout(WAIT_TIMEOUT_S):
@@ -94,60 +94,61 @@
     connection.connection_lost(None)
     sidecar_server.read_scheduler._turn = turn
     assert not sidecar_server.memory.reserved_bytes
-    return wire, meter
+    return transport, meter
 
 
-def chunked(size, cls="order"):
-    head = request_message(cls, f"{size:x}", "1m").split(b"\r\n\r\n")[0].rsplit(b"\r\n", 1)[0]
-    return head + b"\r\nTransfer-Encoding: chunked\r\n\r\n" + b"1\r\nx\r\n" * size + b"0\r\n\r\n"
+def one_byte_chunks(body_bytes, request_class="order"):
+    head = request_message(request_class, f"{body_bytes:x}", "1m").split(b"\r\n\r\n")[0].rsplit(b"\r\n", 1)[0]
+    return head + b"\r\nTransfer-Encoding: chunked\r\n\r\n" + b"1\r\nx\r\n" * body_bytes + b"0\r\n\r\n"
 
 
-LINES = b"GET /lookup/part HTTP/1.1\r\n" + b"a:\r\n" * ((MAX_HEADERS_BYTES - 100) // 4) + b"\r\n"
-HOSTILE = {
-    "chunks of one byte": (chunked(MAX_BUFFERED_BODY_BYTES), 1 << 18, b" 503 "),
-    "header lines of four bytes": (LINES, 1 << 18, b" 431 "),
-    "requests of eighteen bytes": (b"GET / HTTP/1.1\r\n\r\n" * 5000, 1 << 18, b" 404 "),
-    "one long number": (
+SHORT_HEADER_LINES = b"GET /lookup/part HTTP/1.1\r\n" + b"a:\r\n" * ((MAX_HEADERS_BYTES - 100) // 4) + b"\r\n"
+HOSTILE_MESSAGES = {
+    # name: (data, size of the pieces, part of the status line)
+    "one-byte chunks": (one_byte_chunks(MAX_BUFFERED_BODY_BYTES), 1 << 18, b" 503 "),
+    "four-byte header lines": (SHORT_HEADER_LINES, 1 << 18, b" 431 "),
+    "18-byte requests": (b"GET / HTTP/1.1\r\n\r\n" * 5000, 1 << 18, b" 404 "),
+    "long number": (
         request_message("order", deadline="1m")[:-6] + b"0" * 30000 + b"\r\n\r\n",
         1 << 18,
         b" ",
     ),
-    "a head byte by byte": (b"GET /" + b"x" * 20000 + b" HTTP/1.1\r\n\r\n", 1, b" 404 "),
-    "a good order byte by byte": (request_message("order", deadline="1m", body=b"x" * 500), 1, b" 503 "),
+    "headers byte by byte": (b"GET /" + b"x" * 20000 + b" HTTP/1.1\r\n\r\n", 1, b" 404 "),
+    "valid request byte by byte": (request_message("order", deadline="1m", body=b"x" * 500), 1, b" 503 "),
 }
 
 
-def many(path, play):
-    async def inside():
+def run_with_sidecar(path, scenario):
+    async def run_scenario():
         async with Sidecar(path / "config.json", config(list_update(1))) as sidecar:
-            await play(sidecar)
+            await scenario(sidecar)
 
-    run(inside())
+    run(run_scenario())
 
 
-@pytest.mark.parametrize("kind", HOSTILE)
-def test_the_calls_of_one_turn_are_bounded_by_its_bytes(tmp_path, kind):
-    data, piece, answer = HOSTILE[kind]
+@pytest.mark.parametrize("kind", HOSTILE_MESSAGES)
+def test_calls_of_one_loop_iteration_are_bounded_by_bytes_parsed(tmp_path, kind):
+    data, piece_bytes, status = HOSTILE_MESSAGES[kind]
 
-    async def play(sidecar):
-        pieces = (data[at : at + piece] for at in range(0, len(data), piece))
-        wire, meter = await feed(sidecar, pieces)
+    async def scenario(sidecar):
+        pieces = (data[start : start + piece_bytes] for start in range(0, len(data), piece_bytes))
+        transport, meter = await feed(sidecar, pieces)
         assert meter.worst <= 1.0
-        assert answer in wire.written.split(b"\r\n")[0]
+        assert status in transport.written.split(b"\r\n")[0]
 
-    many(tmp_path, play)
+    run_with_sidecar(tmp_path, scenario)
 
 
-def test_a_body_of_one_byte_chunks_is_gathered_in_linear_time(tmp_path):
-    """Adding up all pieces at each piece once cost ten seconds for this body."""
+def test_body_of_one_byte_chunks_is_buffered_in_linear_time(tmp_path):
+    """Adding up all previous pieces at each new piece took ten seconds for this body."""
 
-    async def play(sidecar):
-        began = time.monotonic()
+    async def scenario(sidecar):
+        started_s = time.monotonic()
         for number in range(3):
-            await feed(sidecar, [chunked(MAX_BUFFERED_BODY_BYTES - number)])
-        assert time.monotonic() - began < 10.0  # one to two seconds here; over twenty before
+            await feed(sidecar, [one_byte_chunks(MAX_BUFFERED_BODY_BYTES - number)])
+        assert time.monotonic() - started_s < 10.0  # linear: one to two seconds; quadratic: over twenty
 
-    many(tmp_path, play)
+    run_with_sidecar(tmp_path, scenario)
 
 
 @settings(max_examples=30, derandomize=True, deadline=None)
@@ -156,47 +157,47 @@
     st.lists(st.integers(1, 4000), min_size=1, max_size=40),
     st.integers(0, 3000),
 )
-def test_however_it_is_cut_the_answers_are_the_same(tmp_path_factory, classes, sizes, body):
+def test_requests_split_at_any_position_get_same_responses(tmp_path_factory, classes, sizes, body_bytes):
     data = b"".join(
-        request_message(cls, f"{number:x}", "1m", b"b" * body if cls != "lookup" else b"")
-        for number, cls in enumerate(classes)
+        request_message(name, f"{number:x}", "1m", b"b" * body_bytes if name != "lookup" else b"")
+        for number, name in enumerate(classes)
     )
 
-    async def play(sidecar):
-        seen = []
-        for cut in (False, True):
+    async def scenario(sidecar):
+        status_codes = []
+        for in_pieces in (False, True):
             sidecar.server.ids.clear()
-            pieces, at = [], 0
-            for size in sizes if cut else []:
-                pieces.append(data[at : at + size])
-                at += size
-            pieces.append(data[at:])
-            wire, meter = await feed(sidecar, [piece for piece in pieces if piece])
+            pieces, start = [], 0
+            for size in sizes if in_pieces else []:
+                pieces.append(data[start : start + size])
+                start += size
+            pieces.append(data[start:])
+            transport, meter = await feed(sidecar, [piece for piece in pieces if piece])
             assert meter.worst <= 1.0
-            seen.append(re.findall(rb"HTTP/1\.1 (\d+)", wire.written))
-        assert seen[0] == seen[1]
-        assert len(seen[0]) == len(classes)
+            status_codes.append(re.findall(rb"HTTP/1\.1 (\d+)", transport.written))
+        assert status_codes[0] == status_codes[1]
+        assert len(status_codes[0]) == len(classes)
 
-    many(tmp_path_factory.mktemp("cut"), play)
+    run_with_sidecar(tmp_path_factory.mktemp("cut"), scenario)
 
 
-def test_a_report_of_many_pairs_is_not_read():
+def test_load_report_with_too_many_pairs_is_ignored():
     assert LoadReportParser(("rps",)).read(b"rps=1," + b"x=1," * 10000) == ()
 
 
-def test_a_late_loop_is_logged_once_with_what_ran(tmp_path, caplog):
-    async def play(sidecar):
-        lag = sidecar.server.lag_monitor
+def test_late_event_loop_is_logged_once_with_longest_callback(tmp_path, caplog):
+    async def scenario(sidecar):
+        lag_monitor = sidecar.server.lag_monitor
         with caplog.at_level(logging.WARNING):
             for _ in range(2):
-                began = time.monotonic()
+                started_s = time.monotonic()
                 time.sleep(0.15)
-                lag.record_duration(began, "a test that sleeps")
-                at = lag.due_s
-                await wait_until(lambda: lag.due_s != at)  # noqa: B023
+                lag_monitor.record_duration(started_s, "a test that sleeps")
+                due_s = lag_monitor.due_s
+                await wait_until(lambda: lag_monitor.due_s != due_s)  # noqa: B023
         lines = [record.message for record in caplog.records if "late" in record.message]
         assert len(lines) == 1
         assert "a test that sleeps" in lines[0]
-        assert lag.worst_s >= 100 * MS / 1e9
+        assert lag_monitor.worst_s >= 100 * MS / 1e9
 
-    many(tmp_path, play)
+    run_with_sidecar(tmp_path, scenario)
