--- a/dykefold/net/downstream/request_reader.py
+++ b/dykefold/net/downstream/request_reader.py
@@ -86,7 +86,7 @@
 
     def feed_slice(self) -> bool:
         """Parse the next slice; return whether another one can be parsed in the next loop iteration."""
-        # A request can no longer be answered then, so none may be accepted.
+        # On a closing connection a request can no longer be answered, so none may be accepted.
         if self._lifecycle.state in CLOSING_OR_CLOSED:
             self.discard_unparsed()
         if self.unparsed is not None:
