--- a/dykefold/net/service/attempt.py
+++ b/dykefold/net/service/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a pending request: its announced deadline, its streams and its time limit.
+"""One attempt of a pending request: its announced deadline, its streaming and its time limit.
 
 An attempt is written once and ends once.
 """
@@ -16,13 +16,13 @@
 from .pending_request import PendingRequest
 from .protocols import AttemptHost
 
-# A streamed body or answer must progress within this time, where the endpoint is the one to act.
+# A streamed body or answer must progress within this time while it depends on the endpoint.
 STREAM_STALL_S = 3.0
-# The announced time may exceed the client's remaining time by at most this when the last byte is written.
-MAX_OVERSTATED_NS = 50 * NS_PER_MS
-# An attempt with less time left is not written: this is the shortest time that can be announced.
+# Maximum excess of the announced time over the client's remaining time when the last byte is written.
+MAX_ANNOUNCED_EXCESS_NS = 50 * NS_PER_MS
+# The shortest time that can be announced; an attempt with less time left is not written.
 MIN_ANNOUNCED_NS = NS_PER_MS
-# For a streamed body, one part in this many of the client's time is not announced.
+# For a streamed body, one part in this many of the client's time is withheld from the announced time.
 STREAM_MARGIN_DIVISOR = 4
 
 
@@ -30,20 +30,21 @@
     """One transmission of a pending request to one endpoint.
 
     Args:
-        request: Pending request that the attempt belongs to; the attempt may outlive it.
-        host: What the attempt uses of its pool.
+        request: Request that the attempt belongs to; the attempt may outlive it.
+        host: Interface of the pool that the attempt uses.
         endpoint_number: Number of the endpoint.
-        sent_ns: Time at which the balancer sent the attempt, nanoseconds on the clock.
-        on_end: Callback for the one end; its arguments are the attempt, its status, and the endpoint's
-            complete response if one came.
+        sent_ns: Time at which the balancer started the attempt, nanoseconds on the clock.
+        on_end: Callback that is called once at the end. Its arguments are the attempt, its status, and the
+            endpoint's complete response or None.
 
     Attributes:
         number: Number of the attempt within its request, from 0.
-        announced_ns: Nanoseconds left, as announced to the endpoint.
-        answer_began_ns: Time at which a streamed answer began, nanoseconds on the clock; 0 before.
-        expires_ns: Time at which the attempt is given up, nanoseconds on the clock; 0 while its body arrives.
-        write_by_ns: Time from which the attempt must not be written, nanoseconds on the clock; 0 without one.
-        last_progress: Bytes streamed when progress was last checked; None before the first check.
+        announced_ns: Remaining time that was announced to the endpoint, in nanoseconds.
+        answer_began_ns: Time at which a streamed answer began, nanoseconds on the clock; 0 before that.
+        expires_ns: Time at which the attempt is given up, nanoseconds on the clock; 0 while the body arrives.
+        write_deadline_ns: Time from which the attempt must not be written, nanoseconds on the clock; 0 for
+            no limit.
+        last_progress: Bytes streamed at the latest check of progress; None before the first check.
     """
 
     __slots__ = (
@@ -56,7 +57,7 @@
         "number",
         "request",
         "sent_ns",
-        "write_by_ns",
+        "write_deadline_ns",
     )
 
     def __init__(
@@ -67,7 +68,7 @@
         sent_ns: int,
         on_end: Callable[[Attempt, Status, Response | None], None],
     ) -> None:
-        super().__init__(b"", on_end, MAX_BUFFERED_BODY_BYTES)  # type: ignore[arg-type]  # it passes itself
+        super().__init__(b"", on_end, MAX_BUFFERED_BODY_BYTES)  # type: ignore[arg-type]  # Exchange passes itself
         self.profile = request.parsed.profile
         self.max_streamed_bytes = request.parsed.max_response_bytes
         self.upload = request.parsed.upload
@@ -76,22 +77,22 @@
         self.number = request.attempt_count
         self.endpoint_number = endpoint_number
         self.sent_ns = sent_ns
-        # Moments on the path of each request: 0 stands for "none".
+        # Timestamps on the path of each request: 0 stands for "none".
         self.answer_began_ns = 0
         self.announced_ns = 0
         self.expires_ns = 0
-        self.write_by_ns = 0
+        self.write_deadline_ns = 0
         self.last_progress: int | None = None
 
-    def stall_ns(self) -> int:
-        """Return the nanoseconds within which a body that still arrives must progress."""
+    def stall_timeout_ns(self) -> int:
+        """Return the time within which a body that is still arriving must progress, in nanoseconds."""
         return int(STREAM_STALL_S * NS_PER_S)
 
     def expire(self) -> None:
         """Give the attempt up, unless its body or answer is being streamed and has progressed.
 
-        A long stream may outlast any deadline. Only a stream that stalls is given up, since its client
-        would wait for ever.
+        A long stream may outlast any deadline. Only a stalled stream is given up, since its client would
+        otherwise wait forever.
         """
         if not self._streaming() or not self._has_progressed():
             super().expire()
@@ -102,78 +103,80 @@
         return self.answer_began_ns > 0 or (self.upload is not None and not self.upload.ended)
 
     def _has_progressed(self) -> bool:
-        """Return whether bytes were streamed since the last check, or the client is the one to act."""
+        """Return whether bytes were streamed since the last check, or the stream waits for the client."""
         if self.connection is None:
-            return False  # nothing is written yet, and the time for connecting is over
-        before, self.last_progress = self.last_progress, self.connection.transferred_bytes()
+            return False  # nothing is written yet, and the connect timeout has passed
+        previous, self.last_progress = self.last_progress, self.connection.transferred_bytes()
         if self.answer_began_ns:
-            return self.connection.blocked or self.last_progress != before
-        return not self.connection.unwritten or self.last_progress != before
+            return self.connection.blocked or self.last_progress != previous
+        return not self.connection.unwritten or self.last_progress != previous
 
     def wanted(self) -> bool:
         """Return whether the attempt may still be written."""
         now_ns = self.host.now()
-        if self.write_by_ns and now_ns >= self.write_by_ns:
-            # The endpoint no longer remembers the idempotency key, so this would be a second effect.
+        if self.write_deadline_ns and now_ns >= self.write_deadline_ns:
+            # The endpoint no longer remembers the idempotency key: the attempt would have a second effect.
             return False
         if self.expires_ns and now_ns > self.expires_ns - MIN_ANNOUNCED_NS:
-            return False  # an answer would come too late, and the request may have an effect
-        return not self._announced_too_much(now_ns) and not self.request.sink.client_has_closed()
+            return False  # the response would be too late, but the request may have an effect
+        return not self._announced_exceeds_remaining(now_ns) and not self.request.sink.client_has_closed()
 
-    def _announced_too_much(self, now_ns: int) -> bool:
-        """Return whether the head, which is written, announced more time than the client has left now.
+    def _announced_exceeds_remaining(self, now_ns: int) -> bool:
+        """Return whether the written head announced more time than the client has left now.
 
-        The platform's endpoints begin with a request when its last byte has arrived (PROTOCOL, sidecars to
-        servers), and a slow socket can delay that byte.
+        The platform's endpoints start to process a request when its last byte has arrived (PROTOCOL, sidecars
+        to servers), and a slow socket can delay that byte.
         """
         if self.connection is None or self.profile is not HttpProfile.PLATFORM:
             return False
-        return now_ns + self.announced_ns > self.request.parsed.deadline_ns + MAX_OVERSTATED_NS
+        return now_ns + self.announced_ns > self.request.parsed.deadline_ns + MAX_ANNOUNCED_EXCESS_NS
 
     def compose(self) -> bytes:
-        """Return the message to write; if connecting took long, it announces the time that is left now."""
+        """Return the message to write; after a slow connect it announces the time that is left now."""
         now_ns = self.host.now()
         if now_ns - self.sent_ns >= NS_PER_MS:
             self.announce(
-                self.expires_ns - now_ns if self.expires_ns else stream_time_ns(self.request.parsed, now_ns)
+                self.expires_ns - now_ns
+                if self.expires_ns
+                else announced_stream_time_ns(self.request.parsed, now_ns)
             )
         return self.payload
 
-    def announce(self, left_ns: int) -> None:
-        """Encode the message with `left_ns`, the nanoseconds that the endpoint has for its response."""
-        self.announced_ns = left_ns
-        self.payload = self.host.message(self.request.parsed, left_ns)
+    def announce(self, remaining_ns: int) -> None:
+        """Encode the message with the remaining time, in nanoseconds, that the endpoint has to respond."""
+        self.announced_ns = remaining_ns
+        self.payload = self.host.encode_request(self.request.parsed, remaining_ns)
 
-    def restart_timer(self, after_s: float) -> None:
+    def restart_timer(self, timeout_s: float) -> None:
         """Replace the time limit of an attempt in flight, in seconds from now."""
         if self.timer_wheel is not None and not self.ended:
             self.timer_wheel.stop(self)
-            self.timer_wheel.start(self, after_s, self.host.monotonic())
+            self.timer_wheel.start(self, timeout_s, self.host.monotonic())
 
     def upload_begins(self) -> None:
-        """Notify the balancer that the body is being streamed: the request can't be retried any more."""
+        """Notify the balancer that the body is being streamed: the request can no longer be retried."""
         request = self.request
         self.host.post(StreamStarted(request.id, self.number, self.endpoint_number, 0, Status.NOT_ATTEMPTED))
         if request.parsed.upload is not None and request.parsed.upload.ended:
             self.body_sent()
 
     def body_sent(self) -> None:
-        """Notify the balancer that the streamed body is complete: the endpoint is the one to act."""
+        """Notify the balancer that the streamed body is complete and the endpoint has to respond."""
         self.host.post(BodySent(self.request.id, self.number, self.endpoint_number))
 
     def begin_response(
         self, code: int, headers: list[tuple[bytes, bytes]], length: int | None, load: bytes
     ) -> bool:
-        """Begin to stream the answer to the client.
+        """Begin to stream the response to the client as the final answer.
 
         Args:
             code: HTTP status code.
-            headers: Header fields to pass on.
-            length: Bytes of the body; None if unknown.
+            headers: Header fields to forward.
+            length: Length of the body in bytes; None if unknown.
             load: Load report of the endpoint; empty without one.
 
         Returns:
-            Whether the answer is passed on.
+            Whether the response is forwarded.
         """
         request = self.request
         if not request.awaiting_answer or request.streaming_answer:
@@ -184,23 +187,23 @@
         if request.streaming_answer:
             host, self.answer_began_ns = self.host, self.host.now()
             host.timer_wheel.stop(request)  # its final answer has begun in time
-            took_ns = self.answer_began_ns - max(
+            duration_ns = self.answer_began_ns - max(
                 self.sent_ns, self.upload.completed_ns if self.upload is not None else 0
             )
             report = host.reports.read(load) if load and host.reports.columns else ()
             host.post(
                 StreamStarted(
-                    request.id, self.number, self.endpoint_number, max(took_ns, 0), Status.OK, report
+                    request.id, self.number, self.endpoint_number, max(duration_ns, 0), Status.OK, report
                 )
             )
         return request.streaming_answer
 
     def send_response_piece(self, data: bytes) -> None:
-        """Pass on the next bytes of a streamed answer."""
+        """Forward the next bytes of a streamed answer."""
         self.request.sink.send_response_piece(self.request.parsed, data)
 
     def block(self, on: bool) -> None:
-        """Pause or resume reading from the endpoint, as the client can take bytes."""
+        """Pause or resume reading from the endpoint, depending on whether the client accepts bytes."""
         if self.connection is not None:
             self.connection.block(on)
 
@@ -209,25 +212,25 @@
     """The attempts of one pool that have not ended; an attempt may outlive its request.
 
     Attributes:
-        by_number: Attempts by the id of their request and their own number.
+        by_number: Attempts by request id and attempt number.
     """
 
     def __init__(self) -> None:
         self.by_number: dict[tuple[int, int], Attempt] = {}
 
     def of(self, request: PendingRequest) -> Iterator[Attempt]:
-        """Iterate over the attempts of a request that are in flight when their turn comes."""
+        """Iterate over the attempts of a request; an attempt that ends during the iteration is skipped."""
         for number in range(request.attempt_count):
             attempt = self.by_number.get((request.id, number))
             if attempt is not None:
                 yield attempt
 
 
-def stream_time_ns(request: ParsedRequest, now_ns: int) -> int:
-    """Return the nanoseconds to announce for a streamed body, at most what is left since its head was read.
+def announced_stream_time_ns(request: ParsedRequest, now_ns: int) -> int:
+    """Return the nanoseconds to announce for a streamed body, at most those left since its head was read.
 
-    The client's time starts with its last byte, which may have arrived already and wait to be read. Part of
-    the time is not announced, since a slow socket may delay the last byte.
+    The client's time starts with its last byte, which may already have arrived and not been read yet. Part of
+    the time is withheld, since a slow socket may delay the last byte.
     """
     announced_ns = request.wait_ns - request.wait_ns // STREAM_MARGIN_DIVISOR
     return max(min(announced_ns, request.deadline_ns - now_ns), NS_PER_MS)
--- a/dykefold/net/service/attempts.py
+++ b/dykefold/net/service/attempts.py
@@ -1,7 +1,7 @@
 """Starts, cancels and ends the attempts of pending requests.
 
-The end of an attempt states what is known of whether the endpoint ran it; whether to retry is decided by the
-balancer.
+The status of an ended attempt states what is known about whether the endpoint ran it. The balancer decides
+whether to retry.
 """
 
 from __future__ import annotations
@@ -13,20 +13,20 @@
 from ..streaming import Upload
 from ..upstream.classify import HttpProfile, Response
 from ..upstream.connection_pool import ConnectionPool
-from .attempt import Attempt, AttemptsInFlight, stream_time_ns
+from .attempt import Attempt, AttemptsInFlight, announced_stream_time_ns
 from .pending_request import PendingRequest
 from .pending_requests import ATTEMPT_MARGIN_NS, PendingRequests
 from .protocols import AttemptRunnerHost
 
-# An endpoint that acts on a part of a body may have run the request in spite of these statuses.
-MAY_HAVE_ACTED = {Status.CONNECT_FAILED: Status.RESET, Status.NOT_ATTEMPTED: Status.CANCELLED}
+# Replacement statuses for endpoints that act on partial bodies: they may have run the request nevertheless.
+STATUS_IF_PARTIAL_BODY_SENT = {Status.CONNECT_FAILED: Status.RESET, Status.NOT_ATTEMPTED: Status.CANCELLED}
 
 
 class AttemptRunner:
     """Starts, cancels and ends the attempts of one pool.
 
     Args:
-        host: What the attempts and their runner use of their pool.
+        host: Interface of the pool that the attempts and their runner use.
         requests: Pending requests of the pool.
         attempts: Attempts of the pool that are in flight.
         upstreams: Connections to the endpoints.
@@ -48,10 +48,10 @@
         self.upstreams = upstreams
 
     def start(self, action: Send) -> None:
-        """Start the next attempt of a request, if there is still time, a client and a descriptor."""
+        """Start the next attempt of a request, if there is time, a client and a descriptor left."""
         request = self.pending.get(action.id)
         if request is None:
-            return  # no longer pending: the balancer was notified, or will be by an event in the queue
+            return  # no longer pending: the balancer was notified, or will be by a queued event
         now_ns = self.now()
         attempt = Attempt(request, self.host, action.endpoint_number, now_ns, self.end)
         request.attempt_count += 1
@@ -59,13 +59,15 @@
         request.attempts_in_flight += 1
         parsed = request.parsed
         upload = parsed.upload
-        body_arriving = upload is not None and not upload.ended  # the deadline starts when it is complete
-        left_ns = attempt.stall_ns() if body_arriving else parsed.deadline_ns - ATTEMPT_MARGIN_NS - now_ns
-        # The balancer's timeout does not allow for a body that is still arriving.
+        body_arriving = upload is not None and not upload.ended  # its deadline starts on completion
+        remaining_ns = (
+            attempt.stall_timeout_ns() if body_arriving else parsed.deadline_ns - ATTEMPT_MARGIN_NS - now_ns
+        )
+        # The balancer's timeout does not include the time in which a body arrives.
         has_timeout = action.timeout_ns > 0 and upload is None
-        timeout_ns = min(action.timeout_ns, left_ns) if has_timeout else left_ns
+        timeout_ns = min(action.timeout_ns, remaining_ns) if has_timeout else remaining_ns
         if request.may_have_run or request.attempts_in_flight > 1:
-            attempt.write_by_ns = self._idempotency_window_end(request, attempt)
+            attempt.write_deadline_ns = self._idempotency_window_end(request, attempt)
         if (
             request.attempt_count > request.max_attempts
             or timeout_ns <= 0
@@ -75,25 +77,25 @@
             attempt.end(Status.NOT_ATTEMPTED)
             return
         attempt.expires_ns = 0 if body_arriving else now_ns + timeout_ns
-        # The deadline of a streamed body counts from its last byte, which the endpoint gets later.
-        attempt.announce(stream_time_ns(parsed, now_ns) if body_arriving else timeout_ns)
+        # The deadline of a streamed body counts from its last byte, which reaches the endpoint later.
+        attempt.announce(announced_stream_time_ns(parsed, now_ns) if body_arriving else timeout_ns)
         self.upstreams.start(action.endpoint_number, attempt, timeout_ns / NS_PER_S)
 
     def _idempotency_window_end(self, request: PendingRequest, attempt: Attempt) -> int:
         """Return the time from which endpoints may have forgotten the idempotency key; 0 without a key.
 
-        The window counts from the first attempt that may have run. A retry that is decided on within the
-        window could be written after it, if connecting takes long.
+        The window starts with the first attempt that may have run. A retry that is decided on within the
+        window could be written after its end if connecting takes long.
         """
         settings = self.host.settings
         request_class = settings.classes[request.parsed.class_number]
         if request_class.effect is not Effect.KEYED:
             return 0
-        earlier_ns = [other.sent_ns for other in self.attempts.of(request) if other is not attempt]
-        first_ns = min(earlier_ns, default=request.first_run_ns)
+        sent_times_ns = [other.sent_ns for other in self.attempts.of(request) if other is not attempt]
+        window_start_ns = min(sent_times_ns, default=request.first_run_ns)
         if request.first_run_ns:
-            first_ns = min(first_ns, request.first_run_ns)
-        return first_ns + request_class.window_ns - settings.tick_ns
+            window_start_ns = min(window_start_ns, request.first_run_ns)
+        return window_start_ns + request_class.window_ns - settings.tick_ns
 
     def cancel(self, action: Cancel) -> None:
         """Cancel an attempt, unless it streams the body of the request or of the final answer."""
@@ -102,17 +104,17 @@
             return
         request, upload = attempt.request, attempt.upload
         streamed = request.streaming_answer or (upload is not None and upload.begun)
-        # A streamed attempt of a pending request can't be retried: it ends by itself or at its time limit.
+        # A streamed attempt of a pending request can't be retried: it runs to its end or to its time limit.
         if not (streamed and request.awaiting_answer):
             attempt.give_up(Status.CANCELLED)
 
     def end(self, attempt: Attempt, status: Status, response: Response | None) -> None:
-        """Account for the end of an attempt: pass on an answer to the client, and notify the balancer.
+        """Handle the end of an attempt: forward a response to the client, and notify the balancer.
 
         Args:
-            attempt: Attempt that has ended; its request need not be pending any more.
-            status: What is known of the attempt, before a partly sent body is taken into account.
-            response: Complete response of the endpoint, if one came.
+            attempt: Attempt that has ended; its request may no longer be pending.
+            status: Status of the attempt, before a partly sent body is taken into account.
+            response: Complete response of the endpoint; None without one.
         """
         request, host = attempt.request, self.host
         self.in_flight.pop((request.id, attempt.number), None)
@@ -120,33 +122,33 @@
         self.requests.release_descriptors(request)
         upload = request.parsed.upload
         if upload is not None and upload.begun:
-            status = _status_of_streamed(request, upload, status)
+            status = _status_of_streamed_attempt(request, upload, status)
         if status is Status.NOT_ATTEMPTED:
             request.max_attempts += 1  # it does not count as an attempt
         if status not in (Status.FULL, Status.CONNECT_FAILED, Status.NOT_ATTEMPTED):
             request.may_have_run = True
             request.first_run_ns = min(request.first_run_ns or attempt.sent_ns, attempt.sent_ns)
-        report = self._take_response(request, status, response) if response is not None else ()
+        report = self._handle_response(request, status, response) if response is not None else ()
         if request.awaiting_answer and (request.streaming_answer or (upload is not None and upload.begun)):
             self.requests.end_streamed(request, status)
-        # The client sets the pace of a streamed body, so the endpoint's time counts from the body's end.
-        took_ns = self.now() - max(attempt.sent_ns, upload.completed_ns if upload is not None else 0)
+        # The client sets the pace of a streamed body, so the endpoint's time starts at the end of the body.
+        duration_ns = self.now() - max(attempt.sent_ns, upload.completed_ns if upload is not None else 0)
         if host.on_attempt_end is not None:
             objective_ns = host.settings.classes[request.parsed.class_number].objective_ns
-            host.on_attempt_end(attempt.endpoint_number, status, took_ns, objective_ns)
+            host.on_attempt_end(attempt.endpoint_number, status, duration_ns, objective_ns)
         request_over = not request.awaiting_answer
         host.post(
             Outcome(
-                request.id, attempt.number, attempt.endpoint_number, status, took_ns, request_over, report
+                request.id, attempt.number, attempt.endpoint_number, status, duration_ns, request_over, report
             )
         )
         if host.retiring:
             host.close_soon_if_finished()
 
-    def _take_response(
+    def _handle_response(
         self, request: PendingRequest, status: Status, response: Response
     ) -> tuple[float, ...]:
-        """Answer the request with a served response, or keep an error; return the load report."""
+        """Answer the request with a successful response, or keep an error; return the load report."""
         reports = self.host.reports
         report: tuple[float, ...] = ()
         if response.load and reports.columns:
@@ -158,14 +160,14 @@
         return report
 
 
-def _status_of_streamed(request: PendingRequest, upload: Upload, status: Status) -> Status:
-    """Return what the end of an attempt proves when part of the body was sent.
+def _status_of_streamed_attempt(request: PendingRequest, upload: Upload, status: Status) -> Status:
+    """Return the status of an attempt of which part of the body was sent.
 
-    The platform's endpoints begin with a request when its last byte has arrived (PROTOCOL, sidecars to
-    servers); others may act on a part.
+    The platform's endpoints start to process a request when its last byte has arrived (PROTOCOL, sidecars to
+    servers); others may act on a partial body.
     """
     if request.parsed.profile is not HttpProfile.PLATFORM:
-        return MAY_HAVE_ACTED.get(status, status)
+        return STATUS_IF_PARTIAL_BODY_SENT.get(status, status)
     if not upload.sent and status in (Status.RESET, Status.TIMEOUT, Status.CANCELLED):
         return Status.CONNECT_FAILED
     return status
--- a/dykefold/net/service/endpoint_registry.py
+++ b/dykefold/net/service/endpoint_registry.py
@@ -1,7 +1,7 @@
 """The endpoints of one service: endpoint lists, maintenance orders, start times, names and health probes.
 
-The balancer is notified of a change before connections are closed for it, so that a request of a closed
-connection is not retried at the same endpoint.
+The balancer is notified of a change before connections are closed because of it, so that a request on a
+closed connection is not retried at the same endpoint.
 """
 
 from __future__ import annotations
@@ -35,16 +35,16 @@
 
 
 class EndpointRegistry:
-    """The endpoints of one pool: keeps the balancer and the connections up to date with them.
+    """The endpoints of one pool; keeps the balancer and the connections up to date with them.
 
     Args:
-        host: What the registry uses of its pool.
+        host: Interface of the pool that the registry uses.
         process: What all pools of the process share.
-        names: Numbers of endpoints and zones by name.
-        known: Endpoints as the balancer knows them, by number.
+        names: Numbers of endpoints and zones, by name.
+        known: Endpoint states of the balancer, by endpoint number.
 
     Attributes:
-        maintenance: Endpoints as discovery lists them, with operators' maintenance orders on top.
+        maintenance: Endpoints as discovery lists them, with operators' maintenance orders applied.
         start_times: Start times of the endpoints, as far as they are known.
     """
 
@@ -72,7 +72,7 @@
     # Endpoint lists
 
     def on_update(self, update: EndpointUpdate | None) -> None:
-        """Apply an endpoint list or a change of it; None if discovery failed."""
+        """Apply an update of the endpoint list, complete or incremental; None if discovery failed."""
         if self.host.closed:
             return
         if update is None:
@@ -82,10 +82,10 @@
             self.apply_list(update)
 
     def apply_list(self, update: EndpointUpdate, kind: ListKind | None = None) -> None:
-        """Apply an endpoint list or a change of it, with the maintenance orders on top.
+        """Apply an update of the endpoint list, with the maintenance orders on top of it.
 
         Args:
-            update: Endpoint list, or a change of it.
+            update: Complete or incremental update.
             kind: Source of the update; None for the pool's own discovery client.
         """
         self.host.version = update.version
@@ -96,7 +96,7 @@
     def record(self) -> dict[str, Any]:
         """Return the endpoint list as discovery reported it, for the state directory.
 
-        The key `discovery` names the discovery service that counts the version.
+        The key `discovery` names the discovery service that assigned the version.
         """
         discovery = self.discovery
         return {
@@ -105,27 +105,27 @@
         }
 
     def adopt(self, record: Mapping[str, Any]) -> None:
-        """Apply an endpoint list that another process of this sidecar received, if it is newer.
+        """Apply an endpoint list that another process of this sidecar has received, if it is newer.
 
         Args:
-            record: Endpoint list in the form that `record` returns.
+            record: Endpoint list in the format of `record`.
 
         Raises:
-            EndpointListError: The record can't be read.
+            EndpointListError: The record cannot be parsed.
         """
         discovery = self.discovery
         if discovery is None or record.get("discovery") != discovery.host:
-            return  # another discovery service counts its version
+            return  # versions of different discovery services are not comparable
         version = record.get("index")
         if not isinstance(version, int) or version <= self.host.version or discovery.version is None:
             return
         update = parse_endpoint_update(record, self.names)
         discovery.adopt(version)
-        # A cached list is no sign that this process's own watch works.
+        # Applied as a cached list, since it does not prove that this process's own watch works.
         self.apply_list(update, ListKind.CACHED)
 
     def _apply(self, update: EndpointUpdate, kind: ListKind | None = None) -> None:
-        began_s = self.monotonic()
+        start_s = self.monotonic()
         event = update.to_event(kind)
         starts = ((entry.name, entry.endpoint) for entry in update.entries)
         source, called_ns = "", 0
@@ -140,10 +140,10 @@
                 self._remove(number)
         for entry in update.entries:
             self._apply_entry(entry)
-        # Names are dropped after changes too, since a complete list may never come.
+        # Names are dropped after incremental updates too, since a complete list may never arrive.
         self.names.keep(set(self.known) | set(upstreams.endpoints))
         self.lag_monitor.record_duration(
-            began_s, f"an endpoint list update of {len(update.entries)} endpoints"
+            start_s, f"an endpoint list update of {len(update.entries)} endpoints"
         )
 
     def _apply_entry(self, entry: EndpointRecord) -> None:
@@ -173,16 +173,16 @@
     # Maintenance orders
 
     def maintain(self, name: str, take_out: bool) -> bool:
-        """Take a known endpoint out of service, or put it back.
+        """Take a known endpoint out of service, or return it to service.
 
         Returns:
             Whether the order changed anything.
         """
-        was_out = self.maintenance.is_out(name)
+        was_out_of_service = self.maintenance.is_out(name)
         entries = self.maintenance.apply_order(name, take_out, self.clock.now())
         if entries:
             self._apply(EndpointUpdate(self.host.version, False, entries), ListKind.LOCAL)
-        return was_out is not take_out
+        return was_out_of_service is not take_out
 
     def merge_maintenance(self, orders: Mapping[str, MaintenanceOrder]) -> None:
         """Apply maintenance orders, by endpoint name, that another process of this sidecar has received."""
@@ -193,7 +193,7 @@
     # Health probes
 
     def probe(self, action: Probe) -> None:
-        """Send a health check to an endpoint; its result is posted to the balancer."""
+        """Send a health check to an endpoint, and pass its result to the balancer."""
         host, now, number = self.host, self.clock.now, action.endpoint_number
         started_ns = now()
         if not host.budget.reserve():
@@ -211,7 +211,7 @@
         payload = b"GET %s HTTP/1.1\r\nHost: probe\r\n\r\n" % path
         self.upstreams.start(number, Exchange(payload, on_end, MAX_BUFFERED_BODY_BYTES), PROBE_TIMEOUT_S)
 
-    # What the balancer knows of endpoints
+    # Endpoint states of the balancer
 
     def numbers_by_name(self) -> dict[str, int]:
         """Return the numbers of the balancer's endpoints, by name."""
@@ -223,20 +223,20 @@
         return Counter(endpoint.zone for endpoint in known if endpoint.ready and endpoint.listed)
 
     def tried_and_ejected_by_zone(self) -> dict[int, tuple[int, int]]:
-        """Count by zone the ready endpoints that had attempts, and those of them that are ejected."""
+        """Count by zone the ready endpoints with at least one attempt, and the ejected ones among them."""
         counts: dict[int, tuple[int, int]] = {}
         for endpoint in self.known.values():
             if endpoint.ready and endpoint.listed and (endpoint.samples or endpoint.ejected):
-                tried, ejected = counts.get(endpoint.zone, (0, 0))
-                counts[endpoint.zone] = tried + 1, ejected + endpoint.ejected
+                attempted, ejected = counts.get(endpoint.zone, (0, 0))
+                counts[endpoint.zone] = attempted + 1, ejected + endpoint.ejected
         return counts
 
     def zone_of(self, endpoint_number: int) -> int | None:
-        """Return the zone of an endpoint; None if it is unknown."""
+        """Return the zone of an endpoint; None if the endpoint is unknown."""
         endpoint = self.known.get(endpoint_number)
         return endpoint.zone if endpoint is not None else None
 
     def answered_since(self, endpoint_number: int, took_ns: int) -> bool:
-        """Return whether an endpoint has answered anything in the last `took_ns` nanoseconds."""
+        """Return whether an endpoint has sent any response in the last `took_ns` nanoseconds."""
         endpoint = self.known.get(endpoint_number)
         return endpoint is not None and endpoint.last_alive_ns > self.clock.now() - took_ns
--- a/dykefold/net/service/load_reports.py
+++ b/dykefold/net/service/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports of endpoints, parsed into the figures that the balancer expects."""
+"""Parsing of load reports of endpoints into the values that the balancer expects."""
 
 from __future__ import annotations
 
@@ -6,13 +6,14 @@
 
 from ...settings import canonical_column
 
-# Four figures need a hundred bytes, and each pair costs a look-up.
+# A report of four values needs 100 bytes; the limit bounds the look-ups, one for each pair.
 MAX_REPORT_BYTES = 1024
-FIGURE = re.compile(rb"\d{1,9}(?:\.\d{1,9})?")  # a plain number: no sign, exponent, infinity or NaN
+# A plain decimal number: no sign, exponent, infinity or NaN.
+DECIMAL_NUMBER = re.compile(rb"\d{1,9}(?:\.\d{1,9})?")
 
 
 class LoadReportParser:
-    """Parses load reports by field name, in the order of the configured columns.
+    """Parses load reports into values in the order of the configured columns.
 
     Args:
         columns: Canonical names of the expected columns.
@@ -23,10 +24,10 @@
         self.positions = {column.encode(): position for position, column in enumerate(columns)}
 
     def read(self, text: bytes) -> tuple[float, ...]:
-        """Parse `name=figure` pairs that are separated by commas.
+        """Parse comma-separated `name=value` pairs.
 
         Returns:
-            One figure for each column; empty if a column is missing, comes twice or is unreadable.
+            One value for each column; empty if a column is missing, duplicated or malformed.
         """
         if len(text) > MAX_REPORT_BYTES:
             return ()
@@ -36,11 +37,11 @@
             position = self._position(name.strip())
             if position is None:
                 continue
-            if values[position] is not None or not FIGURE.fullmatch(value.strip()):
+            if values[position] is not None or not DECIMAL_NUMBER.fullmatch(value.strip()):
                 return ()
             values[position] = float(value)
-        known = [value for value in values if value is not None]
-        return tuple(known) if len(known) == len(values) else ()
+        present = [value for value in values if value is not None]
+        return tuple(present) if len(present) == len(values) else ()
 
     def _position(self, name: bytes) -> int | None:
         position = self.positions.get(name)
--- a/dykefold/net/service/pending_request.py
+++ b/dykefold/net/service/pending_request.py
@@ -1,4 +1,4 @@
-"""One pending request: what it was accepted with, and what is known of its attempts."""
+"""One pending request: the client's request, its limits, and the state of its attempts."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RequestTimeLimits(Protocol):
-    """Acts on the time limits of pending requests."""
+    """Handles the time limits of pending requests."""
 
     def answer_now(self, request: PendingRequest) -> None:
         """Give the final answer: the deadline is near."""
@@ -23,24 +23,24 @@
 
 
 class PendingRequest(Timed):
-    """An accepted request. Its timer is the last guard on its final answer.
+    """An accepted request. Its timer is the fallback that gives a final answer before the deadline.
 
     Args:
         request_id: Number of the request, unique in its pool.
         parsed: Request as its client sent it.
-        sink: Client connection that gets the final answer.
-        time_limits: Collaborator that is notified of the request's time limits.
-        max_attempts: Number of attempts that the settings allow at the moment of acceptance.
+        sink: Client connection that receives the final answer.
+        time_limits: Handler of the request's time limits.
+        max_attempts: Maximum number of attempts, by the settings at the time of acceptance.
 
     Attributes:
-        attempt_count: Number of attempts so far, in flight or ended.
+        attempt_count: Number of attempts so far, including those in flight.
         attempts_in_flight: Number of attempts that have not ended.
         reservations: Number of descriptors that are reserved for the request.
-        may_have_run: Whether an attempt has ended without proof that its endpoint did not run it.
-        first_run_ns: Time of the first such attempt, nanoseconds on the clock; 0 without one.
-        awaiting_answer: Whether the final answer is still to be given.
-        streaming_answer: Whether a part of the final answer has been passed on.
-        error_response: Error of an endpoint that may be passed on as the final answer.
+        may_have_run: Whether an attempt has ended without proof that its endpoint did not run the request.
+        first_run_ns: Start of the earliest such attempt, nanoseconds on the clock; 0 without one.
+        awaiting_answer: Whether the final answer has not been given yet.
+        streaming_answer: Whether streaming of the final answer has begun.
+        error_response: Error response of an endpoint that may be forwarded as the final answer.
     """
 
     __slots__ = (
@@ -87,5 +87,5 @@
         self.time_limits.answer_now(self)
 
     def on_body_complete(self) -> None:
-        """Start the deadline: it counts from the last byte of the body (PROTOCOL, figures)."""
+        """Start the deadline, which counts from the last byte of the body (PROTOCOL, figures)."""
         self.time_limits.start_deadline(self)
--- a/dykefold/net/service/pending_requests.py
+++ b/dykefold/net/service/pending_requests.py
@@ -1,7 +1,7 @@
 """Pending requests: accepted, and answered exactly once.
 
 Each request gets its one final answer from an attempt, from the balancer (refused or failed), or from its
-last guard: shortly before the deadline the request is answered even if the balancer plans another attempt.
+fallback timer: shortly before the deadline it is answered even if the balancer plans another attempt.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 from .pending_request import PendingRequest
 from .protocols import DescriptorReservations, PoolHost, RequestHost, ResponseSink
 
-# The last attempt is given up at this time before the client's deadline.
+# The last attempt is given up this long before the client's deadline.
 ATTEMPT_MARGIN_NS = 15 * NS_PER_MS
-# A request that still has no final answer gets one at this time before its deadline.
-GUARD_MARGIN_NS = 8 * NS_PER_MS
-FIRST_ERROR_CODE = 400  # HTTP status codes from here on do not count as served
+# A request that still has no final answer gets one this long before its deadline.
+FALLBACK_MARGIN_NS = 8 * NS_PER_MS
+MIN_ERROR_CODE = 400  # HTTP status codes from this one on do not count as served
 
 
 class PendingRequests:
@@ -34,8 +34,8 @@
         process: What all pools of the process share.
         budget: Descriptors that the pool may reserve.
         attempts: Attempts of the pool that are in flight.
-        abandon: Withdraws an attempt that is not written whole yet; its arguments are the endpoint's number
-            and the attempt.
+        abandon: Callback that withdraws an attempt that is not fully written yet. Its arguments are the
+            endpoint's number and the attempt.
 
     Attributes:
         by_id: Pending requests by their id.
@@ -63,7 +63,7 @@
         self.next_id = 1
 
     def accept(self, sink: ResponseSink, parsed: ParsedRequest) -> None:
-        """Accept an admitted request: from here on it gets one final answer."""
+        """Accept an admitted request; an accepted request always gets one final answer."""
         request = PendingRequest(self.next_id, parsed, sink, self, self.host.settings.max_attempts)
         parsed.ticket = request.id
         self.next_id += 1
@@ -73,7 +73,7 @@
         else:
             if parsed.upload is not None:
                 parsed.deadline_ns = parsed.upload.completed_ns + parsed.wait_ns
-            self._start_guard(request)
+            self._start_fallback_timer(request)
         self.post(
             Request(
                 request.id,
@@ -87,51 +87,51 @@
             )
         )
 
-    def _start_guard(self, request: PendingRequest) -> None:
+    def _start_fallback_timer(self, request: PendingRequest) -> None:
         now_s = self.monotonic()
-        left_ns = max(request.parsed.deadline_ns - GUARD_MARGIN_NS - self.clock.at(now_s), 0)
-        self.timer_wheel.start(request, left_ns / NS_PER_S, now_s)
+        remaining_ns = max(request.parsed.deadline_ns - FALLBACK_MARGIN_NS - self.clock.at(now_s), 0)
+        self.timer_wheel.start(request, remaining_ns / NS_PER_S, now_s)
 
     def start_deadline(self, request: PendingRequest) -> None:
-        """Give a request whose streamed body is complete the time that its client stated."""
+        """Start the deadline of a request whose streamed body is complete: the time its client stated."""
         if not request.awaiting_answer or request.streaming_answer:
             return
         parsed = request.parsed
         assert parsed.upload is not None
         parsed.deadline_ns = parsed.upload.completed_ns + parsed.wait_ns
-        self._start_guard(request)
-        left_ns = parsed.deadline_ns - self.clock.now()
+        self._start_fallback_timer(request)
+        remaining_ns = parsed.deadline_ns - self.clock.now()
         for attempt in self.attempts.of(request):
             attempt.expires_ns = parsed.deadline_ns - ATTEMPT_MARGIN_NS
-            attempt.restart_timer(max(left_ns - ATTEMPT_MARGIN_NS, NS_PER_MS) / NS_PER_S)
+            attempt.restart_timer(max(remaining_ns - ATTEMPT_MARGIN_NS, NS_PER_MS) / NS_PER_S)
             if parsed.upload.begun:
                 attempt.body_sent()
 
     # Final answers
 
     def answer_now(self, request: PendingRequest) -> None:
-        """Give the final answer now, unless an endpoint's response waits in its socket to be read."""
+        """Give the final answer now, unless an unread response of an endpoint waits in a socket."""
         if not request.awaiting_answer:
             return
         attempts = list(self.attempts.of(request))
-        answers_waiting = [attempt.read_first() for attempt in attempts]
-        if any(answers_waiting):
+        unread_responses = [attempt.read_first() for attempt in attempts]
+        if any(unread_responses):
             self.timer_wheel.stop(request)
             self.timer_wheel.start(request, READ_GRACE_S, self.monotonic())
             return
         for attempt in attempts:
             attempt.give_up(Status.TIMEOUT)
         if request.awaiting_answer:
-            self._answer_out_of_time(request)
+            self._answer_deadline_exceeded(request)
             self.post(ClientDisconnected(request.id))
 
     def answer_all(self) -> None:
-        """Give every pending request its final answer now."""
+        """Give each pending request its final answer immediately."""
         for request in list(self.by_id.values()):
             self.answer_now(request)
 
     def refuse(self, action: Refuse) -> None:
-        """Answer a request that the balancer refuses: it has had no effect."""
+        """Answer a request that the balancer refuses: the request has had no effect."""
         request = self.by_id.get(action.id)
         if request is None:
             return
@@ -141,7 +141,7 @@
         self._answer(request, 503, headers, b"refused\n")
 
     def fail(self, action: Fail) -> None:
-        """Answer a request for which the balancer sends no more attempts."""
+        """Answer a request for which the balancer makes no more attempts."""
         request = self.by_id.get(action.id)
         if request is None:
             return
@@ -155,7 +155,7 @@
         self._answer(request, response.code, header_lines(response.headers), response.body)
 
     def end_streamed(self, request: PendingRequest, status: Status) -> None:
-        """End a request whose body or answer was streamed: its one attempt has ended."""
+        """End a request whose body or answer was streamed, once its only attempt has ended."""
         upload = request.parsed.upload
         if request.streaming_answer:
             complete = status is Status.OK
@@ -168,11 +168,11 @@
         elif request.error_response is not None:
             self.forward(request, request.error_response)
         elif status is Status.TIMEOUT:
-            self._answer_out_of_time(request)
+            self._answer_deadline_exceeded(request)
         else:
             self._answer(request, 502, b"", b"failed\n")
 
-    def _answer_out_of_time(self, request: PendingRequest) -> None:
+    def _answer_deadline_exceeded(self, request: PendingRequest) -> None:
         if request.may_have_run:
             self._answer(request, 504, b"", b"failed: out of time\n")
         else:
@@ -180,11 +180,11 @@
 
     def _answer(self, request: PendingRequest, code: int, headers: bytes, body: bytes) -> None:
         """Give the one final answer."""
-        self._settle(request, served=code < FIRST_ERROR_CODE)
+        self._settle(request, served=code < MIN_ERROR_CODE)
         request.sink.respond(request.parsed, code, headers, body)
 
     def _settle(self, request: PendingRequest, served: bool = False) -> None:
-        """Remove a request from the pending ones, before its final answer is written."""
+        """Remove a request from the pending ones; its final answer is written afterwards."""
         request.awaiting_answer = False
         self.release_descriptors(request)
         self.by_id.pop(request.id, None)
@@ -196,7 +196,7 @@
     # Descriptors
 
     def reserve_descriptor(self, request: PendingRequest) -> bool:
-        """Reserve a descriptor for one more attempt where it needs one; False if none is left."""
+        """Reserve a descriptor for another attempt if it needs one; return False if none is left."""
         if request.reservations < request.attempts_in_flight:
             if not self.budget.reserve():
                 return False
@@ -204,7 +204,7 @@
         return True
 
     def release_descriptors(self, request: PendingRequest) -> None:
-        """Release the descriptors that no attempt can need any more; an attempt in flight needs one."""
+        """Release the descriptors that no attempt will need; each attempt in flight needs one."""
         needed = request.attempts_in_flight or request.awaiting_answer
         while request.reservations > needed:
             request.reservations -= 1
@@ -223,12 +223,12 @@
             return False
         streamed = parsed.upload is not None or request.streaming_answer
         self._settle(request)
-        # Attempts not written whole yet are withdrawn first, so that the balancer learns their true end.
+        # Attempts not fully written yet are withdrawn first, so that the balancer gets their actual status.
         for attempt in self.attempts.of(request):
             self.abandon(attempt.endpoint_number, attempt)
         self.post(ClientDisconnected(request.id))
         if streamed:
-            # Nobody sends the body or reads the answer any more, so the attempt would not end by itself.
+            # The client no longer sends the body or reads the answer, so the attempt would not end otherwise.
             for attempt in self.attempts.of(request):
                 attempt.give_up(Status.CANCELLED)
         return True
--- a/dykefold/net/service/pool.py
+++ b/dykefold/net/service/pool.py
@@ -1,10 +1,11 @@
-"""One balanced service: wires its parts, gives the balancer its events, and carries out its actions.
+"""One balanced service: wires its parts, passes events to the balancer, and carries out its actions.
 
-A pool knows no listener and no client's socket. The client's connection is a `ResponseSink`, and a `PoolHost`
-has what the process shares. So a pool can be made without a server, and a process can have several pools.
+A pool depends on neither a listener nor client sockets: a `ResponseSink` stands for the client's connection,
+and a `PoolHost` provides what the process shares. A pool can therefore be created without a server, and a
+process can have several pools.
 
 The path of a request: `PendingRequests.accept` -> `Balancer` -> `AttemptRunner.start` -> `ConnectionPool` ->
-`AttemptRunner.end` -> `PendingRequests.forward`, and the balancer is notified of each end.
+`AttemptRunner.end` -> `PendingRequests.forward`. The balancer is notified of the end of each attempt.
 """
 
 from __future__ import annotations
@@ -57,8 +58,8 @@
 
 log = logging.getLogger("dykefold")
 
-# The shortest timer that uvloop runs after reading sockets; one of 0 s would run before.
-NEXT_TURN_S = 0.001
+# The shortest delay after which uvloop runs a timer once the sockets are read; one of 0 s would run before.
+NEXT_ITERATION_DELAY_S = 0.001
 DEFAULT_CONNECT_TIMEOUT_S = 1.0
 
 
@@ -67,25 +68,25 @@
 
     Args:
         process: What all pools of the process share.
-        config: Settings, endpoints and random seed to begin with.
-        budget: Descriptors that the pool may reserve; None for all of the process's.
-        close_in_other_pools: Closes a connection that another pool does not need, and returns whether there
-            was one.
+        config: Initial settings, endpoints and random seed.
+        budget: Descriptors that the pool may reserve; None for all descriptors of the process.
+        close_in_other_pools: Callback that closes an unneeded connection of another pool, and returns whether
+            there was one.
 
     Attributes:
-        label: Name of the pool in the process, and in the next one after a hot restart.
+        label: Name of the pool in this process, and in its successor after a hot restart.
         version: Version of the latest endpoint list, as discovery counts.
         closed: Whether the pool has closed its sockets.
-        retiring: Whether the pool closes once nothing is pending or in flight.
+        retiring: Whether the pool closes as soon as nothing is pending or in flight.
         max_pending: Number of requests that may be pending at once.
         on_attempt_end: Callback for the end of each attempt. Its arguments are the endpoint's number, the
             status, the duration and the latency objective in nanoseconds.
         on_health_hint: Callback that notifies other sidecars of an endpoint's health. Its arguments are the
             endpoint's number and whether it answers.
-        retired: Numbers of classes that no new request belongs to.
+        retired: Numbers of request classes that are no longer assigned to new requests.
     """
 
-    message = staticmethod(encode_request)
+    encode_request = staticmethod(encode_request)
 
     def __init__(
         self,
@@ -94,7 +95,7 @@
         budget: DescriptorReservations | None = None,
         close_in_other_pools: Callable[[], bool] | None = None,
     ) -> None:
-        # At most 30 attributes: instances with more do not share their keys, and look-ups cost more.
+        # At most 30 attributes: larger instances do not share their dict's keys, which makes look-ups slower.
         self.process = process
         self.label = config.label
         self.loop = process.loop
@@ -104,29 +105,29 @@
         self.budget: DescriptorReservations = budget if budget is not None else process.budget
         self.closed = False
         self.retiring = False
-        self.on_retired: Callable[[Pool], None] | None = None  # None unless the pool retires
+        self.on_retired: Callable[[Pool], None] | None = None  # None unless the pool is retiring
         self.on_attempt_end: Callable[[int, Status, int, int], None] | None = None
         self.on_health_hint: Callable[[int, bool], None] = lambda _endpoint_number, _answers: None
         self.events: deque[Event] = deque()
-        self.handling = False
+        self.handling_events = False
         self.max_pending = config.transport.max_pending
         self.names = config.names
         self.version = config.known.version
-        self._use_settings(config.settings, frozenset())
+        self._set_settings(config.settings, frozenset())
         self.balancer = Balancer(config.settings, config.seed)
         self.upstreams = self._connection_pool(config.transport, close_in_other_pools)
         self.discovery = self._discovery_client(config.discovery) if config.discovery is not None else None
         attempts = AttemptsInFlight()
         self.requests = PendingRequests(self, process, self.budget, attempts, self.upstreams.abandon)
         self.attempt_runner = AttemptRunner(self, self.requests, attempts, self.upstreams)
-        self.accept = self.requests.accept  # bound here, so that a request costs no forwarding call
+        self.accept = self.requests.accept  # bound here to save each request a forwarding call
         self.endpoints = EndpointRegistry(self, process, config.names, self.balancer.known_endpoints)
-        self.carry_out = self._actions()
+        self.carry_out = self._action_handlers()
         self.endpoints.apply_list(config.known, ListKind.CACHED)
         if not config.settings.poll_required:
             self._watch(True)
 
-    def _use_settings(self, settings: Settings, retired: frozenset[int]) -> None:
+    def _set_settings(self, settings: Settings, retired: frozenset[int]) -> None:
         self.settings, self.retired = settings, retired
         self.reports = LoadReportParser(settings.report_columns)
 
@@ -163,11 +164,11 @@
     # Events and actions of the balancer
 
     def post(self, event: Event) -> None:
-        """Give the balancer an event after those that came before it, and carry out its actions."""
+        """Pass an event to the balancer, after the events queued before it, and carry out the actions."""
         self.events.append(event)
-        if self.handling:
+        if self.handling_events:
             return
-        self.handling = True
+        self.handling_events = True
         carry_out = self.carry_out
         try:
             while self.events:
@@ -175,18 +176,18 @@
                 try:
                     actions = self.balancer.handle(self.now(), event)
                 except Exception:
-                    # Any fault on one event: the other requests go on, and this one's deadline answers it.
+                    # The failure must not affect other requests; this one is answered at its deadline.
                     self.process.log_exception("balancer failed on an event")
                     actions = self.balancer.actions
                 for action in actions:
                     try:
                         carry_out[type(action)](action)
-                    except Exception:  # any fault on one action: the others are still carried out
+                    except Exception:  # after a failed action the others are still carried out
                         self.process.log_exception("action of the balancer failed")
         finally:
-            self.handling = False
+            self.handling_events = False
 
-    def _actions(self) -> dict[type, Callable[[Any], None]]:
+    def _action_handlers(self) -> dict[type, Callable[[Any], None]]:
         """Return the handler of each kind of action."""
         return {
             Send: self.attempt_runner.start,
@@ -204,19 +205,19 @@
         }
 
     def _set_timer(self, action: SetTimer) -> None:
-        # The loop counts in whole milliseconds; rounded up, since a timer that fires early is useless.
-        after_s = -(-action.after_ns // NS_PER_MS) / 1000
-        self.loop.call_later(after_s, self._on_timer, action.token, self.monotonic() + after_s)
+        # The loop counts in whole milliseconds. Rounded up, since a timer that fires early has no effect.
+        delay_s = -(-action.after_ns // NS_PER_MS) / 1000
+        self.loop.call_later(delay_s, self._on_timer, action.token, self.monotonic() + delay_s)
 
     def _on_timer(self, token: int, due_s: float) -> None:
-        """Post a timer event; if the loop is late, post it one turn later, when the sockets have been read.
+        """Post a timer event; if the loop is late, post it one iteration later, after the reads.
 
-        Responses that wait in the sockets of a late loop would otherwise make their endpoints look silent.
+        Responses that wait in the sockets of a late loop would otherwise make endpoints look unresponsive.
         """
         if self.closed:
             return
         if self.monotonic() - due_s > MAX_LOOP_LAG_S:
-            self.loop.call_later(NEXT_TURN_S, self._on_timer, token, math.inf)
+            self.loop.call_later(NEXT_ITERATION_DELAY_S, self._on_timer, token, math.inf)
         else:
             self.post(Timer(token))
 
@@ -229,7 +230,7 @@
             self.process.peers.send(action.data, action.peer)
 
     def on_peer(self, sender: int, data: bytes) -> None:
-        """Give the balancer a message of another sidecar."""
+        """Pass a message from another sidecar to the balancer."""
         self.post(PeerMessage(sender, data))
 
     # Requests
@@ -241,7 +242,7 @@
 
     @property
     def attempts(self) -> dict[tuple[int, int], Attempt]:
-        """Attempts in flight by request id and number, also those of requests that are over."""
+        """Attempts in flight, by request id and attempt number; some may outlive their requests."""
         return self.attempt_runner.in_flight
 
     def drop_disconnected(self, parsed: ParsedRequest) -> bool:
@@ -249,7 +250,7 @@
         return self.requests.drop(parsed)
 
     def answer_all_pending(self) -> None:
-        """Give every pending request its final answer now."""
+        """Give each pending request its final answer immediately."""
         self.requests.answer_all()
 
     @property
@@ -260,14 +261,14 @@
     # Settings
 
     def change_settings(self, settings: Settings, transport: Transport, retired: frozenset[int]) -> None:
-        """Change the settings; pending requests go on as accepted.
+        """Change the settings; pending requests continue as they were accepted.
 
         Args:
-            settings: New settings, with the classes by the numbers of `ClassGeneration`.
+            settings: New settings, with classes numbered as in `ClassGeneration`.
             transport: Limits and idle timeout of sockets.
-            retired: Numbers of classes that no new request belongs to.
+            retired: Numbers of request classes that are no longer assigned to new requests.
         """
-        self._use_settings(settings, retired)
+        self._set_settings(settings, retired)
         self.change_transport(transport)
         self.post(SettingsChanged(settings, retired))
         if self.discovery is not None:
@@ -281,18 +282,18 @@
         )
 
     def renumber_zones(self, settings: Settings) -> Settings:
-        """Return settings whose own zone has the number that this pool knows it by."""
+        """Return the settings with the own zone's number replaced by the one that this pool uses for it."""
         if not settings.zones:
             return settings
         numbers = [self.names.zone(name) for name in settings.zones]
         return replace(settings, zone=numbers[settings.zone])
 
     def set_home_zone(self, zone: int) -> None:
-        """Set the zone that the balancer treats as its own, until another call or a change of settings."""
+        """Set the zone that the balancer treats as its own, until the next call or change of settings."""
         self.post(SettingsChanged(replace(self.settings, zone=zone), self.retired))
 
     def class_numbers(self) -> dict[str, int]:
-        """Return the numbers of the balancer's classes, by name."""
+        """Return the numbers of the balancer's request classes, by name."""
         balancer = self.balancer
         return {
             stats.spec.name: number
@@ -302,14 +303,14 @@
 
     def typical_latencies(self) -> dict[str, float]:
         """Return typical latencies in nanoseconds by class, where enough answers have been seen."""
-        known = (stats for stats in self.balancer.live_classes if stats.answers >= LEARNING_ANSWERS)
-        return {stats.spec.name: stats.typical_latency_ns for stats in known}
+        measured = (stats for stats in self.balancer.live_classes if stats.answers >= LEARNING_ANSWERS)
+        return {stats.spec.name: stats.typical_latency_ns for stats in measured}
 
-    # Endpoints, as other packages use them
+    # Endpoints: interface for other packages
 
     @property
     def maintenance(self) -> Maintenance[EndpointRecord]:
-        """Endpoints as discovery lists them, with operators' maintenance orders on top."""
+        """Endpoints as discovery lists them, with operators' maintenance orders applied."""
         return self.endpoints.maintenance
 
     @property
@@ -318,7 +319,7 @@
         return self.endpoints.start_times
 
     def on_update(self, update: EndpointUpdate | None) -> None:
-        """Apply an endpoint list or a change of it; None if discovery failed."""
+        """Apply an update of the endpoint list, complete or incremental; None if discovery failed."""
         self.endpoints.on_update(update)
 
     def list_record(self) -> dict[str, Any]:
@@ -329,12 +330,12 @@
         """Apply another process's endpoint list if it is newer.
 
         Raises:
-            EndpointListError: The record can't be read.
+            EndpointListError: The record cannot be parsed.
         """
         self.endpoints.adopt(record)
 
     def apply_order(self, name: str, take_out: bool) -> bool:
-        """Take a known endpoint out of service, or put it back; return whether the order changed anything."""
+        """Take a known endpoint out of service, or return it to service; return whether that is a change."""
         return self.endpoints.maintain(name, take_out)
 
     def merge_maintenance(self, orders: Mapping[str, MaintenanceOrder]) -> None:
@@ -350,7 +351,7 @@
         return self.endpoints.ready_by_zone()
 
     def tried_and_ejected_by_zone(self) -> dict[int, tuple[int, int]]:
-        """Count by zone the ready endpoints that had attempts, and those of them that are ejected."""
+        """Count by zone the ready endpoints with at least one attempt, and the ejected ones among them."""
         return self.endpoints.tried_and_ejected_by_zone()
 
     def zone_of(self, endpoint_number: int) -> int | None:
@@ -358,23 +359,23 @@
         return self.endpoints.zone_of(endpoint_number)
 
     def answered_since(self, endpoint_number: int, took_ns: int) -> bool:
-        """Return whether an endpoint has answered anything in the last `took_ns` nanoseconds."""
+        """Return whether an endpoint has sent any response in the last `took_ns` nanoseconds."""
         return self.endpoints.answered_since(endpoint_number, took_ns)
 
-    # The end
+    # Shutdown
 
     def retire(self, on_retired: Callable[[Pool], None]) -> None:
-        """Finish what is pending and in flight, then close.
+        """Complete pending requests and attempts in flight, then close.
 
         Args:
-            on_retired: Callback for the moment when no request, attempt or connection of the pool is left.
+            on_retired: Callback that is called once the pool has no request, attempt or connection left.
         """
         self.on_retired = on_retired
         self.retiring = True
         self.close_if_finished()
 
     def close_soon_if_finished(self) -> None:
-        """Close a retiring pool in the next turn of the loop if nothing is pending or in flight then."""
+        """Close a retiring pool in the next loop iteration if nothing is pending or in flight by then."""
         self.loop.call_soon(self.close_if_finished)
 
     def close_if_finished(self) -> None:
--- a/dykefold/net/service/pool_config.py
+++ b/dykefold/net/service/pool_config.py
@@ -1,4 +1,4 @@
-"""What a pool begins with. Settings and sockets' limits may change while it runs."""
+"""Initial configuration of a pool. Settings and limits of sockets may change while the pool runs."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolConfig:
-    """What a pool begins with.
+    """Initial configuration of a pool.
 
     Attributes:
-        settings: Settings of the balancer.
-        transport: Limits and idle timeout of sockets.
+        settings: Initial settings of the balancer.
+        transport: Initial limits and idle timeout of sockets.
         seed: Seed of the balancer's random generator.
-        discovery: Host and port of the discovery service; None if the endpoint list is only ever given.
-        names: Numbers of endpoints and zones by name.
-        known: Endpoint list to begin with.
-        label: Name of the pool in this process, and in the next one after a hot restart.
+        discovery: Host and port of the discovery service; None without one.
+        names: Numbers of endpoints and zones, by name.
+        known: Initial endpoint list.
+        label: Name of the pool in this process, and in its successor after a hot restart.
     """
 
     settings: Settings
--- a/dykefold/net/service/protocols.py
+++ b/dykefold/net/service/protocols.py
@@ -1,7 +1,7 @@
-"""What a pool uses of its surroundings, and what its parts use of the pool.
+"""Interfaces between a pool and its environment, and between a pool and its parts.
 
-Surroundings are the client connection, the process and its descriptors. A part names exactly what it uses, so
-that it can be made without a pool.
+The environment is the client connection, the process and its descriptors. A part declares exactly what it
+uses, so that it can be created without a pool.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class ResponseSink(Protocol):
-    """Receives the one final answer of each of a client's requests.
+    """Receives the one final answer to each request of a client.
 
     Attributes:
         client: Client whose requests are answered.
@@ -38,36 +38,36 @@
     client: Client
 
     def client_has_closed(self) -> bool:
-        """Return whether the client has closed, even if the event loop has not reported it yet."""
+        """Return whether the client has closed its connection, even if the event loop does not know yet."""
         ...
 
     def respond(self, request: ParsedRequest, code: int, headers: bytes, body: bytes) -> None:
-        """Give the complete final answer; a second answer to the same request has no effect."""
+        """Send the complete final answer; a second answer to the same request has no effect."""
         ...
 
     def begin_response(
-        self, request: ParsedRequest, code: int, headers: bytes, length: int | None, paced: FlowControlled
+        self, request: ParsedRequest, code: int, headers: bytes, length: int | None, source: FlowControlled
     ) -> bool:
         """Begin a streamed final answer.
 
         Args:
-            request: The request that is answered.
+            request: Request that is answered.
             code: HTTP status code.
-            headers: Complete header lines, each ended by CRLF.
-            length: Bytes of the body; None if it is not known.
-            paced: Source of the answer; it is blocked while the client takes no more bytes.
+            headers: Encoded header lines, each terminated by CRLF.
+            length: Length of the body in bytes; None if unknown.
+            source: Source of the answer; it is paused while the client accepts no more bytes.
 
         Returns:
-            Whether this client can be given a streamed answer; if not, nothing was written.
+            Whether this client accepts a streamed answer; if not, nothing was written.
         """
         ...
 
     def send_response_piece(self, request: ParsedRequest, data: bytes) -> None:
-        """Pass on the next bytes of a streamed answer's body."""
+        """Send the next bytes of the body of a streamed answer."""
         ...
 
-    def end_response(self, request: ParsedRequest, whole: bool) -> None:
-        """End a streamed answer; if it is incomplete, its end shows that to the client."""
+    def end_response(self, request: ParsedRequest, complete: bool) -> None:
+        """End a streamed answer; the client can tell from its end if it is incomplete."""
         ...
 
 
@@ -79,9 +79,9 @@
         system: Clocks and sockets of the machine.
         clock: Clock in nanoseconds.
         budget: Descriptors of the process.
-        memory: Bytes of messages that the process may hold.
-        read_scheduler: Connections whose input waits to be parsed.
-        timer_wheel: Time limits of requests and attempts.
+        memory: Memory budget for messages.
+        read_scheduler: Queue of the connections whose input waits to be parsed.
+        timer_wheel: Timers of requests and attempts.
         lag_monitor: Monitor of the event loop's delay.
         peers: Datagram channel to other sidecars; None without one.
     """
@@ -97,11 +97,11 @@
     peers: PeerChannel | None
 
     def log_exception(self, text: str) -> None:
-        """Log the exception that is being handled, at a limited rate."""
+        """Log the exception that is being handled, with a rate limit."""
         ...
 
     def on_request_end(self, sink: ResponseSink, request: ParsedRequest, served: bool) -> None:
-        """Account for a request that is no longer pending; its final answer, if any, follows this call."""
+        """Handle the end of a pending request; its final answer, if any, is written after this call."""
         ...
 
 
@@ -109,13 +109,13 @@
     """The file descriptors that a pool may reserve for its connections.
 
     Attributes:
-        upstreams: Allowance of connections to endpoints.
+        upstreams: Allowance for connections to endpoints.
     """
 
     upstreams: DescriptorAllowance
 
     def reserve(self) -> bool:
-        """Reserve one descriptor; False if none is left."""
+        """Reserve one descriptor; return False if none is left."""
         ...
 
     def release(self) -> None:
@@ -124,11 +124,11 @@
 
 
 class AttemptHost(Protocol):
-    """What an attempt uses of its pool.
+    """Interface of a pool that an attempt uses.
 
     Attributes:
-        timer_wheel: Time limits of requests and attempts.
-        reports: Parser of load reports, by the current settings.
+        timer_wheel: Timers of requests and attempts.
+        reports: Parser of load reports, for the columns of the current settings.
     """
 
     timer_wheel: TimerWheel
@@ -142,23 +142,23 @@
         """Return the time of the monotonic clock, in seconds."""
         ...
 
-    def message(self, request: ParsedRequest, time_left_ns: int, /) -> bytes:
-        """Encode a request that has this much time left for an endpoint."""
+    def encode_request(self, request: ParsedRequest, time_left_ns: int, /) -> bytes:
+        """Encode a request for an endpoint, with the remaining time in nanoseconds."""
         ...
 
     def post(self, event: Event) -> None:
-        """Give the balancer an event, and carry out its actions."""
+        """Pass an event to the balancer, and carry out the actions."""
         ...
 
 
 class AttemptRunnerHost(AttemptHost, Protocol):
-    """What starting and ending attempts uses of the pool.
+    """Interface of a pool that starting and ending attempts uses.
 
     Attributes:
         settings: Current settings of the balancer.
         on_attempt_end: Callback for the end of each attempt. Its arguments are the endpoint's number, the
             status, the duration and the latency objective in nanoseconds.
-        retiring: Whether the pool closes once nothing is pending or in flight.
+        retiring: Whether the pool closes as soon as nothing is pending or in flight.
     """
 
     settings: Settings
@@ -166,40 +166,40 @@
     retiring: bool
 
     def close_soon_if_finished(self) -> None:
-        """Close the pool in the next turn of the loop if nothing is pending or in flight then."""
+        """Close the pool in the next loop iteration if nothing is pending or in flight by then."""
         ...
 
 
 class RequestHost(Protocol):
-    """What pending requests use of their pool.
+    """Interface of a pool that its pending requests use.
 
     Attributes:
         settings: Current settings of the balancer.
-        retiring: Whether the pool closes once nothing is pending or in flight.
+        retiring: Whether the pool closes as soon as nothing is pending or in flight.
     """
 
     settings: Settings
     retiring: bool
 
     def post(self, event: Event) -> None:
-        """Give the balancer an event, and carry out its actions."""
+        """Pass an event to the balancer, and carry out the actions."""
         ...
 
     def close_soon_if_finished(self) -> None:
-        """Close the pool in the next turn of the loop if nothing is pending or in flight then."""
+        """Close the pool in the next loop iteration if nothing is pending or in flight by then."""
         ...
 
 
 class EndpointHost(Protocol):
-    """What the endpoint registry uses of its pool.
+    """Interface of a pool that its endpoint registry uses.
 
     Attributes:
         version: Version of the latest endpoint list, as discovery counts.
         closed: Whether the pool has closed its sockets.
-        reports: Parser of load reports, by the current settings.
+        reports: Parser of load reports, for the columns of the current settings.
         budget: Descriptors that the pool may reserve.
         upstreams: Connections to the endpoints.
-        discovery: Calls of discovery; None if the endpoint list is only ever given.
+        discovery: Client of the discovery service; None without one.
     """
 
     version: int
@@ -210,5 +210,5 @@
     discovery: DiscoveryClient | None
 
     def post(self, event: Event) -> None:
-        """Give the balancer an event, and carry out its actions."""
+        """Pass an event to the balancer, and carry out the actions."""
         ...
--- a/tests/net/test_request_outcomes.py
+++ b/tests/net/test_request_outcomes.py
@@ -271,11 +271,11 @@
                 raise ZeroDivisionError("of the program")
 
             sidecar_server = sidecar.server
-            sidecar_server.pool.message = broken
+            sidecar_server.pool.encode_request = broken
             assert (await send_request(sidecar.port, request_message("order", "ab", "300m"))).code == 503
             assert not sidecar_server.pool.pending
             assert not sidecar_server.pool.attempts
-            del sidecar_server.pool.message
+            del sidecar_server.pool.encode_request
             assert (await send_request(sidecar.port, request_message("order", "cd"))).code == 200
 
     run(play())
