--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -12,7 +12,7 @@
     "tests/balancer/test_property.py::test_the_rules_hold": 12,
     "tests/routing/test_services.py::test_a_thousand_pools": 11,
     "tests/sim/test_simulation.py::test_each_mutant_is_found": 10,
-    "tests/net/test_aborted_attempts.py::test_a_paused_process": 10,
+    "tests/net/test_aborted_attempts.py::test_paused_process": 10,
     "tests/routing/test_reservations.py::TestReservations": 10,
     "tests/sim/test_simulation.py::test_a_fixed_set_of_seeds_keeps_every_rule": 8,
     "tests/control/test_state_directory.py::test_a_kill_at_any_file_call": 8,
--- a/tests/net/test_aborted_attempts.py
+++ b/tests/net/test_aborted_attempts.py
@@ -1,4 +1,4 @@
-"""What an end promises: when an attempt is reported as over, nothing of it stands at the other side."""
+"""When an attempt is reported as ended, nothing of it is left open at the endpoint."""
 
 import asyncio
 import contextlib
@@ -22,11 +22,11 @@
 from standins.sidecar import ROOT, sidecar
 from standins.truth import CLOSE, GOOD, NEVER, SILENCE, SPOILT, Truth
 
-HELD = 0.05  # seconds for which the loop is kept from its next turn, so that the server looks first
+LOOP_BLOCK_S = 0.05  # delay of the loop's next iteration, so that the server reads its sockets first
 
 
 @contextlib.contextmanager
-def truth(ports, act):
+def running_truth(ports, act):
     server = Truth(ports, act)
     thread = threading.Thread(target=server.run)
     thread.start()
@@ -39,132 +39,132 @@
 
 ENDS = {
     "cancel": (SILENCE, lambda exchange: exchange.give_up(Status.CANCELLED), Status.CANCELLED),
-    "time-out": (SILENCE, lambda exchange: exchange.give_up(Status.TIMEOUT), Status.TIMEOUT),
-    "spoilt": (SPOILT, None, Status.RESET),
-    "stalled": (GOOD[:-1], None, Status.RESET),
+    "timeout": (SILENCE, lambda exchange: exchange.give_up(Status.TIMEOUT), Status.TIMEOUT),
+    "malformed": (SPOILT, None, Status.RESET),
+    "incomplete": (GOOD[:-1], None, Status.RESET),
     "closed": (CLOSE, None, Status.RESET),
     "full": (NEVER, None, Status.FULL),
 }
 
 
-@pytest.mark.parametrize("how", ENDS)
-def test_a_repeat_in_the_same_turn_as_the_end_meets_no_earlier_attempt(how):
-    answer, end, expected = ENDS[how]
-    came, seen = threading.Event(), threading.Event()
+@pytest.mark.parametrize("kind", ENDS)
+def test_retry_in_same_loop_iteration_does_not_overlap_ended_attempt(kind):
+    first_answer, end, expected = ENDS[kind]
+    first_arrived, retry_arrived = threading.Event(), threading.Event()
 
     def act(arrival, earlier):
         if arrival.ident == "warm":
             return GOOD
-        again = came.is_set()
-        (seen if again else came).set()
-        return GOOD if again else answer
+        is_retry = first_arrived.is_set()
+        (retry_arrived if is_retry else first_arrived).set()
+        return GOOD if is_retry else first_answer
 
-    with truth(2, act) as server:
+    with running_truth(2, act) as server:
 
-        async def play():
+        async def scenario():
             first, second = (("127.0.0.1", port) for port in server.numbers)
             pool = make_pool(first)
             pool.update(2, second, 0, State.READY)
             done = asyncio.get_running_loop().create_future()
-            # A connection to the second server stands ready: the repeat's bytes go out within the call.
-            warm = asyncio.get_running_loop().create_future()
+            # An idle connection to the second server: the retry is written within the call.
+            idle_ready = asyncio.get_running_loop().create_future()
             pool.start(
                 2,
-                Exchange(PAYLOAD.replace(b"ab", b"warm"), lambda _, s, a: warm.set_result(s), 99),
+                Exchange(PAYLOAD.replace(b"ab", b"warm"), lambda _, s, a: idle_ready.set_result(s), 99),
                 WAIT_TIMEOUT_S,
             )
-            assert await warm is Status.OK
+            assert await idle_ready is Status.OK
 
-            def again(_, status, answer):
+            def retry(_, status, response):
                 assert status is expected
                 pool.start(2, Exchange(PAYLOAD, lambda _, s, a: done.set_result(s), 99), WAIT_TIMEOUT_S)
-                assert seen.wait(WAIT_TIMEOUT_S)
-                time.sleep(HELD)
+                assert retry_arrived.wait(WAIT_TIMEOUT_S)
+                time.sleep(LOOP_BLOCK_S)
 
-            exchange = Exchange(PAYLOAD, again, 99)
+            exchange = Exchange(PAYLOAD, retry, 99)
             pool.start(1, exchange, WAIT_TIMEOUT_S)
-            await asyncio.to_thread(came.wait, WAIT_TIMEOUT_S)
+            await asyncio.to_thread(first_arrived.wait, WAIT_TIMEOUT_S)
             if end is not None:
                 end(exchange)
             assert await done is Status.OK
             pool.close()
 
-        run(play())
+        run(scenario())
         assert (server.tally.requests, server.tally.overlaps) == (3, 0)
 
 
-def begin(payload):
-    """An exchange on its way to a server that is driven by hand, and the list of its ends."""
+def start_exchange(payload):
+    """Start an exchange with a bare listening socket; return also the list of its end statuses."""
     server = socket.create_server(("127.0.0.1", 0))
     pool = make_pool(server.getsockname())
-    ends = []
-    exchange = Exchange(payload, lambda _, status, answer: ends.append(status), 99)
+    statuses = []
+    exchange = Exchange(payload, lambda _, status, response: statuses.append(status), 99)
     pool.start(1, exchange, WAIT_TIMEOUT_S)
-    return server, pool, exchange, ends
+    return server, pool, exchange, statuses
 
 
-def test_a_half_written_order_is_never_completed_after_it_was_given_up():
-    """The transport would go on writing what it has buffered: the server reads in that very moment."""
+def test_partly_written_request_is_not_completed_after_cancel():
+    """Guards against a transport that goes on writing its buffer while the server reads at that moment."""
     payload = b"POST /order HTTP/1.1\r\nX-Request-Id: ab\r\nContent-Length: 4000000\r\n\r\n"
     payload += b"x" * 4_000_000
 
-    async def play():
-        server, pool, exchange, ends = begin(payload)
+    async def scenario():
+        server, pool, exchange, statuses = start_exchange(payload)
         while exchange.connection is None:
             await asyncio.sleep(0.005)
         peer, _ = server.accept()
         assert exchange.connection.unwritten
         exchange.give_up(Status.CANCELLED)
-        # Room comes up before the loop's next turn, in which the transport is closed.
-        got = b""
-        peer.settimeout(HELD)
+        # The server makes room before the loop's next iteration, in which the transport is closed.
+        received = b""
+        peer.settimeout(LOOP_BLOCK_S)
         with contextlib.suppress(OSError):
             while data := peer.recv(1 << 20):
-                got += data
-        assert ends == [Status.CONNECT_FAILED]
-        await asyncio.sleep(HELD)
+                received += data
+        assert statuses == [Status.CONNECT_FAILED]
+        await asyncio.sleep(LOOP_BLOCK_S)
         peer.settimeout(WAIT_TIMEOUT_S)
         with contextlib.suppress(ConnectionResetError):
             while data := peer.recv(1 << 20):
-                got += data
-        assert len(got) < len(payload)
+                received += data
+        assert len(received) < len(payload)
         peer.close()
         server.close()
         pool.close()
 
-    run(play())
+    run(scenario())
 
 
-def test_an_answer_in_the_very_turn_in_which_it_is_given_up_ends_it_once():
-    async def play():
-        server, pool, exchange, ends = begin(PAYLOAD)
+def test_exchange_with_unread_response_ends_once_when_given_up():
+    async def scenario():
+        server, pool, exchange, statuses = start_exchange(PAYLOAD)
         while exchange.connection is None:
             await asyncio.sleep(0.005)
         peer, _ = server.accept()
         peer.sendall(GOOD)
-        time.sleep(HELD)  # it has come; the loop has had no turn to read it
+        time.sleep(LOOP_BLOCK_S)  # the response has arrived, but the loop has not read it yet
         exchange.give_up(Status.TIMEOUT)
-        await asyncio.sleep(HELD)
-        assert ends == [Status.TIMEOUT]
+        await asyncio.sleep(LOOP_BLOCK_S)
+        assert statuses == [Status.TIMEOUT]
         assert not pool.connections
         peer.close()
         server.close()
 
-    run(play())
+    run(scenario())
 
 
-def test_a_cancel_while_the_connect_completes_writes_nothing():
-    async def play():
-        server, pool, exchange, ends = begin(PAYLOAD)
+def test_cancel_during_connect_completion_writes_nothing():
+    async def scenario():
+        server, pool, exchange, statuses = start_exchange(PAYLOAD)
         server.settimeout(0)
         peer = None
         while peer is None:
-            await asyncio.sleep(0)  # until the connect is on its way
+            await asyncio.sleep(0)  # until the connect has begun
             with contextlib.suppress(BlockingIOError):
-                peer, _ = server.accept()  # the kernel has completed it; the loop may not know yet
+                peer, _ = server.accept()  # the kernel has completed the connect; the loop may not know yet
         exchange.give_up(Status.CANCELLED)
-        assert ends == [Status.CONNECT_FAILED]
-        await asyncio.sleep(HELD)
+        assert statuses == [Status.CONNECT_FAILED]
+        await asyncio.sleep(LOOP_BLOCK_S)
         peer.setblocking(False)
         with contextlib.suppress(BlockingIOError, ConnectionResetError):
             assert not peer.recv(1)
@@ -175,104 +175,107 @@
         assert not pool.connections
         assert not pool.allowance.in_use
 
-    run(play())
+    run(scenario())
 
 
-def test_what_was_given_up_while_its_connect_completed_is_not_written_on_a_freed_connection():
-    """The cause of a second copy on the bench: reported as never run, then written, then repeated."""
-    with truth(1, lambda arrival, earlier: GOOD) as server:
+def test_exchange_cancelled_during_connect_is_not_written_on_idle_connection():
+    """Guards against a duplicate: an exchange reported as never run was still written, and then retried."""
+    with running_truth(1, lambda arrival, earlier: GOOD) as server:
 
-        async def play():
+        async def scenario():
             pool = make_pool(("127.0.0.1", server.numbers[0]))
             target = pool.endpoints[1]
-            warm = asyncio.get_running_loop().create_future()
-            pool.start(1, Exchange(PAYLOAD, lambda _, s, a: warm.set_result(s), 99), WAIT_TIMEOUT_S)
-            assert await warm is Status.OK
-            free = pool._take_idle(target, time.monotonic())
-            ends = []
-            exchange = Exchange(PAYLOAD.replace(b"ab", b"late"), lambda _, s, a: ends.append(s), 99)
+            idle_ready = asyncio.get_running_loop().create_future()
+            pool.start(1, Exchange(PAYLOAD, lambda _, s, a: idle_ready.set_result(s), 99), WAIT_TIMEOUT_S)
+            assert await idle_ready is Status.OK
+            idle = pool._take_idle(target, time.monotonic())
+            statuses = []
+            exchange = Exchange(PAYLOAD.replace(b"ab", b"late"), lambda _, s, a: statuses.append(s), 99)
             pool.start(1, exchange, WAIT_TIMEOUT_S)
             while exchange.opening is not None:
                 await asyncio.sleep(0)
             assert exchange in target.opening
             assert exchange.connection is None
             exchange.give_up(Status.CANCELLED)
-            pool.keep_idle(free, time.monotonic())
-            assert ends == [Status.CONNECT_FAILED]
-            assert free.exchange is None
-            await asyncio.sleep(HELD)
+            pool.keep_idle(idle, time.monotonic())
+            assert statuses == [Status.CONNECT_FAILED]
+            assert idle.exchange is None
+            await asyncio.sleep(LOOP_BLOCK_S)
             pool.close()
 
-        run(play())
+        run(scenario())
         assert "late" not in server.arrivals
 
 
 def test_reused_descriptor_number_is_a_separate_connection():
-    """Guards the next connection under the same number from the end of the one before it."""
-    with truth(1, lambda arrival, earlier: GOOD if arrival.ident == "b" else SILENCE) as server:
+    """Guards a connection against the end of an earlier one whose descriptor number it reuses."""
+    with running_truth(1, lambda arrival, earlier: GOOD if arrival.ident == "b" else SILENCE) as server:
 
-        async def play():
+        async def scenario():
             pool = make_pool(("127.0.0.1", server.numbers[0]))
             for _ in range(20):
                 exchange = Exchange(PAYLOAD, lambda *_: None, 99)
                 pool.start(1, exchange, WAIT_TIMEOUT_S)
                 while exchange.connection is None:
                     await asyncio.sleep(0)
-                number = exchange.connection.sock.fileno()
+                descriptor = exchange.connection.sock.fileno()
                 exchange.give_up(Status.TIMEOUT)
                 done = asyncio.get_running_loop().create_future()
                 other = Exchange(PAYLOAD.replace(b"ab", b"b"), lambda _, s, a: done.set_result(s), 99)  # noqa: B023
                 pool.start(1, other, WAIT_TIMEOUT_S)
                 assert await done is Status.OK
                 pool.close_idle(1)
-                assert number > 0
+                assert descriptor > 0
             pool.close()
 
-        run(play())
+        run(scenario())
 
 
-def test_the_servers_of_these_tests_go_on_when_a_client_has_reset_before_its_answer():
-    """Their thread ended with the error, and a run of some seconds was judged by what came before."""
-    came, gone = threading.Event(), threading.Event()
+def test_truth_server_survives_client_reset_before_response():
+    """Guards against a thread that ends with the error: later requests of the run would not be counted."""
+    arrived, client_closed = threading.Event(), threading.Event()
 
     def act(arrival, earlier):
         if arrival.ident == "ab":
-            came.set()
-            assert gone.wait(WAIT_TIMEOUT_S)
+            arrived.set()
+            assert client_closed.wait(WAIT_TIMEOUT_S)
         return GOOD
 
-    def send(number, payload):
-        sock = socket.create_connection(("127.0.0.1", number), WAIT_TIMEOUT_S)
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))  # closed by a reset
+    def send(port, payload):
+        sock = socket.create_connection(("127.0.0.1", port), WAIT_TIMEOUT_S)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))  # close with a reset
         sock.sendall(payload)
         return sock
 
-    with truth(1, act) as server:
+    with running_truth(1, act) as server:
         sock = send(server.numbers[0], PAYLOAD)
-        assert came.wait(WAIT_TIMEOUT_S)
+        assert arrived.wait(WAIT_TIMEOUT_S)
         sock.close()
-        gone.set()
+        client_closed.set()
         with send(server.numbers[0], PAYLOAD.replace(b"ab", b"other")) as other:
             assert other.recv(len(GOOD)) == GOOD
 
 
 @pytest.mark.processes
-def test_a_paused_process_sends_no_repeat_that_overlaps():
-    """The real process, stopped for 60 ms again and again while one node after the other is in trouble."""
-    outcome = paused_run(seconds=6.0)
+def test_paused_process_sends_no_overlapping_retry():
+    """Guards against overlapping retries of the real process.
+
+    The process is stopped for 60 ms repeatedly while one server after the other misbehaves.
+    """
+    outcome = run_with_pauses(duration_s=6.0)
     assert outcome["repeats"] > 20, outcome
     assert (outcome["overlaps"], outcome["orders_twice"]) == (0, 0)
 
 
-def paused_run(seconds, nodes=6, phase_s=0.25, tree=ROOT):
-    command = [sys.executable, "-m", "standins.truth", str(nodes), str(phase_s)]
+def run_with_pauses(duration_s, servers=6, phase_s=0.25, tree=ROOT):
+    command = [sys.executable, "-m", "standins.truth", str(servers), str(phase_s)]
     with (
         subprocess.Popen(command, cwd=ROOT, stdin=subprocess.PIPE, stdout=subprocess.PIPE) as process,
         sidecar([int(port) for port in process.stdout.readline().split()], tree=tree) as running,
     ):
 
-        async def play():
-            load = asyncio.create_task(run_clients(running.port, 32, seconds, orders=0.2))
+        async def scenario():
+            load = asyncio.create_task(run_clients(running.port, 32, duration_s, orders=0.2))
             while not load.done():
                 os.kill(running.process.pid, signal.SIGSTOP)
                 await asyncio.sleep(0.06)
@@ -280,7 +283,7 @@
                 await asyncio.wait([load], timeout=0.1)
             return load.result()
 
-        tally = asyncio.run(play())
+        tally = asyncio.run(scenario())
         assert tally.served
         process.stdin.close()
         return json.loads(process.stdout.readline())
--- a/tests/net/test_maintenance.py
+++ b/tests/net/test_maintenance.py
@@ -1,4 +1,4 @@
-"""Maintenance on top of discovery, against a model that keeps no more than the rules say."""
+"""Maintenance orders on top of endpoint lists, checked against a model of the rules."""
 
 from dataclasses import dataclass, replace
 
@@ -20,119 +20,126 @@
     since_ms: int = 0
 
 
-def listed(name, state=State.READY, started=0):
-    return Entry(name, Endpoint(NAMES.index(name), 0, 0, 0, state, 1.0, started))
+def list_entry(name, state=State.READY, started_ns=0):
+    return Entry(name, Endpoint(NAMES.index(name), 0, 0, 0, state, 1.0, started_ns))
 
 
-def make():
+def make_maintenance():
     return Maintenance(lambda entry, endpoint: replace(entry, endpoint=endpoint))
 
 
-def told(entries):
+def summaries(entries):
     return [(entry.name, entry.endpoint.state, entry.endpoint.started_ns) for entry in entries]
 
 
-def test_a_ban_outlives_every_list_and_two_calls_out_need_one_back():
-    keeper = make()
-    keeper.apply_update([listed("s0"), listed("s1")], True)
-    assert told(keeper.apply_order("s0", True, 100)) == [("s0", State.DRAINING, 0)]
-    assert keeper.apply_order("s0", True, 150) == []
-    for entries, complete in (([listed("s0"), listed("s1")], True), ([listed("s0", started=170)], False)):
+def test_endpoint_taken_out_twice_stays_draining_through_list_updates_until_one_return():
+    maintenance = make_maintenance()
+    maintenance.apply_update([list_entry("s0"), list_entry("s1")], True)
+    assert summaries(maintenance.apply_order("s0", True, 100)) == [("s0", State.DRAINING, 0)]
+    assert maintenance.apply_order("s0", True, 150) == []
+    for entries, complete in (
+        ([list_entry("s0"), list_entry("s1")], True),
+        ([list_entry("s0", started_ns=170)], False),
+    ):
         assert ("s0", State.DRAINING) in [
-            (name, state) for name, state, _ in told(keeper.apply_update(entries, complete))
+            (name, state) for name, state, _ in summaries(maintenance.apply_update(entries, complete))
         ]
-    keeper.apply_update([listed("s0", State.GONE)], False)
-    assert keeper.knows("s0")  # it can be put back though it is gone
-    assert told(keeper.apply_update([listed("s0")], False)) == [("s0", State.DRAINING, 0)]
-    assert told(keeper.apply_order("s0", False, 200)) == [("s0", State.READY, 200)]
-    assert keeper.apply_order("s0", False, 210) == []
-
-
-def test_endpoint_returned_to_service_is_cold_until_it_restarts():
-    keeper = make()
-    keeper.apply_update([listed("s0", started=50)], True)
-    keeper.apply_order("s0", True, 100)
-    assert told(keeper.apply_order("s0", False, 200)) == [("s0", State.READY, 200)]
-    assert told(keeper.apply_update([listed("s0", started=150)], True)) == [("s0", State.READY, 200)]
-    assert told(keeper.apply_update([listed("s0", started=250)], True)) == [("s0", State.READY, 250)]
-    # What discovery says now counts, not what it said when the server was taken out.
-    keeper.apply_order("s0", True, 300)
-    keeper.apply_update([listed("s0", State.DRAINING)], False)
-    assert told(keeper.apply_order("s0", False, 400)) == [("s0", State.DRAINING, 400)]
-
-
-def test_what_nobody_knows_is_not_known_and_the_sets_are_bounded(monkeypatch):
+    maintenance.apply_update([list_entry("s0", State.GONE)], False)
+    assert maintenance.knows("s0")  # it can be returned to service although it is gone
+    assert summaries(maintenance.apply_update([list_entry("s0")], False)) == [("s0", State.DRAINING, 0)]
+    assert summaries(maintenance.apply_order("s0", False, 200)) == [("s0", State.READY, 200)]
+    assert maintenance.apply_order("s0", False, 210) == []
+
+
+def test_endpoint_returned_to_service_counts_as_started_then_until_it_restarts():
+    maintenance = make_maintenance()
+    maintenance.apply_update([list_entry("s0", started_ns=50)], True)
+    maintenance.apply_order("s0", True, 100)
+    assert summaries(maintenance.apply_order("s0", False, 200)) == [("s0", State.READY, 200)]
+    assert summaries(maintenance.apply_update([list_entry("s0", started_ns=150)], True)) == [
+        ("s0", State.READY, 200)
+    ]
+    assert summaries(maintenance.apply_update([list_entry("s0", started_ns=250)], True)) == [
+        ("s0", State.READY, 250)
+    ]
+    # The state that discovery lists now applies, not the one at the time when it was taken out of service.
+    maintenance.apply_order("s0", True, 300)
+    maintenance.apply_update([list_entry("s0", State.DRAINING)], False)
+    assert summaries(maintenance.apply_order("s0", False, 400)) == [("s0", State.DRAINING, 400)]
+
+
+def test_unlisted_endpoint_is_unknown_and_remembered_orders_are_bounded(monkeypatch):
     monkeypatch.setattr(module, "MAX_OUT_OF_SERVICE", 2)
     monkeypatch.setattr(module, "MAX_REMEMBERED_RETURNS", 1)
-    keeper = make()
-    assert not keeper.knows("s0")
-    keeper.apply_update([listed(name) for name in NAMES], True)
+    maintenance = make_maintenance()
+    assert not maintenance.knows("s0")
+    maintenance.apply_update([list_entry(name) for name in NAMES], True)
     for name in NAMES[:2]:
-        keeper.apply_order(name, True, 1)
-    assert keeper.is_full("s2")
-    assert not keeper.is_full("s0")
+        maintenance.apply_order(name, True, 1)
+    assert maintenance.is_full("s2")
+    assert not maintenance.is_full("s0")
     for name in NAMES[:2]:
-        keeper.apply_order(name, False, 2)
-    assert list(keeper.orders) == ["s1"]
-
-
-def test_of_two_processes_the_later_call_holds_in_both():
-    one, two = make(), make()
-    for keeper in (one, two):
-        keeper.apply_update([listed("s0"), listed("s1")], True)
-    one.apply_order("s0", True, 100)
-    two.merge(one.orders)
-    assert two.is_out("s0")
-    two.apply_order("s0", False, 200)
-    one.apply_order("s1", True, 210)
-    assert told(one.merge(two.orders)) == [("s0", State.READY, 200)]
-    two.merge(one.orders)
-    assert one.orders == two.orders
-    assert one.merge(two.orders) == []
-
-
-class Machine(RuleBasedStateMachine):
+        maintenance.apply_order(name, False, 2)
+    assert list(maintenance.orders) == ["s1"]
+
+
+def test_later_order_of_two_processes_takes_effect_in_both():
+    first, second = make_maintenance(), make_maintenance()
+    for maintenance in (first, second):
+        maintenance.apply_update([list_entry("s0"), list_entry("s1")], True)
+    first.apply_order("s0", True, 100)
+    second.merge(first.orders)
+    assert second.is_out("s0")
+    second.apply_order("s0", False, 200)
+    first.apply_order("s1", True, 210)
+    assert summaries(first.merge(second.orders)) == [("s0", State.READY, 200)]
+    second.merge(first.orders)
+    assert first.orders == second.orders
+    assert first.merge(second.orders) == []
+
+
+class MaintenanceMachine(RuleBasedStateMachine):
     def __init__(self):
         super().__init__()
-        self.keeper = make()
-        self.now = 0
-        self.list = {}
-        self.banned = set()
-        self.seen = {}  # name -> what the module was last told
+        self.maintenance = make_maintenance()
+        self.now_ns = 0
+        self.listed_states = {}
+        self.out_of_service = set()
+        self.notified = {}  # by name: endpoint as the balancer was last notified of it
 
-    def hear(self, entries):
+    def notify(self, entries):
         for entry in entries:
-            self.seen[entry.name] = entry.endpoint
+            self.notified[entry.name] = entry.endpoint
 
     @rule(names=st.sets(st.sampled_from(NAMES)), state=st.sampled_from([State.READY, State.DRAINING]))
-    def whole_list(self, names, state):
-        self.list = dict.fromkeys(names, state)
-        self.seen = {}
-        self.hear(self.keeper.apply_update([listed(name, state) for name in names], True))
+    def apply_complete_list(self, names, state):
+        self.listed_states = dict.fromkeys(names, state)
+        self.notified = {}
+        self.notify(self.maintenance.apply_update([list_entry(name, state) for name in names], True))
 
     @rule(name=st.sampled_from(NAMES), state=st.sampled_from(list(State)))
-    def change(self, name, state):
-        self.list.pop(name, None)
+    def apply_change(self, name, state):
+        self.listed_states.pop(name, None)
         if state is not State.GONE:
-            self.list[name] = state
-        self.hear(self.keeper.apply_update([listed(name, state)], False))
+            self.listed_states[name] = state
+        self.notify(self.maintenance.apply_update([list_entry(name, state)], False))
 
-    @rule(name=st.sampled_from(NAMES), out=st.booleans())
-    def call(self, name, out):
-        self.now += 1
-        if self.keeper.knows(name):
-            (self.banned.add if out else self.banned.discard)(name)
-            self.hear(self.keeper.apply_order(name, out, self.now))
+    @rule(name=st.sampled_from(NAMES), take_out=st.booleans())
+    def apply_order(self, name, take_out):
+        self.now_ns += 1
+        if self.maintenance.knows(name):
+            (self.out_of_service.add if take_out else self.out_of_service.discard)(name)
+            self.notify(self.maintenance.apply_order(name, take_out, self.now_ns))
 
     @invariant()
-    def the_module_is_told_what_the_rules_say(self):
-        for name, state in self.list.items():
-            wanted = State.DRAINING if name in self.banned else state
-            assert self.seen[name].state is wanted
-        assert set(self.keeper.out_of_service()) == self.banned
+    def balancer_is_notified_as_the_rules_say(self):
+        for name, state in self.listed_states.items():
+            expected = State.DRAINING if name in self.out_of_service else state
+            assert self.notified[name].state is expected
+        assert set(self.maintenance.out_of_service()) == self.out_of_service
 
 
-TestMaintenance = Machine.TestCase
+TestMaintenance = MaintenanceMachine.TestCase
 TestMaintenance.settings = settings(
     max_examples=60, derandomize=True, database=None, stateful_step_count=30, deadline=None
 )
--- a/tests/net/test_pool.py
+++ b/tests/net/test_pool.py
@@ -1,4 +1,4 @@
-"""A pool by itself: no listener, no client's socket, no node."""
+"""A pool on its own: without a listener, a client socket or a sidecar server."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -22,8 +22,12 @@
 from dykefold.system import SYSTEM
 
 
-class Home:
-    """What a process shares, with a count of what is over."""
+class Host:
+    """What the pools of a process share; records the requests that have ended.
+
+    Attributes:
+        ended: Id of each ended request, and whether it was served.
+    """
 
     def __init__(self):
         self.loop = asyncio.get_running_loop()
@@ -35,17 +39,19 @@
         self.read_scheduler = ReadScheduler(self.loop, self.lag_monitor)
         self.timer_wheel = TimerWheel(self.loop)
         self.peers = None
-        self.over = []
+        self.ended = []
 
     def log_exception(self, text):
         raise AssertionError(text)
 
-    def on_request_end(self, asker, call, served):
-        self.over.append((call.x_request_id, served))
+    def on_request_end(self, sink, request, served):
+        self.ended.append((request.x_request_id, served))
 
 
 @dataclass
-class Asker:
+class RecordingSink:
+    """A client connection that records the answers to its requests."""
+
     client: object = field(
         default_factory=lambda: AdmissionController(ConnectionLimits(8, 8), AddressLimits()).connect(
             "127.0.0.1", 0.0
@@ -56,48 +62,50 @@
     def client_has_closed(self):
         return False
 
-    def respond(self, call, code, headers, body):
-        self.answers.append((call.x_request_id, code, body))
+    def respond(self, request, code, headers, body):
+        self.answers.append((request.x_request_id, code, body))
 
 
-def make(home, *entries):
+def make_pool(host, *entries):
     data = config(list_update(1, *entries))
     settings, transport = nested_settings(data["settings"]), nested_transport(data["settings"])
     names = NameTable(settings.zones, transport.machine_types)
     known = parse_endpoint_update(data["known"], names)
-    return Pool(home, PoolConfig(settings, transport, 1, ("127.0.0.1", 9), names, known))
+    return Pool(host, PoolConfig(settings, transport, 1, ("127.0.0.1", 9), names, known))
 
 
-def call(home, ident, within_ms, method=b"GET"):
-    line = b"X-Request-Id: %s\r\n" % ident
-    due = home.clock.now() + within_ms * MS
-    return ParsedRequest(ident, method, b"/lookup/part", [line], b"", 0, 0, 0, due, due, 0, False, True)
+def make_request(host, request_id, timeout_ms, method=b"GET"):
+    line = b"X-Request-Id: %s\r\n" % request_id
+    deadline_ns = host.clock.now() + timeout_ms * MS
+    return ParsedRequest(
+        request_id, method, b"/lookup/part", [line], b"", 0, 0, 0, deadline_ns, deadline_ns, 0, False, True
+    )
 
 
-def test_a_pool_serves_and_guards_its_requests_without_a_node():
-    async def play():
-        home, asker = Home(), Asker()
-        fake, mute = await FakePeer(respond_ok).start(), await FakePeer(never_respond).start()
+def test_pool_without_server_gives_each_request_one_final_answer():
+    async def scenario():
+        host, sink = Host(), RecordingSink()
+        responsive, unresponsive = await FakePeer(respond_ok).start(), await FakePeer(never_respond).start()
         pools = [
-            make(home, endpoint_entry("s1", fake.address)),
-            make(home, endpoint_entry("s1", mute.address)),
+            make_pool(host, endpoint_entry("s1", responsive.address)),
+            make_pool(host, endpoint_entry("s1", unresponsive.address)),
         ]
-        before = home.budget.reservations
-        for pool, ident, within in ((pools[0], b"aa", 3000), (pools[1], b"bb", 200)):
-            assert home.budget.reserve()
-            pool.accept(asker, call(home, ident, within))
+        reservations_before = host.budget.reservations
+        for pool, request_id, timeout_ms in ((pools[0], b"aa", 3000), (pools[1], b"bb", 200)):
+            assert host.budget.reserve()
+            pool.accept(sink, make_request(host, request_id, timeout_ms))
         async with asyncio.timeout(10):
-            while len(asker.answers) < 2:
+            while len(sink.answers) < 2:
                 await asyncio.sleep(0.005)
-        assert sorted(asker.answers)[0] == (b"aa", 200, b"served ")
-        assert [(ident, code) for ident, code, _ in sorted(asker.answers)][1] == (b"bb", 503)
-        assert sorted(home.over) == [(b"aa", True), (b"bb", False)]
-        assert len(fake.received) == len(mute.received) == 1
-        assert home.budget.reservations == before
+        assert sorted(sink.answers)[0] == (b"aa", 200, b"served ")
+        assert [(request_id, code) for request_id, code, _ in sorted(sink.answers)][1] == (b"bb", 503)
+        assert sorted(host.ended) == [(b"aa", True), (b"bb", False)]
+        assert len(responsive.received) == len(unresponsive.received) == 1
+        assert host.budget.reservations == reservations_before
         for pool in pools:
             assert not pool.pending
             assert not pool.attempts
             pool.close()
-        home.lag_monitor.close()
+        host.lag_monitor.close()
 
-    run(play())
+    run(scenario())
--- a/tests/net/test_request_outcomes.py
+++ b/tests/net/test_request_outcomes.py
@@ -1,4 +1,4 @@
-"""Requests through a sidecar on real sockets: the outcome table, one answer each, no second copy."""
+"""Requests through a sidecar on real sockets: one final answer each, and no retry that could run twice."""
 
 import asyncio
 import time
@@ -29,127 +29,135 @@
 NOT_RUN = "X-Not-Run: 1"
 
 
-def say(*data):
-    async def act(message, reader, writer):
+def respond_with(*data):
+    async def handler(message, reader, writer):
         writer.write(b"".join(data))
 
-    return act
+    return handler
 
 
-async def break_at_once(message, reader, writer):
+async def reset_before_response(message, reader, writer):
     reset_connection(writer)
 
 
-async def break_inside(message, reader, writer):
+async def close_within_body(message, reader, writer):
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
     await writer.drain()
     writer.close()
 
 
-async def end_without_length(message, reader, writer):
+async def close_without_length(message, reader, writer):
     writer.write(b"HTTP/1.1 200 OK\r\n\r\nwho knows whether this is all")
     await writer.drain()
     writer.close()
 
 
-async def end_announced(message, reader, writer):
+async def close_as_announced(message, reader, writer):
     writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nserved ")
     await writer.drain()
     writer.close()
 
 
-def first_then_ok(act):
-    """The first message meets a trouble, all later ones are served."""
-    seen = []
+def first_then_ok(first_handler):
+    """Return a handler that passes the first message to `first_handler`, and serves all later ones."""
+    received = []
 
-    async def acting(message, reader, writer):
-        seen.append(message)
-        await (act if len(seen) == 1 else respond_ok)(message, reader, writer)
+    async def handler(message, reader, writer):
+        received.append(message)
+        await (first_handler if len(received) == 1 else respond_ok)(message, reader, writer)
 
-    return acting
+    return handler
 
 
-def two_servers(fake, *more):
+def endpoint_list(endpoint, *more):
     return list_update(
-        1, endpoint_entry("s1", fake.address), *(endpoint_entry(f"s{n}", a) for n, a in enumerate(more, 2))
+        1,
+        endpoint_entry("s1", endpoint.address),
+        *(endpoint_entry(f"s{n}", a) for n, a in enumerate(more, 2)),
     )
 
 
-def test_a_request_goes_on_unchanged_and_its_answer_comes_back(tmp_path):
-    async def play():
-        fake = await FakePeer(
-            say(http_response(200, b"held", "X-Load: rps=7,cpu=0.5", "Content-Type: text/x"))
+def test_request_is_forwarded_unchanged_and_its_response_returned(tmp_path):
+    async def scenario():
+        endpoint = await FakePeer(
+            respond_with(http_response(200, b"held", "X-Load: rps=7,cpu=0.5", "Content-Type: text/x"))
         ).start()
-        async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
-            heard = []
+        async with Sidecar(tmp_path / "c", config(endpoint_list(endpoint))) as sidecar:
+            events = []
             handle = sidecar.server.pool.balancer.handle
-            sidecar.server.pool.balancer.handle = lambda now, event: heard.append(event) or handle(now, event)
-            got = await send_request(sidecar.port, request_message("hold", "ab12", "900m", b"\x00body"))
-        assert (got.code, got.body) == (200, b"held")
-        assert got.headers["content-type"] == "text/x"
-        assert "x-load" not in got.headers
-        (sent,) = fake.received
-        assert sent.start_line == "POST /hold/part?x=1 HTTP/1.1"
-        assert sent.body == b"\x00body"
-        assert sent.headers["x-request-id"] == "ab12"
-        assert sent.headers["idempotency-key"] == "key-of-ab12"
-        # The attempt's own time: no more than the client's, less what has passed.
-        assert 0 < int(sent.headers["x-deadline"].removesuffix("m")) < 900
-        (outcome,) = [event for event in heard if isinstance(event, Outcome)]
+            sidecar.server.pool.balancer.handle = lambda now, event: (
+                events.append(event) or handle(now, event)
+            )
+            response = await send_request(sidecar.port, request_message("hold", "ab12", "900m", b"\x00body"))
+        assert (response.code, response.body) == (200, b"held")
+        assert response.headers["content-type"] == "text/x"
+        assert "x-load" not in response.headers
+        (forwarded,) = endpoint.received
+        assert forwarded.start_line == "POST /hold/part?x=1 HTTP/1.1"
+        assert forwarded.body == b"\x00body"
+        assert forwarded.headers["x-request-id"] == "ab12"
+        assert forwarded.headers["idempotency-key"] == "key-of-ab12"
+        # The attempt announces at most the client's time, less the time that has passed.
+        assert 0 < int(forwarded.headers["x-deadline"].removesuffix("m")) < 900
+        (outcome,) = [event for event in events if isinstance(event, Outcome)]
         assert outcome.report == (7.0, 0.5)
         assert outcome.final
         assert outcome.status is Status.OK
 
-    run(play())
+    run(scenario())
 
 
-def test_connections_are_reused(tmp_path):
-    """Asked too late whether a connection stays open, the parser always says no."""
+def test_sequential_requests_reuse_one_connection(tmp_path):
+    """Guards against asking the parser too late whether a connection stays open: it then always says no."""
 
-    async def play():
-        fake = await FakePeer(respond_ok).start()
-        async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
+    async def scenario():
+        endpoint = await FakePeer(respond_ok).start()
+        async with Sidecar(tmp_path / "c", config(endpoint_list(endpoint))) as sidecar:
             for number in range(5):
                 assert (await send_request(sidecar.port, request_message("order", f"id{number}"))).code == 200
-        assert len(fake.received) == 5
-        assert fake.connections == 1
+        assert len(endpoint.received) == 5
+        assert endpoint.connections == 1
 
-    run(play())
+    run(scenario())
 
 
-@pytest.mark.parametrize("cls", ["lookup", "hold", "order"])
+@pytest.mark.parametrize("request_class", ["lookup", "hold", "order"])
 @pytest.mark.parametrize(
-    ("act", "codes", "copies"),
+    ("first_handler", "codes", "attempts"),
     [
-        # Proven not to have run: any class may be sent again.
-        (say(http_response(503, b"", NOT_RUN)), {200}, {2}),
-        (say(http_response(504, b"", NOT_RUN)), {200}, {2}),
-        # A plain error is an answer that may have had its effect: refused only if a retry does no harm.
-        (say(http_response(500)), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
-        (say(http_response(503)), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
-        (say(http_response(504)), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
-        (say(http_response(500, b"", NOT_RUN)), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
-        (say(http_response(204, b"")), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
-        # Broken after the last byte was written: it may have run.
+        # The request did not run: any class may be retried.
+        (respond_with(http_response(503, b"", NOT_RUN)), {200}, {2}),
+        (respond_with(http_response(504, b"", NOT_RUN)), {200}, {2}),
+        # The request may have run and had its effect: 503 only if a retry by the client is harmless.
+        (respond_with(http_response(500)), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
+        (respond_with(http_response(503)), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
+        (respond_with(http_response(504)), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
+        (
+            respond_with(http_response(500, b"", NOT_RUN)),
+            {"lookup": {503}, "hold": {502}, "order": {502}},
+            {1},
+        ),
+        (respond_with(http_response(204, b"")), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
+        # The connection broke after the last byte was written: the request may have run.
         (
-            break_at_once,
+            reset_before_response,
             {"lookup": {200}, "hold": {200}, "order": {502}},
             {"lookup": {2}, "hold": {2}, "order": {1}},
         ),
         (
-            break_inside,
+            close_within_body,
             {"lookup": {200}, "hold": {200}, "order": {502}},
             {"lookup": {2}, "hold": {2}, "order": {1}},
         ),
-        # Its end is that of the connection only where the server says that it will close.
-        (end_announced, {200}, {1}),
+        # The end of the connection ends the body only if the endpoint announced that it will close.
+        (close_as_announced, {200}, {1}),
         (
-            end_without_length,
+            close_without_length,
             {"lookup": {200}, "hold": {200}, "order": {502}},
             {"lookup": {2}, "hold": {2}, "order": {1}},
         ),
         (
-            say(b"no http at all\r\n\r\n"),
+            respond_with(b"no http at all\r\n\r\n"),
             {"lookup": {200}, "hold": {200}, "order": {502}},
             {"lookup": {2}, "hold": {2}, "order": {1}},
         ),
@@ -163,133 +171,143 @@
         "500-not-run",
         "204",
         "reset",
-        "cut",
-        "up-to-the-close",
-        "no-length",
+        "closed-within-body",
+        "body-until-announced-close",
+        "no-length-and-no-announced-close",
         "garbage",
     ],
 )
-def test_the_table_of_outcomes(tmp_path, cls, act, codes, copies):
-    async def play():
-        fake = await FakePeer(first_then_ok(act)).start()
-        async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
-            got = await send_request(sidecar.port, request_message(cls, "ab"))
-        assert got.code in (codes[cls] if isinstance(codes, dict) else codes)
-        assert len(fake.received) in (copies[cls] if isinstance(copies, dict) else copies)
-        if got.code == 200:
-            assert got.body == b"served "
-
-    run(play())
-
-
-@pytest.mark.parametrize("cls", ["lookup", "hold", "order"])
-def test_a_refused_connection_is_no_attempt_that_ran(tmp_path, cls):
-    async def play():
-        down = await FakePeer(respond_ok).start()
-        down.server.close()
-        await down.server.wait_closed()
-        async with Sidecar(tmp_path / "c", config(two_servers(down))) as sidecar:
-            got = await send_request(sidecar.port, request_message(cls, "ab", "900m"))
-        assert got.code == 503  # trying again is harmless
-
-    run(play())
-
-
-@pytest.mark.parametrize(("cls", "code"), [("lookup", 503), ("hold", 502), ("order", 502)])
-def test_silence_ends_in_one_answer_within_the_deadline_and_one_copy(tmp_path, cls, code):
-    async def play():
-        fake = await FakePeer(never_respond).start()
-        data = config(two_servers(fake))
+def test_first_attempt_outcome_decides_final_code_and_retry(
+    tmp_path, request_class, first_handler, codes, attempts
+):
+    async def scenario():
+        endpoint = await FakePeer(first_then_ok(first_handler)).start()
+        async with Sidecar(tmp_path / "c", config(endpoint_list(endpoint))) as sidecar:
+            response = await send_request(sidecar.port, request_message(request_class, "ab"))
+        assert response.code in (codes[request_class] if isinstance(codes, dict) else codes)
+        assert len(endpoint.received) in (attempts[request_class] if isinstance(attempts, dict) else attempts)
+        if response.code == 200:
+            assert response.body == b"served "
+
+    run(scenario())
+
+
+@pytest.mark.parametrize("request_class", ["lookup", "hold", "order"])
+def test_refused_connection_is_answered_as_not_run(tmp_path, request_class):
+    async def scenario():
+        stopped = await FakePeer(respond_ok).start()
+        stopped.server.close()
+        await stopped.server.wait_closed()
+        async with Sidecar(tmp_path / "c", config(endpoint_list(stopped))) as sidecar:
+            response = await send_request(sidecar.port, request_message(request_class, "ab", "900m"))
+        assert response.code == 503  # a retry by the client is harmless
+
+    run(scenario())
+
+
+@pytest.mark.parametrize(("request_class", "code"), [("lookup", 503), ("hold", 502), ("order", 502)])
+def test_unresponsive_endpoint_gets_one_attempt_and_client_one_answer_before_deadline(
+    tmp_path, request_class, code
+):
+    async def scenario():
+        endpoint = await FakePeer(never_respond).start()
+        data = config(endpoint_list(endpoint))
         data["settings"]["ceilings"]["send-cap"] = 1
         async with Sidecar(tmp_path / "c", data) as sidecar:
             loop = asyncio.get_running_loop()
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-            start = loop.time()
-            writer.write(request_message(cls, "ab", "600m"))
-            got = await read_message(reader)
-            assert got.code == code
-            assert 0.3 < loop.time() - start < 0.65
-            await wait_until(lambda: fake.closed_connections == 1, "the given-up connection is closed")
-            writer.write(request_message("lookup", "cd", "1m"))  # nothing more had come for the first
+            start_s = loop.time()
+            writer.write(request_message(request_class, "ab", "600m"))
+            response = await read_message(reader)
+            assert response.code == code
+            assert 0.3 < loop.time() - start_s < 0.65
+            await wait_until(
+                lambda: endpoint.closed_connections == 1, "the connection of the timed-out attempt is closed"
+            )
+            writer.write(
+                request_message("lookup", "cd", "1m")
+            )  # shows that the first request response no second answer
             assert (await read_message(reader)).code == 503
             writer.close()
-        assert len(fake.received) == 1
+        assert len(endpoint.received) == 1
 
-    run(play())
+    run(scenario())
 
 
-def test_the_fallback_answers_when_the_balancer_raises(tmp_path):
-    """An exception in one request must not disturb the others or the process."""
+def test_fallback_timer_answers_request_when_balancer_raises(tmp_path):
+    """Guards against an exception on one request that affects the others or the process."""
 
-    async def play():
-        fake = await FakePeer(respond_ok).start()
-        async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
+    async def scenario():
+        endpoint = await FakePeer(respond_ok).start()
+        async with Sidecar(tmp_path / "c", config(endpoint_list(endpoint))) as sidecar:
             handle = sidecar.server.pool.balancer.handle
 
-            def failing(now, event):
+            def fail_on_order(now, event):
                 if isinstance(event, Request) and event.class_number == 2:
                     sidecar.server.pool.balancer.actions = []
-                    raise ZeroDivisionError("of the module")
+                    raise ZeroDivisionError("in the balancer")
                 return handle(now, event)
 
-            sidecar.server.pool.balancer.handle = failing
-            lost = asyncio.create_task(send_request(sidecar.port, request_message("order", "ab", "500m")))
+            sidecar.server.pool.balancer.handle = fail_on_order
+            failed_request = asyncio.create_task(
+                send_request(sidecar.port, request_message("order", "ab", "500m"))
+            )
             for number in range(3):
                 assert (
                     await send_request(sidecar.port, request_message("lookup", f"id{number}"))
                 ).code == 200
-            assert (await lost).code == 503
+            assert (await failed_request).code == 503
             assert not sidecar.server.pool.pending
 
-    run(play())
+    run(scenario())
 
 
-def test_the_fallback_fails_what_may_have_run(tmp_path):
-    async def play():
-        fake = await FakePeer(never_respond).start()
-        async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
+def test_fallback_timer_answers_504_when_request_may_have_run(tmp_path):
+    async def scenario():
+        endpoint = await FakePeer(never_respond).start()
+        async with Sidecar(tmp_path / "c", config(endpoint_list(endpoint))) as sidecar:
             handle = sidecar.server.pool.balancer.handle
 
-            def deaf(now, event):
+            def fail_on_outcome_or_timer(now, event):
                 if isinstance(event, Outcome | Timer):
                     sidecar.server.pool.balancer.actions = []
-                    raise ZeroDivisionError("of the module")
+                    raise ZeroDivisionError("in the balancer")
                 return handle(now, event)
 
-            sidecar.server.pool.balancer.handle = deaf
+            sidecar.server.pool.balancer.handle = fail_on_outcome_or_timer
             assert (await send_request(sidecar.port, request_message("order", "ab", "500m"))).code == 504
 
-    run(play())
+    run(scenario())
 
 
-def test_an_attempt_that_cannot_be_made_is_refused_and_leaves_nothing(tmp_path):
-    async def play():
-        fake = await FakePeer(respond_ok).start()
-        async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
+def test_request_whose_encoding_fails_is_refused_and_removed(tmp_path):
+    async def scenario():
+        endpoint = await FakePeer(respond_ok).start()
+        async with Sidecar(tmp_path / "c", config(endpoint_list(endpoint))) as sidecar:
 
-            def broken(*_):
-                raise ZeroDivisionError("of the program")
+            def fail_to_encode(*_):
+                raise ZeroDivisionError("in the encoder")
 
             sidecar_server = sidecar.server
-            sidecar_server.pool.encode_request = broken
+            sidecar_server.pool.encode_request = fail_to_encode
             assert (await send_request(sidecar.port, request_message("order", "ab", "300m"))).code == 503
             assert not sidecar_server.pool.pending
             assert not sidecar_server.pool.attempts
             del sidecar_server.pool.encode_request
             assert (await send_request(sidecar.port, request_message("order", "cd"))).code == 200
 
-    run(play())
+    run(scenario())
 
 
-def test_a_client_that_left_frees_its_attempt(tmp_path):
-    async def play():
-        fake = await FakePeer(never_respond).start()
-        async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
+def test_client_disconnect_cancels_attempt_and_frees_its_state(tmp_path):
+    async def scenario():
+        endpoint = await FakePeer(never_respond).start()
+        async with Sidecar(tmp_path / "c", config(endpoint_list(endpoint))) as sidecar:
             _, writer = await asyncio.open_connection(HOST, sidecar.port)
             writer.write(request_message("order", "ab"))
-            await wait_until(lambda: fake.received)
+            await wait_until(lambda: endpoint.received)
             writer.close()
-            await wait_until(lambda: fake.closed_connections == 1, "its attempt is called off")
+            await wait_until(lambda: endpoint.closed_connections == 1, "the attempt is cancelled")
             sidecar_server = sidecar.server
             await wait_until(
                 lambda: (
@@ -299,30 +317,30 @@
                 )
             )
             assert not sidecar_server.clients.all
-            (server,) = sidecar_server.pool.balancer.known_endpoints.values()
-            assert not server.in_flight  # the attempt's end was reported as well
+            (endpoint_state,) = sidecar_server.pool.balancer.known_endpoints.values()
+            assert not endpoint_state.in_flight  # the end of the attempt was reported to the balancer as well
 
-    run(play())
+    run(scenario())
 
 
-def test_a_rejection_comes_at_once_and_states_when_to_retry(tmp_path):
-    async def play():
-        fake = await FakePeer(say(http_response(500))).start()
-        async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
-            got = await send_request(sidecar.port, request_message("lookup", "ab"))
-        assert got.code == 503
-        assert 0.0 < float(got.headers["retry-after"]) <= 2.0
+def test_refused_request_states_when_to_retry(tmp_path):
+    async def scenario():
+        endpoint = await FakePeer(respond_with(http_response(500))).start()
+        async with Sidecar(tmp_path / "c", config(endpoint_list(endpoint))) as sidecar:
+            response = await send_request(sidecar.port, request_message("lookup", "ab"))
+        assert response.code == 503
+        assert 0.0 < float(response.headers["retry-after"]) <= 2.0
 
-    run(play())
+    run(scenario())
 
 
-def test_a_report_is_read_by_names_and_only_whole(tmp_path):
-    async def play():
+def test_load_report_is_parsed_by_name_and_only_if_complete(tmp_path):
+    async def scenario():
         async with Sidecar(tmp_path / "c", config(list_update(1))) as sidecar:
             read = sidecar.server.pool.reports.read
             assert read(b"cpu=0.25, rps=3") == (3.0, 0.25)
             assert read(b"qps=3,util=0.25,more=1") == (3.0, 0.25)
-            for figure in (
+            for value in (
                 b"nan",
                 b"inf",
                 b"-1",
@@ -335,83 +353,86 @@
                 b"1.",
                 b"\xb2",
             ):
-                assert read(b"rps=3,cpu=" + figure) == ()
-            for broken in (b"", b"rps=3", b"=,=", b"\xff=1", b"rps=1,rps=2,cpu=0.5", b"," * 9000):
-                assert read(broken) == ()
+                assert read(b"rps=3,cpu=" + value) == ()
+            for malformed in (b"", b"rps=3", b"=,=", b"\xff=1", b"rps=1,rps=2,cpu=0.5", b"," * 9000):
+                assert read(malformed) == ()
 
-    run(play())
+    run(scenario())
 
 
-def test_probe_requests_the_load_report_and_returns_its_result(tmp_path):
-    async def play():
-        act = first_then_ok(say(http_response(200, b"rps=7,cpu=0.5")))
+def test_probe_requests_load_report_and_reports_its_result(tmp_path):
+    async def scenario():
+        handler = first_then_ok(respond_with(http_response(200, b"rps=7,cpu=0.5")))
 
-        async def acting(message, reader, writer):
+        async def check_probe(message, reader, writer):
             assert message.start_line == "GET /-/load HTTP/1.1"
             assert "x-request-id" not in message.headers
-            await act(message, reader, writer)
+            await handler(message, reader, writer)
 
-        fake = await FakePeer(acting).start()
-        async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
-            heard = []
+        endpoint = await FakePeer(check_probe).start()
+        async with Sidecar(tmp_path / "c", config(endpoint_list(endpoint))) as sidecar:
+            events = []
             sidecar_server = sidecar.server
-            (server,) = sidecar_server.pool.upstreams.endpoints
-            sidecar_server.pool.balancer.handle = lambda now, event: heard.append(event) or []
-            sidecar_server.pool.carry_out[Probe](Probe(server))
-            await wait_until(lambda: heard)
-            assert heard[0].status is Status.OK
-            assert heard[0].report == (7.0, 0.5)
-            sidecar_server.pool.carry_out[CloseIdle](CloseIdle(server))
+            (endpoint_number,) = sidecar_server.pool.upstreams.endpoints
+            sidecar_server.pool.balancer.handle = lambda now, event: events.append(event) or []
+            sidecar_server.pool.carry_out[Probe](Probe(endpoint_number))
+            await wait_until(lambda: events)
+            assert events[0].status is Status.OK
+            assert events[0].report == (7.0, 0.5)
+            sidecar_server.pool.carry_out[CloseIdle](CloseIdle(endpoint_number))
             assert not sidecar_server.pool.upstreams.connections
-            fake.server.close()
-            sidecar_server.pool.carry_out[Probe](Probe(server))
-            await wait_until(lambda: len(heard) > 1)
-            assert heard[1].status is Status.CONNECT_FAILED
-            assert heard[1].report == ()
+            endpoint.server.close()
+            sidecar_server.pool.carry_out[Probe](Probe(endpoint_number))
+            await wait_until(lambda: len(events) > 1)
+            assert events[1].status is Status.CONNECT_FAILED
+            assert events[1].report == ()
 
-    run(play())
+    run(scenario())
 
 
-def test_since_is_on_the_scale_of_the_clock_and_zero_stays_zero(tmp_path):
-    async def play():
-        since = int(time.time() * 1000) - 2000
+def test_endpoint_start_time_is_converted_to_clock_and_zero_stays_zero(tmp_path):
+    async def scenario():
+        since_ms = int(time.time() * 1000) - 2000
         known = list_update(
-            1, endpoint_entry("s1", f"{HOST}:9"), endpoint_entry("s2", f"{HOST}:10", since_ms=since)
+            1, endpoint_entry("s1", f"{HOST}:9"), endpoint_entry("s2", f"{HOST}:10", since_ms=since_ms)
         )
         async with Sidecar(tmp_path / "c", config(known)) as sidecar:
-            started = sorted(
-                server.started_ns for server in sidecar.server.pool.balancer.known_endpoints.values()
+            started_ns = sorted(
+                endpoint.started_ns for endpoint in sidecar.server.pool.balancer.known_endpoints.values()
             )
-            assert started[0] == 0
-            assert 1000 * MS < sidecar.server.now() - started[1] < 60_000 * MS
+            assert started_ns[0] == 0
+            assert 1000 * MS < sidecar.server.now() - started_ns[1] < 60_000 * MS
+
+    run(scenario())
 
-    run(play())
 
+def test_request_pipelined_at_end_of_shutdown_is_rejected(tmp_path):
+    """Guards against a request that is pending when the process stops.
 
-def test_what_is_pipelined_into_the_end_of_a_shutdown_is_rejected(tmp_path):
-    """No request may be pending when the process stops, though its connection was never idle."""
+    The connection is never idle, since a second request is pipelined behind the first one.
+    """
 
-    async def play():
-        go = asyncio.Event()
+    async def scenario():
+        released = asyncio.Event()
 
-        async def act(message, reader, writer):
-            await go.wait()
+        async def handler(message, reader, writer):
+            await released.wait()
             writer.write(http_response(200, b"ok"))
 
-        fake = await FakePeer(act).start()
-        data = config(list_update(1, endpoint_entry("s0", fake.address)))
+        endpoint = await FakePeer(handler).start()
+        data = config(list_update(1, endpoint_entry("s0", endpoint.address)))
         async with Sidecar(tmp_path / "config.json", data) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
             writer.write(request_message("lookup", "a") + request_message("lookup", "b"))
-            await wait_until(lambda: fake.received)
+            await wait_until(lambda: endpoint.received)
             sidecar.server.draining, sidecar.server.accepting_requests = True, False
             sidecar.server.shutdown.answer_all()
-            got = [await read_message(reader), await read_message(reader)]
-            assert [one.code for one in got] == [504, 503]
-            assert "retry-after" in got[1].headers
-            assert got[1].headers["connection"] == "close"
-            assert len(fake.received) == 1
-            go.set()
+            responses = [await read_message(reader), await read_message(reader)]
+            assert [response.code for response in responses] == [504, 503]
+            assert "retry-after" in responses[1].headers
+            assert responses[1].headers["connection"] == "close"
+            assert len(endpoint.received) == 1
+            released.set()
             writer.close()
 
-    run(play())
+    run(scenario())
