--- a/dykefold/net/service/attempt.py
+++ b/dykefold/net/service/attempt.py
@@ -105,7 +105,7 @@
     def _has_progressed(self) -> bool:
         """Return whether bytes were streamed since the last check, or the stream waits for the client."""
         if self.connection is None:
-            return False  # nothing is written yet, and the connect timeout has passed
+            return False  # nothing is written yet, and the time for making a connection has passed
         previous, self.last_progress = self.last_progress, self.connection.transferred_bytes()
         if self.answer_began_ns:
             return self.connection.blocked or self.last_progress != previous
--- a/dykefold/net/service/load_reports.py
+++ b/dykefold/net/service/load_reports.py
@@ -6,7 +6,7 @@
 
 from ...settings import canonical_column
 
-# A report of four values needs 100 bytes; the limit bounds the look-ups, one for each pair.
+# A report of four values needs a hundred bytes; the limit bounds the look-ups, one for each pair.
 MAX_REPORT_BYTES = 1024
 # A plain decimal number: no sign, exponent, infinity or NaN.
 DECIMAL_NUMBER = re.compile(rb"\d{1,9}(?:\.\d{1,9})?")
--- a/dykefold/net/service/pool.py
+++ b/dykefold/net/service/pool.py
@@ -210,7 +210,7 @@
         self.loop.call_later(delay_s, self._on_timer, action.token, self.monotonic() + delay_s)
 
     def _on_timer(self, token: int, due_s: float) -> None:
-        """Post a timer event; if the loop is late, post it one iteration later, after the reads.
+        """Post a timer event; if the loop is late, post it in the next iteration, after reads.
 
         Responses that wait in the sockets of a late loop would otherwise make endpoints look unresponsive.
         """
--- a/tests/net/test_deadline_propagation.py
+++ b/tests/net/test_deadline_propagation.py
@@ -416,7 +416,10 @@
 
 @given(st.lists(st.tuples(st.sampled_from(("arrive", "count", "read")), st.integers(1, 9)), max_size=300))
 def test_byte_arrival_time_is_never_estimated_too_late(steps):
-    """Applies while reading is paused; each step takes one nanosecond."""
+    """Guards against an arrival time later than the actual one, which would extend a client's deadline.
+
+    This applies while reading is paused; each step takes one nanosecond.
+    """
     arrivals, arrived_ns = Arrivals(), []
     for now_ns, (step, size) in enumerate([("count", 1), *steps], 1):
         if step == "arrive":
