--- a/tests/net/test_request_outcomes.py
+++ b/tests/net/test_request_outcomes.py
@@ -224,9 +224,8 @@
             await wait_until(
                 lambda: endpoint.closed_connections == 1, "the connection of the timed-out attempt is closed"
             )
-            writer.write(
-                request_message("lookup", "cd", "1m")
-            )  # shows that the first request response no second answer
+            # The next response belongs to the second request: the first one got no second answer.
+            writer.write(request_message("lookup", "cd", "1m"))
             assert (await read_message(reader)).code == 503
             writer.close()
         assert len(endpoint.received) == 1
