--- a/dykefold/balancer/actions.py
+++ b/dykefold/balancer/actions.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True)
-class Refuse:
+class Reject:
     """Reject a request as its final answer; it is safe for the client to retry it.
 
     Attributes:
@@ -147,7 +147,7 @@
 
 Action = (
     Send
-    | Refuse
+    | Reject
     | Fail
     | Cancel
     | Probe
--- a/dykefold/balancer/attempt_results.py
+++ b/dykefold/balancer/attempt_results.py
@@ -144,7 +144,7 @@
         stats, duration_ns = attempt.stats, event.duration_ns
         relative = duration_ns / stats.mean_latency_ns
         self.latency.learn_typical(stats, duration_ns, self.limit.congested())
-        if endpoint.slow_start_ns:
+        if endpoint.slow_start_refilled_ns:
             self.slow_start.credit(endpoint, stats)
         self.limit.on_answer(stats)
         self.congestion.add_latency(endpoint, stats, attempt.sent_ns, duration_ns, WANTED_LATENCY_OBJECTIVES)
--- a/dykefold/balancer/balancer.py
+++ b/dykefold/balancer/balancer.py
@@ -43,7 +43,7 @@
 from .timers import OVERDUE, POLL, RETRY, TimerQueue
 
 Status = events.Status
-PROVES_NOT_RUN = frozenset((Status.FULL, Status.CONNECT_FAILED, Status.NOT_ATTEMPTED))
+NEVER_RAN_STATUSES = frozenset((Status.FULL, Status.CONNECT_FAILED, Status.NOT_ATTEMPTED))
 NEVER_REACHED_STATUSES = frozenset((Status.CONNECT_FAILED, Status.NOT_ATTEMPTED))
 
 
@@ -129,7 +129,7 @@
             self.quotas.count_request(request.tenant)
         self.endpoints.count_request()
         if event.deadline_ns <= context.now_ns:
-            self.answers.end(request)
+            self.answers.finish(request)
             return
         probability = self.load_reports.probe_probability(stats) if self.endpoints.has_sparse_traffic else 0.0
         probes = probability > 0.0 and context.random.random() < probability
@@ -137,7 +137,7 @@
         if endpoint is None and not probes:
             self.retries.plan(request)
         elif not self.limit.admit(request, self.request_value.estimate(event, request)):
-            self.answers.end(request)
+            self.answers.finish(request)
         elif endpoint is not None:
             self.sender.send(request, endpoint)
         else:
@@ -173,7 +173,9 @@
         status = event.status
         not_attempted = status is Status.NOT_ATTEMPTED
         if event.attempt < len(request.attempts):
-            request.attempts[event.attempt].state = NEVER_RAN if status in PROVES_NOT_RUN else MAY_HAVE_RUN
+            request.attempts[event.attempt].state = (
+                NEVER_RAN if status in NEVER_RAN_STATUSES else MAY_HAVE_RUN
+            )
             request.reached_endpoint |= status not in NEVER_REACHED_STATUSES
             if (
                 not_attempted
@@ -183,7 +185,7 @@
         if event.final:
             self.answers.forget(request)
         elif status is Status.ERROR:
-            self.answers.end(request)  # An error response is an answer, and by design is not retried.
+            self.answers.finish(request)  # An error response is an answer, and by design is not retried.
         elif not request.retry_planned:
             self.retries.plan(request, not_attempted)
 
--- a/dykefold/balancer/concurrency_limit.py
+++ b/dykefold/balancer/concurrency_limit.py
@@ -162,7 +162,7 @@
         self.wanted_in_flight += weight * (self.answered_wanted_ns / elapsed - self.wanted_in_flight)
         self.answered_wanted_ns = 0.0
         self.peak_in_flight = max(self.in_flight, self.peak_in_flight * PEAK_DECAY_FACTOR)
-        self.congestion.fade()
+        self.congestion.decay()
         limit = self._next_limit(first)
         # All sidecars share one minimum, so that a fleet of overloaded endpoints can become nearly idle.
         floor = MIN_LIMIT_PER_READY_ENDPOINT * self.endpoints.ready_count / self.context.sidecar_count()
--- a/dykefold/balancer/congestion.py
+++ b/dykefold/balancer/congestion.py
@@ -76,11 +76,11 @@
         """
         if sent_ns < self.cut_ns:
             return
-        self.fade()
+        self.decay()
         self.total += min(value, MAX_ATTEMPT_VALUE)
         self.weight += 1.0
 
-    def fade(self) -> None:
+    def decay(self) -> None:
         """Apply the decay up to the time of the current event."""
         now = self.context.now_ns
         if now > self.updated_ns:
--- a/dykefold/balancer/endpoints.py
+++ b/dykefold/balancer/endpoints.py
@@ -48,7 +48,7 @@
         slow_start_tokens: Token bucket of the rate while it is warming up, in requests of mean work.
         slow_start_sent: Number of requests sent while it was warming up.
         slow_start_ceiling_tokens: Token bucket of the ceiling, which answers do not refill, in the same unit.
-        slow_start_ns: Time of the latest refill of both token buckets.
+        slow_start_refilled_ns: Time of the latest refill of both token buckets.
     """
 
     __slots__ = (
@@ -77,7 +77,7 @@
         "samples",
         "slow_start_began_ns",
         "slow_start_ceiling_tokens",
-        "slow_start_ns",
+        "slow_start_refilled_ns",
         "slow_start_sent",
         "slow_start_tokens",
         "started_ns",
@@ -118,7 +118,7 @@
         self.slow_start_tokens = 0.0
         self.slow_start_sent = 0
         self.slow_start_ceiling_tokens = 0.0
-        self.slow_start_ns = 0
+        self.slow_start_refilled_ns = 0
 
     def expected_responses(self) -> int:
         """Return the number of attempts in flight whose response is still expected."""
--- a/dykefold/balancer/final_answers.py
+++ b/dykefold/balancer/final_answers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .actions import Cancel, Fail, Refuse
+from .actions import Cancel, Fail, Reject
 from .attempt_rules import AttemptRules
 from .context import BalancerContext
 from .requests import IN_FLIGHT, PendingRequest
@@ -30,10 +30,10 @@
         self.rules = rules
         self.pending: dict[int, PendingRequest] = {}
 
-    def end(self, request: PendingRequest) -> None:
+    def finish(self, request: PendingRequest) -> None:
         """Give the final answer: a rejection if that is safe, else a failure."""
         if self.rules.may_reject(request):
-            self.context.actions.append(Refuse(request.id, self._retry_after(request)))
+            self.context.actions.append(Reject(request.id, self._retry_after(request)))
         else:
             self.context.actions.append(Fail(request.id))
         self.forget(request)
--- a/dykefold/balancer/group_weights.py
+++ b/dykefold/balancer/group_weights.py
@@ -27,13 +27,13 @@
         endpoints: Known endpoints, with their groups.
 
     Attributes:
-        mean_latency: Smoothed relative latency of all answers.
+        mean_relative_latency: Smoothed relative latency of all answers.
     """
 
     def __init__(self, context: BalancerContext, endpoints: EndpointSet) -> None:
         self.context = context
         self.endpoints = endpoints
-        self.mean_latency = 1.0
+        self.mean_relative_latency = 1.0
 
     def learn(self, endpoint: EndpointState, relative: float) -> None:
         """Increase the weight of groups that answer faster than the mean, by integral control.
@@ -49,8 +49,8 @@
         group.samples += 1
         weight = max(GROUP_SMOOTHING, 1.0 / (group.samples + 1))
         group.relative_latency += weight * (relative - group.relative_latency)
-        excess = relative - self.mean_latency
-        self.mean_latency += GROUP_SMOOTHING * excess
+        excess = relative - self.mean_relative_latency
+        self.mean_relative_latency += GROUP_SMOOTHING * excess
         settings = self.context.settings
         if endpoint.zone != settings.zone:
             objectives = CROSSING_EXCESS_OBJECTIVES_PER_PRICE * settings.price_cross_zone
--- a/dykefold/balancer/membership.py
+++ b/dykefold/balancer/membership.py
@@ -48,9 +48,9 @@
         for entry in event.entries:
             self._apply(entry)
         endpoints = self.endpoints
-        before = len(endpoints.near) + len(endpoints.far)
+        before = len(endpoints.local_endpoints) + len(endpoints.remote_endpoints)
         endpoints.rebuild()
-        after = len(endpoints.near) + len(endpoints.far)
+        after = len(endpoints.local_endpoints) + len(endpoints.remote_endpoints)
         if 0 < after < before:
             # Fewer endpoints have less capacity.
             self.limit.scale(after / before)
--- a/dykefold/balancer/picker.py
+++ b/dykefold/balancer/picker.py
@@ -97,14 +97,18 @@
         endpoints = self.endpoints
         if endpoints.has_sparse_traffic:
             return [(endpoint, 0.0) for endpoint in self._sample_weighted_pair(request, attempted)]
-        pairs = [(endpoint, 0.0) for endpoint in self._sample_pair(endpoints.near, request, attempted)]
-        if endpoints.far:
+        pairs = [
+            (endpoint, 0.0) for endpoint in self._sample_pair(endpoints.local_endpoints, request, attempted)
+        ]
+        if endpoints.remote_endpoints:
             crossing_ns = self.crossing_objectives * request.spec.objective_ns
             pairs += [
-                (endpoint, crossing_ns) for endpoint in self._sample_pair(endpoints.far, request, attempted)
+                (endpoint, crossing_ns)
+                for endpoint in self._sample_pair(endpoints.remote_endpoints, request, attempted)
             ]
         return pairs or [
-            (endpoint, 0.0) for endpoint in self._sample_pair(endpoints.rest, request, attempted)
+            (endpoint, 0.0)
+            for endpoint in self._sample_pair(endpoints.unsampled_endpoints, request, attempted)
         ]
 
     def _sample_weighted_pair(
@@ -117,10 +121,16 @@
         """
         endpoints, may_send = self.endpoints, self.rules.may_send
         eligible = [
-            one for one in endpoints.near + endpoints.far if one not in attempted and may_send(request, one)
+            one
+            for one in endpoints.local_endpoints + endpoints.remote_endpoints
+            if one not in attempted and may_send(request, one)
         ]
         if not eligible:
-            eligible = [one for one in endpoints.rest if one not in attempted and may_send(request, one)]
+            eligible = [
+                one
+                for one in endpoints.unsampled_endpoints
+                if one not in attempted and may_send(request, one)
+            ]
         if len(eligible) <= CANDIDATES:
             return eligible
         local, ratios = self.context.settings.zone, endpoints.ready_per_sampled
--- a/dykefold/balancer/retry_policy.py
+++ b/dykefold/balancer/retry_policy.py
@@ -77,7 +77,7 @@
         request.retries += 1
         if not self._is_useful(request, remaining_ns, delay_ns):
             if not request.any_in_flight():
-                self.answers.end(request)
+                self.answers.finish(request)
             return
         if request.attempts and not request.retry_paid:
             # It is charged when planned; otherwise all attempts at a lost endpoint would use the same token.
--- a/dykefold/balancer/slow_start.py
+++ b/dykefold/balancer/slow_start.py
@@ -88,7 +88,7 @@
 
     def credit(self, endpoint: EndpointState, stats: ClassStats) -> None:
         """Add tokens for an answer, because the endpoint has shown that it can do that work."""
-        if endpoint.slow_start_ns:
+        if endpoint.slow_start_refilled_ns:
             endpoint.slow_start_tokens += TOKENS_PER_ANSWER * self.cost(stats)
 
     def _refill(self, endpoint: EndpointState) -> tuple[float, float] | None:
@@ -108,20 +108,20 @@
         burst = min(endpoint.samples * BURST_REQUESTS_PER_ANSWER, MAX_BURST_REQUESTS_BY_ANSWERS)
         limit = max(1.0, rate * BURST_S) + burst
         ceiling_limit = max(ceiling_burst, ceiling * BURST_S)
-        if not endpoint.slow_start_ns:
+        if not endpoint.slow_start_refilled_ns:
             # Each sidecar begins with a random part of the first token. Otherwise hundreds of sidecars with
             # sparse traffic would leave a restarted endpoint idle until one of them has a full token.
             min_cost = min(self.cost(other) for other in context.live_classes)
             endpoint.slow_start_tokens = context.random.random() * min_cost
             endpoint.slow_start_ceiling_tokens = endpoint.slow_start_tokens
         else:
-            elapsed_s = (now - endpoint.slow_start_ns) / SECOND_NS
+            elapsed_s = (now - endpoint.slow_start_refilled_ns) / SECOND_NS
             tokens = endpoint.slow_start_tokens + rate * elapsed_s
             endpoint.slow_start_tokens = min(limit, tokens)
             endpoint.slow_start_ceiling_tokens = min(
                 ceiling_limit, endpoint.slow_start_ceiling_tokens + ceiling * elapsed_s
             )
-        endpoint.slow_start_ns = now
+        endpoint.slow_start_refilled_ns = now
         return limit, ceiling_limit
 
     def _rates(self, endpoint: EndpointState, capacity_fraction: float) -> tuple[float, float]:
@@ -172,7 +172,7 @@
         fair = throughput.answers_per_s * decay / self._sharing_endpoint_count(endpoint)
         if endpoint.zone != self.context.settings.zone or self._has_sparse_traffic() or not endpoint.sampled:
             return fair
-        local = throughput.local_answers_per_s * decay / max(len(endpoints.near), 1)
+        local = throughput.local_answers_per_s * decay / max(len(endpoints.local_endpoints), 1)
         fleet_per_zone = self._sidecars(local=False) / self._sidecars(local=True)
         return max(fair, min(local, fleet_per_zone * fair))
 
@@ -210,7 +210,11 @@
         """Return the number of endpoints that share this sidecar's requests, including this one."""
         endpoints = self.endpoints
         # Sidecars that do not sample the endpoint leave their part to those that do.
-        count = endpoints.ready_count - len(endpoints.rest) if endpoint.sampled else endpoints.ready_count
+        count = (
+            endpoints.ready_count - len(endpoints.unsampled_endpoints)
+            if endpoint.sampled
+            else endpoints.ready_count
+        )
         return max(count, 1)
 
     def cost(self, stats: ClassStats) -> float:
--- a/dykefold/balancer/subsetting.py
+++ b/dykefold/balancer/subsetting.py
@@ -45,9 +45,9 @@
 
     Attributes:
         all: Known endpoints by number.
-        near: Endpoints of the subset in the local zone, except ejected ones.
-        far: Endpoints of the subset in other zones, except ejected ones.
-        rest: Ready endpoints that are neither in the subset nor ejected.
+        local_endpoints: Endpoints of the subset in the local zone, except ejected ones.
+        remote_endpoints: Endpoints of the subset in other zones, except ejected ones.
+        unsampled_endpoints: Ready endpoints that are neither in the subset nor ejected.
         ejected: Ready endpoints that outlier detection has ejected.
         ready_count: Number of endpoints that are ready according to the endpoint list.
         oldest_start_ns: Earliest time at which slow start began of a ready endpoint that is not ejected; 0 if
@@ -68,9 +68,9 @@
         self.context = context
         self.throughput = throughput
         self.all: dict[int, EndpointState] = {}
-        self.near: list[EndpointState] = []
-        self.far: list[EndpointState] = []
-        self.rest: list[EndpointState] = []
+        self.local_endpoints: list[EndpointState] = []
+        self.remote_endpoints: list[EndpointState] = []
+        self.unsampled_endpoints: list[EndpointState] = []
         self.ejected: list[EndpointState] = []
         self.ready_count = 0
         self.oldest_start_ns = 0
@@ -99,46 +99,49 @@
         starts = (one.slow_start_began_ns if one.started_ns else 0 for one in ready if not one.ejected)
         self.oldest_start_ns = min(starts, default=0)
         local_zone = self.context.settings.zone
-        near = [endpoint for endpoint in ready if endpoint.zone == local_zone and not endpoint.ejected]
-        far = [endpoint for endpoint in ready if endpoint.zone != local_zone and not endpoint.ejected]
+        local = [endpoint for endpoint in ready if endpoint.zone == local_zone and not endpoint.ejected]
+        remote = [endpoint for endpoint in ready if endpoint.zone != local_zone and not endpoint.ejected]
         self.subset_size = self._wanted_size()
         # With fewer sidecars than endpoints, this sidecar's requests are a large part of an endpoint's load.
         self.sidecars_exceed_endpoints = self.ready_count < self.context.sidecar_count()
         self.has_sparse_traffic = self.sidecars_exceed_endpoints and self.subset_size < self.ready_count
-        self.local_size = self._wanted_local_size(len(near))
-        self._split(near, far)
+        self.local_size = self._wanted_local_size(len(local))
+        self._split(local, remote)
         for endpoint in ready:
             endpoint.sampled = True
-        for endpoint in self.rest:
+        for endpoint in self.unsampled_endpoints:
             endpoint.sampled = False
-        self.ready_per_sampled = [len(near) / max(len(self.near), 1), len(far) / max(len(self.far), 1)]
+        self.ready_per_sampled = [
+            len(local) / max(len(self.local_endpoints), 1),
+            len(remote) / max(len(self.remote_endpoints), 1),
+        ]
 
-    def _split(self, near: list[EndpointState], far: list[EndpointState]) -> None:
+    def _split(self, local: list[EndpointState], remote: list[EndpointState]) -> None:
         """Choose the subset by rank, so that it stays the same while its endpoints are ready."""
         if self.has_sparse_traffic:
-            near.sort(key=by_rank)
-            far.sort(key=by_rank)
-            near_size = far_size = self.subset_size
+            local.sort(key=by_rank)
+            remote.sort(key=by_rank)
+            local_subset_size = remote_subset_size = self.subset_size
         else:
-            near_size = self.local_size or self.ready_count
-            if near_size < len(near):
-                near.sort(key=by_rank)
-            far_size = max(
-                MIN_SUBSET_SIZE, int(REMOTE_SUBSET_FRACTION * self.subset_size), self._remote_size(far)
+            local_subset_size = self.local_size or self.ready_count
+            if local_subset_size < len(local):
+                local.sort(key=by_rank)
+            remote_subset_size = max(
+                MIN_SUBSET_SIZE, int(REMOTE_SUBSET_FRACTION * self.subset_size), self._remote_size(remote)
             )
-            if far_size < len(far):
-                far.sort(key=by_rank)
-        self.near, self.far = near[:near_size], far[:far_size]
-        self.rest = near[near_size:] + far[far_size:]
+            if remote_subset_size < len(remote):
+                remote.sort(key=by_rank)
+        self.local_endpoints, self.remote_endpoints = local[:local_subset_size], remote[:remote_subset_size]
+        self.unsampled_endpoints = local[local_subset_size:] + remote[remote_subset_size:]
 
-    def _remote_size(self, far: list[EndpointState]) -> int:
+    def _remote_size(self, remote: list[EndpointState]) -> int:
         """Return the number of endpoints of other zones that this sidecar has to sample."""
         fleet = self.context.fleet
         if fleet and fleet.ranks:
-            return sum(endpoint.rank < fleet.max_remote_rank for endpoint in far)
-        return math.ceil(REMOTE_SIDECARS_PER_ENDPOINT * len(far) / self.context.sidecar_count())
+            return sum(endpoint.rank < fleet.max_remote_rank for endpoint in remote)
+        return math.ceil(REMOTE_SIDECARS_PER_ENDPOINT * len(remote) / self.context.sidecar_count())
 
-    def _wanted_local_size(self, near_count: int) -> int:
+    def _wanted_local_size(self, local_count: int) -> int:
         """Return the number of endpoints of the local zone to sample; 0 for all of them.
 
         Guards against a new connection for nearly every request, if a sidecar returned to an endpoint only
@@ -155,7 +158,7 @@
         wanted = max(min_size, math.ceil(LOCAL_ENDPOINTS_PER_REQUEST_IN_FLIGHT * in_flight))
         if MAX_LOCAL_SHRINK_FACTOR * self.local_size < wanted < MIN_LOCAL_GROWTH_FACTOR * self.local_size:
             wanted = self.local_size
-        return wanted if wanted < near_count else 0
+        return wanted if wanted < local_count else 0
 
     def _wanted_size(self) -> int:
         """Return the number of endpoints to sample, so that each answers about once in a deadline.
--- a/dykefold/control/admin_operations.py
+++ b/dykefold/control/admin_operations.py
@@ -89,7 +89,7 @@
         takes_out = request.action is Action.OUT
         if not pools:
             answer(NO_SUCH_SERVER)
-        elif takes_out and any(pool.maintenance.is_full(request.endpoint_name) for pool in pools):
+        elif takes_out and any(pool.maintenance.has_no_room_for(request.endpoint_name) for pool in pools):
             answer(TOO_MANY_OUT)
         elif takes_out:
             self._take_out(pools, request.endpoint_name, answer)
@@ -114,7 +114,7 @@
 
     def _put_back(self, pools: Iterable[Pool], name: str, answer: Answer) -> None:
         # The endpoint stays out until the order is recorded, since after an error it must not be in use.
-        affected = [pool for pool in pools if pool.maintenance.is_out(name)]
+        affected = [pool for pool in pools if pool.maintenance.is_out_of_service(name)]
         if self.order_store is None:
             self._return_to_service(affected, name)
             answer(OK)
--- a/dykefold/control/balancer_snapshot.py
+++ b/dykefold/control/balancer_snapshot.py
@@ -56,7 +56,7 @@
     StoredField("inflight_lately", "limit.peak_in_flight"),
     StoredField("limit", "limit.limit"),
     StoredField("limit_at", "limit.corrected_ns", is_time=True),
-    StoredField("mean_rel", "group_weights.mean_latency"),
+    StoredField("mean_rel", "group_weights.mean_relative_latency"),
     StoredField("press_count", "congestion.weight"),
     StoredField("press_sum", "congestion.total"),
     StoredField("pressed", "limit.cutting"),
@@ -82,7 +82,7 @@
 )
 # Of one endpoint: `EndpointState`.
 ENDPOINT_FIELDS = (
-    StoredField("cold_at", "slow_start_ns", is_time=True),
+    StoredField("cold_at", "slow_start_refilled_ns", is_time=True),
     StoredField("cold_room", "slow_start_ceiling_tokens"),
     StoredField("cold_tokens", "slow_start_tokens"),
     StoredField("ejected", "ejected"),
--- a/dykefold/failover/controller.py
+++ b/dykefold/failover/controller.py
@@ -37,7 +37,7 @@
         """Return the number of ready endpoints by zone."""
         ...
 
-    def tried_and_ejected_by_zone(self) -> dict[int, tuple[int, int]]:
+    def attempted_and_ejected_by_zone(self) -> dict[int, tuple[int, int]]:
         """Return by zone the number of endpoints with attempts, and the number of these that are ejected."""
         ...
 
@@ -45,8 +45,8 @@
         """Return the zone of an endpoint; None if the endpoint is unknown."""
         ...
 
-    def answered_since(self, server: int, took_ns: int) -> bool:
-        """Return whether an endpoint has answered anything in the last `took_ns` nanoseconds."""
+    def responded_within(self, server: int, duration_ns: int) -> bool:
+        """Return whether an endpoint has answered anything in the last `duration_ns` nanoseconds."""
         ...
 
     def set_home_zone(self, zone: int) -> None:
@@ -112,20 +112,22 @@
         pool.on_attempt_end = self._on_attempt_end
         self._run()
 
-    def _on_attempt_end(self, endpoint: int, status: Status, took_ns: int, objective_ns: int) -> None:
+    def _on_attempt_end(self, endpoint: int, status: Status, duration_ns: int, objective_ns: int) -> None:
         zone = self.pool.zone_of(endpoint)
         if zone is None:
             return
-        result = self._result(endpoint, status, took_ns, objective_ns)
+        result = self._result(endpoint, status, duration_ns, objective_ns)
         if result is not None:
             self.sampler.record(self.system.monotonic_ns(), zone, result)
 
-    def _result(self, endpoint: int, status: Status, took_ns: int, objective_ns: int) -> AttemptResult | None:
+    def _result(
+        self, endpoint: int, status: Status, duration_ns: int, objective_ns: int
+    ) -> AttemptResult | None:
         if status in (Status.OK, Status.ERROR):
-            return AttemptResult.IN_TIME if took_ns <= objective_ns else AttemptResult.LATE
+            return AttemptResult.IN_TIME if duration_ns <= objective_ns else AttemptResult.LATE
         if status is Status.FULL:
             return AttemptResult.REJECTED
-        if status is Status.TIMEOUT and self.pool.answered_since(endpoint, took_ns):
+        if status is Status.TIMEOUT and self.pool.responded_within(endpoint, duration_ns):
             return AttemptResult.LATE  # it answers others: it is slow, not silent
         return None
 
@@ -136,7 +138,7 @@
             return
         self._timer = self.loop.call_later(STEP_INTERVAL_S, self._run)
         now_ns = self.system.monotonic_ns()
-        samples = self.sampler.samples(now_ns, self.pool.tried_and_ejected_by_zone())
+        samples = self.sampler.samples(now_ns, self.pool.attempted_and_ejected_by_zone())
         ready = self.pool.ready_by_zone()
         if self._is_quiet(samples, ready):
             self.health = {}
--- a/dykefold/fleet_wiring.py
+++ b/dykefold/fleet_wiring.py
@@ -76,7 +76,7 @@
 
     async def _open_peer_channel(self, config: Config, address: Address, shared: bool) -> PeerChannel:
         peers = PeerChannel(
-            config.settings.index, config.peer_addresses, config.broadcast_address, self.pool.on_peer
+            config.settings.index, config.peer_addresses, config.broadcast_address, self.pool.on_peer_message
         )
         await self.loop.create_datagram_endpoint(lambda: peers, sock=_datagram_socket(address, shared))
         self.sidecar.peers = peers
--- a/dykefold/net/downstream/close_detector.py
+++ b/dykefold/net/downstream/close_detector.py
@@ -37,7 +37,7 @@
             return 0
         try:
             if self._watch is None:
-                self._watch = self._system.watch_end(self.sock)
+                self._watch = self._system.watch_close(self.sock)
             events = self._watch.poll(0)
         except (OSError, ValueError):  # The kernel is out of memory, or the descriptor is closed.
             return 0
--- a/dykefold/net/downstream/connection.py
+++ b/dykefold/net/downstream/connection.py
@@ -183,7 +183,7 @@
                     item = waiting.popleft()
                     if isinstance(item, ParsedRequest):
                         rejection: tuple[int, bytes, bytes] | None
-                        if item.upload is not None and (problem := item.upload.problem) is not None:
+                        if item.upload is not None and (problem := item.upload.rejection) is not None:
                             rejection = (problem[0], b"", problem[1])
                         else:
                             rejection = self.handler.admit(self, item)
@@ -205,7 +205,7 @@
 
     def _answer_rejected(self, request: ParsedRequest, code: int, headers: bytes, text: bytes) -> None:
         """Answer a request that was not admitted."""
-        self.assembler.release(request.size)
+        self.assembler.release(request.reserved_bytes)
         self._stop_upload(request)
         self._respond(code, headers, text, request.keep_alive, request.profile is HttpProfile.HEAD)
 
@@ -233,7 +233,7 @@
         if self.current is not request:
             return
         self.current = None
-        self.assembler.release(request.size)
+        self.assembler.release(request.reserved_bytes)
         if request.extra_response_headers:
             headers += request.extra_response_headers
         if request.upload is not None:
@@ -267,7 +267,7 @@
         self.writer.begin(code, headers, length, keep_alive, not request.is_http_1_0)
         return True
 
-    def send_response_piece(self, request: ParsedRequest, data: bytes) -> None:
+    def send_response_chunk(self, request: ParsedRequest, data: bytes) -> None:
         """Write the next bytes of the streamed response."""
         if self.current is request and data:
             self.writer.send_piece(data)
@@ -283,7 +283,7 @@
         if self.current is not request:
             return
         self.current = self.writer.source = None
-        self.assembler.release(request.size)
+        self.assembler.release(request.reserved_bytes)
         if not complete:
             self.close(reset=True)
             return
--- a/dykefold/net/downstream/protocols.py
+++ b/dykefold/net/downstream/protocols.py
@@ -16,16 +16,17 @@
 _ConnectionT = TypeVar("_ConnectionT", contravariant=True)
 
 
-class MessageReader(Protocol):
+class MessageParser(Protocol):
     """Turns a complete message into a request, as `RequestParser` does.
 
     Attributes:
-        streams: Whether larger bodies may be streamed, each up to the `max_body_bytes` of its request.
+        supports_streaming: Whether larger bodies may be streamed, each up to the `max_body_bytes` of its
+            request.
     """
 
-    streams: bool
+    supports_streaming: bool
 
-    def read(self, message: Message) -> ParsedRequest:
+    def parse(self, message: Message) -> ParsedRequest:
         """Parse a message.
 
         Raises:
@@ -37,7 +38,7 @@
 class FlowControlled(Protocol):
     """The source of a streamed response body."""
 
-    def block(self, on: bool) -> None:
+    def set_paused(self, on: bool) -> None:
         """Pause or resume the source.
 
         Args:
@@ -68,7 +69,7 @@
     memory: MemoryBudget
     read_scheduler: ReadScheduler
     lag_monitor: LoopLagMonitor
-    parser: MessageReader
+    parser: MessageParser
     draining: bool
     handing_over: bool
     accepting_requests: bool
--- a/dykefold/net/downstream/request_assembler.py
+++ b/dykefold/net/downstream/request_assembler.py
@@ -213,7 +213,7 @@
         else:
             try:
                 request = self._build_request(bytes(self._body))
-                request.size = self._message_reserved_bytes
+                request.reserved_bytes = self._message_reserved_bytes
                 self.waiting.append(request)
             except RequestError as error:
                 error.keep_alive = keep_alive
@@ -246,7 +246,7 @@
         """
         if self._duplicate_header:
             raise RequestError(400, "a header came twice")
-        return self._server.parser.read(
+        return self._server.parser.parse(
             Message(
                 self.arrived_ns or self._server.now(),
                 self.parser.get_method(),
@@ -255,7 +255,7 @@
                 self._header_lines,
                 body,
                 self.parser.should_keep_alive(),
-                self._server.parser.streams and self.parser.get_http_version() == "1.0",
+                self._server.parser.supports_streaming and self.parser.get_http_version() == "1.0",
             )
         )
 
@@ -296,7 +296,7 @@
         Args:
             length: Number of bytes of the body; None if it is chunked.
         """
-        if not self._server.parser.streams:
+        if not self._server.parser.supports_streaming:
             self.reject(413, "the body is too large")
             return
         try:
@@ -313,7 +313,7 @@
             self._release_unfinished()
             self.message_begun = False
             self.messages += 1
-            request.size, self._message_reserved_bytes = self._message_reserved_bytes, 0
+            request.reserved_bytes, self._message_reserved_bytes = self._message_reserved_bytes, 0
             self._max_upload_bytes = request.max_body_bytes
             self.waiting.append(request)
 
--- a/dykefold/net/downstream/request_parser.py
+++ b/dykefold/net/downstream/request_parser.py
@@ -91,8 +91,8 @@
         cost_ns: Client's cost estimate in nanoseconds; 0 if there is none.
         is_retry: Whether the request is a client's own retry of an earlier request.
         keep_alive: Whether the connection may stay open after the response.
-        size: Number of bytes reserved from the memory budget.
-        ticket: Number of the request in its pool; 0 before the pool accepts it.
+        reserved_bytes: Number of bytes reserved from the memory budget.
+        request_id: Number of the request in its pool; 0 before the pool accepts it.
         pool: Service pool that serves the request, also after a change of the settings.
         profile: Rules by which responses of endpoints are classified.
         extra_response_headers: Header lines that are added to the response.
@@ -115,8 +115,8 @@
     cost_ns: int
     is_retry: bool
     keep_alive: bool
-    size: int = 0
-    ticket: int = 0
+    reserved_bytes: int = 0
+    request_id: int = 0
     pool: Any = None
     profile: HttpProfile = HttpProfile.PLATFORM
     extra_response_headers: bytes = b""
@@ -178,14 +178,14 @@
             if there is none.
 
     Attributes:
-        streams: Whether bodies too large to buffer are streamed.
+        supports_streaming: Whether bodies too large to buffer are streamed.
         classes: Requirements of the classes, by class name.
         tenants: Tenant numbers by name.
         fallback_until_ns: Time in nanoseconds until which the next parser may fall back on this one, on the
             clock of deadlines; 0 while this parser is the current one.
     """
 
-    streams = True
+    supports_streaming = True
 
     def __init__(
         self,
@@ -223,7 +223,7 @@
             parser = parser.previous
         return self
 
-    def read(self, message: Message) -> ParsedRequest:
+    def parse(self, message: Message) -> ParsedRequest:
         """Parse a message, by the previous settings if it does not match the current ones.
 
         Raises:
@@ -238,7 +238,7 @@
                 self.previous = None
                 raise
             try:
-                return self.previous.read(message)
+                return self.previous.parse(message)
             except RequestError:
                 pass  # The client gets the error by the current settings, which it can correct.
             raise
--- a/dykefold/net/downstream/request_reader.py
+++ b/dykefold/net/downstream/request_reader.py
@@ -11,7 +11,7 @@
 import httptools
 
 from ...admission.client import Client
-from ..read_scheduler import SLICE_BYTES, cut
+from ..read_scheduler import SLICE_BYTES, split_slice
 from .arrivals import Arrivals
 from .lifecycle import CLOSED, CLOSING_OR_CLOSED, ConnectionLifecycle
 from .protocols import ItemReceiver, ServerContext
@@ -90,7 +90,7 @@
         if self._lifecycle.state in CLOSING_OR_CLOSED:
             self.discard_unparsed()
         if self.unparsed is not None:
-            data, self.unparsed = cut(self.unparsed)
+            data, self.unparsed = split_slice(self.unparsed)
             self._server.memory.release(len(data))
             self._parse(data)
         if self.assembler.discarding_input:
@@ -124,7 +124,7 @@
         # The parser itself does not limit the length of a header line.
         if assembler.message_bytes > assembler.max_message_bytes:
             assembler.reject(431, "headers are too long")
-        self._arrivals.read += len(data)
+        self._arrivals.parsed_bytes += len(data)
         if assembler.in_body:
             self._server.clients.record_body(self._client, len(data))
         self._dispatch()
@@ -161,9 +161,9 @@
         """Record how many unparsed bytes have arrived; deadlines of the requests in them count from now."""
         if self.transport is not None and not self.transport.is_closing():
             sock = self.transport.get_extra_info("socket")
-            in_kernel_bytes = self._server.system.unread(sock) if sock is not None else 0
+            in_kernel_bytes = self._server.system.unread_byte_count(sock) if sock is not None else 0
             unparsed_bytes = len(self.unparsed) if self.unparsed is not None else 0
-            self._arrivals.mark(self._server.now(), unparsed_bytes + in_kernel_bytes)
+            self._arrivals.record_count(self._server.now(), unparsed_bytes + in_kernel_bytes)
 
     def _is_full(self) -> bool:
         """Return whether so much is queued that reading must pause."""
--- a/dykefold/net/downstream/response_writer.py
+++ b/dykefold/net/downstream/response_writer.py
@@ -117,7 +117,7 @@
         """Pause the source, since the transport could not send all written data."""
         self.unread = True
         if self.source is not None:
-            self.source.block(True)
+            self.source.set_paused(True)
         if self._timer is None:
             self._watch_stall()
 
@@ -130,7 +130,7 @@
         if self.linger_s:  # The linger time starts when the last byte has been sent.
             self._timer = self._loop.call_later(self.linger_s, self._close)
         if self.source is not None:
-            self.source.block(False)
+            self.source.set_paused(False)
 
     def _watch_stall(self) -> None:
         """Schedule a check after `MAX_STALL_S` that the client has read anything."""
--- a/dykefold/net/read_scheduler.py
+++ b/dykefold/net/read_scheduler.py
@@ -73,7 +73,7 @@
             self.lag_monitor.record_duration(began_s, "slices of long input")
 
 
-def cut(data: memoryview) -> tuple[bytes, memoryview | None]:
+def split_slice(data: memoryview) -> tuple[bytes, memoryview | None]:
     """Split input into its next slice and the rest, which is None if nothing is left."""
     rest = data[SLICE_BYTES:]
     return bytes(data[:SLICE_BYTES]), rest if len(rest) else None
--- a/dykefold/net/service/attempt.py
+++ b/dykefold/net/service/attempt.py
@@ -17,7 +17,7 @@
 from .protocols import AttemptHost
 
 # A streamed body or answer must progress within this time while it depends on the endpoint.
-STREAM_STALL_S = 3.0
+STREAM_STALL_TIMEOUT_S = 3.0
 # Maximum excess of the announced time over the client's remaining time when the last byte is written.
 MAX_ANNOUNCED_EXCESS_NS = 50 * NS_PER_MS
 # The shortest time that can be announced; an attempt with less time left is not written.
@@ -86,7 +86,7 @@
 
     def stall_timeout_ns(self) -> int:
         """Return the time within which a body that is still arriving must progress, in nanoseconds."""
-        return int(STREAM_STALL_S * NS_PER_S)
+        return int(STREAM_STALL_TIMEOUT_S * NS_PER_S)
 
     def expire(self) -> None:
         """Give the attempt up, unless its body or answer is being streamed and has progressed.
@@ -97,7 +97,7 @@
         if not self._streaming() or not self._has_progressed():
             super().expire()
         elif self.timer_wheel is not None:
-            self.timer_wheel.start(self, STREAM_STALL_S, self.host.monotonic())
+            self.timer_wheel.start(self, STREAM_STALL_TIMEOUT_S, self.host.monotonic())
 
     def _streaming(self) -> bool:
         return self.answer_began_ns > 0 or (self.upload is not None and not self.upload.ended)
@@ -111,7 +111,7 @@
             return self.connection.blocked or self.last_progress != previous
         return not self.connection.unwritten or self.last_progress != previous
 
-    def wanted(self) -> bool:
+    def should_send(self) -> bool:
         """Return whether the attempt may still be written."""
         now_ns = self.host.now()
         if self.write_deadline_ns and now_ns >= self.write_deadline_ns:
@@ -153,7 +153,7 @@
             self.timer_wheel.stop(self)
             self.timer_wheel.start(self, timeout_s, self.host.monotonic())
 
-    def upload_begins(self) -> None:
+    def on_upload_begin(self) -> None:
         """Notify the balancer that the body is being streamed: the request can no longer be retried."""
         request = self.request
         self.host.post(StreamStarted(request.id, self.number, self.endpoint_number, 0, Status.NOT_ATTEMPTED))
@@ -190,7 +190,7 @@
             duration_ns = self.answer_began_ns - max(
                 self.sent_ns, self.upload.completed_ns if self.upload is not None else 0
             )
-            report = host.reports.read(load) if load and host.reports.columns else ()
+            report = host.reports.parse(load) if load and host.reports.columns else ()
             host.post(
                 StreamStarted(
                     request.id, self.number, self.endpoint_number, max(duration_ns, 0), Status.OK, report
@@ -198,14 +198,14 @@
             )
         return request.streaming_answer
 
-    def send_response_piece(self, data: bytes) -> None:
+    def send_response_chunk(self, data: bytes) -> None:
         """Forward the next bytes of a streamed answer."""
-        self.request.sink.send_response_piece(self.request.parsed, data)
+        self.request.sink.send_response_chunk(self.request.parsed, data)
 
-    def block(self, on: bool) -> None:
+    def set_paused(self, on: bool) -> None:
         """Pause or resume reading from the endpoint, depending on whether the client accepts bytes."""
         if self.connection is not None:
-            self.connection.block(on)
+            self.connection.set_paused(on)
 
 
 class AttemptsInFlight:
--- a/dykefold/net/service/attempts.py
+++ b/dykefold/net/service/attempts.py
@@ -29,7 +29,7 @@
         host: Interface of the pool that the attempts and their runner use.
         requests: Pending requests of the pool.
         attempts: Attempts of the pool that are in flight.
-        upstreams: Connections to the endpoints.
+        connection_pool: Connections to the endpoints.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         host: AttemptRunnerHost,
         requests: PendingRequests,
         attempts: AttemptsInFlight,
-        upstreams: ConnectionPool,
+        connection_pool: ConnectionPool,
     ) -> None:
         self.host = host
         self.now = host.now
@@ -45,7 +45,7 @@
         self.pending = requests.by_id
         self.attempts = attempts
         self.in_flight = attempts.by_number
-        self.upstreams = upstreams
+        self.connection_pool = connection_pool
 
     def start(self, action: Send) -> None:
         """Start the next attempt of a request, if there is time, a client and a descriptor left."""
@@ -71,7 +71,7 @@
         if (
             request.attempt_count > request.max_attempts
             or timeout_ns <= 0
-            or not attempt.wanted()
+            or not attempt.should_send()
             or not self.requests.reserve_descriptor(request)
         ):
             attempt.end(Status.NOT_ATTEMPTED)
@@ -79,7 +79,7 @@
         attempt.expires_ns = 0 if body_arriving else now_ns + timeout_ns
         # The deadline of a streamed body counts from its last byte, which reaches the endpoint later.
         attempt.announce(announced_stream_time_ns(parsed, now_ns) if body_arriving else timeout_ns)
-        self.upstreams.start(action.endpoint_number, attempt, timeout_ns / NS_PER_S)
+        self.connection_pool.start(action.endpoint_number, attempt, timeout_ns / NS_PER_S)
 
     def _idempotency_window_end(self, request: PendingRequest, attempt: Attempt) -> int:
         """Return the time from which endpoints may have forgotten the idempotency key; 0 without a key.
@@ -103,7 +103,7 @@
         if attempt is None:
             return
         request, upload = attempt.request, attempt.upload
-        streamed = request.streaming_answer or (upload is not None and upload.begun)
+        streamed = request.streaming_answer or (upload is not None and upload.started)
         # A streamed attempt of a pending request can't be retried: it runs to its end or to its time limit.
         if not (streamed and request.awaiting_answer):
             attempt.give_up(Status.CANCELLED)
@@ -121,7 +121,7 @@
         request.attempts_in_flight -= 1
         self.requests.release_descriptors(request)
         upload = request.parsed.upload
-        if upload is not None and upload.begun:
+        if upload is not None and upload.started:
             status = _status_of_streamed_attempt(request, upload, status)
         if status is Status.NOT_ATTEMPTED:
             request.max_attempts += 1  # it does not count as an attempt
@@ -129,7 +129,7 @@
             request.may_have_run = True
             request.first_run_ns = min(request.first_run_ns or attempt.sent_ns, attempt.sent_ns)
         report = self._handle_response(request, status, response) if response is not None else ()
-        if request.awaiting_answer and (request.streaming_answer or (upload is not None and upload.begun)):
+        if request.awaiting_answer and (request.streaming_answer or (upload is not None and upload.started)):
             self.requests.end_streamed(request, status)
         # The client sets the pace of a streamed body, so the endpoint's time starts at the end of the body.
         duration_ns = self.now() - max(attempt.sent_ns, upload.completed_ns if upload is not None else 0)
@@ -152,7 +152,7 @@
         reports = self.host.reports
         report: tuple[float, ...] = ()
         if response.load and reports.columns:
-            report = reports.read(response.load)
+            report = reports.parse(response.load)
         if status is Status.OK and request.awaiting_answer and not request.streaming_answer:
             self.requests.forward(request, response)
         elif status is Status.ERROR and request.parsed.profile is not HttpProfile.PLATFORM:
--- a/dykefold/net/service/endpoint_registry.py
+++ b/dykefold/net/service/endpoint_registry.py
@@ -56,7 +56,7 @@
         known: Mapping[int, EndpointState],
     ) -> None:
         self.host = host
-        self.upstreams = host.upstreams
+        self.connection_pool = host.connection_pool
         self.discovery = host.discovery
         self.loop = process.loop
         self.clock = process.clock
@@ -133,23 +133,23 @@
             source, called_ns = self.discovery.listed_by, self.clock.at(self.discovery.called)
         self.start_times.place(self.clock.now(), event.kind, source, starts, called_ns)
         self.host.post(event)
-        upstreams = self.upstreams
+        connection_pool = self.connection_pool
         if update.complete:
             listed = {entry.endpoint.number for entry in update.entries}
-            for number in [number for number in upstreams.endpoints if number not in listed]:
+            for number in [number for number in connection_pool.endpoints if number not in listed]:
                 self._remove(number)
         for entry in update.entries:
             self._apply_entry(entry)
         # Names are dropped after incremental updates too, since a complete list may never arrive.
-        self.names.keep(set(self.known) | set(upstreams.endpoints))
+        self.names.keep(set(self.known) | set(connection_pool.endpoints))
         self.lag_monitor.record_duration(
             start_s, f"an endpoint list update of {len(update.entries)} endpoints"
         )
 
     def _apply_entry(self, entry: EndpointRecord) -> None:
-        endpoint, upstreams = entry.endpoint, self.upstreams
-        target = upstreams.endpoints.get(endpoint.number)
-        if target is not None and (target.takes_new != (endpoint.state is State.READY)):
+        endpoint, connection_pool = entry.endpoint, self.connection_pool
+        target = connection_pool.endpoints.get(endpoint.number)
+        if target is not None and (target.accepts_exchanges != (endpoint.state is State.READY)):
             state = endpoint.state.name.lower()
             log.info("endpoint changed state: name=%s number=%d state=%s", entry.name, endpoint.number, state)
         if target is None:
@@ -160,15 +160,15 @@
             )
         elif target.since_ms != entry.since_ms:
             log.info("endpoint restarted: name=%s number=%d", entry.name, endpoint.number)
-        upstreams.update(endpoint.number, entry.address, entry.since_ms, endpoint.state, endpoint.kind)
+        connection_pool.update(endpoint.number, entry.address, entry.since_ms, endpoint.state, endpoint.kind)
         if endpoint.state is State.GONE:
-            upstreams.forget(endpoint.number)
+            connection_pool.forget(endpoint.number)
 
     def _remove(self, endpoint_number: int) -> None:
-        target = self.upstreams.endpoints[endpoint_number]
+        target = self.connection_pool.endpoints[endpoint_number]
         log.info("endpoint removed: number=%d cause=not_in_complete_list", endpoint_number)
-        self.upstreams.update(endpoint_number, target.address, target.since_ms, State.GONE)
-        self.upstreams.forget(endpoint_number)
+        self.connection_pool.update(endpoint_number, target.address, target.since_ms, State.GONE)
+        self.connection_pool.forget(endpoint_number)
 
     # Maintenance orders
 
@@ -178,7 +178,7 @@
         Returns:
             Whether the order changed anything.
         """
-        was_out_of_service = self.maintenance.is_out(name)
+        was_out_of_service = self.maintenance.is_out_of_service(name)
         entries = self.maintenance.apply_order(name, take_out, self.clock.now())
         if entries:
             self._apply(EndpointUpdate(self.host.version, False, entries), ListKind.LOCAL)
@@ -204,12 +204,14 @@
             host.budget.release()
             report: tuple[float, ...] = ()
             if response is not None and host.reports.columns:
-                report = host.reports.read(response.load or response.body.strip())
+                report = host.reports.parse(response.load or response.body.strip())
             host.post(ProbeResult(number, status, now() - started_ns, report))
 
         path = b"/-/load" if host.reports.columns else b"/-/healthy"
         payload = b"GET %s HTTP/1.1\r\nHost: probe\r\n\r\n" % path
-        self.upstreams.start(number, Exchange(payload, on_end, MAX_BUFFERED_BODY_BYTES), PROBE_TIMEOUT_S)
+        self.connection_pool.start(
+            number, Exchange(payload, on_end, MAX_BUFFERED_BODY_BYTES), PROBE_TIMEOUT_S
+        )
 
     # Endpoint states of the balancer
 
@@ -222,7 +224,7 @@
         known = self.known.values()
         return Counter(endpoint.zone for endpoint in known if endpoint.ready and endpoint.listed)
 
-    def tried_and_ejected_by_zone(self) -> dict[int, tuple[int, int]]:
+    def attempted_and_ejected_by_zone(self) -> dict[int, tuple[int, int]]:
         """Count by zone the ready endpoints with at least one attempt, and the ejected ones among them."""
         counts: dict[int, tuple[int, int]] = {}
         for endpoint in self.known.values():
@@ -236,7 +238,7 @@
         endpoint = self.known.get(endpoint_number)
         return endpoint.zone if endpoint is not None else None
 
-    def answered_since(self, endpoint_number: int, took_ns: int) -> bool:
-        """Return whether an endpoint has sent any response in the last `took_ns` nanoseconds."""
+    def responded_within(self, endpoint_number: int, duration_ns: int) -> bool:
+        """Return whether an endpoint has sent any response in the last `duration_ns` nanoseconds."""
         endpoint = self.known.get(endpoint_number)
-        return endpoint is not None and endpoint.last_alive_ns > self.clock.now() - took_ns
+        return endpoint is not None and endpoint.last_alive_ns > self.clock.now() - duration_ns
--- a/dykefold/net/service/http_encoding.py
+++ b/dykefold/net/service/http_encoding.py
@@ -9,12 +9,12 @@
 METHODS_WITH_BODY = frozenset((b"POST", b"PUT", b"PATCH"))
 
 
-def encode_request(request: ParsedRequest, time_left_ns: int) -> bytes:
+def encode_request(request: ParsedRequest, remaining_ns: int) -> bytes:
     """Encode a request for an endpoint.
 
     Args:
         request: Request of a client; if its body is streamed, only the head is encoded.
-        time_left_ns: Nanoseconds that the endpoint has to respond, announced in whole milliseconds, at
+        remaining_ns: Nanoseconds that the endpoint has to respond, announced in whole milliseconds, at
             least 1.
     """
     if request.upload is not None:
@@ -29,7 +29,7 @@
         request.method,
         request.target,
         b"".join(request.headers),
-        max(time_left_ns // NS_PER_MS, 1),
+        max(remaining_ns // NS_PER_MS, 1),
         length,
         request.body,
     )
--- a/dykefold/net/service/load_reports.py
+++ b/dykefold/net/service/load_reports.py
@@ -23,7 +23,7 @@
         self.columns = columns
         self.positions = {column.encode(): position for position, column in enumerate(columns)}
 
-    def read(self, text: bytes) -> tuple[float, ...]:
+    def parse(self, text: bytes) -> tuple[float, ...]:
         """Parse comma-separated `name=value` pairs.
 
         Returns:
--- a/dykefold/net/service/maintenance.py
+++ b/dykefold/net/service/maintenance.py
@@ -64,18 +64,18 @@
         self.listed: dict[str, EntryT] = {}
         self.orders: dict[str, MaintenanceOrder] = {}
 
-    def out_of_service(self) -> list[str]:
+    def names_out_of_service(self) -> list[str]:
         """Return the names of the endpoints that are out of service."""
         return [name for name, order in self.orders.items() if order.out_of_service]
 
-    def is_out(self, name: str) -> bool:
+    def is_out_of_service(self, name: str) -> bool:
         """Return whether an endpoint is out of service."""
         order = self.orders.get(name)
         return order is not None and order.out_of_service
 
     def knows(self, name: str) -> bool:
         """Return whether an order may apply to this endpoint."""
-        return name in self.listed or self.is_out(name)
+        return name in self.listed or self.is_out_of_service(name)
 
     def apply_update(self, entries: Iterable[EntryT], complete: bool) -> list[EntryT]:
         """Apply an update of the endpoint list.
@@ -111,9 +111,9 @@
             return entry  # discovery lists a restart after the order
         return self.copy(entry, replace(entry.endpoint, started_ns=order.ordered_ns))
 
-    def is_full(self, name: str) -> bool:
+    def has_no_room_for(self, name: str) -> bool:
         """Return whether this endpoint can't be taken out of service because too many are out already."""
-        return not self.is_out(name) and len(self.out_of_service()) >= MAX_OUT_OF_SERVICE
+        return not self.is_out_of_service(name) and len(self.names_out_of_service()) >= MAX_OUT_OF_SERVICE
 
     def apply_order(self, name: str, take_out: bool, ordered_ns: int) -> list[EntryT]:
         """Apply an operator's order on a known endpoint.
@@ -126,7 +126,7 @@
         Returns:
             Entries that the balancer must be notified of.
         """
-        if take_out is self.is_out(name):
+        if take_out is self.is_out_of_service(name):
             return []
         return self._set_order(name, MaintenanceOrder(self.order_time(name, ordered_ns), take_out))
 
@@ -148,7 +148,7 @@
         for name, order in orders.items():
             current = self.orders.get(name)
             if current is None or order.ordered_ns > current.ordered_ns:
-                if order.out_of_service and self.is_full(name):
+                if order.out_of_service and self.has_no_room_for(name):
                     continue
                 changed += self._set_order(name, order)
         return changed
--- a/dykefold/net/service/pending_requests.py
+++ b/dykefold/net/service/pending_requests.py
@@ -8,12 +8,12 @@
 
 from collections.abc import Callable
 
-from ...balancer.actions import Fail, Refuse
+from ...balancer.actions import Fail, Reject
 from ...balancer.events import ClientDisconnected, Request, Status
 from ..clock import NS_PER_MS, NS_PER_S
 from ..downstream.request_parser import ParsedRequest
 from ..upstream.classify import Response
-from ..upstream.exchange import READ_GRACE_S, Exchange
+from ..upstream.exchange import UNREAD_RESPONSE_EXTENSION_S, Exchange
 from .attempt import AttemptsInFlight
 from .http_encoding import header_lines, retry_after
 from .pending_request import PendingRequest
@@ -34,7 +34,7 @@
         process: What all pools of the process share.
         budget: Descriptors that the pool may reserve.
         attempts: Attempts of the pool that are in flight.
-        abandon: Callback that withdraws an attempt that is not fully written yet. Its arguments are the
+        withdraw: Callback that withdraws an attempt that is not fully written yet. Its arguments are the
             endpoint's number and the attempt.
 
     Attributes:
@@ -48,7 +48,7 @@
         process: PoolHost,
         budget: DescriptorReservations,
         attempts: AttemptsInFlight,
-        abandon: Callable[[int, Exchange], None],
+        withdraw: Callable[[int, Exchange], None],
     ) -> None:
         self.host = host
         self.post = host.post
@@ -58,14 +58,14 @@
         self.on_request_end = process.on_request_end
         self.budget = budget
         self.attempts = attempts
-        self.abandon = abandon
+        self.withdraw = withdraw
         self.by_id: dict[int, PendingRequest] = {}
         self.next_id = 1
 
     def accept(self, sink: ResponseSink, parsed: ParsedRequest) -> None:
         """Accept an admitted request; an accepted request always gets one final answer."""
         request = PendingRequest(self.next_id, parsed, sink, self, self.host.settings.max_attempts)
-        parsed.ticket = request.id
+        parsed.request_id = request.id
         self.next_id += 1
         self.by_id[request.id] = request
         if parsed.upload is not None and not parsed.upload.ended:
@@ -104,7 +104,7 @@
         for attempt in self.attempts.of(request):
             attempt.expires_ns = parsed.deadline_ns - ATTEMPT_MARGIN_NS
             attempt.restart_timer(max(remaining_ns - ATTEMPT_MARGIN_NS, NS_PER_MS) / NS_PER_S)
-            if parsed.upload.begun:
+            if parsed.upload.started:
                 attempt.body_sent()
 
     # Final answers
@@ -114,10 +114,10 @@
         if not request.awaiting_answer:
             return
         attempts = list(self.attempts.of(request))
-        unread_responses = [attempt.read_first() for attempt in attempts]
+        unread_responses = [attempt.extend_for_unread_response() for attempt in attempts]
         if any(unread_responses):
             self.timer_wheel.stop(request)
-            self.timer_wheel.start(request, READ_GRACE_S, self.monotonic())
+            self.timer_wheel.start(request, UNREAD_RESPONSE_EXTENSION_S, self.monotonic())
             return
         for attempt in attempts:
             attempt.give_up(Status.TIMEOUT)
@@ -130,7 +130,7 @@
         for request in list(self.by_id.values()):
             self.answer_now(request)
 
-    def refuse(self, action: Refuse) -> None:
+    def reject(self, action: Reject) -> None:
         """Answer a request that the balancer refuses: the request has had no effect."""
         request = self.by_id.get(action.id)
         if request is None:
@@ -159,10 +159,10 @@
         upload = request.parsed.upload
         if request.streaming_answer:
             complete = status is Status.OK
-            self._settle(request, served=complete)
+            self._remove_pending(request, served=complete)
             request.sink.end_response(request.parsed, complete)
-        elif upload is not None and upload.problem is not None:
-            self._answer(request, upload.problem[0], b"", upload.problem[1])
+        elif upload is not None and upload.rejection is not None:
+            self._answer(request, upload.rejection[0], b"", upload.rejection[1])
         elif status in (Status.FULL, Status.CONNECT_FAILED, Status.NOT_ATTEMPTED):
             self._answer(request, 503, b"", b"refused\n")
         elif request.error_response is not None:
@@ -180,10 +180,10 @@
 
     def _answer(self, request: PendingRequest, code: int, headers: bytes, body: bytes) -> None:
         """Give the one final answer."""
-        self._settle(request, served=code < MIN_ERROR_CODE)
+        self._remove_pending(request, served=code < MIN_ERROR_CODE)
         request.sink.respond(request.parsed, code, headers, body)
 
-    def _settle(self, request: PendingRequest, served: bool = False) -> None:
+    def _remove_pending(self, request: PendingRequest, served: bool = False) -> None:
         """Remove a request from the pending ones; its final answer is written afterwards."""
         request.awaiting_answer = False
         self.release_descriptors(request)
@@ -218,14 +218,14 @@
         Returns:
             Whether the request was pending.
         """
-        request = self.by_id.get(parsed.ticket)
+        request = self.by_id.get(parsed.request_id)
         if request is None:
             return False
         streamed = parsed.upload is not None or request.streaming_answer
-        self._settle(request)
+        self._remove_pending(request)
         # Attempts not fully written yet are withdrawn first, so that the balancer gets their actual status.
         for attempt in self.attempts.of(request):
-            self.abandon(attempt.endpoint_number, attempt)
+            self.withdraw(attempt.endpoint_number, attempt)
         self.post(ClientDisconnected(request.id))
         if streamed:
             # The client no longer sends the body or reads the answer, so the attempt would not end otherwise.
--- a/dykefold/net/service/pool.py
+++ b/dykefold/net/service/pool.py
@@ -24,7 +24,7 @@
     Fetch,
     Log,
     Probe,
-    Refuse,
+    Reject,
     ReportEndpointHealth,
     Send,
     SendToPeer,
@@ -112,18 +112,18 @@
         self.handling_events = False
         self.max_pending = config.transport.max_pending
         self.names = config.names
-        self.version = config.known.version
+        self.version = config.initial_endpoints.version
         self._set_settings(config.settings, frozenset())
         self.balancer = Balancer(config.settings, config.seed)
-        self.upstreams = self._connection_pool(config.transport, close_in_other_pools)
+        self.connection_pool = self._connection_pool(config.transport, close_in_other_pools)
         self.discovery = self._discovery_client(config.discovery) if config.discovery is not None else None
         attempts = AttemptsInFlight()
-        self.requests = PendingRequests(self, process, self.budget, attempts, self.upstreams.abandon)
-        self.attempt_runner = AttemptRunner(self, self.requests, attempts, self.upstreams)
+        self.requests = PendingRequests(self, process, self.budget, attempts, self.connection_pool.withdraw)
+        self.attempt_runner = AttemptRunner(self, self.requests, attempts, self.connection_pool)
         self.accept = self.requests.accept  # bound here to save each request a forwarding call
         self.endpoints = EndpointRegistry(self, process, config.names, self.balancer.known_endpoints)
         self.carry_out = self._action_handlers()
-        self.endpoints.apply_list(config.known, ListKind.CACHED)
+        self.endpoints.apply_list(config.initial_endpoints, ListKind.CACHED)
         if not config.settings.poll_required:
             self._watch(True)
 
@@ -192,11 +192,11 @@
         return {
             Send: self.attempt_runner.start,
             SetTimer: self._set_timer,
-            Refuse: self.requests.refuse,
+            Reject: self.requests.reject,
             Fail: self.requests.fail,
             Cancel: self.attempt_runner.cancel,
             Probe: self.endpoints.probe,
-            CloseIdle: lambda action: self.upstreams.close_idle(action.endpoint_number),
+            CloseIdle: lambda action: self.connection_pool.close_idle(action.endpoint_number),
             SendToPeer: self._send_to_peer,
             ReportEndpointHealth: lambda action: self.on_health_hint(action.endpoint_number, action.answers),
             Watch: lambda action: self._watch(action.on),
@@ -229,7 +229,7 @@
         if self.process.peers is not None:
             self.process.peers.send(action.data, action.peer)
 
-    def on_peer(self, sender: int, data: bytes) -> None:
+    def on_peer_message(self, sender: int, data: bytes) -> None:
         """Pass a message from another sidecar to the balancer."""
         self.post(PeerMessage(sender, data))
 
@@ -277,7 +277,7 @@
     def change_transport(self, transport: Transport) -> None:
         """Change the limits and the idle timeout of sockets."""
         self.max_pending = transport.max_pending
-        self.upstreams.change_settings(
+        self.connection_pool.change_settings(
             self._connect_timeout_s(), transport.connection_idle_timeout_ns / NS_PER_S
         )
 
@@ -314,7 +314,7 @@
         return self.endpoints.maintenance
 
     @property
-    def starts(self) -> StartTimes:
+    def start_times(self) -> StartTimes:
         """Start times of the endpoints, as far as they are known."""
         return self.endpoints.start_times
 
@@ -350,17 +350,17 @@
         """Count the ready endpoints by zone."""
         return self.endpoints.ready_by_zone()
 
-    def tried_and_ejected_by_zone(self) -> dict[int, tuple[int, int]]:
+    def attempted_and_ejected_by_zone(self) -> dict[int, tuple[int, int]]:
         """Count by zone the ready endpoints with at least one attempt, and the ejected ones among them."""
-        return self.endpoints.tried_and_ejected_by_zone()
+        return self.endpoints.attempted_and_ejected_by_zone()
 
     def zone_of(self, endpoint_number: int) -> int | None:
         """Return the zone of an endpoint; None if it is unknown."""
         return self.endpoints.zone_of(endpoint_number)
 
-    def answered_since(self, endpoint_number: int, took_ns: int) -> bool:
-        """Return whether an endpoint has sent any response in the last `took_ns` nanoseconds."""
-        return self.endpoints.answered_since(endpoint_number, took_ns)
+    def responded_within(self, endpoint_number: int, duration_ns: int) -> bool:
+        """Return whether an endpoint has sent any response in the last `duration_ns` nanoseconds."""
+        return self.endpoints.responded_within(endpoint_number, duration_ns)
 
     # Shutdown
 
@@ -391,4 +391,4 @@
         self.closed = True
         if self.discovery is not None:
             self.discovery.close()
-        self.upstreams.close()
+        self.connection_pool.close()
--- a/dykefold/net/service/pool_config.py
+++ b/dykefold/net/service/pool_config.py
@@ -20,7 +20,7 @@
         seed: Seed of the balancer's random generator.
         discovery: Host and port of the discovery service; None without one.
         names: Numbers of endpoints and zones, by name.
-        known: Initial endpoint list.
+        initial_endpoints: Initial endpoint list.
         label: Name of the pool in this process, and in its successor after a hot restart.
     """
 
@@ -29,5 +29,5 @@
     seed: int
     discovery: Address | None
     names: NameTable
-    known: EndpointUpdate
+    initial_endpoints: EndpointUpdate
     label: str = ""
--- a/dykefold/net/service/protocols.py
+++ b/dykefold/net/service/protocols.py
@@ -62,7 +62,7 @@
         """
         ...
 
-    def send_response_piece(self, request: ParsedRequest, data: bytes) -> None:
+    def send_response_chunk(self, request: ParsedRequest, data: bytes) -> None:
         """Send the next bytes of the body of a streamed answer."""
         ...
 
@@ -142,7 +142,7 @@
         """Return the time of the monotonic clock, in seconds."""
         ...
 
-    def encode_request(self, request: ParsedRequest, time_left_ns: int, /) -> bytes:
+    def encode_request(self, request: ParsedRequest, remaining_ns: int, /) -> bytes:
         """Encode a request for an endpoint, with the remaining time in nanoseconds."""
         ...
 
@@ -198,7 +198,7 @@
         closed: Whether the pool has closed its sockets.
         reports: Parser of load reports, for the columns of the current settings.
         budget: Descriptors that the pool may reserve.
-        upstreams: Connections to the endpoints.
+        connection_pool: Connections to the endpoints.
         discovery: Client of the discovery service; None without one.
     """
 
@@ -206,7 +206,7 @@
     closed: bool
     reports: LoadReportParser
     budget: DescriptorReservations
-    upstreams: ConnectionPool
+    connection_pool: ConnectionPool
     discovery: DiscoveryClient | None
 
     def post(self, event: Event) -> None:
--- a/dykefold/net/sidecar.py
+++ b/dykefold/net/sidecar.py
@@ -25,7 +25,7 @@
 from .class_generations import LINGER_NS, ClassGeneration
 from .clock import NS_PER_MS, Clock
 from .downstream.connection import ClientConnection
-from .downstream.protocols import MessageReader
+from .downstream.protocols import MessageParser
 from .downstream.request_parser import ParsedRequest, RequestParser
 from .loop_lag import LoopLagMonitor
 from .memory_budget import MemoryBudget
@@ -53,13 +53,13 @@
     """Limits that a process begins with.
 
     Attributes:
-        sockets: Number of descriptors that all processes of the sidecar may hold together.
+        max_descriptors: Number of descriptors that all processes of the sidecar may hold together.
         memory_bytes: Bytes of messages that all processes of the sidecar may hold together.
         addresses: Limits on the clients of each address.
         set_aside: Number of descriptors that are neither clients' nor endpoints', such as the admin API's.
     """
 
-    sockets: int
+    max_descriptors: int
     memory_bytes: int
     addresses: AddressLimits = field(default_factory=AddressLimits)
     set_aside: int = 0
@@ -107,13 +107,13 @@
         self.monotonic = system.monotonic
         self.clock = Clock(system)
         self.now = self.clock.now
-        self.parser: MessageReader
+        self.parser: MessageParser
         self.pools: dict[Pool, None] = {}
         self.half_close = False
-        self.sockets, self.memory_limit_bytes = limits.sockets, limits.memory_bytes
+        self.sockets, self.memory_limit_bytes = limits.max_descriptors, limits.memory_bytes
         self.process_count = 1
-        self.max_descriptors = limits.sockets
-        self.budget = DescriptorBudget(limits.sockets, limits.set_aside)
+        self.max_descriptors = limits.max_descriptors
+        self.budget = DescriptorBudget(limits.max_descriptors, limits.set_aside)
         self.memory = MemoryBudget(limits.memory_bytes)
         self.clients = ClientConnections(
             AdmissionController(self._connection_limits(), limits.addresses), system
@@ -182,7 +182,7 @@
 
     def close_unneeded_upstream(self) -> bool:
         """Close a connection to an endpoint that no pool needs; return whether there was one."""
-        return any(pool.upstreams.close_unneeded() for pool in self.pools)
+        return any(pool.connection_pool.close_unneeded() for pool in self.pools)
 
     def log_exception(self, text: str) -> None:
         """Log the exception that is being handled, at most one in `FAULT_LOG_INTERVAL_S`."""
@@ -275,7 +275,7 @@
         self.memory.resize(self.memory_limit_bytes // self.process_count)
         self.clients.resize(self._connection_limits(), addresses)
         for pool in self.pools:
-            pool.upstreams.shrink()
+            pool.connection_pool.shrink()
 
     def needed_descriptors(self) -> int:
         """Return the number of descriptors that this process can't release now."""
@@ -309,7 +309,7 @@
         late = now_s - due_s >= SWEEP_INTERVAL_S
         if not late:
             for pool in self.pools:
-                pool.upstreams.sweep()
+                pool.connection_pool.sweep()
             self.clients.sweep()
         self.loop.call_later(SWEEP_INTERVAL_S, self._sweep, math.inf if late else now_s + SWEEP_INTERVAL_S)
 
--- a/dykefold/net/streaming.py
+++ b/dykefold/net/streaming.py
@@ -47,31 +47,31 @@
     Attributes:
         buffered: Pieces of the body that wait for the endpoint.
         size: Bytes of the body that wait for the endpoint.
-        begun: Whether the body has begun to flow to an endpoint, so that it can't be sent again.
+        started: Whether the body has begun to flow to an endpoint, so that it can't be sent again.
         sent: Whether the last byte has been written to the endpoint's connection.
         passed: Bytes of the body that have been written to the endpoint's connection.
         completed_ns: Time at which the last byte came from the client, nanoseconds of `Clock`; 0 before.
         stopped_ns: Time at which reading was last paused, nanoseconds of `Clock`; 0 if it never was.
         resumed_ns: Time at which reading was last resumed, nanoseconds of `Clock`; 0 if it never was.
         on_complete: Callback for the moment when the last byte has come from the client.
-        problem: Code and text of the response if the rest of the body can't be read.
+        rejection: Code and text of the response if the rest of the body can't be read.
         sink: Connection that the body flows to; None while there is none.
         stop: Callback that cancels the attempt that the body flows to.
     """
 
     __slots__ = (
-        "begun",
         "buffered",
         "completed_ns",
         "length",
         "on_complete",
         "on_drain",
         "passed",
-        "problem",
+        "rejection",
         "resumed_ns",
         "sent",
         "sink",
         "size",
+        "started",
         "stop",
         "stopped_ns",
     )
@@ -82,10 +82,10 @@
         self.size = len(prefix)
         self.on_drain = on_drain
         self.on_complete: Callable[[], None] | None = None
-        self.begun = self.sent = False
+        self.started = self.sent = False
         self.passed = 0
         self.completed_ns = self.stopped_ns = self.resumed_ns = 0
-        self.problem: tuple[int, bytes] | None = None
+        self.rejection: tuple[int, bytes] | None = None
         self.sink: Sink | None = None
         self.stop: Callable[[], None] | None = None
 
@@ -128,7 +128,7 @@
             code: HTTP status code of the response to the request.
             text: Text of the response, without a line end.
         """
-        self.problem = (code, f"{text}\n".encode())
+        self.rejection = (code, f"{text}\n".encode())
         if self.stop is not None:
             self.stop()
 
@@ -143,10 +143,10 @@
             Whether the body flows; if not, it can't be read, and the attempt has been cancelled.
         """
         self.sink, self.stop = sink, stop
-        if self.problem is not None:
+        if self.rejection is not None:
             stop()
             return False
-        self.begun = True
+        self.started = True
         self.flow()
         return True
 
--- a/dykefold/net/upstream/connection.py
+++ b/dykefold/net/upstream/connection.py
@@ -30,7 +30,7 @@
 
 from ...balancer.events import Status
 from ...system import Watch, is_local_error
-from ..read_scheduler import SLICE_BYTES, cut
+from ..read_scheduler import SLICE_BYTES, split_slice
 from .abort import abort_connection
 from .classify import classify, classify_break
 from .endpoint_connections import Upstream
@@ -71,7 +71,7 @@
         unparsed: Bytes that are waiting to be parsed in slices; None if there are none.
         scheduled: Whether the read scheduler will parse the next slice.
         blocked: Whether reading is paused because the client reads a streamed response too slowly.
-        stalled: Timer that runs while more of a buffered response is awaited; None otherwise.
+        stall_timer: Timer that runs while more of a buffered response is awaited; None otherwise.
     """
 
     # In CPython 3.11, instance dictionaries of more than 30 attributes share no keys, so that each attribute
@@ -94,7 +94,7 @@
         "scheduled",
         "sent_at_s",
         "sock",
-        "stalled",
+        "stall_timer",
         "transport",
         "unparsed",
         "unwritten",
@@ -125,7 +125,7 @@
         self.sent_at_s: float | None = None
         self.unparsed: memoryview | None = None
         self.unwritten = self.closed = self.scheduled = self.blocked = False
-        self.stalled: asyncio.TimerHandle | None = None
+        self.stall_timer: asyncio.TimerHandle | None = None
 
     @property
     def size(self) -> int:
@@ -158,7 +158,7 @@
         endpoint should not start it. Such an exchange is ended here, as not attempted.
         """
         assert self.exchange is not None
-        if self.exchange.wanted():
+        if self.exchange.should_send():
             return True
         self.withdraw()
         return False
@@ -222,7 +222,7 @@
         if self.reader.expects_only_body(len(self.unparsed)):
             data, self.unparsed = bytes(self.unparsed), None
         else:
-            data, self.unparsed = cut(self.unparsed)
+            data, self.unparsed = split_slice(self.unparsed)
         more = self.unparsed is not None
         self._feed(data, more)
         if not more and not self.closed and not self.blocked and self.transport is not None:
@@ -230,7 +230,7 @@
         self.scheduled = more and not self.closed and not self.blocked
         return self.scheduled
 
-    def block(self, on: bool) -> None:
+    def set_paused(self, on: bool) -> None:
         """Pause (`on`) or resume reading: a response is streamed no faster than the client reads it."""
         if self.closed or self.transport is None or on == self.blocked:
             return
@@ -260,15 +260,15 @@
         elif not can_complete:
             self._fail()
         elif reader.streamed is None:
-            if self.stalled is None:
+            if self.stall_timer is None:
                 self._start_stall_timer()
-        elif self.stalled is not None:  # The rest of a streamed response is awaited until the deadline.
-            self.stalled.cancel()
-            self.stalled = None
+        elif self.stall_timer is not None:  # The rest of a streamed response is awaited until the deadline.
+            self.stall_timer.cancel()
+            self.stall_timer = None
 
     def _start_stall_timer(self) -> None:
         """Schedule the stall check: an incomplete response would otherwise be awaited until the deadline."""
-        self.stalled = self.resources.loop.call_later(MAX_STALL_S, self._check_stall, self.reader.size)
+        self.stall_timer = self.resources.loop.call_later(MAX_STALL_S, self._check_stall, self.reader.size)
 
     def _check_stall(self, before: int) -> None:
         """Fail the exchange if no byte was read beyond the first `before` bytes."""
@@ -326,7 +326,7 @@
             self._write_rest(exchange, payload, sent)
         upload = exchange.upload
         if upload is not None and upload.attach(self, lambda: exchange.give_up(Status.RESET)):
-            exchange.upload_begins()
+            exchange.on_upload_begin()
         return True
 
     def _write_rest(self, exchange: Exchange, payload: bytes, sent: int) -> None:
@@ -353,7 +353,7 @@
             self.resources.scarcity.record_rejection(now_s)
         self._release()
         if self.blocked:  # By the last piece: nothing else would resume reading on the reused connection.
-            self.block(False)
+            self.set_paused(False)
         written = not self.unwritten and (exchange.upload is None or exchange.upload.sent)
         if reader.surplus:
             self.resources.quarantine.record_surplus(0.0, now_s)
@@ -365,9 +365,9 @@
 
     def _release(self) -> None:
         """Release the stall timer and the buffers of the response."""
-        if self.stalled is not None:
-            self.stalled.cancel()
-            self.stalled = None
+        if self.stall_timer is not None:
+            self.stall_timer.cancel()
+            self.stall_timer = None
         self.reader.release()
         self.unparsed = None
 
--- a/dykefold/net/upstream/connection_pool.py
+++ b/dykefold/net/upstream/connection_pool.py
@@ -1,7 +1,8 @@
 """The pool of connections to endpoints: assigns exchanges to connections, keeps and closes connections.
 
 An exchange is written on an idle connection of its endpoint if there is a usable one. Otherwise it waits in
-`Upstream.opening` while a connection is opened for it, and is sent on the first connection that is available.
+`Upstream.waiting_exchanges` while a connection is opened for it, and is sent on the first connection that is
+available.
 The module `exchange` describes when a request may have run, `connection` the states of a connection.
 """
 
@@ -138,8 +139,8 @@
                 upstream.fail_waiting_exchanges()
             upstream.since_ms, upstream.address = since_ms, address
             upstream.generation += 1
-        upstream.takes_new = state is State.READY
-        if not upstream.takes_new:
+        upstream.accepts_exchanges = state is State.READY
+        if not upstream.accepts_exchanges:
             self.close_idle(endpoint_number)
             # Requests that are still waiting for a connection would be written after the notification that
             # the endpoint drains.
@@ -149,7 +150,7 @@
         """Remove an endpoint; exchanges in flight keep their connections."""
         upstream = self.endpoints.pop(endpoint_number, None)
         if upstream is not None:
-            upstream.takes_new = False
+            upstream.accepts_exchanges = False
 
     def start(self, endpoint_number: int, exchange: Exchange, timeout_s: float) -> None:
         """Send an exchange; its end is never reported from within this call.
@@ -160,7 +161,7 @@
             timeout_s: Timeout of the exchange from now, in seconds.
         """
         upstream = self.endpoints.get(endpoint_number)
-        if upstream is None or not upstream.takes_new:
+        if upstream is None or not upstream.accepts_exchanges:
             self.loop.call_soon(exchange.end, Status.CONNECT_FAILED)
             return
         now_s = self.monotonic()
@@ -191,8 +192,8 @@
         connection = UpstreamConnection(self.resources, upstream, sock, self.system.watch(sock))
         self.connections[connection] = None
         self.allowance.in_use += 1
-        upstream.opening[exchange] = connection
-        exchange.opening = self.loop.create_task(establish(self, upstream, exchange, connection))
+        upstream.waiting_exchanges[exchange] = connection
+        exchange.connect_task = self.loop.create_task(establish(self, upstream, exchange, connection))
 
     def keep_idle(self, connection: UpstreamConnection, now_s: float) -> None:
         """Reuse an available connection for a waiting exchange, keep it idle, or close it.
@@ -202,25 +203,29 @@
             now_s: Current time, in seconds of `monotonic`.
         """
         upstream = connection.upstream
-        if connection.closed or not upstream.takes_new or connection.generation != upstream.generation:
+        if (
+            connection.closed
+            or not upstream.accepts_exchanges
+            or connection.generation != upstream.generation
+        ):
             connection.close()
             return
         # A waiting exchange is sent on this connection, and the one that is being opened for it is kept idle
-        # instead. An exchange that was given up while the event loop took over its socket stays in `opening`
-        # until that is done. It has been reported as never run and may be retried elsewhere: it must not be
-        # sent here.
-        while upstream.opening:
-            exchange = next(iter(upstream.opening))
-            if not exchange.ended and exchange.wanted():
+        # instead. An exchange that was given up while the event loop took over its socket stays in
+        # `waiting_exchanges` until that is done. It has been reported as never run and may be retried
+        # elsewhere: it must not be sent here.
+        while upstream.waiting_exchanges:
+            exchange = next(iter(upstream.waiting_exchanges))
+            if not exchange.ended and exchange.should_send():
                 break
             self._remove_waiting(upstream, exchange)
             self.loop.call_soon(exchange.end, Status.NOT_ATTEMPTED)
         # After a response, a connection may have to stay unused for a while; a new connection need not.
-        if upstream.opening and (connection.sent_at_s is None or not self.quarantine.limit(now_s)):
-            exchange = next(iter(upstream.opening))
+        if upstream.waiting_exchanges and (connection.sent_at_s is None or not self.quarantine.limit(now_s)):
+            exchange = next(iter(upstream.waiting_exchanges))
             if connection.send(exchange, now_s):
-                opening_connection = upstream.opening.pop(exchange)
-                if exchange.opening is not None:
+                opening_connection = upstream.waiting_exchanges.pop(exchange)
+                if exchange.connect_task is not None:
                     self.unneeded[opening_connection] = exchange
             else:
                 connection.close()
@@ -229,7 +234,7 @@
         upstream.idle[connection] = None
         self.idle[connection] = None
 
-    def abandon(self, endpoint_number: int, exchange: Exchange) -> None:
+    def withdraw(self, endpoint_number: int, exchange: Exchange) -> None:
         """End an exchange whose response is not needed any more, unless its last byte was written.
 
         This does not count against its endpoint. A connection that is being opened for the exchange is kept
@@ -245,7 +250,7 @@
             return
         if connection is None:
             upstream = self.endpoints.get(endpoint_number)
-            if upstream is not None and exchange in upstream.opening:
+            if upstream is not None and exchange in upstream.waiting_exchanges:
                 self._remove_waiting(upstream, exchange)
             exchange.end(Status.NOT_ATTEMPTED)
         elif connection.incomplete:
@@ -253,8 +258,8 @@
 
     def _remove_waiting(self, upstream: Upstream[UpstreamConnection], exchange: Exchange) -> None:
         """Remove an exchange that must not be written from the waiting ones."""
-        opening_connection = upstream.opening.pop(exchange)
-        if exchange.opening is not None:
+        opening_connection = upstream.waiting_exchanges.pop(exchange)
+        if exchange.connect_task is not None:
             self.unneeded[opening_connection] = exchange
 
     def is_unneeded(self, connection: UpstreamConnection) -> bool:
--- a/dykefold/net/upstream/connector.py
+++ b/dykefold/net/upstream/connector.py
@@ -47,20 +47,20 @@
     Args:
         pool: Pool that owns the connection.
         upstream: Endpoint to connect to.
-        exchange: Exchange that waits in `upstream.opening`.
+        exchange: Exchange that waits in `upstream.waiting_exchanges`.
         connection: Connection with a socket that is not connected yet.
     """
     if not await _connect(pool, upstream, exchange, connection):
         return
     # The task must not be cancelled from here on: the event loop takes over the descriptor, which would be
     # closed twice.
-    exchange.opening = None
+    exchange.connect_task = None
     pool.on_connect_ended(connection)
     try:
         failure = await _attach_transport(pool.loop, connection)
     finally:
-        upstream.opening.pop(exchange, None)
-    if exchange.connection is None and not (exchange.ended or exchange.wanted()):
+        upstream.waiting_exchanges.pop(exchange, None)
+    if exchange.connection is None and not (exchange.ended or exchange.should_send()):
         exchange.end(Status.NOT_ATTEMPTED)
     if exchange.ended or exchange.connection is not None:  # It has ended, or was sent on another connection.
         pool.keep_idle(connection, pool.monotonic())
@@ -91,7 +91,7 @@
         # before it has called connect(2): that is no failure of the endpoint.
         late = pool.monotonic() - started_s > pool.connect_timeout_s + MAX_LOOP_LAG_S
         if (status := _status_of_failed_connect(sock, error, late)) is not None:
-            upstream.opening.pop(exchange, None)
+            upstream.waiting_exchanges.pop(exchange, None)
             pool.on_connect_ended(connection)
             connection.close()
             sock.close()
--- a/dykefold/net/upstream/endpoint_connections.py
+++ b/dykefold/net/upstream/endpoint_connections.py
@@ -22,9 +22,10 @@
 
     Attributes:
         generation: Number of restarts and moves; connections of an earlier generation are not reused.
-        takes_new: Whether the endpoint accepts new exchanges; false once it drains or is gone.
+        accepts_exchanges: Whether the endpoint accepts new exchanges; false once it drains or is gone.
         idle: Idle connections, the most recently used one last.
-        opening: Exchanges that are waiting for a connection, in order, each with the one opened for it.
+        waiting_exchanges: Exchanges that are waiting for a connection, in order, each with the connection
+            opened for it.
     """
 
     def __init__(self, address: tuple[str, int], since_ms: int, idle_stats: IdleAgeStats) -> None:
@@ -32,11 +33,11 @@
         self.idle_stats = idle_stats
         self.since_ms = since_ms
         self.generation = 0
-        self.takes_new = True
+        self.accepts_exchanges = True
         self.idle: OrderedDict[ConnectionT, None] = OrderedDict()
-        self.opening: dict[Exchange, ConnectionT] = {}
+        self.waiting_exchanges: dict[Exchange, ConnectionT] = {}
 
     def fail_waiting_exchanges(self) -> None:
         """End the exchanges that are waiting for a connection, as never run."""
-        for exchange in list(self.opening):
+        for exchange in list(self.waiting_exchanges):
             exchange.give_up(Status.CONNECT_FAILED)
--- a/dykefold/net/upstream/exchange.py
+++ b/dykefold/net/upstream/exchange.py
@@ -35,7 +35,7 @@
 
 # Extension of the timeout while a response is waiting unread in the socket: a late event loop runs timers
 # before it reads sockets.
-READ_GRACE_S = 0.004
+UNREAD_RESPONSE_EXTENSION_S = 0.004
 
 Done = Callable[["Exchange", Status, Response | None], None]
 
@@ -54,23 +54,24 @@
         upload: Body that is streamed after the payload while the client sends it; None if there is none.
         profile: Rules by which the response is classified.
         connection: Connection that carries the exchange; None until the first byte is written.
-        opening: Task that opens a connection for the exchange; None once it must not be cancelled.
+        connect_task: Task that opens a connection for the exchange; None once it must not be cancelled.
         timer_wheel: Timer wheel of the timeout; None before the exchange is started.
-        read_grace_s: Extension of the timeout, in seconds, while a response is waiting unread in the socket.
+        unread_response_extension_s: Extension of the timeout, in seconds, while a response is waiting
+            unread in the socket.
     """
 
     __slots__ = (
+        "connect_task",
         "connection",
         "done",
         "max_response_bytes",
         "max_streamed_bytes",
-        "opening",
         "payload",
         "profile",
         "timer_wheel",
         "upload",
     )
-    read_grace_s = READ_GRACE_S
+    unread_response_extension_s = UNREAD_RESPONSE_EXTENSION_S
 
     def __init__(self, payload: bytes, done: Done, max_response_bytes: int) -> None:
         self.tick = 0
@@ -81,7 +82,7 @@
         self.upload: Upload | None = None
         self.profile = HttpProfile.PLATFORM
         self.connection: ExchangeConnection | None = None
-        self.opening: asyncio.Task[None] | None = None
+        self.connect_task: asyncio.Task[None] | None = None
         self.timer_wheel: TimerWheel | None = None
 
     @property
@@ -109,17 +110,17 @@
 
     def expire(self) -> None:
         """Handle the timeout: give up, unless a response is waiting unread because the event loop is late."""
-        if not self.read_first():
+        if not self.extend_for_unread_response():
             self.give_up(Status.TIMEOUT)
 
-    def read_first(self) -> bool:
+    def extend_for_unread_response(self) -> bool:
         """Extend the timeout if a response is waiting unread in the socket.
 
         A late event loop runs timers before it reads sockets, so a request that was served would be reported
         as failed. The timeout is not extended any more after the first byte of the response has been read.
 
         Returns:
-            Whether the timeout was extended; it then expires in `read_grace_s` seconds.
+            Whether the timeout was extended; it then expires in `unread_response_extension_s` seconds.
         """
         connection = self.connection
         if (
@@ -130,10 +131,10 @@
         ):
             return False
         self.timer_wheel.stop(self)
-        self.timer_wheel.start(self, self.read_grace_s, connection.monotonic())
+        self.timer_wheel.start(self, self.unread_response_extension_s, connection.monotonic())
         return True
 
-    def wanted(self) -> bool:
+    def should_send(self) -> bool:
         """Return whether the exchange is still to be sent, now that a connection is available."""
         return True
 
@@ -141,7 +142,7 @@
         """Return the bytes to write, now that a connection is available."""
         return self.payload
 
-    def upload_begins(self) -> None:
+    def on_upload_begin(self) -> None:
         """Handle the start of the upload: from here on the request can't be sent again."""
 
     def begin_response(
@@ -160,7 +161,7 @@
         """
         return False
 
-    def send_response_piece(self, data: bytes) -> None:
+    def send_response_chunk(self, data: bytes) -> None:
         """Handle the next bytes of a streamed response body."""
 
     def cancel_connect(self) -> None:
@@ -169,7 +170,7 @@
         A task that is cancelled before its first step never runs, and its socket would stay open. Such a task
         is not cancelled; it checks whether its connection is still needed before it connects.
         """
-        task = self.opening
+        task = self.connect_task
         if task is not None and inspect.getcoroutinestate(task.get_coro()) != inspect.CORO_CREATED:  # type: ignore[arg-type]
             task.cancel()
 
--- a/dykefold/net/upstream/protocols.py
+++ b/dykefold/net/upstream/protocols.py
@@ -37,7 +37,7 @@
         """Whether the last byte of the exchange is not written yet, so that the request cannot have run."""
         ...
 
-    def block(self, on: bool) -> None:
+    def set_paused(self, on: bool) -> None:
         """Pause (`on`) or resume reading."""
         ...
 
@@ -77,7 +77,7 @@
         """Handle the head of a response too long to be buffered; return whether its body is accepted."""
         ...
 
-    def send_response_piece(self, data: bytes) -> None:
+    def send_response_chunk(self, data: bytes) -> None:
         """Handle the next bytes of a streamed response body."""
         ...
 
--- a/dykefold/net/upstream/response_reader.py
+++ b/dykefold/net/upstream/response_reader.py
@@ -220,7 +220,7 @@
         self.streamed += len(data)
         self.unusable = self.streamed > self.consumer.max_streamed_bytes
         if not self.unusable:
-            self.consumer.send_response_piece(bytes(data))
+            self.consumer.send_response_chunk(bytes(data))
 
     def on_body(self, data: bytes) -> None:
         """Buffer or stream the next piece of the body."""
--- a/dykefold/routing/requests.py
+++ b/dykefold/routing/requests.py
@@ -83,14 +83,14 @@
         self._tenants = {tenant.name.encode(): n for n, tenant in enumerate(pool.settings.tenants)}
         self._classes = {spec.name: (number, spec) for number, spec in enumerate(pool.settings.classes)}
 
-    def read(self, message: Message) -> ParsedRequest:
+    def parse(self, message: Message) -> ParsedRequest:
         """Return the request of a message.
 
         Raises:
             RequestError: The request is answered with an error and reaches no pool.
         """
         if self._options.platform:
-            request = self._platform_parser.read(message)
+            request = self._platform_parser.parse(message)
             request.x_request_id = self._id_prefix + request.x_request_id
             return request
         headers, method = message.headers, message.method
@@ -161,18 +161,18 @@
         readers: Readers by the route's name.
 
     Attributes:
-        streams: Whether bodies beyond 64 KiB are accepted, each up to its route's limit.
+        supports_streaming: Whether bodies beyond 64 KiB are accepted, each up to its route's limit.
         table: Route table in use.
     """
 
-    streams = True
+    supports_streaming = True
 
     def __init__(self, table: RouteTable, readers: dict[str, RouteRequestReader]) -> None:
         """Take a table and the reader of each of its routes."""
         self.table = table
         self._readers = readers
 
-    def read(self, message: Message) -> ParsedRequest:
+    def parse(self, message: Message) -> ParsedRequest:
         """Find the route of a message and read it there.
 
         Raises:
@@ -188,4 +188,4 @@
         route = self.table.find(host, segments, message.method.decode("latin-1"), cls, HeaderView(headers))
         if route is None:
             raise RequestError(404, "no route")
-        return self._readers[route.name].read(message)
+        return self._readers[route.name].parse(message)
--- a/dykefold/routing/services.py
+++ b/dykefold/routing/services.py
@@ -162,7 +162,7 @@
             seed=self._seed(),
             discovery=plan.discovery,
             names=names,
-            known=_endpoint_list(plan, names, 1),
+            initial_endpoints=_endpoint_list(plan, names, 1),
             label=plan.name,
         )
         pool = Pool(self._sidecar, config, budget, self._sidecar.close_unneeded_upstream)
--- a/dykefold/sim/machine.py
+++ b/dykefold/sim/machine.py
@@ -84,11 +84,11 @@
         """Return a watch on whether something can be read."""
         return ReadWatch(as_sim_socket(sock))
 
-    def watch_end(self, sock: socket.socket) -> Watch:
+    def watch_close(self, sock: socket.socket) -> Watch:
         """Return a watch on whether bytes wait, or the other side has ended."""
         return EndWatch(as_sim_socket(sock))
 
-    def unread(self, sock: socket.socket) -> int:
+    def unread_byte_count(self, sock: socket.socket) -> int:
         """Return how many bytes wait unread."""
         return as_sim_socket(sock).unread_bytes
 
--- a/dykefold/sim/process.py
+++ b/dykefold/sim/process.py
@@ -201,7 +201,7 @@
 
     def _join_peers(self, server: SidecarServer, settings: Settings) -> None:
         peers = [(sidecar.address, PEER_PORT) for sidecar in self.world.sidecars]
-        channel = PeerChannel(self.number, peers, None, server.pool.on_peer)
+        channel = PeerChannel(self.number, peers, None, server.pool.on_peer_message)
         endpoint = self.loop.network.bind_datagrams(self.loop, peers[self.number], channel)
         channel.connection_made(cast("asyncio.DatagramTransport", endpoint))
         server.peers = channel
--- a/dykefold/sim/process_checks.py
+++ b/dykefold/sim/process_checks.py
@@ -20,13 +20,13 @@
         found.append(f"message memory {memory.reserved_bytes} of {memory.capacity_bytes}")
     if not 0 <= budget.reservations <= budget.upstreams.limit:
         found.append(f"claims {budget.reservations} of {budget.upstreams.limit}")
-    connections = sum(len(pool.upstreams.connections) for pool in server.pools)
+    connections = sum(len(pool.connection_pool.connections) for pool in server.pools)
     if budget.upstreams.in_use != connections:
         found.append(f"connections to servers counted as {budget.upstreams.in_use}, there are {connections}")
     if len(open_sockets) > MAX_DESCRIPTORS:
         found.append(f"{len(open_sockets)} descriptors of {MAX_DESCRIPTORS}")
     for pool in server.pools:
-        blocked = sum(connection.blocked for connection in pool.upstreams.idle)
+        blocked = sum(connection.blocked for connection in pool.connection_pool.idle)
         if blocked:
             found.append(f"{blocked} connections to servers wait for use and are not read")
         out = sum(request.attempts_in_flight for request in pool.pending.values())
--- a/dykefold/sim/views.py
+++ b/dykefold/sim/views.py
@@ -168,7 +168,7 @@
         """Return the state of a member as another one has it."""
         return self.living[by].membership.table.state(of)
 
-    def right(self) -> bool:
+    def has_converged(self) -> bool:
         """Return whether each member that runs counts exactly those as live that do."""
         true = sorted(self.living)
         wrong = self.size - len(true)
@@ -182,7 +182,7 @@
             for number in true
         )
 
-    def equal(self) -> bool:
+    def states_equal(self) -> bool:
         """Return whether all members that run hold the same states."""
         tables = [protocol.membership.table for protocol in self.living.values()]
         return all(table.block_digests == tables[0].block_digests for table in tables)
--- a/dykefold/simulator_adapter.py
+++ b/dykefold/simulator_adapter.py
@@ -21,7 +21,7 @@
     Fetch,
     Log,
     Probe,
-    Refuse,
+    Reject,
     Send,
     SendToPeer,
     SetTimer,
@@ -181,7 +181,7 @@
     SetTimer: lambda instance, action: SET_TIMER.pack(
         ActionCode.SET_TIMER, instance, action.after_ns, action.token
     ),
-    Refuse: lambda instance, action: TURN_AWAY.pack(
+    Reject: lambda instance, action: TURN_AWAY.pack(
         ActionCode.TURN_AWAY, instance, action.id, action.retry_after_ns
     ),
     Fail: lambda instance, action: ABORT.pack(ActionCode.ABORT, instance, action.id),
--- a/dykefold/system.py
+++ b/dykefold/system.py
@@ -73,13 +73,13 @@
         watch.register(sock, select.POLLIN)
         return watch
 
-    def watch_end(self, sock: socket.socket) -> Watch:
+    def watch_close(self, sock: socket.socket) -> Watch:
         """Return a watch for unread bytes on a socket, or the end of the peer's stream behind them."""
         watch = select.poll()
         watch.register(sock, select.POLLIN | select.POLLRDHUP)
         return watch
 
-    def unread(self, sock: socket.socket) -> int:
+    def unread_byte_count(self, sock: socket.socket) -> int:
         """Return the number of unread bytes on a socket (tcp(7), SIOCINQ); 0 if it is unknown."""
         try:
             count = fcntl.ioctl(sock.fileno(), termios.FIONREAD, bytes(4))
--- a/standins/decision_world.py
+++ b/standins/decision_world.py
@@ -27,7 +27,7 @@
     Fail,
     Log,
     Probe,
-    Refuse,
+    Reject,
     ReportEndpointHealth,
     Send,
     SendToPeer,
@@ -216,7 +216,7 @@
             return f"send {action.id} {action.endpoint_number} {action.timeout_ns}"
         case SetTimer():
             return f"timer {action.after_ns} {action.token}"
-        case Refuse():
+        case Reject():
             return f"refuse {action.id} {action.retry_after_ns}"
         case Fail():
             return f"fail {action.id}"
@@ -295,7 +295,7 @@
         """Do what the balancer wants, and have what follows happen later."""
         if isinstance(action, SetTimer):
             self.later(self.now + action.after_ns, lambda: Timer(action.token))
-        elif isinstance(action, Refuse):
+        elif isinstance(action, Reject):
             self.ended.add(action.id)
             self.come_back(action)
         elif isinstance(action, Fail):
@@ -424,7 +424,7 @@
         self.ended.add(ident)
         return ClientDisconnected(ident)
 
-    def come_back(self, refusal: Refuse) -> None:
+    def come_back(self, refusal: Reject) -> None:
         """A rejected client tries again in the time that it has left, marked or not."""
         was = self.requests[refusal.id]
         when = self.now + refusal.retry_after_ns + self.exponential(30)
--- a/tests/balancer/test_concerns.py
+++ b/tests/balancer/test_concerns.py
@@ -51,7 +51,7 @@
     balancer = new_balancer(start_capacity=0.2, warm_within_ns=1000 * SECOND)
     balancer.throughput.answers_per_s, balancer.throughput.updated_ns = 100.0, START_NS
     starting = EndpointState(make_endpoint(1, started_ns=START_NS), 0.5)
-    starting.samples, starting.slow_start_ns = samples, START_NS - 10 * SECOND
+    starting.samples, starting.slow_start_refilled_ns = samples, START_NS - 10 * SECOND
     balancer.slow_start.allows(starting, balancer.context.classes[0])
     # A quarter of a second at 1.2 times a fifth of 100 per second, plus a tenth of a request for each answer.
     assert starting.slow_start_tokens == pytest.approx(tokens)
@@ -68,7 +68,7 @@
         balancer.slow_start.charge(endpoint, stats)
         balancer.slow_start.credit(endpoint, stats)
     assert warmed_up.slow_start_tokens == 0.0
-    assert starting.slow_start_ns == START_NS
+    assert starting.slow_start_refilled_ns == START_NS
     assert -1.0 < starting.slow_start_tokens - slow_start.TOKENS_PER_ANSWER < 0.0
 
 
@@ -151,7 +151,7 @@
     balancer = new_balancer()
     for value in values:
         balancer.congestion.add(value, START_NS)
-    balancer.congestion.fade()
+    balancer.congestion.decay()
     assert balancer.congestion.level == pytest.approx(level, abs=0.001)
 
 
@@ -167,7 +167,7 @@
     balancer = new_balancer()
     balancer.congestion.add(4.0, START_NS)
     balancer.context.now_ns += elapsed_ns
-    balancer.congestion.fade()
+    balancer.congestion.decay()
     assert balancer.congestion.weight == pytest.approx(weight, abs=0.1)
 
 
@@ -266,9 +266,16 @@
         START_NS, EndpointListUpdate(ListKind.FULL, 1, [make_endpoint(n, n % 2) for n in range(60)])
     )
     endpoints = balancer.endpoints
-    assert (len(endpoints.near), len(endpoints.far), endpoints.has_sparse_traffic) == (near, far, sparse)
-    assert len(endpoints.rest) == 60 - near - far
-    assert all(endpoint.sampled is (endpoint not in endpoints.rest) for endpoint in endpoints.all.values())
+    assert (
+        len(endpoints.local_endpoints),
+        len(endpoints.remote_endpoints),
+        endpoints.has_sparse_traffic,
+    ) == (near, far, sparse)
+    assert len(endpoints.unsampled_endpoints) == 60 - near - far
+    assert all(
+        endpoint.sampled is (endpoint not in endpoints.unsampled_endpoints)
+        for endpoint in endpoints.all.values()
+    )
 
 
 def test_sidecar_count_of_membership_overrides_settings():
--- a/tests/balancer/test_concurrency_limit.py
+++ b/tests/balancer/test_concurrency_limit.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 from test_overload import SteadyLoad
 
-from dykefold.balancer.actions import Refuse
+from dykefold.balancer.actions import Reject
 from dykefold.balancer.settings import Effect
 
 ENDPOINTS = 12
@@ -21,7 +21,7 @@
 
 
 def count_rejections(log):
-    return sum(isinstance(action, Refuse) for _, action in log)
+    return sum(isinstance(action, Reject) for _, action in log)
 
 
 @settings(max_examples=40, derandomize=True, deadline=None)
@@ -45,8 +45,8 @@
         wanted_in_flight,
     )
     signal.weight, signal.total = congestion_weight, min(congestion_total, 4.0 * congestion_weight)
-    signal.cut_ns = load.now - cut_ns_ago
-    limiter.rejected_ns = load.now
+    signal.cut_ns = load.now_ns - cut_ns_ago
+    limiter.rejected_ns = load.now_ns
     load.run(
         MAX_RECOVERY_CORRECTIONS * balancer.limit.interval_ns / SECOND,
         OFFERED_PER_S,
@@ -71,14 +71,14 @@
     """Guards against repeated cuts for the same late attempts, as one after the other is detected."""
     balancer, load = start_steady_load()
     load.run(3.0, OFFERED_PER_S, lambda endpoint: TIMELY_NS)
-    stall_end_ns = load.now + 1000 * MS
+    stall_end_ns = load.now_ns + 1000 * MS
     cut_times = []
 
     def latency_ns(endpoint):
         # Attempts sent during the stall are answered late, over 1.5 s; later attempts are answered in time.
         if balancer.congestion.cut_ns not in cut_times:
             cut_times.append(balancer.congestion.cut_ns)
-        return 400 * MS + 100 * MS * (endpoint % 12) if load.now < stall_end_ns else TIMELY_NS
+        return 400 * MS + 100 * MS * (endpoint % 12) if load.now_ns < stall_end_ns else TIMELY_NS
 
     load.run(4.0, OFFERED_PER_S, latency_ns)
     assert len([cut_ns for cut_ns in cut_times if cut_ns]) == 1
--- a/tests/balancer/test_lost_attempts.py
+++ b/tests/balancer/test_lost_attempts.py
@@ -3,7 +3,7 @@
 import pytest
 from helpers import MS, SECOND, make_balancer, make_request, serve_requests, submit_request
 
-from dykefold.balancer.actions import Cancel, Refuse, Send
+from dykefold.balancer.actions import Cancel, Reject, Send
 from dykefold.balancer.events import Outcome, Status
 from dykefold.balancer.settings import Effect
 
@@ -96,7 +96,7 @@
         sends = [action for action in actions if isinstance(action, Send)]
         if sends:
             due.append((at_ns + latency_ns, sends[0]))
-        elif [action for action in actions if isinstance(action, Refuse)]:
+        elif [action for action in actions if isinstance(action, Reject)]:
             rejections, last_ns = rejections + 1, at_ns
             due.append((at_ns + MS, None))  # the client retries at once
         else:
--- a/tests/balancer/test_many_balancers.py
+++ b/tests/balancer/test_many_balancers.py
@@ -54,7 +54,8 @@
         balancers, now_ns = make_fleet(sidecar_count, 120)
         send_random_requests(balancers, now_ns, 400.0, 12)
         connection_counts[sidecar_count] = sum(
-            len(balancer.endpoints.near) + len(balancer.endpoints.far) for balancer in balancers
+            len(balancer.endpoints.local_endpoints) + len(balancer.endpoints.remote_endpoints)
+            for balancer in balancers
         )
     assert connection_counts[5] == 5 * 120  # few enough to use all
     assert connection_counts[40] < 0.4 * 40 * 120
@@ -67,9 +68,9 @@
     send_random_requests(balancers, now_ns, 200.0, 8)
     sampling_sidecars = dict.fromkeys(range(60), 0)
     for balancer in balancers:
-        assert len(balancer.endpoints.near) == 12
-        assert len(balancer.endpoints.far) < 48 * 0.4
-        for endpoint in balancer.endpoints.far:
+        assert len(balancer.endpoints.local_endpoints) == 12
+        assert len(balancer.endpoints.remote_endpoints) < 48 * 0.4
+        for endpoint in balancer.endpoints.remote_endpoints:
             sampling_sidecars[endpoint.id] += 1
     assert min(sampling_sidecars.values()) >= 1
     assert sum(sampling_sidecars.values()) >= 4 * 60
@@ -78,7 +79,10 @@
 def test_small_fleet_samples_all_endpoints_even_with_little_traffic():
     balancers, now_ns = make_fleet(4, 15)
     send_random_requests(balancers, now_ns, 4.0, 10)
-    assert all(len(balancer.endpoints.near) + len(balancer.endpoints.far) == 15 for balancer in balancers)
+    assert all(
+        len(balancer.endpoints.local_endpoints) + len(balancer.endpoints.remote_endpoints) == 15
+        for balancer in balancers
+    )
 
 
 @pytest.mark.parametrize("effect", list(Effect))
@@ -87,12 +91,12 @@
     balancers, now_ns = make_fleet(40, 60, effect=effect)
     balancer = balancers[0]
     submit_request(balancer, now_ns, 1)
-    assert balancer.endpoints.rest
-    for endpoint in balancer.endpoints.near + balancer.endpoints.far:
+    assert balancer.endpoints.unsampled_endpoints
+    for endpoint in balancer.endpoints.local_endpoints + balancer.endpoints.remote_endpoints:
         endpoint.ready = False  # as between two endpoint lists, before the subset is rebuilt
     actions = balancer.handle(now_ns + MS, make_request(2, now_ns + MS))
     attempt = next(action for action in actions if isinstance(action, Send))
-    assert attempt.endpoint_number in {endpoint.id for endpoint in balancer.endpoints.rest}
+    assert attempt.endpoint_number in {endpoint.id for endpoint in balancer.endpoints.unsampled_endpoints}
 
 
 def test_warming_up_endpoint_gets_its_part_from_the_fleet_together():
@@ -121,7 +125,7 @@
     balancers, now_ns = make_fleet(40, 60)
     balancer = balancers[0]
     now_ns = send_random_requests([balancer], now_ns, 2.0, 20)
-    initial_size = len(balancer.endpoints.far)
+    initial_size = len(balancer.endpoints.remote_endpoints)
     assert initial_size == 6
     now_ns = send_random_requests([balancer], now_ns, 200.0, 3)
-    assert len(balancer.endpoints.far) > 2 * initial_size
+    assert len(balancer.endpoints.remote_endpoints) > 2 * initial_size
--- a/tests/balancer/test_many_endpoints.py
+++ b/tests/balancer/test_many_endpoints.py
@@ -54,14 +54,14 @@
     send_random_requests(balancer, now_ns, duration_s=2)
     in_zone = sum(n % 3 == 0 for n in range(endpoint_count))
     min_sampled = min(in_zone, 10 * endpoint_count / fleet_size) if endpoint_count == 3200 else in_zone
-    assert len(balancer.endpoints.near) >= min_sampled
+    assert len(balancer.endpoints.local_endpoints) >= min_sampled
 
 
 def test_all_sidecars_together_sample_all_endpoints_about_evenly():
     sampling_sidecars = dict.fromkeys(range(0, 3200, 3), 0)
     for seed in range(67):  # sidecars of one zone
         balancer, _ = make_sidecar(3200, 200, seed)
-        for endpoint in balancer.endpoints.near:
+        for endpoint in balancer.endpoints.local_endpoints:
             sampling_sidecars[endpoint.id] += 1
     counts = sorted(sampling_sidecars.values())
     assert counts[len(counts) // 100] >= 2
@@ -71,11 +71,11 @@
 def test_draining_endpoints_are_replaced_and_the_others_stay():
     balancer, now_ns = make_sidecar(3200, 200)
     send_random_requests(balancer, now_ns, duration_s=5)
-    before = {endpoint.id for endpoint in balancer.endpoints.near}
+    before = {endpoint.id for endpoint in balancer.endpoints.local_endpoints}
     draining = sorted(before)[:10]
     changed_entries = [make_endpoint(n, zone=0, state=State.DRAINING) for n in draining]
     balancer.handle(now_ns + 6 * SECOND, EndpointListUpdate(ListKind.DELTA, 2, changed_entries))
-    after = {endpoint.id for endpoint in balancer.endpoints.near}
+    after = {endpoint.id for endpoint in balancer.endpoints.local_endpoints}
     assert len(after) == len(before)
     assert before - after == set(draining)
 
@@ -86,11 +86,13 @@
     sizes = set()
     for phase, requests_per_s in enumerate((24.0, 30.0, 36.0, 30.0)):
         send_random_requests(balancer, now_ns + (10 + 10 * phase) * SECOND, requests_per_s, 10, seed=phase)
-        sizes.add(len(balancer.endpoints.near))
+        sizes.add(len(balancer.endpoints.local_endpoints))
     assert len(sizes) == 1
 
 
 def test_subset_grows_with_the_requests_in_flight():
     balancer, now_ns = make_sidecar(3200, 200)
     send_random_requests(balancer, now_ns, requests_per_s=600.0, duration_s=3, latency_ns=400 * MS)
-    assert len(balancer.endpoints.near) > 2 * 160  # the minimum in this fleet: ten sidecars for each endpoint
+    assert (
+        len(balancer.endpoints.local_endpoints) > 2 * 160
+    )  # the minimum in this fleet: ten sidecars for each endpoint
--- a/tests/balancer/test_overload.py
+++ b/tests/balancer/test_overload.py
@@ -15,7 +15,7 @@
 )
 
 from dykefold import Balancer
-from dykefold.balancer.actions import Refuse, Send, SendToPeer, SetTimer
+from dykefold.balancer.actions import Reject, Send, SendToPeer, SetTimer
 from dykefold.balancer.events import (
     EndpointListUpdate,
     ListKind,
@@ -33,7 +33,7 @@
 
     def __init__(self, balancer, now_ns):
         self.balancer = balancer
-        self.now = now_ns
+        self.now_ns = now_ns
         self._events = []
         self._event_order = 0
         self.last_request_id = 0
@@ -44,15 +44,15 @@
         heapq.heappush(self._events, (at_ns, self._event_order, event))
 
     def _handle(self, event, latency_ns_of):
-        for action in self.balancer.handle(self.now, event):
-            self._timed_actions.append((self.now, action))
+        for action in self.balancer.handle(self.now_ns, event):
+            self._timed_actions.append((self.now_ns, action))
             if isinstance(action, SetTimer):
-                self._schedule(self.now + action.after_ns, Timer(action.token))
+                self._schedule(self.now_ns + action.after_ns, Timer(action.token))
             elif isinstance(action, Send):
                 latency_ns = latency_ns_of(action.endpoint_number)
                 if latency_ns is not None:
                     outcome = Outcome(action.id, 0, action.endpoint_number, Status.OK, latency_ns, True)
-                    self._schedule(self.now + latency_ns, outcome)
+                    self._schedule(self.now_ns + latency_ns, outcome)
 
     def run(
         self,
@@ -79,14 +79,14 @@
             The actions of this time, each with its time in nanoseconds.
         """
         self._timed_actions = []
-        end_ns = self.now + int(seconds * SECOND)
+        end_ns = self.now_ns + int(seconds * SECOND)
         interval_ns = SECOND // requests_per_s
-        arrival_ns = self.now
+        arrival_ns = self.now_ns
         while arrival_ns < end_ns:
             while self._events and self._events[0][0] <= arrival_ns:
-                self.now, _, event = heapq.heappop(self._events)
+                self.now_ns, _, event = heapq.heappop(self._events)
                 self._handle(event, latency_ns_of)
-            self.now = arrival_ns
+            self.now_ns = arrival_ns
             self.last_request_id += 1
             request_id = self.last_request_id
             deadline_ns = arrival_ns + timeout_ns_of(request_id)
@@ -105,7 +105,7 @@
 
 
 def fraction_of_type(timed_actions, action_type):
-    decisions = [a for _, a in timed_actions if isinstance(a, Send | Refuse)]
+    decisions = [a for _, a in timed_actions if isinstance(a, Send | Reject)]
     return sum(isinstance(a, action_type) for a in decisions) / len(decisions)
 
 
@@ -123,15 +123,15 @@
 
 
 def test_nothing_is_rejected_while_latencies_meet_the_objective(steady_load):
-    assert fraction_of_type(steady_load.run(10, 100, fast_latency_ns), Refuse) == 0
+    assert fraction_of_type(steady_load.run(10, 100, fast_latency_ns), Reject) == 0
 
 
 def test_load_is_shed_while_all_answers_are_late_and_admitted_afterwards(steady_load):
     steady_load.run(5, 100, fast_latency_ns)
     steady_load.run(3, 100, slow_latency_ns)
-    assert fraction_of_type(steady_load.run(3, 100, slow_latency_ns), Refuse) > 0.3
+    assert fraction_of_type(steady_load.run(3, 100, slow_latency_ns), Reject) > 0.3
     steady_load.run(10, 100, fast_latency_ns)
-    assert fraction_of_type(steady_load.run(3, 100, fast_latency_ns), Refuse) < 0.05
+    assert fraction_of_type(steady_load.run(3, 100, fast_latency_ns), Reject) < 0.05
 
 
 def test_typical_latency_is_not_learned_from_a_collapse(steady_load):
@@ -159,11 +159,11 @@
     steady_load.run(5, 100, fast_latency_ns)
     before = steady_load.balancer.limit.limit
     steady_load.balancer.handle(
-        steady_load.now, EndpointListUpdate(ListKind.FULL, 2, [make_endpoint(100), make_endpoint(101)])
+        steady_load.now_ns, EndpointListUpdate(ListKind.FULL, 2, [make_endpoint(100), make_endpoint(101)])
     )
     assert steady_load.balancer.limit.limit < 0.4 * before
     steady_load.balancer.handle(
-        steady_load.now, EndpointListUpdate(ListKind.FULL, 3, [make_endpoint(100 + n) for n in range(6)])
+        steady_load.now_ns, EndpointListUpdate(ListKind.FULL, 3, [make_endpoint(100 + n) for n in range(6)])
     )
     assert steady_load.balancer.limit.limit < 0.4 * before  # added endpoints raise it by their responses only
 
@@ -182,7 +182,7 @@
     timed_actions = steady_load.run(
         8, 100, lambda endpoint_number: None if endpoint_number == 101 else 40 * MS
     )
-    assert fraction_of_type(timed_actions, Refuse) < 0.02
+    assert fraction_of_type(timed_actions, Reject) < 0.02
 
 
 def test_one_long_request_does_not_eject_its_endpoint():
@@ -239,7 +239,7 @@
         lambda endpoint_number: (40 + 25 * steady_load.balancer.limit.in_flight) * MS,
         **class_by_parity,
     )
-    rejected = [a.id % 2 for _, a in timed_actions if isinstance(a, Refuse)]
+    rejected = [a.id % 2 for _, a in timed_actions if isinstance(a, Reject)]
     return rejected.count(0), rejected.count(1)
 
 
@@ -261,11 +261,11 @@
         "timeout_ns_of": lambda n: 900 * MS if n % 3 else timeout_ns,
         "is_retry_of": lambda n: is_marked and n % 3 == 0,
     }
-    assert fraction_of_type(steady_load.run(5, 100, fast_latency_ns, **mixed_ages), Refuse) == 0
+    assert fraction_of_type(steady_load.run(5, 100, fast_latency_ns, **mixed_ages), Reject) == 0
     timed_actions = steady_load.run(
         6, 100, lambda endpoint_number: (40 + 25 * steady_load.balancer.limit.in_flight) * MS, **mixed_ages
     )
-    rejected = [a.id % 3 == 0 for _, a in timed_actions if isinstance(a, Refuse)]
+    rejected = [a.id % 3 == 0 for _, a in timed_actions if isinstance(a, Reject)]
     # A third of the requests are aged, two thirds are not.
     assert rejected.count(True) > 1.5 * rejected.count(False) / 2 > 0
 
@@ -282,7 +282,7 @@
         "timeout_ns_of": lambda n: 1690 * MS if n % 9 < 5 else (1960 if n % 9 < 7 else 1400 + n % 9 * 30) * MS
     }
     steady_load.run(3, 100, fast_latency_ns, **timeouts)
-    assert fraction_of_type(steady_load.run(10, 100, fast_latency_ns, **timeouts), Refuse) == 0
+    assert fraction_of_type(steady_load.run(10, 100, fast_latency_ns, **timeouts), Reject) == 0
 
 
 def test_requests_without_value_are_rejected_only_near_the_limit():
@@ -290,11 +290,11 @@
     steady_load = SteadyLoad(*make_balancer(endpoint_count=6, classes=[request_class]))
     aged = {"timeout_ns_of": lambda n: 2200 * MS if n % 4 else 900 * MS}
     steady_load.run(3, 100, fast_latency_ns, **aged)
-    assert fraction_of_type(steady_load.run(5, 100, fast_latency_ns, **aged), Refuse) == 0
+    assert fraction_of_type(steady_load.run(5, 100, fast_latency_ns, **aged), Reject) == 0
     timed_actions = steady_load.run(
         6, 100, lambda endpoint_number: (40 + 25 * steady_load.balancer.limit.in_flight) * MS, **aged
     )
-    rejected = [a.id % 4 == 0 for _, a in timed_actions if isinstance(a, Refuse)]
+    rejected = [a.id % 4 == 0 for _, a in timed_actions if isinstance(a, Reject)]
     assert rejected.count(True) > rejected.count(False) / 3 > 0
 
 
@@ -309,7 +309,7 @@
     timed_actions = steady_load.run(
         6, 100, lambda endpoint_number: (40 + 25 * steady_load.balancer.limit.in_flight) * MS, **mixed_ages
     )
-    rejected = [a for _, a in timed_actions if isinstance(a, Refuse)]
+    rejected = [a for _, a in timed_actions if isinstance(a, Reject)]
     retry_after_ns = {
         is_aged: [a.retry_after_ns for a in rejected if (a.id % 3 == 0) == is_aged]
         for is_aged in (True, False)
@@ -327,9 +327,9 @@
         )
     )
     mostly_over_quota = {"tenant_of": lambda n: n % 5 != 0}
-    assert fraction_of_type(steady_load.run(5, 200, fast_latency_ns, **mostly_over_quota), Refuse) == 0
+    assert fraction_of_type(steady_load.run(5, 200, fast_latency_ns, **mostly_over_quota), Reject) == 0
     timed_actions = steady_load.run(6, 200, lambda endpoint_number: 350 * MS, **mostly_over_quota)
-    rejected = [a.id for _, a in timed_actions if isinstance(a, Refuse)]
+    rejected = [a.id for _, a in timed_actions if isinstance(a, Reject)]
     sent = [a.id for _, a in timed_actions if isinstance(a, Send)]
     rejections = {
         over_quota: sum((n % 5 != 0) == over_quota for n in rejected) for over_quota in (True, False)
@@ -355,8 +355,8 @@
         if isinstance(a, SendToPeer)
     ]
     assert peer_messages
-    balancer.handle(steady_load.now, PeerMessage(1, peer_messages[-1][:3]))
-    balancer.handle(steady_load.now, PeerMessage(1, peer_messages[-1]))
+    balancer.handle(steady_load.now_ns, PeerMessage(1, peer_messages[-1][:3]))
+    balancer.handle(steady_load.now_ns, PeerMessage(1, peer_messages[-1]))
     steady_load.run(2, 20, fast_latency_ns, tenant_of=lambda n: 0)
     assert balancer.quotas.over_quota[0] > 0.5  # 20 per second here and 20 at the peer, of 10
     assert balancer.quotas.over_quota[1] == 0.0
@@ -371,7 +371,7 @@
     answered_load = SteadyLoad(*make_balancer(endpoint_count=40, effect=Effect.UNSAFE, fleet_size=8))
     answered_load.run(5, 50, fast_latency_ns)
     # A burst that is answered is admitted.
-    assert fraction_of_type(answered_load.run(2, 150, fast_latency_ns), Refuse) < 0.05
+    assert fraction_of_type(answered_load.run(2, 150, fast_latency_ns), Reject) < 0.05
 
 
 @pytest.mark.parametrize("effect", list(Effect))
@@ -454,6 +454,6 @@
     timed_actions = run_timers(
         balancer, now_ns, balancer.handle(now_ns, make_request(7, now_ns)), now_ns + 2 * SECOND
     )
-    ((at_ns, rejection),) = [(at_ns, action) for at_ns, action in timed_actions if isinstance(action, Refuse)]
+    ((at_ns, rejection),) = [(at_ns, action) for at_ns, action in timed_actions if isinstance(action, Reject)]
     assert now_ns < at_ns < now_ns + SECOND
     assert rejection.retry_after_ns > 0
--- a/tests/balancer/test_property.py
+++ b/tests/balancer/test_property.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from dykefold import Balancer, Settings
-from dykefold.balancer.actions import Cancel, Fail, Probe, Refuse, Send, SetTimer
+from dykefold.balancer.actions import Cancel, Fail, Probe, Reject, Send, SetTimer
 from dykefold.balancer.attempt_rules import AttemptRules
 from dykefold.balancer.events import (
     ClientDisconnected,
@@ -108,7 +108,7 @@
             if isinstance(action, SetTimer):
                 assert action.after_ns > 0
                 self.schedule(self.now_ns + action.after_ns, lambda token=action.token: Timer(token))
-            elif isinstance(action, Refuse | Fail):
+            elif isinstance(action, Reject | Fail):
                 self.answered_requests.add(action.id)
             elif isinstance(action, Send):
                 self._record_attempt(action)
@@ -247,14 +247,14 @@
         return allowed
 
     def use_all_endpoints(self):
-        self.near, self.far, self.ejected = list(self.all.values()), [], []
+        self.local_endpoints, self.remote_endpoints, self.ejected = list(self.all.values()), [], []
 
     monkeypatch.setattr(AttemptRules, "may_send", allow_unready_endpoints)
     monkeypatch.setattr(EndpointSet, "rebuild", use_all_endpoints)
 
 
 def omit_final_answers(monkeypatch):
-    monkeypatch.setattr(FinalAnswers, "end", lambda self, req: None)
+    monkeypatch.setattr(FinalAnswers, "finish", lambda self, req: None)
 
 
 def disable_slow_start(monkeypatch):
--- a/tests/balancer/test_rejections.py
+++ b/tests/balancer/test_rejections.py
@@ -30,10 +30,10 @@
     now_ns, _ = serve_requests(balancer, now_ns, range(10_000, 10_200), 40 * MS)
     now_ns = reject_attempts(balancer, now_ns, 100, 2)
     assert [endpoint.id for endpoint in balancer.endpoints.ejected] == [100]
-    balancer.congestion.fade()
+    balancer.congestion.decay()
     level_before = balancer.congestion.level
     record_outcome(balancer, now_ns, 100, Status.FULL)
-    balancer.congestion.fade()
+    balancer.congestion.decay()
     assert balancer.congestion.level <= level_before
     for request_id in range(1, 13):  # the ejected endpoint gets no requests for some time
         assert submit_request(balancer, now_ns, request_id).endpoint_number != 100
--- a/tests/balancer/test_retry.py
+++ b/tests/balancer/test_retry.py
@@ -12,7 +12,7 @@
     submit_request,
 )
 
-from dykefold.balancer.actions import Fail, Refuse, Send
+from dykefold.balancer.actions import Fail, Reject, Send
 from dykefold.balancer.events import Outcome, Status, Timer
 from dykefold.balancer.settings import Effect, Scope
 
@@ -46,7 +46,7 @@
     timed_actions = _run_one_second(
         balancer, now_ns, _finish_attempt(balancer, now_ns, 1, first_attempt.endpoint_number, status)
     )
-    assert [action for _, action in timed_actions if isinstance(action, Send | Refuse | Fail)] == [Fail(1)]
+    assert [action for _, action in timed_actions if isinstance(action, Send | Reject | Fail)] == [Fail(1)]
 
 
 @pytest.mark.parametrize("status", [Status.TIMEOUT, Status.RESET])
@@ -97,13 +97,13 @@
     balancer, now_ns = make_balancer(effect=Effect.SAFE)
     first_attempt = submit_request(balancer, now_ns, 1)
     actions = _finish_attempt(balancer, now_ns, 1, first_attempt.endpoint_number, Status.ERROR)
-    assert any(isinstance(action, Refuse | Fail) for action in actions)
+    assert any(isinstance(action, Reject | Fail) for action in actions)
 
 
 def test_request_past_its_deadline_is_rejected_at_once():
     balancer, now_ns = make_balancer()
     actions = balancer.handle(now_ns, make_request(5, now_ns, 0))
-    assert [type(action) for action in actions] == [Refuse]
+    assert [type(action) for action in actions] == [Reject]
 
 
 def test_simultaneous_failures_share_one_retry_budget():
@@ -115,7 +115,7 @@
         actions += balancer.handle(
             now_ns, Outcome(attempt.id, 0, attempt.endpoint_number, Status.CONNECT_FAILED, MS, False)
         )
-    rejections = sum(isinstance(action, Refuse) for action in actions)
+    rejections = sum(isinstance(action, Reject) for action in actions)
     retries = []
     for step in range(1, 400):
         retries += actions_of_type(
--- a/tests/balancer/test_rules.py
+++ b/tests/balancer/test_rules.py
@@ -15,7 +15,7 @@
 )
 
 from dykefold import Balancer
-from dykefold.balancer.actions import Cancel, Fail, Refuse, Send, SetTimer, Watch
+from dykefold.balancer.actions import Cancel, Fail, Reject, Send, SetTimer, Watch
 from dykefold.balancer.events import (
     ClientDisconnected,
     EndpointListUpdate,
@@ -38,15 +38,15 @@
     actions = balancer.handle(
         deadline_ns, Outcome(1, 0, first_attempt.endpoint_number, Status.TIMEOUT, 2 * SECOND, False)
     )
-    assert actions_of_type(actions, Fail, Refuse) == [Fail(1)]
+    assert actions_of_type(actions, Fail, Reject) == [Fail(1)]
 
 
 def test_request_without_endpoints_waits_and_is_rejected_before_its_deadline():
     balancer, now_ns = make_balancer(endpoints=[])
     actions = balancer.handle(now_ns, make_request(1, now_ns, SECOND))
-    assert not actions_of_type(actions, Send, Refuse, Fail)
+    assert not actions_of_type(actions, Send, Reject, Fail)
     timed_actions = run_timers(balancer, now_ns, actions, now_ns + 3 * SECOND)
-    answers = [(at_ns, action) for at_ns, action in timed_actions if isinstance(action, Refuse | Fail)]
+    answers = [(at_ns, action) for at_ns, action in timed_actions if isinstance(action, Reject | Fail)]
     assert len(answers) == 1
     assert answers[0][0] < now_ns + SECOND
 
@@ -68,7 +68,7 @@
     balancer.handle(now_ns + MS, ClientDisconnected(1))
     balancer.handle(now_ns + MS, ClientDisconnected(1))
     timed_actions = run_timers(balancer, now_ns + MS, actions, now_ns + 3 * SECOND)
-    assert not [action for _, action in timed_actions if isinstance(action, Send | Refuse | Fail)]
+    assert not [action for _, action in timed_actions if isinstance(action, Send | Reject | Fail)]
 
 
 def test_draining_and_removed_endpoints_get_neither_attempts_nor_scheduled_retries():
@@ -111,7 +111,7 @@
         actions_after = balancer.handle(
             end_ns, Outcome(1, 1, first_attempt.endpoint_number, Status.TIMEOUT, SECOND, False)
         )
-        assert not actions_of_type([action for _, action in timed_actions] + actions_after, Refuse)
+        assert not actions_of_type([action for _, action in timed_actions] + actions_after, Reject)
 
 
 def eject_by_resets(balancer, now_ns, endpoint_number):
@@ -309,7 +309,7 @@
         PeerMessage(7, b"1234"),
         Timer(4242),
     ):
-        assert not actions_of_type(balancer.handle(now_ns, event), Send, Refuse, Fail)
+        assert not actions_of_type(balancer.handle(now_ns, event), Send, Reject, Fail)
 
 
 def test_request_whose_response_has_started_gets_no_further_attempt():
@@ -330,7 +330,7 @@
         balancer, now_ns, actions, now_ns + 3 * SECOND
     )
     assert not [action for _, action in timed_actions if isinstance(action, Send)]
-    assert [at_ns < now_ns + SECOND for at_ns, action in timed_actions if isinstance(action, Refuse)] == [
+    assert [at_ns < now_ns + SECOND for at_ns, action in timed_actions if isinstance(action, Reject)] == [
         True
     ]
 
--- a/tests/balancer/test_sparse_traffic.py
+++ b/tests/balancer/test_sparse_traffic.py
@@ -13,7 +13,7 @@
     submit_request,
 )
 
-from dykefold.balancer.actions import Probe, Refuse, Send
+from dykefold.balancer.actions import Probe, Reject, Send
 from dykefold.balancer.events import (
     ClientDisconnected,
     Endpoint,
@@ -129,7 +129,7 @@
     )
     latency_without_samples = {
         endpoint.kind: balancer.latency.relative_latency(endpoint)
-        for endpoint in balancer.endpoints.rest
+        for endpoint in balancer.endpoints.unsampled_endpoints
         if not endpoint.samples
     }
     assert latency_without_samples[1] < latency_without_samples[0]
@@ -236,9 +236,9 @@
     ]
     action_lists.append(balancer.handle(now_ns + SECOND, Timer(balancer.timers.token)))
     assert not [
-        actions_of_type(actions, Send, Refuse)
+        actions_of_type(actions, Send, Reject)
         for actions in action_lists
-        if actions_of_type(actions, Send, Refuse)
+        if actions_of_type(actions, Send, Reject)
     ]
 
 
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -3,7 +3,7 @@
 It shares no code with the balancer.
 """
 
-from dykefold.balancer.actions import Cancel, Fail, Probe, Refuse, Send
+from dykefold.balancer.actions import Cancel, Fail, Probe, Reject, Send
 from dykefold.balancer.events import EndpointListUpdate, Outcome, Request, State, Status, StreamStarted
 from dykefold.balancer.settings import Effect, Scope
 
@@ -60,11 +60,11 @@
         for action in actions:
             if isinstance(action, Send):
                 self._check_attempt(now_ns, action)
-            elif isinstance(action, Refuse | Fail):
+            elif isinstance(action, Reject | Fail):
                 require(action.id in self.requests, "final answer to an unknown request")
                 class_number, _, answered, attempts = self.requests[action.id]
                 require(not answered, "second final answer to a request")
-                if isinstance(action, Refuse):
+                if isinstance(action, Reject):
                     self._check_rejection(self.settings.classes[class_number], attempts)
                 self.requests[action.id][2] = True
             elif isinstance(action, Probe):
--- a/tests/control/hot_restart_rig.py
+++ b/tests/control/hot_restart_rig.py
@@ -63,7 +63,7 @@
         pass
 
     def apply_order(self, name, take_out):
-        was_out = self.maintenance.is_out(name)
+        was_out = self.maintenance.is_out_of_service(name)
         self.maintenance.apply_order(name, take_out, self.now())
         return was_out is not take_out
 
@@ -111,7 +111,7 @@
 
     @property
     def out_of_service(self):
-        return sorted(self.server.pool.maintenance.out_of_service())
+        return sorted(self.server.pool.maintenance.names_out_of_service())
 
     def carry_out(self, action, endpoint_name="s0"):
         return AdminOperations(self.server, self.hot_restart).carry_out(
--- a/tests/control/test_admin_server.py
+++ b/tests/control/test_admin_server.py
@@ -124,7 +124,7 @@
             assert await sidecar.out("s0") == 200
             await wait_until(lambda: len(registry.received) == 2)
             assert sidecar.server.pool.version == 2
-            assert sidecar.server.pool.maintenance.is_out("s0")
+            assert sidecar.server.pool.maintenance.is_out_of_service("s0")
 
     run(play())
 
@@ -136,7 +136,7 @@
         go, act = gated_handler()
         fakes = await two(act)
         async with Operated(tmp_path / "c", config(listed(*fakes))) as sidecar:
-            upstreams = sidecar.server.pool.upstreams
+            upstreams = sidecar.server.pool.connection_pool
             first = asyncio.create_task(send_request(sidecar.port, request_message("lookup", "a1")))
             await wait_until(lambda: fakes[0].received)
             (target,) = upstreams.endpoints.values()
@@ -149,7 +149,7 @@
             go.set()
             assert (await first).code == 200
             assert (await late).code == 200
-            assert not target.opening
+            assert not target.waiting_exchanges
 
     run(play())
 
--- a/tests/control/test_background_writes.py
+++ b/tests/control/test_background_writes.py
@@ -93,7 +93,7 @@
     async def play():
         disk = HangingDisk()
         async with serving(tmp_path, disk) as (lifecycle, admin):
-            out = lifecycle.sidecar.pool.maintenance.out_of_service
+            out = lifecycle.sidecar.pool.maintenance.names_out_of_service
             if first == "ready":
                 assert await call(admin, "POST /servers/s0/maint") == 200
             disk.hangs = True
--- a/tests/control/test_hot_restart_records.py
+++ b/tests/control/test_hot_restart_records.py
@@ -127,7 +127,7 @@
     (server, *_) = balancer.endpoints.all.values()
     age_ns = 2 * 10**9
     then = old.server.clock.now() - age_ns
-    server.slow_start_ns = server.probation_ns = balancer.throughput.updated_ns = then
+    server.slow_start_refilled_ns = server.probation_ns = balancer.throughput.updated_ns = then
     balancer.live_classes[0].typical_updated_ns = then
     machine.wall_ns += step_ns
     new = SidecarProcess(tmp_path, machine)
@@ -136,7 +136,7 @@
     passed_ns = machine.mono_ns - began_ns
     balancer = new.server.pool.balancer
     server = balancer.endpoints.all[server.id]
-    moved = (server.slow_start_ns, server.probation_ns, balancer.throughput.updated_ns)
+    moved = (server.slow_start_refilled_ns, server.probation_ns, balancer.throughput.updated_ns)
     for at in (*moved, balancer.live_classes[0].typical_updated_ns):
         assert abs(new.server.clock.now() - at - age_ns - passed_ns) < 10**9
     assert server.last_alive_ns == 0
--- a/tests/control/test_state_directory.py
+++ b/tests/control/test_state_directory.py
@@ -204,4 +204,4 @@
     assert out.code == 500
     assert "newer process would not know" in out.text
     assert back.code == 200
-    assert sidecar_server.pool.maintenance.out_of_service() == []
+    assert sidecar_server.pool.maintenance.names_out_of_service() == []
--- a/tests/failover/test_failover_controller.py
+++ b/tests/failover/test_failover_controller.py
@@ -29,13 +29,13 @@
     def ready_by_zone(self) -> dict[int, int]:
         return {0: 2, 1: 2, 2: 2}
 
-    def tried_and_ejected_by_zone(self) -> dict[int, tuple[int, int]]:
+    def attempted_and_ejected_by_zone(self) -> dict[int, tuple[int, int]]:
         return {0: (2, 2 if self.lost else 0), 1: (2, 0), 2: (2, 0)}
 
     def zone_of(self, server: int) -> int | None:
         return server // 2 if server < 6 else None
 
-    def answered_since(self, server: int, took_ns: int) -> bool:
+    def responded_within(self, server: int, duration_ns: int) -> bool:
         return server == 0
 
     def set_home_zone(self, zone: int) -> None:
@@ -75,12 +75,12 @@
             clock,  # type: ignore[arg-type]
         )
         objective_ns = NS_PER_S
-        for server, status, took_ns in (
+        for server, status, duration_ns in (
             (0, Status.OK, 1), (0, Status.OK, 2 * NS_PER_S), (0, Status.FULL, 1),
             (0, Status.TIMEOUT, NS_PER_S), (0, Status.CANCELLED, 1), (0, Status.NOT_ATTEMPTED, 1),
             (99, Status.OK, 1), (1, Status.TIMEOUT, NS_PER_S), (1, Status.RESET, 1),
         ):  # fmt: skip
-            pool.on_attempt_end(server, status, took_ns, objective_ns)  # type: ignore[misc]
+            pool.on_attempt_end(server, status, duration_ns, objective_ns)  # type: ignore[misc]
         assert made.sampler.counts == {
             0: {AttemptResult.IN_TIME: 1.0, AttemptResult.LATE: 2.0, AttemptResult.REJECTED: 1.0}
         }  # what is lost is counted by servers
--- a/tests/fleet/test_membership_protocol.py
+++ b/tests/fleet/test_membership_protocol.py
@@ -37,11 +37,11 @@
     world = converged_fleet(30, 2, loss)
     for number in range(21):
         world.kill(number)
-    assert world.run(settling_ns(world), world.right)
+    assert world.run(settling_ns(world), world.has_converged)
     assert concluded_gone(world) <= set(range(21))
     for number in range(21):
         world.start(number)
-    assert world.run(settling_ns(world), world.right)
+    assert world.run(settling_ns(world), world.has_converged)
 
 
 @pytest.mark.parametrize("parts", [2, 3])
@@ -57,7 +57,7 @@
         24 // parts
     ] * 2
     world.cut = lambda sender, peer: False
-    assert world.run(settling_ns(world), lambda: world.right() and world.equal())
+    assert world.run(settling_ns(world), lambda: world.has_converged() and world.states_equal())
 
 
 def test_one_way_cut_makes_no_member_gone() -> None:
@@ -77,7 +77,7 @@
     assert not [member for by, member in gone if (by < 6) == (member < 6)]
     assert all(world.state(0, by) is State.GONE for by in range(6, 12))
     world.cut = lambda sender, peer: False
-    assert world.run(settling_ns(world), world.right)
+    assert world.run(settling_ns(world), world.has_converged)
 
 
 def test_a_member_that_receives_nothing_concludes_nothing_about_others() -> None:
@@ -90,7 +90,7 @@
     assert deaf.membership.isolated
     assert deaf.membership.live_members(world.now_ns) == [3]  # it can tell nothing of them
     world.cut = lambda sender, peer: False
-    assert world.run(settling_ns(world), world.right)
+    assert world.run(settling_ns(world), world.has_converged)
 
 
 def test_process_paused_for_3_s_is_never_declared_dead_and_suspects_nobody() -> None:
@@ -104,7 +104,7 @@
         by == 5 and change.after is State.SUSPECT and change.cause.startswith("neither")
         for by, change in world.changes
     )
-    assert world.run(settling_ns(world), world.right)
+    assert world.run(settling_ns(world), world.has_converged)
 
 
 def test_a_restart_with_the_clock_set_back_overrides_the_former_incarnation() -> None:
@@ -114,7 +114,7 @@
         world.kill(2)
         world.clock_off_ms[2] = off_ms
         world.start(2)
-        assert world.run(settling_ns(world), lambda: world.right() and world.equal())
+        assert world.run(settling_ns(world), lambda: world.has_converged() and world.states_equal())
         assert world.living[2].membership.incarnation > before
         before = world.living[2].membership.incarnation
 
@@ -174,7 +174,7 @@
         heard < 11 * RECEIVE_LIMIT_PER_MEMBER_PER_S + 10 * 30
     )  # ten seconds of its budget, and what the others send
     assert not world.changes
-    assert world.right()
+    assert world.has_converged()
 
 
 def test_noise_duplicates_and_damaged_datagrams_change_nothing() -> None:
@@ -200,7 +200,7 @@
     datagram = Datagram(Kind.GOSSIP, protocol.membership.fleet, other.membership.own_state, entries=[claim])
     protocol.receive(world.now_ns, 1, datagrams.encode(datagram))
     assert protocol.membership.table.state(2) is State.ALIVE
-    assert world.run(settling_ns(world), world.right)  # it has denied it
+    assert world.run(settling_ns(world), world.has_converged)  # it has denied it
     assert incarnation_of(other.membership.own_state) == incarnation_of(protocol.membership.table.states[1])
 
 
--- a/tests/fleet/test_peer_observations.py
+++ b/tests/fleet/test_peer_observations.py
@@ -79,7 +79,7 @@
     world = converged_fleet(12, equal_states=True)
     for number in range(8):
         world.kill(number)
-    assert world.run(20 * SECOND, world.right)
+    assert world.run(20 * SECOND, world.has_converged)
     protocol = world.living[11]
     assert len(protocol.membership.live_members(world.now_ns)) == 4
     world.kill(10)
@@ -91,7 +91,7 @@
     world.run(31 * SECOND)
     assert event(protocol, world.now_ns, {}).live_sidecars == 4
     world.start(0)
-    assert world.run(20 * SECOND, world.right)
+    assert world.run(20 * SECOND, world.has_converged)
     assert event(protocol, world.now_ns, {}).live_sidecars == 5
 
 
@@ -200,7 +200,7 @@
     before = event(protocol, world.now_ns, endpoints).ranks
     for number in range(8):
         world.kill(number)
-    assert world.run(20 * SECOND, world.right)
+    assert world.run(20 * SECOND, world.has_converged)
     assert event(protocol, world.now_ns, endpoints).ranks == before
     world.run(31 * SECOND)
     assert event(protocol, world.now_ns, endpoints).ranks != before
--- a/tests/fleet/test_restart_clock.py
+++ b/tests/fleet/test_restart_clock.py
@@ -36,7 +36,7 @@
     world.run(NS_PER_S)
     for number in range(restarted):
         restart(world, number, off_ms, planned)
-    assert world.run(world.pace.settled_ns(SIZE), lambda: world.right() and world.equal())
+    assert world.run(world.pace.settled_ns(SIZE), lambda: world.has_converged() and world.states_equal())
     for number in range(restarted):
         assert world.living[number].membership.incarnation > before[number]
         assert all(world.state(number, by) is State.ALIVE for by in world.living)
--- a/tests/fleet_helpers.py
+++ b/tests/fleet_helpers.py
@@ -32,5 +32,7 @@
     fleet = Views(size, seed, loss_fraction)
     for member_index in range(size):
         fleet.start(member_index)
-    assert fleet.run(MAX_CONVERGENCE_NS, lambda: fleet.right() and (not equal_states or fleet.equal()))
+    assert fleet.run(
+        MAX_CONVERGENCE_NS, lambda: fleet.has_converged() and (not equal_states or fleet.states_equal())
+    )
     return fleet
--- a/tests/net/test_aborted_attempts.py
+++ b/tests/net/test_aborted_attempts.py
@@ -168,7 +168,7 @@
         peer.setblocking(False)
         with contextlib.suppress(BlockingIOError, ConnectionResetError):
             assert not peer.recv(1)
-        assert not pool.endpoints[1].opening
+        assert not pool.endpoints[1].waiting_exchanges
         pool.close()
         peer.close()
         server.close()
@@ -192,9 +192,9 @@
             statuses = []
             exchange = Exchange(PAYLOAD.replace(b"ab", b"late"), lambda _, s, a: statuses.append(s), 99)
             pool.start(1, exchange, WAIT_TIMEOUT_S)
-            while exchange.opening is not None:
+            while exchange.connect_task is not None:
                 await asyncio.sleep(0)
-            assert exchange in target.opening
+            assert exchange in target.waiting_exchanges
             assert exchange.connection is None
             exchange.give_up(Status.CANCELLED)
             pool.keep_idle(idle, time.monotonic())
--- a/tests/net/test_class_generations.py
+++ b/tests/net/test_class_generations.py
@@ -194,7 +194,7 @@
             assert (await send_request(sidecar.port, request_message("order", "a4"))).code == 200
             # without its key, then as now
             assert (await send_request(sidecar.port, post("hold", "a5"))).code == 400
-            sidecar_server.parser.previous.until_ns = 0
+            sidecar_server.parser.previous.fallback_until_ns = 0
             assert (await send_request(sidecar.port, request_message("lookup", "a6"))).code == 405
             assert (await send_request(sidecar.port, request_message("order", "a7"))).code == 404
             assert sidecar_server.parser.previous is None
--- a/tests/net/test_client_closes.py
+++ b/tests/net/test_client_closes.py
@@ -260,7 +260,7 @@
     def __init__(self, error):
         self.error = error
 
-    def watch_end(self, sock):
+    def watch_close(self, sock):
         return self
 
     def poll(self, timeout):
--- a/tests/net/test_client_disconnects.py
+++ b/tests/net/test_client_disconnects.py
@@ -57,7 +57,7 @@
         self.sock.bind((HOST, 0))
         self.sock.listen()
         self.sock.setblocking(False)
-        self.go = asyncio.Event()
+        self.reading_allowed = asyncio.Event()
         self.received = []
         self.ended_connections = 0
         self.tasks = [asyncio.create_task(self._accept())]
@@ -76,12 +76,12 @@
         loop = asyncio.get_running_loop()
         self.received.append(received := bytearray())
         with accepted, contextlib.suppress(OSError):
-            await self.go.wait()
+            await self.reading_allowed.wait()
             while data := await loop.sock_recv(accepted, 64 * KB):
                 received += data
         self.ended_connections += 1
 
-    def whole(self):
+    def complete_requests(self):
         """Return the requests that were received completely."""
         return [received for received in self.received if _is_complete(bytes(received))]
 
@@ -151,8 +151,8 @@
     async with Sidecar(tmp_path / "c", data) as sidecar:
         pool, loop = sidecar.server.pool, asyncio.get_running_loop()
         statuses = []
-        pool.on_attempt_end = lambda endpoint, status, took_ns, objective_ns: statuses.append(status)
-        pool.upstreams.system = SmallBufferSystem()
+        pool.on_attempt_end = lambda endpoint, status, duration_ns, objective_ns: statuses.append(status)
+        pool.connection_pool.system = SmallBufferSystem()
         client = socket.socket()
         client.setblocking(False)
         await loop.sock_connect(client, (HOST, sidecar.port))
@@ -161,11 +161,11 @@
         await asyncio.sleep(LATE_S)  # all input that is read before the close is read by now
         disconnect(client, mode)
         await asyncio.sleep(LATE_S)
-        server.go.set()
-        await wait_until(lambda: has_no_clients(sidecar) and not pool.upstreams.connections)
+        server.reading_allowed.set()
+        await wait_until(lambda: has_no_clients(sidecar) and not pool.connection_pool.connections)
         await wait_until(lambda: server.ended_connections == len(server.received))
         client.close()
-        assert not server.whole()
+        assert not server.complete_requests()
         assert set(statuses) == {Status.NOT_ATTEMPTED}
         assert pool.balancer.known_endpoints[1].failure_score == 0.0
     server.close()
@@ -180,7 +180,7 @@
             tmp_path / "c", config(list_update(1, endpoint_entry("s1", f"{HOST}:{server.port}")))
         ) as sidecar:
             pool, loop = sidecar.server.pool, asyncio.get_running_loop()
-            pool.upstreams.system = SmallBufferSystem()
+            pool.connection_pool.system = SmallBufferSystem()
             client = socket.socket()
             client.setblocking(False)
             await loop.sock_connect(client, (HOST, sidecar.port))
@@ -188,8 +188,8 @@
             await wait_until(
                 lambda: any(a.connection and a.connection.unwritten for a in pool.attempts.values())  # noqa: B023
             )
-            server.go.set()
-            await wait_until(lambda: len(server.whole()) == 1)  # noqa: B023
+            server.reading_allowed.set()
+            await wait_until(lambda: len(server.complete_requests()) == 1)  # noqa: B023
             client.close()
         server.close()
 
@@ -275,7 +275,7 @@
             request_message("order", f"id{n}", "4000m") for n in range(1 + 2 * MAX_WAITING_REQUESTS * paused)
         ]
         await loop.sock_sendall(client, b"".join(requests))
-        opening = pool.upstreams.endpoints[1].opening
+        opening = pool.connection_pool.endpoints[1].waiting_exchanges
         await wait_until(lambda: opening and all(conn.sock.getsockname()[1] for conn in opening.values()))
         disconnect(client, mode)
         for filler in fillers:
@@ -289,7 +289,7 @@
 
         task = asyncio.create_task(accept())
         # The kernel retransmits the SYN after a second.
-        await wait_until(lambda: has_no_clients(sidecar) and not pool.attempts and pool.upstreams.idle)
+        await wait_until(lambda: has_no_clients(sidecar) and not pool.attempts and pool.connection_pool.idle)
         task.cancel()
         for upstream_sock in accepted:
             upstream_sock.setblocking(False)
@@ -308,7 +308,7 @@
     async with Sidecar(tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))) as sidecar:
         pool, loop = sidecar.server.pool, asyncio.get_running_loop()
         assert (await send_request(sidecar.port, request_message("order", "warm"))).code == 200
-        quarantine = pool.upstreams.quarantine
+        quarantine = pool.connection_pool.quarantine
         quarantine.limit_s, quarantine.seen_at_s = WAIT_TIMEOUT_S, time.monotonic()
         client = socket.create_connection((HOST, sidecar.port))
         connect = loop.sock_connect
@@ -323,9 +323,9 @@
             disconnect(client, mode)
             await connect(*args)
 
-        pool.upstreams.loop = Loop()
+        pool.connection_pool.loop = Loop()
         client.sendall(request_message("order", "ab"))
-        await wait_until(lambda: len(pool.upstreams.idle) == 2)  # the new connection is kept as well
+        await wait_until(lambda: len(pool.connection_pool.idle) == 2)  # the new connection is kept as well
         await wait_until(lambda: has_no_clients(sidecar) and not pool.attempts)
         client.close()
         assert [request.headers["x-request-id"] for request in fake.received] == ["warm"]
--- a/tests/net/test_client_races.py
+++ b/tests/net/test_client_races.py
@@ -116,7 +116,7 @@
             filler.close()
         sock.setblocking(False)
         loop = asyncio.get_running_loop()
-        idle = pool.upstreams.endpoints[1].idle
+        idle = pool.connection_pool.endpoints[1].idle
         got = []
         while not idle:  # kept for others
             taken, _ = await loop.sock_accept(sock)
@@ -416,7 +416,7 @@
         for filler in fill:
             filler.close()
         sock.setblocking(False)
-        idle = pool.upstreams.endpoints[2].idle
+        idle = pool.connection_pool.endpoints[2].idle
         taken = []
         while not idle and not asked.done():
             with contextlib.suppress(asyncio.TimeoutError):
@@ -476,7 +476,7 @@
     async with asked_of_a_raw_server(tmp_path, request_message("order", "ab")) as (pool, asked, server):
         server.send(whole[:-3])
         connection = next(iter(pool.attempts.values())).connection
-        await wait_until(lambda: connection.stalled is not None)
+        await wait_until(lambda: connection.stall_timer is not None)
         loop = asyncio.get_running_loop()
         block_event_loop(loop, MAX_STALL_S + STILL, lambda: server.send(whole[-3:]))
         got = await asked
@@ -531,8 +531,8 @@
         pool = sidecar.server.pool
         strikes = noted_strikes(pool, monkeypatch)
         asked = asyncio.create_task(send_request(sidecar.port, request_message("order", "ab", "4000m")))
-        await wait_until(lambda: any(one.sock.getsockname()[1] for one in pool.upstreams.connections))
-        ((connection, _),) = pool.upstreams.connections.items()
+        await wait_until(lambda: any(one.sock.getsockname()[1] for one in pool.connection_pool.connections))
+        ((connection, _),) = pool.connection_pool.connections.items()
         port = connection.sock.getsockname()[1]
         # Its system asks for the connection again after a second; the rest is until its time is up for sure.
         block_event_loop(loop, STILL, make_room_and_wait_for_the_connection)
@@ -553,15 +553,15 @@
 async def test_a_connect_that_a_late_loop_never_began_says_nothing_of_its_server(tmp_path, monkeypatch):
     async with sidecar_with_endpoint(tmp_path, respond_ok) as (sidecar, fake):
         pool, loop = sidecar.server.pool, asyncio.get_running_loop()
-        begin, stood = pool.upstreams._open, []
+        begin, stood = pool.connection_pool._open, []
         strikes = noted_strikes(pool, monkeypatch)
 
         def begin_and_stand_still(*args):
             begin(*args)
             if not stood:  # once, behind the first step of the connect
-                stood.append(loop.call_soon(time.sleep, pool.upstreams.connect_timeout_s + STILL))
+                stood.append(loop.call_soon(time.sleep, pool.connection_pool.connect_timeout_s + STILL))
 
-        monkeypatch.setattr(pool.upstreams, "_open", begin_and_stand_still)
+        monkeypatch.setattr(pool.connection_pool, "_open", begin_and_stand_still)
         assert (await send_request(sidecar.port, request_message("order", "ab"))).code == 200
         assert stood
         assert not strikes
@@ -596,7 +596,7 @@
         )
         await wait_until(lambda: pool.attempts)
         (attempt,) = pool.attempts.values()
-        opening = pool.upstreams.endpoints[1].opening
+        opening = pool.connection_pool.endpoints[1].waiting_exchanges
         # Its connect has found the listener full: its socket has a port from then on.
         await wait_until(lambda: all(made.sock.getsockname()[1] for made in opening.values()))
         for filler in fill:
@@ -718,7 +718,7 @@
 
     doubled = {}
     async with sidecar_with_endpoint(tmp_path, act) as (sidecar, fake):
-        upstreams = sidecar.server.pool.upstreams
+        upstreams = sidecar.server.pool.connection_pool
         assert (await send_request(sidecar.port, request_message("lookup", "one"))).body == b"one"
         doubled["one"].write(http_response(200, b"one"))
         await wait_until(lambda: not upstreams.connections)
--- a/tests/net/test_connection_parts.py
+++ b/tests/net/test_connection_parts.py
@@ -83,7 +83,7 @@
 
     draining = handing_over = half_close = False
     accepting_requests = True
-    streams = True
+    supports_streaming = True
 
     def __init__(self):
         limits = ConnectionLimits(10, 10)
@@ -102,7 +102,7 @@
     def now(self):
         return 1_000
 
-    def read(self, message):
+    def parse(self, message):
         return ParsedRequest(
             b"one",
             message.method,
@@ -175,7 +175,11 @@
     assert third == ReadinessCheck(keep_alive=True)
     assert reader.assembler.messages == 3
     assert receiver.dispatched == len(pieces)
-    assert server.memory.reserved_bytes == reader.assembler.reserved_bytes == first.size + second.size
+    assert (
+        server.memory.reserved_bytes
+        == reader.assembler.reserved_bytes
+        == first.reserved_bytes + second.reserved_bytes
+    )
 
 
 def test_reader_gets_malformed_input_and_queues_one_error_and_discards_the_rest():
@@ -203,7 +207,7 @@
 
 def test_reader_pauses_while_request_queue_is_full_and_resumes_afterwards():
     server = Server()
-    server.system = SimpleNamespace(unread=lambda sock: 0)
+    server.system = SimpleNamespace(unread_byte_count=lambda sock: 0)
     reader, _ = make_reader(server)
     reader.data_received(GET * MAX_WAITING_REQUESTS)
     assert reader.paused
@@ -290,7 +294,7 @@
 def test_writer_closes_connection_of_client_that_reads_nothing(client_reads):
     writer, closed = make_writer()
     pauses = []
-    writer.source = SimpleNamespace(block=pauses.append)
+    writer.source = SimpleNamespace(set_paused=pauses.append)
     writer.transport.unsent_bytes = 100
     writer.pause()
     assert writer.unread
--- a/tests/net/test_deadline_propagation.py
+++ b/tests/net/test_deadline_propagation.py
@@ -107,7 +107,7 @@
     "before the connection is picked": (ConnectionPool, "start", True),
     "before the time is computed": (Attempt, "compose", True),
     "between time computation and write": (Attempt, "compose", False),
-    "between check and start": (Attempt, "wanted", False),
+    "between check and start": (Attempt, "should_send", False),
 }
 
 
@@ -201,8 +201,8 @@
     """Return whether a connect is in progress: its socket has a port from then on."""
     return any(
         connect.sock.getsockname()[1]
-        for target in pool.upstreams.endpoints.values()
-        for connect in target.opening.values()
+        for target in pool.connection_pool.endpoints.values()
+        for connect in target.waiting_exchanges.values()
     )
 
 
@@ -273,7 +273,7 @@
         tmp_path / "c", config(list_update(1, endpoint_entry("s1", f"{HOST}:{server.port}")))
     ) as sidecar:
         pool, loop = sidecar.server.pool, asyncio.get_running_loop()
-        pool.upstreams.system = SmallBufferSystem()
+        pool.connection_pool.system = SmallBufferSystem()
         client = socket.socket()
         client.setblocking(False)
         await loop.sock_connect(client, (HOST, sidecar.port))
@@ -281,12 +281,12 @@
         sent_s = time.monotonic()
         await wait_until(lambda: any(a.connection and a.connection.unwritten for a in pool.attempts.values()))
         await asyncio.sleep(sent_s + after_s - time.monotonic())
-        server.go.set()
+        server.reading_allowed.set()
         response = await loop.sock_recv(client, 4 * KB) if after_s > 0.5 else b""
         if not response:
-            await wait_until(lambda: server.whole())
+            await wait_until(lambda: server.complete_requests())
         client.close()
-    for request in server.whole():
+    for request in server.complete_requests():
         head = bytes(request).split(b"X-Deadline: ")[1]
         assert int(head.split(b"m\r\n")[0]) / 1000 <= 1.0 - after_s + SLACK_S
     if response:
@@ -316,7 +316,7 @@
             def __getattr__(self, name):
                 return create_and_stall if name == "create_connection" else getattr(loop, name)
 
-        sidecar.server.pool.upstreams.loop = StallingLoop()
+        sidecar.server.pool.connection_pool.loop = StallingLoop()
         response = await send(announced, sidecar.port, "ab", request_message("order", "ab", "300m"))
         assert response.code in (503, 504)
     assert not announced.records
@@ -335,7 +335,7 @@
     async with Sidecar(
         tmp_path / "c", config(list_update(1, endpoint_entry("s1", endpoint.address)))
     ) as sidecar:
-        pool, wanted = sidecar.server.pool, Attempt.wanted
+        pool, wanted = sidecar.server.pool, Attempt.should_send
 
         def wanted_near_expiry(attempt):
             if not attempt.expires_ns:
@@ -344,7 +344,7 @@
                 patch.setattr(pool, "now", lambda: attempt.expires_ns - remaining_ns)
                 return wanted(attempt)
 
-        monkeypatch.setattr(Attempt, "wanted", wanted_near_expiry)
+        monkeypatch.setattr(Attempt, "should_send", wanted_near_expiry)
         statuses = []
         pool.on_attempt_end = lambda endpoint, status, duration_ns, objective_ns: statuses.append(status)
         await send(AnnouncedTimes(), sidecar.port, "ab", request_message("order", "ab", "300m"))
@@ -425,9 +425,9 @@
         if step == "arrive":
             arrived_ns += [now_ns] * size
         elif step == "count":
-            arrivals.mark(now_ns, len(arrived_ns) - arrivals.read)
-        elif arrivals.read < len(arrived_ns):
-            first_ns = arrived_ns[arrivals.read]
-            assert arrivals.arrival_ns(live=False) <= first_ns
-            arrivals.read += min(size, len(arrived_ns) - arrivals.read)
+            arrivals.record_count(now_ns, len(arrived_ns) - arrivals.parsed_bytes)
+        elif arrivals.parsed_bytes < len(arrived_ns):
+            first_ns = arrived_ns[arrivals.parsed_bytes]
+            assert arrivals.arrival_ns(reading=False) <= first_ns
+            arrivals.parsed_bytes += min(size, len(arrived_ns) - arrivals.parsed_bytes)
     assert len(arrivals.marks) <= MAX_MARKS
--- a/tests/net/test_discovery_client.py
+++ b/tests/net/test_discovery_client.py
@@ -257,7 +257,7 @@
                         sidecar_server.pool.names,
                     )
                 )
-            assert len(sidecar_server.pool.upstreams.endpoints) == 1
+            assert len(sidecar_server.pool.connection_pool.endpoints) == 1
             assert len(sidecar_server.pool.names.endpoints) <= 2
             assert (await send_request(sidecar.port, request_message("lookup", "cd"))).code == 200
 
--- a/tests/net/test_hostile_messages.py
+++ b/tests/net/test_hostile_messages.py
@@ -182,7 +182,7 @@
 
 
 def test_load_report_with_too_many_pairs_is_ignored():
-    assert LoadReportParser(("rps",)).read(b"rps=1," + b"x=1," * 10000) == ()
+    assert LoadReportParser(("rps",)).parse(b"rps=1," + b"x=1," * 10000) == ()
 
 
 def test_late_event_loop_is_logged_once_with_longest_callback(tmp_path, caplog):
--- a/tests/net/test_long_messages.py
+++ b/tests/net/test_long_messages.py
@@ -153,7 +153,7 @@
 
 
 def test_an_answer_that_stops_is_given_up_so_that_its_client_can_tell(tmp_path, monkeypatch):
-    monkeypatch.setattr(attempt_module, "STREAM_STALL_S", 0.2)
+    monkeypatch.setattr(attempt_module, "STREAM_STALL_TIMEOUT_S", 0.2)
 
     async def play():
         server = await StreamingEndpoint(stops).start()
--- a/tests/net/test_maintenance.py
+++ b/tests/net/test_maintenance.py
@@ -76,8 +76,8 @@
     maintenance.apply_update([list_entry(name) for name in NAMES], True)
     for name in NAMES[:2]:
         maintenance.apply_order(name, True, 1)
-    assert maintenance.is_full("s2")
-    assert not maintenance.is_full("s0")
+    assert maintenance.has_no_room_for("s2")
+    assert not maintenance.has_no_room_for("s0")
     for name in NAMES[:2]:
         maintenance.apply_order(name, False, 2)
     assert list(maintenance.orders) == ["s1"]
@@ -89,7 +89,7 @@
         maintenance.apply_update([list_entry("s0"), list_entry("s1")], True)
     first.apply_order("s0", True, 100)
     second.merge(first.orders)
-    assert second.is_out("s0")
+    assert second.is_out_of_service("s0")
     second.apply_order("s0", False, 200)
     first.apply_order("s1", True, 210)
     assert summaries(first.merge(second.orders)) == [("s0", State.READY, 200)]
@@ -136,7 +136,7 @@
         for name, state in self.listed_states.items():
             expected = State.DRAINING if name in self.out_of_service else state
             assert self.notified[name].state is expected
-        assert set(self.maintenance.out_of_service()) == self.out_of_service
+        assert set(self.maintenance.names_out_of_service()) == self.out_of_service
 
 
 TestMaintenance = MaintenanceMachine.TestCase
--- a/tests/net/test_request_outcomes.py
+++ b/tests/net/test_request_outcomes.py
@@ -336,9 +336,9 @@
 def test_load_report_is_parsed_by_name_and_only_if_complete(tmp_path):
     async def scenario():
         async with Sidecar(tmp_path / "c", config(list_update(1))) as sidecar:
-            read = sidecar.server.pool.reports.read
-            assert read(b"cpu=0.25, rps=3") == (3.0, 0.25)
-            assert read(b"qps=3,util=0.25,more=1") == (3.0, 0.25)
+            parse = sidecar.server.pool.reports.parse
+            assert parse(b"cpu=0.25, rps=3") == (3.0, 0.25)
+            assert parse(b"qps=3,util=0.25,more=1") == (3.0, 0.25)
             for value in (
                 b"nan",
                 b"inf",
@@ -352,9 +352,9 @@
                 b"1.",
                 b"\xb2",
             ):
-                assert read(b"rps=3,cpu=" + value) == ()
+                assert parse(b"rps=3,cpu=" + value) == ()
             for malformed in (b"", b"rps=3", b"=,=", b"\xff=1", b"rps=1,rps=2,cpu=0.5", b"," * 9000):
-                assert read(malformed) == ()
+                assert parse(malformed) == ()
 
     run(scenario())
 
@@ -372,14 +372,14 @@
         async with Sidecar(tmp_path / "c", config(endpoint_list(endpoint))) as sidecar:
             events = []
             sidecar_server = sidecar.server
-            (endpoint_number,) = sidecar_server.pool.upstreams.endpoints
+            (endpoint_number,) = sidecar_server.pool.connection_pool.endpoints
             sidecar_server.pool.balancer.handle = lambda now, event: events.append(event) or []
             sidecar_server.pool.carry_out[Probe](Probe(endpoint_number))
             await wait_until(lambda: events)
             assert events[0].status is Status.OK
             assert events[0].report == (7.0, 0.5)
             sidecar_server.pool.carry_out[CloseIdle](CloseIdle(endpoint_number))
-            assert not sidecar_server.pool.upstreams.connections
+            assert not sidecar_server.pool.connection_pool.connections
             endpoint.server.close()
             sidecar_server.pool.carry_out[Probe](Probe(endpoint_number))
             await wait_until(lambda: len(events) > 1)
--- a/tests/net/test_response_reader.py
+++ b/tests/net/test_response_reader.py
@@ -24,7 +24,7 @@
         self.begin_calls.append((code, headers, length, load))
         return True
 
-    def send_response_piece(self, data):
+    def send_response_chunk(self, data):
         self.pieces.append(data)
 
 
@@ -129,8 +129,8 @@
 
 def test_consumer_that_gives_up_during_a_piece_gets_no_more():
     class DetachingConsumer(FakeConsumer):
-        def send_response_piece(self, data):
-            super().send_response_piece(data)
+        def send_response_chunk(self, data):
+            super().send_response_chunk(data)
             reader.consumer = None
 
     consumer = DetachingConsumer(HttpProfile.GENERIC, max_streamed_bytes=1000)
--- a/tests/net/test_state_cleanup.py
+++ b/tests/net/test_state_cleanup.py
@@ -40,8 +40,8 @@
                 assert len(sidecar_server.pool.names.endpoints) <= 2
             await wait_until(lambda: not sidecar_server.clients.all)
             assert len(module.known_endpoints) <= 2
-            assert len(sidecar_server.pool.upstreams.endpoints) == 1
-            assert len(sidecar_server.pool.upstreams.connections) <= 2
+            assert len(sidecar_server.pool.connection_pool.endpoints) == 1
+            assert len(sidecar_server.pool.connection_pool.connections) <= 2
             assert len(module.endpoints.groups) <= 4
             assert len(sidecar_server.pool.names.zones) <= 256
             assert not (module.pending)
@@ -100,7 +100,7 @@
                 change = list_update(index, endpoint_entry("s1", fake.address, status), snapshot=False)
                 sidecar_server.pool.on_update(parse_endpoint_update(change, sidecar_server.pool.names))
             assert (await send_request(sidecar.port, request_message("order", "a"))).code == 200
-            assert list(sidecar_server.pool.upstreams.endpoints) == list(
+            assert list(sidecar_server.pool.connection_pool.endpoints) == list(
                 sidecar_server.pool.balancer.known_endpoints
             )
 
--- a/tests/net/test_upstream_connections.py
+++ b/tests/net/test_upstream_connections.py
@@ -172,7 +172,7 @@
         pool = make_pool(listener.getsockname(), connect_timeout_s=0.1)
         assert await start_exchange(pool)[1] == (Status.CONNECT_FAILED, None)
         assert not pool.connections
-        assert not pool.endpoints[1].opening
+        assert not pool.endpoints[1].waiting_exchanges
         assert not pool.allowance.in_use
         for sock in (listener, *fillers):
             sock.close()
@@ -194,7 +194,7 @@
         else:
             pool.update(1, listener.getsockname(), 0, State.DRAINING if cause == "drain" else State.GONE)
         assert await end == (Status.CONNECT_FAILED, None)
-        await wait_until(lambda: not pool.connections and not pool.endpoints[1].opening)
+        await wait_until(lambda: not pool.connections and not pool.endpoints[1].waiting_exchanges)
         for sock in fillers:
             sock.close()
         listener.setblocking(False)
@@ -433,7 +433,7 @@
         assert {message.connection for message in endpoint.received} == {1}
         pool.loop.release.set()
         await wait_until(lambda: len(pool.endpoints[1].idle) == 2)  # The other one is kept, too.
-        assert not pool.endpoints[1].opening
+        assert not pool.endpoints[1].waiting_exchanges
         pool.loop = loop
         pool.close()
 
--- a/tests/net/test_upstream_syscalls.py
+++ b/tests/net/test_upstream_syscalls.py
@@ -33,7 +33,7 @@
 from test_upstream_connections import listening_socket, start_exchange
 
 from dykefold.admission.budget import DescriptorAllowance
-from dykefold.balancer.actions import Fail, Refuse, Send
+from dykefold.balancer.actions import Fail, Reject, Send
 from dykefold.balancer.events import Outcome, State, Status
 from dykefold.balancer.settings import Effect
 from dykefold.net.discovery.client import DiscoveryClient, DiscoveryOrigin
@@ -66,7 +66,7 @@
     assert not pool.allowance.in_use
     assert not pool.connections
     assert not pool.unneeded
-    assert not any(upstream.opening for upstream in pool.endpoints.values())
+    assert not any(upstream.waiting_exchanges for upstream in pool.endpoints.values())
 
 
 @pytest.mark.parametrize("run_scenario", LOOP_RUNNERS)
@@ -630,7 +630,7 @@
         decisions = [
             (at_ns, decision)
             for at_ns, decision in timed_actions
-            if isinstance(decision, Send | Refuse | Fail)
+            if isinstance(decision, Send | Reject | Fail)
         ]
         assert len(decisions) == 1
         assert decisions[0][0] >= now_ns
@@ -638,7 +638,7 @@
         if not isinstance(action, Send):
             break
         send_times_ns.append(now_ns)
-    assert isinstance(action, Refuse)
+    assert isinstance(action, Reject)
     assert 4 <= len(send_times_ns) <= 20
     assert all(later > earlier for earlier, later in itertools.pairwise(send_times_ns))
     assert balancer.retries.budget >= retry_budget
--- a/tests/routing/test_requests.py
+++ b/tests/routing/test_requests.py
@@ -57,7 +57,7 @@
     known = {name.replace("_", "-").encode(): value.encode() for name, value in headers.items()}
     if host is not None:
         known[b"host"] = host.encode()
-    call = reader.read(Message(100, method.encode(), target.encode(), known, [], body, True))
+    call = reader.parse(Message(100, method.encode(), target.encode(), known, [], body, True))
     return call, next(name for name, pool in pools.items() if pool is call.pool)
 
 
@@ -153,10 +153,10 @@
     pool = Pool()
     pool.settings.tenants = [Tenant("north", 0.5, 10.0), Tenant("south", 0.5, 10.0)]
     reader = RouteRequestReader("a", pool, RouteOptions(tenant_header="x-yard"), lambda: "made")
-    assert reader.read(Message(0, b"GET", b"/", {b"x-yard": b"south"}, [], b"", True)).tenant == 1
+    assert reader.parse(Message(0, b"GET", b"/", {b"x-yard": b"south"}, [], b"", True)).tenant == 1
     for headers in ({}, {b"x-yard": b"west"}):
         with pytest.raises(RequestError, match="names no tenant"):
-            reader.read(Message(0, b"GET", b"/", headers, [], b"", True))
+            reader.parse(Message(0, b"GET", b"/", headers, [], b"", True))
 
 
 def test_a_route_may_choose_the_platform_s_dialect():
--- a/tests/routing/test_services.py
+++ b/tests/routing/test_services.py
@@ -133,7 +133,7 @@
             assert len(old.received) == 1
             await wait_until(lambda: pool not in node.server.pools)
             assert pool.closed
-            assert not pool.upstreams.connections
+            assert not pool.connection_pool.connections
 
     run(play())
 
--- a/tests/routing/test_streams.py
+++ b/tests/routing/test_streams.py
@@ -105,7 +105,7 @@
                 assert got.status_code == 200
                 assert got.content == LARGE_BODY
             assert len(node.server.clients.all) == 1
-            assert len(node.pool("a").upstreams.connections) == 1
+            assert len(node.pool("a").connection_pool.connections) == 1
 
     run(play())
 
@@ -116,7 +116,7 @@
             reader, writer = await asyncio.open_connection(HOST, node.port, limit=4 * KB)
             writer.write(get_request("/a/x"))
             await reader.readuntil(b"\r\n\r\n")
-            connections = node.pool("a").upstreams.connections
+            connections = node.pool("a").connection_pool.connections
             await wait_until(lambda: any(connection.blocked for connection in connections))
             assert node.server.memory.reserved_bytes < 64 * KB
             assert await reader.readexactly(len(LARGE_BODY)) == LARGE_BODY
@@ -214,13 +214,13 @@
     async def play():
         async with served(waits) as (node, (server,)):
             ends = []
-            node.pool("a").on_attempt_end = lambda endpoint, status, took_ns, goal_ns: ends.append(status)
+            node.pool("a").on_attempt_end = lambda endpoint, status, duration_ns, goal_ns: ends.append(status)
             _, writer = await opened(node)
             writer.write(head(len(LARGE_BODY)) + LARGE_BODY[: 300 * KB])
             await wait_until(lambda: server.heads)
             writer.transport.abort()
             await wait_until(lambda: not node.pool("a").attempts)
-            assert not node.pool("a").upstreams.connections
+            assert not node.pool("a").connection_pool.connections
             assert ends == [Status.CANCELLED]  # a part of a body may have had an effect here
 
     run(play())
@@ -261,10 +261,10 @@
         self.got = 0
         return True
 
-    def send_response_piece(self, data):
+    def send_response_chunk(self, data):
         self.got += len(data)
         if self.got == len(LARGE_BODY):
-            self.connection.block(True)
+            self.connection.set_paused(True)
 
 
 def test_connection_with_a_delayed_last_piece_serves_the_next_request():
--- a/tests/sim/mutants.py
+++ b/tests/sim/mutants.py
@@ -32,8 +32,8 @@
     Mutant(
         "an order is sent again after a reset",
         "balancer/balancer.py",
-        "PROVES_NOT_RUN = frozenset((Status.FULL,",
-        "PROVES_NOT_RUN = frozenset((Status.RESET, Status.FULL,",
+        "NEVER_RAN_STATUSES = frozenset((Status.FULL,",
+        "NEVER_RAN_STATUSES = frozenset((Status.RESET, Status.FULL,",
     ),
     Mutant(
         "a request is answered twice",
@@ -48,7 +48,7 @@
         "no final answer when the module gives up",
         "net/service/pending_requests.py",
         '            self._answer(request, 502, b"", b"failed\\n")\n\n    def forward',
-        "            self._settle(request)\n\n    def forward",
+        "            self._remove_pending(request)\n\n    def forward",
         "parts",
     ),
     Mutant(
@@ -116,15 +116,15 @@
     Mutant(
         "a connection that its last piece has held up is not read on",
         "net/upstream/connection.py",
-        "            self.block(False)\n        written",
+        "            self.set_paused(False)\n        written",
         "            pass\n        written",
         "services",
     ),
     Mutant(
         "a sidecar breaks off an answer that it streams",
         "net/service/attempt.py",
-        "        self.request.sink.send_response_piece(self.request.parsed, data)\n",
-        "        self.request.sink.send_response_piece(self.request.parsed, data)\n"
+        "        self.request.sink.send_response_chunk(self.request.parsed, data)\n",
+        "        self.request.sink.send_response_chunk(self.request.parsed, data)\n"
         "        if self.connection is not None:\n"
         "            self.connection.close(discard=True)\n",
         "services",
@@ -163,8 +163,8 @@
     Mutant(
         "a server is told more time than its client has left",
         "net/service/http_encoding.py",
-        "        max(time_left_ns // NS_PER_MS, 1),\n",
-        "        max(time_left_ns // NS_PER_MS, 1) + 200,\n",
+        "        max(remaining_ns // NS_PER_MS, 1),\n",
+        "        max(remaining_ns // NS_PER_MS, 1) + 200,\n",
         "parts",
     ),
     Mutant(
@@ -178,8 +178,8 @@
     Mutant(
         "an order is sent again after a system call that failed",
         "balancer/balancer.py",
-        "PROVES_NOT_RUN = frozenset((Status.FULL,",
-        "PROVES_NOT_RUN = frozenset((Status.RESET, Status.FULL,",
+        "NEVER_RAN_STATUSES = frozenset((Status.FULL,",
+        "NEVER_RAN_STATUSES = frozenset((Status.RESET, Status.FULL,",
         "syscalls",
         first_seed=1,
     ),
