--- a/dykefold/control/__init__.py
+++ b/dykefold/control/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' side of a sidecar: admin API, maintenance, changes of settings, hot restarts."""
+"""Operation of a sidecar: admin API, maintenance, changes of settings, hot restarts."""
--- a/dykefold/control/balancer_snapshot.py
+++ b/dykefold/control/balancer_snapshot.py
@@ -1,9 +1,9 @@
 """Snapshots of a balancer's estimates, as plain values that a newer process can restore.
 
 This module makes no decisions: it maps attributes to stored keys, and checks the values that it reads.
-Numbers of endpoints, classes and kinds differ between processes, so a snapshot has their names. Times are on
-the clock of the process that wrote the snapshot, and the reader gives the shift to its own clock. Stored keys
-are an interface to other versions of the program, so they stay when attributes are renamed.
+Numbers of endpoints, classes and machine types differ between processes, so a snapshot has their names. Times
+are on the clock of the process that wrote the snapshot, and the reader gives the shift to its own clock.
+Stored keys are an interface to other versions of the program, so they stay when attributes are renamed.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
         setattr(attrgetter(part)(owner) if part else owner, name, value)
 
 
-# Of the balancer as a whole.
+# Of the whole balancer.
 BALANCER_FIELDS = (
     StoredField("bound_at", "limit.rejected_ns", is_time=True),
     StoredField("cut_at", "congestion.cut_ns", is_time=True),
@@ -112,20 +112,23 @@
 
 def snapshot(balancer: Balancer, names: NameTable) -> Values:
     """Return the estimates of endpoints, classes and load in the form that `restore` reads."""
-    servers = {number: name for name, number in names.endpoints.items()}
-    kinds = {number: name for name, number in names.machine_types.items()}
+    endpoint_names = {number: name for name, number in names.endpoints.items()}
+    type_names = {number: name for name, number in names.machine_types.items()}
     return {
         "whole": _values(balancer, BALANCER_FIELDS),
         "asks": list(balancer.quotas.rates),
         "classes": {stats.spec.name: _values(stats, CLASS_FIELDS) for stats in balancer.live_classes},
         "servers": {
-            servers[endpoint.id]: {"started": endpoint.started_ns, **_values(endpoint, ENDPOINT_FIELDS)}
+            endpoint_names[endpoint.id]: {
+                "started": endpoint.started_ns,
+                **_values(endpoint, ENDPOINT_FIELDS),
+            }
             for endpoint in balancer.known_endpoints.values()
-            if endpoint.id in servers and endpoint.listed
+            if endpoint.id in endpoint_names and endpoint.listed
         },
         "groups": [
-            {"kind": kinds.get(kind, ""), "far": far, **_values(group, GROUP_FIELDS)}
-            for (kind, far), group in balancer.endpoints.groups.items()
+            {"kind": type_names.get(machine_type, ""), "far": far, **_values(group, GROUP_FIELDS)}
+            for (machine_type, far), group in balancer.endpoints.groups.items()
         ],
     }
 
@@ -137,7 +140,7 @@
 
     Args:
         balancer: Balancer of a process that has just started.
-        names: Numbers of the endpoints and kinds of the balancer by name.
+        names: Numbers of the endpoints and machine types of the balancer by name.
         values: Result of `snapshot`, as another process stored it.
         shift_ns: Shift from the clock of that process to the clock of this one, in nanoseconds.
 
@@ -195,8 +198,8 @@
     """Whether values have the form of a snapshot, and all of its numbers are finite."""
     try:
         numbers_usable = all(_is_number(number) for number in _numbers(values))
-        kinds = [group.get("kind") for group in values["groups"]]
-        return numbers_usable and all(isinstance(kind, str) for kind in kinds)
+        type_names = [group.get("kind") for group in values["groups"]]
+        return numbers_usable and all(isinstance(name, str) for name in type_names)
     except (KeyError, AttributeError, TypeError):
         return False
 
--- a/dykefold/control/hot_restart.py
+++ b/dykefold/control/hot_restart.py
@@ -41,7 +41,7 @@
 
 
 class HotRestart:
-    """Part of one process in hot restarts; the constructor writes no record.
+    """One process's participation in hot restarts; the constructor writes no record.
 
     Args:
         loop: Event loop on which the periodic observation is scheduled.
@@ -86,13 +86,13 @@
         """Read the clock of this process; times in its records are on this clock."""
         return ClockReading(self.boot_id, self.now_ns(), self.sidecar.clock.offset)
 
-    # The start
+    # Start
 
     async def wait_for_capacity(self) -> None:
-        """Wait until older processes have left this one its quota of the limits, or are dead."""
+        """Wait until older processes have released the quota of this one, or are dead."""
         self.write_records()
         while not self._may_start() and not self.sidecar.draining:
-            # Others must see the claim of this process before it takes the claimed descriptors.
+            # Others must see the claim of this process before it uses the claimed descriptors.
             self.write_records()
             await asyncio.sleep(OBSERVATION_INTERVAL_S / 4)
         self.snapshots.restore(self.others.values())
@@ -110,13 +110,13 @@
         self.write_records()
         self._tick()
 
-    # The start after a time without a usable state directory
+    # Start after a time without a usable state directory
 
     def join(self) -> None:
-        """Take part from now on, as a process that has already served clients.
+        """Participate in hot restarts from now on, as a process that already serves clients.
 
-        Until the others have made way, this process keeps the limits that it had without them. The index of
-        its listener in the reuseport group is unknown, so the kernel selects listeners by hash.
+        Until the others have released its quota, this process keeps the limits that it had alone. The index
+        of its listener in the reuseport group is unknown, so the kernel selects listeners by hash.
         """
         self.machine.start_with(self.sidecar.needed_descriptors())
         self.joining_since_ns = self.now_ns()
@@ -142,10 +142,10 @@
         self._observe()
         self.write_records()
 
-    # While it runs
+    # Periodic observation
 
     def _tick(self) -> None:
-        # Without others only the times of the folder are read, since this runs ten times a second.
+        # A lone process reads only the folder's modification times, since this runs ten times a second.
         if self.others or self.directory.changed() or not self.machine.heartbeat_written:
             claim = self.machine.claimed_descriptors
             self._observe()
@@ -155,7 +155,7 @@
         self.timer = self.loop.call_later(OBSERVATION_INTERVAL_S, self._tick)
 
     def _observe(self) -> RestartObservation:
-        """Read the records of the other processes, and follow them."""
+        """Read the records of the other processes, and apply them to this one."""
         now_ns = self.now_ns()
         records = self.directory.read_all(RecordKind.HEARTBEAT.prefix, RecordKind.MAINTENANCE.prefix)
         orders_recorded = self.maintenance.check(records)
@@ -175,7 +175,7 @@
     def _observe_processes(
         self, now_ns: int, heartbeats: Mapping[str, ProcessHeartbeat]
     ) -> RestartObservation:
-        """Find the live processes, and have the state machine follow their heartbeats."""
+        """Find the live processes, and pass their heartbeats to the state machine."""
         alive = {
             heartbeat.name: self.directory.is_alive(name)
             for name, heartbeat in heartbeats.items()
@@ -208,7 +208,7 @@
             self.snapshots.write(self.others.values())
 
     def _clean_up(self, heartbeats: Mapping[str, ProcessHeartbeat]) -> None:
-        """Remove the records of dead processes, once the record of this one has all of their orders."""
+        """Remove records of dead processes, once this process has recorded all their maintenance orders."""
         dead = dead_processes(heartbeats.values(), self.machine.acknowledged, self.machine.started_ns)
         if dead and self.maintenance.write():
             for process in dead:
@@ -246,7 +246,7 @@
         self.machine.wrote_heartbeat(self.now_ns(), written)
         return written
 
-    # The end
+    # Shutdown
 
     def begin_shutdown(self) -> None:
         """Begin the graceful shutdown."""
@@ -257,7 +257,7 @@
         self.write_records()
 
     def close(self) -> None:
-        """Stop with the process; its records stay unless a newer process has recorded the same orders."""
+        """Stop the observation; the records stay unless a newer process has recorded the same orders."""
         if self.timer is not None:
             self.timer.cancel()
         if self.sidecar.handing_over and self.maintenance.recorded_by_others(self.others):
--- a/dykefold/control/hot_restart_state.py
+++ b/dykefold/control/hot_restart_state.py
@@ -1,35 +1,35 @@
-"""Decides the hot restart of a sidecar: an older process makes way for a newer one. No I/O.
+"""Decides the hot restart of a sidecar: an older process hands over to a newer one. No I/O.
 
 Each process writes a `ProcessHeartbeat` that the others can read, and reads theirs every
 `OBSERVATION_INTERVAL_NS`. A process is *alive* while it holds its lock, which the kernel releases when the
 process ends for any reason; without locks, it is alive while its heartbeat is fresh. A live process counts
 against the limits even while it is stopped, since it keeps its descriptors. A process is *responsive* while
 its heartbeat is younger than `MAX_HEARTBEAT_AGE_NS`. An unresponsive process (stopped, starved, unable to
-write) gets no clients: they go to the newest responsive one, and return once the other responds again.
-
-The rules of this file:
-1. The descriptors of live processes never exceed those of the sidecar. A process that takes more first shows
-   its claim, and at its next observation takes what the claims of the others leave of it. So of two processes
-   that grow at once, each sees the claim of the other before it takes. A process that can't show a claim (a
-   full disk) takes at most half of all descriptors; the other half is left to a second such process.
-   A process that starts serves as soon as every older process has made way, is dead, or has been waited for,
-   however few descriptors are left. Memory of messages is shared equally. An older process keeps the
-   descriptors in use, since closing a client's connection would lose its request in flight. It never takes
-   more, and the newest process gets all that remain.
-2. A process shows that it accepts clients while it does, and never after its shutdown has begun.
+write) gets no clients: they move to the newest responsive one, and return once the other responds again.
+
+Rules:
+1. The descriptors of live processes never exceed those of the sidecar. A process that needs more first
+   writes its claim, and at its next observation uses what the claims of the others leave of it. So of two
+   processes that grow at once, each sees the claim of the other before it uses its own. A process that can't
+   write a claim (a full disk) uses at most half of all descriptors; the other half is left to a second such
+   process. A process that starts accepts clients as soon as every older process has acknowledged it or is
+   dead, or the wait for it is over, however few descriptors are left. Memory of messages is shared equally.
+   An older process keeps the descriptors in use, since closing a client's connection would lose its request
+   in flight. It never claims more, and the newest process gets all that remain.
+2. The heartbeat of a process says that it accepts clients while it does, and never after its shutdown began.
 3. An older process moves its clients only in a graceful shutdown, and only while a newer one accepts clients.
 4. The number of remembered processes is bounded: the `MAX_OTHER_HEARTBEATS` newest.
 
 States and transitions:
 
-    state      | event          | next
-    STARTING   | may serve      | TAKING     every older process has made way, or the wait for it is over
-    TAKING     | newer starts   | SHARING
-    SHARING    | newer serves   | HANDING
-    SHARING    | newer is mute  | TAKING     the newer one is dead, unresponsive, or in its shutdown
-    HANDING    | newer starts   | SHARING    the newer one is dead, and another one starts
-    HANDING    | newer is mute  | TAKING     the newer one became unresponsive, so clients return here
-    any        | shutdown       | ENDING
+    state      | event                 | next
+    STARTING   | may serve             | TAKING     every older process acknowledged it, or the wait is over
+    TAKING     | newer starts          | SHARING
+    SHARING    | newer serves          | HANDING
+    SHARING    | newer is unresponsive | TAKING     the newer one is dead, unresponsive, or in its shutdown
+    HANDING    | newer starts          | SHARING    the newer one is dead, and another one starts
+    HANDING    | newer is unresponsive | TAKING     the newer one became unresponsive, so clients return here
+    any        | shutdown              | ENDING
 """
 
 from __future__ import annotations
@@ -40,14 +40,14 @@
 
 NS_PER_MS = 1_000_000
 OBSERVATION_INTERVAL_NS = 100 * NS_PER_MS
-# Far longer than an event loop is ever late, and shorter than the shortest graceful shutdown.
+# Far longer than any delay of the event loop, and shorter than the shortest graceful shutdown.
 MAX_HEARTBEAT_AGE_NS = 1_500 * NS_PER_MS
-# The wait for older processes to make way. The platform allows 6 s until a process must serve.
+# The wait for older processes to release capacity. The platform allows 6 s until a process must serve.
 MAX_CAPACITY_WAIT_NS = 800 * NS_PER_MS
 # After a failed write others may not know this process yet, and it may not know others that failed to write.
 UNSEEN_AFTER_FAILURE_NS = 3 * OBSERVATION_INTERVAL_NS
 MAX_OTHER_HEARTBEATS = 8
-# An older process never keeps more than this fraction, whatever it uses.
+# An older process never keeps more than this fraction of all descriptors, whatever it uses.
 MAX_OLDER_DESCRIPTORS_FRACTION = 0.75
 
 
@@ -67,7 +67,7 @@
     MAY_SERVE = "may serve"
     NEWER_STARTS = "newer starts"
     NEWER_SERVES = "newer serves"
-    NEWER_MUTE = "newer is mute"
+    NEWER_UNRESPONSIVE = "newer is unresponsive"
     SHUTDOWN = "shutdown"
 
 
@@ -76,9 +76,9 @@
     (HotRestartState.TAKING, HotRestartEvent.NEWER_STARTS): HotRestartState.SHARING,
     (HotRestartState.TAKING, HotRestartEvent.NEWER_SERVES): HotRestartState.HANDING,
     (HotRestartState.SHARING, HotRestartEvent.NEWER_SERVES): HotRestartState.HANDING,
-    (HotRestartState.SHARING, HotRestartEvent.NEWER_MUTE): HotRestartState.TAKING,
+    (HotRestartState.SHARING, HotRestartEvent.NEWER_UNRESPONSIVE): HotRestartState.TAKING,
     (HotRestartState.HANDING, HotRestartEvent.NEWER_STARTS): HotRestartState.SHARING,
-    (HotRestartState.HANDING, HotRestartEvent.NEWER_MUTE): HotRestartState.TAKING,
+    (HotRestartState.HANDING, HotRestartEvent.NEWER_UNRESPONSIVE): HotRestartState.TAKING,
     **{(state, HotRestartEvent.SHUTDOWN): HotRestartState.ENDING for state in HotRestartState},
 }
 # States in which a process should get new clients.
@@ -89,14 +89,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessHeartbeat:
-    """What a process shows to the other processes of its sidecar.
+    """State of a process as the other processes of its sidecar read it.
 
     Attributes:
         name: Unique name of the process.
         started_ns: Start of the process on the machine's monotonic clock, by which the newest is found.
         written_ns: Time of writing on the monotonic clock.
         state: State of the process in its hot restart.
-        acknowledged: Names of the live processes that the process has made way for, with its own name.
+        acknowledged: Names of the live processes that the process has released capacity to, and its own name.
         max_descriptors: Number of descriptors that the process uses at most, now or soon.
         listener_index: Index of the listener in the reuseport group; None without a listener there.
     """
@@ -155,7 +155,7 @@
         self.state = HotRestartState.STARTING
         self.acknowledged: tuple[str, ...] = (name,)
         self.max_descriptors = 0
-        self.claimed_descriptors = 0  # as shown in the heartbeat
+        self.claimed_descriptors = 0  # as written in the heartbeat
         self.heartbeat_written = True
         self.write_failed_ns: int | None = None  # time of the last failed write of the heartbeat
 
@@ -179,7 +179,7 @@
         needed_descriptors: int,
         alive: Collection[str] = (),
     ) -> RestartObservation:
-        """Follow the heartbeats of the other processes.
+        """Update state and limits from the heartbeats of the other processes.
 
         Args:
             now_ns: Present time on the monotonic clock.
@@ -193,7 +193,7 @@
         """
         heartbeats = sorted(heartbeats, key=lambda heartbeat: heartbeat.age_order)[-MAX_OTHER_HEARTBEATS:]
         own_order = (self.started_ns, self.name)
-        # An older process without others has written no heartbeat since, so here a stale one counts as well.
+        # A lone process writes no periodic heartbeat, so a stale heartbeat of an older process counts here.
         older = [heartbeat for heartbeat in heartbeats if heartbeat.age_order < own_order]
         others = [
             heartbeat
@@ -203,13 +203,13 @@
         newer = [heartbeat for heartbeat in others if heartbeat.age_order > own_order]
         before = self.acknowledged
         self.acknowledged = (self.name, *(heartbeat.name for heartbeat in others))
-        newer_serves = self._follow(newer, now_ns)
+        newer_serves = self._update_state(newer, now_ns)
         free = max(total_descriptors - sum(heartbeat.max_descriptors for heartbeat in others), 0)
         if newer:
             self._shrink(total_descriptors, needed_descriptors, newer_serves)
         elif self.state is not HotRestartState.ENDING:
             self._grow(now_ns, total_descriptors, free)
-        made_way = all(self.name in heartbeat.acknowledged for heartbeat in older)
+        acknowledged_by_older = all(self.name in heartbeat.acknowledged for heartbeat in older)
         waited = now_ns - self.started_ns >= MAX_CAPACITY_WAIT_NS
         return RestartObservation(
             process_count=len(self.acknowledged),
@@ -217,11 +217,11 @@
             newer_serves=newer_serves,
             leads=self.state in LEADING_STATES,
             arrived=any(name not in before for name in self.acknowledged),
-            may_serve=(made_way and self.max_descriptors >= free) or waited,
+            may_serve=(acknowledged_by_older and self.max_descriptors >= free) or waited,
         )
 
-    def _follow(self, newer: Iterable[ProcessHeartbeat], now_ns: int) -> bool:
-        """Change state as newer processes do; return whether one of them accepts clients."""
+    def _update_state(self, newer: Iterable[ProcessHeartbeat], now_ns: int) -> bool:
+        """Apply the states of newer processes; return whether one of them accepts clients."""
         states = {heartbeat.state for heartbeat in newer if is_responsive(heartbeat, now_ns)}
         newer_serves = not states.isdisjoint(SERVING_STATES)
         if newer_serves:
@@ -229,11 +229,11 @@
         elif HotRestartState.STARTING in states:
             self._apply(HotRestartEvent.NEWER_STARTS)
         else:
-            self._apply(HotRestartEvent.NEWER_MUTE)
+            self._apply(HotRestartEvent.NEWER_UNRESPONSIVE)
         return newer_serves
 
     def _shrink(self, total_descriptors: int, needed_descriptors: int, newer_serves: bool) -> None:
-        """Make way for a newer process."""
+        """Release descriptors to a newer process."""
         self.max_descriptors = min(
             self.max_descriptors,
             max(needed_descriptors, total_descriptors // 2),
@@ -244,7 +244,7 @@
         self.claimed_descriptors = self.max_descriptors
 
     def _grow(self, now_ns: int, total_descriptors: int, free: int) -> None:
-        """Take the claimed descriptors that are still free, and claim all free ones."""
+        """Use the claimed descriptors that are still free, and claim all free ones."""
         failed_ns = self.write_failed_ns
         claimed = self.claimed_descriptors
         if failed_ns is not None and now_ns - failed_ns < UNSEEN_AFTER_FAILURE_NS:
@@ -253,7 +253,7 @@
         self.claimed_descriptors = free
 
     def wrote_heartbeat(self, now_ns: int, written: bool) -> None:
-        """Note whether the heartbeat could be written."""
+        """Record whether the heartbeat could be written."""
         self.heartbeat_written = written
         if not written:
             self.write_failed_ns = now_ns
@@ -263,11 +263,11 @@
         self.max_descriptors = self.claimed_descriptors = max_descriptors
 
     def on_serving(self) -> None:
-        """Note that this process accepts clients."""
+        """Record that this process accepts clients."""
         self._apply(HotRestartEvent.MAY_SERVE)
 
     def on_shutdown(self) -> None:
-        """Note the graceful shutdown. A process that has not served yet never will, and claims nothing."""
+        """Record the graceful shutdown. A process that has not served yet never will, and claims nothing."""
         if self.state is HotRestartState.STARTING:
             self.max_descriptors = self.claimed_descriptors = 0
         self._apply(HotRestartEvent.SHUTDOWN)
--- a/dykefold/control/listener_selection.py
+++ b/dykefold/control/listener_selection.py
@@ -1,4 +1,4 @@
-"""Makes the kernel give new connections to the newest of the processes that share the clients' address."""
+"""Directs new connections to the newest of the processes that share the clients' address."""
 
 from __future__ import annotations
 
--- a/dykefold/control/process_lifecycle.py
+++ b/dykefold/control/process_lifecycle.py
@@ -20,9 +20,9 @@
 
 log = logging.getLogger("dykefold.control")
 
-# The end of the process waits this long for the disk.
+# At its end the process waits at most this long for the disk.
 MAX_LAST_WRITE_S = 1.0
-# Connections of clients that may wait to be accepted.
+# Maximum number of clients' connections that wait to be accepted.
 LISTEN_BACKLOG = 512
 
 
@@ -71,7 +71,7 @@
         return self.address is not None
 
     async def begin(self) -> bool:
-        """Open the admin API, and wait until older processes have made way.
+        """Open the admin API, and wait until older processes have released capacity.
 
         Returns:
             Whether the process should accept clients; False if its shutdown has begun meanwhile.
@@ -114,7 +114,7 @@
         return listener.address
 
     def _join(self, directory: FileStateDirectory) -> None:
-        """Take part in hot restarts from now on, since the state directory has become usable."""
+        """Participate in hot restarts from now on, since the state directory has become usable."""
         self.hot_restart = self._make_hot_restart(directory)
         self.hot_restart.join()
         if self.admin_operations is not None:
@@ -142,7 +142,7 @@
             log.warning("process ends before its orders are written: the disk has not answered in time")
 
     def close(self) -> None:
-        """Stop all parts at the end of the process."""
+        """Stop all components at the end of the process."""
         if self.directory_retry is not None:
             self.directory_retry.close()
         if self.hot_restart is not None:
--- a/dykefold/control/process_records.py
+++ b/dykefold/control/process_records.py
@@ -26,7 +26,7 @@
 MAX_GROUP_LISTENERS = 65_536
 # Exclusive limit of times in records.
 MAX_TIME_NS = 2**63
-# A stored maintenance order has its time, and whether the endpoint is out.
+# A stored maintenance order has its time, and whether the endpoint is out of service.
 ORDER_FIELD_COUNT = 2
 
 # A record in the form in which the state directory reads and writes it.
@@ -34,9 +34,9 @@
 
 
 class RecordKind(Enum):
-    """Kinds of records, in the order of their removal.
+    """Kinds of records, in the order of removal.
 
-    The heartbeat is removed last: without it no process would know of the other records of that process.
+    The heartbeat is removed last: without it others would not find the remaining records of that process.
     """
 
     SNAPSHOT = "state"
@@ -75,8 +75,8 @@
 
 def nested_table(record: object, key: str) -> dict[str, Any]:
     """Return the table under a key of a record; empty if there is none."""
-    inner = record.get(key) if isinstance(record, dict) else None
-    return inner if isinstance(inner, dict) else {}
+    table = record.get(key) if isinstance(record, dict) else None
+    return table if isinstance(table, dict) else {}
 
 
 def list_version(value: object) -> int | None:
@@ -134,9 +134,9 @@
     for name, order in list(stored.items())[: 2 * MAX_OUT_OF_SERVICE]:
         if not isinstance(order, list) or len(order) != ORDER_FIELD_COUNT:
             continue
-        ordered_ns, is_out = order
-        if isinstance(ordered_ns, int) and 0 <= ordered_ns < MAX_TIME_NS and isinstance(is_out, bool):
-            orders[name] = MaintenanceOrder(ordered_ns, is_out)
+        ordered_ns, out_of_service = order
+        if isinstance(ordered_ns, int) and 0 <= ordered_ns < MAX_TIME_NS and isinstance(out_of_service, bool):
+            orders[name] = MaintenanceOrder(ordered_ns, out_of_service)
     return orders
 
 
--- a/dykefold/control/protocols.py
+++ b/dykefold/control/protocols.py
@@ -1,4 +1,4 @@
-"""What the parts of this package use of a sidecar's server."""
+"""Interfaces of a sidecar's server that this package uses."""
 
 from __future__ import annotations
 
--- a/dykefold/control/reuseport_group.py
+++ b/dykefold/control/reuseport_group.py
@@ -28,7 +28,7 @@
         self.index = len(others)
 
     def update(self, others: Mapping[str, int]) -> int | None:
-        """Follow the present indexes of the other listeners.
+        """Update the index from the present indexes of the other listeners.
 
         Args:
             others: Indexes of the other listeners by process name.
--- a/dykefold/control/snapshot_transfer.py
+++ b/dykefold/control/snapshot_transfer.py
@@ -38,7 +38,7 @@
         self.name = name
         self.started_ns = started_ns
         self.read_clock = read_clock
-        self.retry_needed = False  # a newer process waits for a snapshot whose write has failed
+        self.retry_needed = False  # a newer process waits for a snapshot that could not be written
 
     def write(self, others: Iterable[ProcessHeartbeat]) -> None:
         """Write the snapshot; `retry_needed` is set if the write fails while a newer process waits for it."""
--- a/tests/control/test_hot_restart_orders.py
+++ b/tests/control/test_hot_restart_orders.py
@@ -56,14 +56,15 @@
             "one that ends comes back",
             lambda patch: patch.setitem(
                 handover.TRANSITIONS,
-                (handover.HotRestartState.ENDING, handover.HotRestartEvent.NEWER_MUTE),
+                (handover.HotRestartState.ENDING, handover.HotRestartEvent.NEWER_UNRESPONSIVE),
                 handover.HotRestartState.TAKING,
             ),
         ),
         (
             "a newer one that is mute keeps the clients",
             lambda patch: patch.delitem(
-                handover.TRANSITIONS, (handover.HotRestartState.HANDING, handover.HotRestartEvent.NEWER_MUTE)
+                handover.TRANSITIONS,
+                (handover.HotRestartState.HANDING, handover.HotRestartEvent.NEWER_UNRESPONSIVE),
             ),
         ),
         (
