--- a/tests/control/hot_restart_rig.py
+++ b/tests/control/hot_restart_rig.py
@@ -129,7 +129,7 @@
         self.hot_restart._tick()
 
     def start(self, *older):
-        """Run the whole start, during which older processes keep observing the state directory."""
+        """Run the start to its end, while older processes keep observing the state directory."""
 
         async def wait():
             capacity = asyncio.ensure_future(self.hot_restart.wait_for_capacity())
--- a/tests/control/test_hot_restart_faults.py
+++ b/tests/control/test_hot_restart_faults.py
@@ -1,4 +1,4 @@
-"""Two processes of the program as one sidecar, with faults between them, judged from the servers' side."""
+"""Hot restarts of the real program under faults, judged by what reached the servers."""
 
 import asyncio
 import contextlib
@@ -14,52 +14,54 @@
 
 pytestmark = pytest.mark.processes
 
-FREE = 2  # requests that an upgrade may lose (DAYS)
+MAX_LOST_PER_RESTART = 2  # requests that one hot restart may lose
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_under_each_fault_the_rules_hold_and_service_goes_on(tmp_path, fault):
+def test_hot_restart_under_fault_keeps_rules_and_service(tmp_path, fault):
     async def play():
         async with hot_restart_rig(tmp_path) as rig:
             await FAULTS[fault](rig)
             await rig.wait_for_responses()
-            # Whoever is left has all of the limits, and takes the next upgrade as any other.
-            (left,) = rig.member.living
-            assert await call(left.admin_address, "GET /healthcheck") == 200
+            # The remaining process has all of the limits, and can be restarted like any other.
+            (remaining,) = rig.member.living
+            assert await call(remaining.admin_address, "GET /healthcheck") == 200
             await rig.upgrade()
             await rig.wait_for_responses()
         verdict = rig.verdict()
         assert not verdict.violations
-        assert len(verdict.lost) <= FREE * 2, verdict.lost
-        assert all(b"Traceback" not in line.encode() for one in rig.member.processes for line in one.lines)
+        assert len(verdict.lost) <= MAX_LOST_PER_RESTART * 2, verdict.lost
+        assert all(
+            b"Traceback" not in line.encode() for process in rig.member.processes for line in process.lines
+        )
 
     run(play())
 
 
-@pytest.mark.parametrize("dies", ["old", "new"])
-@pytest.mark.parametrize("at", ["before the new one starts", "before it is ready", "when it is ready"])
-def test_a_ban_at_either_process_holds_whichever_dies_next(tmp_path, dies, at):
+@pytest.mark.parametrize("killed", ["old", "new"])
+@pytest.mark.parametrize("moment", ["before the new one starts", "before it is ready", "when it is ready"])
+def test_maintenance_order_at_either_process_survives_death_of_one(tmp_path, killed, moment):
     async def play():
         async with hot_restart_rig(tmp_path, rate=100.0) as rig:
             (old,) = rig.member.living
-            if at == "before the new one starts":
+            if moment == "before the new one starts":
                 await rig.ban(old, "std-0")
             new = await rig.member.start()
             await new.wait_for_line("admin API listens: address=")
-            if at == "before it is ready":
+            if moment == "before it is ready":
                 await rig.ban(new, "std-0")  # the admin API listens before clients are accepted
             await rig.wait_until_ready(new)
-            if at == "when it is ready":
-                await rig.ban(new if dies == "new" else old, "std-0")
-            rig.kill(new if dies == "new" else old)
+            if moment == "when it is ready":
+                await rig.ban(new if killed == "new" else old, "std-0")
+            rig.kill(new if killed == "new" else old)
             await asyncio.sleep(GRACE_S)
             await rig.wait_for_responses()
             await rig.upgrade()
             await rig.wait_for_responses(40)
         verdict = rig.verdict()
         assert not verdict.violations
-        assert len(verdict.lost) <= 2 * FREE
-        assert rig.truth.arrivals["std-0"], "it was in use before"
+        assert len(verdict.lost) <= 2 * MAX_LOST_PER_RESTART
+        assert rig.truth.arrivals["std-0"], "the endpoint got no request before the order"
 
     run(play())
 
@@ -86,47 +88,51 @@
     return next(path for path in folder.glob("sign-*.json") if path.stem.endswith(f"-{process.pid}"))
 
 
-TORN = [
-    ("torn", lambda word: json.dumps(word)[:40]),
-    ("of a newer version", lambda word: json.dumps({**word, "version": 99})),
-    ("with a state that nobody knows", lambda word: json.dumps({**word, "state": "flying"})),
-    ("empty", lambda word: ""),
+CORRUPTIONS = [
+    ("torn", lambda record: json.dumps(record)[:40]),
+    ("newer version", lambda record: json.dumps({**record, "version": 99})),
+    ("unknown state", lambda record: json.dumps({**record, "state": "flying"})),
+    ("empty", lambda record: ""),
 ]
 
 
-@pytest.mark.parametrize(("what", "spoil"), TORN, ids=[what for what, _ in TORN])
-def test_signs_that_can_not_be_read_keep_nobody_from_serving(tmp_path, what, spoil):
+@pytest.mark.parametrize(("name", "corrupt"), CORRUPTIONS, ids=[name for name, _ in CORRUPTIONS])
+def test_unreadable_heartbeat_does_not_block_hot_restart(tmp_path, name, corrupt):
     async def play():
         async with hot_restart_rig(tmp_path) as rig:
             (old,) = rig.member.living
             path = heartbeat_file(rig, old)
-            path.write_text(spoil(json.loads(path.read_text())))
+            path.write_text(corrupt(json.loads(path.read_text())))
             new = await rig.member.start()
             await rig.wait_until_ready(new)
-            path.write_text(spoil({"name": "x", "version": 1}))
+            path.write_text(corrupt({"name": "x", "version": 1}))
             await rig.end(old)
             await rig.wait_for_responses()
         verdict = rig.verdict()
         assert not verdict.violations
-        assert len(verdict.lost) <= FREE
+        assert len(verdict.lost) <= MAX_LOST_PER_RESTART
 
     run(play())
 
 
-def test_a_sign_that_a_dead_process_left_counts_for_nothing(tmp_path):
-    """Of another boot, with times that are still to come, under a process number that is in use again."""
+def test_heartbeat_of_dead_process_is_ignored(tmp_path):
+    """Guards against a claim that leaves the live processes nothing.
+
+    The record is of another boot, with times in the future and a process id that is in use again.
+    """
 
     async def play():
         async with hot_restart_rig(tmp_path) as rig:
             (old,) = rig.member.living
             path = heartbeat_file(rig, old)
-            word = json.loads(path.read_text())
-            born = word["born_ns"] + 10**15
-            ghost = f"{born:020d}-{os.getpid()}"
-            path.with_name(f"sign-{ghost}.json").write_text(
-                json.dumps({**word, "name": ghost, "born_ns": born, "beat_ns": born, "most": 512})
+            record = json.loads(path.read_text())
+            started_ns = record["born_ns"] + 10**15
+            dead_name = f"{started_ns:020d}-{os.getpid()}"
+            path.with_name(f"sign-{dead_name}.json").write_text(
+                json.dumps(
+                    {**record, "name": dead_name, "born_ns": started_ns, "beat_ns": started_ns, "most": 512}
+                )
             )
-            # A claim of a ghost would leave nothing to those who live.
             await rig.wait_for_responses(100)
             new = await rig.upgrade()
             await rig.wait_for_responses(100)
@@ -134,19 +140,19 @@
             assert json.loads(heartbeat_file(rig, new).read_text())["most"] == 512
         verdict = rig.verdict()
         assert not verdict.violations
-        assert len(verdict.lost) <= FREE
+        assert len(verdict.lost) <= MAX_LOST_PER_RESTART
 
     run(play())
 
 
-def test_where_nothing_can_be_written_any_more_upgrades_go_on_and_bans_are_refused(tmp_path):
+def test_unwritable_state_directory_allows_hot_restart_and_rejects_orders(tmp_path):
     async def play():
         async with hot_restart_rig(tmp_path) as rig:
             (old,) = rig.member.living
             folder = rig.member.folder / "tmp" / "dykefold"
-            # As on a full disk: no name can be made there, neither a sign nor a lock.
-            kept = folder.with_name("kept")
-            folder.rename(kept)
+            # As on a full disk: neither a heartbeat nor a lock file can be created.
+            moved = folder.with_name("kept")
+            folder.rename(moved)
             folder.write_text("")
             assert await call(old.admin_address, "POST /servers/std-0/maint") == 500
             new = await rig.member.start()
@@ -155,12 +161,12 @@
             await rig.wait_for_responses()
         verdict = rig.verdict()
         assert not verdict.violations
-        assert len(verdict.lost) <= FREE
+        assert len(verdict.lost) <= MAX_LOST_PER_RESTART
 
     run(play())
 
 
-def test_both_processes_together_stay_within_half_the_limits(tmp_path):
+def test_both_processes_together_stay_within_halved_limits(tmp_path):
     async def play():
         async with hot_restart_rig(tmp_path, rate=250.0, memory_mb=96, sockets=256) as rig:
             for _ in range(2):
@@ -175,8 +181,8 @@
     run(play())
 
 
-def test_upgrades_in_a_row_lose_next_to_nothing(tmp_path):
-    """`benchmarks/upgrade.py` plays twenty, alone and under each fault."""
+def test_consecutive_hot_restarts_lose_few_requests(tmp_path):
+    """Guards against losses in each restart; `benchmarks/upgrade.py` has twenty, also under each fault."""
 
     async def play():
         async with hot_restart_rig(tmp_path, new_share=1.0) as rig:
@@ -186,53 +192,59 @@
             assert len(rig.member.living) == 1
         verdict = rig.verdict()
         assert not verdict.violations
-        assert len(verdict.lost) + verdict.counts.get("unsent", 0) <= FREE * 6
+        assert len(verdict.lost) + verdict.counts.get("unsent", 0) <= MAX_LOST_PER_RESTART * 6
 
     run(play())
 
 
-def test_the_judge_finds_what_was_lost_doubled_late_or_went_to_a_banned_server():
-    """Guards against a rig that sees no fault."""
+def test_judge_reports_lost_duplicate_late_and_out_of_service_requests():
+    """Guards against a judge that overlooks faults."""
     from dykefold.lab.emulator.server import Arrival
     from dykefold.lab.fleet.client import ClientRequest, RequestEnd
 
-    def asked(ident, cls, end, sent_s=1.0, body=None):
+    def client_request(ident, cls, end, sent_s=1.0, body=None):
         return ClientRequest(ident, cls, 0, sent_s, sent_s + 0.1, end, 200, ident if body is None else body)
 
     all_requests = [
-        asked("twice", "order", RequestEnd.SERVED),
-        asked("lost", "lookup", RequestEnd.LOST),
-        asked("held", "lookup", RequestEnd.LOST, 5.0),
-        asked("else", "lookup", RequestEnd.SERVED, body="other"),
-        asked("refused", "order", RequestEnd.REFUSED),
-        asked("crossed", "order", RequestEnd.CROSSED),
-        asked("unread", "order", RequestEnd.CROSSED),
-        asked("window", "hold", RequestEnd.SERVED),
-        asked("heldback", "hold", RequestEnd.SERVED),
-        asked("banned", "lookup", RequestEnd.SERVED, 9.0),
-        asked("copies", "lookup", RequestEnd.SERVED),
+        client_request("duplicate", "order", RequestEnd.SERVED),
+        client_request("lost", "lookup", RequestEnd.LOST),
+        client_request("excused", "lookup", RequestEnd.LOST, 5.0),
+        client_request("wrong-body", "lookup", RequestEnd.SERVED, body="other"),
+        client_request("refused", "order", RequestEnd.REFUSED),
+        client_request("crossed", "order", RequestEnd.CROSSED),
+        client_request("unread", "order", RequestEnd.CROSSED),
+        client_request("window", "hold", RequestEnd.SERVED),
+        client_request("delayed", "hold", RequestEnd.SERVED),
+        client_request("out-of-service", "lookup", RequestEnd.SERVED, 9.0),
+        client_request("overlapping", "lookup", RequestEnd.SERVED),
     ]
     arrivals = {
-        "a": [Arrival(i, "x", 1.0, 1.0) for i in ("twice", "else", "refused", "crossed", "window", "copies")],
-        # What a cut held back runs late, and was sent in time.
+        "a": [
+            Arrival(i, "x", 1.0, 1.0)
+            for i in ("duplicate", "wrong-body", "refused", "crossed", "window", "overlapping")
+        ],
+        # A network partition delayed the attempt, which was sent in time.
         "b": [
-            Arrival("twice", "order", 1.2, 1.2),
+            Arrival("duplicate", "order", 1.2, 1.2),
             Arrival("window", "hold", 2.0, 2.0),
-            Arrival("heldback", "hold", 1.1, 9.0),
-            Arrival("heldback", "hold", 1.3, 1.3),
+            Arrival("delayed", "hold", 1.1, 9.0),
+            Arrival("delayed", "hold", 1.3, 1.3),
+        ],
+        "c": [
+            Arrival("out-of-service", "lookup", 9.0, 9.0),
+            Arrival("overlapping", "lookup", 1.0, None, overlaps=True),
         ],
-        "c": [Arrival("banned", "lookup", 9.0, 9.0), Arrival("copies", "lookup", 1.0, None, overlaps=True)],
     }
-    found = judge(all_requests, arrivals, CLASSES, [Excuse(0, 5.0, 5.2)], [Ban(0, "c", 8.0)])
-    assert found.lost == ["lost", "crossed"]
-    assert found.excused == 1
-    assert [line.split()[0] for line in found.violations] == [
-        "twice", "else", "refused", "window", "copies", "banned",
+    verdict = judge(all_requests, arrivals, CLASSES, [Excuse(0, 5.0, 5.2)], [Ban(0, "c", 8.0)])
+    assert verdict.lost == ["lost", "crossed"]
+    assert verdict.excused == 1
+    assert [line.split()[0] for line in verdict.violations] == [
+        "duplicate", "wrong-body", "refused", "window", "overlapping", "out-of-service",
     ]  # fmt: skip
 
 
-def test_a_process_that_never_says_yes_is_noticed(tmp_path):
-    """Guards against a rig that waits for ever, or takes silence for a yes."""
+def test_rig_detects_process_that_never_becomes_ready(tmp_path):
+    """Guards against a rig that waits forever, or takes no response for readiness."""
 
     async def play():
         async with hot_restart_rig(tmp_path) as rig:
@@ -242,7 +254,7 @@
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(1.0):
                     await rig.wait_until_ready(new)
-                raise AssertionError("a stopped process said yes")
+                raise AssertionError("a stopped process became ready")
             rig.kill(new)
             await wait_until(lambda: not new.alive)
             assert READY_TIMEOUT_S > 1.0
@@ -250,8 +262,8 @@
     run(play())
 
 
-def test_a_server_whose_return_can_not_be_written_down_stays_out(tmp_path):
-    """Guards the refusal of the admin API against a server that is used all the same."""
+def test_endpoint_whose_return_cannot_be_recorded_stays_out_of_service(tmp_path):
+    """Guards against requests to an endpoint whose return the admin API answered with an error."""
 
     async def play():
         async with hot_restart_rig(tmp_path) as rig:
@@ -269,23 +281,23 @@
 
 
 @pytest.mark.fleet
-@pytest.mark.parametrize("used", [False, True], ids=["fresh", "used"])
-def test_a_request_that_came_while_the_process_stood_still_is_answered(tmp_path, used):
-    """Guards what has not been read yet against the end of its connection's idleness."""
+@pytest.mark.parametrize("reused", [False, True], ids=["fresh", "used"])
+def test_request_received_while_process_is_stopped_is_answered(tmp_path, reused):
+    """Guards against an idle timeout that closes a connection with a request that has not been read yet."""
 
     async def play():
         async with hot_restart_rig(tmp_path, rate=20.0) as rig:
             (process,) = rig.member.living
             reader, writer = await asyncio.open_connection(*process.address)
-            for number in range(int(used)):
+            for number in range(int(reused)):
                 writer.write(request_message("lookup", f"w{number}"))
                 assert (await read_message(reader)).code == 200
             process.stop()
             writer.write(request_message("lookup", "q", "9000m"))
-            began = asyncio.get_running_loop().time()
+            stopped_at_s = asyncio.get_running_loop().time()
             await asyncio.sleep(3.0)
             process.go_on()
-            rig.excuses.append(Excuse(0, began - 0.2, began + 3.5))
+            rig.excuses.append(Excuse(0, stopped_at_s - 0.2, stopped_at_s + 3.5))
             assert (await read_message(reader)).code == 200
             writer.close()
 
--- a/tests/control/test_process_records.py
+++ b/tests/control/test_process_records.py
@@ -15,12 +15,12 @@
 OWN = ClockReading("boot", 100, 7)
 
 
-def test_names_of_records_stay_and_the_heartbeat_is_removed_last():
+def test_record_names_are_stable_and_heartbeat_is_removed_last():
     names = [kind.of_process("1-a") for kind in RecordKind]
     assert names == ["state-1-a", "list-1-a", "maintenance-1-a", "sign-1-a"]
 
 
-def test_a_heartbeat_is_stored_under_its_keys_whatever_its_attributes_are_called():
+def test_heartbeat_has_stable_stored_keys():
     heartbeat = ProcessHeartbeat("a", 1, 2, HotRestartState.TAKING, ("a", "b"), 96, 0)
     assert heartbeat_record(heartbeat, {"s": MaintenanceOrder(3, True)}) == {
         "name": "a", "born_ns": 1, "beat_ns": 2, "state": "taking", "sees": ["a", "b"], "most": 96,
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize("fields", [BALANCER_FIELDS, CLASS_FIELDS, ENDPOINT_FIELDS, GROUP_FIELDS])
-def test_no_two_values_of_a_snapshot_have_one_key(fields):
+def test_snapshot_keys_are_unique(fields):
     assert len({field.key for field in fields}) == len(fields)
 
 
@@ -42,8 +42,8 @@
         ({"boot": "boot", "monotonic_ns": "90", "offset_ns": 5}, None),
         ([], None),
     ],
-    ids=["same boot", "other boot", "a time to come", "text", "no table"],
+    ids=["same boot", "other boot", "future reading", "text instead of number", "no table"],
 )
-def test_the_shift_between_two_clocks(clock, shift_ns):
+def test_clock_shift_is_offset_difference_within_one_boot(clock, shift_ns):
     assert shift_between_clocks({"clock": clock}, OWN) == shift_ns
-    assert shift_between_clocks({}, OWN) == 0  # an older version leaves no clock
+    assert shift_between_clocks({}, OWN) == 0  # a record of an older version has no clock
