--- a/dykefold/control/hot_restart_state.py
+++ b/dykefold/control/hot_restart_state.py
@@ -22,14 +22,14 @@
 
 States and transitions:
 
-    state      | event                 | next
-    STARTING   | may serve             | TAKING     every older process acknowledged it, or the wait is over
-    TAKING     | newer starts          | SHARING
-    SHARING    | newer serves          | HANDING
-    SHARING    | newer is unresponsive | TAKING     the newer one is dead, unresponsive, or in its shutdown
-    HANDING    | newer starts          | SHARING    the newer one is dead, and another one starts
-    HANDING    | newer is unresponsive | TAKING     the newer one became unresponsive, so clients return here
-    any        | shutdown              | ENDING
+    state        | event                 | next
+    STARTING     | may serve             | TAKING     every older process acknowledged it, or the wait is over
+    TAKING       | newer starts          | SHARING
+    SHARING      | newer serves          | HANDING_OVER
+    SHARING      | newer is unresponsive | TAKING     the newer one is dead, unresponsive, or in its shutdown
+    HANDING_OVER | newer starts          | SHARING    the newer one is dead, and another one starts
+    HANDING_OVER | newer is unresponsive | TAKING     the newer one is unresponsive, so clients return here
+    any          | shutdown              | ENDING
 """
 
 from __future__ import annotations
@@ -57,7 +57,7 @@
     STARTING = "starting"
     TAKING = "taking"
     SHARING = "sharing"
-    HANDING = "handing"
+    HANDING_OVER = "handing"
     ENDING = "ending"
 
 
@@ -74,17 +74,17 @@
 TRANSITIONS: dict[tuple[HotRestartState, HotRestartEvent], HotRestartState] = {
     (HotRestartState.STARTING, HotRestartEvent.MAY_SERVE): HotRestartState.TAKING,
     (HotRestartState.TAKING, HotRestartEvent.NEWER_STARTS): HotRestartState.SHARING,
-    (HotRestartState.TAKING, HotRestartEvent.NEWER_SERVES): HotRestartState.HANDING,
-    (HotRestartState.SHARING, HotRestartEvent.NEWER_SERVES): HotRestartState.HANDING,
+    (HotRestartState.TAKING, HotRestartEvent.NEWER_SERVES): HotRestartState.HANDING_OVER,
+    (HotRestartState.SHARING, HotRestartEvent.NEWER_SERVES): HotRestartState.HANDING_OVER,
     (HotRestartState.SHARING, HotRestartEvent.NEWER_UNRESPONSIVE): HotRestartState.TAKING,
-    (HotRestartState.HANDING, HotRestartEvent.NEWER_STARTS): HotRestartState.SHARING,
-    (HotRestartState.HANDING, HotRestartEvent.NEWER_UNRESPONSIVE): HotRestartState.TAKING,
+    (HotRestartState.HANDING_OVER, HotRestartEvent.NEWER_STARTS): HotRestartState.SHARING,
+    (HotRestartState.HANDING_OVER, HotRestartEvent.NEWER_UNRESPONSIVE): HotRestartState.TAKING,
     **{(state, HotRestartEvent.SHUTDOWN): HotRestartState.ENDING for state in HotRestartState},
 }
 # States in which a process should get new clients.
 LEADING_STATES = frozenset((HotRestartState.TAKING, HotRestartState.SHARING))
 # States in which a process accepts clients, and shows it in its heartbeat.
-SERVING_STATES = frozenset((HotRestartState.TAKING, HotRestartState.SHARING, HotRestartState.HANDING))
+SERVING_STATES = frozenset((HotRestartState.TAKING, HotRestartState.SHARING, HotRestartState.HANDING_OVER))
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/control/test_hot_restart_orders.py
+++ b/tests/control/test_hot_restart_orders.py
@@ -64,7 +64,7 @@
             "unresponsive newer process keeps the clients",
             lambda patch: patch.delitem(
                 hot_restart.TRANSITIONS,
-                (hot_restart.HotRestartState.HANDING, hot_restart.HotRestartEvent.NEWER_UNRESPONSIVE),
+                (hot_restart.HotRestartState.HANDING_OVER, hot_restart.HotRestartEvent.NEWER_UNRESPONSIVE),
             ),
         ),
         (
--- a/tests/control/test_hot_restart_state.py
+++ b/tests/control/test_hot_restart_state.py
@@ -100,7 +100,7 @@
         TOTAL_DESCRIPTORS - 250,
     )  # clients of the older process keep their connections
     now = run_steps(processes, now, 1)
-    assert old.machine.state is HotRestartState.HANDING
+    assert old.machine.state is HotRestartState.HANDING_OVER
     assert old.observation.newer_serves
     old.in_use = 80
     now = run_steps(processes, now, 2)
@@ -131,7 +131,7 @@
 def test_older_process_gets_clients_back_when_serving_newer_one_dies():
     processes, now = begin_hot_restart()
     now = run_steps(processes, now, 3)
-    assert processes[0].machine.state is HotRestartState.HANDING
+    assert processes[0].machine.state is HotRestartState.HANDING_OVER
     processes[1].alive = False
     run_steps(processes, now, MAX_HEARTBEAT_AGE_NS // OBSERVATION_INTERVAL_NS + 2)
     assert processes[0].machine.state is HotRestartState.TAKING
