--- a/tests/control/test_hot_restart_faults.py
+++ b/tests/control/test_hot_restart_faults.py
@@ -223,7 +223,7 @@
             Arrival(i, "x", 1.0, 1.0)
             for i in ("duplicate", "wrong-body", "refused", "crossed", "window", "overlapping")
         ],
-        # A network partition delayed the attempt, which was sent in time.
+        # The window counts between arrivals: a cut delayed the start of this attempt, which arrived in time.
         "b": [
             Arrival("duplicate", "order", 1.2, 1.2),
             Arrival("window", "hold", 2.0, 2.0),
