--- a/dykefold/admission/__init__.py
+++ b/dykefold/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Connection admission: which clients are admitted, kept and evicted, and who uses descriptors."""
+"""Connection admission: which clients are admitted, kept or evicted, and how descriptors are budgeted."""
--- a/dykefold/admission/accept_errors.py
+++ b/dykefold/admission/accept_errors.py
@@ -1,13 +1,13 @@
-"""The errors of accept(2), by what a listener does about them."""
+"""Error numbers of accept(2), grouped by how the listener reacts to them."""
 
 from __future__ import annotations
 
 import errno
 
-# The process or the system lacks descriptors or memory: somebody else must give one back first.
+# The process or the system is out of descriptors or memory: one must be released before accept can succeed.
 EXHAUSTED = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 
-# Errors of the connection that was to be accepted, or of the call: the next one is accepted at once.
+# Errors of a single connection or of the call itself: the next connection is accepted at once.
 TRANSIENT = frozenset(
     (
         errno.ECONNABORTED,
--- a/dykefold/admission/address_keys.py
+++ b/dykefold/admission/address_keys.py
@@ -1,6 +1,6 @@
-"""What counts as one client address, and which networks are known.
+"""Keys that identify a client address, and a set of networks.
 
-Sources: RFC 4291 section 2.5.4 and RFC 6177 (a site holds at least a /64, so a /64 counts as one address),
+Sources: RFC 4291 section 2.5.4 and RFC 6177 (a site has at least a /64, so a /64 counts as one address),
 RFC 4291 section 2.5.5.2 (IPv4 addresses inside IPv6).
 """
 
@@ -17,14 +17,14 @@
 MAX_CACHED_ADDRESSES = 4096  # Parsed addresses; as many as `AddressLimits.max_remembered`.
 
 Network = IPv4Network | IPv6Network
-# Identifies one address: the version of the Internet Protocol, and the leading bits as a number.
-# A plain tuple, since one is made for each new connection.
+# Identifies one address: the IP version, and the leading bits as a number.
+# A plain tuple, since one is created for each new connection.
 AddressKey = tuple[int, int]
 
 
 @lru_cache(maxsize=MAX_CACHED_ADDRESSES)
 def _parse(host: str) -> tuple[int, int]:
-    """Return version and number of an address; IPv4 inside IPv6 counts as IPv4."""
+    """Return the IP version and numeric value of an address; an IPv4-mapped IPv6 address counts as IPv4."""
     address = ip_address(host.partition("%")[0])
     if isinstance(address, IPv6Address) and address.ipv4_mapped is not None:
         address = address.ipv4_mapped
@@ -32,7 +32,7 @@
 
 
 class AddressPrefixes:
-    """How many leading bits make one address, by version.
+    """Number of leading bits that identify one address, by IP version.
 
     Args:
         ipv4_bits: Leading bits of an IPv4 address that identify one client, 0 to 32.
@@ -46,7 +46,7 @@
         """Return the key of an address.
 
         Args:
-            host: IPv4 or IPv6 address as text, with or without a zone.
+            host: IPv4 or IPv6 address as text, with or without a scope zone.
 
         Raises:
             ValueError: `host` is not an IP address.
@@ -56,7 +56,7 @@
 
 
 class NetworkSet:
-    """A set of networks; a look-up costs one step for each length of prefix that occurs.
+    """A set of networks; a lookup costs one step for each distinct prefix length.
 
     Args:
         networks: IPv4 and IPv6 networks, in any order.
--- a/dykefold/admission/addresses.py
+++ b/dykefold/admission/addresses.py
@@ -1,6 +1,6 @@
-"""Client addresses: what each uses of its limits, and which are known.
+"""Client addresses: how much of its limits each one uses, and which are known.
 
-Source: token buckets as in RFC 2697, with one rate.
+Source: token buckets as in RFC 2697, with a single rate.
 """
 
 from __future__ import annotations
@@ -14,25 +14,25 @@
 
 @dataclass(frozen=True, slots=True)
 class AddressLimits:
-    """What one address may use, and which are known. None stands for no limit.
+    """Limits of one address, and which addresses are known. None means no limit.
 
     Attributes:
-        connections: Maximum number of open connections from one address.
-        known_connections: Maximum number for a known address, which may stand for a whole site behind NAT.
-        new_per_s: New connections allowed per second. Known networks are exempt: after a restart all their
-            clients
-            come back together.
-        new_burst: Number of connections that an address may open at once after a rest.
+        connections: Maximum number of open connections from one address that is not known.
+        known_connections: Maximum number of open connections from a known address, which may be a whole site
+            behind NAT.
+        new_per_s: New connections allowed per second. Configured networks are exempt: after a restart all
+            their clients reconnect at the same time.
+        new_burst: Number of connections that an address may open at once after a period without new ones.
         open_requests: Maximum number of pending requests from one address.
         unfinished_bytes: Maximum size in bytes of all incomplete messages from one address.
         v4_prefix: Leading bits of an IPv4 address that count as one address.
         v6_prefix: Leading bits of an IPv6 address that count as one address.
         known: Networks whose clients are known.
-        reserve: Number of connections that only known clients may hold.
+        reserve: Number of connections reserved for known clients.
         learn_requests: Number of served requests after which an address counts as known; 0 turns learning
             off.
         learn_after_s: Seconds over which these requests must be spread.
-        max_learned: Maximum number of learned addresses; beyond it the one without success for the longest is
+        max_learned: Maximum number of learned addresses; beyond it the least recently successful one is
             forgotten.
         max_remembered: Maximum number of addresses without a connection whose use of the limits is
             remembered.
@@ -55,27 +55,28 @@
 
 
 class AddressTrust(Enum):
-    """Whether an address is known, and by what."""
+    """Whether an address is known, and for what reason."""
 
     UNKNOWN = "unknown"
-    LEARNED = "learned"  # by its served requests; the first violation ends it
+    LEARNED = "learned"  # from its served requests; the first violation revokes it
     CONFIGURED = "configured"  # by the operator
 
 
 class AddressRecord:
-    """What one address uses of its limits.
+    """Usage of the limits by one address.
 
     Args:
+        tokens: Initial number of connections that may be opened at once.
         now_s: Current monotonic time in seconds.
 
     Attributes:
         key: Key that identifies the address.
-        trust: Whether the address is known, and by what.
+        trust: Whether the address is known, and for what reason.
         connections: Number of open connections.
         open_requests: Number of pending requests.
         unfinished_bytes: Size in bytes of its incomplete messages.
-        tokens: Number of new connections that it may still open at once.
-        tokens_at_s: Monotonic time in seconds at which the tokens were last counted.
+        tokens: Remaining number of new connections that it may open at once.
+        tokens_at_s: Monotonic time in seconds at which the tokens were last refilled.
         served: Number of requests served since the last violation.
         served_since_s: Monotonic time in seconds of the first of them.
     """
@@ -105,18 +106,18 @@
 
     @property
     def known(self) -> bool:
-        """Whether it is known, by whatever."""
+        """Whether the address is known, learned or configured."""
         return self.trust is not AddressTrust.UNKNOWN
 
 
 class AddressTable:
-    """All addresses that are in use, and bounded memories of those that were, and of those learned.
+    """Addresses with connections, and bounded records of recently inactive and of learned addresses.
 
     Attributes:
         limits: Limits of each address.
         active: Records of addresses that have a connection, by key.
-        inactive: Records of addresses without a connection, the longest unused first.
-        learned: Keys of learned addresses, the longest without success first.
+        inactive: Records of addresses without a connection, least recently used first.
+        learned: Keys of learned addresses, least recently successful first.
     """
 
     def __init__(self, limits: AddressLimits) -> None:
@@ -126,7 +127,7 @@
         self.apply(limits)
 
     def apply(self, limits: AddressLimits) -> None:
-        """Take other limits: which addresses are known changes at once, what is used stays counted."""
+        """Apply new limits: which addresses are known changes at once, current usage stays counted."""
         self.limits = limits
         self._known_networks = NetworkSet(limits.known)
         self.key = AddressPrefixes(limits.v4_prefix, limits.v6_prefix).key
@@ -136,16 +137,16 @@
             self.inactive.popitem(last=False)
 
     def find(self, host: str, now_s: float) -> AddressRecord:
-        """Return the record of an address, a new one if there is none.
+        """Return the record of an address, or a new one if there is none.
 
-        A new record is kept once a connection has been added to it.
+        A new record is only stored once a connection has been added to it.
 
         Args:
             host: IPv4 or IPv6 address as text.
             now_s: Current monotonic time in seconds.
 
         Raises:
-            ValueError: `host` is no address.
+            ValueError: `host` is not an IP address.
         """
         key = self.key(host)
         address = self.active.get(key) or self.inactive.get(key)
@@ -158,15 +159,16 @@
         return address
 
     def add_connection(self, address: AddressRecord) -> None:
-        """Count a connection that was admitted."""
+        """Count an admitted connection."""
         address.connections += 1
         self.inactive.pop(address.key, None)
         self.active[address.key] = address
 
     def deactivate_unused(self, address: AddressRecord) -> None:
-        """Remember an address without connections and requests for a while, after one of them has ended.
+        """Move an address without connections and requests to the inactive ones.
 
-        Otherwise its limits would begin anew with each connection that it opens and closes.
+        Its usage is remembered: otherwise an address could reset its limits by closing and reopening
+        connections.
         """
         if address.connections or address.open_requests:
             return
@@ -176,13 +178,13 @@
         if len(self.inactive) > self.limits.max_remembered:
             self.inactive.popitem(last=False)
 
-    def take_token(self, address: AddressRecord, now_s: float) -> bool:
-        """Count one more new connection; return False, and count none, beyond the rate."""
+    def consume_token(self, address: AddressRecord, now_s: float) -> bool:
+        """Consume the token of a new connection; return False, and consume none, beyond the rate."""
         rate = self.limits.new_per_s
         if rate is None or address.trust is AddressTrust.CONFIGURED:
             return True
-        passed_s = max(now_s - address.tokens_at_s, 0.0)
-        address.tokens = min(address.tokens + passed_s * rate, self.limits.new_burst)
+        elapsed_s = max(now_s - address.tokens_at_s, 0.0)
+        address.tokens = min(address.tokens + elapsed_s * rate, self.limits.new_burst)
         address.tokens_at_s = now_s
         if address.tokens < 1.0:
             return False
@@ -209,7 +211,7 @@
                 self._forget_learned(next(iter(self.learned)))
 
     def record_violation(self, address: AddressRecord, now_s: float) -> None:
-        """Forget the served requests of an address: it met a limit, or a message of it never ended."""
+        """Reset the served requests of an address that exceeded a limit or left a message incomplete."""
         address.served = 0
         address.served_since_s = now_s
         if address.key in self.learned:
--- a/dykefold/admission/client.py
+++ b/dykefold/admission/client.py
@@ -1,4 +1,4 @@
-"""The record of one client's connection, as the admission rules see it."""
+"""Admission record of one client connection."""
 
 from __future__ import annotations
 
@@ -8,22 +8,25 @@
 
 
 class Client:
-    """One connection of a client.
+    """Admission record of one client connection.
+
+    Args:
+        address: Record of the client's address.
+        host: The client's address as text.
 
     Attributes:
         address: Record of the client's address.
         host: The client's address as text.
-        owner: Key of the client's address, by which queues count the connection.
-        known: Whether the address was known when the connection was admitted. It never changes, since the
-            queues are
-            found by it.
-        state: None before it is admitted and after it has been removed.
+        owner: Key of the client's address; `OwnerQueue` counts connections by it.
+        known: Whether the address was known when the connection was admitted. It never changes, since it
+            selects the queues of the connection.
+        state: State of the connection; None before it is admitted and after it has been removed.
         messages: Number of complete messages received.
-        idle_since_s: Monotonic time in seconds at which the connection entered its state.
+        idle_since_s: Monotonic time in seconds at which the connection entered its state or renewed it.
         body_started_at_s: Monotonic time in seconds of the first byte of an incomplete body; 0 if there is
             none.
-        body_bytes: Number of body bytes received since then.
-        body_received_at_s: Monotonic time in seconds of the latest of them.
+        body_bytes: Number of bytes received of the incomplete body.
+        body_received_at_s: Monotonic time in seconds of the latest of these bytes.
     """
 
     __slots__ = (
@@ -40,7 +43,7 @@
     )
 
     def __init__(self, address: AddressRecord, host: str) -> None:
-        """Begin a connection that has sent nothing."""
+        """Create the record of a connection that has sent nothing."""
         self.address = address
         self.host = host
         self.owner: AddressKey = address.key
--- a/dykefold/admission/client_state.py
+++ b/dykefold/admission/client_state.py
@@ -1,4 +1,4 @@
-"""The states of a client's connection, as admission sees them, and the changes between them."""
+"""Admission states of a client connection, and the transitions between them."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ClientState(IntEnum):
-    """What a connection does. The numbers index the queues of `ClientGroup`.
+    """Admission state of a client connection. The numbers index the queues of `ClientGroup`.
 
     Attributes:
         CLOSING: The connection was answered with an error and waits for the client to close.
@@ -26,17 +26,17 @@
 
 
 IDLE_STATES = (ClientState.IDLE_ONCE, ClientState.IDLE_REUSED)
-# States whose time counts from the latest bytes that were received in them.
+# States whose start time is renewed by each read in them.
 RENEWED_STATES = (*IDLE_STATES, ClientState.READING)
 
-# The states that may follow each one. A connection may also close in any of them.
+# States that may follow each state. A connection may also close in any of them.
 TRANSITIONS: dict[ClientState, frozenset[ClientState]] = {
     ClientState.NEW: frozenset(
         (
             ClientState.READING,
             ClientState.BUSY,
-            ClientState.IDLE_ONCE,  # a readiness check is answered as it is read
-            ClientState.IDLE_REUSED,  # ... and several may come at once
+            ClientState.IDLE_ONCE,  # a readiness check is answered while it is read
+            ClientState.IDLE_REUSED,  # several readiness checks may arrive in one read
             ClientState.CLOSING,
         )
     ),
--- a/dykefold/admission/clients.py
+++ b/dykefold/admission/clients.py
@@ -1,4 +1,4 @@
-"""All connections of clients: carries out what the admission rules decide on them."""
+"""All client connections: carries out the decisions of the admission rules on them."""
 
 from __future__ import annotations
 
@@ -16,9 +16,10 @@
 
 
 class ClientConnections:
-    """Every open connection of a client.
+    """All open client connections.
 
     Args:
+        admission: Controller that decides on connections and requests.
         system: Source of the clock.
 
     Attributes:
@@ -35,10 +36,10 @@
         self.rejections = RejectionLog(system.monotonic)
 
     def admit(self, host: str) -> AdmissionDecision:
-        """Decide on a new connection from an address, and close the one that is evicted for it.
+        """Decide on a new connection from an address, and close the connection evicted for it.
 
         Raises:
-            ValueError: `host` is no IPv4 or IPv6 address.
+            ValueError: `host` is not an IPv4 or IPv6 address.
         """
         decision = self.admission.connect(host, self.monotonic(), self._has_unread_input)
         if decision.evicted is not None:
@@ -48,17 +49,17 @@
         return decision
 
     def add(self, connection: ManagedConnection) -> None:
-        """Add the connection of a client that was admitted."""
+        """Add the connection of an admitted client."""
         self.all[connection.client] = connection
         self._close_all(self.admission.remove_unneeded(self.monotonic(), self._has_unread_input))
 
     def remove(self, client: Client) -> None:
-        """Remove a connection that has closed."""
+        """Remove a closed connection."""
         self.admission.remove(client)
         self.all.pop(client, None)
 
     def update(self, connection: ManagedConnection) -> None:
-        """Take the state of a connection, after it was read and after a response."""
+        """Update the admission state of a connection, after a read or a response."""
         now_s = self.monotonic()
         client = connection.client
         if connection.busy:
@@ -78,11 +79,11 @@
             self._close_all(self.admission.remove_unneeded(now_s, self._has_unread_input))
 
     def record_body(self, client: Client, size: int) -> None:
-        """Count bytes of a body that has not come to its end."""
+        """Count received bytes of an incomplete body."""
         self.admission.message_timeouts.record_body(client, size, self.monotonic())
 
     def open_request(self, client: Client) -> bool:
-        """Count a request as open; return False if its address has too many."""
+        """Count a request as open; return False if its address has too many open requests."""
         reason = self.admission.open_request(client, self.monotonic())
         if reason is not None:
             self.rejections.add(reason, client.host)
@@ -98,18 +99,18 @@
         self.admission.close_request(client, served, self.monotonic())
 
     def reserve_unfinished(self, client: Client, size: int) -> bool:
-        """Count bytes of an unfinished message; return False if its address has too many."""
+        """Reserve bytes for an incomplete message; return False if its address has too many."""
         reserved = self.admission.reserve_unfinished(client, size, self.monotonic())
         if not reserved:
             self.rejections.add(RejectionReason.UNFINISHED_BYTES_OF_ADDRESS, client.host)
         return reserved
 
     def release_unfinished(self, client: Client, size: int) -> None:
-        """Count bytes of a message no longer as unfinished."""
+        """Release reserved bytes of an incomplete message."""
         self.admission.release_unfinished(client, size)
 
     def resize(self, limits: ConnectionLimits, address_limits: AddressLimits) -> None:
-        """Take other limits, and close the connections beyond them that may be evicted.
+        """Apply new limits, and close the connections beyond them that may be evicted.
 
         Args:
             limits: Limits on all client connections together.
@@ -120,34 +121,34 @@
         )
 
     def evict(self) -> bool:
-        """Close one connection since the system has no descriptor left; return whether one could be."""
+        """Close one connection since no descriptor is left; return False if none may be evicted."""
         client = self.admission.evict(self.monotonic(), self._has_unread_input)
         if client is not None:
             self._close(client)
         return client is not None
 
     def sweep(self) -> None:
-        """Close connections that never end a message, or that have been idle for too long."""
+        """Close connections with an overdue message, and those that have been idle for too long."""
         now_s = self.monotonic()
-        for client in self.admission.message_timeouts.take_late(now_s):
+        for client in self.admission.message_timeouts.pop_overdue(now_s):
             connection = self.all.get(client)
             if connection is None:
                 continue
-            if connection.paused:  # the message may have come whole long ago
+            if connection.paused:  # the rest of the message may have arrived without being read
                 self.admission.message_timeouts.restart(client, now_s)
             else:
                 self.admission.addresses.record_violation(client.address, now_s)
                 connection.expire()
-        for client in self.admission.idle_too_long(now_s):
+        for client in self.admission.find_idle_expired(now_s):
             connection = self.all.get(client)
             if connection is not None:
                 connection.close_when_idle()
         self._close_all(self.admission.remove_unneeded(now_s, self._has_unread_input))
 
     def _has_unread_input(self, client: Client) -> bool:
-        """Return whether input of a client was not read yet.
+        """Return whether a client has sent input that was not read yet.
 
-        A close would reset it, and a client whose request was reset unread sends it again.
+        Closing would reset the connection, and a client whose request was reset unread retries it.
         """
         connection = self.all.get(client)
         return connection is not None and connection.has_unread_input()
--- a/dykefold/admission/connection.py
+++ b/dykefold/admission/connection.py
@@ -1,4 +1,4 @@
-"""A client's connection, as admission needs it."""
+"""Interface of a client connection that admission depends on."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ManagedConnection(Protocol):
-    """A client's connection that admission may close.
+    """A client connection that admission may close.
 
     Attributes:
         client: Record of the client.
@@ -35,25 +35,25 @@
 
     @property
     def message_unfinished(self) -> bool:
-        """Whether a message has begun and not ended."""
+        """Whether a message is incomplete."""
         ...
 
     @property
     def busy(self) -> bool:
-        """Whether a request is pending, or the client leaves bytes of a response unread."""
+        """Whether a request is pending, or bytes of a response are still unread by the client."""
         ...
 
     @property
     def idle(self) -> bool:
-        """Whether it can be closed without harm."""
+        """Whether the connection can be closed without losing a request or a response."""
         ...
 
     def accepted(self, sock: socket.socket) -> None:
-        """Note the accepted socket; its transport is still to be made."""
+        """Store the accepted socket; its transport does not exist yet."""
         ...
 
     def pending_requests(self) -> Sequence[Any]:
-        """Return its pending requests, in order."""
+        """Return the pending requests, in order."""
         ...
 
     def close(self) -> None:
@@ -61,21 +61,21 @@
         ...
 
     def evict(self) -> None:
-        """Close for the sake of other clients, with a rejection where a message has begun."""
+        """Close to make room for other clients; an incomplete message is rejected."""
         ...
 
     def reject_unfinished(self, text: str) -> None:
-        """Reject the message that has begun, behind the responses to those before it."""
+        """Reject the incomplete message, after the responses to the requests before it."""
         ...
 
     def has_unread_input(self) -> bool:
-        """Return whether bytes of the client, or its end, were not read yet."""
+        """Return whether bytes from the client, or its end of stream, were not read yet."""
         ...
 
     def close_when_idle(self) -> None:
-        """Close so that nothing on its way is lost, unless the client has sent more."""
+        """Close without losing data in transit, unless the client has sent more."""
         ...
 
     def expire(self) -> None:
-        """Reject the message that has not come to an end in time."""
+        """Reject the message that was not completed in time."""
         ...
--- a/dykefold/admission/controller.py
+++ b/dykefold/admission/controller.py
@@ -1,14 +1,14 @@
-"""The admission rules: which client connection is admitted, kept and closed.
+"""Admission rules: which client connections are admitted, kept and closed.
 
-No I/O: times are passed in, and connections to close are returned. The rules:
+Does no I/O: times are passed in, and connections to close are returned. The rules:
 
-1. A connection with a request open, or with a response on its way to the client, is never evicted.
-2. Clients never hold more connections than they may: for one admitted beyond, another one is evicted.
-3. Unknown addresses never hold the reserve; known ones take it first, then the place of unknown ones.
-4. Evictions have an order: see `eviction`.
-5. No step costs more when more connections are open.
+1. A connection with an open request, or with a response being written, is never evicted.
+2. Client connections never exceed their limit: one admitted beyond it replaces an evicted one.
+3. Unknown addresses never use the reserve; known ones use it first, then evict unknown ones.
+4. The order of evictions is that of `eviction`.
+5. The cost of a step does not grow with the number of open connections.
 
-Idle connections beyond those of use (`working_set`, `request_gaps`) are closed before anything is full.
+Idle connections beyond the working set (`working_set`, `request_gaps`) are closed before a limit is reached.
 """
 
 from __future__ import annotations
@@ -17,28 +17,29 @@
 from .client import Client
 from .client_state import IDLE_STATES, RENEWED_STATES, ClientState
 from .decision import AdmissionDecision, RejectionReason
-from .eviction import EvictionOrder, HasUnreadInput, never_unread
+from .eviction import EvictionOrder, HasUnreadInput, no_unread_input
 from .limits import ConnectionLimits
 from .message_timeouts import MessageTimeouts
 from .request_gaps import RequestGaps
 from .working_set import WorkingSet
 
-MAX_IDLE_S = 2.0  # For a connection without a pending request.
-MAX_CLOSED_PER_EVENT = 4  # Idle connections. More than arrive, and the cost of an event stays bounded.
+MAX_IDLE_S = 2.0  # Of a connection without a pending request.
+MAX_CLOSED_PER_EVENT = 4  # Idle connections: more than arrive per event, at a bounded cost.
 
 
 class AdmissionController:
-    """Decides on each connection.
+    """Decides on client connections and requests.
 
     Args:
+        limits: Limits on all client connections together.
         address_limits: Limits of each address.
 
     Attributes:
         limits: Limits on all client connections together.
-        addresses: Use of the limits, by address.
-        eviction: Connections that may be evicted, in order.
-        message_timeouts: Timeouts of messages that have begun.
-        working_set: Estimate of the number of connections that clients make use of.
+        addresses: Usage of the limits, by address.
+        eviction: Connections that may be evicted, in eviction order.
+        message_timeouts: Timeouts of incomplete messages.
+        working_set: Estimate of the number of connections that clients can use.
         request_gaps: Estimate of the time for which clients leave a connection idle between requests.
     """
 
@@ -46,19 +47,19 @@
         self.limits = limits
         self.addresses = AddressTable(address_limits)
         self.eviction = EvictionOrder()
-        self._groups = self.eviction.groups  # looked up for each request
+        self._groups = self.eviction.groups  # a direct reference, since each request looks it up
         self.message_timeouts = MessageTimeouts()
         self.working_set = WorkingSet(limits.with_requests)
         self.request_gaps = RequestGaps()
 
     @property
     def address_limits(self) -> AddressLimits:
-        """What each address may use."""
+        """Limits of each address."""
         return self.addresses.limits
 
     @property
     def count(self) -> int:
-        """How many connections are open."""
+        """Number of open connections."""
         return self._groups[False].count + self._groups[True].count
 
     def resize(
@@ -66,9 +67,9 @@
         limits: ConnectionLimits,
         address_limits: AddressLimits,
         now_s: float,
-        has_unread_input: HasUnreadInput = never_unread,
+        has_unread_input: HasUnreadInput = no_unread_input,
     ) -> list[Client]:
-        """Take other limits.
+        """Apply new limits.
 
         Args:
             limits: Limits on all client connections together.
@@ -77,7 +78,7 @@
             has_unread_input: Returns whether a client has sent input that was not read yet.
 
         Returns:
-            The connections that must be closed: those beyond the limits, as far as they may be evicted.
+            The connections that must be closed: those beyond the limits that may be evicted.
         """
         self.limits = limits
         self.working_set.resize(limits.with_requests)
@@ -90,7 +91,7 @@
     # Connections
 
     def connect(
-        self, host: str, now_s: float, has_unread_input: HasUnreadInput = never_unread
+        self, host: str, now_s: float, has_unread_input: HasUnreadInput = no_unread_input
     ) -> AdmissionDecision:
         """Decide on a new connection.
 
@@ -100,25 +101,26 @@
             has_unread_input: Returns whether a client has sent input that was not read yet.
 
         Raises:
-            ValueError: `host` is no IPv4 or IPv6 address.
+            ValueError: `host` is not an IPv4 or IPv6 address.
         """
         address = self.addresses.find(host, now_s)
         limits, known = self.addresses.limits, address.known
-        max_of_address = limits.known_connections if known else limits.connections
-        if max_of_address is not None and address.connections >= max_of_address:
+        max_per_address = limits.known_connections if known else limits.connections
+        if max_per_address is not None and address.connections >= max_per_address:
             self.addresses.record_violation(address, now_s)
             return AdmissionDecision(None, RejectionReason.CONNECTIONS_OF_ADDRESS, None)
-        if not self.addresses.take_token(address, now_s):
+        if not self.addresses.consume_token(address, now_s):
             self.addresses.record_violation(address, now_s)
-            self.addresses.deactivate_unused(address)  # or its use of the limit would be forgotten
+            self.addresses.deactivate_unused(address)  # or its usage of the limit would be forgotten
             return AdmissionDecision(None, RejectionReason.NEW_CONNECTIONS_OF_ADDRESS, None)
         evicted = None
         if self._is_full(known):
             evicted = self.eviction.choose(known, self.limits.connections, now_s, has_unread_input)
-            is_over = self.count > self.limits.connections  # the limit was lowered: one is not enough
+            # After the limit was lowered, one eviction is not enough.
+            was_over_limit = self.count > self.limits.connections
             if evicted is not None:
                 self.remove(evicted)
-            if evicted is None or is_over:
+            if evicted is None or was_over_limit:
                 self.addresses.deactivate_unused(address)
                 return AdmissionDecision(None, RejectionReason.ALL_CONNECTIONS, evicted)
         client = Client(address, host)
@@ -129,16 +131,16 @@
         return AdmissionDecision(client, None, evicted)
 
     def _is_full(self, known: bool) -> bool:
-        """Return whether room must be made, for an address that is known or not."""
+        """Return whether a connection must be evicted to admit one of a known or unknown address."""
         max_connections = self.limits.connections
         if self.count >= max_connections:
             return True
-        # However large the reserve, one unknown address may connect when nobody else is there.
+        # However large the reserve, a connection from an unknown address is admitted if there is no other.
         reserve = min(self.addresses.limits.reserve, max_connections - 1)
         return not known and self._groups[False].count >= max_connections - reserve
 
     def remove(self, client: Client) -> None:
-        """Remove a connection that has closed or must be closed; do nothing if it was removed before."""
+        """Remove a connection that is closed or must be closed; do nothing if it was removed before."""
         if client.state is None:
             return
         self._exit(client)
@@ -153,11 +155,11 @@
     def update(
         self, client: Client, state: ClientState, message_begun: bool, messages: int, now_s: float
     ) -> None:
-        """Take the state of a connection.
+        """Update the state of a connection.
 
         Args:
             client: Record of the connection.
-            state: State of the connection; `IDLE_ONCE` stands for `IDLE_REUSED` too.
+            state: New state of the connection; `IDLE_ONCE` means either idle state.
             message_begun: Whether a message is incomplete.
             messages: Number of complete messages received.
             now_s: Current monotonic time in seconds.
@@ -183,7 +185,7 @@
         self._enter(client, state, now_s)
 
     def begin_next_request(self, client: Client, messages: int, now_s: float) -> None:
-        """Do what `update` does in the usual case: a whole request on an `IDLE_REUSED` connection.
+        """Do what `update` does in the common case: a complete request on an `IDLE_REUSED` connection.
 
         Args:
             client: Record of the connection.
@@ -213,8 +215,8 @@
 
     # Connections to close
 
-    def evict(self, now_s: float, has_unread_input: HasUnreadInput = never_unread) -> Client | None:
-        """Remove the first connection in the order of eviction, of a known address or not.
+    def evict(self, now_s: float, has_unread_input: HasUnreadInput = no_unread_input) -> Client | None:
+        """Remove the first connection in eviction order, of known and unknown addresses.
 
         Args:
             now_s: Current monotonic time in seconds.
@@ -228,8 +230,10 @@
             self.remove(client)
         return client
 
-    def remove_unneeded(self, now_s: float, has_unread_input: HasUnreadInput = never_unread) -> list[Client]:
-        """Remove idle connections that seem to be abandoned, while more are held than are of use.
+    def remove_unneeded(
+        self, now_s: float, has_unread_input: HasUnreadInput = no_unread_input
+    ) -> list[Client]:
+        """Remove idle connections that seem abandoned, while there are more than the working set.
 
         Args:
             now_s: Current monotonic time in seconds.
@@ -251,14 +255,14 @@
             removed.append(client)
         return removed
 
-    def idle_too_long(self, now_s: float) -> list[Client]:
-        """Return the connections that have been idle for `MAX_IDLE_S`."""
+    def find_idle_expired(self, now_s: float) -> list[Client]:
+        """Return the connections that have been idle for at least `MAX_IDLE_S`."""
         return list(self.eviction.all_idle_since(now_s - MAX_IDLE_S))
 
     # Requests and messages
 
     def open_request(self, client: Client, now_s: float) -> RejectionReason | None:
-        """Count a request as open; return the limit for which it is rejected, if any."""
+        """Count a request as open; return the limit that rejects it, if any."""
         address = client.address
         max_open = self.addresses.limits.open_requests
         if max_open is not None and address.open_requests >= max_open:
@@ -282,7 +286,7 @@
         self.addresses.deactivate_unused(address)
 
     def reserve_unfinished(self, client: Client, size: int, now_s: float) -> bool:
-        """Count bytes of an unfinished message; return False, and count none, beyond the address's limit."""
+        """Reserve bytes for an incomplete message; return False, and reserve none, beyond the limit."""
         address = client.address
         max_bytes = self.addresses.limits.unfinished_bytes
         if max_bytes is not None and address.unfinished_bytes + size > max_bytes:
@@ -292,5 +296,5 @@
         return True
 
     def release_unfinished(self, client: Client, size: int) -> None:
-        """Count bytes of a message no longer as unfinished."""
+        """Release reserved bytes of an incomplete message."""
         client.address.unfinished_bytes -= size
--- a/dykefold/admission/decision.py
+++ b/dykefold/admission/decision.py
@@ -1,4 +1,4 @@
-"""The answer of the admission rules to a new connection."""
+"""Decision of the admission rules on a new connection."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class RejectionReason(Enum):
-    """The limit for which a connection or a request is rejected; the value stands in log lines."""
+    """Limit that rejects a connection or a request; the value is written to log lines."""
 
     CONNECTIONS_OF_ADDRESS = "connections_per_address"
     NEW_CONNECTIONS_OF_ADDRESS = "new_connections_per_s"
@@ -20,12 +20,12 @@
 
 
 class AdmissionDecision(NamedTuple):
-    """What becomes of a new connection.
+    """Decision on a new connection.
 
     Attributes:
         client: Record of the client; None if the connection is rejected.
-        rejection: Limit for which the connection is rejected; None if it is admitted.
-        evicted: Client whose connection must be closed in exchange; None if there is none.
+        rejection: Limit that rejects the connection; None if it is admitted.
+        evicted: Client whose connection must be closed to make room; None if there is none.
     """
 
     client: Client | None
--- a/dykefold/admission/eviction.py
+++ b/dykefold/admission/eviction.py
@@ -1,11 +1,11 @@
-"""Which connection is evicted to make room for another one.
+"""Order in which connections are evicted to make room for others.
 
-The order among those that may be evicted: those that are closing anyway, those that never sent a request,
-those that stopped within a message, idle after one request, idle after several, and last the youngest with a
-message begun of the address that has most of these. Within each, the address that has most comes first, and
-its oldest connection. Connections of unknown addresses go before those of known ones.
+Connections are evicted in this order: closing ones, those that never sent a request, those stalled within a
+message, those idle after one request, those idle after several, and last the youngest one with an incomplete
+message, of the address with the most of these. Within each group, the oldest connection of the address with
+the most connections is first. Connections of unknown addresses are evicted before those of known ones.
 
-A connection with input that was not read yet has come back: it is passed over, a bounded number of times.
+A connection with unread input is in use again: it is skipped, and the number of skips is bounded.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 from .client_state import IDLE_STATES, ClientState
 from .owner_queue import OwnerQueue
 
-STALLED_MESSAGE_S = 0.5  # Without a byte of an incomplete message, the connection counts as stalled.
-FIRST_REQUEST_GRACE_S = 0.02  # The first request of a new connection may be on its way.
-MAX_NEW_FRACTION = 0.25  # Of all connections. Beyond it new connections count as a flood, not as a burst.
-MAX_SKIPPED = 16  # Connections with unread input; each costs a system call.
+STALLED_MESSAGE_S = 0.5  # Time without a byte of an incomplete message after which a connection is stalled.
+FIRST_REQUEST_GRACE_S = 0.02  # The first request of a new connection may be in transit.
+MAX_NEW_FRACTION = 0.25  # Of all connections; above it new connections count as a flood, not a burst.
+MAX_SKIPPED = 16  # Skipped connections with unread input; each check costs a system call.
 
-HasUnreadInput = Callable[[Client], bool]  # whether input of a client was not read yet
+HasUnreadInput = Callable[[Client], bool]  # whether a client has sent input that was not read yet
 
 
-def never_unread(_: Client) -> bool:
+def no_unread_input(_: Client) -> bool:
     """Return that no client has unread input."""
     return False
 
 
 class ClientGroup:
-    """Connections of known addresses, or of unknown ones.
+    """Connections of all known addresses, or of all unknown ones.
 
     Attributes:
         count: Number of connections in the group.
@@ -43,10 +43,10 @@
 
 
 class EvictionOrder:
-    """The connections that may be evicted, in their order.
+    """Connections that may be evicted, in eviction order.
 
     Attributes:
-        groups: Connections, by whether their addresses are known.
+        groups: Connection groups, by whether their addresses are known.
     """
 
     def __init__(self) -> None:
@@ -64,22 +64,22 @@
             now_s: Current monotonic time in seconds.
             has_unread_input: Returns whether a client has sent input that was not read yet.
         """
-        passed_over: set[Client] = set()
+        skipped: set[Client] = set()
         for known in (False, True) if for_known else (False,):
             group = self.groups[known]
-            while group.count and (client := _first(group, max_connections, now_s)) is not None:
-                if client in passed_over:
+            while group.count and (client := _choose_in_group(group, max_connections, now_s)) is not None:
+                if client in skipped:
                     break
                 if not has_unread_input(client):
                     return client
-                if len(passed_over) >= MAX_SKIPPED:
+                if len(skipped) >= MAX_SKIPPED:
                     return None
-                passed_over.add(client)
+                skipped.add(client)
                 self.move_to_end(client, now_s)
         return None
 
     def move_to_end(self, client: Client, now_s: float) -> None:
-        """Have a connection with unread input go behind the others in its state."""
+        """Move a connection with unread input behind the others in its state."""
         state = client.state
         if state is not None and state is not ClientState.BUSY:
             queue = self.groups[client.known].queues[state]
@@ -97,13 +97,13 @@
         return None
 
     def all_idle_since(self, time_s: float) -> Iterator[Client]:
-        """Iterate over all that have been idle since that time; none may change its state meanwhile."""
+        """Iterate over connections idle since that time; no state may change during the iteration."""
         for group in self.groups.values():
             for state in IDLE_STATES:
                 yield from group.queues[state].added_until(time_s)
 
 
-def _first(group: ClientGroup, max_connections: int, now_s: float) -> Client | None:
+def _choose_in_group(group: ClientGroup, max_connections: int, now_s: float) -> Client | None:
     closing, new, idle_once, idle_reused, reading, _ = group.queues
     if closing:
         return closing.oldest()
@@ -114,9 +114,9 @@
         overdue = now_s - new.added_at_s[client] >= FIRST_REQUEST_GRACE_S
         if is_flood or overdue or not (idle_once or idle_reused):
             return client
-    stopped = reading.oldest()
-    if stopped is not None and reading.added_at_s[stopped] <= now_s - STALLED_MESSAGE_S:
-        return stopped
+    stalled = reading.oldest()
+    if stalled is not None and reading.added_at_s[stalled] <= now_s - STALLED_MESSAGE_S:
+        return stalled
     for queue in (idle_once, idle_reused):
         if queue:
             return queue.oldest_of_largest_owner()
--- a/dykefold/admission/limits.py
+++ b/dykefold/admission/limits.py
@@ -1,4 +1,4 @@
-"""What clients may hold in all."""
+"""Limits on all client connections together."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionLimits:
-    """What clients may hold in all.
+    """Limits on all client connections together.
 
     Attributes:
         connections: Maximum number of open client connections.
--- a/dykefold/admission/listener.py
+++ b/dykefold/admission/listener.py
@@ -1,8 +1,8 @@
-"""The listening socket: accepts connections, rejects those not admitted, and survives a lack of descriptors.
+"""Listening socket: accepts connections, rejects those not admitted, and handles descriptor exhaustion.
 
-asyncio's own servers either spin or drop the listener's reader for a second when `accept` fails with EMFILE,
-and build a transport before a connection can be rejected. Here the address is known with the accepted socket,
-so a rejection costs three system calls.
+asyncio's servers either spin or stop reading the listening socket for a second when `accept` fails with
+EMFILE, and create a transport before a connection can be rejected. Here the client's address is available
+with the accepted socket, so a rejection costs three system calls.
 """
 
 from __future__ import annotations
@@ -26,18 +26,18 @@
 
 log = logging.getLogger("dykefold.admission")
 
-PAUSE_S = 0.05  # After a failed accept; a released descriptor ends it sooner.
-LOG_INTERVAL_S = 10.0  # Between two log lines on failures.
-MAX_BACKLOG_TURNS = 64  # Turns in which a closing listener accepts waiting clients: twice the kernel queue.
-SEND_BUFFER_BYTES = 128 * 1024  # Of each client socket; small enough to show that a slow client reads.
+PAUSE_S = 0.05  # Pause after a failed accept; a released descriptor ends it early.
+LOG_INTERVAL_S = 10.0  # Between two log lines about failures.
+MAX_BACKLOG_TURNS = 64  # Accept rounds of a closing listener: these cover twice the kernel queue.
+SEND_BUFFER_BYTES = 128 * 1024  # Of each client socket; small enough to detect that a slow client reads.
 
 
 class AcceptResult(Enum):
-    """How a turn of accepting ended."""
+    """Result of one round of accepting."""
 
-    MORE = auto()  # others may wait
-    EMPTY = auto()  # nobody waits
-    FAILED = auto()  # it is tried again after a pause
+    MORE = auto()  # more clients may be waiting
+    EMPTY = auto()  # no client is waiting
+    FAILED = auto()  # retried after a pause
 
 
 class Listener:
@@ -47,12 +47,12 @@
         loop: Event loop on which the listener runs.
         sock: Listening socket, non-blocking.
         clients: Open connections; admits each new one.
-        make_connection: Returns the protocol of an admitted client's connection.
+        make_connection: Creates the connection protocol of an admitted client.
         system: Source of the clock and of the reserve descriptor.
 
     Attributes:
         closed: Whether the socket is closed.
-        reserve: Descriptor that is closed when accepting needs one.
+        reserve: Descriptor that is closed to free one for accepting.
         rejections: Rejected connections that are still open.
     """
 
@@ -70,28 +70,28 @@
         self._clients = clients
         self._make_connection = make_connection
         self._pause_timer: asyncio.TimerHandle | None = None
-        self._starting: set[asyncio.Task[None]] = set()
+        self._start_tasks: set[asyncio.Task[None]] = set()
         self._failure_logged_at_s = -LOG_INTERVAL_S
         self._on_closed: Callable[[], None] | None = None
-        self._close_by_s = 0.0
+        self._close_deadline_s = 0.0
         self.closed = False
         self.reserve = ReserveDescriptor(system)
         self.rejections = Rejections(loop, self._on_rejection_closed)
         self.reserve.open()
         sock.setblocking(False)
-        # Accepted sockets inherit it.
+        # Accepted sockets inherit this option.
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
         loop.add_reader(sock.fileno(), self._on_readable)
 
     @property
     def address(self) -> tuple[str, int]:
-        """The address and port that it listens at."""
+        """Address and port of the listening socket."""
         host, port = self._sock.getsockname()[:2]
         return host, port
 
     @property
     def closing(self) -> bool:
-        """Whether it has been told to shut down."""
+        """Whether shutdown has begun."""
         return self._on_closed is not None
 
     # Accepting
@@ -122,7 +122,7 @@
     def _admit(self, sock: socket.socket, host: str) -> None:
         try:
             sock.setblocking(False)
-        except OSError:  # the client has gone
+        except OSError:  # the client has disconnected
             sock.close()
             return
         client, reason, _ = self._clients.admit(host)
@@ -133,17 +133,16 @@
         connection.accepted(sock)
         self._clients.add(connection)
         task = self._loop.create_task(self._start(sock, connection))
-        self._starting.add(task)
-        task.add_done_callback(self._starting.discard)
+        self._start_tasks.add(task)
+        task.add_done_callback(self._start_tasks.discard)
 
     async def _start(self, sock: socket.socket, connection: ManagedConnection) -> None:
-        """Make the transport of an admitted connection."""
+        """Create the transport of an admitted connection."""
         protocol = cast(asyncio.Protocol, connection)
         try:
             await self._loop.connect_accepted_socket(lambda: protocol, sock)
-        except (
-            OSError
-        ):  # the client reset it, or the system lacks something: a client that is still there is rejected
+        except OSError:
+            # Reset by the client, or out of resources: a client that is still connected is rejected.
             self.rejections.add(sock, RejectionReason.ALL_CONNECTIONS)
             self._clients.remove(connection.client)
         except asyncio.CancelledError:
@@ -153,11 +152,11 @@
     # Failures
 
     def _on_accept_failed(self, error: OSError) -> None:
-        """Make room where descriptors lack, and pause: the loop would spin, as the socket stays readable.
+        """Free a descriptor if none is left, and pause: the loop would spin, as the socket stays readable.
 
-        A connection that may be evicted makes room for the next turn. If there is none, the reserve
-        descriptor serves to reject clients, so that they are told rather than wait in the backlog. Other
-        errors are of the network or a packet filter (accept(2)): they need a pause as well, and no eviction.
+        Evicting a connection makes room for the next round. If none may be evicted, the reserve descriptor
+        is used to reject clients, so that they get a response rather than wait in the backlog. Other errors
+        come from the network or a packet filter (accept(2)): they need a pause as well, but no eviction.
         """
         if self._system.monotonic() - self._failure_logged_at_s >= LOG_INTERVAL_S:
             self._failure_logged_at_s = self._system.monotonic()
@@ -170,12 +169,12 @@
         self.pause()
 
     def _reject_waiting(self) -> None:
-        """Reject clients that wait in the backlog, by the reserve descriptor."""
+        """Reject clients waiting in the backlog, using the reserve descriptor."""
         for _ in range(ACCEPTED_DESCRIPTORS):
-            if not self.reserve.held:  # a rejected connection has it, and another client waits
+            if not self.reserve.is_open:  # a rejected connection uses it, and another client is waiting
                 self.rejections.close_all()
                 self.reserve.open()
-            if not self.reserve.held:
+            if not self.reserve.is_open:
                 return
             self.reserve.close()
             try:
@@ -199,13 +198,13 @@
             self.reserve.open()
 
     def pause(self) -> None:
-        """Accept nothing for `PAUSE_S`, or until a descriptor is released."""
+        """Stop accepting for `PAUSE_S`, or until a descriptor is released."""
         if self._pause_timer is None and not self.closed:
             self._loop.remove_reader(self._sock.fileno())
             self._pause_timer = self._loop.call_later(PAUSE_S, self.on_descriptor_released)
 
     def on_descriptor_released(self) -> None:
-        """End a pause: a descriptor has been released, or the time is over."""
+        """End a pause: a descriptor has been released, or the pause has expired."""
         if self._pause_timer is None:
             return
         self._resume()
@@ -223,12 +222,12 @@
     # Shutdown
 
     def accept_backlog(self) -> bool:
-        """Accept all clients that wait, since a close of the socket would reset them.
+        """Accept all waiting clients, since closing the socket would reset them.
 
         Returns:
-            False if accepting fails for now.
+            False if accepting fails at present.
         """
-        self._resume()  # or it would be closed during a pause
+        self._resume()  # otherwise the socket could be closed during a pause
         for _ in range(MAX_BACKLOG_TURNS):
             result = AcceptResult.EMPTY if self.closed else self._accept()
             if result is not AcceptResult.MORE:
@@ -236,7 +235,7 @@
         return True
 
     def shut_down(self, timeout_s: float, on_closed: Callable[[], None]) -> None:
-        """Accept all clients that wait, and close.
+        """Accept all waiting clients, and close.
 
         Args:
             timeout_s: Seconds for which a failing accept is retried; after that, waiting clients are
@@ -244,22 +243,22 @@
             on_closed: Called once when the listener is closed, during this call if nothing fails.
         """
         self._on_closed = on_closed
-        self._close_by_s = self._system.monotonic() + timeout_s
+        self._close_deadline_s = self._system.monotonic() + timeout_s
         self._try_shut_down()
 
     def _try_shut_down(self) -> None:
         if self.closed:
             return
         if not self.accept_backlog():
-            if self._system.monotonic() < self._close_by_s:
-                return  # the end of the pause calls this again
+            if self._system.monotonic() < self._close_deadline_s:
+                return  # called again at the end of the pause
             self._reject_waiting()
         self.close()
         if self._on_closed is not None:
             self._on_closed()
 
     def close(self) -> None:
-        """Close the socket and the reserve descriptor; once they are closed, do nothing."""
+        """Close the socket and the reserve descriptor; do nothing if they are closed."""
         if self.closed:
             return
         self.closed = True
--- a/dykefold/admission/owner_queue.py
+++ b/dykefold/admission/owner_queue.py
@@ -1,10 +1,10 @@
-"""A queue ordered by time, and by how many of its items belong to one owner.
+"""A queue ordered by time, and by the number of items of each owner.
 
-Every operation costs the same whatever is queued; the index by owner, on the average over changes. The
-levels are those of a frequency list (as in O(1) LFU caches): counts only ever change by one, so the
-highest level is found by stepping, not by a search.
-`OrderedDict` rather than `dict`: reading the first entry of a dict walks over all that were deleted
-before it, which a queue does all the time.
+Every operation takes constant time; updates of the index by owner take amortized constant time. Owners are
+grouped by count as in a frequency list (O(1) LFU caches): a count changes by one at a time, so the highest
+count is found by stepping, not by a search.
+`OrderedDict` rather than `dict`: reading the first entry of a dict iterates over all entries deleted before
+it, and a queue deletes from the front all the time.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
     @property
     def owner(self) -> Hashable:
-        """What the item is counted by."""
+        """Owner that the item counts towards."""
         ...
 
 
@@ -30,9 +30,8 @@
 class OwnerQueue(Generic[Item]):
     """An ordered set of items with the time at which each was added.
 
-    The index by owner is brought up to date only when it is asked for: connections come and go with each
-    request, and the largest owner matters only when one has to be evicted. Each change is indexed once at
-    most.
+    The index by owner is updated lazily: connections enter and leave the queue with each request, and the
+    largest owner matters only when a connection has to be evicted. Each change is indexed at most once.
 
     Attributes:
         added_at_s: Items with the time in seconds at which they were added, the oldest first.
@@ -46,7 +45,7 @@
         self._not_indexed: OrderedDict[Item, None] = OrderedDict()  # in the order of their latest change
 
     def __len__(self) -> int:
-        """Return how many items there are."""
+        """Return the number of items."""
         return len(self.added_at_s)
 
     def __contains__(self, item: object) -> bool:
@@ -58,7 +57,7 @@
 
         Args:
             item: Item to add.
-            now_s: Current time in seconds, no earlier than that of the item before.
+            now_s: Current time in seconds, no earlier than that of the previous item.
         """
         self.added_at_s[item] = now_s
         self._not_indexed[item] = None
@@ -70,24 +69,24 @@
             return False
         if item in self._by_owner.get(item.owner, ()):
             self._not_indexed[item] = None
-        else:  # it was never indexed: no reference to it may be left
+        else:  # not indexed: no reference to the item may remain
             self._not_indexed.pop(item, None)
         return True
 
     def oldest(self) -> Item | None:
-        """Return the item that was added first; None if there is none."""
+        """Return the oldest item; None if the queue is empty."""
         return next(iter(self.added_at_s), None)
 
     def oldest_of_largest_owner(self) -> Item | None:
-        """Return the oldest item of the owner that has most; of equals, of the one that had so many first."""
+        """Return the oldest item of the largest owner; of equals, of the one that reached its count first."""
         return next(iter(self._by_owner[self._largest_owner()])) if self.added_at_s else None
 
     def youngest_of_largest_owner(self) -> Item | None:
-        """Return the youngest item of the same owner; None if there is none."""
+        """Return the youngest item of the same owner; None if the queue is empty."""
         return next(reversed(self._by_owner[self._largest_owner()])) if self.added_at_s else None
 
     def added_until(self, time_s: float) -> Iterator[Item]:
-        """Iterate over the items that were added by that time; the queue must not change meanwhile."""
+        """Iterate over the items added by that time; the queue must not change during the iteration."""
         return (item for item, _ in takewhile(lambda entry: entry[1] <= time_s, self.added_at_s.items()))
 
     def _largest_owner(self) -> Hashable:
@@ -98,14 +97,14 @@
         while self._not_indexed:
             item, _ = self._not_indexed.popitem(last=False)
             owner = item.owner
-            owned = self._by_owner.setdefault(owner, OrderedDict())
-            if item in owned:
-                del owned[item]
-                self._change_count(owner, len(owned) + 1, len(owned))
+            owner_items = self._by_owner.setdefault(owner, OrderedDict())
+            if item in owner_items:
+                del owner_items[item]
+                self._change_count(owner, len(owner_items) + 1, len(owner_items))
             if item in self.added_at_s:
-                owned[item] = None
-                self._change_count(owner, len(owned) - 1, len(owned))
-            if not owned:
+                owner_items[item] = None
+                self._change_count(owner, len(owner_items) - 1, len(owner_items))
+            if not owner_items:
                 del self._by_owner[owner]
 
     def _change_count(self, owner: Hashable, before: int, after: int) -> None:
--- a/dykefold/admission/rejected_connection.py
+++ b/dykefold/admission/rejected_connection.py
@@ -1,7 +1,7 @@
-"""A connection that is rejected at the listener: its response is sent whole, and its end is awaited.
+"""A connection rejected at the listener: its response is sent in full before it is closed.
 
-A close while bytes were not read is a reset, and what is on its way to the client is lost with it (RFC 9112,
-9.6). So the own side is shut down first, and what still comes is discarded for a bounded time.
+Closing a socket with unread bytes resets the connection, and the response in transit is lost (RFC 9112, 9.6).
+So the write side is shut down first, and input is discarded until the client closes, for a bounded time.
 """
 
 from __future__ import annotations
@@ -10,20 +10,20 @@
 import socket
 from collections.abc import Callable
 
-LINGER_S = 0.3  # From the rejection on; the client may read the response and close.
-POLL_INTERVAL_S = 0.01  # Between two checks of the socket.
+LINGER_S = 0.3  # From the rejection; time for the client to read the response and close.
+POLL_INTERVAL_S = 0.01  # Between two polls of the socket.
 READ_BYTES = 16 * 1024
 MAX_DISCARDED_BYTES = 256 * 1024  # Read from one rejected client.
 
 
 class RejectedConnection:
-    """One such connection.
+    """A rejected connection.
 
     Args:
         loop: Event loop of the timer.
-        sock: Accepted socket; it is closed in the end, whatever fails.
-        response: Bytes that the client is sent.
-        on_closed: Called once when the descriptor is closed, during this call if nothing is awaited.
+        sock: Accepted socket; it is always closed in the end.
+        response: Response to send, in bytes.
+        on_closed: Called once when the descriptor is closed, possibly before the constructor returns.
 
     Attributes:
         closed: Whether the descriptor is closed.
@@ -34,7 +34,7 @@
         "_loop",
         "_on_closed",
         "_response",
-        "_shut_down",
+        "_shutdown_sent",
         "_sock",
         "_timer",
         "_until_s",
@@ -52,7 +52,7 @@
         self._sock = sock
         self._response = response
         self._on_closed = on_closed
-        self._shut_down = self.closed = False
+        self._shutdown_sent = self.closed = False
         self._discarded_bytes = 0
         self._until_s = loop.time() + LINGER_S
         self._timer: asyncio.TimerHandle | None = None
@@ -64,7 +64,7 @@
             done = self._send_and_discard()
         except (BlockingIOError, InterruptedError):
             done = False
-        except OSError:  # the client has gone
+        except OSError:  # the client has disconnected
             done = True
         if done or self._loop.time() >= self._until_s:
             self.close()
@@ -72,13 +72,13 @@
             self._timer = self._loop.call_later(POLL_INTERVAL_S, self._poll)
 
     def _send_and_discard(self) -> bool:
-        """Send and read what can be; return whether the client's end was read, or too much before it."""
+        """Send and read without blocking; return True at the client's end of stream or too much input."""
         self._sock.setblocking(False)
         while self._response:
             self._response = self._response[self._sock.send(self._response) :]
-        if not self._shut_down:
+        if not self._shutdown_sent:
             self._sock.shutdown(socket.SHUT_WR)
-            self._shut_down = True
+            self._shutdown_sent = True
         while data := self._sock.recv(READ_BYTES):
             self._discarded_bytes += len(data)
             if self._discarded_bytes > MAX_DISCARDED_BYTES:
@@ -86,7 +86,7 @@
         return True
 
     def close(self) -> None:
-        """Close the socket; once it is closed, do nothing."""
+        """Close the socket; do nothing if it is closed."""
         if self.closed:
             return
         self.closed = True
--- a/dykefold/admission/rejection_log.py
+++ b/dykefold/admission/rejection_log.py
@@ -1,4 +1,4 @@
-"""Logs rejections, one line for each limit in `LOG_INTERVAL_S` however many there are."""
+"""Log of rejections, at most one line per limit in `LOG_INTERVAL_S`."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 log = logging.getLogger("dykefold.admission")
 
-LOG_INTERVAL_S = 10.0  # Between two log lines on the same limit.
+LOG_INTERVAL_S = 10.0  # Between two log lines about the same limit.
 
 
 class RejectionLog:
-    """Counts the rejections that were not logged yet.
+    """Logs rejections, and counts those not logged yet.
 
     Args:
         monotonic: Returns the monotonic time in seconds.
@@ -25,10 +25,10 @@
         self._logged_at_s = dict.fromkeys(RejectionReason, -LOG_INTERVAL_S)
 
     def add(self, reason: RejectionReason, host: str) -> None:
-        """Count a rejection, and log those not logged yet if the last line is old enough.
+        """Count a rejection, and log the count if the last line is at least `LOG_INTERVAL_S` old.
 
         Args:
-            reason: Limit for which the connection or request was rejected.
+            reason: Limit that rejected the connection or request.
             host: The client's address as text.
         """
         self._not_logged[reason] += 1
--- a/dykefold/admission/rejections.py
+++ b/dykefold/admission/rejections.py
@@ -1,4 +1,4 @@
-"""Rejects accepted sockets: what clients are sent, and how many such connections stay open."""
+"""Rejection of accepted sockets: the responses, and a bound on rejected connections still open."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class Rejections:
-    """The rejected connections that are still open, the oldest first; at most `MAX_LINGERING`.
+    """Rejected connections that are still open, oldest first; at most `MAX_LINGERING`.
 
     Args:
         loop: Event loop of the connections.
@@ -44,27 +44,27 @@
         self._open: dict[RejectedConnection, None] = {}
 
     def __len__(self) -> int:
-        """Return how many there are."""
+        """Return the number of open rejected connections."""
         return len(self._open)
 
     def add(self, sock: socket.socket, reason: RejectionReason) -> None:
-        """Reject an accepted socket; the oldest rejected connection is closed where there are too many.
+        """Reject an accepted socket; close the oldest rejected connection if there are too many.
 
         Args:
-            sock: Accepted socket; it is closed in the end.
+            sock: Accepted socket; it is always closed in the end.
             reason: Limit on connections that was exceeded.
         """
         if len(self._open) >= MAX_LINGERING:
             next(iter(self._open)).close()
-        rejected = RejectedConnection(self._loop, sock, RESPONSES[reason], self._forget)
+        rejected = RejectedConnection(self._loop, sock, RESPONSES[reason], self._on_connection_closed)
         if not rejected.closed:
             self._open[rejected] = None
 
     def close_all(self) -> None:
-        """Close all, for the sake of their descriptors."""
+        """Close all rejected connections, to free their descriptors."""
         for rejected in list(self._open):
             rejected.close()
 
-    def _forget(self, rejected: RejectedConnection) -> None:
+    def _on_connection_closed(self, rejected: RejectedConnection) -> None:
         self._open.pop(rejected, None)
         self._on_closed()
--- a/dykefold/admission/request_gaps.py
+++ b/dykefold/admission/request_gaps.py
@@ -1,6 +1,6 @@
-"""How long clients leave a connection idle between two requests.
+"""Estimate of the time for which clients leave a connection idle between two requests.
 
-Estimated as TCP estimates its retransmission timeout (RFC 6298 section 2): a smoothed mean, and four mean
+Uses the estimator of the TCP retransmission timeout (RFC 6298 section 2): a smoothed mean plus four mean
 deviations.
 """
 
@@ -14,7 +14,7 @@
 
 
 class RequestGaps:
-    """The estimate.
+    """Estimator of the idle time between two requests.
 
     Attributes:
         mean_s: Smoothed mean of the gaps, in seconds.
@@ -26,10 +26,10 @@
         self.deviation_s = INITIAL_GAP_S / 2
 
     def record(self, gap_s: float) -> None:
-        """Learn from one gap, in seconds."""
+        """Add one idle time, in seconds, to the estimate."""
         self.deviation_s += DEVIATION_GAIN * (abs(gap_s - self.mean_s) - self.deviation_s)
         self.mean_s += MEAN_GAIN * (gap_s - self.mean_s)
 
     def timeout_s(self) -> float:
-        """Return the idle time after which a next request is unlikely, in seconds."""
+        """Return the idle time in seconds after which another request is unlikely."""
         return max(self.mean_s + DEVIATION_FACTOR * self.deviation_s, MIN_TIMEOUT_S)
--- a/dykefold/admission/reserve_descriptor.py
+++ b/dykefold/admission/reserve_descriptor.py
@@ -1,4 +1,4 @@
-"""A descriptor that is kept only to be closed when accepting a connection needs one."""
+"""A reserve descriptor, closed to free one for accepting a connection."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ReserveDescriptor:
-    """Holds one descriptor of the process, if there is one to be had.
+    """One descriptor of the process, kept in reserve while the system has one available.
 
     Args:
         system: Opens and closes the descriptor.
@@ -16,21 +16,21 @@
 
     def __init__(self, system: System) -> None:
         self._system = system
-        self._number: int | None = None
+        self._descriptor: int | None = None
 
     @property
-    def held(self) -> bool:
-        """Whether there is one."""
-        return self._number is not None
+    def is_open(self) -> bool:
+        """Whether the descriptor is open."""
+        return self._descriptor is not None
 
     def open(self) -> None:
-        """Open it unless it is open; where the system has none left, do nothing."""
-        if self._number is None:
+        """Open the descriptor unless it is open; do nothing if the system has none left."""
+        if self._descriptor is None:
             with contextlib.suppress(OSError):
-                self._number = self._system.open_reserve()
+                self._descriptor = self._system.open_reserve()
 
     def close(self) -> None:
-        """Close it unless it is closed."""
-        if self._number is not None:
-            self._system.close_reserve(self._number)
-            self._number = None
+        """Close the descriptor unless it is closed."""
+        if self._descriptor is not None:
+            self._system.close_reserve(self._descriptor)
+            self._descriptor = None
--- a/dykefold/admission/working_set.py
+++ b/dykefold/admission/working_set.py
@@ -1,20 +1,20 @@
-"""Estimates how many connections clients can use, from the recent peak of pending requests.
+"""Estimate of the number of connections that clients can use, from the recent peak of pending requests.
 
-The clients' machine too can open only a limited number of connections. A connection that sent one
-request and stays idle for good takes one of these from the next request, so such connections are closed
-before anything is full.
+The clients' machine can also open only a limited number of connections. An abandoned connection that sent
+one request uses up one of these, which the next request may need, so such connections are closed before any
+limit is reached.
 """
 
 from __future__ import annotations
 
-PEAK_INTERVAL_S = 2.0  # The peak of busy connections is taken over this interval and the one before.
+PEAK_INTERVAL_S = 2.0  # The peak of busy connections covers the current interval and the previous one.
 CONNECTIONS_PER_BUSY = 2.0  # Useful connections for each busy one at the peak.
 MIN_CONNECTIONS = 8  # Added to the product, for clients that rarely send requests.
-USABLE_FRACTION = 0.75  # Of the connections allowed for requests; the rest is left for bursts.
+USABLE_FRACTION = 0.75  # Of the connections allowed for requests; the rest is kept for bursts.
 
 
 class WorkingSet:
-    """Counts the connections that carry requests, and estimates how many are of use.
+    """Counts the connections that carry requests, and estimates how many are needed.
 
     Args:
         max_with_requests: Maximum number of client connections on which a request has been sent.
@@ -22,29 +22,29 @@
     Attributes:
         with_requests: Number of connections on which at least one request has been sent.
         busy: Number of connections with a pending request or a response being written.
-        limit: Number of connections that clients make use of.
+        limit: Estimated number of connections that clients can use.
     """
 
     def __init__(self, max_with_requests: int) -> None:
         self.with_requests = 0
         self.busy = 0
-        self._peak = 0  # Peak of `busy` in this interval.
-        self._previous_peak = 0  # Peak of `busy` in the interval before.
+        self._peak = 0  # Peak of `busy` in the current interval.
+        self._previous_peak = 0  # Peak of `busy` in the previous interval.
         self._interval_began_at_s = 0.0
         self.limit = 0.0
         self.resize(max_with_requests)
 
     def resize(self, max_with_requests: int) -> None:
-        """Take another number of connections that clients can hold for requests."""
-        self._usable = USABLE_FRACTION * max_with_requests
+        """Apply a new maximum number of client connections with requests."""
+        self._max_usable = USABLE_FRACTION * max_with_requests
         self._update_limit()
 
     def add_busy(self, now_s: float) -> None:
-        """Count a connection that has become busy, at a time in seconds of the monotonic clock."""
+        """Count a connection that became busy at a monotonic time in seconds."""
         self.busy += 1
         if now_s - self._interval_began_at_s >= PEAK_INTERVAL_S:
-            stale = now_s - self._interval_began_at_s >= 2 * PEAK_INTERVAL_S
-            self._previous_peak = 0 if stale else self._peak
+            is_peak_outdated = now_s - self._interval_began_at_s >= 2 * PEAK_INTERVAL_S
+            self._previous_peak = 0 if is_peak_outdated else self._peak
             self._peak = self.busy
             self._interval_began_at_s = now_s
             self._update_limit()
@@ -54,4 +54,4 @@
 
     def _update_limit(self) -> None:
         peak = max(self._peak, self._previous_peak)
-        self.limit = min(CONNECTIONS_PER_BUSY * peak + MIN_CONNECTIONS, self._usable)
+        self.limit = min(CONNECTIONS_PER_BUSY * peak + MIN_CONNECTIONS, self._max_usable)
--- a/tests/admission/test_accept_errors.py
+++ b/tests/admission/test_accept_errors.py
@@ -202,7 +202,7 @@
         answers = await whole(*socks)
         assert {answer[:13] for answer in answers} == {b"HTTP/1.1 503 "}
         assert all(answer.endswith(b"refused: too many connections\n") for answer in answers)
-        assert sidecar.server.listener.reserve.held
+        assert sidecar.server.listener.reserve.is_open
 
     run_on_asyncio_loop(with_one_connection_allowed(tmp_path, play))
 
--- a/tests/admission/test_addresses.py
+++ b/tests/admission/test_addresses.py
@@ -46,9 +46,9 @@
 def test_new_connections_come_at_the_rate_and_a_clock_that_goes_back_gives_none():
     addresses = AddressTable(AddressLimits(new_per_s=10.0, new_burst=5.0))
     address = addresses.find("10.0.0.1", 100.0)
-    assert [addresses.take_token(address, 100.0) for _ in range(7)] == [True] * 5 + [False] * 2
-    assert not addresses.take_token(address, 90.0)
-    assert [addresses.take_token(address, 90.2) for _ in range(3)] == [True, True, False]
+    assert [addresses.consume_token(address, 100.0) for _ in range(7)] == [True] * 5 + [False] * 2
+    assert not addresses.consume_token(address, 90.0)
+    assert [addresses.consume_token(address, 90.2) for _ in range(3)] == [True, True, False]
 
 
 def served(addresses, host, count, start, step):
--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -349,14 +349,14 @@
     admission = make(connections=20)
     silent, reading = enter(admission, now=0.0), enter(admission, now=1.0, state=ClientState.READING)
     idle = enter(admission, now=0.5, state=ClientState.IDLE_ONCE)
-    assert admission.message_timeouts.take_late(message_timeouts.MAX_HEAD_S - 0.1) == []
-    assert admission.message_timeouts.take_late(message_timeouts.MAX_HEAD_S) == [silent]
-    assert admission.message_timeouts.take_late(message_timeouts.MAX_HEAD_S) == []  # told once
+    assert admission.message_timeouts.pop_overdue(message_timeouts.MAX_HEAD_S - 0.1) == []
+    assert admission.message_timeouts.pop_overdue(message_timeouts.MAX_HEAD_S) == [silent]
+    assert admission.message_timeouts.pop_overdue(message_timeouts.MAX_HEAD_S) == []  # told once
     admission.message_timeouts.restart(silent, 2.0)
-    assert admission.message_timeouts.take_late(1.1 + message_timeouts.MAX_HEAD_S) == [reading]
-    assert admission.message_timeouts.take_late(2.1 + message_timeouts.MAX_HEAD_S) == [silent]
-    assert admission.idle_too_long(0.4 + controller.MAX_IDLE_S) == []
-    assert admission.idle_too_long(2.5) == [idle]
+    assert admission.message_timeouts.pop_overdue(1.1 + message_timeouts.MAX_HEAD_S) == [reading]
+    assert admission.message_timeouts.pop_overdue(2.1 + message_timeouts.MAX_HEAD_S) == [silent]
+    assert admission.find_idle_expired(0.4 + controller.MAX_IDLE_S) == []
+    assert admission.find_idle_expired(2.5) == [idle]
 
 
 def test_a_body_is_late_by_the_rate_at_which_it_comes():
@@ -370,7 +370,7 @@
         for client, size in ((slow, 16_000), (stopped, 60_000 if now < 1.0 else 0), (trickles, 1_000)):
             if size and client.state is not None:
                 admission.message_timeouts.record_body(client, size, now)
-        for client in admission.message_timeouts.take_late(now):
+        for client in admission.message_timeouts.pop_overdue(now):
             last[client] = now
             admission.remove(client)
     assert not last[slow]
@@ -378,9 +378,9 @@
     assert message_timeouts.MAX_HEAD_S <= last[trickles] <= 3.0
     # A body that nobody reads, since its server is slow, owes nothing; nor does the next message for it.
     admission.message_timeouts.restart(slow, now)
-    assert admission.message_timeouts.take_late(now + 2.0) == []
+    assert admission.message_timeouts.pop_overdue(now + 2.0) == []
     admission.update(slow, ClientState.BUSY, False, 1, now + 2.0)
-    assert admission.message_timeouts.take_late(now + 9.0) == []
+    assert admission.message_timeouts.pop_overdue(now + 9.0) == []
     assert not admission.message_timeouts.within_body_time
 
 
@@ -436,10 +436,10 @@
         self.now += passed
         for client in self.admission.remove_unneeded(self.now):
             self.clients.remove(client)
-        for client in self.admission.idle_too_long(self.now):
+        for client in self.admission.find_idle_expired(self.now):
             self.clients.remove(client)
             self.admission.remove(client)
-        self.admission.message_timeouts.take_late(self.now)
+        self.admission.message_timeouts.pop_overdue(self.now)
 
     @rule(max_connections=st.integers(2, 12))
     def resize(self, max_connections):
--- a/tests/admission/test_listener.py
+++ b/tests/admission/test_listener.py
@@ -141,7 +141,7 @@
             assert (
                 await read_message(reader)
             ).code == 200  # a request that was accepted is answered all the same
-            await wait_until(lambda: sidecar.server.listener.reserve.held)
+            await wait_until(lambda: sidecar.server.listener.reserve.is_open)
             assert (await send_request(sidecar.port, request_message("order", "after"))).code == 200
             writer.close()
 
