--- a/tests/admission/test_accept_errors.py
+++ b/tests/admission/test_accept_errors.py
@@ -1,4 +1,4 @@
-"""The accept edge when system calls fail for a moment: nobody is reset for it, and nothing spins."""
+"""Temporary failures of system calls while accepting: no client is reset, and the loop does not spin."""
 
 import asyncio
 import errno
@@ -28,14 +28,16 @@
 from dykefold.admission.addresses import AddressLimits
 from dykefold.net.upstream.abort import NO_LINGER
 
-# accept(2): those of the call, and those of the network that come through it.
-NAMES = "ECONNABORTED EINTR EMFILE ENFILE ENOBUFS ENOMEM EPERM EPROTO ENETDOWN ENOPROTOOPT EHOSTDOWN ENONET"
-ACCEPT = [*NAMES.split(), "EHOSTUNREACH", "EOPNOTSUPP", "ENETUNREACH"]
-GONE = ["EINVAL", "ENOTCONN", "ENOBUFS", "ENOMEM", "ECONNRESET", "EPIPE", "ETIMEDOUT", "EHOSTUNREACH"]
+# Errors of accept(2): those of the call itself, and network errors that it passes on.
+ERROR_NAMES = (
+    "ECONNABORTED EINTR EMFILE ENFILE ENOBUFS ENOMEM EPERM EPROTO ENETDOWN ENOPROTOOPT EHOSTDOWN ENONET"
+)
+ACCEPT_ERRORS = [*ERROR_NAMES.split(), "EHOSTUNREACH", "EOPNOTSUPP", "ENETUNREACH"]
+RESET_ERRORS = ["EINVAL", "ENOTCONN", "ENOBUFS", "ENOMEM", "ECONNRESET", "EPIPE", "ETIMEDOUT", "EHOSTUNREACH"]
 
 
-def faulty(sidecar):
-    """The sidecar's listener on a socket that can fail: its faults."""
+def listen_with_faults(sidecar):
+    """Make the sidecar listen on a faulty socket; return the faults of the socket."""
     system = FaultySystem()
     sidecar.server.listener.close()
     sock = system.wrap(socket.create_server((HOST, 0), backlog=64))
@@ -43,56 +45,58 @@
     return system.faults
 
 
-def connected(port, *data):
-    """Clients that the system has let in, with what they sent, before the loop has its next turn."""
+def connect_and_send(port, *data):
+    """Connect clients and send their data, all before the event loop runs again."""
     socks = [socket.create_connection((HOST, port), timeout=WAIT_TIMEOUT_S) for _ in data]
-    for sock, one in zip(socks, data, strict=True):
-        sock.sendall(one)
+    for sock, payload in zip(socks, data, strict=True):
+        sock.sendall(payload)
     return socks
 
 
 def read_all(sock):
-    found = b""
+    received = b""
     with sock:
         while data := sock.recv(65536):
-            found += data
-    return found
+            received += data
+    return received
 
 
-def whole(*socks):
-    """What each of the clients reads to the end, as they close at last."""
+def read_responses(*socks):
+    """Read from each client to the end of the stream; close the sockets."""
     return asyncio.gather(*(asyncio.to_thread(read_all, sock) for sock in socks))
 
 
-@pytest.mark.parametrize("ends", [False, True], ids=["runs", "ends"])
-@pytest.mark.parametrize("error", ACCEPT)
+@pytest.mark.parametrize("shuts_down", [False, True], ids=["serving", "shutting-down"])
+@pytest.mark.parametrize("error", ACCEPT_ERRORS)
 @async_test
-async def test_clients_that_wait_are_served_whatever_accept_meets(tmp_path, error, ends):
-    """A transient error used to end the last turn of a closing listener, and the close reset who waited."""
+async def test_waiting_clients_are_served_after_accept_errors(tmp_path, error, shuts_down):
+    """A transient error ended the last accept round of a closing listener, and waiting clients were reset."""
     async with sidecar_with_endpoint(tmp_path, respond_ok) as (sidecar, fake):
         sidecar_server = sidecar.server
-        faults = faulty(sidecar).add("accept", getattr(errno, error), duration_s=0.12)
-        socks = connected(
+        faults = listen_with_faults(sidecar).add("accept", getattr(errno, error), duration_s=0.12)
+        socks = connect_and_send(
             sidecar.port,
             *(request_message("order", f"id{n}", "3000m", b"", "Connection: close") for n in "ab"),
         )
-        if ends:
+        if shuts_down:
             sidecar_server.drain()
             sidecar_server.shutdown.stop_accepting()
-        answers = await whole(*socks)
-        assert [answer[:13] for answer in answers] == [b"HTTP/1.1 200 "] * 2
-        # A loop that spins would have been there thousands of times.
+        responses = await read_responses(*socks)
+        assert [response[:13] for response in responses] == [b"HTTP/1.1 200 "] * 2
+        # A spinning loop would have called accept thousands of times.
         assert 0 < faults.counts["accept", errno.errorcode[getattr(errno, error)]] <= 6 * 16
-        await wait_until(lambda: not sidecar_server.clients.all and (sidecar_server.listener is None) == ends)
+        await wait_until(
+            lambda: not sidecar_server.clients.all and (sidecar_server.listener is None) == shuts_down
+        )
     assert len(fake.received) == 2
 
 
 @async_test
-async def test_a_listener_that_can_not_accept_until_its_timeout_closes(tmp_path):
+async def test_listener_closes_after_timeout_when_accept_keeps_failing(tmp_path):
     async with sidecar_with_endpoint(tmp_path, respond_ok) as (sidecar, _fake):
         sidecar_server = sidecar.server
-        faulty(sidecar).add("accept", errno.EMFILE)
-        (sock,) = connected(sidecar.port, b"")
+        listen_with_faults(sidecar).add("accept", errno.EMFILE)
+        (sock,) = connect_and_send(sidecar.port, b"")
         sidecar_server.drain()
         sidecar_server.shutdown.answer_at = sidecar_server.monotonic() + 0.2
         sidecar_server.shutdown.stop_accepting()
@@ -104,159 +108,159 @@
         sock.close()
 
 
-# Refusals
+# Rejections
 
 
-async def with_one_connection_allowed(tmp_path, play):
-    """`play(sidecar, faults)` while one client of an address holds the one connection that it may have."""
+async def with_one_connection_allowed(tmp_path, scenario):
+    """Run `scenario(sidecar, faults)` while a client uses the only connection allowed for its address."""
     fake = await FakePeer(respond_ok).start()
     async with Sidecar(tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))) as sidecar:
-        faults = faulty(sidecar)
+        faults = listen_with_faults(sidecar)
         sidecar.server.change_limits(1024, AddressLimits(connections=1))
-        (first,) = connected(sidecar.port, b"")
+        (first,) = connect_and_send(sidecar.port, b"")
         await wait_until(lambda: sidecar.server.clients.all)
-        await play(sidecar, faults)
+        await scenario(sidecar, faults)
         await wait_until(lambda: not sidecar.server.listener.rejections)
         first.close()
         await wait_until(lambda: not sidecar.server.clients.all)
         assert not sidecar.server.clients.admission.addresses.active
 
 
-@pytest.mark.parametrize("part", [1, 7, 100])
-def test_a_rejection_that_is_sent_in_parts_arrives_whole(tmp_path, part):
-    """A short send cut it, and nothing told the client that more was meant."""
+@pytest.mark.parametrize("part_bytes", [1, 7, 100])
+def test_rejection_sent_in_parts_arrives_complete(tmp_path, part_bytes):
+    """A short send truncated the response, and the client could not tell that more should follow."""
 
-    async def play(sidecar, faults):
-        faults.add("send", errno.EAGAIN, fault_count=1).add("send", max_bytes=part, fault_count=3).add(
+    async def scenario(sidecar, faults):
+        faults.add("send", errno.EAGAIN, fault_count=1).add("send", max_bytes=part_bytes, fault_count=3).add(
             "send", errno.EINTR, fault_count=1
         )
-        (sock,) = connected(sidecar.port, request_message("order", "ab"))
-        (answer,) = await whole(sock)
-        head, _, body = answer.partition(b"\r\n\r\n")
+        (sock,) = connect_and_send(sidecar.port, request_message("order", "ab"))
+        (response,) = await read_responses(sock)
+        head, _, body = response.partition(b"\r\n\r\n")
         assert head.startswith(b"HTTP/1.1 429 ")
         assert b"Content-Length: %d" % len(body) in head
         assert body
 
-    run_on_asyncio_loop(with_one_connection_allowed(tmp_path, play))
+    run_on_asyncio_loop(with_one_connection_allowed(tmp_path, scenario))
 
 
-def test_bytes_that_cross_a_rejection_do_not_reset_it(tmp_path, monkeypatch):
-    """Nobody read on behind it: what came after it met a reset, and the answer went with it."""
+def test_request_bytes_during_rejection_do_not_reset_response(tmp_path, monkeypatch):
+    """Input was not read after a rejection, so later bytes caused a reset that discarded the response."""
     monkeypatch.setattr(rejected_connection, "LINGER_S", WAIT_TIMEOUT_S)
 
-    async def play(sidecar, _faults):
-        (sock,) = connected(sidecar.port, b"")
+    async def scenario(sidecar, _faults):
+        (sock,) = connect_and_send(sidecar.port, b"")
         assert (await asyncio.to_thread(sock.recv, 5)) == b"HTTP/"
-        # into a socket that is to be closed
+        # arrives at a socket that is about to be closed
         sock.sendall(request_message("order", "ab", "3000m", b"x" * 30_000))
         await asyncio.sleep(0.05)
-        sock.sendall(b"x")  # fails if the first bytes were answered with a reset
-        (rest,) = await whole(sock)
+        sock.sendall(b"x")  # fails if the first bytes caused a reset
+        (rest,) = await read_responses(sock)
         assert b"429 Too Many" in rest
 
-    run_on_asyncio_loop(with_one_connection_allowed(tmp_path, play))
+    run_on_asyncio_loop(with_one_connection_allowed(tmp_path, scenario))
 
 
-@pytest.mark.parametrize("error", GONE)
+@pytest.mark.parametrize("error", RESET_ERRORS)
 @pytest.mark.parametrize("call", ["send", "shutdown", "recv"])
-def test_a_rejected_client_that_was_reset_meanwhile_leaves_nothing_behind(tmp_path, call, error):
-    async def play(sidecar, faults):
-        files = len(sidecar.server.clients.all)
+def test_rejected_client_reset_during_call_leaves_no_state(tmp_path, call, error):
+    async def scenario(sidecar, faults):
+        client_count = len(sidecar.server.clients.all)
         faults.add(call, getattr(errno, error))
-        (sock,) = connected(sidecar.port, request_message("order", "ab"))
+        (sock,) = connect_and_send(sidecar.port, request_message("order", "ab"))
         await wait_until(lambda: faults.counts[call, error])
         await wait_until(lambda: not sidecar.server.listener.rejections)
-        assert len(sidecar.server.clients.all) == files
+        assert len(sidecar.server.clients.all) == client_count
         faults.clear()
         sock.close()
 
-    run_on_asyncio_loop(with_one_connection_allowed(tmp_path, play))
+    run_on_asyncio_loop(with_one_connection_allowed(tmp_path, scenario))
 
 
-def test_rejected_clients_that_stay_hold_few_descriptors_for_a_bounded_time(tmp_path):
-    async def play(sidecar, _faults):
-        socks = connected(sidecar.port, *[b""] * 40)
-        max_open = 0
+def test_lingering_rejected_clients_use_few_descriptors_for_bounded_time(tmp_path):
+    async def scenario(sidecar, _faults):
+        socks = connect_and_send(sidecar.port, *[b""] * 40)
+        max_lingering = 0
         for sock in socks:
             assert await asyncio.to_thread(sock.recv, 65536)
-            max_open = max(max_open, len(sidecar.server.listener.rejections))
-        assert 0 < max_open <= 8
-        began = time.monotonic()
+            max_lingering = max(max_lingering, len(sidecar.server.listener.rejections))
+        assert 0 < max_lingering <= 8
+        started_at_s = time.monotonic()
         await wait_until(lambda: not sidecar.server.listener.rejections)
-        assert time.monotonic() - began < 1.0
+        assert time.monotonic() - started_at_s < 1.0
         for sock in socks:
             sock.close()
 
-    run_on_asyncio_loop(with_one_connection_allowed(tmp_path, play))
+    run_on_asyncio_loop(with_one_connection_allowed(tmp_path, scenario))
 
 
-def test_each_client_rejected_by_the_reserve_descriptor_receives_the_whole_response(tmp_path):
-    """More of them than may linger, each with its request sent: none meets a reset."""
+def test_clients_rejected_by_reserve_descriptor_receive_complete_response(tmp_path):
+    """More clients than may linger, each with its request sent: none is reset."""
 
-    async def play(sidecar, faults):
+    async def scenario(sidecar, faults):
         sidecar.server.change_limits(1024, AddressLimits())
         for connection in sidecar.server.clients.all.values():
-            sidecar.server.clients.admission.remove(connection.client)  # none may be evicted
+            sidecar.server.clients.admission.remove(connection.client)  # so that none may be evicted
         faults.add("accept", errno.EMFILE, fault_count=1)
-        socks = connected(sidecar.port, *(request_message("order", f"id{n}") for n in range(16)))
-        answers = await whole(*socks)
-        assert {answer[:13] for answer in answers} == {b"HTTP/1.1 503 "}
-        assert all(answer.endswith(b"refused: too many connections\n") for answer in answers)
+        socks = connect_and_send(sidecar.port, *(request_message("order", f"id{n}") for n in range(16)))
+        responses = await read_responses(*socks)
+        assert {response[:13] for response in responses} == {b"HTTP/1.1 503 "}
+        assert all(response.endswith(b"refused: too many connections\n") for response in responses)
         assert sidecar.server.listener.reserve.is_open
 
-    run_on_asyncio_loop(with_one_connection_allowed(tmp_path, play))
+    run_on_asyncio_loop(with_one_connection_allowed(tmp_path, scenario))
 
 
-# Sockets that were reset between two calls
+# Sockets reset between two system calls
 
 
-@pytest.mark.parametrize("error", GONE)
+@pytest.mark.parametrize("error", RESET_ERRORS)
 @pytest.mark.parametrize("call", ["setsockopt", "getsockname", "getpeername", "shutdown"])
-def test_a_client_that_was_reset_meanwhile_is_forgotten_and_nothing_escapes(tmp_path, caplog, call, error):
-    async def play():
-        loop, escaped = asyncio.get_running_loop(), []
-        loop.set_exception_handler(lambda _, context: escaped.append(context))
+def test_client_reset_during_setup_is_removed_without_unhandled_exception(tmp_path, caplog, call, error):
+    async def scenario():
+        loop, unhandled = asyncio.get_running_loop(), []
+        loop.set_exception_handler(lambda _, context: unhandled.append(context))
         async with sidecar_with_endpoint(tmp_path, respond_ok) as (sidecar, _fake):
             sidecar_server = sidecar.server
-            faults = faulty(sidecar).add(call, getattr(errno, error))
-            socks = connected(
+            faults = listen_with_faults(sidecar).add(call, getattr(errno, error))
+            socks = connect_and_send(
                 sidecar.port,
                 *(request_message("order", name, "3000m", b"", "Connection: close") for name in "ab"),
             )
-            answers = await whole(*socks)
-            assert all(answer.startswith((b"HTTP/1.1 200 ", b"HTTP/1.1 503 ")) for answer in answers)
+            responses = await read_responses(*socks)
+            assert all(response.startswith((b"HTTP/1.1 200 ", b"HTTP/1.1 503 ")) for response in responses)
             await wait_until(lambda: not sidecar_server.clients.all)
             faults.clear()
-            gc.collect()  # asyncio leaves a transport that could not be made to the collector
+            gc.collect()  # asyncio leaves a transport that failed to start to the garbage collector
             assert (await send_request(sidecar.port, request_message("order", "cd"))).code == 200
             await wait_until(lambda: not sidecar_server.clients.all)
             assert not sidecar_server.clients.admission.addresses.active
             assert not sidecar_server.pool.pending
             assert not sidecar_server.clients.admission.count
-            assert not escaped
+            assert not unhandled
             assert "Traceback" not in caplog.text
 
-    run_on_asyncio_loop(play())
+    run_on_asyncio_loop(scenario())
 
 
 @pytest.mark.parametrize(
-    "sent",
+    "data",
     [b"", request_message("order", "ab"), request_message("order", "ab")[:-9]],
-    ids=["-", "all", "half"],
+    ids=["nothing", "complete-request", "partial-request"],
 )
 @async_test
-async def test_clients_that_are_reset_before_they_are_accepted_leave_nothing_behind(tmp_path, sent):
-    """As the system does it: nothing is scripted here."""
-    loop, escaped = asyncio.get_running_loop(), []
-    loop.set_exception_handler(lambda _, context: escaped.append(context))
+async def test_clients_reset_before_accept_leave_no_state(tmp_path, data):
+    """The resets are real: no fault is injected."""
+    loop, unhandled = asyncio.get_running_loop(), []
+    loop.set_exception_handler(lambda _, context: unhandled.append(context))
     async with sidecar_with_endpoint(tmp_path, respond_ok) as (sidecar, fake):
         sidecar_server = sidecar.server
-        for sock in connected(sidecar.port, *[sent] * 8):
+        for sock in connect_and_send(sidecar.port, *[data] * 8):
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
             sock.close()
         assert (await send_request(sidecar.port, request_message("order", "cd"))).code == 200
         await wait_until(lambda: not sidecar_server.clients.all)
         assert not sidecar_server.clients.admission.count
         assert not sidecar_server.pool.pending
-        assert not escaped
-    assert [got.headers["x-request-id"] for got in fake.received] == ["cd"]
+        assert not unhandled
+    assert [request.headers["x-request-id"] for request in fake.received] == ["cd"]
--- a/tests/admission/test_client_state.py
+++ b/tests/admission/test_client_state.py
@@ -1,4 +1,4 @@
-"""Connections over loopback change their states as the table of transitions says, and in no other way."""
+"""Connections over loopback make exactly the state transitions of the table."""
 
 import asyncio
 
@@ -9,12 +9,12 @@
 from dykefold.admission.controller import AdmissionController
 
 REQUEST = request_message("order", "IDENT")
-CHECK = b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"
+READINESS_CHECK = b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"
 GARBAGE = b"this is no http\r\n\r\n"
 
-# What one client sends, piece by piece, and the states that its connection enters.
+# Pieces that one client sends, and the states that its connection enters.
 CONNECTIONS = {
-    "whole requests, the third in two pieces, then no request": (
+    "complete requests, the third in two pieces, then garbage": (
         [REQUEST, REQUEST, REQUEST[:20], REQUEST[20:], GARBAGE],
         "NEW BUSY IDLE_ONCE BUSY IDLE_REUSED READING BUSY IDLE_REUSED CLOSING",
     ),
@@ -24,16 +24,16 @@
     ),
     "three requests": ([REQUEST] * 3, "NEW BUSY IDLE_ONCE BUSY IDLE_REUSED BUSY IDLE_REUSED"),
     "one and a half requests at once": ([REQUEST + REQUEST[:20]], "NEW BUSY READING"),
-    "a request and no request at once": ([REQUEST + GARBAGE], "NEW BUSY CLOSING"),
-    "checks": ([CHECK, CHECK], "NEW IDLE_ONCE IDLE_REUSED"),
-    "checks in two pieces": (
-        [CHECK[:20], CHECK[20:], CHECK[:20], CHECK[20:]],
+    "a request and garbage at once": ([REQUEST + GARBAGE], "NEW BUSY CLOSING"),
+    "readiness checks": ([READINESS_CHECK, READINESS_CHECK], "NEW IDLE_ONCE IDLE_REUSED"),
+    "readiness checks in two pieces": (
+        [READINESS_CHECK[:20], READINESS_CHECK[20:], READINESS_CHECK[:20], READINESS_CHECK[20:]],
         "NEW READING IDLE_ONCE READING IDLE_REUSED",
     ),
-    "two checks at once": ([CHECK * 2], "NEW IDLE_REUSED"),
-    "no request": ([GARBAGE], "NEW CLOSING"),
-    "a check and no request": ([CHECK, GARBAGE], "NEW IDLE_ONCE CLOSING"),
-    "a request that turns out to be none": ([b"GET ", b"\x00 no http\r\n\r\n"], "NEW READING CLOSING"),
+    "two readiness checks at once": ([READINESS_CHECK * 2], "NEW IDLE_REUSED"),
+    "garbage": ([GARBAGE], "NEW CLOSING"),
+    "a readiness check, then garbage": ([READINESS_CHECK, GARBAGE], "NEW IDLE_ONCE CLOSING"),
+    "garbage after the start of a request": ([b"GET ", b"\x00 no http\r\n\r\n"], "NEW READING CLOSING"),
 }
 
 
@@ -42,11 +42,11 @@
 
 
 @pytest.fixture
-def entered(monkeypatch):
-    """The states that connections have entered, as the controller is told."""
+def entered_states(monkeypatch):
+    """Return the list of states that connections enter in the controller."""
     states = []
 
-    def recorded(method):
+    def recording(method):
         def call(self, client, *arguments):
             before = client.state
             method(self, client, *arguments)
@@ -56,30 +56,36 @@
         return call
 
     for name in ("update", "begin_next_request"):
-        monkeypatch.setattr(AdmissionController, name, recorded(getattr(AdmissionController, name)))
+        monkeypatch.setattr(AdmissionController, name, recording(getattr(AdmissionController, name)))
     return states
 
 
 @pytest.mark.parametrize("name", CONNECTIONS)
-def test_a_connection_changes_its_state_as_expected(tmp_path, entered, name):
+def test_connection_enters_expected_states(tmp_path, entered_states, name):
     @async_test
-    async def play():
+    async def scenario():
         async with sidecar_with_endpoint(tmp_path, respond_ok) as (sidecar, _fake):
             _, writer = await asyncio.open_connection(HOST, sidecar.port)
             for number, piece in enumerate(CONNECTIONS[name][0]):
-                before = len(entered)
+                before = len(entered_states)
                 writer.write(piece.replace(b"IDENT", b"id%03d" % number))
-                await wait_until(lambda n=before: len(entered) > n and entered[-1] is not ClientState.BUSY)
+                await wait_until(
+                    lambda n=before: len(entered_states) > n and entered_states[-1] is not ClientState.BUSY
+                )
             writer.close()
             await wait_until(lambda: not sidecar.server.clients.all)
 
-    play()
-    assert [ClientState.NEW, *entered] == states_of(name)
+    scenario()
+    assert [ClientState.NEW, *entered_states] == states_of(name)
 
 
-def test_the_table_has_these_changes_and_no_others():
-    changes = {
-        change for name in CONNECTIONS for change in zip(states_of(name), states_of(name)[1:], strict=False)
+def test_transition_table_matches_observed_transitions():
+    transitions = {
+        transition
+        for name in CONNECTIONS
+        for transition in zip(states_of(name), states_of(name)[1:], strict=False)
+    }
+    assert transitions == {
+        (state, next_state) for state, next_states in TRANSITIONS.items() for next_state in next_states
     }
-    assert changes == {(state, following) for state, after in TRANSITIONS.items() for following in after}
     assert set(TRANSITIONS) == set(ClientState)
--- a/tests/admission/test_flood.py
+++ b/tests/admission/test_flood.py
@@ -1,5 +1,5 @@
-"""The real program with its descriptors limited by the system, one address that opens thousands of idle
-connections, and known clients that must not notice."""
+"""The program under a descriptor limit of the system, while one address opens thousands of idle connections:
+known clients must not be affected."""
 
 import asyncio
 import contextlib
@@ -25,10 +25,10 @@
 
 pytestmark = [pytest.mark.processes, pytest.mark.fleet]
 
-FLOOD = "127.200.0.1"
+FLOOD_HOST = "127.200.0.1"
 CONNECTIONS = 5000
-SOCKETS = 200  # by the system; the configuration says more
-CAPS = """[admission]
+SOCKETS = 200  # limit of the system; the configuration allows more
+SERVICE_CONFIG = """[admission]
 known = ["127.100.0.0/16"]
 reserve = 40
 """
@@ -36,7 +36,7 @@
 
 
 async def open_from(address, port):
-    """A plain socket: five thousand streams would cost the test more than the sidecar."""
+    """Open a plain socket: five thousand streams would cost the test more than the sidecar."""
     sock = socket.socket()
     sock.setblocking(False)
     sock.bind((address, 0))
@@ -45,89 +45,91 @@
     return sock
 
 
-async def be_served(port, address, ident):
-    """Connect, send a request, and send it again on that connection when Retry-After says so."""
+async def get_response(port, address, ident):
+    """Connect, send a request, and retry it on that connection after each Retry-After."""
     reader, writer = await asyncio.open_connection(HOST, port, local_addr=(address, 0))
-    for turn in range(20):
-        writer.write(request_message("lookup", f"{ident}-{turn}"))
-        answer = await read_message(reader)
-        if answer.code == 200:
+    for attempt in range(20):
+        writer.write(request_message("lookup", f"{ident}-{attempt}"))
+        response = await read_message(reader)
+        if response.code == 200:
             break
-        assert answer.code == 503
-        await asyncio.sleep(float(answer.headers["retry-after"]))
-    assert answer.code == 200
+        assert response.code == 503
+        await asyncio.sleep(float(response.headers["retry-after"]))
+    assert response.code == 200
     writer.close()
 
 
-def files_of(pid):
-    found = []
+def open_files(pid):
+    targets = []
     for name in os.listdir(f"/proc/{pid}/fd"):
-        with contextlib.suppress(FileNotFoundError):  # closed since it was listed
-            found.append(os.readlink(f"/proc/{pid}/fd/{name}"))
-    return found
+        with contextlib.suppress(FileNotFoundError):  # closed after it was listed
+            targets.append(os.readlink(f"/proc/{pid}/fd/{name}"))
+    return targets
 
 
-@pytest.mark.parametrize("caps", ["", PER_ADDRESS], ids=["reserve-alone", "with-caps"])
-def test_known_clients_and_open_requests_survive_five_thousand_idle_connections(tmp_path, monkeypatch, caps):
+@pytest.mark.parametrize("address_limits", ["", PER_ADDRESS], ids=["reserve-only", "with-address-limits"])
+def test_known_clients_are_served_during_flood_of_idle_connections(tmp_path, monkeypatch, address_limits):
     service = tmp_path / "service.toml"
-    service.write_text(CAPS + caps)
+    service.write_text(SERVICE_CONFIG + address_limits)
     monkeypatch.setenv("DYKEFOLD_SERVICE", str(service))
 
-    async def play():
-        async def act(got, reader, writer):
-            if got.headers["x-request-id"].startswith("held"):
-                await go.wait()
-            await respond_ok(got, reader, writer)
+    async def scenario():
+        async def respond(request, reader, writer):
+            if request.headers["x-request-id"].startswith("pending"):
+                await gate.wait()
+            await respond_ok(request, reader, writer)
 
-        go = asyncio.Event()
-        fake = await FakePeer(act).start()
-        nodes = [endpoint_entry(f"s{number}", fake.address) for number in range(4)]
-        data = config(list_update(1, *nodes), limits={"sockets": 1024})
+        gate = asyncio.Event()
+        fake = await FakePeer(respond).start()
+        entries = [endpoint_entry(f"s{number}", fake.address) for number in range(4)]
+        data = config(list_update(1, *entries), limits={"sockets": 1024})
         async with SidecarProcess(tmp_path / "c", data, max_descriptors=SOCKETS) as sidecar:
-            # Taken before the flood, one of them from the very address that floods.
-            held = []
-            for number, address in enumerate(["127.100.0.1", "127.100.0.2", "127.0.0.9", FLOOD]):
+            # Opened before the flood, one of them from the flooding address itself.
+            pending = []
+            for number, address in enumerate(["127.100.0.1", "127.100.0.2", "127.0.0.9", FLOOD_HOST]):
                 reader, writer = await asyncio.open_connection(HOST, sidecar.port, local_addr=(address, 0))
-                writer.write(request_message("order", f"held{number}"))
-                held.append((reader, writer))
+                writer.write(request_message("order", f"pending{number}"))
+                pending.append((reader, writer))
             await wait_until(lambda: len(fake.received) == 4)
             flood = []
             for start in range(0, CONNECTIONS, 250):
-                flood += await asyncio.gather(*(open_from(FLOOD, sidecar.port) for _ in range(250)))
+                flood += await asyncio.gather(*(open_from(FLOOD_HOST, sidecar.port) for _ in range(250)))
                 if start % 1000:
                     continue
-                for number in range(20):  # each connects anew, in the middle of the flood, and is served
-                    await be_served(sidecar.port, f"127.100.1.{number + 1}", f"known{start}-{number}")
+                for number in range(20):  # each opens a connection during the flood and is served
+                    await get_response(sidecar.port, f"127.100.1.{number + 1}", f"known{start}-{number}")
             assert len(flood) == CONNECTIONS
-            files = files_of(sidecar.process.pid)
-            assert len(files) <= SOCKETS
-            assert "/dev/null" in files
-            # Its own files still open: it rereads the configuration under the flood.
+            paths = open_files(sidecar.process.pid)
+            assert len(paths) <= SOCKETS
+            assert "/dev/null" in paths
+            # The sidecar can still open files: it rereads the configuration during the flood.
             data["discovery"] = f"{HOST}:{fake.port}"
             sidecar.config_path.write_text(json.dumps(data))
             sidecar.process.send_signal(signal.SIGHUP)
             await wait_until(
-                lambda: any(got.start_line.startswith("GET /api/targets") for got in fake.received)
+                lambda: any(request.start_line.startswith("GET /api/targets") for request in fake.received)
             )
-            go.set()
-            for reader, writer in held:
+            gate.set()
+            for reader, writer in pending:
                 assert (await read_message(reader)).code == 200
                 writer.close()
-            counted = [
-                got.headers.get("x-request-id") for got in fake.received if got.start_line.startswith("POST")
+            request_ids = [
+                request.headers.get("x-request-id")
+                for request in fake.received
+                if request.start_line.startswith("POST")
             ]
-            assert sorted(counted) == ["held0", "held1", "held2", "held3"]
+            assert sorted(request_ids) == ["pending0", "pending1", "pending2", "pending3"]
             for sock in flood:
                 sock.close()
             sidecar.process.send_signal(signal.SIGTERM)
             assert await sidecar.process.wait() == 0
             lines = (await sidecar.log).decode().splitlines()
             assert not any("Traceback" in line for line in lines)
-            # No line for each bad connection: five limits, one line in ten seconds on each.
-            limits = ("sidecar rejected clients", "listener ran out of descriptors")
-            assert sum(any(text in line for text in limits) for line in lines) <= 10, lines
+            # Connections are not logged one by one: five limits, at most one line per limit in ten seconds.
+            limit_messages = ("sidecar rejected clients", "listener ran out of descriptors")
+            assert sum(any(text in line for text in limit_messages) for line in lines) <= 10, lines
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -142,24 +144,24 @@
         ("admission = 3\n", ["expected a table"]),
     ],
 )
-def test_each_problem_of_a_bad_file_is_reported_with_place_and_expectation(tmp_path, capsys, text, problems):
+def test_check_reports_each_problem_of_invalid_service_file(tmp_path, capsys, text, problems):
     from dykefold.__main__ import check
 
     path = tmp_path / "service.toml"
     path.write_text(text)
     assert check(str(path)) == 2
-    told = capsys.readouterr().err.splitlines()
-    assert all(line.startswith(f"{path}: ") for line in told)
+    errors = capsys.readouterr().err.splitlines()
+    assert all(line.startswith(f"{path}: ") for line in errors)
     for problem in problems:
-        assert any(problem in line for line in told), told
+        assert any(problem in line for line in errors), errors
 
 
-def test_the_file_that_is_shipped_is_good_and_switches_nothing_on():
+def test_shipped_service_file_is_valid_and_sets_no_limits():
     from pathlib import Path
 
     from dykefold.admission.addresses import AddressLimits
     from dykefold.service_config import read_service
 
-    read = read_service(str(Path(__file__).parents[2] / "deploy" / "service.toml"))
-    assert read.address_limits == AddressLimits()
-    assert read.plan is None
+    service = read_service(str(Path(__file__).parents[2] / "deploy" / "service.toml"))
+    assert service.address_limits == AddressLimits()
+    assert service.plan is None
