--- a/dykefold/control/admin_queue.py
+++ b/dykefold/control/admin_queue.py
@@ -1,4 +1,4 @@
-"""Carries out maintenance orders one at a time, in order of arrival."""
+"""Carries out maintenance orders one at a time, first in, first out."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 log = logging.getLogger("dykefold.control")
 
-# More than the connections of the admin server.
+# Above the connection limit of the admin server.
 MAX_WAITING_ORDERS = 64
 
 
 class AdminQueue:
-    """Queues the orders of the admin server; an order is answered once it is recorded.
+    """Queues the orders of the admin server; each is answered once it is recorded.
 
     Args:
         loop: Event loop of the admin server.
@@ -28,7 +28,7 @@
         self.loop = loop
         self.operations = operations
         self.waiting: deque[tuple[AdminRequest, asyncio.Future[AdminResponse]]] = deque()
-        self.current: asyncio.Future[AdminResponse] | None = None  # response to the order in progress
+        self.current: asyncio.Future[AdminResponse] | None = None  # of the order in progress
 
     def carry_out(self, request: AdminRequest) -> AdminResponse | asyncio.Future[AdminResponse]:
         """Carry out a request; return the response, or a future of it."""
@@ -45,13 +45,13 @@
     def _start_next(self) -> None:
         request, self.current = self.waiting.popleft()
         try:
-            self.operations.start(request, self._answer)
+            self.operations.start(request, self._on_response)
         except Exception:
-            # The next order waits for the response to this one, so a fault must not leave it without.
+            # The next order waits for the response to this one, so an exception must not prevent it.
             log.exception("admin request failed: %s %s", request.action.value, request.endpoint_name)
-            self._answer(FAILED)
+            self._on_response(FAILED)
 
-    def _answer(self, response: AdminResponse) -> None:
+    def _on_response(self, response: AdminResponse) -> None:
         current, self.current = self.current, None
         if current is not None and not current.done():
             current.set_result(response)
--- a/dykefold/control/admin_requests.py
+++ b/dykefold/control/admin_requests.py
@@ -1,6 +1,6 @@
-"""The requests of the admin API, and the responses to unknown ones. No I/O.
+"""Parser of the admin API's requests, and the responses to invalid ones. No I/O.
 
-A request is a method and a path. An unknown request, or one with an unknown endpoint, gets a 4xx response and
+A request is a method and a path. An unknown request, or one for an unknown endpoint, gets a 4xx response and
 changes nothing. A 200 response is sent only after the request has taken effect.
 """
 
@@ -12,22 +12,22 @@
 from urllib.parse import unquote_to_bytes
 
 MAX_TARGET_BYTES = 1024
-# An id is the name of an endpoint.
+# An id in a path is the name of an endpoint.
 MAX_ID_CHARACTERS = 256
 
 
 class Action(Enum):
-    """Kinds of requests; the values are parts of paths.
+    """Kinds of requests; the values are path segments.
 
-    `VIEW`, `BRIEF` and `PLAN` belong to the listener for the membership, not to the admin API.
+    `VIEW`, `BRIEF` and `PLAN` belong to the membership API, not to the admin API.
 
     Attributes:
         HEALTH: Whether this process accepts clients.
-        OUT: Takes an endpoint out for maintenance.
-        BACK: Puts an endpoint back.
-        VIEW: The membership in full.
-        BRIEF: The membership in one line.
-        PLAN: The traffic plan.
+        OUT: Order that takes an endpoint out of service for maintenance.
+        BACK: Order that returns an endpoint to service.
+        VIEW: Full membership.
+        BRIEF: Membership in one line.
+        PLAN: Traffic plan.
     """
 
     HEALTH = "healthcheck"
@@ -40,16 +40,16 @@
 
 MEMBERSHIP_ACTIONS = {f"/{action.value}": action for action in (Action.VIEW, Action.BRIEF, Action.PLAN)}
 MAINTENANCE_ACTIONS = {action.value: action for action in (Action.OUT, Action.BACK)}
-MAINTENANCE_PATH_PARTS = 3  # /servers/ID/ACTION
+MAINTENANCE_PATH_SEGMENTS = 3  # /servers/ID/ACTION
 
 
 @dataclass(frozen=True, slots=True)
 class AdminRequest:
-    """A known request.
+    """A valid request.
 
     Attributes:
         action: Kind of the request.
-        endpoint_name: Name of the endpoint; empty for kinds that concern no endpoint.
+        endpoint_name: Name of the endpoint; empty for kinds without an endpoint.
     """
 
     action: Action
@@ -58,12 +58,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminResponse:
-    """A response.
+    """A response to a request.
 
     Attributes:
         code: HTTP status code.
-        text: Body of one line for people.
-        allow: Value of the Allow header; empty for no header.
+        text: Body of one line, without the line end.
+        allow: Value of the Allow header; empty if the response has no such header.
     """
 
     code: int
@@ -73,33 +73,37 @@
 
 OK = AdminResponse(HTTPStatus.OK, "ok")
 FAILED = AdminResponse(HTTPStatus.INTERNAL_SERVER_ERROR, "failed; see the log")
-NO_SUCH_CALL = AdminResponse(HTTPStatus.NOT_FOUND, "no such call")
+UNKNOWN_REQUEST = AdminResponse(HTTPStatus.NOT_FOUND, "no such call")
 
 
 def parse_membership_request(method: str, target: str) -> AdminRequest | AdminResponse:
-    """Parse a request to the listener for the membership; return the response to an unknown one."""
+    """Parse a request to the membership API; return an error response to an invalid one."""
     action = MEMBERSHIP_ACTIONS.get(target.partition("?")[0])
     if action is None:
-        return NO_SUCH_CALL
+        return UNKNOWN_REQUEST
     if method != "GET":
         return AdminResponse(HTTPStatus.METHOD_NOT_ALLOWED, "the view is asked for with GET", "GET")
     return AdminRequest(action)
 
 
 def parse_admin_request(method: str, target: str) -> AdminRequest | AdminResponse:
-    """Parse a request to the admin API; return the response to an unknown one."""
+    """Parse a request to the admin API; return an error response to an invalid one."""
     if len(target) > MAX_TARGET_BYTES:
         text = f"the path is longer than {MAX_TARGET_BYTES} bytes"
         return AdminResponse(HTTPStatus.REQUEST_URI_TOO_LONG, text)
     path = target.partition("?")[0]
     if not path.startswith("/"):
         return AdminResponse(HTTPStatus.BAD_REQUEST, "the target is no path")
-    parts = path[1:].split("/")
-    if parts == [Action.HEALTH.value]:
+    segments = path[1:].split("/")
+    if segments == [Action.HEALTH.value]:
         return _parse_health(method)
-    if len(parts) != MAINTENANCE_PATH_PARTS or parts[0] != "servers" or parts[2] not in MAINTENANCE_ACTIONS:
-        return NO_SUCH_CALL
-    return _parse_maintenance(method, parts[1], MAINTENANCE_ACTIONS[parts[2]])
+    if (
+        len(segments) != MAINTENANCE_PATH_SEGMENTS
+        or segments[0] != "servers"
+        or segments[2] not in MAINTENANCE_ACTIONS
+    ):
+        return UNKNOWN_REQUEST
+    return _parse_maintenance(method, segments[1], MAINTENANCE_ACTIONS[segments[2]])
 
 
 def _parse_health(method: str) -> AdminRequest | AdminResponse:
--- a/dykefold/control/admin_server.py
+++ b/dykefold/control/admin_server.py
@@ -1,8 +1,8 @@
-"""The server of the admin API: HTTP/1.1 with one request per connection, on a listener of its own.
+"""HTTP/1.1 server of the admin API, with its own listener and one request per connection.
 
 The server has reserved descriptors. When all are in use, the oldest connection without a complete request is
-closed for a new one, so an idle connection blocks nobody. `admin_requests` and the `AdminHandler` make all
-decisions about requests.
+closed in favour of a new one, so idle connections block no other client. `admin_requests` and the
+`AdminHandler` make all decisions about requests.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
 log = logging.getLogger("dykefold.control")
 
 MAX_CONNECTIONS = 24
-# One more for the listener, and one for a connection that is accepted before the oldest is closed.
+# One more for the listener, and one for a connection that is accepted before the oldest one is closed.
 RESERVED_DESCRIPTORS = MAX_CONNECTIONS + 2
 MAX_HEAD_BYTES = 8 * 1024
-# No request needs a body, but a client may send one.
+# No request needs a body, but clients may send one.
 MAX_BODY_BYTES = 4 * 1024
-# From the connection to the last byte of the request.
+# From the accept to the last byte of the request.
 MAX_REQUEST_S = 5.0
-# Clients may wait 5 s for the response, so an order that is not recorded by then is answered before.
+# Clients may wait only 5 s, so an order that is not recorded within this time gets an error response.
 MAX_ORDER_S = 4.0
-# From the response until the connection is aborted; the client may read and close.
+# From the response to the abort of the connection, so that the client can read and close.
 LINGER_S = 1.0
 
 NOT_RECORDED_YET = AdminResponse(HTTPStatus.INTERNAL_SERVER_ERROR, "not written down yet: call again")
@@ -46,7 +46,7 @@
         ...
 
 
-# Reads a method and a target; returns the request, or the response to an unknown one.
+# Takes a method and a target; returns the request, or an error response to an invalid one.
 ParseRequest = Callable[[str, str], AdminRequest | AdminResponse]
 
 
@@ -71,8 +71,8 @@
         self.parse_request = parse_request
         self.sock = sock
         self.handler = handler
-        self.connections: OrderedDict[AdminConnection, None] = OrderedDict()  # the oldest first
-        self.connecting: set[asyncio.Task[None]] = set()
+        self.connections: OrderedDict[AdminConnection, None] = OrderedDict()  # oldest first
+        self.connect_tasks: set[asyncio.Task[None]] = set()
         self.closed = False
         sock.setblocking(False)
         loop.add_reader(sock.fileno(), self._accept)
@@ -90,7 +90,8 @@
             except (BlockingIOError, InterruptedError):
                 return
             except OSError:
-                # The connection failed, or descriptors are exhausted. The loop calls again while others wait.
+                # The connection failed, or descriptors are exhausted. The loop calls again while connections
+                # are pending.
                 return
             sock.setblocking(False)
             if len(self.connections) >= MAX_CONNECTIONS:
@@ -99,8 +100,8 @@
             connection = AdminConnection(self.loop, self.parse_request, self.handler, self._remove)
             self.connections[connection] = None
             task = self.loop.create_task(self._connect(sock, connection))
-            self.connecting.add(task)
-            task.add_done_callback(self.connecting.discard)
+            self.connect_tasks.add(task)
+            task.add_done_callback(self.connect_tasks.discard)
 
     async def _connect(self, sock: socket.socket, connection: AdminConnection) -> None:
         try:
@@ -113,7 +114,7 @@
         self.connections.pop(connection, None)
 
     def close(self) -> None:
-        """Stop listening, and abort open connections."""
+        """Stop listening and abort open connections."""
         if self.closed:
             return
         self.closed = True
@@ -124,13 +125,13 @@
 
 
 class AdminConnection(asyncio.Protocol):
-    """One connection, on which at most one request is read and answered once.
+    """One connection, on which at most one request is read and one response is sent.
 
     Args:
         loop: Event loop of the server.
         parse_request: Parser of method and target.
         handler: Handler of parsed requests.
-        on_close: Callback when the connection ends or is aborted; it may be called repeatedly.
+        on_close: Callback for the end or abort of the connection; it may be called repeatedly.
     """
 
     def __init__(
@@ -175,7 +176,7 @@
             self.answer(AdminResponse(code, "the call is too long"))
 
     def eof_received(self) -> bool:
-        """Note the end of input (asyncio callback); return True to keep the connection for the response."""
+        """Handle the end of input (asyncio callback); return True to keep the connection for the response."""
         if not (self.complete or self.answered):
             self.close()
         return self.complete or self.answered
@@ -185,22 +186,22 @@
         self.closing = True
         self.timer.cancel()
         self.on_close(self)
-        # The parser refers to this connection; without the deletion the cycle waits for a garbage collection.
+        # The parser refers to this connection: otherwise the cycle stays until a garbage collection.
         del self.parser
 
     # Callbacks of the parser
 
     def on_url(self, url: bytes) -> None:
-        """Collect a part of the request's target."""
-        # One byte beyond the limit is enough to find that the target is too long.
+        """Append a part of the request target (parser callback)."""
+        # One byte above the limit is enough to detect that the target is too long.
         self.target = (self.target + url)[: MAX_TARGET_BYTES + 1]
 
     def on_headers_complete(self) -> None:
-        """Note the end of the headers."""
+        """Record the end of the headers (parser callback)."""
         self.head_complete = True
 
     def on_message_complete(self) -> None:
-        """Carry out the request, and answer it."""
+        """Carry out the request and send the response (parser callback)."""
         if self.complete or self.answered:
             return
         self.complete = True
@@ -212,7 +213,7 @@
         try:
             response = self.handler.carry_out(request)
         except Exception:
-            # A fault of the program must not end the loop, and the client needs an error response.
+            # An exception must not reach the event loop, and the client needs an error response.
             log.exception("admin request failed: %s %s", request.action.value, request.endpoint_name)
             response = FAILED
         if isinstance(response, AdminResponse):
@@ -223,7 +224,7 @@
         response.add_done_callback(lambda done: self.answer(done.result()))
 
     def answer(self, response: AdminResponse) -> None:
-        """Send the response, and close the connection after it."""
+        """Send the response, and close the connection afterwards."""
         if self.answered or self.closing or self.transport is None:
             return
         self.answered = True
@@ -232,8 +233,8 @@
         head = f"HTTP/1.1 {int(response.code)} {HTTPStatus(response.code).phrase}\r\n{allow}"
         head += f"Content-Type: text/plain; charset=utf-8\r\nContent-Length: {len(body)}\r\n"
         self.transport.write(f"{head}Connection: close\r\n\r\n".encode() + body)
-        # Closing with unread input would reset the connection and might lose the response. So only the side
-        # that sends is closed now, and the client has `LINGER_S` to read.
+        # Closing with unread input would reset the connection and might lose the response. So only the
+        # sending side is closed now, and the client has `LINGER_S` to read.
         with contextlib.suppress(OSError):
             self.transport.write_eof()
         self.timer.cancel()
@@ -245,7 +246,7 @@
     def close(self) -> None:
         """Abort the connection."""
         self.closing = True
-        # Called at once, since the loop calls `connection_lost` only later.
+        # Called here, since the loop calls `connection_lost` only in a later iteration.
         self.on_close(self)
         if self.transport is not None:
             self.transport.abort()
--- a/dykefold/control/background_writer.py
+++ b/dykefold/control/background_writer.py
@@ -1,4 +1,4 @@
-"""Runs writes that wait for the disk outside of the event loop, one after another."""
+"""Runs writes that wait for the disk outside of the event loop, one at a time."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 
 def write_at_once(write: Write, on_written: OnWritten) -> None:
-    """Write before this returns, for a simulated machine whose disk takes no time."""
+    """Write synchronously, for a simulated machine whose disk takes no time."""
     on_written(write())
 
 
 class BackgroundWriter:
-    """One thread for all writes, which starts with the first write.
+    """One thread for all writes, started by the first write.
 
-    The thread is a daemon, so that a hanging disk does not delay the end of the process.
+    The thread is a daemon, so that a hanging disk does not delay the exit of the process.
 
     Args:
-        loop: Event loop that runs the callbacks with the results.
+        loop: Event loop that calls the callbacks.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -49,9 +49,9 @@
             try:
                 written = write()
             except Exception:
-                # A fault in one write must not end the thread, and the order awaits its result.
+                # An exception must not end the thread, and the maintenance order waits for the result.
                 log.exception("write failed")
                 written = False
-            # RuntimeError: the loop is closed, since the process ends.
+            # RuntimeError: the loop is closed because the process exits.
             with contextlib.suppress(RuntimeError):
                 self.loop.call_soon_threadsafe(on_written, written)
--- a/dykefold/control/directory_retry.py
+++ b/dykefold/control/directory_retry.py
@@ -1,4 +1,4 @@
-"""Opens the state directory, with retries while it can't be used."""
+"""Opens the state directory, with retries while it is unusable."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class DirectoryRetry:
-    """Opens one state directory, with a delay that doubles after each failed attempt.
+    """Opens one state directory, with exponential backoff after failed attempts.
 
     Args:
         loop: Event loop on which the retries are scheduled.
@@ -34,12 +34,12 @@
         self.folder = folder
         self.file_system = file_system
         self.usable = False
-        self.logged_errno: int | None = None  # error of the last logged failure
+        self.logged_errno: int | None = None  # of the last logged failure
         self.delay_s = MIN_RETRY_DELAY_S
         self.timer: asyncio.TimerHandle | None = None
 
     def open(self) -> FileStateDirectory | None:
-        """Make one attempt; return the directory, or None if it can't be used. Only a new error is logged."""
+        """Make one attempt; return the directory, or None on failure. Only a changed error is logged."""
         try:
             directory = FileStateDirectory(self.folder, self.file_system)
         except OSError as error:
@@ -53,7 +53,7 @@
         return directory
 
     def start(self, on_usable: Callable[[FileStateDirectory], None]) -> None:
-        """Retry after a delay until an attempt succeeds, and call `on_usable` with the directory."""
+        """Schedule retries until an attempt succeeds, then call `on_usable` with the directory."""
         self.timer = self.loop.call_later(self.delay_s, self._retry, on_usable)
         self.delay_s = min(2 * self.delay_s, MAX_RETRY_DELAY_S)
 
@@ -65,6 +65,6 @@
             on_usable(directory)
 
     def close(self) -> None:
-        """Stop the retries."""
+        """Cancel the next retry."""
         if self.timer is not None:
             self.timer.cancel()
--- a/dykefold/control/file_system.py
+++ b/dykefold/control/file_system.py
@@ -1,6 +1,6 @@
-"""The file calls of the state directory, which a test can replace to make any of them fail.
+"""File system calls of the state directory, which tests replace to make any of them fail.
 
-Each method is one system call. The state directory makes no other call on its folder.
+Each method is one system call. The state directory makes no other calls on its folder.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 
 
 class FileSystem:
-    """File calls of the operating system; all raise OSError (manual pages, section 2)."""
+    """System calls on files; all raise OSError (manual pages, section 2)."""
 
     def open(self, path: Path, flags: int, mode: int = 0o600) -> int:
-        """Return a descriptor of a file, opened with the system's flags; it is closed on exec."""
+        """Open a file with flags of open(2); return its descriptor, which is closed on exec."""
         return os.open(path, flags | os.O_CLOEXEC, mode)
 
     def read(self, descriptor: int, size: int) -> bytes:
-        """Read at most `size` bytes; none at the end of the file."""
+        """Return at most `size` bytes; empty at the end of the file."""
         return os.read(descriptor, size)
 
     def write(self, descriptor: int, data: bytes | memoryview) -> int:
-        """Write some of the data; return the number of written bytes."""
+        """Write all or part of the data; return the number of written bytes."""
         return os.write(descriptor, data)
 
     def fsync(self, descriptor: int) -> None:
-        """Write a file or folder through to the disk."""
+        """Flush a file or folder to the disk."""
         os.fsync(descriptor)
 
     def close(self, descriptor: int) -> None:
@@ -37,7 +37,7 @@
         os.close(descriptor)
 
     def rename(self, source: Path, target: Path) -> None:
-        """Rename a file; it replaces a file that has the new name."""
+        """Rename a file, replacing any file that has the new name."""
         os.replace(source, target)
 
     def unlink(self, path: Path) -> None:
@@ -45,11 +45,11 @@
         os.unlink(path)
 
     def mkdir(self, path: Path) -> None:
-        """Make a folder for this user alone."""
+        """Create a folder that only this user can access."""
         os.mkdir(path, 0o700)
 
     def listdir(self, path: Path) -> list[str]:
-        """Return the names in a folder, in no order."""
+        """Return the names in a folder, in arbitrary order."""
         return os.listdir(path)
 
     def stat(self, path: Path) -> os.stat_result:
@@ -65,7 +65,7 @@
         fcntl.flock(descriptor, operation)
 
     def runs(self, process: int) -> bool:
-        """Whether a process with this number runs, of any user."""
+        """Whether a process with this id is running, of any user."""
         return (PROC / str(process)).exists()
 
     def boot_id(self) -> str:
--- a/dykefold/control/maintenance_records.py
+++ b/dykefold/control/maintenance_records.py
@@ -1,4 +1,4 @@
-"""Stores maintenance orders in records that survive this process and a crash of the machine."""
+"""Stores maintenance orders in records that outlive this process and a crash of the machine."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
     """Orders that are to be recorded.
 
     Attributes:
-        orders: Orders that the pools do not know yet, by endpoint name.
-        on_recorded: Callback that is notified whether all orders, with these, are in a durable record.
+        orders: Orders that are not yet known to the pools, by endpoint name.
+        on_recorded: Callback that gets whether all orders, including these, are in a durable record.
     """
 
     orders: Mapping[str, MaintenanceOrder]
@@ -33,13 +33,13 @@
 
 
 class MaintenanceRecords:
-    """The maintenance orders in the record of this process and in those of the others.
+    """Maintenance orders in the record of this process and in those of other processes.
 
     Args:
-        pools: Pools whose maintenance orders are recorded; the collection changes with them.
+        pools: Live collection of the pools whose maintenance orders are recorded.
         directory: State directory that the processes of the sidecar share.
         name: Name of this process.
-        read_clock: Reads the clock of this process; the times of its orders are on this clock.
+        read_clock: Clock of this process, which the times of its orders refer to.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         self.record_name = RecordKind.MAINTENANCE.of_process(name)
         self.recorded: dict[str, MaintenanceOrder] = {}  # orders in the last durable record
         self.submit: Submit = write_at_once
-        self.being_written: list[PendingOrders] | None = None  # None while no write is in progress
+        self.orders_in_progress: list[PendingOrders] | None = None  # None while no write is in progress
         self.pending: list[PendingOrders] = []  # orders for the next write
 
     def orders(self) -> dict[str, MaintenanceOrder]:
@@ -66,33 +66,34 @@
         return orders
 
     def write(self) -> bool:
-        """Write all orders to a durable record if it lacks any; return whether it has all of them now."""
-        if self.being_written is None and self._wanted() != self.recorded:
+        """Write a durable record unless it has all orders; return whether it has all of them now."""
+        if self.orders_in_progress is None and self._required_orders() != self.recorded:
             self._start_writing()
-        return self._wanted() == self.recorded
+        return self._required_orders() == self.recorded
 
     def record(self, orders: Mapping[str, MaintenanceOrder], on_recorded: OnWritten) -> None:
         """Write all orders to a durable record.
 
         Args:
             orders: New orders by endpoint name, which override those of the pools.
-            on_recorded: Callback that is notified whether all are recorded; at once if they already are.
+            on_recorded: Callback that gets whether all orders are recorded; called at once if they are
+                already.
         """
         self.pending.append(PendingOrders(orders, on_recorded))
-        if self.being_written is None:
+        if self.orders_in_progress is None:
             self._start_writing()
 
-    def _wanted(self) -> dict[str, MaintenanceOrder]:
-        """Return the orders that the record should have: those of the pools, and the pending ones."""
-        wanted = self.orders()
-        for pending in (*(self.being_written or ()), *self.pending):
-            wanted |= pending.orders
-        return wanted
+    def _required_orders(self) -> dict[str, MaintenanceOrder]:
+        """Return the orders that the record should have: those of the pools and the pending ones."""
+        required = self.orders()
+        for pending in (*(self.orders_in_progress or ()), *self.pending):
+            required |= pending.orders
+        return required
 
     def _start_writing(self) -> None:
         # One write at a time, so that the last write to finish has the latest orders.
-        self.being_written, self.pending = self.pending, []
-        orders = self._wanted()
+        self.orders_in_progress, self.pending = self.pending, []
+        orders = self._required_orders()
         if orders == self.recorded:
             self._finish_writing(orders, written=True)
             return
@@ -103,17 +104,17 @@
         )
 
     def _finish_writing(self, orders: dict[str, MaintenanceOrder], written: bool) -> None:
-        finished, self.being_written = self.being_written or [], None
+        finished, self.orders_in_progress = self.orders_in_progress or [], None
         if written:
             self.recorded = orders
         for pending in finished:
             pending.on_recorded(written)
         # A callback may have started the next write.
-        if self.pending and self.being_written is None:
+        if self.pending and self.orders_in_progress is None:
             self._start_writing()
 
     def check(self, records: Mapping[str, Record]) -> bool:
-        """Find out whether the record of this process was removed or damaged, so that it is written anew.
+        """Check whether the record of this process was removed or damaged; if so, it is written again.
 
         Args:
             records: All records that were just read, by name.
--- a/dykefold/control/state_directory.py
+++ b/dykefold/control/state_directory.py
@@ -1,4 +1,4 @@
-"""The state directory: files in which the processes of one sidecar leave records for each other.
+"""State directory: files by which the processes of one sidecar exchange records.
 
 A record is written to a temporary file that is then renamed, so that no reader sees an incomplete record. A
 record that can't be read (truncated by a full disk, of another version, too large) counts as missing: no
@@ -6,10 +6,10 @@
 before the rename, and its folder after the rename (fsync(2)).
 
 Each process also holds a lock (flock(2)) on a file with its name. The kernel releases the lock when the
-process ends for any reason, and keeps it while the process is stopped. So the lock tells a dead process from
-a stopped one; a process number can't, since the system reuses it. No process waits for a lock.
+process ends for any reason, and keeps it while the process is stopped. So the lock distinguishes a dead
+process from a stopped one; a process id can't, since the system reuses it. No process waits for a lock.
 
-A process that starts removes the temporary files of processes that were killed during a write.
+At its start, a process removes the temporary files of processes that were killed during a write.
 """
 
 from __future__ import annotations
@@ -36,27 +36,27 @@
 FOLDER_NAME = "dykefold"
 RECORD_SUFFIX = ".json"
 LOCK_SUFFIX = ".lock"
-# Larger files are not read. The snapshot of the largest fleet takes 1 MiB.
+# Larger files are not parsed. The snapshot of the largest fleet takes 1 MiB.
 MAX_FILE_BYTES = 4 * 1024 * 1024
 MAX_FILES_PER_PREFIX = 64
 MAX_LOGGED_RECORDS = 64
 READ_CHUNK_BYTES = 256 * 1024
 # The clock of a local file system ticks at least every 10 ms on Linux; this is far longer than a tick.
 MIN_UNCHANGED_NS = 100_000_000
-# Some file systems have coarser times. There a change may go unnoticed until this interval has passed.
+# On file systems with coarser timestamps, a change may go undetected for up to this interval.
 MAX_READ_INTERVAL_NS = 1_000_000_000
 TEMPORARY_FILE = re.compile(r"\.(?P<name>.+)\.(?P<process>\d{1,10})")
 
 
 class StateDirectory(Protocol):
-    """A store of records by name that every process of the sidecar can read."""
+    """Records by name, which every process of the sidecar can read."""
 
     def changed(self) -> bool:
         """Whether anything may have been written since the last `read_all`."""
         ...
 
     def write(self, name: str, record: Mapping[str, Any], /, durable: bool = False) -> bool:
-        """Write a record; it replaces the earlier record of that name.
+        """Write a record, replacing an earlier record of that name.
 
         Args:
             name: Name of the record.
@@ -102,7 +102,7 @@
 class FileStateDirectory:
     """A state directory whose records are files.
 
-    The constructor creates the directory in an existing folder, and removes the incomplete files of killed
+    The constructor creates the directory in an existing folder, and removes the temporary files of killed
     processes.
 
     Args:
@@ -127,8 +127,8 @@
         self.logged_records: set[str] = set()  # names of records with a logged failure
         self.folder_state: tuple[int, ...] = ()
         self.folder_state_since_ns = 0  # when `folder_state` was first seen
-        self.read_ns = 0  # when all records were last read
-        self.read_is_complete = False  # no change can have followed the last reading unseen
+        self.read_ns = 0  # time of the last `read_all`
+        self.read_is_complete = False  # whether every later change will be detected
         self._make_folder()
         self.cleaned_up = self._clean_up()
 
@@ -138,13 +138,14 @@
         if not stat.S_ISDIR(self.files.stat(self.path).st_mode):
             raise NotADirectoryError(errno.ENOTDIR, os.strerror(errno.ENOTDIR), str(self.path))
 
-    # Changes
+    # Change detection
 
     def changed(self) -> bool:
         """Whether anything may have been written since the last `read_all`."""
-        # Two changes within one tick of the file system's clock leave the same time. So a reading counts as
-        # complete only if the folder had had the same state for `MIN_UNCHANGED_NS` by the monotonic clock of
-        # this process: all changes with that time had happened by then. The wall clock may be stepped.
+        # Two changes within one tick of the file system's clock have the same timestamp. So a read counts as
+        # complete only if the folder state had been unchanged for `MIN_UNCHANGED_NS` by the monotonic clock
+        # of this process: by then, no more changes with that timestamp can happen. The wall clock may be
+        # stepped, so it is not used.
         return (
             not self.read_is_complete
             or self._read_folder_state() != self.folder_state
@@ -152,15 +153,15 @@
         )
 
     def _read_folder_state(self) -> tuple[int, ...]:
-        """Return identity and times of the folder; empty if they can't be read."""
+        """Return the identity and timestamps of the folder; empty if they can't be read."""
         try:
             status = self.files.stat(self.path)
         except OSError:
             return ()
         return (status.st_dev, status.st_ino, status.st_mtime_ns, status.st_ctime_ns)
 
-    def _start_reading(self) -> None:
-        # The state is taken before the records, so that a write during the reading counts as a change.
+    def _begin_read(self) -> None:
+        # The state is read before the records, so that a write in between counts as a change.
         state, now_ns = self._read_folder_state(), self.monotonic_ns()
         if state != self.folder_state:
             self.folder_state, self.folder_state_since_ns = state, now_ns
@@ -195,7 +196,7 @@
             with contextlib.suppress(OSError):
                 self.files.close(descriptor)
             raise
-        # On a network file system a write may fail as late as here, so this error is not suppressed.
+        # Network file systems may report a write error only here, so it is not suppressed.
         self.files.close(descriptor)
 
     def _write_all(self, descriptor: int, data: bytes) -> None:
@@ -240,8 +241,8 @@
         return self.path / f"{name}{LOCK_SUFFIX}"
 
     def _read_file(self, path: Path) -> bytes:
-        """Return the contents of a file, cut off soon after `MAX_FILE_BYTES`."""
-        # Without O_NONBLOCK a pipe of that name would block the process.
+        """Return the contents of a file; reading stops within one chunk above `MAX_FILE_BYTES`."""
+        # Without O_NONBLOCK, a named pipe at this path would block the process.
         descriptor = self.files.open(path, os.O_RDONLY | os.O_NONBLOCK)
         try:
             data = bytearray()
@@ -255,7 +256,7 @@
     def read_all(self, *prefixes: str) -> dict[str, dict[str, Any]]:
         """Return records: see `StateDirectory.read_all`."""
         self.cleaned_up = self.cleaned_up or self._clean_up()
-        self._start_reading()
+        self._begin_read()
         try:
             files = self.files.listdir(self.path)
         except OSError:
@@ -281,16 +282,16 @@
     def lock(self, name: str) -> bool:
         """Lock a name: see `StateDirectory.lock`."""
         path = self._lock_path(name)
-        if self._is_current(path):
+        if self._is_locked_file(path):
             return True
-        self._release()
+        self._release_lock()
         descriptor: int | None = None
         try:
             descriptor = self._open_lock(path)
             self.files.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as error:
             self._log_failure("lock", name, error.strerror or str(error))
-            # Other processes would take an unlocked file for the sign of a dead process.
+            # Other processes would conclude from an unlocked file that this process is dead.
             with contextlib.suppress(OSError):
                 self.files.unlink(path)
             if descriptor is not None:
@@ -299,7 +300,7 @@
             return False
         self.lock_descriptor = descriptor
         # Another process may have removed the file before it was locked.
-        return self._is_current(path)
+        return self._is_locked_file(path)
 
     def _open_lock(self, path: Path) -> int:
         try:
@@ -308,7 +309,7 @@
             self._make_folder()
             return self.files.open(path, os.O_RDWR | os.O_CREAT)
 
-    def _is_current(self, path: Path) -> bool:
+    def _is_locked_file(self, path: Path) -> bool:
         """Whether the file that this process has locked is still the file at the path."""
         if self.lock_descriptor is None:
             return False
@@ -318,7 +319,7 @@
             return False
         return (locked.st_dev, locked.st_ino) == (current.st_dev, current.st_ino)
 
-    def _release(self) -> None:
+    def _release_lock(self) -> None:
         if self.lock_descriptor is not None:
             descriptor, self.lock_descriptor = self.lock_descriptor, None
             with contextlib.suppress(OSError):
@@ -345,10 +346,10 @@
         """Return the identifier of this boot of the machine; empty if the system has none."""
         return self.files.boot_id()
 
-    # Files of killed processes
+    # Cleanup of temporary files
 
     def _clean_up(self) -> bool:
-        """Remove incomplete files of dead processes; return False if the folder can't be read."""
+        """Remove temporary files of dead processes; return False if the folder can't be read."""
         try:
             files = self.files.listdir(self.path)
         except OSError:
@@ -370,19 +371,19 @@
                 abandoned.append(file)
         return abandoned
 
-    def _may_be_alive(self, record_name: str, process_number: int) -> bool:
+    def _may_be_alive(self, record_name: str, process_id: int) -> bool:
         """Whether the process that writes a record may be alive.
 
-        Its lock decides; without a lock, the process number does.
+        This is determined from its lock or, without a lock, from its process id.
         """
         _, _, process = record_name.partition("-")
         alive = self.is_alive(RecordKind.HEARTBEAT.of_process(process))
         if alive is not None:
             return alive
-        return process_number != os.getpid() and self.files.runs(process_number)
+        return process_id != os.getpid() and self.files.runs(process_id)
 
     def _log_failure(self, operation: str, name: str, reason: str) -> None:
-        """Log a failed operation once for each record, since it is retried many times a second."""
+        """Log the first failure for each record only, since operations are retried many times a second."""
         if name not in self.logged_records and len(self.logged_records) < MAX_LOGGED_RECORDS:
             self.logged_records.add(name)
             log.warning(
--- a/dykefold/net/discovery/__init__.py
+++ b/dykefold/net/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The endpoint list: its codec and the calls that watch it."""
+"""Endpoint list: its codec, and the calls of discovery that watch it."""
--- a/dykefold/net/discovery/client.py
+++ b/dykefold/net/discovery/client.py
@@ -1,4 +1,4 @@
-"""Calls of discovery: watches, which return each change of the endpoint list, and fetches of a whole list."""
+"""Discovery client: watches return changes of the endpoint list, and fetches return the complete list."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryOrigin:
-    """Discovery as a client finds it at its start.
+    """Discovery as known at the start of a client.
 
     Attributes:
         address: Host and port of discovery.
@@ -59,33 +59,33 @@
 
 
 class DiscoveryClient:
-    """Watches the endpoint list, and fetches it as a whole.
+    """Watches the endpoint list, and fetches the complete list.
 
     A watch that is silent for too long stays open, and another call is made in parallel to it. The first
-    answer counts, and only then the other call is cancelled. So discovery never sends a change to a call
-    that was given up, and a cancelled call had no change to return.
+    answer is used, and only then is the other call cancelled. So discovery never sends a change to an
+    abandoned call, and a cancelled call had no change to return.
 
-    `watch` or `fetch` makes the first call.
+    The first call is made by `watch` or `fetch`.
 
     Args:
         loop: Event loop that runs the calls.
         origin: Address and kind of discovery, and the version of the known list.
-        names: Table by which endpoints are numbered.
-        on_update: Called with each update, and with None for each failure of a watch or a fetch.
+        names: Table of the numbers of endpoints, zones and machine types.
+        on_update: Callback that gets each update, and None for each failure of a watch or a fetch.
         system: Clocks and sockets.
 
     Attributes:
         pushed: Whether discovery is an agent on the same machine; see `DiscoveryOrigin`.
         watching: Whether a watch is open or its next call is scheduled.
-        watch_round: Number that changes whenever scheduled calls become obsolete.
+        watch_round: Counter that increases whenever scheduled calls become obsolete.
         called: Monotonic time in seconds of the latest call of the watch.
         failing: Whether the latest call failed.
         closed: Whether the client makes no more calls.
-        schedule: Schedule that spreads the calls; None if no call is delayed.
+        schedule: Schedule that spreads the calls; None if calls are not delayed.
         open_calls: Open calls of the watch, in the order in which they were made.
-        latest_call: Latest of the open calls; None if its outcome no longer matters.
+        latest_call: Latest of the open calls; None once its outcome no longer matters.
         source: Source that is called.
-        previous: Source before a change of the address, until the present one has sent its list; None
+        previous: Source before a change of the address, until the current source has sent its list; None
             otherwise.
         listed_by: Name of the source of the known list, as in `host`.
     """
@@ -117,7 +117,7 @@
 
     @property
     def version(self) -> int | None:
-        """Index of the known list; None if a whole list must come first."""
+        """Index of the known list; None if the next answer must be a complete list."""
         return self.source.version
 
     @property
@@ -131,10 +131,10 @@
         return self.source.host
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Call discovery at another address from now on, first for a whole list.
+        """Switch to discovery at another address, beginning with a call for the complete list.
 
-        The index at the new address may have started anew, so that it is not compared with the previous
-        one. The previous source gets no more calls, but answers to its open calls count until the new source
+        The index at the new address may have started anew, so it is not compared with the previous one. The
+        previous source gets no more calls, but answers to its open calls are accepted until the new source
         has sent its list.
 
         Args:
@@ -162,7 +162,8 @@
             return
         self.pushed = pushed
         if pushed:
-            # The open call waits as for a service, or the balancer no longer requests a retry that is due.
+            # The open call has the long wait of a polled service; or a retry is due, which the balancer no
+            # longer requests.
             self.poll_now()
 
     def _close_previous(self) -> None:
@@ -172,7 +173,7 @@
             previous.calls.close()
 
     def adopt(self, version: int) -> None:
-        """Record that the list was obtained in another way, so that older answers no longer count.
+        """Record a list that was obtained in another way, so that older answers are ignored.
 
         Args:
             version: Index of that list.
@@ -195,7 +196,7 @@
             self._schedule_call(self.schedule.watch_delay_s() if self.schedule is not None else 0.0)
 
     def poll_now(self) -> None:
-        """Make a call immediately, in parallel to an open one or in place of a scheduled one."""
+        """Make a call immediately, in parallel to an open call or instead of a scheduled one."""
         if self.closed:
             return
         self.watching = True
@@ -203,15 +204,15 @@
         self._call_watch(self.watch_round, WATCH_IMMEDIATE_MS if self.open_calls else self._wait_ms())
 
     def fetch(self) -> None:
-        """Make one call for the whole list."""
+        """Make one call for the complete list."""
         self._call(LIST_PATH, ANSWER_TIMEOUT_S, self._on_fetch_end)
 
     def _wait_ms(self) -> int:
-        """Return the milliseconds for which a watch asks discovery to wait for a change."""
+        """Return the milliseconds that a watch lets discovery wait for a change."""
         return WATCH_PUSHED_MS if self.pushed else WATCH_POLLED_MS
 
     def _schedule_call(self, delay_s: float) -> None:
-        """Make the next call of the watch after a delay."""
+        """Make the next call of the watch, after a delay if there is one."""
         if delay_s > 0.0:
             self.loop.call_later(delay_s, self._call_watch, self.watch_round, self._wait_ms())
         else:
@@ -221,8 +222,8 @@
         """Make the next call of the watch, unless it has become obsolete since it was scheduled.
 
         Args:
-            watch_round: Value of the attribute at the time of scheduling.
-            wait_ms: Milliseconds that discovery is asked to wait for a change.
+            watch_round: Value of the attribute `watch_round` at the time of scheduling.
+            wait_ms: Milliseconds that discovery may wait for a change.
         """
         if watch_round != self.watch_round or self.closed:
             return
@@ -231,7 +232,7 @@
         if self.version is not None:
             target += f"?after={self.version}&wait_ms={wait_ms}"
             wait_s = wait_ms / 1000
-        self.latest_call = None  # The end of an older call is no failure from here on.
+        self.latest_call = None  # From here on, the end of an older call is not a failure.
         while len(self.open_calls) >= MAX_OPEN_CALLS:
             next(iter(self.open_calls)).give_up(Status.CANCELLED)
         call = self.latest_call = self._call(target, wait_s + ANSWER_TIMEOUT_S, self._on_watch_end)
@@ -240,7 +241,7 @@
         if self.pushed:
             overdue_s = wait_s + OVERDUE_PUSHED_S if waits else RETRY_PUSHED_S
             self.loop.call_later(overdue_s, self._on_overdue, watch_round, call)
-        elif waits:  # A service may serve other clients first, so that other calls have their whole timeout.
+        elif waits:  # A service may serve other clients first, so other calls get their full timeout.
             self.loop.call_later(wait_s + OVERDUE_POLLED_S, self._on_overdue, watch_round, call)
 
     def _on_overdue(self, watch_round: int, call: ListCall) -> None:
@@ -256,7 +257,7 @@
         Args:
             target: Path and query of the call.
             timeout_s: Seconds until the call fails.
-            on_end: Called at the end of the call with the update, or with None and the reason of the failure.
+            on_end: Callback for the end of the call; gets the update, or None and the reason of the failure.
 
         Returns:
             The call.
@@ -289,7 +290,7 @@
         return call
 
     def _on_watch_end(self, call: ListCall, update: EndpointUpdate | None, reason: str) -> None:
-        """Apply the answer to a call of the watch and schedule the next call, or record the failure."""
+        """Apply the answer to a call of the watch and schedule the next call, or handle the failure."""
         self.open_calls.pop(call, None)
         if update is None:
             if call is self.latest_call:  # Otherwise another call is in flight or scheduled.
@@ -297,7 +298,7 @@
             return
         self._record_outcome(update, reason)
         self.latest_call = None
-        for other in list(self.open_calls):  # This answer or the next one contains their changes.
+        for other in list(self.open_calls):  # Their changes are in this answer or in the next one.
             other.give_up(Status.CANCELLED)
         self.watching = True
         self.watch_round += 1  # A scheduled call is obsolete.
@@ -305,8 +306,8 @@
         try:
             self._accept(self.source, update)
         finally:
-            # An agent that answers immediately and without a change must not be called in a tight loop. For
-            # discovery a watch continues over a pause of less than 200 ms.
+            # An agent that answers immediately and without a change must not be called in a tight loop.
+            # Discovery treats a watch as continuous over a pause of less than 200 ms.
             delay_s = 0.0 if update.entries else MIN_CALL_INTERVAL_S - (self.system.monotonic() - self.called)
             if self.schedule is not None:
                 delay_s = max(delay_s, self.schedule.next_call_delay_s())
@@ -328,7 +329,7 @@
             self._accept(self.source, update)
 
     def _record_outcome(self, update: EndpointUpdate | None, reason: str) -> None:
-        """Notify the schedule; of an outage only the first failure and the recovery are logged."""
+        """Notify the schedule, and log only the first failure of an outage and the recovery."""
         if self.schedule is not None:
             if update is None:
                 self.schedule.failed()
@@ -342,7 +343,7 @@
                 log.info("discovery recovered")
 
     def _accept(self, source: ListSource, update: EndpointUpdate) -> None:
-        """Apply an update of a source that is in use."""
+        """Apply an update from a source that is still in use."""
         source.accept(update)
         self.listed_by = source.host
         if source is self.source:
@@ -350,7 +351,7 @@
         self.on_update(update)
 
     def close(self) -> None:
-        """Stop making calls, and close the connections of open ones."""
+        """Stop making calls, and close the connections of open calls."""
         self.closed = True
         self.watch(False)
         self.source.calls.close()
--- a/dykefold/net/discovery/codec.py
+++ b/dykefold/net/discovery/codec.py
@@ -1,4 +1,4 @@
-"""Reads and writes the endpoint list in the JSON form of discovery. No I/O."""
+"""Codec of the endpoint list in the JSON format of discovery. No I/O."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from ...balancer.events import Endpoint, EndpointListUpdate, ListKind, State
 
 STATE_BY_STATUS = {"SERVING": State.READY, "DRAINING": State.DRAINING, "DELETED": State.GONE}
-MAX_NAMES = 256  # Of zones and of machine types each; all further names share one number.
+MAX_NAMES = 256  # Each, of zones and machine types; all further names share one number.
 MAX_PORT = 65535
 NS_PER_MS = 1_000_000
 
 _Value = TypeVar("_Value")
-_UNREADABLE = (KeyError, TypeError, ValueError, OverflowError, AttributeError)
+_CONVERSION_ERRORS = (KeyError, TypeError, ValueError, OverflowError, AttributeError)
 
 
 class EndpointListError(ValueError):
@@ -25,7 +25,7 @@
     Args:
         field: Invalid key, preceded by the number of its endpoint.
         value: Invalid value; None if the key is missing.
-        expected: Description of the valid values.
+        expected: Description of valid values.
     """
 
     def __init__(self, field: str, value: object, expected: str) -> None:
@@ -53,9 +53,9 @@
 
     Attributes:
         name: Name of the endpoint in discovery.
-        endpoint: Endpoint as the balancer gets it.
-        address: Host and port that connections are opened to.
-        since_ms: Unix time in milliseconds at which the endpoint started; 0 if it is unknown.
+        endpoint: Endpoint in the form that the balancer gets.
+        address: Host and port of the endpoint.
+        since_ms: Unix time in milliseconds at which the endpoint started; 0 if unknown.
     """
 
     name: str
@@ -70,7 +70,7 @@
 
     Attributes:
         version: Index of the list after this update.
-        complete: Whether the entries are the whole list; otherwise they are the changed ones.
+        complete: Whether the entries are the complete list; otherwise they are the changed endpoints.
         entries: Endpoints of the update.
     """
 
@@ -89,7 +89,7 @@
 
 
 class NameTable:
-    """The numbers by which the balancer knows endpoints, zones and machine types.
+    """Numbers by which the balancer identifies endpoints, zones and machine types.
 
     Args:
         zones: Zones of the settings, which get the first numbers in their order.
@@ -118,21 +118,21 @@
 
     def zone(self, name: str) -> int:
         """Return the number of a zone; all names beyond `MAX_NAMES` share one."""
-        return _number(self.zones, name)
+        return _number_of_name(self.zones, name)
 
     def kind(self, name: str) -> int:
         """Return the number of a machine type; all names beyond `MAX_NAMES` share one."""
-        return _number(self.machine_types, name)
+        return _number_of_name(self.machine_types, name)
 
     def keep(self, numbers: set[int]) -> None:
         """Remove the names of all endpoints except those with these numbers."""
         self.endpoints = {name: number for name, number in self.endpoints.items() if number in numbers}
 
 
-def _number(numbers: dict[str, int], name: str) -> int:
-    """Return the number of a name; a new name gets the next number while there are less than `MAX_NAMES`.
+def _number_of_name(numbers: dict[str, int], name: str) -> int:
+    """Return the number of a name; a new name gets the next number while there are fewer than `MAX_NAMES`.
 
-    The names come from outside: without a limit, lists with new zones would fill the memory.
+    The names are external input: without a limit, lists with new zones would exhaust the memory.
     """
     if len(numbers) < MAX_NAMES:
         return numbers.setdefault(name, len(numbers))
@@ -163,7 +163,7 @@
 
 
 def parse_endpoint_update(data: object, names: NameTable) -> EndpointUpdate:
-    """Read an endpoint list or a change of it; a single invalid entry makes the whole answer invalid.
+    """Parse an endpoint list or a change of it; one invalid entry makes the entire answer invalid.
 
     Args:
         data: Answer of discovery, decoded from JSON.
@@ -182,7 +182,7 @@
         raise EndpointListError(field="endpoints", value=endpoints, expected="a list")
     version = _field(data, "index", int, "an integer")
     complete = _field(data, "snapshot", bool, "a boolean")
-    entries = [_read_entry(number, entry) for number, entry in enumerate(endpoints)]
+    entries = [_parse_entry(number, entry) for number, entry in enumerate(endpoints)]
     for record, zone, kind in entries:
         endpoint = record.endpoint
         endpoint.number = names.endpoint(record.name)
@@ -193,7 +193,7 @@
 def endpoint_update_record(
     version: int, entries: Iterable[EndpointRecord], names: NameTable
 ) -> dict[str, Any]:
-    """Write a whole list in the form of discovery.
+    """Return a complete list in the format of discovery.
 
     Args:
         version: Index of the list.
@@ -201,7 +201,7 @@
         names: Table with the names of their zones and machine types.
 
     Returns:
-        Object for JSON that `parse_endpoint_update` can read.
+        JSON object that `parse_endpoint_update` can parse.
     """
     zones = {number: name for name, number in names.zones.items()}
     machine_types = {number: name for name, number in names.machine_types.items()}
@@ -224,8 +224,8 @@
     }
 
 
-def _read_entry(number: int, entry: object) -> tuple[EndpointRecord, str, str]:
-    """Read one entry.
+def _parse_entry(number: int, entry: object) -> tuple[EndpointRecord, str, str]:
+    """Parse one entry of an endpoint list.
 
     Args:
         number: Position of the entry in the list.
@@ -246,13 +246,13 @@
             zone=0,
             kind=0,
             cell=int(entry.get("group") or 0),
-            # An endpoint with a status that this version does not know gets no new requests.
+            # An endpoint with a status unknown to this version gets no new requests.
             state=STATE_BY_STATUS.get(entry["status"], State.DRAINING),
             weight=float(entry.get("weight", 1.0)),
             started_ns=since_ms * NS_PER_MS,
         )
         record = EndpointRecord(str(entry["name"]), endpoint, split_address(entry["address"]), since_ms)
-    except _UNREADABLE as error:
+    except _CONVERSION_ERRORS as error:
         raise _entry_error(number, entry) from error
     if since_ms < 0:
         raise EndpointListError(field=f"endpoints[{number}].since_ms", value=since_ms, expected="0 or more")
@@ -262,37 +262,37 @@
 def _entry_error(number: int, entry: dict[str, Any]) -> EndpointListError:
     """Return the error of the invalid field of an entry.
 
-    This search is separate from reading, since nearly all entries are valid.
+    This search is separate from parsing, since nearly all entries are valid.
     """
-    where = f"endpoints[{number}]."
+    key_prefix = f"endpoints[{number}]."
     try:
-        _field({"since_ms": entry.get("since_ms") or 0}, "since_ms", int, "milliseconds", where)
-        _field({"group": entry.get("group") or 0}, "group", int, "an integer", where)
-        _field(entry, "status", STATE_BY_STATUS.get, "a text", where)
-        _field({"weight": entry.get("weight", 1.0)}, "weight", float, "a number", where)
-        _field(entry, "name", str, "a text", where)
-        _field(entry, "address", split_address, "host:port", where)
+        _field({"since_ms": entry.get("since_ms") or 0}, "since_ms", int, "milliseconds", key_prefix)
+        _field({"group": entry.get("group") or 0}, "group", int, "an integer", key_prefix)
+        _field(entry, "status", STATE_BY_STATUS.get, "a text", key_prefix)
+        _field({"weight": entry.get("weight", 1.0)}, "weight", float, "a number", key_prefix)
+        _field(entry, "name", str, "a text", key_prefix)
+        _field(entry, "address", split_address, "host:port", key_prefix)
     except EndpointListError as error:
         return error
     return EndpointListError(field=f"endpoints[{number}]", value=entry, expected="an endpoint")
 
 
 def _field(
-    data: dict[str, Any], key: str, convert: Callable[[Any], _Value], expected: str, where: str = ""
+    data: dict[str, Any], key: str, convert: Callable[[Any], _Value], expected: str, key_prefix: str = ""
 ) -> _Value:
     """Return the converted value of a key.
 
     Args:
         data: Object that was decoded from JSON.
         key: Key of the value.
-        convert: Conversion of the value, which raises one of `_UNREADABLE` if the value is invalid.
-        expected: Description of the valid values.
-        where: Prefix of the key in the error.
+        convert: Conversion of the value, which raises one of `_CONVERSION_ERRORS` if the value is invalid.
+        expected: Description of valid values.
+        key_prefix: Prefix of the key in the error.
 
     Raises:
         EndpointListError: The value is missing or invalid.
     """
     try:
         return convert(data[key])
-    except _UNREADABLE:
-        raise EndpointListError(where + key, data.get(key), expected) from None
+    except _CONVERSION_ERRORS:
+        raise EndpointListError(key_prefix + key, data.get(key), expected) from None
--- a/dykefold/net/discovery/list_source.py
+++ b/dykefold/net/discovery/list_source.py
@@ -1,4 +1,4 @@
-"""Discovery at one address: its connections, and the order of its answers."""
+"""Discovery at one address: its connections, and the ordering of its answers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 MAX_CALL_MEMORY_BYTES = 192 * MB  # The calls have a memory budget of their own.
 CONNECTION_IDLE_TIMEOUT_S = 30.0
-DISCOVERY_NUMBER = 0  # The connection pool knows discovery as the endpoint with this number.
+DISCOVERY_NUMBER = 0  # Endpoint number of discovery in its connection pool.
 
 
 class ListSource:
@@ -24,13 +24,13 @@
     Args:
         loop: Event loop that runs the calls.
         address: Host and port of discovery.
-        version: Index of the known list; None if a whole list must come first.
+        version: Index of the known list; None if the next answer must be a complete list.
         system: Clocks and sockets.
 
     Attributes:
-        host: Host and port as text, which names the source.
-        answer_count: Number of answers that have been accepted.
-        calls: Connections of the calls.
+        host: Host and port as text; also the name of the source.
+        answer_count: Number of accepted answers.
+        calls: Connection pool of the calls.
     """
 
     def __init__(
@@ -40,21 +40,21 @@
         self.host = f"{address[0]}:{address[1]}"
         self.version = version
         self.answer_count = 0
-        # The calls have their own allowance: the limit on connections to endpoints must not block them.
+        # The calls have their own allowance, so that the connection limit of endpoints does not block them.
         allowance, memory = DescriptorAllowance(DISCOVERY_CONNECTIONS), MemoryBudget(MAX_CALL_MEMORY_BYTES)
         limits = ConnectionLimits(allowance, memory, CONNECT_TIMEOUT_S, CONNECTION_IDLE_TIMEOUT_S)
         self.calls = ConnectionPool(loop, limits, system=system)
         self.calls.update(DISCOVERY_NUMBER, address, 0, State.READY)
 
     def check_order(self, update: EndpointUpdate, answer_count: int) -> EndpointUpdate:
-        """Check the order of an answer, since the answers of parallel calls may arrive in any order.
+        """Check that an answer follows the known list; parallel calls may be answered in any order.
 
         Args:
             update: Answer of a call.
-            answer_count: Value of the attribute when the call was made.
+            answer_count: Value of the attribute `answer_count` when the call was made.
 
         Returns:
-            The update; an empty one if a newer answer to another call was accepted meanwhile.
+            The update; an empty one if a newer answer was accepted meanwhile.
 
         Raises:
             EndpointListError: The answer does not follow the known list.
@@ -75,6 +75,6 @@
         return update
 
     def accept(self, update: EndpointUpdate) -> None:
-        """Record that this update is part of the list from now on."""
+        """Record an update as part of the known list."""
         self.version = update.version
         self.answer_count += 1
--- a/dykefold/net/discovery/watch_schedule.py
+++ b/dykefold/net/discovery/watch_schedule.py
@@ -1,10 +1,10 @@
-"""When discovery is called: the time budget of a change, and the schedule that spreads calls.
+"""Timing of discovery calls: the time budget for learning of a change, and the schedule that spreads calls.
 
 The budget (docs/design/discovery.md): a change counts as notified 6 s after a watch fell silent or a call
-failed, and not before 2 s after the end of a wait. From the call on, the times are:
+failed, and not before 2 s after the end of a wait. The times, counted from the call:
 
 - polled service: the wait lasts 20 s, the watch is overdue 0.8 s later, and the parallel call takes 1.2 s.
-  After a failure the balancer backs off for at most 1.5 s, and connect and answer take 3.5 s: in total 5 s.
+  After a failure the balancer backs off for at most 1.5 s, and connect and answer take 3.5 s: 5 s in total.
 - agent that pushes: the wait lasts 2.5 s, the watch is overdue 0.5 s later, and further calls follow every
   0.25 s, since a change counts as notified as soon as the agent has it.
 """
@@ -15,18 +15,18 @@
 
 from ...admission.budget import DISCOVERY_CONNECTIONS
 
-# Time for which a watch asks discovery to wait for a change. One service serves all processes and may need
-# 8 s for one call of each; an agent is on the same machine.
+# Time that a watch lets discovery wait for a change. One service serves all processes and may need 8 s for
+# one call of each; an agent is on the same machine.
 WATCH_POLLED_MS = 20_000
 WATCH_PUSHED_MS = 2_500
-WATCH_IMMEDIATE_MS = 1  # Wait of a call that is made in parallel to a silent watch.
-# Time beyond a watch's wait after which another call is made in parallel to it.
+WATCH_IMMEDIATE_MS = 1  # For a call in parallel to a silent watch.
+# Time after the end of a watch's wait until another call is made in parallel to it.
 OVERDUE_POLLED_S = 0.8
 OVERDUE_PUSHED_S = 0.5
-RETRY_PUSHED_S = 0.25  # Until the next call of an agent that was silent or failed.
-MAX_OPEN_CALLS = DISCOVERY_CONNECTIONS - 1  # Of one watch; beyond that the oldest call is cancelled.
-ANSWER_TIMEOUT_S = 3.5  # Beyond a watch's wait, since discovery serves calls one after another.
-LIST_READ_GRACE_S = 0.1  # Additional time to read an answer that has arrived, since lists are long.
+RETRY_PUSHED_S = 0.25  # Until the next call of a silent or failed agent.
+MAX_OPEN_CALLS = DISCOVERY_CONNECTIONS - 1  # Of one watch; above that the oldest call is cancelled.
+ANSWER_TIMEOUT_S = 3.5  # After the end of a watch's wait, since discovery serves calls one at a time.
+LIST_READ_GRACE_S = 0.1  # Extra time to read an answer that has arrived, since lists are long.
 CONNECT_TIMEOUT_S = 2.0
 MIN_CALL_INTERVAL_S = 0.1  # Between calls that are answered immediately and without a change.
 
