--- a/dykefold/control/file_system.py
+++ b/dykefold/control/file_system.py
@@ -17,7 +17,7 @@
     """System calls on files; all raise OSError (manual pages, section 2)."""
 
     def open(self, path: Path, flags: int, mode: int = 0o600) -> int:
-        """Open a file with flags of open(2); return its descriptor, which is closed on exec."""
+        """Open a file with the flags of the system call; return its descriptor, which is closed on exec."""
         return os.open(path, flags | os.O_CLOEXEC, mode)
 
     def read(self, descriptor: int, size: int) -> bytes:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -15,7 +15,7 @@
     "tests/net/test_aborted_attempts.py::test_paused_process": 10,
     "tests/routing/test_reservations.py::TestReservations": 10,
     "tests/sim/test_simulation.py::test_a_fixed_set_of_seeds_keeps_every_rule": 8,
-    "tests/control/test_state_directory.py::test_a_kill_at_any_file_call": 8,
+    "tests/control/test_state_directory.py::test_kill_at_any_file_call": 8,
     "tests/sim/test_reality.py::test_outcomes": 7,
     "tests/net/test_hostile_messages.py::test_body_of_one_byte": 6,
     "tests/control/test_hot_restart_orders.py::test_no_order": 5,
--- a/tests/control/test_admin_requests.py
+++ b/tests/control/test_admin_requests.py
@@ -1,4 +1,4 @@
-"""What operators may call: a table of requests and answers."""
+"""Parser of admin requests: valid requests, and the error codes of invalid ones."""
 
 import pytest
 from hypothesis import given, settings
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize(
-    ("method", "target", "result"),
+    ("method", "target", "expected"),
     [
         ("GET", "/healthcheck", AdminRequest(Action.HEALTH)),
         ("GET", "/healthcheck?verbose=1", AdminRequest(Action.HEALTH)),
@@ -33,13 +33,13 @@
         ("GET", "http://h/healthcheck", 400),
     ],
 )
-def test_calls_and_what_is_none(method, target, result):
-    got = parse_admin_request(method, target)
-    assert (got.code if isinstance(got, AdminResponse) else got) == result
+def test_admin_request_is_parsed_or_gets_its_error_code(method, target, expected):
+    parsed = parse_admin_request(method, target)
+    assert (parsed.code if isinstance(parsed, AdminResponse) else parsed) == expected
 
 
 @settings(derandomize=True, database=None, deadline=None)
 @given(st.sampled_from(["GET", "POST", "X"]), st.text(st.characters(max_codepoint=255), max_size=40))
-def test_anything_else_is_a_no_of_the_callers_own(method, target):
-    got = parse_admin_request(method, target)
-    assert isinstance(got, AdminRequest) or 400 <= got.code < 500
+def test_any_other_admin_request_gets_a_client_error(method, target):
+    parsed = parse_admin_request(method, target)
+    assert isinstance(parsed, AdminRequest) or 400 <= parsed.code < 500
--- a/tests/control/test_directory_retry.py
+++ b/tests/control/test_directory_retry.py
@@ -1,4 +1,4 @@
-"""A state directory that can't be used at the start: tried again, and then shared as by any other process."""
+"""State directory that is unusable at the start: it is retried, and then shared as with any other process."""
 
 import asyncio
 import errno
@@ -18,15 +18,15 @@
 ERRORS = [errno.EACCES, errno.ENOSPC, errno.EROFS, errno.EIO]
 
 
-class Loop:
-    """Timers that run when the test says so, on the machine's clock."""
+class ManualLoop:
+    """Event loop whose timers run when the test advances the clock of the machine."""
 
     def __init__(self, machine):
         self.machine = machine
         self.timers = []
 
-    def call_later(self, delay_s, act, *values):
-        handle = asyncio.TimerHandle(self.machine.mono_ns + int(delay_s * 1e9), act, values, self)
+    def call_later(self, delay_s, callback, *values):
+        handle = asyncio.TimerHandle(self.machine.mono_ns + int(delay_s * 1e9), callback, values, self)
         self.timers.append(handle)
         return handle
 
@@ -36,7 +36,7 @@
     def _timer_handle_cancelled(self, handle):
         self.timers = [timer for timer in self.timers if timer is not handle]
 
-    def passes(self, seconds):
+    def advance(self, seconds):
         until_ns = self.machine.mono_ns + int(seconds * 1e9)
         while due := [handle for handle in self.timers if handle.when() <= until_ns]:
             handle = min(due, key=asyncio.TimerHandle.when)
@@ -46,22 +46,22 @@
         self.machine.advance(until_ns - self.machine.mono_ns)
 
 
-class Unusable(FileSystem):
-    """A folder in which no directory can be made, or none that is there can be looked at."""
+class FailingMkdir(FileSystem):
+    """File system on which creating the state directory fails while `error` is set."""
 
     def __init__(self, error):
         self.error = error
-        self.tries = 0
+        self.attempts = 0
 
     def mkdir(self, path):
         if self.error:
-            self.tries += 1
+            self.attempts += 1
             raise OSError(self.error, os.strerror(self.error))
         super().mkdir(path)
 
 
-class ServingEngine(FakeSidecarServer):
-    """An sidecar_server that listens, with nothing on the network."""
+class ServingSidecarServer(FakeSidecarServer):
+    """Sidecar server that listens without a network."""
 
     accepts_clients = True
     max_descriptors = None
@@ -77,18 +77,18 @@
         self.draining = True
 
 
-class Served:
-    """A process that serves clients though its folder can't be used."""
+class ProcessWithFailingDirectory:
+    """Process that serves clients although its state directory is unusable."""
 
     def __init__(self, folder, monkeypatch, machine, error):
-        self.loop = Loop(machine)
-        self.files = Unusable(error)
-        self.server = ServingEngine(machine)
+        self.loop = ManualLoop(machine)
+        self.files = FailingMkdir(error)
+        self.server = ServingSidecarServer(machine)
         self.lifecycle = ProcessLifecycle(self.loop, self.server, (HOST, 0), str(folder), self.files)
         self.lifecycle.submit = write_at_once
         self.lifecycle.admin_operations = self.lifecycle.operations()
         sock = type("Sock", (), {"close": lambda self: None})()
-        monkeypatch.setattr(process_lifecycle.socket, "create_server", lambda *args, **more: sock)
+        monkeypatch.setattr(process_lifecycle.socket, "create_server", lambda *args, **kwargs: sock)
         self.lifecycle.listen((HOST, 0))
 
     def order(self, action):
@@ -105,62 +105,64 @@
     tmp_path, monkeypatch, machine, caplog, error
 ):
     caplog.set_level(logging.INFO)
-    one = Served(tmp_path, monkeypatch, machine, error)
-    one.loop.passes(20)
-    assert one.order(Action.OUT) == 500
+    process = ProcessWithFailingDirectory(tmp_path, monkeypatch, machine, error)
+    process.loop.advance(20)
+    assert process.order(Action.OUT) == 500
     assert [record.message for record in caplog.records if "disables" in record.message] == [
         f"process disables hot restarts: folder {tmp_path}, {os.strerror(error)}"
     ]
-    one.files.error = 0
-    one.loop.passes(30)
+    process.files.error = 0
+    process.loop.advance(30)
     assert [record.message for record in caplog.records][-1] == (
         f"process enables hot restarts: folder {tmp_path}"
     )
-    assert one.order(Action.OUT) == 200
-    assert one.server.max_descriptors == one.server.sockets
-    one.lifecycle.drain()
-    one.lifecycle.close()
-    os.close(one.lifecycle.hot_restart.directory.lock_descriptor)
+    assert process.order(Action.OUT) == 200
+    assert process.server.max_descriptors == process.server.sockets
+    process.lifecycle.drain()
+    process.lifecycle.close()
+    os.close(process.lifecycle.hot_restart.directory.lock_descriptor)
     last = SidecarProcess(tmp_path, machine)
     last.start()
     assert last.out_of_service == ["s0"]
 
 
-def test_tries_become_rarer_and_each_new_reason_is_one_line(tmp_path, monkeypatch, machine, caplog):
-    one = Served(tmp_path, monkeypatch, machine, errno.ENOSPC)
-    one.loop.passes(3600)
-    assert 100 < one.files.tries < 130  # every 30 s in the end
-    one.files.error = errno.EROFS
-    one.loop.passes(300)
+def test_retries_back_off_and_each_new_error_is_logged_once(tmp_path, monkeypatch, machine, caplog):
+    process = ProcessWithFailingDirectory(tmp_path, monkeypatch, machine, errno.ENOSPC)
+    process.loop.advance(3600)
+    assert 100 < process.files.attempts < 130  # the delay grows to 30 s
+    process.files.error = errno.EROFS
+    process.loop.advance(300)
     assert [
         os.strerror(error) in record.message
         for error, record in zip((errno.ENOSPC, errno.EROFS), caplog.records, strict=True)
     ] == [True, True]
-    one.lifecycle.drain()
-    assert one.loop.timers == []
+    process.lifecycle.drain()
+    assert process.loop.timers == []
 
 
-@pytest.mark.parametrize("newer", [True, False], ids=["beside a newer one", "beside an older one"])
-def test_one_that_comes_late_has_its_part_and_never_none(tmp_path, monkeypatch, machine, newer):
+@pytest.mark.parametrize("newer", [True, False], ids=["beside a newer process", "beside an older process"])
+def test_process_with_a_late_state_directory_gets_a_descriptor_quota(tmp_path, monkeypatch, machine, newer):
     if not newer:
         other = SidecarProcess(tmp_path, machine)
         other.start()
-    one = Served(tmp_path, monkeypatch, machine, errno.EACCES)
+    process = ProcessWithFailingDirectory(tmp_path, monkeypatch, machine, errno.EACCES)
     machine.advance()
     if newer:
         other = SidecarProcess(tmp_path, machine)
         other.start()
     limits = []
-    monkeypatch.setattr(one.server, "share_capacity", lambda parts, most: limits.append(most), raising=False)
-    one.files.error = 0
-    one.files.mkdir = lambda path: FileSystem.mkdir(one.files, path)
+    monkeypatch.setattr(
+        process.server, "share_capacity", lambda parts, limit: limits.append(limit), raising=False
+    )
+    process.files.error = 0
+    process.files.mkdir = lambda path: FileSystem.mkdir(process.files, path)
     for _ in range(60):
-        one.loop.passes(0.1)
+        process.loop.advance(0.1)
         other.tick()
-        machine.mono_ns -= 10**8  # a tick of the other passes the time as well
+        machine.mono_ns -= 10**8  # undoes the advance of the clock by the other process's tick
         machine.wall_ns -= 10**8
-    needed = one.server.needed_descriptors()
+    needed = process.server.needed_descriptors()
     assert min(limits, default=0) >= needed
-    assert limits[-1] + other.server.max_descriptors <= one.server.sockets
-    late, beside = (limits[-1], other.server.max_descriptors)
-    assert (late < beside) is newer  # the newer one has all that the older one does not use
+    assert limits[-1] + other.server.max_descriptors <= process.server.sockets
+    retried, other_limit = (limits[-1], other.server.max_descriptors)
+    assert (retried < other_limit) is newer  # the newer process gets all that the older process does not use
--- a/tests/net/test_endpoint_list_errors.py
+++ b/tests/net/test_endpoint_list_errors.py
@@ -1,4 +1,4 @@
-"""What an error on an endpoint list says: which field is wrong, its value, and what was expected."""
+"""Errors of an invalid endpoint list: they name the invalid field, its value and the expected values."""
 
 from __future__ import annotations
 
@@ -48,26 +48,26 @@
         (with_entry(since_ms=-5), "endpoints[1].since_ms", -5),
     ],
 )
-def test_an_unreadable_list_names_the_field_the_value_and_what_was_expected(data, field, value):
+def test_invalid_list_error_names_the_field_the_value_and_the_expectation(data, field, value):
     names = NameTable([], [])
-    with pytest.raises(EndpointListError) as caught:
+    with pytest.raises(EndpointListError) as raised:
         parse_endpoint_update(data, names)
-    assert (caught.value.field, caught.value.value) == (field, value)
-    assert caught.value.expected
-    assert str(caught.value).startswith(f"{field} is ")
-    assert caught.value.expected in str(caught.value)
+    assert (raised.value.field, raised.value.value) == (field, value)
+    assert raised.value.expected
+    assert str(raised.value).startswith(f"{field} is ")
+    assert raised.value.expected in str(raised.value)
     assert not names.endpoints
 
 
-def test_a_long_value_does_not_flood_the_log():
-    with pytest.raises(EndpointListError) as caught:
+def test_long_invalid_value_is_shortened_in_the_error():
+    with pytest.raises(EndpointListError) as raised:
         parse_endpoint_update(with_entry(weight="x" * 100_000), NameTable([], []))
-    assert len(str(caught.value)) < 200
+    assert len(str(raised.value)) < 200
 
 
 @pytest.mark.parametrize("text", ["", "127.0.0.1", "127.0.0.1:0", "127.0.0.1:65536", "host:1", "1.2.3:4", 7])
-def test_what_is_no_address_is_named(text):
-    with pytest.raises(AddressError) as caught:
+def test_invalid_address_is_named_in_the_error(text):
+    with pytest.raises(AddressError) as raised:
         split_address(text)
-    assert caught.value.value == text
-    assert repr(text) in str(caught.value)
+    assert raised.value.value == text
+    assert repr(text) in str(raised.value)
