--- a/dykefold/control/admin_server.py
+++ b/dykefold/control/admin_server.py
@@ -186,7 +186,7 @@
         self.closing = True
         self.timer.cancel()
         self.on_close(self)
-        # The parser refers to this connection: otherwise the cycle stays until a garbage collection.
+        # The parser refers to this connection; the cycle would stay until a garbage collection.
         del self.parser
 
     # Callbacks of the parser
--- a/tests/control/test_state_directory.py
+++ b/tests/control/test_state_directory.py
@@ -160,8 +160,8 @@
 
 
 def test_only_records_of_dead_processes_are_removed(tmp_path):
-    one = FileStateDirectory(str(tmp_path))
-    assert one.lock("sign-1-a")
+    directory = FileStateDirectory(str(tmp_path))
+    assert directory.lock("sign-1-a")
     folder = tmp_path / "dykefold"
     live, live_by_process_id = f".sign-1-a.{os.getpid()}", f".sign-2-b.{os.getppid()}"
     dead, foreign = f".state-3-c.{os.getpid()}", ".profile"
