--- a/dykefold/failover/__init__.py
+++ b/dykefold/failover/__init__.py
@@ -1,4 +1,6 @@
-"""Failover between zones: the sidecars of a zone that fails work in other zones; see docs/design/failover.md.
+"""Failover between zones: when the endpoints of a zone fail, its sidecars send their requests to other zones.
 
-`controller.py` runs in an event loop; everything else is free of I/O.
+See docs/design/failover.md.
+
+`controller.py` runs in an event loop; the other modules do no I/O.
 """
--- a/dykefold/failover/controller.py
+++ b/dykefold/failover/controller.py
@@ -1,4 +1,4 @@
-"""Runs the failover in a process: samples attempts, follows the traffic plan, moves the pool's home zone."""
+"""Failover controller of a process: samples attempts, steps the traffic plan, sets the pool's home zone."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 class Pool(Protocol):
-    """The pool of endpoints whose sidecar may move.
+    """Pool whose home zone the failover sets.
 
     Attributes:
-        on_attempt_end: Callback for the end of an attempt. Its arguments are the endpoint's number, the
+        on_attempt_end: Callback for each finished attempt. Its arguments are the endpoint's number, the
             status, the duration and the latency objective of the class, both in nanoseconds.
     """
 
@@ -38,28 +38,28 @@
         ...
 
     def attempted_and_ejected_by_zone(self) -> dict[int, tuple[int, int]]:
-        """Return by zone the number of endpoints with attempts, and the number of these that are ejected."""
+        """Return by zone the number of endpoints with attempts, and how many of these are ejected."""
         ...
 
-    def zone_of(self, server: int) -> int | None:
+    def zone_of(self, endpoint_number: int) -> int | None:
         """Return the zone of an endpoint; None if the endpoint is unknown."""
         ...
 
-    def responded_within(self, server: int, duration_ns: int) -> bool:
-        """Return whether an endpoint has answered anything in the last `duration_ns` nanoseconds."""
+    def responded_within(self, endpoint_number: int, duration_ns: int) -> bool:
+        """Return whether an endpoint has sent any response in the last `duration_ns` nanoseconds."""
         ...
 
     def set_home_zone(self, zone: int) -> None:
-        """Treat this zone as the sidecar's own from now on."""
+        """Make the balancer prefer this zone as the sidecar's own."""
         ...
 
 
 class HomeMembers(NamedTuple):
-    """The live sidecars, as the plan needs them.
+    """Live sidecars, summarised for the traffic plan.
 
     Attributes:
         by_zone: Number of live sidecars, by zone.
-        order: Order in which the sidecars of the home zone stay when its traffic moves.
+        order: Live sidecars of the home zone in staying order; the last ones move to other zones first.
         connected: Whether other sidecars are live and the membership is settled.
     """
 
@@ -75,20 +75,20 @@
 
 
 class FailoverController:
-    """Runs the failover of one process.
+    """Steps the traffic plan of one process and applies it to the pool.
 
     Args:
         loop: Event loop of the timer.
         membership: Membership as this sidecar sees it.
-        pool: Pool whose home zone follows the plan.
+        pool: Pool whose home zone is set by the plan.
         system: Source of the clock.
 
     Attributes:
         settings: Settings of the failover.
-        sampler: Counts attempts by zone.
+        sampler: Counter of attempt results by zone.
         plan: Traffic plan of the home zone.
-        health: Health of each zone, as seen from each zone.
-        working_zone: Zone that the balancer treats as its own.
+        health: Health by observing and observed zone.
+        working_zone: Zone that the balancer currently treats as its own.
     """
 
     def __init__(
@@ -110,7 +110,7 @@
         self._logged_plan: _LoggedPlan | None = None
         self._closed = False
         pool.on_attempt_end = self._on_attempt_end
-        self._run()
+        self._run_step()
 
     def _on_attempt_end(self, endpoint: int, status: Status, duration_ns: int, objective_ns: int) -> None:
         zone = self.pool.zone_of(endpoint)
@@ -128,30 +128,30 @@
         if status is Status.FULL:
             return AttemptResult.REJECTED
         if status is Status.TIMEOUT and self.pool.responded_within(endpoint, duration_ns):
-            return AttemptResult.LATE  # it answers others: it is slow, not silent
+            return AttemptResult.LATE  # It responded to other requests meanwhile: it is slow, not down.
         return None
 
-    # The plan
+    # Steps of the plan
 
-    def _run(self) -> None:
+    def _run_step(self) -> None:
         if self._closed:
             return
-        self._timer = self.loop.call_later(STEP_INTERVAL_S, self._run)
+        self._timer = self.loop.call_later(STEP_INTERVAL_S, self._run_step)
         now_ns = self.system.monotonic_ns()
         samples = self.sampler.samples(now_ns, self.pool.attempted_and_ejected_by_zone())
         ready = self.pool.ready_by_zone()
-        if self._is_quiet(samples, ready):
+        if self._can_skip_step(samples, ready):
             self.health = {}
-            self.plan.rest()
-            return  # all is well, and it costs nothing
+            self.plan.reset_condition_times()
+            return  # Nothing to assess or publish while all zones are healthy.
         members = self._home_members(now_ns)
         self._publish(now_ns, samples, members)
         self.health = self._assess(now_ns, samples, members)
         if self.plan.step(now_ns, self._plan_inputs(now_ns, ready, members)):
             self._log_plan()
-        self._move(members.order)
+        self._apply_working_zone(members.order)
 
-    def _is_quiet(self, samples: dict[int, HealthSample], ready: dict[int, int]) -> bool:
+    def _can_skip_step(self, samples: dict[int, HealthSample], ready: dict[int, int]) -> bool:
         if self.plan.state is not PlanState.HOME or self.settings.options.out:
             return False
         if not ready.get(self.settings.home) or self._reports.has_any():
@@ -162,19 +162,19 @@
         live = self.membership.live_members(now_ns)
         zones = {number: self.membership.zone_of(number) for number in live}
         by_zone = Counter(zone for zone in zones.values() if zone is not None)
-        at_home = [number for number in live if zones[number] == self.settings.home]
+        home_members = [number for number in live if zones[number] == self.settings.home]
         connected = self.membership.is_settled(now_ns) and len(live) > 1
-        return HomeMembers(by_zone, staying_order(self.settings.home, at_home), connected)
+        return HomeMembers(by_zone, staying_order(self.settings.home, home_members), connected)
 
     def _publish(self, now_ns: int, samples: dict[int, HealthSample], members: HomeMembers) -> None:
-        named = {zone: sample for zone, sample in samples.items() if zone < self.settings.zone_count}
-        self._reports.publish(now_ns, members.order, named, self.settings.home, self.plan.level)
+        known_zones = {zone: sample for zone, sample in samples.items() if zone < self.settings.zone_count}
+        self._reports.publish(now_ns, members.order, known_zones, self.settings.home, self.plan.level)
 
     def _assess(
         self, now_ns: int, samples: dict[int, HealthSample], members: HomeMembers
     ) -> dict[ZonePair, ZoneHealth]:
         home = self.settings.home
-        # Sidecars that are away see nothing of the zones from home.
+        # Sidecars that work elsewhere observe nothing from home: only those that stay count for the quorum.
         staying = max(round(members.by_zone[home] * (1.0 - self.plan.away_fraction)), 1)
         seen = self._reports.samples(now_ns, self.settings.zone_count, home, samples)
         return assess(seen, {**members.by_zone, home: staying})
@@ -190,7 +190,7 @@
             reports.reported_levels(now_ns, settings.home, members.order, self.plan.level),
         )
 
-    def _move(self, order: Sequence[int]) -> None:
+    def _apply_working_zone(self, order: Sequence[int]) -> None:
         own_number = self.membership.own_number
         if own_number not in order:
             return
@@ -207,7 +207,7 @@
         if logged == self._logged_plan:
             return
         self._logged_plan = logged
-        targets = ", ".join(f"{part:.2f} in {name(zone)}" for zone, part in plan.destinations.items())
+        targets = ", ".join(f"{fraction:.2f} in {name(zone)}" for zone, fraction in plan.destinations.items())
         log.info(
             "traffic plan of zone %s is %s: %.2f of its sidecars away%s; %s",
             name(self.settings.home),
@@ -217,10 +217,10 @@
             plan.cause,
         )
 
-    # The process
+    # Interface of the process
 
     def change_settings(self, settings: FailoverSettings) -> None:
-        """Apply changed settings. The pool has applied them before, so its home zone is its own again."""
+        """Apply changed settings, after the pool has applied them and thereby reset its home zone."""
         former_home = self.settings.home
         self.settings = settings
         if settings.home != former_home:
@@ -231,7 +231,7 @@
             self.pool.set_home_zone(self.working_zone)
 
     def report(self) -> dict[str, Any]:
-        """Return the home zone's plan, the reported plans of others and the zone samples, for operators."""
+        """Return the home zone's plan, reported levels of other zones and the zone health, for operators."""
         now_ns = self.system.monotonic_ns()
         plan, name = self.plan, self.settings.name
         levels = self._reports.levels(now_ns, self.settings.zone_count)
@@ -243,9 +243,9 @@
             "since_s": round((now_ns - plan.since_ns) / NS_PER_S, 3),
             "level": plan.level,
             "away": round(plan.away_fraction, 3),
-            "to": {name(zone): round(part, 3) for zone, part in plan.destinations.items()},
+            "to": {name(zone): round(fraction, 3) for zone, fraction in plan.destinations.items()},
             "moves": plan.recent_moves,
-            "others_levels": {name(zone): held for zone, held in levels.items()},
+            "others_levels": {name(zone): reported for zone, reported in levels.items()},
             "verdicts": {
                 f"{name(pair.observer)} on {name(pair.zone)}": health.value
                 for pair, health in sorted(self.health.items())
@@ -253,6 +253,6 @@
         }
 
     def close(self) -> None:
-        """Stop following the plan."""
+        """Stop stepping the plan."""
         self._closed = True
         self._timer.cancel()
--- a/dykefold/failover/health_samples.py
+++ b/dykefold/failover/health_samples.py
@@ -1,8 +1,8 @@
 """Health samples of zones from one sidecar: its ejected endpoints and the results of its attempts. No I/O.
 
-Losses are counted by endpoints, not by attempts: a balancer that has ejected an endpoint sends nothing there
-any more, and attempts from before the failure would hide it for seconds. Late and rejected attempts are
-counted as fractions of all.
+Failures are measured as the fraction of ejected endpoints, not of failed attempts: the balancer sends no
+requests to an ejected endpoint, so successful attempts from before the failure would hide it for seconds.
+Late and rejected attempts are measured as fractions of all attempts.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 
 from ..fleet.rate_limits import NS_PER_S
 
-ATTEMPT_HALF_LIFE_NS = NS_PER_S  # Of the weight of an attempt.
-MAX_ZONES = 31  # Zones with counts of their own.
-ATTEMPTS_PER_EJECTION = 2.0  # Weight of an ejected endpoint in a sample.
+ATTEMPT_HALF_LIFE_NS = NS_PER_S  # Half-life of the weight of an attempt.
+MAX_ZONES = 31  # Zones with a higher number are not sampled.
+ATTEMPTS_PER_EJECTION = 2.0  # Weight of an ejected endpoint in a sample, in attempts.
 
-# Encoding of a sample as the value of a record: 14 bits of weight, then 6 bits for each fraction.
+# Encoding of a sample as a 32-bit record value: 14 bits of weight, then 6 bits for each fraction.
 FRACTION_BITS = 6
 MAX_FRACTION_STEP = (1 << FRACTION_BITS) - 1
 WEIGHT_SHIFT = 3 * FRACTION_BITS
@@ -27,19 +27,20 @@
 
 
 class AttemptResult(Enum):
-    """Result of an attempt, as evidence on the zone of its endpoint."""
+    """Result of an attempt, as counted for the zone of its endpoint."""
 
     IN_TIME = auto()
-    LATE = auto()  # answered after the latency objective, or not yet by an endpoint that answers others
-    REJECTED = auto()  # the endpoint was full
+    LATE = auto()  # Response after the latency objective, or timeout while the endpoint responds to others.
+    REJECTED = auto()  # The endpoint was overloaded and rejected it.
 
 
 @dataclass(frozen=True, slots=True)
 class HealthSample:
-    """Health of a zone as one sidecar observes it.
+    """Health of a zone as observed by one sidecar.
 
     Attributes:
-        weight: Number of attempts that the sample is based on; the weight of an attempt decays with its age.
+        weight: Decayed number of attempts that the sample is based on; an ejected endpoint counts as
+            `ATTEMPTS_PER_EJECTION`.
         late: Fraction of the attempts that were late.
         rejected: Fraction of the attempts that were rejected.
         ejected: Fraction of the endpoints with attempts that are ejected.
@@ -51,7 +52,7 @@
     ejected: float = 0.0
 
     def encode(self) -> int:
-        """Return the sample as the value of a record, 32 bits."""
+        """Return the sample as a 32-bit record value."""
         weight = min(int(self.weight / ATTEMPTS_PER_WEIGHT_STEP), MAX_WEIGHT_STEP)
         return (
             weight << WEIGHT_SHIFT
@@ -62,7 +63,7 @@
 
     @staticmethod
     def decode(value: int) -> HealthSample:
-        """Return the sample in a record. Any 32 bits are valid; fractions are limited to 1."""
+        """Return the sample of a record value. Any 32 bits are valid; sums of fractions are limited to 1."""
         late = _fraction(value >> LATE_SHIFT)
         rejected = min(_fraction(value >> REJECTED_SHIFT), 1.0 - late)
         ejected = min(_fraction(value >> EJECTED_SHIFT), 1.0 - late)
@@ -78,7 +79,7 @@
 
 
 class HealthSampler:
-    """Counts attempts by zone; older ones count less.
+    """Counts attempts by zone and result, with exponential decay.
 
     Attributes:
         counts: Decayed counts of attempts, by zone and result.
@@ -89,7 +90,7 @@
         self._decayed_ns = 0
 
     def record(self, now_ns: int, zone: int, result: AttemptResult) -> None:
-        """Count an attempt."""
+        """Count the result of an attempt."""
         if 0 <= zone < MAX_ZONES:
             self._decay(now_ns)
             counts = self.counts.setdefault(zone, dict.fromkeys(AttemptResult, 0.0))
@@ -104,14 +105,14 @@
         """
         self._decay(now_ns)
         samples = {}
-        for zone, (tried, ejected) in endpoints.items():
+        for zone, (attempted, ejected) in endpoints.items():
             counts = self.counts.get(zone) or dict.fromkeys(AttemptResult, 0.0)
             attempts = sum(counts.values())
             weight = attempts + ejected * ATTEMPTS_PER_EJECTION
-            if tried and zone < MAX_ZONES and weight >= ATTEMPTS_PER_WEIGHT_STEP:
+            if attempted and zone < MAX_ZONES and weight >= ATTEMPTS_PER_WEIGHT_STEP:
                 late = counts[AttemptResult.LATE] / max(attempts, 1.0)
                 rejected = counts[AttemptResult.REJECTED] / max(attempts, 1.0)
-                samples[zone] = HealthSample(weight, late, rejected, ejected / tried)
+                samples[zone] = HealthSample(weight, late, rejected, ejected / attempted)
         return samples
 
     def _decay(self, now_ns: int) -> None:
--- a/dykefold/failover/traffic_plan.py
+++ b/dykefold/failover/traffic_plan.py
@@ -1,20 +1,21 @@
 """The traffic plan of a zone: which of its sidecars work in which other zone, and when they return. No I/O.
 
-Every sidecar applies the same function to the same records. So sidecars that reach each other have the same
-plan, except while a record is on its way. An isolated sidecar works at home as if there were no plan.
-Sidecars move, not requests: a sidecar that is away treats another zone as its own, and its balancer chooses
-among that zone's endpoints. Some canaries stay; their attempts show when the sidecars can return.
+Every sidecar applies the same function to the same membership records, so sidecars that reach each other
+compute the same plan, except while a record is being propagated. An isolated sidecar works at home as if
+there were no plan. Whole sidecars are moved, not single requests: the balancer of a sidecar that is away
+treats another zone as its own and prefers that zone's endpoints. Some sidecars, the canaries, stay; their
+attempts show when the others can return.
 
 | state | to | condition |
 | --- | --- | --- |
 | home | away | down, unreachable or without endpoints for `CONFIRM_NS`, with a destination |
-| away | returning | healthy, as seen by the canaries, for `RETURN_NS`, doubled by each recent move |
-| returning | home | each step of `STEP_NS` halves the traffic that is away; the last step returns the rest |
-| returning | away | down or unreachable again: at once |
+| away | returning | healthy, as seen by the canaries, for `RETURN_NS`, doubled by each further recent move |
+| returning | home | each step of `STEP_NS` halves the traffic that is away; the last one returns the rest |
+| returning | away | down or unreachable again, without confirmation |
 | any | home | no other member is live, the membership is not settled, or there is no destination |
-| any | any | the median of the reporting sidecars has had that level for `DISSENT_NS` |
+| any | any | the median level of the reporting sidecars has differed from this one's for `DISSENT_NS` |
 
-A slow, overloaded or degraded zone moves nobody: the balancer shifts load between single endpoints by itself.
+A slow, overloaded or degraded zone moves no sidecar: the balancer shifts load between its endpoints.
 """
 
 from __future__ import annotations
@@ -33,9 +34,9 @@
 RETURN_NS = 2 * NS_PER_S
 MAX_RETURN_NS = 60 * NS_PER_S
 MAX_RETURN_DOUBLINGS = 8
-FORGET_MOVES_NS = 60 * NS_PER_S  # Without a move; after that earlier moves no longer delay the return.
+FORGET_MOVES_NS = 60 * NS_PER_S  # Time without a move after which earlier moves no longer delay the return.
 STEP_NS = 2 * NS_PER_S
-RETURN_STEPS = 3  # Each returns half of the traffic that is away; one more step returns the rest.
+RETURN_STEPS = 3  # Each returns half of the traffic that is away; one last step returns the remainder.
 DISSENT_NS = 5 * NS_PER_S  # Longer than the lifetime of a report.
 CANARY_FRACTION = 0.125  # Of a zone's sidecars; at least one stays.
 LEAVE_STATES = frozenset((ZoneHealth.DOWN, ZoneHealth.UNREACHABLE))
@@ -51,7 +52,7 @@
 
 
 class PlanState(StrEnum):
-    """Where the sidecars of a zone work; the values are part of the admin API."""
+    """State of a traffic plan; the values are part of the admin API."""
 
     HOME = "home"
     AWAY = "away"
@@ -60,13 +61,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneFacts:
-    """Facts about the zones other than their health.
+    """State of the zones that a plan depends on, other than their health.
 
     Attributes:
         ready_endpoints: Number of ready endpoints by zone; a zone without any is no destination.
         regions: Region by zone; all zones without a region form one.
         evacuated: Zones that an operator has evacuated.
-        abandoned: Zones that their own sidecars have left.
+        abandoned: Zones whose own sidecars report that they work elsewhere.
     """
 
     ready_endpoints: Mapping[int, int]
@@ -80,8 +81,8 @@
     """Inputs of one step of the plan.
 
     Attributes:
-        health: Health of each zone, as seen from each zone.
-        zones: Facts about the zones.
+        health: Health by observing and observed zone.
+        zones: Endpoints, regions and evacuations of the zones.
         connected: Whether other sidecars are live and the membership is settled.
         members: Number of live sidecars of the zone.
         reported_levels: Plan levels of the sidecars that report for the zone, including this one if it
@@ -100,7 +101,7 @@
 
     Attributes:
         unusable: Whether the sidecars must leave the zone.
-        usable: Whether the sidecars may return. A zone of which too little is known is neither usable nor
+        usable: Whether the sidecars may return. A zone with too few samples is neither usable nor
             unusable.
         evacuated: Whether an operator has evacuated the zone.
         cause: Reason, for operators.
@@ -112,8 +113,8 @@
     cause: str
 
 
-class Move(NamedTuple):
-    """A change of the level, with its cause for operators."""
+class LevelChange(NamedTuple):
+    """A transition to another level, with its cause for operators."""
 
     level: int
     cause: str
@@ -130,17 +131,19 @@
 
 
 def destinations(origin: int, zones: ZoneFacts, health: Mapping[ZonePair, ZoneHealth]) -> dict[int, float]:
-    """Return where sidecars that leave go: zones of their region first, in proportion to endpoints.
+    """Return the zones that take over a zone's traffic, in proportion to their ready endpoints.
+
+    Zones of other regions are chosen only if no zone of the own region is eligible.
 
     Args:
-        origin: Zone that the sidecars leave.
-        zones: Facts about the zones.
-        health: Health of each zone, as seen from each zone.
+        origin: Zone whose traffic moves.
+        zones: Endpoints, regions and evacuations of the zones.
+        health: Health by observing and observed zone.
 
     Returns:
-        The fraction of the sidecars that are away, by zone.
+        The fraction of the moved sidecars, by destination zone.
     """
-    fit = {
+    eligible = {
         zone: count
         for zone, count in zones.ready_endpoints.items()
         if zone != origin
@@ -150,14 +153,17 @@
         and health.get(ZonePair(zone, zone), ZoneHealth.UNCLEAR) not in NO_DESTINATION_STATES
     }
     region = zones.regions.get(origin)
-    near = {zone: count for zone, count in fit.items() if zones.regions.get(zone) == region}
-    chosen = near or fit
+    same_region = {zone: count for zone, count in eligible.items() if zones.regions.get(zone) == region}
+    chosen = same_region or eligible
     total = sum(chosen.values())
     return {zone: count / total for zone, count in sorted(chosen.items())}
 
 
 def staying_order(origin: int, members: Sequence[int]) -> list[int]:
-    """Return the sidecars of a zone in staying order, the same at every sidecar: the first leaves last."""
+    """Return the sidecars of a zone in staying order, the same at every sidecar.
+
+    When traffic moves, the last in this order leave first.
+    """
     return sorted(members, key=lambda member: hash_pair(origin, member + 1))
 
 
@@ -169,10 +175,10 @@
 
     Attributes:
         origin: Zone whose plan it is.
-        level: 0 at home, 1 away, and one more for each step of the way back: the same number at all that hold
-            one plan, whatever they know of how many they are.
-        away_fraction: Fraction of the zone's sidecars that work elsewhere at this level.
-        destinations: Fraction of the sidecars that work elsewhere, by zone.
+        level: 0 at home, 1 away, and one more for each step of the return. It is equal at all sidecars with
+            the same plan, even if they count different numbers of members.
+        away_fraction: Fraction of the zone's sidecars that work in other zones at this level.
+        destinations: Fraction of the sidecars that are away, by destination zone.
         since_ns: Monotonic time in nanoseconds at which the level was entered.
         recent_moves: Number of recent moves away from the zone.
         cause: Reason for the level, for operators.
@@ -186,96 +192,97 @@
         self.since_ns = now_ns
         self.recent_moves = 0
         self.cause = "it has just begun"
-        self._left_ns = now_ns  # when the zone was last left
+        self._last_left_ns = now_ns  # Time of the last move away from the zone.
         self._unusable_since_ns: int | None = None
         self._usable_since_ns: int | None = None
-        self._dissent_since_ns: int | None = None  # others of the zone hold another level
+        self._dissent_since_ns: int | None = None  # Others of the zone report another level.
 
     @property
     def state(self) -> PlanState:
-        """Where the sidecars of the zone work."""
+        """State that the level belongs to."""
         if self.level == HOME_LEVEL:
             return PlanState.HOME
         return PlanState.AWAY if self.level == AWAY_LEVEL else PlanState.RETURNING
 
     @property
     def return_ns(self) -> int:
-        """Nanoseconds for which home must be healthy before the return; longer for a zone that flaps."""
+        """Nanoseconds for which home must be usable before the return begins; longer if it flaps."""
         doublings = min(max(self.recent_moves - 1, 0), MAX_RETURN_DOUBLINGS)
         return min(RETURN_NS << doublings, MAX_RETURN_NS)
 
     def step(self, now_ns: int, inputs: PlanInputs) -> bool:
-        """Update the plan from the current facts; return whether it has changed."""
+        """Update the plan from the current inputs; return whether it has changed."""
         before = (self.level, self.away_fraction, self.destinations)
         home = home_condition(self.origin, inputs)
         self._unusable_since_ns = _since(self._unusable_since_ns, now_ns, home.unusable)
         self._usable_since_ns = _since(self._usable_since_ns, now_ns, home.usable)
-        if now_ns - self._left_ns > FORGET_MOVES_NS:
+        if now_ns - self._last_left_ns > FORGET_MOVES_NS:
             self.recent_moves = 0
         targets = destinations(self.origin, inputs.zones, inputs.health)
         if not inputs.connected:
-            self._go(now_ns, Move(HOME_LEVEL, "nobody is heard"))
+            self._enter_level(now_ns, LevelChange(HOME_LEVEL, "nobody is heard"))
         elif not targets:
-            self._go(now_ns, Move(HOME_LEVEL, "there is nowhere to go"))
+            self._enter_level(now_ns, LevelChange(HOME_LEVEL, "there is nowhere to go"))
         else:
-            self._go(now_ns, self._next_move(now_ns, home))
+            self._enter_level(now_ns, self._next_change(now_ns, home))
             self._follow_median(now_ns, inputs.reported_levels)
         self.away_fraction = self._away_fraction(home, inputs.members)
         self.destinations = targets if self.level else {}
         return (self.level, self.away_fraction, self.destinations) != before
 
-    def rest(self) -> None:
-        """Forget since when the zone was unusable, usable or in dissent, as all zones are healthy."""
+    def reset_condition_times(self) -> None:
+        """Reset since when the zone was unusable, usable or in dissent, as all zones are healthy."""
         self._unusable_since_ns = self._usable_since_ns = self._dissent_since_ns = None
 
-    def _next_move(self, now_ns: int, home: HomeCondition) -> Move | None:
+    def _next_change(self, now_ns: int, home: HomeCondition) -> LevelChange | None:
         if self.state is PlanState.HOME:
-            return self._leave(now_ns, home)
+            return self._leave_home(now_ns, home)
         if home.unusable:
-            return Move(AWAY_LEVEL, home.cause)
+            return LevelChange(AWAY_LEVEL, home.cause)
         if self._usable_since_ns is None:
             return None
         if self.state is PlanState.AWAY:
             return self._begin_return(now_ns, self._usable_since_ns)
         return self._continue_return(now_ns)
 
-    def _leave(self, now_ns: int, home: HomeCondition) -> Move | None:
+    def _leave_home(self, now_ns: int, home: HomeCondition) -> LevelChange | None:
         since_ns = self._unusable_since_ns
         if since_ns is None or (now_ns - since_ns < CONFIRM_NS and not home.evacuated):
             return None
-        return Move(AWAY_LEVEL, home.cause)
+        return LevelChange(AWAY_LEVEL, home.cause)
 
-    def _begin_return(self, now_ns: int, usable_since_ns: int) -> Move | None:
+    def _begin_return(self, now_ns: int, usable_since_ns: int) -> LevelChange | None:
         if now_ns - usable_since_ns < self.return_ns:
             return None
-        return Move(FIRST_RETURN_LEVEL, "home is fine as the scouts see it")
+        return LevelChange(FIRST_RETURN_LEVEL, "home is fine as the scouts see it")
 
-    def _continue_return(self, now_ns: int) -> Move | None:
+    def _continue_return(self, now_ns: int) -> LevelChange | None:
         if now_ns - self.since_ns < STEP_NS:
             return None
         if self.level >= LAST_LEVEL:
-            return Move(HOME_LEVEL, "all the way back")
-        return Move(self.level + 1, "a step back")
+            return LevelChange(HOME_LEVEL, "all the way back")
+        return LevelChange(self.level + 1, "a step back")
 
     def _follow_median(self, now_ns: int, reported_levels: Sequence[int]) -> None:
-        """Take the median level of the reporting sidecars if it has differed for `DISSENT_NS`.
+        """Adopt the median level of the reporting sidecars if it has differed for `DISSENT_NS`.
 
-        So a sidecar that has just started or was isolated takes over the level of the others. All take the
-        same median, so they cannot swap levels. A cause that all of them see moves them together long before.
+        A sidecar that has just started or was isolated thereby adopts the level of the others. All adopt the
+        same median, so two sidecars cannot swap levels. A failure that all of them observe changes their
+        levels together long before that.
         """
-        common = lower_median(reported_levels) if reported_levels else self.level
-        self._dissent_since_ns = _since(self._dissent_since_ns, now_ns, common != self.level)
+        median_level = lower_median(reported_levels) if reported_levels else self.level
+        self._dissent_since_ns = _since(self._dissent_since_ns, now_ns, median_level != self.level)
         if self._dissent_since_ns is not None and now_ns - self._dissent_since_ns >= DISSENT_NS:
-            self._go(now_ns, Move(common, "others of the zone hold this"))
+            self._enter_level(now_ns, LevelChange(median_level, "others of the zone hold this"))
             self._dissent_since_ns = None
 
-    def _go(self, now_ns: int, move: Move | None) -> None:
-        if move is None or move.level == self.level:
+    def _enter_level(self, now_ns: int, change: LevelChange | None) -> None:
+        if change is None or change.level == self.level:
             return
-        if move.level == AWAY_LEVEL:
+        if change.level == AWAY_LEVEL:
             self.recent_moves += 1
-            self._left_ns = now_ns
-        self.level, self.cause = move
+            self._last_left_ns = now_ns
+        self.level, self.cause = change
         self.since_ns = now_ns
 
     def _away_fraction(self, home: HomeCondition, members: int) -> float:
@@ -285,24 +292,24 @@
         return (1.0 - canaries) / (1 << (self.level - AWAY_LEVEL))
 
     def zone_of(self, position: float) -> int:
-        """Return the zone in which a sidecar works.
+        """Return the zone in which a sidecar of this zone works.
 
         Args:
-            position: Place of the sidecar in the staying order, from 0 to below 1.
+            position: Position of the sidecar in the staying order, from 0 to below 1.
         """
         staying = 1.0 - self.away_fraction
         if position < staying or not self.destinations:
             return self.origin
-        place = (position - staying) / self.away_fraction
+        offset = (position - staying) / self.away_fraction
         for zone, fraction in self.destinations.items():
-            if place < fraction:
+            if offset < fraction:
                 return zone
-            place -= fraction
+            offset -= fraction
         return next(reversed(self.destinations))
 
 
 def _since(known_ns: int | None, now_ns: int, holds: bool) -> int | None:
-    """Return since when a condition has been true; None if it is false."""
+    """Return since when a condition holds; None if it does not hold."""
     if not holds:
         return None
     return now_ns if known_ns is None else known_ns
--- a/dykefold/failover/zone_health.py
+++ b/dykefold/failover/zone_health.py
@@ -1,17 +1,17 @@
-"""The health of zones from the samples of many sidecars: which are down, which paths are cut. No I/O.
+"""Health of zones from the samples of many sidecars; tells failed zones from failed network paths. No I/O.
 
 | health of a zone as seen from another | samples |
 | --- | --- |
 | unclear | none, or too few |
-| down | most endpoints are ejected there, and in every other observing zone, its own included |
-| unreachable | most endpoints are ejected there, and hardly any in some other observing zone |
-| degraded | more than hardly any endpoints are ejected, but not most |
-| overloaded | hardly any endpoints are ejected, many attempts are rejected |
-| slow | hardly any endpoints are ejected, many attempts are late |
-| healthy | hardly any endpoints are ejected, few attempts are rejected or late |
-
-The view of a zone is the median of the samples of several of its sidecars. So one sidecar that reports
-nonsense or is isolated decides nothing. A zone whose health is unclear moves no traffic.
+| down | most endpoints are ejected here and in every other observing zone, its own included |
+| unreachable | most endpoints are ejected here, and few in some other observing zone |
+| degraded | more than a few endpoints are ejected, but not most |
+| overloaded | few endpoints are ejected, many attempts are rejected |
+| slow | few endpoints are ejected, many attempts are late |
+| healthy | few endpoints are ejected, few attempts are rejected or late |
+
+What a zone observes is the median of the samples of several of its sidecars, so one sidecar that is isolated
+or reports wrong values cannot change the result. A zone whose health is unclear moves no traffic.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 from ..fleet.statistics import lower_median
 from .health_samples import HealthSample
 
-MIN_SAMPLE_WEIGHT = 2.0  # Recent attempts; a sample of fewer is not used.
-QUORUM = 3  # Sidecars of a zone that must report the same; all of them if there are fewer.
+MIN_SAMPLE_WEIGHT = 2.0  # Recent attempts; a sample with a lower weight is ignored.
+QUORUM = 3  # Sidecars of a zone that must report; all of them if there are fewer.
 MIN_DOWN_EJECTED_FRACTION = 0.7  # Of the endpoints with attempts.
 MIN_DEGRADED_EJECTED_FRACTION = 0.25
 MIN_OVERLOADED_FRACTION = 0.5  # Of the attempts that are rejected.
@@ -44,14 +44,14 @@
 
 
 class ZonePair(NamedTuple):
-    """A zone, and the zone whose sidecars observe it."""
+    """An observed zone, and the zone whose sidecars observe it."""
 
     observer: int
     zone: int
 
 
 def quorum(members: int) -> int:
-    """Return the number of sidecars of a zone that must report the same.
+    """Return the number of sidecars of a zone that must report.
 
     Args:
         members: Number of live sidecars of the zone.
@@ -80,15 +80,15 @@
 def assess(
     samples: Mapping[ZonePair, Sequence[HealthSample]], members: Mapping[int, int]
 ) -> dict[ZonePair, ZoneHealth]:
-    """Return the health of each zone, by each zone that has enough samples of it.
+    """Return the health by observing and observed zone, for pairs with enough samples.
 
     Args:
         samples: Samples by observing and observed zone.
         members: Number of live sidecars by zone.
     """
     combined = {}
-    for pair, found in samples.items():
-        sample = combine(found, members.get(pair.observer, 0))
+    for pair, pair_samples in samples.items():
+        sample = combine(pair_samples, members.get(pair.observer, 0))
         if sample is not None:
             combined[pair] = sample
     return {pair: _classify(pair, sample, combined) for pair, sample in combined.items()}
@@ -110,9 +110,9 @@
 
 
 def _classify_failed(ejected_elsewhere: Sequence[float]) -> ZoneHealth:
-    """Return the health of a zone that is mostly ejected in one zone, from the samples of the others."""
+    """Return the health of a zone whose endpoints are mostly ejected, from the samples of other zones."""
     if any(ejected < MIN_DEGRADED_EJECTED_FRACTION for ejected in ejected_elsewhere):
         return ZoneHealth.UNREACHABLE
     if all(ejected >= MIN_DOWN_EJECTED_FRACTION for ejected in ejected_elsewhere):
         return ZoneHealth.DOWN
-    return ZoneHealth.DEGRADED  # others get through to some of it
+    return ZoneHealth.DEGRADED  # Other zones reach some of its endpoints.
--- a/dykefold/routing/config.py
+++ b/dykefold/routing/config.py
@@ -1,4 +1,4 @@
-"""Reads and checks the tables of the operator's file on services: all that is wrong with them at once."""
+"""Reads and checks pools and routes of the operator's settings file; reports all problems at once."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from .plan import Plan
 from .plan_builder import make_pool_plan, make_route, make_route_options
 
-MAX_POOLS = 1000  # Each pool takes some hundred KB and a turn in every sweep.
+MAX_POOLS = 1000  # Each pool takes some hundred KB, and time in every periodic check of all pools.
 
-# Tables within the table of a pool, each by a name of the operator's.
+# Tables nested in the table of a pool; the operator names their entries.
 NESTED_TABLES: dict[str, type[msgspec.Struct]] = {"classes": ClassConfig, "tenants": TenantConfig}
 
 
 def read_plan(data: dict[str, object]) -> tuple[Plan | None, list[str]]:
-    """Return the plan of a file's tables, and all that is wrong with them.
+    """Return the plan that a settings file describes, and all problems of its tables.
 
     Args:
-        data: Tables of the file as `tomllib` returns them.
+        data: Tables of the settings file as `tomllib` returns them.
 
     Returns:
-        The plan, or None if anything is wrong; and the problems, a line each.
+        The plan, or None if there are problems; and the problems, one line each.
     """
     problems = struct_problems("node", data.get("node", {}), NodeConfig)
     pools, routes = data.get("pools", {}), data.get("routes", [])
@@ -48,38 +48,40 @@
     )
 
 
-def struct_problems(place: str, values: object, kind: type[msgspec.Struct]) -> list[str]:
-    """Return what is wrong with a table, a line each.
+def struct_problems(table_name: str, values: object, struct_type: type[msgspec.Struct]) -> list[str]:
+    """Return the problems of a table, one line each.
 
-    It is checked key by key, since a conversion of the whole reports the first problem only.
+    Each key is checked separately, since a conversion of the whole table reports its first problem only.
 
     Args:
-        place: Name of the table, for errors.
+        table_name: Full name of the table, for problem texts.
         values: Keys and values of the table.
-        kind: Type that the table should have.
+        struct_type: Type that the table should have.
     """
     if not isinstance(values, dict):
-        return [f"{place} = {values!r}: expected a table"]
-    fields = {field.encode_name: field for field in msgspec.structs.fields(kind)}
+        return [f"{table_name} = {values!r}: expected a table"]
+    fields = {field.encode_name: field for field in msgspec.structs.fields(struct_type)}
     problems = [
-        f"{place}.{name}: missing" for name, field in fields.items() if field.required and name not in values
+        f"{table_name}.{name}: missing"
+        for name, field in fields.items()
+        if field.required and name not in values
     ]
     for key, value in values.items():
         field = fields.get(key)
         if field is None:
-            problems.append(f"{place}.{key}: unknown; expected one of {', '.join(fields)}")
+            problems.append(f"{table_name}.{key}: unknown; expected one of {', '.join(fields)}")
             continue
         try:
             msgspec.convert(value, field.type)
         except msgspec.ValidationError as error:
-            problems.append(f"{place}.{key} = {value!r}: {str(error)[:1].lower()}{str(error)[1:]}")
+            problems.append(f"{table_name}.{key} = {value!r}: {str(error)[:1].lower()}{str(error)[1:]}")
     return problems
 
 
 def _make_plan(
     node: NodeConfig, pools: dict[str, PoolConfig], routes: list[RouteConfig]
 ) -> tuple[Plan | None, list[str]]:
-    """Return the plan of tables that are right each by itself, and what does not fit together."""
+    """Return the plan of tables that are each valid, and the problems between tables."""
     try:
         listen = split_address(node.listen, min_port=0)
     except ValueError as error:
@@ -97,31 +99,31 @@
     return (None, problems) if problems else (plan, [])
 
 
-def _pool_problems(place: str, values: object) -> list[str]:
+def _pool_problems(table_name: str, values: object) -> list[str]:
     if not isinstance(values, dict):
-        return [f"{place} = {values!r}: expected a table"]
-    flat = {key: value for key, value in values.items() if key not in NESTED_TABLES}
-    problems = struct_problems(place, flat, PoolConfig)
-    for key, kind in NESTED_TABLES.items():
-        problems += _nested_problems(f"{place}.{key}", values.get(key, {}), kind)
-    return problems or _address_problems(place, msgspec.convert(values, PoolConfig))
+        return [f"{table_name} = {values!r}: expected a table"]
+    own_values = {key: value for key, value in values.items() if key not in NESTED_TABLES}
+    problems = struct_problems(table_name, own_values, PoolConfig)
+    for key, struct_type in NESTED_TABLES.items():
+        problems += _nested_problems(f"{table_name}.{key}", values.get(key, {}), struct_type)
+    return problems or _address_problems(table_name, msgspec.convert(values, PoolConfig))
 
 
-def _nested_problems(place: str, tables: object, kind: type[msgspec.Struct]) -> list[str]:
+def _nested_problems(table_name: str, tables: object, struct_type: type[msgspec.Struct]) -> list[str]:
     if not isinstance(tables, dict):
-        return [f"{place} = {tables!r}: expected tables [{place}.NAME]"]
+        return [f"{table_name} = {tables!r}: expected tables [{table_name}.NAME]"]
     return [
         problem
         for name, table in tables.items()
-        for problem in struct_problems(f"{place}.{name}", table, kind)
+        for problem in struct_problems(f"{table_name}.{name}", table, struct_type)
     ]
 
 
-def _address_problems(place: str, pool: PoolConfig) -> list[str]:
-    """Return what is wrong with the addresses and limits of a pool whose keys are right each by itself."""
+def _address_problems(table_name: str, pool: PoolConfig) -> list[str]:
+    """Return the problems of addresses and limits in the table of a pool whose keys are each valid."""
     problems = []
     if bool(pool.servers) == (pool.discovery is not None):
-        problems.append(f"{place}: expected servers or discovery, and one of them only")
+        problems.append(f"{table_name}: expected servers or discovery, and one of them only")
     addresses = [("servers", text) for text in pool.servers]
     if pool.discovery is not None:
         addresses.append(("discovery", pool.discovery))
@@ -129,9 +131,11 @@
         try:
             split_address(text)
         except ValueError as error:
-            problems.append(f"{place}.{key}: {text!r}: expected ADDRESS:PORT ({error})")
+            problems.append(f"{table_name}.{key}: {text!r}: expected ADDRESS:PORT ({error})")
     if len(set(pool.servers)) < len(pool.servers):
-        problems.append(f"{place}.servers: an address comes twice")
+        problems.append(f"{table_name}.servers: an address comes twice")
     if pool.min_open > pool.max_open:
-        problems.append(f"{place}.open_least = {pool.min_open}: expected open_most = {pool.max_open} at most")
+        problems.append(
+            f"{table_name}.open_least = {pool.min_open}: expected open_most = {pool.max_open} at most"
+        )
     return problems
--- a/dykefold/routing/config_tables.py
+++ b/dykefold/routing/config_tables.py
@@ -1,6 +1,7 @@
-"""The tables of the operator's file as types: `[node]`, `[pools.NAME]`, `[[routes]]`.
+"""Types of the tables in the operator's settings file: `[node]`, `[pools.NAME]`, `[[routes]]`.
 
-A field has the name of its key, unless `rename` says another one. `deploy/service.toml` lists every key.
+A field has the name of its key in the file, unless `rename` gives another one. `deploy/service.toml` lists
+every key.
 """
 
 from __future__ import annotations
@@ -14,17 +15,19 @@
 
 Positive = Annotated[int, Meta(ge=1)]
 Milliseconds = Annotated[int, Meta(ge=1, le=3_600_000)]
-BodyLimit = Annotated[int, Meta(ge=64 * 1024, le=1 << 40)]  # bytes; a smaller body is kept whole for retries
+BodyLimit = Annotated[
+    int, Meta(ge=64 * 1024, le=1 << 40)
+]  # Bytes; bodies up to the minimum are buffered completely, so that they can be retried.
 Name = Annotated[str, Meta(pattern="^[A-Za-z0-9._-]{1,64}$")]
 
 
 class NodeConfig(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[node]`: what the process has.
+    """`[node]`: address and resources of the process.
 
     Attributes:
         name: Name of the process in logs.
         listen: Address and port at which clients connect.
-        descriptors: Number of descriptors that the process may open.
+        descriptors: Maximum number of file descriptors that the process may open.
         memory_mb: Memory limit of the process in megabytes.
     """
 
@@ -35,16 +38,17 @@
 
 
 class ClassConfig(msgspec.Struct, forbid_unknown_fields=True, frozen=True, rename={"objective_ms": "aim_ms"}):
-    """`[pools.NAME.classes.CLASS]`.
+    """`[pools.NAME.classes.CLASS]`: a request class of a pool.
 
     Attributes:
-        effect: Whether a request may run more than once: safe, keyed or unsafe.
+        effect: Whether a request may be executed more than once: `safe` (always), `keyed` (if its endpoints
+            remember its idempotency key) or `unsafe` (never).
         objective_ms: Latency objective in milliseconds.
         deadline_ms: Deadline of a request in milliseconds.
-        worth: Priority weight of a response within the latency objective.
-        late_worth: Fraction of that weight for a later response.
-        scope: Endpoints that share their idempotency keys.
-        window_ms: Milliseconds for which endpoints remember an idempotency key.
+        worth: Priority weight of a request that is answered within the latency objective.
+        late_worth: Fraction of that weight if it is answered later.
+        scope: Endpoints that share remembered idempotency keys: all, those of a zone or those of a cell.
+        window_ms: Time in milliseconds for which endpoints remember an idempotency key.
     """
 
     effect: Literal["safe", "keyed", "unsafe"]
@@ -57,10 +61,10 @@
 
 
 class TenantConfig(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[pools.NAME.tenants.TENANT]`.
+    """`[pools.NAME.tenants.TENANT]`: a tenant of a pool.
 
     Attributes:
-        requests_per_s: Rate of requests beyond which the tenant is shed first.
+        requests_per_s: Quota of requests per second; requests beyond it are shed first under overload.
     """
 
     requests_per_s: Annotated[float, Meta(gt=0)]
@@ -78,22 +82,22 @@
         "max_open": "open_most",
     },
 ):
-    """`[pools.NAME]`.
+    """`[pools.NAME]`: a pool of endpoints.
 
     Attributes:
         servers: Addresses of the endpoints.
-        discovery: Address of the pool's discovery, instead of `servers`.
-        classes: Request classes by name; none for the default classes `read`, `idempotent` and `write`.
+        discovery: Address of the discovery service that lists the endpoints, instead of `servers`.
+        classes: Request classes by name; if empty, the pool has the classes `read`, `idempotent` and `write`.
         tenants: Tenants by name.
-        over_share_worth: Fraction of its priority weight that a request beyond its tenant's rate counts.
-        objective_ms: Latency objective in milliseconds of a pool without classes of its own.
-        deadline_ms: Deadline in milliseconds of a pool without classes of its own.
-        max_attempts: Maximum number of attempts of one request.
+        over_share_worth: Factor on the priority weight of a request beyond its tenant's quota.
+        objective_ms: Latency objective in milliseconds of the default classes.
+        deadline_ms: Deadline in milliseconds of the default classes.
+        max_attempts: Maximum number of attempts per request.
         connect_timeout_ms: Connect timeout in milliseconds.
-        idle_ms: Milliseconds after which endpoints may close an idle connection.
-        max_retry_after_ms: Longest Retry-After in milliseconds; 0 sends none.
-        min_open: Number of pending requests that the pool is guaranteed.
-        max_open: Number of pending requests beyond which the pool rejects.
+        idle_ms: Time in milliseconds after which endpoints may close an idle connection.
+        max_retry_after_ms: Maximum Retry-After in milliseconds that is sent to clients; 0 sends none.
+        min_open: Guaranteed number of connections to endpoints, and thus of pending requests.
+        max_open: Maximum number of pending requests; the pool rejects further ones.
     """
 
     servers: list[str] = []
@@ -112,10 +116,10 @@
 
 
 class HeaderConfig(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`header` of a route: a request must have it.
+    """`header` of a route: a header that a request must have.
 
     Attributes:
-        name: Name of the header, in any case.
+        name: Name of the header, case-insensitive.
         value: Complete value that the header must have.
     """
 
@@ -133,24 +137,25 @@
         "max_response_bytes": "answer_most_bytes",
     },
 ):
-    """`[[routes]]`: see `Route` for the conditions and `RouteOptions` for the rest.
+    """`[[routes]]`: a route. See `Route` for its conditions, and `RouteOptions` for its other fields.
 
     Attributes:
         name: Name of the route in errors and logs.
-        pool: Name of the pool that serves its requests.
+        pool: Name of the pool that serves the requests.
         host: Exact host name, or `*.suffix`.
         path: Exact path.
-        prefix: Leading complete segments of a path.
+        prefix: Leading path segments; a segment matches completely or not at all.
         methods: Methods that the route accepts.
         cls: Name of the class that the request must have.
         header: Header that the request must have.
-        dialect: `platform` for requests as on the platform.
-        classes: Classes of the pool, by method.
-        idempotent: PUT and DELETE may be retried.
+        dialect: `platform` for the platform's protocol, in which the first path segment names the class;
+            `http` for any other HTTP request.
+        classes: Name of the request class by method.
+        idempotent: Whether PUT and DELETE may be retried.
         make_ids: Whether a missing X-Request-Id is generated.
-        deadline_ms: Deadline in milliseconds of a request that states none; 0 takes that of its class.
+        deadline_ms: Deadline in milliseconds of a request without one; 0 for the deadline of its class.
         key_header: Name of the header that carries an idempotency key.
-        tenant_header: Name of the header that names a tenant.
+        tenant_header: Name of the header that names the tenant; empty for none.
         max_body_bytes: Maximum size of a request body in bytes.
         max_response_bytes: Maximum size of a response body in bytes.
     """
--- a/dykefold/routing/plan.py
+++ b/dykefold/routing/plan.py
@@ -1,4 +1,4 @@
-"""What an operator's file asks for, as values: pools, routes, the process they share. No I/O."""
+"""The configuration of pools, routes and the process that serves them, from the settings file. No I/O."""
 
 from __future__ import annotations
 
@@ -13,23 +13,24 @@
 MB = 1024 * 1024
 NS_PER_S = 1_000 * NS_PER_MS
 
-# Methods by what RFC 9110 says of them (9.2.1, 9.2.2); all others may never run twice.
+# Methods by RFC 9110, 9.2.1 and 9.2.2; a request with any other method must not be executed twice.
 SAFE_METHODS = frozenset(("GET", "HEAD", "OPTIONS", "TRACE"))
 IDEMPOTENT_METHODS = frozenset(("PUT", "DELETE"))
-READ, IDEMPOTENT, WRITE = "read", "idempotent", "write"  # classes of a pool that names none
+READ, IDEMPOTENT, WRITE = "read", "idempotent", "write"  # Classes of a pool that configures none.
 
 
 @dataclass(frozen=True, slots=True)
 class PoolPlan:
-    """One service.
+    """Configuration of one pool.
 
     Attributes:
-        name: Name of the pool in routes, logs and the keys of the file.
-        settings: Settings of its balancer.
+        name: Name of the pool in routes, logs and keys of the file.
+        settings: Settings of the pool's balancer.
         servers: Addresses of the endpoints that the file lists; empty if discovery lists them.
-        discovery: Address of its discovery; None if the file lists the endpoints.
-        limits: Descriptors and pending requests that the pool may reserve.
-        idle_ns: Nanoseconds after which endpoints may close an idle connection.
+        discovery: Address of its discovery service; None if the file lists the endpoints.
+        limits: Guaranteed and maximum number of connections to endpoints; the maximum also limits pending
+            requests.
+        idle_ns: Time in nanoseconds after which endpoints may close an idle connection.
     """
 
     name: str
@@ -39,8 +40,8 @@
     limits: ReservationLimits
     idle_ns: int
 
-    def same_service(self, other: PoolPlan) -> bool:
-        """Return whether a pool made by the other plan can go on with this one, with all that it knows."""
+    def can_continue_as(self, other: PoolPlan) -> bool:
+        """Return whether a running pool can adopt the other plan and keep its balancer and connections."""
         return (
             self.settings == other.settings
             and self.idle_ns == other.idle_ns
@@ -50,21 +51,20 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteOptions:
-    """How the requests of a route are read, and of which classes of its pool they are.
+    """How requests of a route are parsed and assigned to request classes of its pool.
 
     Attributes:
-        platform: Whether requests are read as on the platform: the first segment of the path is the class,
-            and the
-            headers are those of its protocol. The rest has no meaning then.
-        classes: Class by method; a method that is not named is treated as RFC 9110 defines it.
-        idempotent: PUT and DELETE may be retried.
-        make_ids: Whether a missing X-Request-Id is generated and returned to the client with the response.
-        deadline_ns: Deadline in nanoseconds of a request that states none; 0 takes that of its class.
+        platform: Whether requests use the platform's protocol: the first path segment is the class, and the
+            headers are those of that protocol. The other options are ignored then.
+        classes: Name of the request class by method; other methods get a default class by RFC 9110.
+        idempotent: Whether PUT and DELETE may be retried.
+        make_ids: Whether a missing X-Request-Id is generated, and returned to the client in the response.
+        deadline_ns: Deadline in nanoseconds of a request without one; 0 for the deadline of its class.
         key_header: Lower-case name of the header that carries an idempotency key.
-        tenant_header: Lower-case name of the header that names a tenant of the pool; empty for none.
-        max_body_bytes: Maximum size of a request body in bytes. Beyond 64 KiB it is streamed and never sent
-            again.
-        max_response_bytes: Maximum size of a response body in bytes. Beyond 64 KiB it is streamed.
+        tenant_header: Lower-case name of the header that names the tenant; empty for none.
+        max_body_bytes: Maximum size of a request body in bytes. A body over 64 KiB is streamed and
+            never retried.
+        max_response_bytes: Maximum size of a response body in bytes. A body over 64 KiB is streamed.
     """
 
     platform: bool = False
@@ -78,10 +78,10 @@
     max_response_bytes: int = 64 * MB
 
     def class_of(self, method: str) -> str:
-        """Return the name of the class that a method's requests are of."""
-        named = self.classes.get(method)
-        if named is not None:
-            return named
+        """Return the name of the request class of a method."""
+        configured = self.classes.get(method)
+        if configured is not None:
+            return configured
         if method in SAFE_METHODS:
             return READ
         return IDEMPOTENT if self.idempotent and method in IDEMPOTENT_METHODS else WRITE
@@ -89,16 +89,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """All that the file says of services.
+    """Complete configuration of a process: listener, pools and routes.
 
     Attributes:
         name: Name of the process in logs.
-        listen: Address of the one listener.
-        sockets: Number of descriptors that the process may open.
+        listen: Address of the listener.
+        sockets: Maximum number of file descriptors that the process may open.
         memory_bytes: Memory limit of the process in bytes.
         pools: Pools by name.
         routes: Routes in the order of the file.
-        options: Options of the routes, by the route's name.
+        options: Options of the routes by route name.
     """
 
     name: str
@@ -121,7 +121,7 @@
         return RouteTable(number, self.routes, self.pools)
 
     def problems(self) -> list[str]:
-        """Return what is wrong across tables of the file, a line each; none if the plan can be applied."""
+        """Return the problems between tables of the file, one line each; empty if the plan can be applied."""
         found: list[str] = []
         try:
             self.table(0)
@@ -155,7 +155,7 @@
 
 
 def default_classes(objective_ns: int, deadline_ns: int) -> list[RequestClass]:
-    """Return the classes of a pool that names none: what is safe, idempotent and neither by RFC 9110.
+    """Return the classes of a pool that configures none: safe, idempotent and other methods of RFC 9110.
 
     Args:
         objective_ns: Latency objective of each class in nanoseconds.
--- a/dykefold/routing/plan_builder.py
+++ b/dykefold/routing/plan_builder.py
@@ -1,4 +1,4 @@
-"""Makes the parts of a plan from tables of the operator's file that have been checked."""
+"""Builds the parts of a plan from checked tables of the operator's settings file."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 EFFECTS = {"safe": Effect.SAFE, "keyed": Effect.KEYED, "unsafe": Effect.UNSAFE}
 SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
-ZONE_NAME = "here"  # The file knows no zones, so a pool has one.
+ZONE_NAME = "here"  # The file has no zones, so all endpoints of a pool are in one.
 
 
 def make_pool_plan(name: str, pool: PoolConfig) -> PoolPlan:
@@ -19,7 +19,7 @@
 
     Args:
         name: Name of the pool.
-        pool: Table of the pool in the file.
+        pool: Checked table of the pool.
 
     Raises:
         ValueError: An address is invalid.
@@ -47,7 +47,7 @@
 
 
 def make_route(route: RouteConfig) -> Route:
-    """Return the line of the route table."""
+    """Return the route of a table."""
     header = None
     if route.header is not None:
         header = HeaderCondition(route.header.name.lower(), route.header.value)
@@ -64,7 +64,7 @@
 
 
 def make_route_options(route: RouteConfig) -> RouteOptions:
-    """Return how the requests of a route are read."""
+    """Return the options of a route."""
     return RouteOptions(
         platform=route.dialect == "platform",
         classes=route.classes,
--- a/dykefold/routing/request_target.py
+++ b/dykefold/routing/request_target.py
@@ -1,10 +1,10 @@
-"""The host and the path of a request, in the one form that routes compare. No I/O.
+"""Normalizes the host and path of a request for route matching. No I/O.
 
-A route must see what the endpoint will see. Where two readers of a target could differ (empty or dot
-segments, a slash or a dot that is percent-encoded, a host that is named twice in two ways) the request is
-rejected rather than guessed at: a client that slips past a route here would reach another service there.
+The sidecar must interpret a target exactly as the endpoint will. A target that two parsers could interpret
+differently (empty or dot segments, a percent-encoded slash or dot, two different hosts) is rejected:
+otherwise a client could match one route here and reach another service at the endpoint.
 
-Sources: RFC 3986 sections 3.2.2, 3.3 and 6.2.2 (hosts, paths, what is equivalent), RFC 9112 section 3.2
+Sources: RFC 3986 sections 3.2.2, 3.3 and 6.2.2 (hosts, paths, equivalence), RFC 9112 section 3.2
 (forms of the target), RFC 9110 section 7.2 (Host), RFC 1034 section 3.1 (labels, the trailing dot).
 """
 
@@ -14,19 +14,19 @@
 from enum import Enum
 from urllib.parse import unquote_to_bytes
 
-MAX_HOST_LENGTH = 255  # octets of a name (RFC 1034, 3.1)
-MAX_SEGMENTS = 64  # Segments of a path; each is one step of a look-up.
+MAX_HOST_LENGTH = 255  # Bytes of a name (RFC 1034, 3.1).
+MAX_SEGMENTS = 64  # Segments of a path; each is one step of a route lookup.
 
 _LABELS = re.compile(r"(?!-)[a-z0-9_-]{1,63}(?<!-)(?:\.(?!-)[a-z0-9_-]{1,63}(?<!-))*")
 _LITERAL = re.compile(r"\[[0-9a-f:.]{2,45}\]")
 _PORT = re.compile(r"[0-9]{0,5}")
-# pchar of RFC 3986, 3.3, and the slash; percent signs are looked at one by one.
+# pchar of RFC 3986, 3.3, and the slash; `_BAD_PERCENT` checks what follows percent signs.
 _PATH = re.compile(r"/[A-Za-z0-9._~!$&'()*+,;=:@%/-]*")
 _BAD_PERCENT = re.compile(r"%(?![0-9A-Fa-f]{2})")
 
 
 class TargetProblem(Enum):
-    """Why a host or path is rejected, in words for the client."""
+    """Reason for which a host or path is rejected; the value is sent to the client."""
 
     NO_HOST = "the host is no name or address"
     CHARACTERS = "the path has characters that it may not have"
@@ -42,23 +42,23 @@
 
 
 class RequestTargetError(ValueError):
-    """A host or path is rejected.
+    """Raised for a host or path that is rejected.
 
     Attributes:
         problem: Reason for the rejection.
     """
 
     def __init__(self, problem: TargetProblem) -> None:
-        """Take the problem, whose words are the error's text."""
+        """Use the text of the problem as the error message."""
         super().__init__(problem.value)
         self.problem = problem
 
 
 def canonical_host(value: str) -> str:
-    """Return a Host value as routes compare it: lower case, with no port and no trailing dot.
+    """Return a Host value in normalized form: lower case, without port and trailing dot.
 
     Args:
-        value: Host as it was received: a name or an address, with or without a port.
+        value: Host as received: a name or an address, with or without a port.
 
     Raises:
         RequestTargetError: The value is empty, too long or not a host.
@@ -79,12 +79,12 @@
 
 
 def path_segments(path: str) -> tuple[str, ...]:
-    """Return a path's segments, percent-decoded, as routes and endpoints compare them.
+    """Return the percent-decoded segments of a path.
 
-    `/` has none; a trailing slash is an empty last segment, since endpoints tell the two apart.
+    `/` has none. A trailing slash yields an empty last segment, since endpoints distinguish the two paths.
 
     Args:
-        path: Target in origin form without its query.
+        path: Request target in origin form, without the query.
 
     Raises:
         RequestTargetError: The path is ambiguous.
@@ -118,15 +118,15 @@
 
 
 def split_target(target: str, hosts: list[str]) -> tuple[str, tuple[str, ...]]:
-    """Return host and path segments of a request.
+    """Return the normalized host and the path segments of a request.
 
     Args:
         target: Request target in origin form or absolute form.
         hosts: Values of all Host header lines, in order.
 
     Raises:
-        RequestTargetError: no host or more than one, a target in another form, or one that names another host
-            than the Host line does.
+        RequestTargetError: The request does not have exactly one Host line, its target has another form, or
+            the target names another host than the Host line.
     """
     if len(hosts) != 1:
         raise RequestTargetError(TargetProblem.HOST_COUNT)
@@ -139,9 +139,9 @@
 
 
 def _origin_form(target: str, host: str) -> str:
-    """Return the path of a target in absolute form, which must name this host."""
-    scheme, found, rest = target.partition("://")
-    if not found or scheme.lower() != "http":
+    """Return the path of a target in absolute form, which must name the given host."""
+    scheme, separator, rest = target.partition("://")
+    if not separator or scheme.lower() != "http":
         raise RequestTargetError(TargetProblem.NO_PATH)
     authority, slash, path = rest.partition("/")
     authority, question, _ = authority.partition("?")
--- a/dykefold/routing/requests.py
+++ b/dykefold/routing/requests.py
@@ -1,7 +1,7 @@
-"""Which pool a client's message is for, and what it is there. No I/O.
+"""Finds the route and pool of a client's message, and parses it as a request of that pool. No I/O.
 
-The route is found by what the endpoint will see (`split_target` rejects what two readers could take for two
-things), and the request keeps the pool that it was read for, whatever becomes of the table.
+Routes match the target as the endpoint will interpret it (`split_target` rejects ambiguous targets). A parsed
+request keeps its pool even if the route table is replaced later.
 """
 
 from __future__ import annotations
@@ -23,27 +23,27 @@
 from .table import RouteTable
 
 IDEMPOTENT = frozenset(method.encode() for method in IDEMPOTENT_METHODS)
-MAX_ID_BYTES = 128  # Of an X-Request-Id. Ids are remembered for some seconds after their requests.
+MAX_ID_BYTES = 128  # Of an X-Request-Id; ids are remembered for some seconds after their requests.
 
 
 class ConfiguredPool(Protocol):
-    """A pool, as far as its requests are read by it."""
+    """A pool with the settings that its requests are parsed by."""
 
     settings: Settings
 
 
 class HeaderView(Mapping[str, str]):
-    """A message's headers as the route table asks for them, decoded only where a route does."""
+    """Headers of a message as text; a value is decoded only when a route reads it."""
 
     def __init__(self, headers: dict[bytes, bytes]) -> None:
-        """Take the headers by lower-case name."""
+        """Wrap the headers, by lower-case name."""
         self._headers = headers
 
     def __getitem__(self, name: str) -> str:
         """Return the value of a header.
 
         Raises:
-            KeyError: There is no class of this name.
+            KeyError: There is no header of this name.
         """
         return self._headers[name.encode()].decode("latin-1")
 
@@ -56,18 +56,19 @@
         return (name.decode("latin-1") for name in self._headers)
 
     def __len__(self) -> int:
-        """Return how many headers there are."""
+        """Return the number of headers."""
         return len(self._headers)
 
 
 class RouteRequestReader:
-    """Reads the requests of one route.
+    """Parses the requests of one route.
 
     Args:
-        pool_name: Name of the pool. It is part of the ids by which duplicate requests are recognized.
+        pool_name: Name of the pool. It prefixes request ids, so that equal ids in different pools are no
+            duplicates.
         pool: Pool that serves the requests.
         options: Options of the route.
-        make_id: Returns a new X-Request-Id.
+        make_id: Function that returns a new X-Request-Id.
     """
 
     def __init__(
@@ -87,7 +88,7 @@
         """Return the request of a message.
 
         Raises:
-            RequestError: The request is answered with an error and reaches no pool.
+            RequestError: The request is rejected with an error response and reaches no pool.
         """
         if self._options.platform:
             request = self._platform_parser.parse(message)
@@ -132,7 +133,7 @@
         )
 
     def _class_of(self, method: bytes) -> tuple[int, RequestClass]:
-        """Return number and settings of a method's class."""
+        """Return the number and settings of the request class of a method."""
         found = self._classes.get(self._options.class_of(method.decode("latin-1")))
         if found is None:
             raise RequestError(405, "this route takes no such method")
@@ -147,7 +148,7 @@
         return tenant
 
     def _check_key(self, spec: RequestClass, method: bytes, headers: dict[bytes, bytes]) -> None:
-        """Check that a request has the key of its class: without it no endpoint could drop a retry."""
+        """Check that a request of a keyed class has its key: endpoints need it to recognize a retry."""
         if spec.effect is not Effect.KEYED or (self._options.idempotent and method in IDEMPOTENT):
             return
         if not headers.get(self._key_header):
@@ -155,28 +156,28 @@
 
 
 class RoutingRequestReader:
-    """Reads messages by one route table: an immutable value that is replaced whole.
+    """Parses messages by one route table. For another table it is replaced by another reader.
 
     Args:
-        readers: Readers by the route's name.
+        readers: Readers by route name.
 
     Attributes:
-        supports_streaming: Whether bodies beyond 64 KiB are accepted, each up to its route's limit.
+        supports_streaming: Whether bodies over 64 KiB are accepted, up to the limit of their route.
         table: Route table in use.
     """
 
     supports_streaming = True
 
     def __init__(self, table: RouteTable, readers: dict[str, RouteRequestReader]) -> None:
-        """Take a table and the reader of each of its routes."""
+        """Use a table and the readers of all its routes."""
         self.table = table
         self._readers = readers
 
     def parse(self, message: Message) -> ParsedRequest:
-        """Find the route of a message and read it there.
+        """Return the request of a message, parsed by the reader of its route.
 
         Raises:
-            RequestError: The request is answered with an error and reaches no pool.
+            RequestError: The request is rejected with an error response and reaches no pool.
         """
         headers = message.headers
         hosts = [headers[b"host"].decode("latin-1")] if b"host" in headers else []
--- a/dykefold/routing/reservations.py
+++ b/dykefold/routing/reservations.py
@@ -1,9 +1,9 @@
-"""What each pool may reserve: a guaranteed minimum, a maximum, and a shared rest. No I/O.
+"""Reservations of pools: a guaranteed minimum and a maximum for each, and a shared remainder. No I/O.
 
-Rules: a pool within its minimum can always reserve; beyond it, a pool reserves from what is guaranteed to no
-pool; no pool holds more than its maximum; all reservations together never exceed the total. A pool that has
-been removed keeps what it holds until that is released, and counts wholly to the shared rest. Every step is a
-constant number of operations, whatever the number of pools.
+A pool below its minimum can always reserve. Beyond its minimum, a pool reserves from the remainder that is
+guaranteed to no pool. No pool reserves beyond its maximum, and all pools together not beyond the total. A
+removed pool keeps its reservations until it releases them, and all of them count as shared. Reserving and
+releasing take constant time, independent of the number of pools.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ReservationLimits:
-    """What one pool may reserve.
+    """Limits of the reservations of one pool.
 
     Attributes:
-        min: Number of reservations that the pool is guaranteed, used or not.
+        min: Number of reservations that are set aside for the pool, whether it uses them or not.
         max: Maximum number of reservations.
     """
 
@@ -29,29 +29,29 @@
 
 
 class GuaranteesError(ValueError):
-    """The minima of all pools are more than there is.
+    """Raised if the guaranteed minima of all pools exceed the total.
 
     Attributes:
-        guaranteed: Sum of the guaranteed reservations of all pools.
+        guaranteed: Sum of the minima of all pools.
         total: Maximum number of reservations of all pools together.
     """
 
     def __init__(self, guaranteed: int, total: int) -> None:
-        """Take the sum of the minima, and the total that it exceeds."""
+        """Build the message from the sum of the minima and the total that it exceeds."""
         super().__init__(f"the pools' minima come to {guaranteed} of {total}")
         self.guaranteed = guaranteed
         self.total = total
 
 
 class PoolReservations:
-    """Reservations by pool. A pool is known by any hashable value that no other one has.
+    """Counts reservations by pool; pools are identified by any unique hashable value.
 
     Attributes:
         total: Maximum number of reservations of all pools together.
         limits: Limits by pool.
         by_pool: Number of reservations by pool.
-        shared: Number of reservations beyond the guaranteed ones, of all pools together.
-        guaranteed: Sum of the guaranteed reservations of all pools.
+        shared: Number of reservations beyond the minimum of their pool, of all pools together.
+        guaranteed: Sum of the minima of all pools.
     """
 
     def __init__(self, total: int) -> None:
@@ -62,14 +62,17 @@
         self.guaranteed = 0
 
     def resize(self, total: int, limits: Mapping[Hashable, ReservationLimits]) -> None:
-        """Take other limits. What is held beyond them stays held, and no more is reserved meanwhile.
+        """Replace the limits. Existing reservations stay, even beyond the new limits.
+
+        A pool above its new maximum cannot reserve until it has released enough to be below it. Likewise, no
+        pool can reserve beyond its minimum until enough shared reservations have been released.
 
         Args:
             total: Maximum number of reservations of all pools together.
             limits: Limits by pool.
 
         Raises:
-            GuaranteesError: More is guaranteed than the total; nothing has changed then.
+            GuaranteesError: The minima exceed the total; nothing has changed then.
         """
         guaranteed = sum(pool.min for pool in limits.values())
         if guaranteed > total:
@@ -82,7 +85,7 @@
         )
 
     def reserve(self, pool: Hashable) -> bool:
-        """Reserve one more for a pool; return False if its limits or the total leave none."""
+        """Reserve one more for a pool; return False if its limits or the shared remainder forbid it."""
         limits = self.limits.get(pool, NO_RESERVATIONS)
         count = self.by_pool.get(pool, 0)
         if count >= limits.max:
--- a/dykefold/routing/route.py
+++ b/dykefold/routing/route.py
@@ -1,4 +1,4 @@
-"""One route: what a request must have to belong to a pool."""
+"""A route: the conditions under which a request belongs to a pool."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One line of the route table.
+    """One route of the route table.
 
     Attributes:
         name: Name of the route in errors and logs.
-        pool: Name of the pool that serves its requests.
-        host: Exact host name, `*.suffix` (any name below, not the suffix itself), or None for any.
+        pool: Name of the pool that serves the requests.
+        host: Exact host name, `*.suffix` (any subdomain, not the suffix itself), or None for any.
         path: Exact path; None if a prefix is given, or for any path.
-        prefix: Leading complete segments, `/parts` for `/parts` and all below; None for any path.
+        prefix: Leading path segments: `/parts` matches `/parts` and all paths below it; None for any path.
         methods: Methods that the route accepts; empty for any.
         cls: Name of the class that the request must have, or None.
         header: Header that the request must have, or None.
@@ -44,13 +44,13 @@
 
 
 class RouteTableError(ValueError):
-    """Routes make no table.
+    """Raised for routes that form no valid table.
 
     Attributes:
-        problems: One line for each problem.
+        problems: Problems, one line each.
     """
 
     def __init__(self, problems: list[str]) -> None:
-        """Take the problems, a line each."""
+        """Join the problems to the error message."""
         super().__init__("; ".join(problems))
         self.problems = problems
--- a/dykefold/routing/route_index.py
+++ b/dykefold/routing/route_index.py
@@ -1,4 +1,4 @@
-"""The index of one host's routes: a trie of paths, and a dictionary of conditions at each path."""
+"""Index of the routes of one host: by path (a trie for prefixes), then by the other conditions."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 from .request_target import path_segments
 from .route import Route
 
-MAX_HEADER_NAMES = 8  # Headers that routes of one host and path may depend on; each is a look-up.
+MAX_HEADER_NAMES = 8  # Headers that routes of one host and path may depend on; each is a lookup.
 
-# A route's conditions, as they are looked up: method, class, header name and header value.
+# Conditions of a route as a dictionary key: method, class, header name and header value.
 _Conditions = tuple[str | None, str | None, str | None, str | None]
 
 
@@ -19,9 +19,9 @@
     """The routes of one host and path.
 
     Attributes:
-        routes: Routes by their conditions.
-        header_names: Names of the headers that some route depends on.
-        first_with_header: First route that depends on a header, by method and class.
+        routes: Routes by conditions.
+        header_names: Names of the headers that routes depend on.
+        first_with_header: First added route that depends on a header, by method and class.
     """
 
     routes: dict[_Conditions, Route] = field(default_factory=dict)
@@ -29,14 +29,14 @@
     first_with_header: dict[tuple[str | None, str | None], Route] = field(default_factory=dict)
 
     def add(self, route: Route) -> list[str]:
-        """Add a route; return what is wrong with it, a line each, such as a tie with another one."""
+        """Add a route; return its problems, one line each, such as a tie with another route."""
         name, value = route.header if route.header is not None else (None, None)
         problems = []
         for method in route.methods or (None,):
             conditions = (method, route.cls, name, value)
             other = self.routes.get(conditions)
             if other is None and route.header is not None:
-                # A request may have another header of equal rank as well.
+                # A request may have both headers, and neither route is more specific.
                 first = self.first_with_header.setdefault((method, route.cls), route)
                 other = first if first.header is not None and first.header.name != name else None
             if other is not None:
@@ -51,7 +51,7 @@
         return problems
 
     def find(self, method: str, cls: str | None, headers: Mapping[str, str]) -> Route | None:
-        """Return the most specific route that a request meets, or None.
+        """Return the most specific route that a request matches, or None.
 
         Args:
             method: Method of the request, case preserved.
@@ -73,14 +73,14 @@
 
 @dataclass(slots=True)
 class _PrefixNode:
-    """One segment in the trie of prefixes."""
+    """A node in the trie of prefixes; its position is one segment."""
 
     group: RouteGroup | None = None
     children: dict[str, _PrefixNode] = field(default_factory=dict)
 
 
 class HostRoutes:
-    """The routes of one host, by path."""
+    """Routes of one host by path."""
 
     __slots__ = ("_exact", "_root")
 
@@ -89,7 +89,7 @@
         self._root = _PrefixNode()
 
     def group_of(self, route: Route) -> RouteGroup:
-        """Return the group of a route's path, a new one if there is none.
+        """Return the group of a route's path or prefix; create it if it does not exist.
 
         Raises:
             RequestTargetError: The path or prefix is ambiguous.
@@ -104,24 +104,24 @@
         return node.group
 
     def candidates(self, segments: tuple[str, ...]) -> Iterator[RouteGroup]:
-        """Iterate over the groups whose path or prefix a request meets, the most specific first."""
+        """Iterate over the groups whose path or prefix a request matches, the most specific first."""
         group = self._exact.get(segments)
         if group is not None:
             yield group
         node = self._root
-        found = [node.group]
+        groups = [node.group]
         for segment in segments:
             child = node.children.get(segment)
             if child is None:
                 break
             node = child
-            found.append(node.group)
-        for group in reversed(found):
+            groups.append(node.group)
+        for group in reversed(groups):
             if group is not None:
                 yield group
 
 
 def _prefix_segments(route: Route) -> tuple[str, ...]:
-    """Return a prefix's segments: `/parts` and `/parts/` mean the same, all of `/parts`."""
+    """Return the segments of a prefix; `/parts` and `/parts/` are the same prefix."""
     segments = path_segments(route.prefix) if route.prefix is not None else ()
     return segments[:-1] if segments and not segments[-1] else segments
--- a/dykefold/routing/services.py
+++ b/dykefold/routing/services.py
@@ -1,8 +1,7 @@
-"""Carries a plan out: makes pools, keeps those that stay, and retires those that leave.
+"""Applies a plan to a running process: creates new pools, keeps unchanged ones and retires removed ones.
 
-A plan is applied whole or not at all. Requests keep the pool that they were read for, so that a pool that has
-left the table still gives each of its requests the one final answer, with the retries that its balancer
-allows.
+A plan is applied completely or not at all. Pending requests keep their pool, so a pool that is no longer in
+the route table still gives each of them its one final answer, with the retries that its balancer allows.
 """
 
 from __future__ import annotations
@@ -29,14 +28,14 @@
 
 
 class PoolBudget:
-    """What one pool may reserve of the process's descriptors.
+    """Descriptor budget of one pool, a part of the budget of the process.
 
     Args:
         budget: Descriptor budget of the process.
-        reservations: Reservations of all pools.
+        reservations: Descriptor reservations of all pools.
 
     Attributes:
-        upstreams: Allowance of connections to endpoints of all pools.
+        upstreams: Allowance for connections to endpoints, common to all pools.
     """
 
     def __init__(self, budget: DescriptorBudget, reservations: PoolReservations) -> None:
@@ -54,20 +53,20 @@
         return False
 
     def release(self) -> None:
-        """Release a descriptor that was reserved."""
+        """Release a reserved descriptor."""
         self._reservations.release(self)
         self._budget.release()
 
 
 @dataclass(slots=True, eq=False)
 class Service:
-    """A pool under its name.
+    """A running pool and its configuration.
 
     Attributes:
-        plan: Plan that the pool follows now.
+        plan: Current configuration of the pool.
         pool: Pool that serves the requests.
-        budget: Reservations that the pool may make.
-        list_version: Version of the endpoint list that the file gives.
+        budget: Descriptor budget of the pool.
+        list_version: Version of the endpoint list from the file; incremented when the list changes.
     """
 
     plan: PoolPlan
@@ -77,15 +76,15 @@
 
 
 class Services:
-    """The pools of a process by name, and the table that leads to them.
+    """The pools of a process by name, and the route table that selects them.
 
     Args:
-        sidecar: Server that accepts the requests; it has no pool yet.
-        seed: Returns a new seed for the random generator of a pool's balancer.
+        sidecar: Server that accepts the requests; it must not have a pool yet.
+        seed: Function that returns a seed for the random generator of a new pool's balancer.
 
     Attributes:
-        reservations: Reservations of all pools.
-        by_name: Services of the plan, by name.
+        reservations: Descriptor reservations of all pools.
+        by_name: Services of the current plan by name; retired pools are not among them.
         table: Route table in use.
     """
 
@@ -98,12 +97,12 @@
         sidecar.half_close = True
 
     def apply(self, plan: Plan, sockets: int, address_limits: AddressLimits) -> None:
-        """Apply another plan, and other limits with it.
+        """Apply a plan and the limits that belong to it.
 
         Args:
             plan: Pools and routes of the new configuration.
-            sockets: Number of descriptors that the process may open from now on.
-            address_limits: Limits of each client address.
+            sockets: New maximum number of file descriptors that the process may open.
+            address_limits: New limits for each client address.
 
         Raises:
             RouteTableError: The routes are invalid; nothing has changed then.
@@ -130,16 +129,16 @@
         )
 
     def _replace_services(self, plan: Plan) -> list[Service]:
-        """Make the services of a plan, keep unchanged ones, and return those that the plan drops."""
+        """Create new services of a plan, update continuing ones, and return those that the plan retires."""
         continuing, retired = {}, []
         for name, service in self.by_name.items():
             pool_plan = plan.pools.get(name)
-            if pool_plan is not None and service.plan.same_service(pool_plan):
+            if pool_plan is not None and service.plan.can_continue_as(pool_plan):
                 continuing[name] = service
             else:
                 retired.append(service)
         self.by_name = {
-            name: self._update(continuing[name], pool_plan) if name in continuing else self._make(pool_plan)
+            name: self._update(continuing[name], pool_plan) if name in continuing else self._create(pool_plan)
             for name, pool_plan in plan.pools.items()
         }
         return retired
@@ -153,7 +152,7 @@
         }
         return RoutingRequestReader(table, readers)
 
-    def _make(self, plan: PoolPlan) -> Service:
+    def _create(self, plan: PoolPlan) -> Service:
         names = NameTable(plan.settings.zones, [])
         budget = PoolBudget(self._sidecar.budget, self.reservations)
         config = PoolConfig(
@@ -170,19 +169,19 @@
         return Service(plan, pool, budget)
 
     def _update(self, service: Service, plan: PoolPlan) -> Service:
-        """Let a pool go on with what it knows, under another list, address or limit."""
-        before, service.plan = service.plan, plan
+        """Apply another endpoint list, discovery address or limit to a running pool."""
+        previous, service.plan = service.plan, plan
         service.pool.max_pending = plan.limits.max
         if plan.discovery is not None and service.pool.discovery is not None:
             service.pool.discovery.change_address(plan.discovery)
-        elif plan.servers != before.servers:
+        elif plan.servers != previous.servers:
             service.list_version += 1
             service.pool.on_update(_endpoint_list(plan, service.pool.names, service.list_version))
         return service
 
 
 def _endpoint_list(plan: PoolPlan, names: NameTable, version: int) -> EndpointUpdate:
-    """Return the list that a file gives: each endpoint is named by its address, in the one zone there is."""
+    """Return the endpoint list of the file: endpoints are named by address and are all in one zone."""
     entries = []
     for address in plan.servers:
         name = f"{address[0]}:{address[1]}"
--- a/dykefold/routing/table.py
+++ b/dykefold/routing/table.py
@@ -1,18 +1,17 @@
-"""The route table: which pool a request belongs to. No I/O, and no change once it is made.
+"""The route table, which finds the route of a request. It is immutable and does no I/O.
 
-The most specific route wins. Specificity is compared in this order, and the order is total:
+The most specific matching route is used. Specificity is a total order, compared by:
 
 1. host: an exact name, then `*.suffix` with more labels before fewer, then any host;
 2. path: an exact path, then a prefix with more segments before fewer, then any path;
 3. conditions: method, class and header; then method and class; method and header; method; class and
    header; class; header; none.
 
-Two routes of equal specificity that one request could meet together are an error when the table is made, so
-nothing depends on their order in the file.
+Two routes of equal specificity that the same request could match are an error when the table is built, so the
+order of routes in the file has no effect.
 
-A look-up walks the labels of the host and the segments of the path and asks a dictionary at each step: as
-many as the request has at most, whatever the number of routes. Usual requests meet one host and two or three
-paths.
+A lookup takes at most one dictionary access per label of the host and per segment of the path, plus those for
+the conditions, independent of the number of routes. Typical requests match one host and two or three paths.
 """
 
 from __future__ import annotations
@@ -23,11 +22,11 @@
 from .route import Route, RouteTableError
 from .route_index import HostRoutes
 
-MAX_ROUTES = 100_000  # A larger table, over 60 MB, is taken for a mistake.
+MAX_ROUTES = 100_000  # A larger table takes over 60 MB and is regarded as a mistake.
 
 
 class RouteTable:
-    """An immutable, numbered table.
+    """An immutable route table with a number.
 
     Args:
         pools: Names of the pools that routes may refer to.
@@ -62,7 +61,7 @@
             raise RouteTableError(problems)
 
     def _add(self, route: Route, known_pools: frozenset[str]) -> list[str]:
-        """Add a route; return what is wrong with it, a line each."""
+        """Add a route; return its problems, one line each."""
         problems = []
         if not route.pool or route.pool not in known_pools:
             expected = f"expected one of {', '.join(sorted(known_pools))}"
@@ -84,7 +83,7 @@
         return problems + group.add(route)
 
     def _host_routes(self, host: str | None) -> HostRoutes:
-        """Return the routes of a host as a route names it, an empty index if there is none."""
+        """Return the index for the host condition of a route; create it if it does not exist."""
         if host is None:
             return self._any_host
         if host.startswith("*."):
@@ -99,7 +98,7 @@
         cls: str | None = None,
         headers: Mapping[str, str] | None = None,
     ) -> Route | None:
-        """Return the most specific route that a request meets; None if there is none.
+        """Return the most specific route that a request matches; None if there is none.
 
         Args:
             host: Host as `request_target.split_target` returns it.
@@ -117,7 +116,7 @@
         return None
 
     def _candidates(self, host: str) -> Iterator[HostRoutes]:
-        """Iterate over the routes of a request's host, the most specific first."""
+        """Iterate over the indexes that match the host of a request, the most specific first."""
         host_routes = self._exact.get(host)
         if host_routes is not None:
             yield host_routes
--- a/tests/failover/test_traffic_plan.py
+++ b/tests/failover/test_traffic_plan.py
@@ -69,7 +69,7 @@
 def test_an_earlier_failure_does_not_count_for_a_later_one() -> None:
     plan = Walk()
     plan.walk([Health.DOWN], CONFIRM_NS // 2)
-    plan.rest()
+    plan.reset_condition_times()
     plan.now_ns += 60 * NS_PER_S
     plan.walk([Health.DOWN], CONFIRM_NS // 2)
     assert plan.state is PlanState.HOME
