--- a/tests/failover/test_failover_controller.py
+++ b/tests/failover/test_failover_controller.py
@@ -1,4 +1,4 @@
-"""The controller of the failover: changed settings during a move, samples, the operator's file."""
+"""Failover controller: changed settings while the sidecar is away, sampled attempts, the settings file."""
 
 from __future__ import annotations
 
@@ -19,55 +19,55 @@
 
 
 class FakePool:
-    """A pool of two servers in each of three zones; those of zone 0 may be given up on."""
+    """A pool with two endpoints in each of three zones; `zone_0_ejected` ejects those of zone 0."""
 
     def __init__(self) -> None:
         self.on_attempt_end = None
-        self.lost = False
-        self.homes: list[int] = []
+        self.zone_0_ejected = False
+        self.home_zones: list[int] = []
 
     def ready_by_zone(self) -> dict[int, int]:
         return {0: 2, 1: 2, 2: 2}
 
     def attempted_and_ejected_by_zone(self) -> dict[int, tuple[int, int]]:
-        return {0: (2, 2 if self.lost else 0), 1: (2, 0), 2: (2, 0)}
+        return {0: (2, 2 if self.zone_0_ejected else 0), 1: (2, 0), 2: (2, 0)}
 
-    def zone_of(self, server: int) -> int | None:
-        return server // 2 if server < 6 else None
+    def zone_of(self, endpoint_number: int) -> int | None:
+        return endpoint_number // 2 if endpoint_number < 6 else None
 
-    def responded_within(self, server: int, duration_ns: int) -> bool:
-        return server == 0
+    def responded_within(self, endpoint_number: int, duration_ns: int) -> bool:
+        return endpoint_number == 0
 
     def set_home_zone(self, zone: int) -> None:
-        self.homes.append(zone)
+        self.home_zones.append(zone)
 
 
-def test_changed_settings_keep_a_sidecar_in_its_working_zone() -> None:
-    async def play() -> None:
-        world = Views(1, 1)
+def test_changed_settings_keep_working_zone() -> None:
+    async def scenario() -> None:
+        views = Views(1, 1)
         pool, clock = FakePool(), ManualClock()
-        made = FailoverController(
+        controller = FailoverController(
             asyncio.get_running_loop(),
-            world.start(0).membership,
+            views.start(0).membership,
             pool,
             FailoverSettings(list("abc"), 0, FailoverOptions(True)),
             clock,  # type: ignore[arg-type]
         )
-        made.working_zone = 1
-        made.change_settings(FailoverSettings(list("abc"), 0, FailoverOptions(True)))
-        assert pool.homes == [1]  # the settings had named the old one again
-        made.change_settings(FailoverSettings(list("abc"), 2, FailoverOptions(True)))
-        assert (made.settings.home, made.working_zone, made.plan.origin) == (2, 2, 2)
-        assert pool.homes == [1]
-        made.close()
+        controller.working_zone = 1
+        controller.change_settings(FailoverSettings(list("abc"), 0, FailoverOptions(True)))
+        assert pool.home_zones == [1]  # Applying the settings had reset the pool to zone 0.
+        controller.change_settings(FailoverSettings(list("abc"), 2, FailoverOptions(True)))
+        assert (controller.settings.home, controller.working_zone, controller.plan.origin) == (2, 2, 2)
+        assert pool.home_zones == [1]
+        controller.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_attempts_are_sampled_by_their_results() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         pool, clock = FakePool(), ManualClock()
-        made = FailoverController(
+        controller = FailoverController(
             asyncio.get_running_loop(),
             Views(1, 1).start(0).membership,
             pool,
@@ -75,18 +75,18 @@
             clock,  # type: ignore[arg-type]
         )
         objective_ns = NS_PER_S
-        for server, status, duration_ns in (
+        for endpoint_number, status, duration_ns in (
             (0, Status.OK, 1), (0, Status.OK, 2 * NS_PER_S), (0, Status.FULL, 1),
             (0, Status.TIMEOUT, NS_PER_S), (0, Status.CANCELLED, 1), (0, Status.NOT_ATTEMPTED, 1),
             (99, Status.OK, 1), (1, Status.TIMEOUT, NS_PER_S), (1, Status.RESET, 1),
         ):  # fmt: skip
-            pool.on_attempt_end(server, status, duration_ns, objective_ns)  # type: ignore[misc]
-        assert made.sampler.counts == {
+            pool.on_attempt_end(endpoint_number, status, duration_ns, objective_ns)  # type: ignore[misc]
+        assert controller.sampler.counts == {
             0: {AttemptResult.IN_TIME: 1.0, AttemptResult.LATE: 2.0, AttemptResult.REJECTED: 1.0}
-        }  # what is lost is counted by servers
-        made.close()
+        }  # Resets and timeouts of endpoints without other responses count by ejection only.
+        controller.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_all_problems_of_the_failover_table_are_reported(tmp_path) -> None:
--- a/tests/routing/services_rig.py
+++ b/tests/routing/services_rig.py
@@ -1,4 +1,4 @@
-"""A sidecar with several services in the test's event loop, its configuration and requests to it."""
+"""Sidecar with several pools in the event loop of a test, its configuration, and requests to it."""
 
 import asyncio
 import json
@@ -16,7 +16,7 @@
 
 
 def pool_toml(name, *ports, **options):
-    """Return the TOML of a pool with a route for its path prefix."""
+    """Return the TOML tables of a pool and of a route for the path prefix `/name`."""
     lines = [f"[pools.{name}]", f"servers = {json.dumps([f'{HOST}:{port}' for port in ports])}"]
     lines += [f"{key} = {json.dumps(value)}" for key, value in options.items()]
     lines += ["[[routes]]", f'name = "{name}"', f'pool = "{name}"', f'prefix = "/{name}"']
@@ -30,11 +30,11 @@
 
 
 class InProcessSidecar:
-    """A sidecar with services, in the event loop of the test.
+    """A sidecar with pools and routes, in the event loop of the test.
 
     Args:
-        config: TOML of the services.
-        max_sockets: Number of descriptors that the sidecar may hold.
+        config: TOML of pools and routes.
+        max_sockets: Maximum number of descriptors that the sidecar may open.
     """
 
     def __init__(self, config, max_sockets=512):
--- a/tests/routing/test_config.py
+++ b/tests/routing/test_config.py
@@ -1,4 +1,4 @@
-"""Pools and routes in the operator's file: all that is wrong at once, with place and expectation."""
+"""Pools and routes in the settings file: all problems at once, each with its key and what was expected."""
 
 import tomllib
 
@@ -7,7 +7,7 @@
 from dykefold.balancer.settings import Effect
 from dykefold.routing.config import read_plan
 
-GOOD = """
+VALID_CONFIG = """
 [node]
 listen = "127.0.0.1:0"
 
@@ -36,12 +36,12 @@
 """
 
 
-def plan_of(text):
-    return read_plan(tomllib.loads(text))
+def parse(config):
+    return read_plan(tomllib.loads(config))
 
 
-def test_a_good_file_is_a_plan():
-    plan, problems = plan_of(GOOD)
+def test_valid_file_yields_plan():
+    plan, problems = parse(VALID_CONFIG)
     assert not problems
     assert plan is not None
     assert plan.pools["catalogue"].servers == (("127.0.0.1", 9001), ("127.0.0.1", 9002))
@@ -55,7 +55,7 @@
 
 
 def test_all_problems_of_the_tables_are_reported_at_once():
-    plan, problems = plan_of(
+    plan, problems = parse(
         """
         [node]
         listen = 8080
@@ -76,8 +76,8 @@
         """
     )
     assert plan is None
-    told = "\n".join(problems)
-    for part in (
+    text = "\n".join(problems)
+    for expected in (
         "node.listen = 8080: expected `str`",
         "pools.a.servers: 'nowhere': expected ADDRESS:PORT",
         "pools.a.servers: an address comes twice",
@@ -89,7 +89,7 @@
         "pools.b.tenants.north.requests_per_s = 0: expected `float` > 0",
         "routes[0].pool: missing",
     ):
-        assert part in told, (part, told)
+        assert expected in text, (expected, text)
 
 
 @pytest.mark.parametrize(
@@ -110,18 +110,18 @@
     ],
 )
 def test_contradictory_values_are_reported(old, new, problem):
-    plan, problems = plan_of(GOOD.replace(old, new))
+    plan, problems = parse(VALID_CONFIG.replace(old, new))
     if problem:
         assert plan is None
         assert any(problem in line for line in problems), problems
     else:
-        assert plan is not None  # the file's own reader tells unknown tables
+        assert plan is not None  # Unknown tables are reported by `read_service`.
 
 
 @pytest.mark.parametrize(
-    "text", ["pools = 3", "routes = 3", "[pools.a]\nclasses = 3\n", "pools = {a = 3}", ""]
+    "config", ["pools = 3", "routes = 3", "[pools.a]\nclasses = 3\n", "pools = {a = 3}", ""]
 )
-def test_a_file_of_another_shape_is_an_error_and_no_crash(text):
-    plan, problems = plan_of(text)
+def test_file_with_wrong_table_types_is_reported_as_problem(config):
+    plan, problems = parse(config)
     assert plan is None
     assert problems
--- a/tests/routing/test_reservations.py
+++ b/tests/routing/test_reservations.py
@@ -1,4 +1,4 @@
-"""Reservations of pools against a plain count."""
+"""Reservations of pools, compared with a simple model."""
 
 import pytest
 from hypothesis import settings as hypothesis_settings
@@ -14,49 +14,52 @@
     def __init__(self):
         super().__init__()
         self.reservations = PoolReservations(0)
-        self.held = dict.fromkeys("abc", 0)
+        self.reserved = dict.fromkeys("abc", 0)
 
     @rule(
         total=st.integers(0, 12),
         limits=st.dictionaries(POOLS, st.tuples(st.integers(0, 4), st.integers(0, 8)), max_size=3),
     )
     def resize(self, total, limits):
-        new = {pool: ReservationLimits(least, max(least, most)) for pool, (least, most) in limits.items()}
-        if sum(pool_limits.min for pool_limits in new.values()) > total:
-            before = dict(self.reservations.limits)
+        new_limits = {
+            pool: ReservationLimits(minimum, max(minimum, maximum))
+            for pool, (minimum, maximum) in limits.items()
+        }
+        if sum(pool_limits.min for pool_limits in new_limits.values()) > total:
+            old_limits = dict(self.reservations.limits)
             with pytest.raises(ValueError, match="minima"):
-                self.reservations.resize(total, new)
-            assert self.reservations.limits == before
+                self.reservations.resize(total, new_limits)
+            assert self.reservations.limits == old_limits
         else:
-            self.reservations.resize(total, new)
+            self.reservations.resize(total, new_limits)
 
-    def _beyond(self):
+    def _shared(self):
         return sum(
-            max(0, self.held[pool] - self.reservations.limits.get(pool, NO_RESERVATIONS).min)
-            for pool in self.held
+            max(0, self.reserved[pool] - self.reservations.limits.get(pool, NO_RESERVATIONS).min)
+            for pool in self.reserved
         )
 
     @rule(pool=POOLS)
     def reserve(self, pool):
         pool_limits = self.reservations.limits.get(pool, NO_RESERVATIONS)
-        rest = self.reservations.total - sum(other.min for other in self.reservations.limits.values())
-        may = self.held[pool] < pool_limits.min or (
-            self.held[pool] < pool_limits.max and self._beyond() < rest
+        remainder = self.reservations.total - sum(other.min for other in self.reservations.limits.values())
+        allowed = self.reserved[pool] < pool_limits.min or (
+            self.reserved[pool] < pool_limits.max and self._shared() < remainder
         )
-        assert self.reservations.reserve(pool) == may
-        self.held[pool] += may
+        assert self.reservations.reserve(pool) == allowed
+        self.reserved[pool] += allowed
 
     @rule(pool=POOLS)
     def release(self, pool):
-        if self.held[pool]:
+        if self.reserved[pool]:
             self.reservations.release(pool)
-            self.held[pool] -= 1
+            self.reserved[pool] -= 1
 
     @invariant()
     def counts_agree(self):
-        assert self.reservations.shared == self._beyond()
+        assert self.reservations.shared == self._shared()
         assert {p: n for p, n in self.reservations.by_pool.items() if n} == {
-            p: n for p, n in self.held.items() if n
+            p: n for p, n in self.reserved.items() if n
         }
 
 
@@ -66,7 +69,7 @@
 TestReservations = ReservationsMachine.TestCase
 
 
-def test_a_pool_that_reserves_all_leaves_the_others_their_minimum():
+def test_pool_that_reserves_all_it_can_leaves_others_their_minimum():
     reservations = PoolReservations(10)
     reservations.resize(10, {"a": ReservationLimits(2, 10), "b": ReservationLimits(3, 10)})
     assert sum(reservations.reserve("a") for _ in range(20)) == 7
--- a/tests/routing/test_services.py
+++ b/tests/routing/test_services.py
@@ -1,4 +1,4 @@
-"""Several pools in one process: isolation, reload while requests are out, pools that come and go."""
+"""Several pools in one process: isolation, reload with requests in flight, added and removed pools."""
 
 import asyncio
 import gc
@@ -29,117 +29,122 @@
 
 
 class Load:
-    """Clients that request one path again and again, and what they were answered."""
+    """Clients that request one path repeatedly, and the status codes and latencies they observe."""
 
     def __init__(self, port, path, clients=8, pause_s=0.002):
         self.codes = {}
         self.latencies_s = []
-        self.lost = 0
-        self.going = True
+        self.lost_responses = 0
+        self.running = True
         self.tasks = [asyncio.create_task(self._request(port, path, pause_s)) for _ in range(clients)]
 
     async def _request(self, port, path, pause_s):
         reader, writer = await asyncio.open_connection(HOST, port)
         loop = asyncio.get_running_loop()
-        while self.going:
-            began = loop.time()
+        while self.running:
+            started_s = loop.time()
             writer.write(get_request(path))
             try:
                 code = (await read_message(reader)).code
             except asyncio.IncompleteReadError:
-                self.lost += 1
+                self.lost_responses += 1
                 return
             self.codes[code] = self.codes.get(code, 0) + 1
-            self.latencies_s.append(loop.time() - began)
+            self.latencies_s.append(loop.time() - started_s)
             await asyncio.sleep(pause_s)
         writer.close()
 
-    async def end(self):
-        self.going = False
+    async def stop(self):
+        self.running = False
         await asyncio.gather(*self.tasks)
 
     @property
-    def answered(self):
+    def response_count(self):
         return sum(self.codes.values())
 
 
 def paths_of(fake):
     return {
-        got.start_line.split()[1].split("/")[1]
-        for got in fake.received
-        if not got.start_line.startswith("GET /-/")
+        request.start_line.split()[1].split("/")[1]
+        for request in fake.received
+        if not request.start_line.startswith("GET /-/")
     }
 
 
-async def refuse(message, reader, writer):
+async def reject(message, reader, writer):
     writer.write(http_response(503, b"full", "X-Not-Run: 1"))
 
 
-async def garbage(message, reader, writer):
+async def send_garbage(message, reader, writer):
     writer.write(b"\x00\x01 garbage\r\n\r\n")
 
 
-async def broken(message, reader, writer):
+async def reset(message, reader, writer):
     reset_connection(writer)
 
 
-@pytest.mark.parametrize("failure", [refuse, never_respond, garbage, broken], ids=lambda act: act.__name__)
-def test_a_failing_pool_does_not_affect_the_others(failure):
-    async def play():
-        acts = {"catalogue": respond_ok, "stock": respond_ok, "orders": respond_ok}
+@pytest.mark.parametrize(
+    "failure", [reject, never_respond, send_garbage, reset], ids=lambda handler: handler.__name__
+)
+def test_failing_pool_does_not_affect_others(failure):
+    async def scenario():
+        handlers = {"catalogue": respond_ok, "stock": respond_ok, "orders": respond_ok}
 
-        def act_of(name):
-            async def act(message, reader, writer):
-                await acts[name](message, reader, writer)
+        def handler_of(name):
+            async def handle(message, reader, writer):
+                await handlers[name](message, reader, writer)
 
-            return act
+            return handle
 
-        fakes = {name: await FakePeer(act_of(name)).start() for name in acts}
+        fakes = {name: await FakePeer(handler_of(name)).start() for name in handlers}
         text = "".join(pool_toml(name, fake.port, deadline_ms=2000) for name, fake in fakes.items())
         async with InProcessSidecar(text) as node:
-            loads = {name: Load(node.port, f"/{name}/x") for name in acts}
-            await wait_until(lambda: all(load.answered > 100 for load in loads.values()))
-            acts["orders"] = failure
-            before = {name: load.answered for name, load in loads.items()}
+            loads = {name: Load(node.port, f"/{name}/x") for name in handlers}
+            await wait_until(lambda: all(load.response_count > 100 for load in loads.values()))
+            handlers["orders"] = failure
+            before = {name: load.response_count for name, load in loads.items()}
             await wait_until(
-                lambda: all(loads[name].answered > before[name] + 300 for name in ("catalogue", "stock"))
+                lambda: all(
+                    loads[name].response_count > before[name] + 300 for name in ("catalogue", "stock")
+                )
             )
             for name in ("catalogue", "stock"):
                 assert set(loads[name].codes) == {200}
-                assert not loads[name].lost
+                assert not loads[name].lost_responses
             for load in loads.values():
-                await load.end()
+                await load.stop()
             for name, fake in fakes.items():
                 assert paths_of(fake) == {name}
 
-    run(play())
+    run(scenario())
 
 
-def test_a_request_keeps_its_pool_while_the_table_changes():
-    async def play():
-        go, act = gated_handler()
-        old, new = await FakePeer(act).start(), await FakePeer(respond_ok).start()
+def test_pending_request_keeps_its_pool_when_route_table_changes():
+    async def scenario():
+        gate, handler = gated_handler()
+        old, new = await FakePeer(handler).start(), await FakePeer(respond_ok).start()
         async with InProcessSidecar(pool_toml("a", old.port)) as node:
             pool = node.pool("a")
-            held = asyncio.create_task(send_request(node.port, post_request("/a/1")))
+            pending = asyncio.create_task(send_request(node.port, post_request("/a/1")))
             await wait_until(lambda: old.received)
-            node.apply_config(pool_toml("a", new.port, attempts_most=2))  # other settings: another pool
+            # Changed settings create a new pool.
+            node.apply_config(pool_toml("a", new.port, attempts_most=2))
             assert node.pool("a") is not pool
             assert pool in node.server.pools
             assert (await send_request(node.port, post_request("/a/2"))).code == 200
             assert len(new.received) == 1
-            go.set()
-            assert (await held).code == 200
+            gate.set()
+            assert (await pending).code == 200
             assert len(old.received) == 1
             await wait_until(lambda: pool not in node.server.pools)
             assert pool.closed
             assert not pool.connection_pool.connections
 
-    run(play())
+    run(scenario())
 
 
-def test_a_pool_that_stays_keeps_its_balancer_and_connections():
-    async def play():
+def test_unchanged_pool_keeps_balancer_and_connections_after_reload():
+    async def scenario():
         fake, other = await FakePeer(respond_ok).start(), await FakePeer(respond_ok).start()
         async with InProcessSidecar(pool_toml("a", fake.port)) as node:
             pool = node.pool("a")
@@ -152,22 +157,25 @@
             assert (await send_request(node.port, get_request("/a"))).code == 404
             assert (await send_request(node.port, get_request("/b"))).code == 200
             assert fake.connections == 1
-            node.apply_config(pool_toml("a", other.port))  # another list: the same pool
+            node.apply_config(pool_toml("a", other.port))  # A changed endpoint list keeps the pool.
             assert node.pool("a") is pool
             assert (await send_request(node.port, get_request("/a"))).code == 200
             assert len(other.received) == 1
 
-    run(play())
+    run(scenario())
+
 
+def test_unsafe_request_in_flight_is_not_retried_after_reload_makes_class_safe():
+    """Guards against a retry of an attempt that is reset after a reload.
 
-def test_a_reload_that_swaps_effects_retries_no_unsafe_request_in_flight():
-    """A class that is unsafe in the old pool and safe in the new: its attempt is reset after the reload."""
+    The class is unsafe in the old pool, which sent the attempt, and safe in the new pool.
+    """
 
-    async def play():
-        go = asyncio.Event()
+    async def scenario():
+        gate = asyncio.Event()
 
         async def break_later(message, reader, writer):
-            await go.wait()
+            await gate.wait()
             reset_connection(writer)
 
         first, second = await FakePeer(break_later).start(), await FakePeer(break_later).start()
@@ -180,78 +188,78 @@
             )
 
         async with InProcessSidecar(text("unsafe")) as node:
-            held = asyncio.create_task(send_request(node.port, post_request("/a/1")))
+            pending = asyncio.create_task(send_request(node.port, post_request("/a/1")))
             await wait_until(lambda: first.received or second.received)
             node.apply_config(text("safe"))
             assert node.pool("a").settings.classes[0].effect is Effect.SAFE
-            go.set()
-            assert (await held).code == 502
+            gate.set()
+            assert (await pending).code == 502
             assert len(first.received) + len(second.received) == 1
 
-    run(play())
+    run(scenario())
 
 
 def test_pool_removed_and_re_added_under_its_name_inherits_nothing():
-    async def play():
-        go, act = gated_handler()
-        old, new, rest = (
-            await FakePeer(act).start(),
+    async def scenario():
+        gate, handler = gated_handler()
+        old, new, other = (
+            await FakePeer(handler).start(),
             await FakePeer(respond_ok).start(),
             await FakePeer(respond_ok).start(),
         )
-        async with InProcessSidecar(pool_toml("a", old.port) + pool_toml("b", rest.port)) as node:
-            held = asyncio.create_task(send_request(node.port, post_request("/a/1")))
+        async with InProcessSidecar(pool_toml("a", old.port) + pool_toml("b", other.port)) as node:
+            pending = asyncio.create_task(send_request(node.port, post_request("/a/1")))
             await wait_until(lambda: old.received)
-            node.apply_config(pool_toml("b", rest.port))
+            node.apply_config(pool_toml("b", other.port))
             assert (await send_request(node.port, get_request("/a"))).code == 404
-            node.apply_config(pool_toml("a", new.port) + pool_toml("b", rest.port))
+            node.apply_config(pool_toml("a", new.port) + pool_toml("b", other.port))
             assert (await send_request(node.port, get_request("/a"))).code == 200
             assert len(old.received) == 1
-            go.set()
-            assert (await held).code == 200
+            gate.set()
+            assert (await pending).code == 200
 
-    run(play())
+    run(scenario())
 
 
-def test_two_services_may_share_a_server():
-    async def play():
+def test_two_pools_can_share_an_endpoint():
+    async def scenario():
         fake = await FakePeer(respond_ok).start()
         async with InProcessSidecar(pool_toml("a", fake.port) + pool_toml("b", fake.port)) as node:
-            same = "X-Request-Id: 1"  # ids are told apart by pool
-            answers = await asyncio.gather(
-                send_request(node.port, get_request("/a", same)),
-                send_request(node.port, get_request("/b", same)),
+            request_id = "X-Request-Id: 1"  # Equal ids in different pools are no duplicates.
+            responses = await asyncio.gather(
+                send_request(node.port, get_request("/a", request_id)),
+                send_request(node.port, get_request("/b", request_id)),
             )
-            assert [got.code for got in answers] == [200, 200]
+            assert [response.code for response in responses] == [200, 200]
             node.apply_config(pool_toml("b", fake.port))
             assert (await send_request(node.port, get_request("/b"))).code == 200
 
-    run(play())
+    run(scenario())
 
 
-def test_a_bad_plan_changes_nothing():
-    async def play():
+def test_invalid_plan_changes_nothing():
+    async def scenario():
         fake = await FakePeer(respond_ok).start()
         async with InProcessSidecar(pool_toml("a", fake.port)) as node:
-            grammar, pools = node.server.parser, dict(node.services.by_name)
+            parser, pools = node.server.parser, dict(node.services.by_name)
             with pytest.raises(ValueError, match="minima"):
                 node.apply_config(pool_toml("a", fake.port, open_least=9000) + pool_toml("b", fake.port))
-            assert node.server.parser is grammar
+            assert node.server.parser is parser
             assert node.services.by_name == pools
             assert (await send_request(node.port, get_request("/a"))).code == 200
             text = pool_toml("a", fake.port, open_least=100)
             node.apply_config(text)
             with pytest.raises(ValueError, match="minima"):
-                node.apply_config(text, max_sockets=128)  # judged by the limit that comes with it
+                node.apply_config(text, max_sockets=128)  # Checked against the new limit.
             assert node.server.budget.upstreams.limit == node.services.reservations.total > 100
             node.apply_config(pool_toml("a", fake.port), max_sockets=128)
             assert node.server.budget.upstreams.limit == node.services.reservations.total < 100
 
-    run(play())
+    run(scenario())
 
 
-def test_a_hundred_reloads_under_load_lose_nothing():
-    async def play():
+def test_hundred_reloads_under_load_lose_no_request():
+    async def scenario():
         fakes = [await FakePeer(respond_ok).start() for _ in range(3)]
         texts = [
             pool_toml("a", fakes[0].port) + pool_toml("b", fakes[1].port),
@@ -261,44 +269,48 @@
         async with InProcessSidecar(texts[0]) as node:
             loads = [Load(node.port, f"/{name}/x") for name in "ab"]
             for number in range(100):
-                before = [load.answered for load in loads]
+                before = [load.response_count for load in loads]
                 node.apply_config(texts[number % 3])
                 await wait_until(
-                    lambda: all(load.answered > n for load, n in zip(loads, before, strict=True))  # noqa: B023
+                    lambda: all(load.response_count > n for load, n in zip(loads, before, strict=True))  # noqa: B023
                 )
             for load in loads:
-                await load.end()
-            # Where the machine took the core away some are refused, as ever; that is no loss, and no pass.
+                await load.stop()
+            # If the event loop was not scheduled in time, the sidecar sheds load: the run is void, neither
+            # passed nor failed.
             codes = set().union(*(load.codes for load in loads))
             late_s = node.server.lag_monitor.worst_s
             void = 503 in codes and late_s >= MIN_LOGGED_S
             assert codes <= ({200, 503} if void else {200})
-            assert not any(load.lost for load in loads)
-            ids = [got.headers["x-request-id"] for fake in fakes for got in fake.received]
-            served = sum(load.codes[200] for load in loads)
-            assert len(ids) == len(set(ids)) == served
+            assert not any(load.lost_responses for load in loads)
+            ids = [received.headers["x-request-id"] for fake in fakes for received in fake.received]
+            ok_count = sum(load.codes[200] for load in loads)
+            assert len(ids) == len(set(ids)) == ok_count
             await wait_until(lambda: len(node.server.pools) == 2)
-        return None, f"the loop was late by {late_s:.2f} s, and some were refused" if void else None
+        return (
+            None,
+            f"the event loop was late by {late_s:.2f} s, and requests were rejected" if void else None,
+        )
 
-    first_valid_run(lambda: run(play()))
+    first_valid_run(lambda: run(scenario()))
 
 
 def test_a_thousand_pools_added_and_removed_leave_nothing_behind(caplog):
-    caplog.set_level(logging.WARNING, "dykefold")  # lines that the test keeps would count
+    caplog.set_level(logging.WARNING, "dykefold")  # Log records that caplog keeps would count as allocations.
 
-    async def play():
+    async def scenario():
         fake = await FakePeer(respond_ok).start()
         base = pool_toml("a", fake.port)
         async with InProcessSidecar(base) as node:
             assert (await send_request(node.port, get_request("/a"))).code == 200
-            gone = []
+            removed_pools = []
 
             async def rounds(count):
                 for number in range(count):
                     node.apply_config(base + pool_toml(f"p{number}", fake.port))
                     if number % 50 == 0:
                         assert (await send_request(node.port, get_request(f"/p{number}"))).code == 200
-                        gone.append(weakref.ref(node.pool(f"p{number}")))
+                        removed_pools.append(weakref.ref(node.pool(f"p{number}")))
                     node.apply_config(base)
                 await wait_until(lambda: len(node.server.pools) == 1)
 
@@ -307,27 +319,29 @@
             blocks, files = sys.getallocatedblocks(), len(os.listdir("/proc/self/fd"))
             await rounds(1000)
             await wait_until(lambda: len(os.listdir("/proc/self/fd")) <= files + 2)
-            await wait_until(lambda: gc.collect() is not None and all(ref() is None for ref in gone))
-            assert sys.getallocatedblocks() < blocks + 5_000  # five to a pool would show
+            await wait_until(lambda: gc.collect() is not None and all(ref() is None for ref in removed_pools))
+            assert sys.getallocatedblocks() < blocks + 5_000  # Fewer than five per pool.
             assert node.server.budget.reservations == 0
             assert not node.server.budget.upstreams.in_use > 1
             assert len(node.services.reservations.by_pool) <= 1
 
-    run(play())
+    run(scenario())
 
 
-def test_a_pool_that_uses_all_descriptors_leaves_the_others_their_minimum():
-    async def play():
-        mute, fake = await FakePeer(never_respond).start(), await FakePeer(respond_ok).start()
-        text = pool_toml("a", mute.port, deadline_ms=20_000) + pool_toml("b", fake.port, open_least=10)
+def test_pool_that_uses_all_descriptors_leaves_others_their_minimum():
+    async def scenario():
+        unresponsive, fake = await FakePeer(never_respond).start(), await FakePeer(respond_ok).start()
+        text = pool_toml("a", unresponsive.port, deadline_ms=20_000) + pool_toml(
+            "b", fake.port, open_least=10
+        )
         async with InProcessSidecar(text, max_sockets=160) as node:
-            most = node.server.budget.upstreams.limit
+            max_upstreams = node.server.budget.upstreams.limit
             writers = []
-            for number in range(most + 20):
+            for number in range(max_upstreams + 20):
                 _, writer = await asyncio.open_connection(HOST, node.port)
                 writer.write(get_request(f"/a/{number}"))
                 writers.append(writer)
-                if len(node.pool("a").pending) >= most - 10:
+                if len(node.pool("a").pending) >= max_upstreams - 10:
                     break
                 await asyncio.sleep(0)
             await wait_until(lambda: node.services.reservations.shared > 0)
@@ -336,23 +350,23 @@
             for writer in writers:
                 writer.close()
 
-    run(play())
+    run(scenario())
 
 
-def test_a_client_that_shut_down_its_side_receives_the_whole_response():
-    async def play():
-        go, act = gated_handler()
-        fake = await FakePeer(act).start()
+def test_client_receives_complete_response_after_half_close():
+    async def scenario():
+        gate, handler = gated_handler()
+        fake = await FakePeer(handler).start()
         async with InProcessSidecar(pool_toml("a", fake.port)) as node:
             reader, writer = await asyncio.open_connection(HOST, node.port)
             writer.write(get_request("/a/1"))
             await wait_until(lambda: fake.received)
             writer.write_eof()
             await asyncio.sleep(0.02)
-            go.set()
+            gate.set()
             assert (await read_message(reader)).code == 200
             assert await reader.read() == b""
             writer.close()
             await wait_until(lambda: not node.server.clients.all)
 
-    run(play())
+    run(scenario())
--- a/tests/routing/test_streams.py
+++ b/tests/routing/test_streams.py
@@ -1,4 +1,4 @@
-"""Bodies over 64 KiB: passed on as they come, paced by the slower side, never sent twice."""
+"""Bodies over 64 KiB: streamed as they arrive, with backpressure, and never retried once streaming began."""
 
 import asyncio
 import gc
@@ -21,49 +21,49 @@
 from dykefold.net.upstream.limits import ConnectionLimits
 
 
-def head(length, *lines, path="/a/x", method="PUT"):
+def request_head(length, *lines, path="/a/x", method="PUT"):
     return get_request(path, f"Content-Length: {length}", *lines, method=method)
 
 
-async def big(headers, reader, writer):
+async def send_large_response(headers, reader, writer):
     writer.write(http_response(200, LARGE_BODY, 'ETag: "big"'))
     await writer.drain()
 
 
-async def pieces(headers, reader, writer):
+async def send_chunked_response(headers, reader, writer):
     writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
     for at in range(0, len(LARGE_BODY), 10_000):
-        piece = LARGE_BODY[at : at + 10_000]
-        writer.write(b"%x\r\n%s\r\n" % (len(piece), piece))
+        chunk = LARGE_BODY[at : at + 10_000]
+        writer.write(b"%x\r\n%s\r\n" % (len(chunk), chunk))
         await writer.drain()
     writer.write(b"0\r\n\r\n")
 
 
-async def breaks(headers, reader, writer):
+async def reset_in_response(headers, reader, writer):
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LARGE_BODY) + LARGE_BODY[: 300 * KB])
     await writer.drain()
     reset_connection(writer)
 
 
-async def no_body_wanted(headers, reader, writer):
+async def respond_before_body(headers, reader, writer):
     writer.write(http_response(403, b"not yours"))
     await reader.read()
 
 
-async def breaks_in_body(headers, reader, writer):
+async def reset_in_request_body(headers, reader, writer):
     await reader.readexactly(100 * KB)
     reset_connection(writer)
 
 
-async def waits(headers, reader, writer):
+async def never_respond(headers, reader, writer):
     await asyncio.sleep(60)
 
 
 @asynccontextmanager
-async def served(*acts, **more):
-    servers = [await StreamingEndpoint(act).start() for act in acts]
+async def sidecar_with(*handlers, **route_options):
+    servers = [await StreamingEndpoint(handler).start() for handler in handlers]
     text = pool_toml("a", *(server.port for server in servers))
-    text += "idempotent = true\n" + "".join(f"{key} = {value}\n" for key, value in more.items())
+    text += "idempotent = true\n" + "".join(f"{key} = {value}\n" for key, value in route_options.items())
     async with InProcessSidecar(text) as node:
         yield node, servers
         await wait_until(lambda: not node.pool("a").pending and not node.pool("a").attempts)
@@ -71,21 +71,21 @@
     assert node.server.budget.reservations == 0
 
 
-async def opened(node):
+async def connect(node):
     return await asyncio.open_connection(HOST, node.port)
 
 
-def test_large_bodies_reach_the_server_whole_in_both_framings():
-    async def in_pieces():
+def test_large_request_body_reaches_endpoint_unchanged_in_both_framings():
+    async def chunks():
         for at in range(0, len(LARGE_BODY), 7_000):
             yield LARGE_BODY[at : at + 7_000]
 
-    async def play():
-        async with served(respond_with_digest) as (node, (server,)), httpx.AsyncClient() as client:
-            for content in (LARGE_BODY, in_pieces(), b"small"):
-                got = await client.put(f"http://{HOST}:{node.port}/a/x", content=content)
-                whole = b"small" if content == b"small" else LARGE_BODY
-                assert (got.status_code, got.text) == (200, hashlib.sha256(whole).hexdigest())
+    async def scenario():
+        async with sidecar_with(respond_with_digest) as (node, (server,)), httpx.AsyncClient() as client:
+            for content in (LARGE_BODY, chunks(), b"small"):
+                response = await client.put(f"http://{HOST}:{node.port}/a/x", content=content)
+                expected = b"small" if content == b"small" else LARGE_BODY
+                assert (response.status_code, response.text) == (200, hashlib.sha256(expected).hexdigest())
             assert [headers.get("content-length") for _, headers in server.heads] == [
                 str(len(LARGE_BODY)),
                 None,
@@ -93,26 +93,26 @@
             ]
             assert len(node.server.clients.all) == 1
 
-    run(play())
+    run(scenario())
 
 
-@pytest.mark.parametrize("act", [big, pieces])
-def test_large_answers_reach_the_client_whole(act):
-    async def play():
-        async with served(act) as (node, _), httpx.AsyncClient() as client:
+@pytest.mark.parametrize("handler", [send_large_response, send_chunked_response])
+def test_large_response_body_reaches_client_unchanged(handler):
+    async def scenario():
+        async with sidecar_with(handler) as (node, _), httpx.AsyncClient() as client:
             for _ in range(2):
-                got = await client.get(f"http://{HOST}:{node.port}/a/x")
-                assert got.status_code == 200
-                assert got.content == LARGE_BODY
+                response = await client.get(f"http://{HOST}:{node.port}/a/x")
+                assert response.status_code == 200
+                assert response.content == LARGE_BODY
             assert len(node.server.clients.all) == 1
             assert len(node.pool("a").connection_pool.connections) == 1
 
-    run(play())
+    run(scenario())
 
 
-def test_a_response_is_sent_no_faster_than_its_client_reads():
-    async def play():
-        async with served(big) as (node, (server,)):
+def test_response_is_streamed_no_faster_than_client_reads():
+    async def scenario():
+        async with sidecar_with(send_large_response) as (node, (server,)):
             reader, writer = await asyncio.open_connection(HOST, node.port, limit=4 * KB)
             writer.write(get_request("/a/x"))
             await reader.readuntil(b"\r\n\r\n")
@@ -123,49 +123,49 @@
             writer.close()
             assert len(server.heads) == 1
 
-    # The sockets of the machine would take the whole of a smaller answer.
+    # Socket buffers would hold a smaller response completely.
     global LARGE_BODY
     small, LARGE_BODY = LARGE_BODY, LARGE_BODY * 16
     try:
-        run(play())
+        run(scenario())
     finally:
         LARGE_BODY = small
 
 
 def test_body_that_has_begun_to_stream_is_never_retried():
-    """Red when the pool leaves the end of such an attempt to the module, which repeats a PUT."""
+    """Guards against leaving such a failed attempt to the balancer, which would retry the idempotent PUT."""
 
-    async def play():
-        async with served(breaks_in_body, breaks_in_body) as (node, servers):
-            reader, writer = await opened(node)
-            writer.write(head(len(LARGE_BODY)) + LARGE_BODY)
+    async def scenario():
+        async with sidecar_with(reset_in_request_body, reset_in_request_body) as (node, servers):
+            reader, writer = await connect(node)
+            writer.write(request_head(len(LARGE_BODY)) + LARGE_BODY)
             assert (await read_message(reader)).code == 502
             assert sum(len(server.heads) for server in servers) == 1
             writer.close()
 
-    run(play())
+    run(scenario())
 
 
-def test_a_body_of_which_nothing_was_sent_is_retried_at_another_endpoint():
-    async def play():
-        async with served(respond_with_digest) as (node, (server,)):
-            dead = await StreamingEndpoint(respond_with_digest).start()
-            dead.server.close()
-            await dead.server.wait_closed()
-            node.apply_config(pool_toml("a", dead.port, server.port) + "idempotent = true\n")
+def test_large_body_not_yet_sent_is_retried_at_another_endpoint():
+    async def scenario():
+        async with sidecar_with(respond_with_digest) as (node, (server,)):
+            closed_endpoint = await StreamingEndpoint(respond_with_digest).start()
+            closed_endpoint.server.close()
+            await closed_endpoint.server.wait_closed()
+            node.apply_config(pool_toml("a", closed_endpoint.port, server.port) + "idempotent = true\n")
             for _ in range(8):
-                reader, writer = await opened(node)
-                writer.write(head(len(LARGE_BODY)) + LARGE_BODY)
+                reader, writer = await connect(node)
+                writer.write(request_head(len(LARGE_BODY)) + LARGE_BODY)
                 assert (await read_message(reader)).code == 200
                 writer.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_truncated_response_closes_the_connection_and_is_not_restarted():
-    async def play():
-        async with served(breaks, breaks) as (node, servers):
-            reader, writer = await opened(node)
+    async def scenario():
+        async with sidecar_with(reset_in_response, reset_in_response) as (node, servers):
+            reader, writer = await connect(node)
             writer.write(get_request("/a/x"))
             await reader.readuntil(b"\r\n\r\n")
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
@@ -173,170 +173,188 @@
             assert sum(len(server.heads) for server in servers) == 1
             writer.close()
 
-    run(play())
+    run(scenario())
 
 
-def test_an_answer_before_the_body_has_come_ends_the_connection():
-    async def play():
-        async with served(no_body_wanted) as (node, _):
-            reader, writer = await opened(node)
-            writer.write(head(len(LARGE_BODY)) + LARGE_BODY[: 200 * KB])
-            got = await read_message(reader)
-            assert (got.code, got.body, got.headers["connection"]) == (403, b"not yours", "close")
+def test_response_before_end_of_request_body_closes_connection():
+    async def scenario():
+        async with sidecar_with(respond_before_body) as (node, _):
+            reader, writer = await connect(node)
+            writer.write(request_head(len(LARGE_BODY)) + LARGE_BODY[: 200 * KB])
+            response = await read_message(reader)
+            assert (response.code, response.body, response.headers["connection"]) == (
+                403,
+                b"not yours",
+                "close",
+            )
             assert await reader.read() == b""
             writer.close()
 
-    run(play())
+    run(scenario())
 
 
-@pytest.mark.parametrize("framing", ["announced", "chunks", "chunks after it has begun"])
+@pytest.mark.parametrize("framing", ["content length", "chunked", "chunked after streaming began"])
 def test_bodies_over_the_routes_limit_are_rejected_with_one_response(framing):
-    async def play():
-        async with served(respond_with_digest, body_most_bytes=128 * KB) as (node, (server,)):
-            reader, writer = await opened(node)
-            if framing == "announced":
-                writer.write(head(len(LARGE_BODY)))
+    async def scenario():
+        async with sidecar_with(respond_with_digest, body_most_bytes=128 * KB) as (node, (server,)):
+            reader, writer = await connect(node)
+            if framing == "content length":
+                writer.write(request_head(len(LARGE_BODY)))
             else:
                 writer.write(get_request("/a/x", "Transfer-Encoding: chunked", method="PUT"))
-                for _ in range(40 if framing == "chunks" else 20):
+                for _ in range(40 if framing == "chunked" else 20):
                     writer.write(b"%x\r\n%s\r\n" % (4 * KB, LARGE_BODY[: 4 * KB]))
-                if framing == "chunks after it has begun":
+                if framing == "chunked after streaming began":
                     await wait_until(lambda: server.heads)
                     writer.write(b"%x\r\n%s\r\n" % (64 * KB, LARGE_BODY[: 64 * KB]))
             assert (await read_message(reader)).code == 413
             assert await reader.read() == b""
             writer.close()
 
-    run(play())
+    run(scenario())
 
 
-def test_a_client_that_leaves_in_its_body_leaves_nothing_behind():
-    async def play():
-        async with served(waits) as (node, (server,)):
-            ends = []
-            node.pool("a").on_attempt_end = lambda endpoint, status, duration_ns, goal_ns: ends.append(status)
-            _, writer = await opened(node)
-            writer.write(head(len(LARGE_BODY)) + LARGE_BODY[: 300 * KB])
+def test_client_disconnect_during_body_releases_connections_and_memory():
+    async def scenario():
+        async with sidecar_with(never_respond) as (node, (server,)):
+            statuses = []
+            node.pool("a").on_attempt_end = lambda endpoint, status, duration_ns, objective_ns: (
+                statuses.append(status)
+            )
+            _, writer = await connect(node)
+            writer.write(request_head(len(LARGE_BODY)) + LARGE_BODY[: 300 * KB])
             await wait_until(lambda: server.heads)
             writer.transport.abort()
             await wait_until(lambda: not node.pool("a").attempts)
             assert not node.pool("a").connection_pool.connections
-            assert ends == [Status.CANCELLED]  # a part of a body may have had an effect here
+            assert statuses == [Status.CANCELLED]  # The part that was sent may have had an effect.
 
-    run(play())
+    run(scenario())
 
 
-def test_a_body_that_stops_is_answered_in_seconds_and_its_endpoint_is_not_blamed():
-    async def play():
-        async with served(respond_with_digest, deadline_ms=60_000) as (node, _):
-            balancer, pressed = node.pool("a").balancer, []
-            balancer.congestion.add_latency = lambda *about: pressed.append(about)
-            reader, writer = await opened(node)
-            writer.write(head(len(LARGE_BODY)) + LARGE_BODY[: 100 * KB])
+def test_stalled_request_body_times_out_without_endpoint_failure():
+    async def scenario():
+        async with sidecar_with(respond_with_digest, deadline_ms=60_000) as (node, _):
+            balancer, congestion_calls = node.pool("a").balancer, []
+            balancer.congestion.add_latency = lambda *arguments: congestion_calls.append(arguments)
+            reader, writer = await connect(node)
+            writer.write(request_head(len(LARGE_BODY)) + LARGE_BODY[: 100 * KB])
             assert (await read_message(reader)).code == 408
             assert not any(server.failure_score for server in balancer.endpoints.all.values())
-            assert not pressed  # nor does it cut what others may have in flight
+            assert not congestion_calls  # The concurrency limit is not lowered either.
             writer.close()
 
-    run(play())
+    run(scenario())
 
 
-def test_pipelined_requests_are_answered_in_order_round_a_stream():
-    async def play():
-        async with served(respond_with_digest) as (node, _):
-            reader, writer = await opened(node)
-            parts = [head(2) + b"ab", head(len(LARGE_BODY)) + LARGE_BODY, head(2) + b"cd"]
-            writer.write(b"".join(parts))
-            wanted = [hashlib.sha256(body).hexdigest().encode() for body in (b"ab", LARGE_BODY, b"cd")]
-            assert [(await read_message(reader)).body for _ in wanted] == wanted
+def test_pipelined_requests_around_streamed_body_are_answered_in_order():
+    async def scenario():
+        async with sidecar_with(respond_with_digest) as (node, _):
+            reader, writer = await connect(node)
+            requests = [
+                request_head(2) + b"ab",
+                request_head(len(LARGE_BODY)) + LARGE_BODY,
+                request_head(2) + b"cd",
+            ]
+            writer.write(b"".join(requests))
+            expected_bodies = [
+                hashlib.sha256(body).hexdigest().encode() for body in (b"ab", LARGE_BODY, b"cd")
+            ]
+            assert [(await read_message(reader)).body for _ in expected_bodies] == expected_bodies
             writer.close()
 
-    run(play())
+    run(scenario())
 
 
-class HeldUp(Exchange):
-    """Its client takes no more as the last piece comes."""
+class PausingExchange(Exchange):
+    """An exchange whose client stops reading when the last chunk arrives."""
 
     def begin_response(self, code, headers, length, load):
-        self.got = 0
+        self.received_bytes = 0
         return True
 
     def send_response_chunk(self, data):
-        self.got += len(data)
-        if self.got == len(LARGE_BODY):
+        self.received_bytes += len(data)
+        if self.received_bytes == len(LARGE_BODY):
             self.connection.set_paused(True)
 
 
-def test_connection_with_a_delayed_last_piece_serves_the_next_request():
-    """Red when it is kept with its reading stopped: the next answer on it would never be read."""
+def test_connection_with_a_delayed_last_chunk_serves_the_next_request():
+    """Guards against reuse of a connection whose reading is paused: the next response would never be read."""
 
-    async def play():
-        server = await StreamingEndpoint(big).start()
+    async def scenario():
+        server = await StreamingEndpoint(send_large_response).start()
         loop = asyncio.get_running_loop()
         pool = ConnectionPool(
             loop, ConnectionLimits(DescriptorAllowance(8), MemoryBudget(192 * KB * KB), 5.0, 60.0)
         )
         pool.update(1, (HOST, server.port), 0, State.READY)
         for _ in range(2):
-            end = loop.create_future()
-            exchange = HeldUp(
-                get_request("/a/x"), lambda _, status, answer, end=end: end.set_result(status), 64 * KB
+            attempt_end = loop.create_future()
+            exchange = PausingExchange(
+                get_request("/a/x"),
+                lambda _, status, answer, end=attempt_end: end.set_result(status),
+                64 * KB,
             )
             exchange.profile, exchange.max_streamed_bytes = HttpProfile.GENERIC, 2 * len(LARGE_BODY)
             pool.start(1, exchange, 5.0)
-            assert await end is Status.OK
+            assert await attempt_end is Status.OK
         assert len(pool.connections) == 1
         pool.close()
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("length", [10, 1_000_000])
-def test_a_length_beside_chunks_is_rejected_whatever_it_says(length):
-    """Guards against a request that is hidden in the body of another (RFC 9112, 6.1)."""
-
-    async def play():
-        async with served(respond_with_digest) as (node, (server,)):
-            reader, writer = await opened(node)
-            writer.write(head(length, "Transfer-Encoding: chunked") + b"0\r\n\r\n" + get_request("/a/hidden"))
+def test_content_length_with_chunked_encoding_is_rejected(length):
+    """Guards against request smuggling: a request hidden in the body of another (RFC 9112, 6.1)."""
+
+    async def scenario():
+        async with sidecar_with(respond_with_digest) as (node, (server,)):
+            reader, writer = await connect(node)
+            writer.write(
+                request_head(length, "Transfer-Encoding: chunked") + b"0\r\n\r\n" + get_request("/a/hidden")
+            )
             assert (await read_message(reader)).code == 400
             assert await reader.read() == b""
             assert not server.heads
             writer.close()
 
-    run(play())
+    run(scenario())
 
 
-def test_no_reference_cycle_keeps_a_client_that_left():
-    """Guards the memory of a long day: the collector comes seldom."""
+def test_disconnected_client_is_freed_without_garbage_collector():
+    """Guards against memory growth: the garbage collector runs rarely, so cycles would pile up."""
 
-    async def play():
-        async with served(big) as (node, _):
+    async def scenario():
+        async with sidecar_with(send_large_response) as (node, _):
             reader, writer = await asyncio.open_connection(HOST, node.port, limit=4 * KB)
             writer.write(get_request("/a/x"))
             await reader.readuntil(b"\r\n\r\n")
-            front = weakref.ref(next(iter(node.server.clients.all.values())))
+            client = weakref.ref(next(iter(node.server.clients.all.values())))
             gc.disable()
             try:
                 writer.transport.abort()
-                await wait_until(lambda: front() is None)
+                await wait_until(lambda: client() is None)
             finally:
                 gc.enable()
 
-    run(play())
+    run(scenario())
 
 
-def test_a_body_that_waited_for_its_server_has_come_when_reading_was_stopped():
-    """Guards the answer in time: the rest of a body is in the socket's buffer while nothing is read."""
+def test_body_buffered_while_reading_was_paused_completes_at_pause_time():
+    """Guards against a late end time: the rest of a body is in the socket buffer while reading is paused."""
     from dykefold.net.streaming import SOCKET_READ_NS, Upload
 
-    def finished(stopped, resumed, now):
+    def completed_ns(stopped_ns, resumed_ns, now_ns):
         upload = Upload(None, b"", lambda: None)
-        upload.stopped_ns, upload.resumed_ns = stopped, resumed
-        upload.finish(now)
+        upload.stopped_ns, upload.resumed_ns = stopped_ns, resumed_ns
+        upload.finish(now_ns)
         return upload.completed_ns
 
-    assert finished(0, 0, 900) == 900
-    assert finished(100, 800, 800 + SOCKET_READ_NS - 1) == 100  # right behind: it was there
-    assert finished(100, 800, 800 + SOCKET_READ_NS) == 800 + SOCKET_READ_NS  # the client had more to send
-    assert finished(100, 50, 10 * SOCKET_READ_NS) == 100  # still stopped: out of what had been read already
+    assert completed_ns(0, 0, 900) == 900
+    # Within one read interval the rest was in the socket buffer.
+    assert completed_ns(100, 800, 800 + SOCKET_READ_NS - 1) == 100
+    assert completed_ns(100, 800, 800 + SOCKET_READ_NS) == 800 + SOCKET_READ_NS  # The client sent more later.
+    # Still paused: it completed from bytes that were already read.
+    assert completed_ns(100, 50, 10 * SOCKET_READ_NS) == 100
--- a/tests/routing/test_table.py
+++ b/tests/routing/test_table.py
@@ -1,4 +1,4 @@
-"""The route table against a naive scan, and what it refuses."""
+"""Route table, compared with a linear scan, and the routes and targets that it rejects."""
 
 import pytest
 from hypothesis import given, settings
@@ -16,7 +16,7 @@
 
 
 def host_rank(route, host):
-    """How specific the host of a route is; None if it is not this one."""
+    """Return the specificity of a route's host condition; None if it does not match."""
     wanted = route.host
     if wanted is None:
         return (0, 0)
@@ -25,15 +25,15 @@
     return (2, 0) if host == wanted else None
 
 
-def path_rank(route, parts):
-    """How specific the path of a route is; None if a request's is another one."""
+def path_rank(route, segments):
+    """Return the specificity of a route's path condition; None if it does not match."""
     if route.path is not None:
-        return (1, 0) if parts == path_segments(route.path) else None
+        return (1, 0) if segments == path_segments(route.path) else None
     prefix = [part for part in (route.prefix or "/").split("/") if part]
-    return (0, len(prefix)) if list(parts[: len(prefix)]) == prefix else None
+    return (0, len(prefix)) if list(segments[: len(prefix)]) == prefix else None
 
 
-def meets_conditions(route, method, cls, headers):
+def matches_conditions(route, method, cls, headers):
     if route.methods and method not in route.methods:
         return False
     if route.cls is not None and route.cls != cls:
@@ -41,21 +41,21 @@
     return route.header is None or headers.get(route.header.name) == route.header.value
 
 
-def naive(routes, host, path, method, cls, headers):
-    """Every route that a request meets, by the words of the order."""
-    found = []
-    parts = path_segments(path)
+def linear_scan(routes, host, path, method, cls, headers):
+    """Return all matching routes with their specificity, in ascending order, by linear scan."""
+    matching = []
+    segments = path_segments(path)
     for route in routes:
-        ranks = (host_rank(route, host), path_rank(route, parts))
-        if None in ranks or not meets_conditions(route, method, cls, headers):
+        ranks = (host_rank(route, host), path_rank(route, segments))
+        if None in ranks or not matches_conditions(route, method, cls, headers):
             continue
         conditions = (bool(route.methods), route.cls is not None, route.header is not None)
-        found.append(((*ranks, conditions), route))
-    found.sort(key=lambda pair: pair[0])
-    return found
+        matching.append(((*ranks, conditions), route))
+    matching.sort(key=lambda pair: pair[0])
+    return matching
 
 
-matches = st.builds(
+route_fields = st.builds(
     dict,
     host=st.sampled_from([None, *HOSTS, *("*." + host for host in HOSTS)]),
     where=st.sampled_from([(kind, path) for kind in ("path", "prefix") for path in PATHS] + [None]),
@@ -63,7 +63,7 @@
     cls=st.sampled_from([None, "order"]),
     header=st.sampled_from(HEADERS),
 )
-requests = st.tuples(
+request_values = st.tuples(
     st.sampled_from(HOSTS),
     st.sampled_from(PATHS),
     st.sampled_from(METHODS),
@@ -73,12 +73,12 @@
 
 
 @settings(max_examples=300, derandomize=True, deadline=None)
-@given(st.lists(matches, max_size=25), st.lists(requests, min_size=1, max_size=20))
-def test_the_table_finds_what_a_naive_scan_finds(found, asked):
+@given(st.lists(route_fields, max_size=25), st.lists(request_values, min_size=1, max_size=20))
+def test_table_finds_same_route_as_linear_scan(all_fields, requests):
     routes = []
-    for number, match in enumerate(found):
-        more = {match["where"][0]: match["where"][1]} if match["where"] else {}
-        route = Route(f"r{number}", "p", match["host"], **more, methods=match["methods"])
+    for number, fields in enumerate(all_fields):
+        path_condition = {fields["where"][0]: fields["where"][1]} if fields["where"] else {}
+        route = Route(f"r{number}", "p", fields["host"], **path_condition, methods=fields["methods"])
         route = Route(
             route.name,
             "p",
@@ -86,21 +86,21 @@
             route.path,
             route.prefix,
             route.methods,
-            match["cls"],
-            match["header"],
+            fields["cls"],
+            fields["header"],
         )
         try:
             RouteTable(1, [*routes, route], ["p"])
         except RouteTableError:
-            continue  # it ties
+            continue  # It has the same specificity as another one.
         routes.append(route)
     table = RouteTable(1, routes, ["p"])
-    for host, path, method, cls, headers in asked:
-        candidates = naive(routes, host, path, method, cls, headers)
+    for host, path, method, cls, headers in requests:
+        candidates = linear_scan(routes, host, path, method, cls, headers)
         expected = candidates[-1][1] if candidates else None
         assert table.find(host, path_segments(path), method, cls, headers) == expected
         if len(candidates) > 1:
-            assert candidates[-1][0] != candidates[-2][0], "a tie was let in"
+            assert candidates[-1][0] != candidates[-2][0], "the table accepts two routes of equal specificity"
 
 
 @pytest.mark.parametrize(
@@ -115,7 +115,7 @@
         ({"path": "/%70"}, {"path": "/p"}),
     ],
 )
-def test_routes_that_could_tie_are_an_error_that_names_both(one, other):
+def test_routes_of_equal_specificity_are_an_error_that_names_both(one, other):
     with pytest.raises(RouteTableError, match="second: ties with first"):
         RouteTable(1, [Route("first", "p", **one), Route("second", "p", **other)], ["p"])
 
@@ -131,12 +131,12 @@
     with pytest.raises(RouteTableError) as caught:
         RouteTable(1, routes, ["p", "q"])
     text = "\n".join(caught.value.problems)
-    for words in ("a.pool = 'nowhere': no such pool; expected one of p, q", "b.pool: missing", "c.host",
+    for expected in ("a.pool = 'nowhere': no such pool; expected one of p, q", "b.pool: missing", "c.host",
                   "d.path", "d: another route", "d: path and prefix"):  # fmt: skip
-        assert words in text
+        assert expected in text
 
 
-def test_the_header_names_of_one_host_and_path_are_bounded():
+def test_number_of_header_names_per_host_and_path_is_limited():
     routes = [
         Route(f"r{n}", "p", header=HeaderCondition(f"h{n}", "1"), cls=f"c{n}")
         for n in range(MAX_HEADER_NAMES + 1)
@@ -156,26 +156,26 @@
         ("10.0.0.1:7", "10.0.0.1"),
     ],
 )
-def test_a_host_has_one_form(value, name):
+def test_host_is_normalized(value, name):
     assert canonical_host(value) == name
 
 
-NO_HOSTS = ["", " ", "a..b", "-a", "a:b", "a:80:80", "a b", "a/b", "[::1", "a.net..", "x" * 64]
+INVALID_HOSTS = ["", " ", "a..b", "-a", "a:b", "a:80:80", "a b", "a/b", "[::1", "a.net..", "x" * 64]
 
 
-@pytest.mark.parametrize("value", NO_HOSTS)
-def test_an_invalid_host_is_rejected(value):
+@pytest.mark.parametrize("value", INVALID_HOSTS)
+def test_invalid_host_is_rejected(value):
     with pytest.raises(RequestTargetError):
         canonical_host(value)
 
 
-AMBIGUOUS = (
+AMBIGUOUS_PATHS = (
     r"p //p /p//q /p/../q /.. /. /p/%2e%2e/q /%2E /p%2fq /p%2Fq /p%5cq /p\q /p%00 /p%0a /%zz /% /p%252fq"
 )
 
 
-@pytest.mark.parametrize("path", [*AMBIGUOUS.split(), "", "/p q", "/\xe9", "/%ff", "/a" * 65])
-def test_an_ambiguous_path_is_rejected(path):
+@pytest.mark.parametrize("path", [*AMBIGUOUS_PATHS.split(), "", "/p q", "/\xe9", "/%ff", "/a" * 65])
+def test_ambiguous_path_is_rejected(path):
     with pytest.raises(RequestTargetError):
         path_segments(path)
 
@@ -197,11 +197,11 @@
         ("a.net:80", ["a.net"]),
     ],
 )
-def test_a_request_without_exactly_one_host_and_path_is_rejected(target, hosts):
+def test_request_without_exactly_one_host_and_path_is_rejected(target, hosts):
     with pytest.raises(RequestTargetError):
         split_target(target, hosts)
 
 
-def test_the_absolute_form_is_read_as_an_endpoint_reads_it():
+def test_absolute_form_target_is_split_as_by_endpoint():
     assert split_target("http://A.net/p?q=//", ["a.net:80"]) == ("a.net", ("p",))
     assert split_target("http://a.net?q", ["a.net"]) == ("a.net", ())
--- a/tests/routing/test_usual_clients.py
+++ b/tests/routing/test_usual_clients.py
@@ -1,4 +1,4 @@
-"""Usual HTTP clients through pools: keep-alive, pipelining, chunked, Expect, HEAD, 204 and 304."""
+"""Common HTTP clients with a pool: keep-alive, pipelining, chunked bodies, Expect, HEAD, 204 and 304."""
 
 import asyncio
 import json
@@ -16,8 +16,8 @@
 pytestmark = pytest.mark.processes
 
 
-async def act(message, reader, writer):
-    """A usual server: what it was asked, back as JSON; some paths have answers of their own."""
+async def handle(message, reader, writer):
+    """Return method, target and body of a request as JSON; some paths have special responses."""
     method, target, _ = message.start_line.split()
     head = [f"ETag: {message.headers.get('x-request-id', '')}", "Content-Type: application/json"]
     body = json.dumps({"method": method, "target": target, "body": message.body.decode()}).encode()
@@ -34,8 +34,8 @@
             writer.write(http_response(500, b"out of order", *head))
         case "pieces":
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n")
-            for piece in (b"ab", b"cde"):
-                writer.write(b"%x\r\n%s\r\n" % (len(piece), piece))
+            for chunk in (b"ab", b"cde"):
+                writer.write(b"%x\r\n%s\r\n" % (len(chunk), chunk))
             writer.write(b"0\r\nX-Sum: 5\r\n\r\n")
         case _ if method == "HEAD":
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1234\r\nX-Kept: yes\r\n\r\n")
@@ -44,77 +44,80 @@
 
 
 @asynccontextmanager
-async def served():
-    fake = await FakePeer(act).start()
+async def sidecar_with_pool():
+    fake = await FakePeer(handle).start()
     text = pool_toml("a", fake.port) + "idempotent = true\n"
     async with InProcessSidecar(text) as node:
         yield fake, node, f"http://{HOST}:{node.port}/a"
 
 
-def test_httpx_through_a_pool():
-    async def play():
-        async with served() as (fake, node, base), httpx.AsyncClient() as client:
+def test_httpx_requests_through_pool():
+    async def scenario():
+        async with sidecar_with_pool() as (fake, node, base), httpx.AsyncClient() as client:
             assert (await client.get(f"{base}/x")).json()["target"] == "/a/x"
             for method in ("POST", "PUT", "PATCH", "DELETE"):
-                got = await client.request(method, f"{base}/x", content=b"hull")
-                assert got.status_code == 200
-                assert got.json() == {
+                response = await client.request(method, f"{base}/x", content=b"hull")
+                assert response.status_code == 200
+                assert response.json() == {
                     "method": method,
                     "target": "/a/x",
                     "body": "hull",
                 }
-            got = await client.head(f"{base}/x")
-            assert got.status_code == 200
-            assert got.content == b""
-            assert got.headers["content-length"] == "1234"
-            got = await client.get(f"{base}/nothing")
-            assert got.status_code == 204
-            assert got.headers["x-kept"] == "yes"
-            assert "content-length" not in got.headers
+            response = await client.head(f"{base}/x")
+            assert response.status_code == 200
+            assert response.content == b""
+            assert response.headers["content-length"] == "1234"
+            response = await client.get(f"{base}/nothing")
+            assert response.status_code == 204
+            assert response.headers["x-kept"] == "yes"
+            assert "content-length" not in response.headers
             assert (await client.get(f"{base}/unchanged")).status_code == 304
             assert (await client.get(f"{base}/moved")).headers["location"] == "/a/here"
-            got = await client.get(f"{base}/missing")
-            assert got.status_code == 404
-            assert got.text == "no such part"
-            got = await client.post(f"{base}/broken", content=b"x")
-            assert got.status_code == 500
-            assert got.text == "out of order"
+            response = await client.get(f"{base}/missing")
+            assert response.status_code == 404
+            assert response.text == "no such part"
+            response = await client.post(f"{base}/broken", content=b"x")
+            assert response.status_code == 500
+            assert response.text == "out of order"
             assert (await client.get(f"{base}/pieces")).text == "abcde"
             assert (await client.options(f"{base}/x")).status_code == 200
-            assert len(node.server.clients.all) == 1  # one connection for all of them
-            ids = [got.headers["x-request-id"] for got in fake.received]
+            assert len(node.server.clients.all) == 1  # One connection for all requests.
+            ids = [received.headers["x-request-id"] for received in fake.received]
             assert len(set(ids)) == len(ids)
 
-    run(play())
+    run(scenario())
 
 
 def test_aiohttp_sends_chunked_bodies_and_waits_for_100_continue():
-    async def play():
-        async def pieces():
+    async def scenario():
+        async def chunks():
             yield b"hu"
             yield b"ll"
 
-        async with served() as (_, _, base), aiohttp.ClientSession() as session:
-            async with session.post(f"{base}/x", data=pieces()) as got:
-                assert got.status == 200
-                assert (await got.json())["body"] == "hull"
-                assert got.headers["X-Request-Id"] == got.headers["ETag"]  # made here, told, and passed on
-            async with session.put(f"{base}/x", data=b"hull", expect100=True) as got:
-                assert got.status == 200
-                assert (await got.json())["method"] == "PUT"
-            async with session.head(f"{base}/x") as got:
-                assert got.status == 200
-                assert await got.read() == b""
+        async with sidecar_with_pool() as (_, _, base), aiohttp.ClientSession() as session:
+            async with session.post(f"{base}/x", data=chunks()) as response:
+                assert response.status == 200
+                assert (await response.json())["body"] == "hull"
+                # The generated id is returned and forwarded.
+                assert response.headers["X-Request-Id"] == response.headers["ETag"]
+            async with session.put(f"{base}/x", data=b"hull", expect100=True) as response:
+                assert response.status == 200
+                assert (await response.json())["method"] == "PUT"
+            async with session.head(f"{base}/x") as response:
+                assert response.status == 200
+                assert await response.read() == b""
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("library", ["requests", "urllib3"])
-def test_blocking_clients_keep_their_connection(library):
+def test_blocking_clients_get_expected_responses(library):
     def with_requests(base):
         with requests.Session() as session:
-            answers = [session.get(f"{base}/{number}") for number in range(5)]
-            assert [got.json()["target"] for got in answers] == [f"/a/{number}" for number in range(5)]
+            responses = [session.get(f"{base}/{number}") for number in range(5)]
+            assert [response.json()["target"] for response in responses] == [
+                f"/a/{number}" for number in range(5)
+            ]
             assert session.head(f"{base}/x").headers["Content-Length"] == "1234"
             assert session.delete(f"{base}/x").json()["method"] == "DELETE"
 
@@ -125,18 +128,18 @@
             assert pool.request("HEAD", f"{base}/x").status == 200
             assert pool.request("GET", f"{base}/nothing").status == 204
 
-    async def play():
-        async with served() as (_, node, base):
+    async def scenario():
+        async with sidecar_with_pool() as (_, node, base):
             await asyncio.to_thread({"requests": with_requests, "urllib3": with_urllib3}[library], base)
             await wait_until(lambda: not node.server.clients.all)
 
-    run(play())
+    run(scenario())
 
 
-def test_curl_through_a_pool():
-    assert shutil.which("curl"), "curl is not installed: this client was not looked at"
+def test_curl_requests_through_pool():
+    assert shutil.which("curl"), "curl is not installed, so this client cannot be tested"
 
-    async def play():
+    async def scenario():
         async def curl(*arguments):
             process = await asyncio.create_subprocess_exec(
                 "curl",
@@ -148,37 +151,37 @@
                 *arguments,
                 stdout=asyncio.subprocess.PIPE,
             )
-            out, _ = await process.communicate()
+            output, _ = await process.communicate()
             assert process.returncode == 0
-            return out.decode()
+            return output.decode()
 
-        async with served() as (_, _, base):
+        async with sidecar_with_pool() as (_, _, base):
             assert json.loads(await curl(f"{base}/x?q=1"))["target"] == "/a/x?q=1"
             assert "HTTP/1.1 200" in await curl("-I", f"{base}/x")
             assert json.loads(await curl("-X", "PUT", "-d", "hull", f"{base}/x"))["body"] == "hull"
-            big = "h" * 4096  # curl asks before it sends so much
-            got = await curl("-H", "Expect: 100-continue", "-d", big, f"{base}/x")
-            assert json.loads(got)["body"] == big
+            large_body = "h" * 4096  # Large enough for curl to wait for 100 Continue.
+            response = await curl("-H", "Expect: 100-continue", "-d", large_body, f"{base}/x")
+            assert json.loads(response)["body"] == large_body
             assert (await curl("-w", "%{http_code}", f"{base}/nothing")) == "204"
 
-    run(play())
+    run(scenario())
 
 
-def test_requests_sent_ahead_are_answered_in_their_order():
-    async def play():
-        async with served() as (_, node, _):
+def test_pipelined_requests_through_pool_are_answered_in_order():
+    async def scenario():
+        async with sidecar_with_pool() as (_, node, _):
             reader, writer = await asyncio.open_connection(HOST, node.port)
             writer.write(b"".join(get_request(f"/a/{number}") for number in range(10)))
             for number in range(10):
                 assert json.loads((await read_message(reader)).body)["target"] == f"/a/{number}"
             writer.close()
 
-    run(play())
+    run(scenario())
 
 
-def test_a_response_to_head_has_no_body_whoever_sends_it():
-    async def play():
-        async with served() as (_, node, _):
+def test_head_response_of_sidecar_or_endpoint_has_no_body():
+    async def scenario():
+        async with sidecar_with_pool() as (_, node, _):
             reader, writer = await asyncio.open_connection(HOST, node.port)
             for target, code in (("/none", b"404"), ("/a//x", b"400"), ("/a/x", b"200")):
                 writer.write(get_request(target, method="HEAD"))
@@ -189,16 +192,16 @@
             assert await reader.read() == b""
             writer.close()
 
-    run(play())
+    run(scenario())
 
 
-def test_a_doubled_host_reaches_no_pool():
-    async def play():
-        async with served() as (fake, node, _):
+def test_request_with_two_host_lines_reaches_no_pool():
+    async def scenario():
+        async with sidecar_with_pool() as (fake, node, _):
             reader, writer = await asyncio.open_connection(HOST, node.port)
             writer.write(get_request("/a/x", "Host: other.example"))
             assert (await read_message(reader)).code == 400
             assert not fake.received
             writer.close()
 
-    run(play())
+    run(scenario())
