--- a/dykefold/failover/zone_reports.py
+++ b/dykefold/failover/zone_reports.py
@@ -75,13 +75,13 @@
             own: Current samples of this sidecar by zone.
         """
         live = self._live_peers(now_ns)
-        found: defaultdict[ZonePair, list[HealthSample]] = defaultdict(list)
+        samples_by_pair: defaultdict[ZonePair, list[HealthSample]] = defaultdict(list)
         for zone in range(zone_count):
             if zone in own:
-                found[ZonePair(home, zone)].append(own[zone])
+                samples_by_pair[ZonePair(home, zone)].append(own[zone])
             for record, origin_zone in self._records(now_ns, Topic.ZONE_HEALTH, zone, live):
-                found[ZonePair(origin_zone, zone)].append(HealthSample.decode(record.value))
-        return found
+                samples_by_pair[ZonePair(origin_zone, zone)].append(HealthSample.decode(record.value))
+        return samples_by_pair
 
     def abandoned_zones(
         self, now_ns: int, zone_count: int, home: int, members: Counter[int]
@@ -120,21 +120,23 @@
     def levels(self, now_ns: int, zone_count: int) -> dict[int, list[int]]:
         """Return by zone the levels that other sidecars report for their own zone, in ascending order."""
         live = self._live_peers(now_ns)
-        found = {}
+        levels_by_zone = {}
         for zone in range(zone_count):
             records = self._records(now_ns, Topic.FAILOVER_LEVEL, zone, live)
             if records:
-                found[zone] = sorted(record.value for record, origin_zone in records if origin_zone == zone)
-        return found
+                levels_by_zone[zone] = sorted(
+                    record.value for record, origin_zone in records if origin_zone == zone
+                )
+        return levels_by_zone
 
     def _live_peers(self, now_ns: int) -> set[int]:
         return set(self.membership.live_members(now_ns)) - {self.membership.own_number}
 
     def _records(self, now_ns: int, topic: Topic, zone: int, live: set[int]) -> list[ZoneRecord]:
         """Return the records on a zone that live sidecars have published."""
-        found = []
+        zone_records = []
         for record, _ in self.membership.records.on_subject(now_ns, topic, zone):
             origin_zone = self.membership.zone_of(record.origin)
             if origin_zone is not None and record.origin in live:
-                found.append(ZoneRecord(record, origin_zone))
-        return found
+                zone_records.append(ZoneRecord(record, origin_zone))
+        return zone_records
--- a/dykefold/routing/plan.py
+++ b/dykefold/routing/plan.py
@@ -122,16 +122,16 @@
 
     def problems(self) -> list[str]:
         """Return the problems between tables of the file, one line each; empty if the plan can be applied."""
-        found: list[str] = []
+        problems: list[str] = []
         try:
             self.table(0)
         except RouteTableError as error:
-            found += [f"routes.{problem}" for problem in error.problems]
+            problems += [f"routes.{problem}" for problem in error.problems]
         for route in self.routes:
             pool = self.pools.get(route.pool)
             if pool is not None:
-                found += _class_problems(route.name, self.options[route.name], pool)
-        return found
+                problems += _class_problems(route.name, self.options[route.name], pool)
+        return problems
 
 
 def _class_problems(route: str, options: RouteOptions, pool: PoolPlan) -> list[str]:
@@ -141,17 +141,17 @@
     if options.tenant_header and not pool.settings.tenants:
         expected = f"expected [pools.{pool.name}.tenants.NAME]"
         return [f"routes.{route}.tenant_header: {pool.name} has no tenants; {expected}"]
-    found = [
+    problems = [
         f"routes.{route}.classes.{method} = {name!r}: expected a class of {pool.name}: {', '.join(known)}"
         for method, name in options.classes.items()
         if name not in known
     ]
     if not {READ, IDEMPOTENT, WRITE} <= set(known) and not options.classes:
-        found.append(
+        problems.append(
             f"routes.{route}.classes: missing; {pool.name} has classes of its own ({', '.join(known)}),"
             " expected which methods are of which"
         )
-    return found
+    return problems
 
 
 def default_classes(objective_ns: int, deadline_ns: int) -> list[RequestClass]:
--- a/dykefold/routing/requests.py
+++ b/dykefold/routing/requests.py
@@ -97,21 +97,21 @@
         headers, method = message.headers, message.method
         number, spec = self._class_of(method)
         self._check_key(spec, method, headers)
-        ident, extra_headers = headers.get(b"x-request-id", b""), b""
-        if len(ident) > MAX_ID_BYTES:
+        request_id, extra_headers = headers.get(b"x-request-id", b""), b""
+        if len(request_id) > MAX_ID_BYTES:
             raise RequestError(400, f"X-Request-Id is longer than {MAX_ID_BYTES} bytes")
-        if not ident:
+        if not request_id:
             if not self._options.make_ids:
                 raise RequestError(400, "X-Request-Id is missing")
-            ident = self._make_id().encode()
-            extra_headers = b"X-Request-Id: %s\r\n" % ident
+            request_id = self._make_id().encode()
+            extra_headers = b"X-Request-Id: %s\r\n" % request_id
             message.lines.append(extra_headers)
         wait_ns = self._options.deadline_ns or spec.deadline_ns
         if (value := headers.get(b"x-deadline")) is not None:
             wait_ns = parse_deadline(value)
         wait_ns = min(wait_ns, spec.deadline_ns)
         return ParsedRequest(
-            x_request_id=self._id_prefix + ident,
+            x_request_id=self._id_prefix + request_id,
             method=method,
             target=message.target,
             headers=message.lines,
@@ -134,10 +134,10 @@
 
     def _class_of(self, method: bytes) -> tuple[int, RequestClass]:
         """Return the number and settings of the request class of a method."""
-        found = self._classes.get(self._options.class_of(method.decode("latin-1")))
-        if found is None:
+        number_and_class = self._classes.get(self._options.class_of(method.decode("latin-1")))
+        if number_and_class is None:
             raise RequestError(405, "this route takes no such method")
-        return found
+        return number_and_class
 
     def _tenant_of(self, headers: dict[bytes, bytes]) -> int:
         if not self._tenant_header:
--- a/tests/routing/test_streams.py
+++ b/tests/routing/test_streams.py
@@ -61,11 +61,11 @@
 
 @asynccontextmanager
 async def sidecar_with(*handlers, **route_options):
-    servers = [await StreamingEndpoint(handler).start() for handler in handlers]
-    text = pool_toml("a", *(server.port for server in servers))
+    endpoints = [await StreamingEndpoint(handler).start() for handler in handlers]
+    text = pool_toml("a", *(endpoint.port for endpoint in endpoints))
     text += "idempotent = true\n" + "".join(f"{key} = {value}\n" for key, value in route_options.items())
     async with InProcessSidecar(text) as node:
-        yield node, servers
+        yield node, endpoints
         await wait_until(lambda: not node.pool("a").pending and not node.pool("a").attempts)
     assert node.server.memory.reserved_bytes == 0
     assert node.server.budget.reservations == 0
@@ -81,12 +81,12 @@
             yield LARGE_BODY[at : at + 7_000]
 
     async def scenario():
-        async with sidecar_with(respond_with_digest) as (node, (server,)), httpx.AsyncClient() as client:
+        async with sidecar_with(respond_with_digest) as (node, (endpoint,)), httpx.AsyncClient() as client:
             for content in (LARGE_BODY, chunks(), b"small"):
                 response = await client.put(f"http://{HOST}:{node.port}/a/x", content=content)
                 expected = b"small" if content == b"small" else LARGE_BODY
                 assert (response.status_code, response.text) == (200, hashlib.sha256(expected).hexdigest())
-            assert [headers.get("content-length") for _, headers in server.heads] == [
+            assert [headers.get("content-length") for _, headers in endpoint.heads] == [
                 str(len(LARGE_BODY)),
                 None,
                 "5",
@@ -112,7 +112,7 @@
 
 def test_response_is_streamed_no_faster_than_client_reads():
     async def scenario():
-        async with sidecar_with(send_large_response) as (node, (server,)):
+        async with sidecar_with(send_large_response) as (node, (endpoint,)):
             reader, writer = await asyncio.open_connection(HOST, node.port, limit=4 * KB)
             writer.write(get_request("/a/x"))
             await reader.readuntil(b"\r\n\r\n")
@@ -121,7 +121,7 @@
             assert node.server.memory.reserved_bytes < 64 * KB
             assert await reader.readexactly(len(LARGE_BODY)) == LARGE_BODY
             writer.close()
-            assert len(server.heads) == 1
+            assert len(endpoint.heads) == 1
 
     # Socket buffers would hold a smaller response completely.
     global LARGE_BODY
@@ -136,11 +136,11 @@
     """Guards against leaving such a failed attempt to the balancer, which would retry the idempotent PUT."""
 
     async def scenario():
-        async with sidecar_with(reset_in_request_body, reset_in_request_body) as (node, servers):
+        async with sidecar_with(reset_in_request_body, reset_in_request_body) as (node, endpoints):
             reader, writer = await connect(node)
             writer.write(request_head(len(LARGE_BODY)) + LARGE_BODY)
             assert (await read_message(reader)).code == 502
-            assert sum(len(server.heads) for server in servers) == 1
+            assert sum(len(endpoint.heads) for endpoint in endpoints) == 1
             writer.close()
 
     run(scenario())
@@ -148,11 +148,11 @@
 
 def test_large_body_not_yet_sent_is_retried_at_another_endpoint():
     async def scenario():
-        async with sidecar_with(respond_with_digest) as (node, (server,)):
+        async with sidecar_with(respond_with_digest) as (node, (endpoint,)):
             closed_endpoint = await StreamingEndpoint(respond_with_digest).start()
             closed_endpoint.server.close()
             await closed_endpoint.server.wait_closed()
-            node.apply_config(pool_toml("a", closed_endpoint.port, server.port) + "idempotent = true\n")
+            node.apply_config(pool_toml("a", closed_endpoint.port, endpoint.port) + "idempotent = true\n")
             for _ in range(8):
                 reader, writer = await connect(node)
                 writer.write(request_head(len(LARGE_BODY)) + LARGE_BODY)
@@ -164,13 +164,13 @@
 
 def test_truncated_response_closes_the_connection_and_is_not_restarted():
     async def scenario():
-        async with sidecar_with(reset_in_response, reset_in_response) as (node, servers):
+        async with sidecar_with(reset_in_response, reset_in_response) as (node, endpoints):
             reader, writer = await connect(node)
             writer.write(get_request("/a/x"))
             await reader.readuntil(b"\r\n\r\n")
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await reader.readexactly(len(LARGE_BODY))
-            assert sum(len(server.heads) for server in servers) == 1
+            assert sum(len(endpoint.heads) for endpoint in endpoints) == 1
             writer.close()
 
     run(scenario())
@@ -196,7 +196,7 @@
 @pytest.mark.parametrize("framing", ["content length", "chunked", "chunked after streaming began"])
 def test_bodies_over_the_routes_limit_are_rejected_with_one_response(framing):
     async def scenario():
-        async with sidecar_with(respond_with_digest, body_most_bytes=128 * KB) as (node, (server,)):
+        async with sidecar_with(respond_with_digest, body_most_bytes=128 * KB) as (node, (endpoint,)):
             reader, writer = await connect(node)
             if framing == "content length":
                 writer.write(request_head(len(LARGE_BODY)))
@@ -205,7 +205,7 @@
                 for _ in range(40 if framing == "chunked" else 20):
                     writer.write(b"%x\r\n%s\r\n" % (4 * KB, LARGE_BODY[: 4 * KB]))
                 if framing == "chunked after streaming began":
-                    await wait_until(lambda: server.heads)
+                    await wait_until(lambda: endpoint.heads)
                     writer.write(b"%x\r\n%s\r\n" % (64 * KB, LARGE_BODY[: 64 * KB]))
             assert (await read_message(reader)).code == 413
             assert await reader.read() == b""
@@ -216,14 +216,14 @@
 
 def test_client_disconnect_during_body_releases_connections_and_memory():
     async def scenario():
-        async with sidecar_with(never_respond) as (node, (server,)):
+        async with sidecar_with(never_respond) as (node, (endpoint,)):
             statuses = []
             node.pool("a").on_attempt_end = lambda endpoint, status, duration_ns, objective_ns: (
                 statuses.append(status)
             )
             _, writer = await connect(node)
             writer.write(request_head(len(LARGE_BODY)) + LARGE_BODY[: 300 * KB])
-            await wait_until(lambda: server.heads)
+            await wait_until(lambda: endpoint.heads)
             writer.transport.abort()
             await wait_until(lambda: not node.pool("a").attempts)
             assert not node.pool("a").connection_pool.connections
@@ -240,7 +240,7 @@
             reader, writer = await connect(node)
             writer.write(request_head(len(LARGE_BODY)) + LARGE_BODY[: 100 * KB])
             assert (await read_message(reader)).code == 408
-            assert not any(server.failure_score for server in balancer.endpoints.all.values())
+            assert not any(endpoint.failure_score for endpoint in balancer.endpoints.all.values())
             assert not congestion_calls  # The concurrency limit is not lowered either.
             writer.close()
 
@@ -279,16 +279,16 @@
             self.connection.set_paused(True)
 
 
-def test_connection_with_a_delayed_last_chunk_serves_the_next_request():
+def test_connection_with_delayed_last_chunk_serves_next_request():
     """Guards against reuse of a connection whose reading is paused: the next response would never be read."""
 
     async def scenario():
-        server = await StreamingEndpoint(send_large_response).start()
+        endpoint = await StreamingEndpoint(send_large_response).start()
         loop = asyncio.get_running_loop()
         pool = ConnectionPool(
             loop, ConnectionLimits(DescriptorAllowance(8), MemoryBudget(192 * KB * KB), 5.0, 60.0)
         )
-        pool.update(1, (HOST, server.port), 0, State.READY)
+        pool.update(1, (HOST, endpoint.port), 0, State.READY)
         for _ in range(2):
             attempt_end = loop.create_future()
             exchange = PausingExchange(
@@ -310,14 +310,14 @@
     """Guards against request smuggling: a request hidden in the body of another (RFC 9112, 6.1)."""
 
     async def scenario():
-        async with sidecar_with(respond_with_digest) as (node, (server,)):
+        async with sidecar_with(respond_with_digest) as (node, (endpoint,)):
             reader, writer = await connect(node)
             writer.write(
                 request_head(length, "Transfer-Encoding: chunked") + b"0\r\n\r\n" + get_request("/a/hidden")
             )
             assert (await read_message(reader)).code == 400
             assert await reader.read() == b""
-            assert not server.heads
+            assert not endpoint.heads
             writer.close()
 
     run(scenario())
