--- a/dykefold/net/clock.py
+++ b/dykefold/net/clock.py
@@ -11,7 +11,7 @@
 class Clock:
     """Monotonic time on the scale of Unix time, in which endpoint lists state the starts of endpoints.
 
-    The offset between both clocks is fixed once, so that later steps of the wall clock have no effect.
+    The offset between both clocks is read once, so that later steps of the wall clock have no effect.
 
     Args:
         system: Source of the clocks.
@@ -26,16 +26,16 @@
         self.offset = system.time_ns() - system.monotonic_ns()
 
     def now(self) -> int:
-        """Return the present time in nanoseconds."""
+        """Return the current time in nanoseconds."""
         return self.offset + self.monotonic_ns()
 
-    def at(self, now_s: float) -> int:
+    def at(self, monotonic_s: float) -> int:
         """Convert a time of the monotonic clock, with an error of some hundred nanoseconds.
 
         Args:
-            now_s: Time of the monotonic clock, in seconds.
+            monotonic_s: Time of the monotonic clock, in seconds.
 
         Returns:
             Time of this clock, in nanoseconds.
         """
-        return self.offset + int(now_s * NS_PER_S)
+        return self.offset + int(monotonic_s * NS_PER_S)
--- a/dykefold/net/loop_lag.py
+++ b/dykefold/net/loop_lag.py
@@ -1,8 +1,8 @@
-"""How late the event loop runs: a periodic timer that compares when it was due, and the longest callback.
+"""Monitor of the event loop's lag: how late a periodic timer runs, and which callback took longest.
 
-A callback that blocks the loop for 50 ms delays every client and every time limit, and nothing else shows
-that. The probe always runs: it costs fifty wake-ups a second, and two readings of the clock for each callback
-that reads a socket.
+A callback that blocks the loop for 50 ms delays every client and every time limit, and no other measurement
+shows that. The probe always runs: it costs 50 wake-ups a second, and two readings of the clock for each
+callback that reads a socket.
 """
 
 from __future__ import annotations
@@ -15,23 +15,23 @@
 log = logging.getLogger("dykefold")
 
 PROBE_INTERVAL_S = 0.02
-# Lateness of this size is logged: attempts end 15 ms before the client's deadline.
+# Lag from this time on is logged: attempts end 15 ms before the client's deadline.
 MIN_LOGGED_S = 0.05
-# The worst lateness is reported for this time at least, and a log line follows another one after it.
+# The maximum lag is reported for at least this time, which is also the minimum interval between log lines.
 WINDOW_S = 10.0
 
 
 class LoopLagMonitor:
-    """Measures the worst lateness of the loop in the last `WINDOW_S` to twice that, until `close`.
+    """Measures the maximum lag of the loop over the last one to two `WINDOW_S`, until `close`.
 
     Args:
         loop: Event loop that is measured.
         system: The clock.
 
     Attributes:
-        worst_now_s: Worst lateness in the current window, in seconds.
-        worst_before_s: Worst lateness in the window before, in seconds.
-        window_at_s: Time in seconds at which the current window began.
+        current_max_s: Maximum lag in the current window, in seconds.
+        previous_max_s: Maximum lag in the previous window, in seconds.
+        window_began_s: Time in seconds at which the current window began.
         logged_at_s: Time in seconds of the latest log line.
         longest_s: Duration in seconds of the longest callback since the last probe.
         longest_name: Name of that callback in the log.
@@ -42,8 +42,8 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, system: System = SYSTEM) -> None:
         self.loop = loop
         self.monotonic = system.monotonic
-        self.worst_now_s = self.worst_before_s = 0.0
-        self.window_at_s = self.monotonic()
+        self.current_max_s = self.previous_max_s = 0.0
+        self.window_began_s = self.monotonic()
         self.logged_at_s = -WINDOW_S
         self.longest_s = 0.0
         self.longest_name = ""
@@ -52,33 +52,33 @@
 
     @property
     def worst_s(self) -> float:
-        """Worst lateness, in seconds."""
-        return max(self.worst_now_s, self.worst_before_s)
+        """Maximum lag in the current and the previous window, in seconds."""
+        return max(self.current_max_s, self.previous_max_s)
 
-    def record_duration(self, began_s: float, what: str) -> None:
-        """Record the time that a callback took.
+    def record_duration(self, began_s: float, name: str) -> None:
+        """Record the duration of a callback.
 
         Args:
             began_s: Time at which the callback began, in seconds of the monotonic clock.
-            what: Name of the callback in the log.
+            name: Name of the callback in the log.
         """
-        took_s = self.monotonic() - began_s
-        if took_s > self.longest_s:
-            self.longest_s, self.longest_name = took_s, what
+        duration_s = self.monotonic() - began_s
+        if duration_s > self.longest_s:
+            self.longest_s, self.longest_name = duration_s, name
 
     def _probe(self) -> None:
         now_s = self.monotonic()
-        late_s = now_s - self.due_s
-        if now_s - self.window_at_s >= WINDOW_S:
-            self.worst_before_s, self.worst_now_s, self.window_at_s = self.worst_now_s, 0.0, now_s
-        self.worst_now_s = max(self.worst_now_s, late_s)
-        if late_s >= MIN_LOGGED_S and now_s - self.logged_at_s >= WINDOW_S:
+        lag_s = now_s - self.due_s
+        if now_s - self.window_began_s >= WINDOW_S:
+            self.previous_max_s, self.current_max_s, self.window_began_s = self.current_max_s, 0.0, now_s
+        self.current_max_s = max(self.current_max_s, lag_s)
+        if lag_s >= MIN_LOGGED_S and now_s - self.logged_at_s >= WINDOW_S:
             self.logged_at_s = now_s
-            # A callback that explains less than half of the lateness did not cause it.
+            # A callback shorter than half of the lag did not cause it.
             longest = f"{self.longest_name}, {self.longest_s * 1000:.0f} ms"
-            if self.longest_s < late_s / 2:
+            if self.longest_s < lag_s / 2:
                 longest = "nothing here; the process was stopped or its core was taken"
-            log.warning("event loop was late by %.0f ms; longest callback: %s", late_s * 1000, longest)
+            log.warning("event loop was late by %.0f ms; longest callback: %s", lag_s * 1000, longest)
         self.longest_s = 0.0
         self.due_s = now_s + PROBE_INTERVAL_S
         self.timer = self.loop.call_later(PROBE_INTERVAL_S, self._probe)
--- a/dykefold/net/memory_budget.py
+++ b/dykefold/net/memory_budget.py
@@ -1,4 +1,4 @@
-"""The memory that the messages of this process may use, by the configuration."""
+"""Budget for the memory of buffered messages, from the process's memory limit."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 
 class MemoryBudget:
-    """The memory of all buffered messages, requests and responses.
+    """Budget for the memory of all buffered requests and responses.
 
     Args:
-        limit: Bytes that the whole process may use.
+        limit_bytes: Maximum memory of the whole process, in bytes.
 
     Attributes:
-        reserved_bytes: Bytes that are reserved.
-        capacity_bytes: Maximum of the bytes that are reserved.
-        PROGRAM_BYTES: Bytes that the program uses without any message.
-        FRACTION: Fraction of the other bytes that messages may use. It is far below 1, since a message is
-            buffered up to twice, and freed memory is fragmented.
-        MIN_BYTES: Minimum of the capacity.
-        MAX_BYTES: Maximum of the capacity.
+        reserved_bytes: Number of bytes that are reserved.
+        capacity_bytes: Maximum number of reserved bytes.
+        PROGRAM_BYTES: Memory of the process without any message, in bytes.
+        FRACTION: Fraction of the remaining memory that messages may use. It is far below 1, since a message
+            may be buffered twice, and freed memory is fragmented.
+        MIN_BYTES: Minimum capacity, in bytes.
+        MAX_BYTES: Maximum capacity, in bytes.
     """
 
     PROGRAM_BYTES = 20 * MB
@@ -26,22 +26,22 @@
     MIN_BYTES = MB
     MAX_BYTES = 48 * MB
 
-    def __init__(self, limit: int) -> None:
+    def __init__(self, limit_bytes: int) -> None:
         self.reserved_bytes = 0
-        self.resize(limit)
+        self.resize(limit_bytes)
 
-    def resize(self, limit: int) -> None:
-        """Apply another limit; reserved bytes stay reserved.
+    def resize(self, limit_bytes: int) -> None:
+        """Apply a changed limit; reserved bytes stay reserved.
 
         Args:
-            limit: Bytes that the whole process may use.
+            limit_bytes: Maximum memory of the whole process, in bytes.
         """
         self.capacity_bytes = int(
-            min(max((limit - self.PROGRAM_BYTES) * self.FRACTION, self.MIN_BYTES), self.MAX_BYTES)
+            min(max((limit_bytes - self.PROGRAM_BYTES) * self.FRACTION, self.MIN_BYTES), self.MAX_BYTES)
         )
 
     def reserve(self, size: int) -> bool:
-        """Reserve this many bytes; return False, and reserve none, where they exceed the budget."""
+        """Reserve this many bytes; return False, and reserve none, if they would exceed the budget."""
         if self.reserved_bytes + size > self.capacity_bytes:
             return False
         self.reserved_bytes += size
--- a/dykefold/net/peers.py
+++ b/dykefold/net/peers.py
@@ -1,4 +1,4 @@
-"""Datagrams between sidecars, over UDP."""
+"""UDP datagrams between sidecars."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class PeerChannel(asyncio.DatagramProtocol):
-    """Sends datagrams to peers by their number, and passes on the datagrams of known peers.
+    """UDP socket that sends datagrams to peers by number, and delivers the datagrams of known peers.
 
     Args:
         index: Number of this sidecar.
@@ -54,13 +54,13 @@
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        """Pass on a datagram of a known peer; drop any other."""
+        """Deliver a datagram of a known peer; drop any other."""
         number = self.numbers.get((addr[0], addr[1]))
         if number is not None and len(data) <= MAX_DATAGRAM_BYTES:
             self.on_datagram(number, data)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore the error: any datagram may be lost, and the balancer needs no news of unreachable peers."""
+        """Ignore the error: any datagram may be lost, and the balancer does not track unreachable peers."""
 
     def send(self, data: bytes, peer: int | None) -> None:
         """Send a datagram; it may be lost.
--- a/dykefold/net/read_scheduler.py
+++ b/dykefold/net/read_scheduler.py
@@ -1,9 +1,9 @@
-"""Input in slices, so that no single read blocks the loop for all other connections.
+"""Scheduler that parses long input in slices, so that no single read blocks the event loop.
 
 A transport delivers up to 256 KiB at once. Most of that is cheap to parse, but one-byte chunks, header lines
-of four bytes or requests of twenty cost some microseconds each, and a read full of them would take hundreds
-of milliseconds. Therefore input longer than a slice waits here, and its connection is not read meanwhile.
-Each turn of the loop parses a few slices, one connection after the other.
+of four bytes or requests of twenty cost some microseconds each, and parsing a read full of them takes
+hundreds of milliseconds. Therefore input longer than a slice is queued here, and reading from its connection
+pauses. Each iteration of the loop parses a few slices, round-robin over the connections.
 """
 
 from __future__ import annotations
@@ -17,30 +17,30 @@
 
 # A typical message is shorter than a slice, and a slice full of the shortest requests takes 2 to 3 ms.
 SLICE_BYTES = 2048
-# This limit covers all connections together.
+# Limit for all connections together.
 MAX_SLICES_PER_TURN = 2
 
 
 class Reader(Protocol):
-    """A connection whose input may have to wait.
+    """A connection whose input may be queued.
 
     Attributes:
-        unparsed: Input that waits, in order; None if nothing waits.
+        unparsed: Input that waits to be parsed, in order; None if there is none.
     """
 
     unparsed: memoryview | None
 
     def feed_slice(self) -> bool:
-        """Parse at most a slice of the input; return whether more can be parsed in the next turn."""
+        """Parse at most a slice of the input; return whether the next iteration can parse more."""
         ...
 
 
 class ReadScheduler:
-    """The connections whose input waits, each at most once.
+    """Queue of the connections whose input waits to be parsed, each at most once.
 
     Args:
-        loop: Event loop of the turns.
-        lag_monitor: Monitor that is notified of how long each turn took; None if that is not measured.
+        loop: Event loop that runs the parsing.
+        lag_monitor: Monitor that records the duration of each run; None if it is not measured.
         system: The clock.
     """
 
@@ -56,7 +56,7 @@
         self.queue: deque[Reader] = deque()
 
     def add(self, reader: Reader) -> None:
-        """Add a connection whose input waits; it must not be in the queue already."""
+        """Queue a connection whose input waits; it must not be queued already."""
         self.queue.append(reader)
         if len(self.queue) == 1:
             self.loop.call_soon(self._turn)
--- a/dykefold/net/shutdown.py
+++ b/dykefold/net/shutdown.py
@@ -1,7 +1,7 @@
-"""The graceful shutdown of a sidecar: its steps, and when each is due.
+"""Graceful shutdown of a sidecar: its steps and their times.
 
-Every accepted request gets its response before the platform may kill the process. Until then, requests are
-accepted for as long as there is time to answer them.
+Every accepted request gets its response before the platform may kill the process. Requests are accepted for
+as long as there is time to answer them before that.
 """
 
 from __future__ import annotations
@@ -18,27 +18,27 @@
 
 log = logging.getLogger("dykefold")
 
-# New connections are accepted for this time after the beginning.
+# New connections are accepted for this time after the shutdown begins.
 ACCEPT_AFTER_TERM_S = 0.5
-# Later requests, on the connections that are left, are accepted until none has come for this time.
+# After that, requests on the remaining connections are accepted until none has arrived for this time.
 QUIET_AFTER_TERM_S = 0.3
-# The platform may kill the process when the longest deadline and this time are over (PROTOCOL, figures).
+# The platform may kill the process this time after the longest deadline has passed (PROTOCOL, figures).
 KILL_AFTER_DEADLINE_S = 0.7
-MAX_DEADLINE_S = 3.0  # a longer deadline counts as this one
-# Every pending request is answered at this time before the platform may kill the process.
+MAX_DEADLINE_S = 3.0  # Longer deadlines are capped to this one.
+# Every request that is still pending is answered this time before the platform may kill the process.
 ANSWER_BEFORE_KILL_S = 0.4
-# Requests are no longer accepted from this time before every pending request is answered.
+# Requests are accepted until this time before every pending request is answered.
 LAST_ANSWERS_S = 1.0
-# A closing listener accepts clients that wait already for at least this time.
+# Minimum time for which a closing listener accepts the clients in its backlog.
 MIN_LISTENER_CLOSE_S = 0.1
-# Clients have this time to read the last responses. The rest, until the kill, is for a loop that is late.
+# Clients have this time to read the last responses. The remaining time until the kill allows for a late loop.
 FLUSH_S = 0.2
-# Time between two checks for clients that have sent a part of a message, once every request is answered.
+# Interval between checks for clients with an incomplete message, once every request is answered.
 REJECT_INTERVAL_S = 0.05
 
 
 class ShutdownTimes(NamedTuple):
-    """Times of the steps of a graceful shutdown, in seconds after its beginning.
+    """Times of the steps of a graceful shutdown, in seconds after it begins.
 
     Attributes:
         stop_requests_s: Time from which no more requests are accepted.
@@ -52,15 +52,15 @@
 
 
 def shutdown_times(longest_s: float) -> ShutdownTimes:
-    """Compute when a graceful shutdown takes its steps.
+    """Compute the times of the steps of a graceful shutdown.
 
-    All steps are due before the platform may kill the process, since requests that are pending then are lost.
+    All steps are due before the platform may kill the process, since requests pending at the kill are lost.
 
     Args:
         longest_s: Longest deadline of a request class, in seconds.
 
     Returns:
-        Times in seconds after the beginning.
+        Times of the steps, in seconds after the shutdown begins.
     """
     answer_s = min(longest_s, MAX_DEADLINE_S) + KILL_AFTER_DEADLINE_S - ANSWER_BEFORE_KILL_S
     stop_requests_s = max(answer_s - LAST_ANSWERS_S, ACCEPT_AFTER_TERM_S)
@@ -68,17 +68,17 @@
 
 
 class DrainedServer(Protocol):
-    """What the graceful shutdown uses of the server.
+    """Interface of the server that the graceful shutdown uses.
 
     Attributes:
         draining: Whether the graceful shutdown has begun.
-        handing_over: Whether clients have a newer process to go to.
+        handing_over: Whether a newer process takes over the clients.
         accepting_requests: Whether requests are still accepted.
         all_answered: Whether every pending request has been answered, and each new one is rejected.
         listener: Listening socket; None without one.
         clients: Connections of clients.
-        pools: Pools that serve or retire.
-        stopped: Future that is done when the process may end.
+        pools: Pools that are active or retiring.
+        stopped: Future that completes when the process may exit.
     """
 
     draining: bool
@@ -96,7 +96,7 @@
 
 
 class GracefulShutdown:
-    """Takes the steps of one server's shutdown, and records its progress in the server's attributes.
+    """Runs the steps of one server's shutdown, and records its progress in the server's attributes.
 
     Args:
         loop: Event loop on which the steps are scheduled.
@@ -131,45 +131,45 @@
         self.loop.call_later(times.stop_s, self._stop)
 
     def stop_accepting(self) -> None:
-        """Accept no more connections, but still requests on those that clients have.
+        """Stop accepting connections; requests on existing connections are still accepted.
 
         The client has no other sidecar, and the platform decides when the next process starts. So requests
         are served for as long as the platform lets this process live.
         """
         self.close_listener()
         self.end_if_done()
-        # Clients that have a newer process to go to disconnect by themselves, each after its next response.
+        # Clients that a newer process takes over disconnect after their next response.
         if not self.server.handing_over:
-            self.loop.call_later(QUIET_AFTER_TERM_S, self._await_quiet, self._accepted_requests())
+            self.loop.call_later(QUIET_AFTER_TERM_S, self._stop_requests_if_quiet, self._accepted_requests())
 
-    def _await_quiet(self, accepted_before: int) -> None:
+    def _stop_requests_if_quiet(self, previous_count: int) -> None:
         if not self.server.accepting_requests:
             return
         accepted = self._accepted_requests()
-        if accepted == accepted_before:
+        if accepted == previous_count:
             self.stop_requests()
         else:
-            self.loop.call_later(QUIET_AFTER_TERM_S, self._await_quiet, accepted)
+            self.loop.call_later(QUIET_AFTER_TERM_S, self._stop_requests_if_quiet, accepted)
 
     def _accepted_requests(self) -> int:
-        """Return a number that grows with each request that a pool accepts."""
+        """Return a count that grows with each request that a pool accepts."""
         return sum(pool.next_id for pool in self.server.pools)
 
     def stop_requests(self) -> None:
-        """Accept no more requests, and close the connections that have none."""
+        """Stop accepting requests, and close the connections without a pending one."""
         server = self.server
         if not server.accepting_requests:
             return
         server.accepting_requests = False
         self.close_listener()
         for connection in list(server.clients.all.values()):
-            # A client that has begun a message is answered, also if the message has not been read yet.
+            # A client that has begun to send a request is answered, even if nothing of it was read yet.
             if connection.idle and not connection.message_unfinished:
                 connection.close_when_idle()
         self.end_if_done()
 
     def answer_all(self) -> None:
-        """Answer every pending request now, and reject each later one."""
+        """Answer every pending request now, and reject later ones."""
         self.server.all_answered = True
         for pool in self.server.pools:
             pool.answer_all_pending()
@@ -178,16 +178,16 @@
     def _reject_unfinished(self) -> None:
         """Reject incomplete messages, since their clients may wait for a response."""
         for connection in list(self.server.clients.all.values()):
-            if not connection.has_unread_input():  # unread input may complete the message
+            if not connection.has_unread_input():  # Unread input may complete the message.
                 connection.reject_unfinished("this sidecar ends")
         self.loop.call_later(REJECT_INTERVAL_S, self._reject_unfinished)
 
     def close_listener(self) -> None:
-        """Close the listener after the clients that wait already have been accepted."""
+        """Close the listener after the clients in its backlog have been accepted."""
         server = self.server
         if server.listener is not None and not server.listener.closing:
-            left_s = min(self.answer_at, server.monotonic() + MAX_DEADLINE_S) - server.monotonic()
-            server.listener.shut_down(max(left_s, MIN_LISTENER_CLOSE_S), self._on_listener_closed)
+            remaining_s = min(self.answer_at, server.monotonic() + MAX_DEADLINE_S) - server.monotonic()
+            server.listener.shut_down(max(remaining_s, MIN_LISTENER_CLOSE_S), self._on_listener_closed)
 
     def _on_listener_closed(self) -> None:
         self.server.listener = None
@@ -195,7 +195,7 @@
             self.end_if_done()
 
     def end_if_done(self) -> None:
-        """Stop if no client is connected any more: then every response has been flushed."""
+        """Stop if no client is connected: every response has been flushed then."""
         if self.server.listener is None and not self.server.clients.all:
             self._stop()
 
--- a/dykefold/net/sidecar.py
+++ b/dykefold/net/sidecar.py
@@ -1,6 +1,6 @@
-"""The sidecar's server: listener, clients and budgets, which a process has once for all its pools.
+"""The sidecar's server: listener, clients and budgets, shared by all pools of a process.
 
-The platform's sidecar has one pool (`SidecarServer.serve_one`). `routing/` makes several, with a route table.
+The platform's sidecar has one pool (`SidecarServer.serve_one`). `routing/` creates several, by a route table.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from ..balancer.settings import Settings
 from ..settings import Transport
 from ..system import SYSTEM, System
-from .class_generations import LINGER_NS, ClassGeneration
+from .class_generations import RETIRED_CLASS_LINGER_NS, ClassGeneration
 from .clock import NS_PER_MS, Clock
 from .downstream.connection import ClientConnection
 from .downstream.protocols import MessageParser
@@ -41,22 +41,23 @@
 log = logging.getLogger("dykefold")
 
 SWEEP_INTERVAL_S = 0.25
-# The id of a finished request can't be used again for this time, as long as it is among the latest ones.
+# The id of a finished request can't be reused for this time, while it is among the `MAX_RECENT_IDS` latest.
 RECENT_ID_S = 4.0
 MAX_RECENT_IDS = 8192
-RETRY_AFTER_NS = 500 * NS_PER_MS  # Retry-After of a rejection for lack of capacity in this process
-FAULT_LOG_INTERVAL_S = 1.0  # shortest time between two logged exceptions
+RETRY_AFTER_NS = 500 * NS_PER_MS  # Retry-After of a rejection because this process lacks capacity
+EXCEPTION_LOG_INTERVAL_S = 1.0  # minimum time between two logged exceptions
 
 
 @dataclass(frozen=True, slots=True)
 class SidecarLimits:
-    """Limits that a process begins with.
+    """Initial limits of a process.
 
     Attributes:
         max_descriptors: Number of descriptors that all processes of the sidecar may hold together.
-        memory_bytes: Bytes of messages that all processes of the sidecar may hold together.
+        memory_bytes: Maximum memory of all processes of the sidecar together, in bytes.
         addresses: Limits on the clients of each address.
-        set_aside: Number of descriptors that are neither clients' nor endpoints', such as the admin API's.
+        set_aside: Number of descriptors reserved for uses other than clients and endpoints, such as the
+            admin API.
     """
 
     max_descriptors: int
@@ -66,37 +67,37 @@
 
 
 class SidecarServer:
-    """Accepts clients' connections and requests for the pools of this process, within its limits.
+    """Server that accepts clients' connections and requests for the pools of this process, within its limits.
 
     Args:
         loop: Event loop that runs everything.
-        limits: Limits to begin with; the process may use all of them until `share_capacity` is called.
+        limits: Initial limits; the process may use all of them until `share_capacity` is called.
         system: Clocks and sockets of the machine.
 
     Attributes:
-        parser: Reader that makes requests of messages; set by `serve_one`, or by the routing of pools.
-        pools: Pools that serve or retire.
+        parser: Parser of requests; set by `serve_one`, or by the routing of pools.
+        pools: Pools that are active or retiring.
         pool: Pool of the platform's sidecar; set by `serve_one`.
         generation: Settings of that pool with numbered request classes; set by `serve_one`.
-        half_close: Whether a client that has closed its sending side may still wait for responses.
+        half_close: Whether a client that has closed its sending side still gets responses.
         sockets: Number of descriptors that all processes of the sidecar may hold together.
-        memory_limit_bytes: Bytes of messages that all processes of the sidecar may hold together.
+        memory_limit_bytes: Maximum memory of all processes of the sidecar together, in bytes.
         process_count: Number of live processes of the sidecar, among which the memory is divided equally.
         max_descriptors: Number of descriptors that this process may hold.
         lag_monitor: Monitor of the event loop's delay.
         read_scheduler: Connections whose input waits to be parsed.
-        timer_wheel: Time limits of requests and attempts.
+        timer_wheel: Timers of requests and attempts.
         peers: Datagram channel to other sidecars; None without one.
         ids: Ids of requests that are pending or have finished recently, as their clients named them.
         finished_ids: Ids of recently finished requests, each with its end in seconds of the monotonic clock.
         draining: Whether the graceful shutdown has begun.
-        handing_over: Whether clients have a newer process to go to.
+        handing_over: Whether a newer process takes over the clients.
         accepting_requests: Whether requests are still accepted.
         all_answered: Whether every pending request has been answered, and each new one is rejected.
-        stopped: Future that is done when the process may end.
+        stopped: Future that completes when the process may exit.
         listener: Listening socket; None before the process accepts clients and after it has closed it.
         shutdown: Steps of the graceful shutdown.
-        fault_logged_at: Time of the latest logged exception, seconds of the monotonic clock.
+        exception_logged_s: Time of the latest logged exception, seconds of the monotonic clock.
     """
 
     def __init__(
@@ -131,14 +132,14 @@
         self.stopped = loop.create_future()
         self.listener: Listener | None = None
         self.shutdown = GracefulShutdown(loop, self)
-        self.fault_logged_at = -math.inf
+        self.exception_logged_s = -math.inf
         self._sweep(self.monotonic())
 
     def serve_one(self, config: PoolConfig) -> None:
-        """Give all requests to one pool, as on the platform.
+        """Serve all requests by one pool, as on the platform.
 
         Args:
-            config: Settings, endpoints and random seed that the pool begins with.
+            config: Initial settings, endpoints and random seed of the pool.
         """
         self.pool = Pool(self, config)
         self.pools[self.pool] = None
@@ -154,7 +155,7 @@
 
         Raises:
             TooManyClassesError: More request classes would be in use at once than there are numbers;
-                nothing has changed then.
+                nothing is changed then.
         """
         pool, now_ns = self.pool, self.now()
         settings = pool.renumber_zones(settings)
@@ -173,11 +174,11 @@
         self.generation = generation
         pool.change_settings(generation.settings, transport, frozenset(generation.retired))
         assert isinstance(self.parser, RequestParser)
-        previous = self.parser.keep_as_fallback(now_ns, now_ns + LINGER_NS)
+        previous = self.parser.keep_as_fallback(now_ns, now_ns + RETIRED_CLASS_LINGER_NS)
         self.parser = RequestParser(generation.settings, pool, generation.retired, previous)
 
     def forget(self, pool: Pool) -> None:
-        """Forget a pool that has retired."""
+        """Remove a pool that has retired."""
         self.pools.pop(pool, None)
 
     def close_unneeded_upstream(self) -> bool:
@@ -185,9 +186,9 @@
         return any(pool.connection_pool.close_unneeded() for pool in self.pools)
 
     def log_exception(self, text: str) -> None:
-        """Log the exception that is being handled, at most one in `FAULT_LOG_INTERVAL_S`."""
-        if self.monotonic() - self.fault_logged_at >= FAULT_LOG_INTERVAL_S:
-            self.fault_logged_at = self.monotonic()
+        """Log the exception that is being handled, at most one in `EXCEPTION_LOG_INTERVAL_S`."""
+        if self.monotonic() - self.exception_logged_s >= EXCEPTION_LOG_INTERVAL_S:
+            self.exception_logged_s = self.monotonic()
             log.exception(text)
 
     # Requests
@@ -207,7 +208,7 @@
             while finished and (finished[0][0] < oldest_s or len(finished) > MAX_RECENT_IDS):
                 self.ids.discard(finished.popleft()[1])
         if self.all_answered:
-            # Clients may send requests ahead on a connection that is never idle. A request that is accepted
+            # Clients may pipeline requests on a connection that is never idle. A request that is accepted
             # now would still be pending when the process stops.
             return 503, _retry_after_header(request.pool), b"this sidecar ends\n"
         if request.x_request_id in self.ids:
@@ -223,11 +224,11 @@
         return None
 
     def accept(self, connection: ClientConnection, request: ParsedRequest) -> None:
-        """Accept an admitted request: from here on it awaits one final response."""
+        """Accept an admitted request, which gets one final response."""
         request.pool.accept(connection, request)
 
     def on_request_end(self, sink: ResponseSink, request: ParsedRequest, served: bool) -> None:
-        """Release what a finished request had reserved of the process."""
+        """Release the capacity that a finished request had reserved."""
         self.clients.close_request(sink.client, served)
         self.finished_ids.append((self.monotonic(), request.x_request_id))
         if self.draining:
@@ -236,7 +237,7 @@
     # Clients
 
     def disconnected(self, connection: ClientConnection, request: ParsedRequest | None) -> None:
-        """Release what a disconnected client had, and drop its pending request."""
+        """Release the capacity of a disconnected client, and drop its pending request."""
         self.clients.remove(connection.client)
         if self.listener is not None:
             self.listener.on_descriptor_released()
@@ -254,20 +255,20 @@
         return ConnectionLimits(self.budget.clients, self.budget.with_requests)
 
     def listen(self, sock: socket.socket) -> Listener:
-        """Begin to accept clients' connections on a listening socket."""
+        """Start accepting clients' connections on a listening socket."""
         self.listener = Listener(
             self.loop, sock, self.clients, lambda client: ClientConnection(self, client), self.system
         )
         return self.listener
 
     def change_limits(self, sockets: int, addresses: AddressLimits) -> None:
-        """Apply other limits: connections beyond them are closed, except those that a request needs.
+        """Apply changed limits: connections beyond them are closed, except those that a request needs.
 
         Args:
             sockets: Number of descriptors that all processes of the sidecar may hold together.
             addresses: Limits on the clients of each address.
         """
-        if self.max_descriptors >= self.sockets:  # a process that may hold all descriptors still may
+        if self.max_descriptors >= self.sockets:  # A process that may hold all descriptors keeps that right.
             self.max_descriptors = sockets
         self.sockets = sockets
         min_clients = self.clients.admission.count if self.process_count > 1 else 0
@@ -278,11 +279,11 @@
             pool.connection_pool.shrink()
 
     def needed_descriptors(self) -> int:
-        """Return the number of descriptors that this process can't release now."""
+        """Return the number of descriptors that this process can't release at present."""
         return self.budget.required(self.clients.admission.count)
 
     def share_capacity(self, process_count: int, max_descriptors: int) -> None:
-        """Leave capacity to other processes of this sidecar.
+        """Divide the sidecar's capacity among its processes.
 
         Args:
             process_count: Number of live processes, among which the memory of messages is divided equally.
@@ -329,7 +330,7 @@
 
 
 def _retry_after_header(pool: Pool) -> bytes:
-    """Return the Retry-After header of a rejection, where the settings allow it."""
+    """Return the Retry-After header of a rejection; empty if the settings disable it."""
     if not pool.settings.retry_after:
         return b""
     return retry_after(min(RETRY_AFTER_NS, pool.settings.max_retry_after_ns))
--- a/dykefold/net/streaming.py
+++ b/dykefold/net/streaming.py
@@ -1,8 +1,8 @@
-"""Request bodies that are too large to be buffered: they are forwarded piece by piece, and only once.
+"""Streaming of request bodies that are too large to be buffered.
 
-A buffered body can be sent again with a retry; a streamed one can't. So a request whose body has begun to
-flow gets no second attempt, whatever its class allows. Flow control bounds the bytes in between: reading from
-one side pauses while the other side can't be written to.
+A buffered body can be sent again with a retry; a streamed one can't. Therefore a request gets no second
+attempt once a part of its body has been forwarded, whatever its class allows. Flow control bounds the
+buffered bytes: reading from one side pauses while the other side can't be written to.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 from collections.abc import Callable
 from typing import Protocol
 
-# Reading of an upload pauses while this many bytes or more wait for its endpoint.
+# Reading of an upload pauses while at least this many bytes wait for its endpoint.
 UPLOAD_HIGH_WATER_BYTES = 64 * 1024
-# Within this time after reading resumes, what the kernel has buffered of the body is read.
+# The bytes that the kernel buffered during a pause are read within this time after reading resumes.
 SOCKET_READ_NS = 50_000_000
-# A chunked body may take this many bytes on the wire for each byte of its own, as a buffered body may.
+# Maximum bytes on the wire for each byte of a chunked body, buffered or streamed.
 MAX_FRAMING_FACTOR = 8
 
 
@@ -22,41 +22,41 @@
     """The connection to an endpoint that an upload is written to.
 
     Attributes:
-        unwritten: Whether bytes wait for the socket.
+        unwritten: Whether bytes wait to be written to the socket.
     """
 
     unwritten: bool
 
     def write(self, data: bytes) -> None:
-        """Write the next bytes."""
+        """Write the next bytes of the body."""
         ...
 
     def may_send_last_byte(self) -> bool:
-        """Return whether the last byte may still be sent; if not, the attempt has been ended."""
+        """Return whether the last byte may still be sent; if not, the attempt has ended."""
         ...
 
 
 class Upload:
-    """The body of one request between the client's connection and the endpoint's.
+    """The body of one request, streamed from the client's connection to the endpoint's.
 
     Args:
-        length: Bytes of the body as announced; None for a chunked body.
-        prefix: Bytes of the body that have been read already.
-        on_drain: Callback for the moment when less than `UPLOAD_HIGH_WATER_BYTES` waits again.
+        length: Length of the body in bytes, by its Content-Length; None for a chunked body.
+        prefix: First bytes of the body, which have been read already.
+        on_drain: Callback for when fewer than `UPLOAD_HIGH_WATER_BYTES` bytes wait again.
 
     Attributes:
         buffered: Pieces of the body that wait for the endpoint.
-        size: Bytes of the body that wait for the endpoint.
-        started: Whether the body has begun to flow to an endpoint, so that it can't be sent again.
+        size: Number of bytes of the body that wait for the endpoint.
+        started: Whether forwarding to an endpoint has begun, so that the body can't be sent again.
         sent: Whether the last byte has been written to the endpoint's connection.
-        passed: Bytes of the body that have been written to the endpoint's connection.
-        completed_ns: Time at which the last byte came from the client, nanoseconds of `Clock`; 0 before.
+        passed: Number of bytes of the body that have been written to the endpoint's connection.
+        completed_ns: Time at which the client sent the last byte, nanoseconds of `Clock`; 0 before.
         stopped_ns: Time at which reading was last paused, nanoseconds of `Clock`; 0 if it never was.
         resumed_ns: Time at which reading was last resumed, nanoseconds of `Clock`; 0 if it never was.
-        on_complete: Callback for the moment when the last byte has come from the client.
+        on_complete: Callback for when the last byte has been read from the client.
         rejection: Code and text of the response if the rest of the body can't be read.
-        sink: Connection that the body flows to; None while there is none.
-        stop: Callback that cancels the attempt that the body flows to.
+        sink: Connection that the body is forwarded to; None while there is none.
+        stop: Callback that cancels the attempt that the body is forwarded to.
     """
 
     __slots__ = (
@@ -95,28 +95,29 @@
         return self.size >= UPLOAD_HIGH_WATER_BYTES
 
     def feed(self, data: bytes) -> None:
-        """Accept the next bytes of the body, and forward what the endpoint can take."""
+        """Accept the next bytes of the body, and forward as much as the endpoint accepts."""
         self.buffered.append(data)
         self.size += len(data)
         self.flow()
 
     @property
     def ended(self) -> bool:
-        """Whether the last byte has come from the client."""
+        """Whether the last byte has been read from the client."""
         return self.completed_ns > 0
 
     def finish(self, now_ns: int) -> None:
         """Record that the body is complete, and forward its last byte if possible.
 
-        The client's deadline counts from its last byte. Bytes that are read soon after a pause came before
-        the pause, since they fitted the kernel's buffer; then the beginning of the pause counts.
+        The client's deadline counts from its last byte. Bytes that are read soon after a pause are taken to
+        have arrived before the pause, since they fitted in the kernel's buffer; then the deadline counts
+        from the beginning of the pause.
 
         Args:
             now_ns: Current time, nanoseconds of `Clock`.
         """
         paused = self.resumed_ns < self.stopped_ns
-        came_before_pause = self.stopped_ns and (paused or now_ns - self.resumed_ns < SOCKET_READ_NS)
-        self.completed_ns = self.stopped_ns if came_before_pause else now_ns
+        arrived_before_pause = self.stopped_ns and (paused or now_ns - self.resumed_ns < SOCKET_READ_NS)
+        self.completed_ns = self.stopped_ns if arrived_before_pause else now_ns
         if self.on_complete is not None:  # sets the deadline, checked before the last byte is written
             self.on_complete()
         self.flow()
@@ -133,14 +134,14 @@
             self.stop()
 
     def attach(self, sink: Sink, stop: Callable[[], None]) -> bool:
-        """Let the body flow to a connection on which the request's head has been written.
+        """Forward the body to a connection on which the request's head has been written.
 
         Args:
             sink: Connection to the endpoint.
             stop: Callback that cancels the attempt.
 
         Returns:
-            Whether the body flows; if not, it can't be read, and the attempt has been cancelled.
+            Whether the body is forwarded; if not, it can't be read, and the attempt has been cancelled.
         """
         self.sink, self.stop = sink, stop
         if self.rejection is not None:
@@ -151,13 +152,13 @@
         return True
 
     def detach(self) -> None:
-        """Stop the flow to an attempt that has ended."""
+        """Stop forwarding to an attempt that has ended."""
         self.sink = self.stop = None
 
     def flow(self) -> None:
-        """Forward what waits, as far as the endpoint reads it; the last byte only after all others.
+        """Forward the waiting bytes as the endpoint reads them; the last byte only after all others.
 
-        An endpoint begins with a request when its last byte has arrived (PROTOCOL, sidecars to servers). So
+        An endpoint starts a request when its last byte has arrived (PROTOCOL, sidecars to servers). Therefore
         that byte is not written until the body is complete, the kernel has accepted the rest, and
         `Sink.may_send_last_byte` has confirmed the deadline.
         """
@@ -175,7 +176,7 @@
             self.on_drain()
 
     def _forward(self, sink: Sink) -> None:
-        """Write what waits, without the last byte of a body whose length is known."""
+        """Write the waiting bytes, except the last byte of a body whose length is known."""
         data, last = b"".join(self.buffered), b""
         if self.length is not None and self.passed + len(data) >= self.length:
             data, last = data[:-1], data[-1:]
--- a/tests/net/test_class_generations.py
+++ b/tests/net/test_class_generations.py
@@ -26,7 +26,7 @@
 from dykefold.balancer.settings import Effect, RequestClass, Settings
 from dykefold.net import class_generations as generations
 from dykefold.net import sidecar as sidecar_module
-from dykefold.net.class_generations import LINGER_NS, ClassGeneration, TooManyClassesError
+from dykefold.net.class_generations import RETIRED_CLASS_LINGER_NS, ClassGeneration, TooManyClassesError
 from dykefold.sidecar_config import ConfigError, missing_keys, read_config, shape_of
 
 SECOND = 1000 * MS
@@ -51,7 +51,7 @@
     assert third.numbers() == {"a": 3, "b": 1}
     assert third.retired == {0: 100, 2: 200}
     # Out of time and held by nobody a number is free; held by somebody it is not.
-    later = 200 + LINGER_NS
+    later = 200 + RETIRED_CLASS_LINGER_NS
     assert third.next(having(spec("c")), (2,), later).numbers() == {"c": 0}
     assert third.next(having(spec("c")), (0, 2), later).numbers() == {"c": 4}
 
@@ -76,7 +76,7 @@
         specs=st.dictionaries(
             st.sampled_from("abcd"), st.tuples(st.sampled_from(list(Effect)), st.integers(1, 2)), min_size=1
         ),
-        passed=st.integers(0, 2 * LINGER_NS),
+        passed=st.integers(0, 2 * RETIRED_CLASS_LINGER_NS),
     )
     def retune(self, specs, passed):
         self.now += passed
@@ -348,8 +348,8 @@
 
 def test_a_number_in_a_waiting_request_is_not_given_to_another_class(tmp_path, monkeypatch):
     """Guards requests that were read and wait behind another one on their connection."""
-    monkeypatch.setattr(generations, "LINGER_NS", 0)
-    monkeypatch.setattr(sidecar_module, "LINGER_NS", 0)
+    monkeypatch.setattr(generations, "RETIRED_CLASS_LINGER_NS", 0)
+    monkeypatch.setattr(sidecar_module, "RETIRED_CLASS_LINGER_NS", 0)
 
     async def play():
         go, act = gated_handler()
