--- a/tests/net/test_state_cleanup.py
+++ b/tests/net/test_state_cleanup.py
@@ -1,4 +1,4 @@
-"""A long day in short: whatever is ever new must leave nothing behind, and inherit nothing."""
+"""State of removed endpoints, zones, keys and clients: it is deleted, and new endpoints do not inherit it."""
 
 from net_helpers import (
     HOST,
@@ -16,17 +16,17 @@
 
 from dykefold.net.discovery.codec import parse_endpoint_update
 
-DAYS_WORTH = 3000
+ENDPOINT_COUNT = 3000
 
 
-def test_ever_new_servers_keys_and_clients_leave_no_tables_behind(tmp_path):
-    async def play():
+def test_state_of_removed_endpoints_keys_and_clients_is_deleted(tmp_path):
+    async def scenario():
         fake = await FakePeer(respond_ok).start()
         async with Sidecar(
             tmp_path / "c", config(list_update(1, endpoint_entry("s0", fake.address)))
         ) as sidecar:
-            sidecar_server, module = sidecar.server, sidecar.server.pool.balancer
-            for number in range(1, DAYS_WORTH):
+            sidecar_server, balancer = sidecar.server, sidecar.server.pool.balancer
+            for number in range(1, ENDPOINT_COUNT):
                 change = list_update(
                     number + 1,
                     endpoint_entry(f"s{number}", fake.address, since_ms=number, zone=f"z{number}"),
@@ -39,37 +39,37 @@
                     assert (await send_request(sidecar.port, data)).code == 200
                 assert len(sidecar_server.pool.names.endpoints) <= 2
             await wait_until(lambda: not sidecar_server.clients.all)
-            assert len(module.known_endpoints) <= 2
+            assert len(balancer.known_endpoints) <= 2
             assert len(sidecar_server.pool.connection_pool.endpoints) == 1
             assert len(sidecar_server.pool.connection_pool.connections) <= 2
-            assert len(module.endpoints.groups) <= 4
+            assert len(balancer.endpoints.groups) <= 4
             assert len(sidecar_server.pool.names.zones) <= 256
-            assert not (module.pending)
-            assert not (module.load_reports.waiting)
+            assert not (balancer.pending)
+            assert not (balancer.load_reports.waiting)
             assert not (sidecar_server.pool.pending)
             assert not (sidecar_server.pool.attempts)
             assert (
-                len(module.timers.heap) <= DAYS_WORTH / 20
-            )  # each goes with its deadline, whatever came of it
-            assert module.in_flight == 0
+                len(balancer.timers.heap) <= ENDPOINT_COUNT / 20
+            )  # Timers stay until the deadline of their request, whatever its result.
+            assert balancer.in_flight == 0
             assert sidecar_server.memory.reserved_bytes == 0
 
-    run(play())
+    run(scenario())
 
 
-def test_a_new_server_at_an_old_address_inherits_nothing(tmp_path):
-    async def play():
+def test_new_endpoint_at_known_address_inherits_no_state(tmp_path):
+    async def scenario():
         fake = await FakePeer(respond_ok).start()
         async with Sidecar(
             tmp_path / "c", config(list_update(1, endpoint_entry("s1", fake.address)))
         ) as sidecar:
-            sidecar_server, module = sidecar.server, sidecar.server.pool.balancer
+            sidecar_server, balancer = sidecar.server, sidecar.server.pool.balancer
             for number in range(3):
                 assert (await send_request(sidecar.port, request_message("lookup", f"a{number}"))).code == 200
-            (old,) = module.known_endpoints.values()
-            assert old.samples == 3
-            old.failure_score = 5.0
-            module.outliers.eject(old)
+            (former,) = balancer.known_endpoints.values()
+            assert former.samples == 3
+            former.failure_score = 5.0
+            balancer.outliers.eject(former)
             change = list_update(
                 2,
                 endpoint_entry("s1", fake.address, "DELETED"),
@@ -77,20 +77,20 @@
                 snapshot=False,
             )
             sidecar_server.pool.on_update(parse_endpoint_update(change, sidecar_server.pool.names))
-            (new,) = [server for server in module.known_endpoints.values() if server.listed]
-            assert new is not old
+            (new,) = [endpoint for endpoint in balancer.known_endpoints.values() if endpoint.listed]
+            assert new is not former
             assert not new.ejected
             assert not new.samples
-            assert not module.endpoints.ejected
+            assert not balancer.endpoints.ejected
             assert (await send_request(sidecar.port, request_message("lookup", "b"))).code == 200
             assert fake.connections == 2
             assert fake.received[-1].connection == 2
 
-    run(play())
+    run(scenario())
 
 
-def test_a_server_that_comes_back_after_it_was_deleted_is_a_new_one(tmp_path):
-    async def play():
+def test_endpoint_added_again_after_deletion_is_new_endpoint(tmp_path):
+    async def scenario():
         fake = await FakePeer(respond_ok).start()
         async with Sidecar(
             tmp_path / "c", config(list_update(1, endpoint_entry("s1", f"{HOST}:9")))
@@ -104,4 +104,4 @@
                 sidecar_server.pool.balancer.known_endpoints
             )
 
-    run(play())
+    run(scenario())
