--- a/dykefold/net/shutdown.py
+++ b/dykefold/net/shutdown.py
@@ -137,8 +137,8 @@
         are served for as long as the platform lets this process live.
         """
         self.close_listener()
-        self.end_if_done()
-        # Clients that a newer process takes over disconnect after their next response.
+        self.stop_if_done()
+        # Clients that a newer process takes over disconnect by themselves, each after its next response.
         if not self.server.handing_over:
             self.loop.call_later(QUIET_AFTER_TERM_S, self._stop_requests_if_quiet, self._accepted_requests())
 
@@ -166,7 +166,7 @@
             # A client that has begun to send a request is answered, even if nothing of it was read yet.
             if connection.idle and not connection.message_unfinished:
                 connection.close_when_idle()
-        self.end_if_done()
+        self.stop_if_done()
 
     def answer_all(self) -> None:
         """Answer every pending request now, and reject later ones."""
@@ -192,9 +192,9 @@
     def _on_listener_closed(self) -> None:
         self.server.listener = None
         if self.server.draining:
-            self.end_if_done()
+            self.stop_if_done()
 
-    def end_if_done(self) -> None:
+    def stop_if_done(self) -> None:
         """Stop if no client is connected: every response has been flushed then."""
         if self.server.listener is None and not self.server.clients.all:
             self._stop()
--- a/dykefold/net/sidecar.py
+++ b/dykefold/net/sidecar.py
@@ -232,7 +232,7 @@
         self.clients.close_request(sink.client, served)
         self.finished_ids.append((self.monotonic(), request.x_request_id))
         if self.draining:
-            self.shutdown.end_if_done()
+            self.shutdown.stop_if_done()
 
     # Clients
 
@@ -242,7 +242,7 @@
         if self.listener is not None:
             self.listener.on_descriptor_released()
         if (request is None or not request.pool.drop_disconnected(request)) and self.draining:
-            self.shutdown.end_if_done()
+            self.shutdown.stop_if_done()
 
     @property
     def accepts_clients(self) -> bool:
