--- a/dykefold/net/peers.py
+++ b/dykefold/net/peers.py
@@ -60,7 +60,7 @@
             self.on_datagram(number, data)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore the error: any datagram may be lost, and the balancer needs no report of unreachable peers."""
+        """Ignore the error: any datagram may be lost, and unreachable peers need not be reported."""
 
     def send(self, data: bytes, peer: int | None) -> None:
         """Send a datagram; it may be lost.
--- a/tests/net/test_long_messages.py
+++ b/tests/net/test_long_messages.py
@@ -61,10 +61,10 @@
 async def respond_chunked_with_trailers(headers, reader, writer):
     """Send a chunked response with whitespace round values, extensions and trailers, byte by byte."""
     body = await read_body(reader, headers)
-    answer = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: \tchunked \r\nX-Blank: \t \r\nX-Seen: %b\r\n\r\n" % body
-    answer += b'5;a=b\r\nhello\r\n0005;c="d"\r\nworld\r\n0\r\nX-Sum: 5f3a\r\nX-Load: rps=9\r\n\r\n'
-    for offset in range(len(answer)):
-        writer.write(answer[offset : offset + 1])
+    data = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: \tchunked \r\nX-Blank: \t \r\nX-Seen: %b\r\n\r\n" % body
+    data += b'5;a=b\r\nhello\r\n0005;c="d"\r\nworld\r\n0\r\nX-Sum: 5f3a\r\nX-Load: rps=9\r\n\r\n'
+    for offset in range(len(data)):
+        writer.write(data[offset : offset + 1])
         await writer.drain()
         await asyncio.sleep(0)
 
