--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -48,9 +48,12 @@
     """Search all orders of three processes, with locks and stops and without, and print what was found."""
     for model in (Model(3, 1, 60), Model(3, 1, 10, locks=False, stops=False)):
         began_s = time.monotonic()
-        found = explore(model.first(), model.moves, model.wrong)
+        found = explore(model.initial_state(), model.transitions, model.violation)
         took_s = time.monotonic() - began_s
-        print(f"{found.states} states, {found.moves} moves, wrong: {found.wrong}, {took_s:.0f} s", flush=True)
+        print(
+            f"{found.states} states, {found.transitions} moves, wrong: {found.violation}, {took_s:.0f} s",
+            flush=True,
+        )
 
 
 def main() -> None:
--- a/dykefold/__main__.py
+++ b/dykefold/__main__.py
@@ -34,7 +34,7 @@
 )
 
 if TYPE_CHECKING:
-    from .routing.plan import Plan
+    from .routing.plan import ServicesPlan
     from .routing.services import Services
     from .service_config import Service
 
@@ -49,9 +49,10 @@
 def start_sidecar(loop: asyncio.AbstractEventLoop, config: Config) -> SidecarServer:
     """Make the server of the platform's sidecar with its one pool; the server does not listen yet."""
     admin_addresses = [config.admin_address, config.fleet.listen if config.fleet.view else None]
-    set_aside = ADMIN_DESCRIPTORS * sum(address is not None for address in admin_addresses)
+    other_descriptors = ADMIN_DESCRIPTORS * sum(address is not None for address in admin_addresses)
     sidecar = SidecarServer(
-        loop, SidecarLimits(config.max_descriptors, config.memory_bytes, config.address_limits, set_aside)
+        loop,
+        SidecarLimits(config.max_descriptors, config.memory_bytes, config.address_limits, other_descriptors),
     )
     sidecar.serve_one(
         PoolConfig(
@@ -169,7 +170,7 @@
     sidecar.close()
 
 
-async def serve(service: Service, plan: Plan, path: str) -> None:
+async def serve(service: Service, plan: ServicesPlan, path: str) -> None:
     """Serve the pools of an operator's file until the graceful shutdown is over.
 
     Args:
@@ -184,9 +185,9 @@
     from .routing.services import Services
 
     loop = asyncio.get_running_loop()
-    max_descriptors = min(plan.sockets, system_limit())
-    set_aside = ADMIN_DESCRIPTORS if service.admin_address is not None else 0
-    limits = SidecarLimits(max_descriptors, plan.memory_bytes, service.address_limits, set_aside)
+    max_descriptors = min(plan.max_descriptors, system_limit())
+    other_descriptors = ADMIN_DESCRIPTORS if service.admin_address is not None else 0
+    limits = SidecarLimits(max_descriptors, plan.memory_bytes, service.address_limits, other_descriptors)
     sidecar = SidecarServer(loop, limits)
     lifecycle = ProcessLifecycle(loop, sidecar, service.admin_address, service.folder)
     services = Services(sidecar, lambda: random.getrandbits(63))
@@ -212,13 +213,13 @@
     try:
         service = read_service_file(path)
         plan = _plan_of(service, path, "pools: missing")
-        services.apply(plan, min(plan.sockets, system_limit()), service.address_limits)
+        services.apply(plan, min(plan.max_descriptors, system_limit()), service.address_limits)
     except (ConfigError, ValueError) as error:
         # Operators' pages promise this text.
         log.warning("route table rejected: problem=%s", error)
 
 
-def _plan_of(service: Service, path: str, problem: str) -> Plan:
+def _plan_of(service: Service, path: str, problem: str) -> ServicesPlan:
     """Return the plan of an operator's file.
 
     Raises:
--- a/dykefold/admission/budget.py
+++ b/dykefold/admission/budget.py
@@ -51,7 +51,7 @@
 
     Args:
         limit: Number of descriptors that the whole process may open.
-        set_aside: Number of descriptors that serve neither clients nor endpoints, in addition to
+        other_descriptors: Number of descriptors that serve neither clients nor endpoints, in addition to
             `PROCESS_DESCRIPTORS`.
 
     Attributes:
@@ -61,8 +61,8 @@
         reservations: Number of descriptors for connections to endpoints, reserved by requests and probes.
     """
 
-    def __init__(self, limit: int, set_aside: int = 0) -> None:
-        self._process_descriptors = PROCESS_DESCRIPTORS + set_aside
+    def __init__(self, limit: int, other_descriptors: int = 0) -> None:
+        self._process_descriptors = PROCESS_DESCRIPTORS + other_descriptors
         self.upstreams = DescriptorAllowance(0)
         self.reservations = 0
         self.resize(limit)
--- a/dykefold/admission/clients.py
+++ b/dykefold/admission/clients.py
@@ -25,14 +25,14 @@
     Attributes:
         admission: Controller that decides on connections and requests.
         monotonic: Returns the monotonic time in seconds.
-        all: Open connections, by client record.
+        open_connections: Open connections, by client record.
         rejections: Log of rejections.
     """
 
     def __init__(self, admission: AdmissionController, system: System = SYSTEM) -> None:
         self.admission = admission
         self.monotonic = system.monotonic
-        self.all: dict[Client, ManagedConnection] = {}
+        self.open_connections: dict[Client, ManagedConnection] = {}
         self.rejections = RejectionLog(system.monotonic)
 
     def admit(self, host: str) -> AdmissionDecision:
@@ -50,13 +50,13 @@
 
     def add(self, connection: ManagedConnection) -> None:
         """Add the connection of an admitted client."""
-        self.all[connection.client] = connection
+        self.open_connections[connection.client] = connection
         self._close_all(self.admission.remove_unneeded(self.monotonic(), self._has_unread_input))
 
     def remove(self, client: Client) -> None:
         """Remove a closed connection."""
         self.admission.remove(client)
-        self.all.pop(client, None)
+        self.open_connections.pop(client, None)
 
     def update(self, connection: ManagedConnection) -> None:
         """Update the admission state of a connection, after a read or a response."""
@@ -131,7 +131,7 @@
         """Close connections with an overdue message, and those that have been idle for too long."""
         now_s = self.monotonic()
         for client in self.admission.message_timeouts.pop_overdue(now_s):
-            connection = self.all.get(client)
+            connection = self.open_connections.get(client)
             if connection is None:
                 continue
             if connection.paused:  # the rest of the message may have arrived without being read
@@ -140,7 +140,7 @@
                 self.admission.addresses.record_violation(client.address, now_s)
                 connection.expire()
         for client in self.admission.find_idle_expired(now_s):
-            connection = self.all.get(client)
+            connection = self.open_connections.get(client)
             if connection is not None:
                 connection.close_when_idle()
         self._close_all(self.admission.remove_unneeded(now_s, self._has_unread_input))
@@ -150,7 +150,7 @@
 
         Closing would reset the connection, and a client whose request was reset unread retries it.
         """
-        connection = self.all.get(client)
+        connection = self.open_connections.get(client)
         return connection is not None and connection.has_unread_input()
 
     def _close_all(self, clients: Iterable[Client]) -> None:
@@ -158,6 +158,6 @@
             self._close(client)
 
     def _close(self, client: Client) -> None:
-        connection = self.all.get(client)
+        connection = self.open_connections.get(client)
         if connection is not None:
             connection.evict()
--- a/dykefold/admission/connection.py
+++ b/dykefold/admission/connection.py
@@ -48,7 +48,7 @@
         """Whether the connection can be closed without losing a request or a response."""
         ...
 
-    def accepted(self, sock: socket.socket) -> None:
+    def attach_socket(self, sock: socket.socket) -> None:
         """Store the accepted socket; its transport does not exist yet."""
         ...
 
--- a/dykefold/admission/controller.py
+++ b/dykefold/admission/controller.py
@@ -127,7 +127,7 @@
         self.addresses.add_connection(address)
         self._groups[client.known].count += 1
         self._enter(client, ClientState.NEW, now_s)
-        self.message_timeouts.within_head_time[client] = now_s
+        self.message_timeouts.head_timeouts[client] = now_s
         return AdmissionDecision(client, None, evicted)
 
     def _is_full(self, known: bool) -> bool:
--- a/dykefold/admission/listener.py
+++ b/dykefold/admission/listener.py
@@ -130,7 +130,7 @@
             self.rejections.add(sock, RejectionReason.ALL_CONNECTIONS if reason is None else reason)
             return
         connection = self._make_connection(client)
-        connection.accepted(sock)
+        connection.attach_socket(sock)
         self._clients.add(connection)
         task = self._loop.create_task(self._start(sock, connection))
         self._start_tasks.add(task)
--- a/dykefold/admission/message_timeouts.py
+++ b/dykefold/admission/message_timeouts.py
@@ -22,14 +22,14 @@
     """Finds connections whose message is overdue.
 
     Attributes:
-        within_head_time: Connections within `MAX_HEAD_S`, with the monotonic time in seconds at which their
+        head_timeouts: Connections within `MAX_HEAD_S`, with the monotonic time in seconds at which their
             timeout started, oldest first.
-        within_body_time: Connections past `MAX_HEAD_S` whose body keeps its rate.
+        body_timeouts: Connections past `MAX_HEAD_S` whose body keeps its rate.
     """
 
     def __init__(self) -> None:
-        self.within_head_time: OrderedDict[Client, float] = OrderedDict()
-        self.within_body_time: dict[Client, None] = {}
+        self.head_timeouts: OrderedDict[Client, float] = OrderedDict()
+        self.body_timeouts: dict[Client, None] = {}
 
     def start(self, client: Client, now_s: float) -> None:
         """Start the timeout of a message, unless it is running.
@@ -38,20 +38,20 @@
             client: Client that has connected, or whose message has begun.
             now_s: Current monotonic time in seconds.
         """
-        if client not in self.within_body_time:
-            self.within_head_time.setdefault(client, now_s)
+        if client not in self.body_timeouts:
+            self.head_timeouts.setdefault(client, now_s)
 
     def stop(self, client: Client) -> None:
         """Stop the timeout: the message is complete, or reading has ended."""
-        self.within_head_time.pop(client, None)
-        self.within_body_time.pop(client, None)
+        self.head_timeouts.pop(client, None)
+        self.body_timeouts.pop(client, None)
         client.body_started_at_s = 0.0
 
     def restart(self, client: Client, now_s: float) -> None:
         """Restart the timeout of a connection that was found overdue."""
         if client.state is not None:
             self.stop(client)
-            self.within_head_time[client] = now_s
+            self.head_timeouts[client] = now_s
 
     def record_body(self, client: Client, size: int, now_s: float) -> None:
         """Count received bytes of an incomplete body.
@@ -70,15 +70,14 @@
         """Remove and return the connections with an overdue message."""
         cutoff_s = now_s - MAX_HEAD_S
         due = [
-            client
-            for client, _ in takewhile(lambda entry: entry[1] <= cutoff_s, self.within_head_time.items())
+            client for client, _ in takewhile(lambda entry: entry[1] <= cutoff_s, self.head_timeouts.items())
         ]
         for client in due:
-            del self.within_head_time[client]
-            self.within_body_time[client] = None
-        overdue = [client for client in self.within_body_time if not _is_body_on_time(client, now_s)]
+            del self.head_timeouts[client]
+            self.body_timeouts[client] = None
+        overdue = [client for client in self.body_timeouts if not _is_body_on_time(client, now_s)]
         for client in overdue:
-            del self.within_body_time[client]
+            del self.body_timeouts[client]
         return overdue
 
 
--- a/dykefold/control/admin_operations.py
+++ b/dykefold/control/admin_operations.py
@@ -89,7 +89,9 @@
         is_out_order = request.action is Action.OUT
         if not pools:
             on_response(UNKNOWN_ENDPOINT)
-        elif is_out_order and any(pool.maintenance.has_no_room_for(request.endpoint_name) for pool in pools):
+        elif is_out_order and any(
+            pool.maintenance.would_exceed_limit(request.endpoint_name) for pool in pools
+        ):
             on_response(TOO_MANY_OUT_OF_SERVICE)
         elif is_out_order:
             self._take_out(pools, request.endpoint_name, on_response)
--- a/dykefold/control/file_system.py
+++ b/dykefold/control/file_system.py
@@ -64,7 +64,7 @@
         """Lock or unlock an open file; `operation` is one of the `fcntl.LOCK_` constants."""
         fcntl.flock(descriptor, operation)
 
-    def runs(self, process: int) -> bool:
+    def is_running(self, process: int) -> bool:
         """Whether a process with this id is running, of any user."""
         return (PROC / str(process)).exists()
 
--- a/dykefold/control/hot_restart.py
+++ b/dykefold/control/hot_restart.py
@@ -84,7 +84,7 @@
 
     def read_clock(self) -> ClockReading:
         """Read the clock of this process; times in its records are on this clock."""
-        return ClockReading(self.boot_id, self.now_ns(), self.sidecar.clock.offset)
+        return ClockReading(self.boot_id, self.now_ns(), self.sidecar.clock.offset_ns)
 
     # Start
 
@@ -184,7 +184,7 @@
         observation = self.machine.observe(
             now_ns,
             [heartbeat for heartbeat in heartbeats.values() if alive.get(heartbeat.name) is not False],
-            self.sidecar.sockets,
+            self.sidecar.total_descriptors,
             self.sidecar.needed_descriptors(),
             [name for name, is_alive in alive.items() if is_alive],
         )
@@ -260,7 +260,7 @@
         """Stop the observation; the records stay unless a newer process has recorded the same orders."""
         if self.timer is not None:
             self.timer.cancel()
-        if self.sidecar.handing_over and self.maintenance.recorded_by_others(self.others):
+        if self.sidecar.handing_over and self.maintenance.are_recorded_by_others(self.others):
             remove_records(self.directory, self.machine.name)
 
 
--- a/dykefold/control/hot_restart_state.py
+++ b/dykefold/control/hot_restart_state.py
@@ -23,13 +23,13 @@
 States and transitions:
 
     state        | event                 | next
-    STARTING     | may serve             | TAKING     every older process acknowledged it, or the wait is over
-    TAKING       | newer starts          | SHARING
+    STARTING     | may serve             | LEADING    every older process acknowledged it, or the wait is over
+    LEADING      | newer starts          | SHARING
     SHARING      | newer serves          | HANDING_OVER
-    SHARING      | newer is unresponsive | TAKING     the newer one is dead, unresponsive, or in its shutdown
+    SHARING      | newer is unresponsive | LEADING    the newer one is dead, unresponsive, or in its shutdown
     HANDING_OVER | newer starts          | SHARING    the newer one is dead, and another one starts
-    HANDING_OVER | newer is unresponsive | TAKING     the newer one is unresponsive, so clients return here
-    any          | shutdown              | ENDING
+    HANDING_OVER | newer is unresponsive | LEADING    the newer one is unresponsive, so clients return here
+    any          | shutdown              | SHUTTING_DOWN
 """
 
 from __future__ import annotations
@@ -55,10 +55,10 @@
     """Progress of a process in its hot restart; the values are stored in heartbeats."""
 
     STARTING = "starting"
-    TAKING = "taking"
+    LEADING = "taking"
     SHARING = "sharing"
     HANDING_OVER = "handing"
-    ENDING = "ending"
+    SHUTTING_DOWN = "ending"
 
 
 class HotRestartEvent(Enum):
@@ -72,19 +72,19 @@
 
 
 TRANSITIONS: dict[tuple[HotRestartState, HotRestartEvent], HotRestartState] = {
-    (HotRestartState.STARTING, HotRestartEvent.MAY_SERVE): HotRestartState.TAKING,
-    (HotRestartState.TAKING, HotRestartEvent.NEWER_STARTS): HotRestartState.SHARING,
-    (HotRestartState.TAKING, HotRestartEvent.NEWER_SERVES): HotRestartState.HANDING_OVER,
+    (HotRestartState.STARTING, HotRestartEvent.MAY_SERVE): HotRestartState.LEADING,
+    (HotRestartState.LEADING, HotRestartEvent.NEWER_STARTS): HotRestartState.SHARING,
+    (HotRestartState.LEADING, HotRestartEvent.NEWER_SERVES): HotRestartState.HANDING_OVER,
     (HotRestartState.SHARING, HotRestartEvent.NEWER_SERVES): HotRestartState.HANDING_OVER,
-    (HotRestartState.SHARING, HotRestartEvent.NEWER_UNRESPONSIVE): HotRestartState.TAKING,
+    (HotRestartState.SHARING, HotRestartEvent.NEWER_UNRESPONSIVE): HotRestartState.LEADING,
     (HotRestartState.HANDING_OVER, HotRestartEvent.NEWER_STARTS): HotRestartState.SHARING,
-    (HotRestartState.HANDING_OVER, HotRestartEvent.NEWER_UNRESPONSIVE): HotRestartState.TAKING,
-    **{(state, HotRestartEvent.SHUTDOWN): HotRestartState.ENDING for state in HotRestartState},
+    (HotRestartState.HANDING_OVER, HotRestartEvent.NEWER_UNRESPONSIVE): HotRestartState.LEADING,
+    **{(state, HotRestartEvent.SHUTDOWN): HotRestartState.SHUTTING_DOWN for state in HotRestartState},
 }
 # States in which a process should get new clients.
-LEADING_STATES = frozenset((HotRestartState.TAKING, HotRestartState.SHARING))
+LEADING_STATES = frozenset((HotRestartState.LEADING, HotRestartState.SHARING))
 # States in which a process accepts clients, and shows it in its heartbeat.
-SERVING_STATES = frozenset((HotRestartState.TAKING, HotRestartState.SHARING, HotRestartState.HANDING_OVER))
+SERVING_STATES = frozenset((HotRestartState.LEADING, HotRestartState.SHARING, HotRestartState.HANDING_OVER))
 
 
 @dataclass(frozen=True, slots=True)
@@ -207,7 +207,7 @@
         free = max(total_descriptors - sum(heartbeat.max_descriptors for heartbeat in others), 0)
         if newer:
             self._shrink(total_descriptors, needed_descriptors, newer_serves)
-        elif self.state is not HotRestartState.ENDING:
+        elif self.state is not HotRestartState.SHUTTING_DOWN:
             self._grow(now_ns, total_descriptors, free)
         acknowledged_by_older = all(self.name in heartbeat.acknowledged for heartbeat in older)
         waited = now_ns - self.started_ns >= MAX_CAPACITY_WAIT_NS
--- a/dykefold/control/maintenance_records.py
+++ b/dykefold/control/maintenance_records.py
@@ -132,7 +132,7 @@
         for pool in self.pools:
             pool.merge_maintenance(orders)
 
-    def recorded_by_others(self, processes: Iterable[str]) -> bool:
+    def are_recorded_by_others(self, processes: Iterable[str]) -> bool:
         """Whether the records of these other processes have all orders that this process knows."""
         records = self.directory.read_all(RecordKind.MAINTENANCE.prefix)
         clock = self.read_clock()
--- a/dykefold/control/protocols.py
+++ b/dykefold/control/protocols.py
@@ -57,7 +57,7 @@
         ...
 
     @property
-    def sockets(self) -> int:
+    def total_descriptors(self) -> int:
         """Number of descriptors that all processes of the sidecar may use together."""
         ...
 
--- a/dykefold/control/state_directory.py
+++ b/dykefold/control/state_directory.py
@@ -380,7 +380,7 @@
         alive = self.is_alive(RecordKind.HEARTBEAT.of_process(process))
         if alive is not None:
             return alive
-        return process_id != os.getpid() and self.files.runs(process_id)
+        return process_id != os.getpid() and self.files.is_running(process_id)
 
     def _log_failure(self, operation: str, name: str, reason: str) -> None:
         """Log the first failure for each record only, since operations are retried many times a second."""
--- a/dykefold/lab/fleet/judge.py
+++ b/dykefold/lab/fleet/judge.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Excuse:
+class FaultInterval:
     """A client whose sidecar was killed or stopped in this interval."""
 
     client: int
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ban:
+class OutOfServiceInterval:
     """A server that a client's sidecar must not use in this interval, after the grace time."""
 
     client: int
@@ -58,8 +58,9 @@
 
     Attributes:
         counts: Number of requests by how they ended.
-        lost: Ids of requests that were accepted and had no complete answer in time, without an excuse.
-        excused: Number of such requests with an excuse.
+        lost: Ids of requests that were accepted and had no complete answer in time, outside of fault
+            intervals.
+        excused: Number of such requests within a fault interval.
         violations: Violations of the other rules, one line each.
         gap_s: Longest time between two served answers, in seconds.
         gap_from_s: Time at which that gap began, in seconds of the event loop's clock.
@@ -82,8 +83,8 @@
     requests: Sequence[ClientRequest],
     arrivals: Mapping[str, Sequence[Arrived]],
     classes: Mapping[str, ClassTable],
-    excuses: Iterable[Excuse] = (),
-    bans: Iterable[Ban] = (),
+    fault_intervals: Iterable[FaultInterval] = (),
+    out_of_service: Iterable[OutOfServiceInterval] = (),
     hedged: bool = False,
 ) -> Verdict:
     """Compare the requests of clients with the attempts that reached the servers.
@@ -92,8 +93,8 @@
         requests: Requests of all clients.
         arrivals: Attempts that reached each server, by its name.
         classes: Request classes by name.
-        excuses: Clients that are excused for lost requests, and when.
-        bans: Servers that must not be used, and when.
+        fault_intervals: Intervals in which lost requests of a client are excused.
+        out_of_service: Intervals in which a server must not be used.
         hedged: Whether the settings allow a second attempt beside the first.
     """
     verdict = Verdict()
@@ -101,7 +102,7 @@
     for server, all_of in arrivals.items():
         for arrival in all_of:
             reached.setdefault(arrival.ident, []).append((server, arrival))
-    excused = list(excuses)
+    excused = list(fault_intervals)
     for request in requests:
         verdict.counts[request.end] = verdict.counts.get(request.end, 0) + 1
         tries = reached.get(request.ident, [])
@@ -114,25 +115,27 @@
             verdict.lost.append(request.ident)
         verdict.violations += _violations(request, tries, classes[request.cls], hedged)
     by_ident = {request.ident: request for request in requests}
-    for ban in bans:
-        for arrival in arrivals.get(ban.server, ()):
+    for interval in out_of_service:
+        for arrival in arrivals.get(interval.server, ()):
             of = by_ident.get(arrival.ident)
             if (
                 of is not None
-                and of.client == ban.client
-                and ban.from_s + SLACK_S < arrival.came_s < ban.until_s
+                and of.client == interval.client
+                and interval.from_s + SLACK_S < arrival.came_s < interval.until_s
             ):
-                late_ms = (arrival.came_s - ban.from_s) * 1000
-                verdict.violations.append(f"{arrival.ident} came to {ban.server} {late_ms:.0f} ms too late")
+                late_ms = (arrival.came_s - interval.from_s) * 1000
+                verdict.violations.append(
+                    f"{arrival.ident} came to {interval.server} {late_ms:.0f} ms too late"
+                )
     _measure_gap(verdict, requests)
     return verdict
 
 
-def _is_excused(request: ClientRequest, excuses: list[Excuse]) -> bool:
+def _is_excused(request: ClientRequest, fault_intervals: list[FaultInterval]) -> bool:
     ended_s = request.ended_s if request.ended_s >= 0 else float("inf")
     return any(
-        request.client == excuse.client and request.sent_s <= excuse.until_s and ended_s >= excuse.from_s
-        for excuse in excuses
+        request.client == fault.client and request.sent_s <= fault.until_s and ended_s >= fault.from_s
+        for fault in fault_intervals
     )
 
 
--- a/dykefold/lab/fleet/rig.py
+++ b/dykefold/lab/fleet/rig.py
@@ -13,7 +13,7 @@
 from ..scenario import LoadTable, Scenario, ServerTable
 from .client import Client
 from .datagram_relay import Datagrams
-from .judge import Excuse
+from .judge import FaultInterval
 from .measurements import LagMonitor
 from .member import Member, entry, settings
 from .membership_samples import MembershipSampler
@@ -71,7 +71,7 @@
 
     Attributes:
         truth: Record of all attempts that reached any server.
-        excuses: Clients that are excused for lost requests, and when.
+        fault_intervals: Intervals in which lost requests of a client are excused.
         servers: Servers of each zone.
         registry: List service.
         registry_links: Address of the list service for each member.
@@ -92,7 +92,7 @@
         fleet = scenario.fleet
         self.zones = range(len(fleet.zones))
         self.truth = Truth()
-        self.excuses: list[Excuse] = []
+        self.fault_intervals: list[FaultInterval] = []
         self.tasks: set[asyncio.Task[None]] = set()
         self.block = block
         self.servers = self._make_servers()
@@ -280,7 +280,7 @@
             await process.ended()
         await asyncio.sleep(down_s)
         await self.start(number)
-        self.excuses.append(Excuse(number, now_s, now_s + DEATH_S))
+        self.fault_intervals.append(FaultInterval(number, now_s, now_s + DEATH_S))
 
     async def terminate(self, number: int, down_s: float) -> None:
         """End a member's processes by SIGTERM, and start it again after some seconds."""
@@ -306,7 +306,7 @@
         await asyncio.sleep(duration_s)
         for process in self.members[number].living:
             process.go_on()
-        self.excuses.append(Excuse(number, now_s, now_s + duration_s + DEATH_S))
+        self.fault_intervals.append(FaultInterval(number, now_s, now_s + duration_s + DEATH_S))
 
     async def close(self) -> None:
         """End all processes, tasks and sockets of the rig."""
--- a/dykefold/lab/fleet/run.py
+++ b/dykefold/lab/fleet/run.py
@@ -117,7 +117,7 @@
         ]
         started_s = {server.name: server.started_s for zone in rig.servers for server in zone}
         return FleetRunResult(
-            judge(requests, arrivals, CLASSES, rig.excuses, hedged=fleet.hedges),
+            judge(requests, arrivals, CLASSES, rig.fault_intervals, hedged=fleet.hedges),
             rig.ready_s,
             [*rig.failed_starts, *(line for line in rig.log_lines() if "Traceback" in line)],
             self.lag,
--- a/dykefold/lab/fleet/upgrades.py
+++ b/dykefold/lab/fleet/upgrades.py
@@ -13,7 +13,7 @@
 from ..random_streams import generator
 from ..scenario import ClassTable, LoadTable, Scenario, ServerTable, ServiceTable
 from .client import Client, RequestEnd, all_requests, playing
-from .judge import Ban, Excuse, Verdict, judge
+from .judge import FaultInterval, OutOfServiceInterval, Verdict, judge
 from .member import LOOPBACK, Member, entry, settings
 from .process import ADMIN_LISTENS, Process, call
 
@@ -42,20 +42,26 @@
         client: Its client.
         servers: Servers by name.
         truth: Record of all attempts that reached a server.
-        excuses: When the client is excused for lost requests.
-        bans: Servers that must not be used, and when.
+        fault_intervals: Intervals in which lost requests of the client are excused.
+        out_of_service: Intervals in which a server must not be used.
     """
 
     member: Member
     client: Client
     servers: dict[str, Server]
     truth: Truth
-    excuses: list[Excuse] = field(default_factory=list)
-    bans: list[Ban] = field(default_factory=list)
+    fault_intervals: list[FaultInterval] = field(default_factory=list)
+    out_of_service: list[OutOfServiceInterval] = field(default_factory=list)
 
     def verdict(self) -> Verdict:
         """Return the verdict on all requests so far."""
-        return judge(list(all_requests([self.client])), self.truth.arrivals, CLASSES, self.excuses, self.bans)
+        return judge(
+            list(all_requests([self.client])),
+            self.truth.arrivals,
+            CLASSES,
+            self.fault_intervals,
+            self.out_of_service,
+        )
 
     # Faults
 
@@ -63,7 +69,7 @@
         """Kill a process; its pending requests are excused."""
         now_s = asyncio.get_running_loop().time()
         process.kill()
-        self.excuses.append(Excuse(self.client.number, now_s, now_s + DEATH_S))
+        self.fault_intervals.append(FaultInterval(self.client.number, now_s, now_s + DEATH_S))
 
     async def stop(self, process: Process, span_s: float = STOP_S) -> None:
         """Pause a process for some seconds; its pending requests are excused for that time."""
@@ -71,7 +77,7 @@
         process.stop()
         await asyncio.sleep(span_s)
         process.go_on()
-        self.excuses.append(Excuse(self.client.number, now_s, now_s + span_s + DEATH_S))
+        self.fault_intervals.append(FaultInterval(self.client.number, now_s, now_s + span_s + DEATH_S))
 
     # An upgrade's steps
 
@@ -105,11 +111,13 @@
         await self.end(old)
         return new
 
-    async def ban(self, process: Process, server: str) -> None:
+    async def take_out_of_service(self, process: Process, server: str) -> None:
         """Take a server out of service at a process's admin API."""
         assert process.admin_address is not None
         assert await call(process.admin_address, f"POST /servers/{server}/maint") == HTTP_OK
-        self.bans.append(Ban(self.client.number, server, asyncio.get_running_loop().time() + GRACE_S))
+        self.out_of_service.append(
+            OutOfServiceInterval(self.client.number, server, asyncio.get_running_loop().time() + GRACE_S)
+        )
 
     def served(self) -> int:
         """Return the number of served requests."""
@@ -131,7 +139,7 @@
 async def hot_restart_rig(
     folder: Path,
     rate: float = 150.0,
-    new_share: float = 0.5,
+    new_connection_fraction: float = 0.5,
     servers: int = 3,
     memory_mb: int = 192,
     sockets: int = 512,
@@ -143,7 +151,7 @@
     Args:
         folder: Folder that the sidecar's processes share.
         rate: Requests per second.
-        new_share: Fraction of the requests that come on new connections.
+        new_connection_fraction: Fraction of the requests that come on new connections.
         servers: Number of servers.
         memory_mb: Memory limit of the sidecar in megabytes.
         sockets: Descriptor limit of the sidecar.
@@ -171,7 +179,7 @@
     }
     member = Member(0, folder, data)
     member.trees = trees or member.trees
-    client = Client(0, CLASSES, rate, generator(seed, "desk"), new_share)
+    client = Client(0, CLASSES, rate, generator(seed, "desk"), new_connection_fraction)
     watch: asyncio.Task[None] | None = None
     try:
         client.address = await member.begin()
--- a/dykefold/net/clock.py
+++ b/dykefold/net/clock.py
@@ -18,18 +18,18 @@
 
     Attributes:
         monotonic_ns: Returns the monotonic time in nanoseconds.
-        offset: Nanoseconds between the monotonic time and this clock.
+        offset_ns: Nanoseconds between the monotonic time and this clock.
     """
 
     def __init__(self, system: System = SYSTEM) -> None:
         self.monotonic_ns = system.monotonic_ns
-        self.offset = system.time_ns() - system.monotonic_ns()
+        self.offset_ns = system.time_ns() - system.monotonic_ns()
 
     def now(self) -> int:
         """Return the current time in nanoseconds."""
-        return self.offset + self.monotonic_ns()
+        return self.offset_ns + self.monotonic_ns()
 
-    def at(self, monotonic_s: float) -> int:
+    def from_monotonic(self, monotonic_s: float) -> int:
         """Convert a time of the monotonic clock, with an error of some hundred nanoseconds.
 
         Args:
@@ -38,4 +38,4 @@
         Returns:
             Time of this clock, in nanoseconds.
         """
-        return self.offset + int(monotonic_s * NS_PER_S)
+        return self.offset_ns + int(monotonic_s * NS_PER_S)
--- a/dykefold/net/discovery/client.py
+++ b/dykefold/net/discovery/client.py
@@ -78,7 +78,7 @@
         pushed: Whether discovery is an agent on the same machine; see `DiscoveryOrigin`.
         watching: Whether a watch is open or its next call is scheduled.
         watch_round: Counter that increases whenever scheduled calls become obsolete.
-        called: Monotonic time in seconds of the latest call of the watch.
+        called_s: Monotonic time in seconds of the latest call of the watch.
         failing: Whether the latest call failed.
         closed: Whether the client makes no more calls.
         schedule: Schedule that spreads the calls; None if calls are not delayed.
@@ -105,7 +105,7 @@
         self.pushed = origin.pushed
         self.watching = False
         self.watch_round = 0
-        self.called = 0.0
+        self.called_s = 0.0
         self.failing = False
         self.closed = False
         self.schedule: PollSchedule | None = None
@@ -227,7 +227,7 @@
         """
         if watch_round != self.watch_round or self.closed:
             return
-        self.called = self.system.monotonic()
+        self.called_s = self.system.monotonic()
         target, wait_s = LIST_PATH, 0.0
         if self.version is not None:
             target += f"?after={self.version}&wait_ms={wait_ms}"
@@ -308,7 +308,9 @@
         finally:
             # An agent that answers immediately and without a change must not be called in a tight loop.
             # Discovery treats a watch as continuous over a pause of less than 200 ms.
-            delay_s = 0.0 if update.entries else MIN_CALL_INTERVAL_S - (self.system.monotonic() - self.called)
+            delay_s = (
+                0.0 if update.entries else MIN_CALL_INTERVAL_S - (self.system.monotonic() - self.called_s)
+            )
             if self.schedule is not None:
                 delay_s = max(delay_s, self.schedule.next_call_delay_s())
             if watch_round == self.watch_round:
--- a/dykefold/net/downstream/connection.py
+++ b/dykefold/net/downstream/connection.py
@@ -84,7 +84,7 @@
 
     # Callbacks of the listener and the transport
 
-    def accepted(self, sock: socket.socket) -> None:
+    def attach_socket(self, sock: socket.socket) -> None:
         """Record the accepted socket; the transport does not exist yet."""
         self.close_detector.sock = sock
 
--- a/dykefold/net/downstream/request_reader.py
+++ b/dykefold/net/downstream/request_reader.py
@@ -138,7 +138,7 @@
             self.transport.pause_reading()
             self._count_unread()
             if self.assembler.upload is not None:
-                self.assembler.upload.stopped_ns = self._server.now()
+                self.assembler.upload.paused_ns = self._server.now()
 
     def resume(self) -> None:
         """Resume reading, first from `unparsed`, unless too much is still queued."""
--- a/dykefold/net/loop_lag.py
+++ b/dykefold/net/loop_lag.py
@@ -16,7 +16,7 @@
 
 PROBE_INTERVAL_S = 0.02
 # Lag from this time on is logged: attempts end 15 ms before the client's deadline.
-MIN_LOGGED_S = 0.05
+MIN_LOGGED_LAG_S = 0.05
 # The maximum lag is reported for at least this time, which is also the minimum interval between log lines.
 WINDOW_S = 10.0
 
@@ -51,7 +51,7 @@
         self.timer = loop.call_later(PROBE_INTERVAL_S, self._probe)
 
     @property
-    def worst_s(self) -> float:
+    def max_lag_s(self) -> float:
         """Maximum lag in the current and the previous window, in seconds."""
         return max(self.current_max_s, self.previous_max_s)
 
@@ -72,7 +72,7 @@
         if now_s - self.window_began_s >= WINDOW_S:
             self.previous_max_s, self.current_max_s, self.window_began_s = self.current_max_s, 0.0, now_s
         self.current_max_s = max(self.current_max_s, lag_s)
-        if lag_s >= MIN_LOGGED_S and now_s - self.logged_at_s >= WINDOW_S:
+        if lag_s >= MIN_LOGGED_LAG_S and now_s - self.logged_at_s >= WINDOW_S:
             self.logged_at_s = now_s
             # A callback shorter than half of the lag did not cause it.
             longest = f"{self.longest_name}, {self.longest_s * 1000:.0f} ms"
--- a/dykefold/net/read_scheduler.py
+++ b/dykefold/net/read_scheduler.py
@@ -18,7 +18,7 @@
 # A typical message is shorter than a slice, and a slice full of the shortest requests takes 2 to 3 ms.
 SLICE_BYTES = 2048
 # Limit for all connections together.
-MAX_SLICES_PER_TURN = 2
+MAX_SLICES_PER_ITERATION = 2
 
 
 class Reader(Protocol):
@@ -59,16 +59,16 @@
         """Queue a connection whose input waits; it must not be queued already."""
         self.queue.append(reader)
         if len(self.queue) == 1:
-            self.loop.call_soon(self._turn)
+            self.loop.call_soon(self._parse_slices)
 
-    def _turn(self) -> None:
+    def _parse_slices(self) -> None:
         began_s = self.monotonic()
-        for _ in range(min(MAX_SLICES_PER_TURN, len(self.queue))):
+        for _ in range(min(MAX_SLICES_PER_ITERATION, len(self.queue))):
             reader = self.queue.popleft()
             if reader.feed_slice():
                 self.queue.append(reader)
         if self.queue:
-            self.loop.call_soon(self._turn)
+            self.loop.call_soon(self._parse_slices)
         if self.lag_monitor is not None:
             self.lag_monitor.record_duration(began_s, "slices of long input")
 
--- a/dykefold/net/service/endpoint_registry.py
+++ b/dykefold/net/service/endpoint_registry.py
@@ -130,8 +130,8 @@
         starts = ((entry.name, entry.endpoint) for entry in update.entries)
         source, called_ns = "", 0
         if self.discovery is not None:
-            source, called_ns = self.discovery.listed_by, self.clock.at(self.discovery.called)
-        self.start_times.place(self.clock.now(), event.kind, source, starts, called_ns)
+            source, called_ns = self.discovery.listed_by, self.clock.from_monotonic(self.discovery.called_s)
+        self.start_times.set_slow_start_times(self.clock.now(), event.kind, source, starts, called_ns)
         self.host.post(event)
         connection_pool = self.connection_pool
         if update.complete:
--- a/dykefold/net/service/maintenance.py
+++ b/dykefold/net/service/maintenance.py
@@ -111,7 +111,7 @@
             return entry  # discovery lists a restart after the order
         return self.copy(entry, replace(entry.endpoint, started_ns=order.ordered_ns))
 
-    def has_no_room_for(self, name: str) -> bool:
+    def would_exceed_limit(self, name: str) -> bool:
         """Return whether this endpoint can't be taken out of service because too many are out already."""
         return not self.is_out_of_service(name) and len(self.names_out_of_service()) >= MAX_OUT_OF_SERVICE
 
@@ -148,7 +148,7 @@
         for name, order in orders.items():
             current = self.orders.get(name)
             if current is None or order.ordered_ns > current.ordered_ns:
-                if order.out_of_service and self.has_no_room_for(name):
+                if order.out_of_service and self.would_exceed_limit(name):
                     continue
                 changed += self._set_order(name, order)
         return changed
--- a/dykefold/net/service/pending_requests.py
+++ b/dykefold/net/service/pending_requests.py
@@ -89,7 +89,9 @@
 
     def _start_fallback_timer(self, request: PendingRequest) -> None:
         now_s = self.monotonic()
-        remaining_ns = max(request.parsed.deadline_ns - FALLBACK_MARGIN_NS - self.clock.at(now_s), 0)
+        remaining_ns = max(
+            request.parsed.deadline_ns - FALLBACK_MARGIN_NS - self.clock.from_monotonic(now_s), 0
+        )
         self.timer_wheel.start(request, remaining_ns / NS_PER_S, now_s)
 
     def start_deadline(self, request: PendingRequest) -> None:
--- a/dykefold/net/shutdown.py
+++ b/dykefold/net/shutdown.py
@@ -103,14 +103,14 @@
         server: Server that shuts down.
 
     Attributes:
-        answer_at: Time at which every pending request is answered, seconds of the monotonic clock; infinity
+        answer_at_s: Time at which every pending request is answered, seconds of the monotonic clock; infinity
             before the shutdown begins.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, server: DrainedServer) -> None:
         self.loop = loop
         self.server = server
-        self.answer_at = math.inf
+        self.answer_at_s = math.inf
 
     def begin(self) -> None:
         """Begin the graceful shutdown; a second call has no effect."""
@@ -125,7 +125,7 @@
             (spec.deadline_ns for pool in server.pools for spec in pool.settings.classes), default=0
         )
         times = shutdown_times(longest_ns / NS_PER_S)
-        self.answer_at = server.monotonic() + times.answer_s
+        self.answer_at_s = server.monotonic() + times.answer_s
         self.loop.call_later(times.stop_requests_s, self.stop_requests)
         self.loop.call_later(times.answer_s, self.answer_all)
         self.loop.call_later(times.stop_s, self._stop)
@@ -162,7 +162,7 @@
             return
         server.accepting_requests = False
         self.close_listener()
-        for connection in list(server.clients.all.values()):
+        for connection in list(server.clients.open_connections.values()):
             # A client that has begun to send a request is answered, even if nothing of it was read yet.
             if connection.idle and not connection.message_unfinished:
                 connection.close_when_idle()
@@ -177,7 +177,7 @@
 
     def _reject_unfinished(self) -> None:
         """Reject incomplete messages, since their clients may wait for a response."""
-        for connection in list(self.server.clients.all.values()):
+        for connection in list(self.server.clients.open_connections.values()):
             if not connection.has_unread_input():  # Unread input may complete the message.
                 connection.reject_unfinished("this sidecar ends")
         self.loop.call_later(REJECT_INTERVAL_S, self._reject_unfinished)
@@ -186,7 +186,7 @@
         """Close the listener after the clients in its backlog have been accepted."""
         server = self.server
         if server.listener is not None and not server.listener.closing:
-            remaining_s = min(self.answer_at, server.monotonic() + MAX_DEADLINE_S) - server.monotonic()
+            remaining_s = min(self.answer_at_s, server.monotonic() + MAX_DEADLINE_S) - server.monotonic()
             server.listener.shut_down(max(remaining_s, MIN_LISTENER_CLOSE_S), self._on_listener_closed)
 
     def _on_listener_closed(self) -> None:
@@ -196,7 +196,7 @@
 
     def stop_if_done(self) -> None:
         """Stop if no client is connected: every response has been flushed then."""
-        if self.server.listener is None and not self.server.clients.all:
+        if self.server.listener is None and not self.server.clients.open_connections:
             self._stop()
 
     def _stop(self) -> None:
--- a/dykefold/net/sidecar.py
+++ b/dykefold/net/sidecar.py
@@ -56,14 +56,14 @@
         max_descriptors: Number of descriptors that all processes of the sidecar may hold together.
         memory_bytes: Maximum memory of all processes of the sidecar together, in bytes.
         addresses: Limits on the clients of each address.
-        set_aside: Number of descriptors reserved for uses other than clients and endpoints, such as the
-            admin API.
+        other_descriptors: Number of descriptors reserved for uses other than clients and endpoints, such as
+            the admin API.
     """
 
     max_descriptors: int
     memory_bytes: int
     addresses: AddressLimits = field(default_factory=AddressLimits)
-    set_aside: int = 0
+    other_descriptors: int = 0
 
 
 class SidecarServer:
@@ -80,7 +80,7 @@
         pool: Pool of the platform's sidecar; set by `serve_one`.
         generation: Settings of that pool with numbered request classes; set by `serve_one`.
         half_close: Whether a client that has closed its sending side still gets responses.
-        sockets: Number of descriptors that all processes of the sidecar may hold together.
+        total_descriptors: Number of descriptors that all processes of the sidecar may hold together.
         memory_limit_bytes: Maximum memory of all processes of the sidecar together, in bytes.
         process_count: Number of live processes of the sidecar, among which the memory is divided equally.
         max_descriptors: Number of descriptors that this process may hold.
@@ -111,10 +111,10 @@
         self.parser: MessageParser
         self.pools: dict[Pool, None] = {}
         self.half_close = False
-        self.sockets, self.memory_limit_bytes = limits.max_descriptors, limits.memory_bytes
+        self.total_descriptors, self.memory_limit_bytes = limits.max_descriptors, limits.memory_bytes
         self.process_count = 1
         self.max_descriptors = limits.max_descriptors
-        self.budget = DescriptorBudget(limits.max_descriptors, limits.set_aside)
+        self.budget = DescriptorBudget(limits.max_descriptors, limits.other_descriptors)
         self.memory = MemoryBudget(limits.memory_bytes)
         self.clients = ClientConnections(
             AdmissionController(self._connection_limits(), limits.addresses), system
@@ -161,7 +161,7 @@
         settings = pool.renumber_zones(settings)
         unaccepted = [
             request.class_number
-            for connection in self.clients.all.values()
+            for connection in self.clients.open_connections.values()
             for request in connection.pending_requests()
         ]
         pending = [request.parsed.class_number for request in pool.pending.values()]
@@ -177,7 +177,7 @@
         previous = self.parser.keep_as_fallback(now_ns, now_ns + RETIRED_CLASS_LINGER_NS)
         self.parser = RequestParser(generation.settings, pool, generation.retired, previous)
 
-    def forget(self, pool: Pool) -> None:
+    def remove_pool(self, pool: Pool) -> None:
         """Remove a pool that has retired."""
         self.pools.pop(pool, None)
 
@@ -261,18 +261,19 @@
         )
         return self.listener
 
-    def change_limits(self, sockets: int, addresses: AddressLimits) -> None:
+    def change_limits(self, total_descriptors: int, addresses: AddressLimits) -> None:
         """Apply changed limits: connections beyond them are closed, except those that a request needs.
 
         Args:
-            sockets: Number of descriptors that all processes of the sidecar may hold together.
+            total_descriptors: Number of descriptors that all processes of the sidecar may hold together.
             addresses: Limits on the clients of each address.
         """
-        if self.max_descriptors >= self.sockets:  # A process that may hold all descriptors keeps that right.
-            self.max_descriptors = sockets
-        self.sockets = sockets
+        # A process that may hold all descriptors keeps that right.
+        if self.max_descriptors >= self.total_descriptors:
+            self.max_descriptors = total_descriptors
+        self.total_descriptors = total_descriptors
         min_clients = self.clients.admission.count if self.process_count > 1 else 0
-        self.budget.resize(min(self.max_descriptors, sockets), sockets, min_clients)
+        self.budget.resize(min(self.max_descriptors, total_descriptors), total_descriptors, min_clients)
         self.memory.resize(self.memory_limit_bytes // self.process_count)
         self.clients.resize(self._connection_limits(), addresses)
         for pool in self.pools:
@@ -291,7 +292,7 @@
         """
         if (process_count, max_descriptors) != (self.process_count, self.max_descriptors):
             self.process_count, self.max_descriptors = process_count, max_descriptors
-            self.change_limits(self.sockets, self.clients.admission.address_limits)
+            self.change_limits(self.total_descriptors, self.clients.admission.address_limits)
 
     # Housekeeping and shutdown
 
@@ -325,7 +326,7 @@
             pool.close()
         if self.peers is not None and self.peers.transport is not None:
             self.peers.transport.close()
-        for connection in list(self.clients.all.values()):
+        for connection in list(self.clients.open_connections.values()):
             connection.close()
 
 
--- a/dykefold/net/start_times.py
+++ b/dykefold/net/start_times.py
@@ -60,7 +60,7 @@
         self.live = False
         self.implausible_logged_ns: int | None = None
 
-    def place(
+    def set_slow_start_times(
         self,
         now_ns: int,
         kind: ListKind,
--- a/dykefold/net/streaming.py
+++ b/dykefold/net/streaming.py
@@ -46,12 +46,12 @@
 
     Attributes:
         buffered: Pieces of the body that wait for the endpoint.
-        size: Number of bytes of the body that wait for the endpoint.
+        waiting_bytes: Number of bytes of the body that wait for the endpoint.
         started: Whether forwarding to an endpoint has begun, so that the body can't be sent again.
         sent: Whether the last byte has been written to the endpoint's connection.
-        passed: Number of bytes of the body that have been written to the endpoint's connection.
+        forwarded_bytes: Number of bytes of the body that have been written to the endpoint's connection.
         completed_ns: Time at which the client sent the last byte, nanoseconds of `Clock`; 0 before.
-        stopped_ns: Time at which reading was last paused, nanoseconds of `Clock`; 0 if it never was.
+        paused_ns: Time at which reading was last paused, nanoseconds of `Clock`; 0 if it never was.
         resumed_ns: Time at which reading was last resumed, nanoseconds of `Clock`; 0 if it never was.
         on_complete: Callback for when the last byte has been read from the client.
         rejection: Code and text of the response if the rest of the body can't be read.
@@ -62,29 +62,29 @@
     __slots__ = (
         "buffered",
         "completed_ns",
+        "forwarded_bytes",
         "length",
         "on_complete",
         "on_drain",
-        "passed",
+        "paused_ns",
         "rejection",
         "resumed_ns",
         "sent",
         "sink",
-        "size",
         "started",
         "stop",
-        "stopped_ns",
+        "waiting_bytes",
     )
 
     def __init__(self, length: int | None, prefix: bytes, on_drain: Callable[[], None]) -> None:
         self.length = length
         self.buffered: list[bytes] = [prefix] if prefix else []
-        self.size = len(prefix)
+        self.waiting_bytes = len(prefix)
         self.on_drain = on_drain
         self.on_complete: Callable[[], None] | None = None
         self.started = self.sent = False
-        self.passed = 0
-        self.completed_ns = self.stopped_ns = self.resumed_ns = 0
+        self.forwarded_bytes = 0
+        self.completed_ns = self.paused_ns = self.resumed_ns = 0
         self.rejection: tuple[int, bytes] | None = None
         self.sink: Sink | None = None
         self.stop: Callable[[], None] | None = None
@@ -92,12 +92,12 @@
     @property
     def full(self) -> bool:
         """Whether reading from the client must pause."""
-        return self.size >= UPLOAD_HIGH_WATER_BYTES
+        return self.waiting_bytes >= UPLOAD_HIGH_WATER_BYTES
 
     def feed(self, data: bytes) -> None:
         """Accept the next bytes of the body, and forward as much as the endpoint accepts."""
         self.buffered.append(data)
-        self.size += len(data)
+        self.waiting_bytes += len(data)
         self.flow()
 
     @property
@@ -115,9 +115,9 @@
         Args:
             now_ns: Current time, nanoseconds of `Clock`.
         """
-        paused = self.resumed_ns < self.stopped_ns
-        arrived_before_pause = self.stopped_ns and (paused or now_ns - self.resumed_ns < SOCKET_READ_NS)
-        self.completed_ns = self.stopped_ns if arrived_before_pause else now_ns
+        paused = self.resumed_ns < self.paused_ns
+        arrived_before_pause = self.paused_ns and (paused or now_ns - self.resumed_ns < SOCKET_READ_NS)
+        self.completed_ns = self.paused_ns if arrived_before_pause else now_ns
         if self.on_complete is not None:  # sets the deadline, checked before the last byte is written
             self.on_complete()
         self.flow()
@@ -169,8 +169,8 @@
         self._forward(sink)
         if self.ended and not sink.unwritten and sink.may_send_last_byte():
             self.sent = True
-            last, self.buffered, self.size = b"".join(self.buffered), [], 0
-            self.passed += len(last)
+            last, self.buffered, self.waiting_bytes = b"".join(self.buffered), [], 0
+            self.forwarded_bytes += len(last)
             sink.write(last if self.length is not None else b"0\r\n\r\n")
         if was_full and not self.full:
             self.on_drain()
@@ -178,9 +178,9 @@
     def _forward(self, sink: Sink) -> None:
         """Write the waiting bytes, except the last byte of a body whose length is known."""
         data, last = b"".join(self.buffered), b""
-        if self.length is not None and self.passed + len(data) >= self.length:
+        if self.length is not None and self.forwarded_bytes + len(data) >= self.length:
             data, last = data[:-1], data[-1:]
-        self.buffered, self.size = [last] if last else [], len(last)
+        self.buffered, self.waiting_bytes = [last] if last else [], len(last)
         if data:
-            self.passed += len(data)
+            self.forwarded_bytes += len(data)
             sink.write(data if self.length is not None else b"%x\r\n%s\r\n" % (len(data), data))
--- a/dykefold/net/upstream/connection.py
+++ b/dykefold/net/upstream/connection.py
@@ -194,7 +194,7 @@
         exchange = self.exchange
         if exchange is None or exchange.upload is None or self.transport is None:
             return self.reader.size
-        return self.reader.size + exchange.upload.passed - self.transport.get_write_buffer_size()
+        return self.reader.size + exchange.upload.forwarded_bytes - self.transport.get_write_buffer_size()
 
     def data_received(self, data: bytes) -> None:
         """Parse the received bytes: immediately, or in slices if that would block the event loop."""
--- a/dykefold/routing/config.py
+++ b/dykefold/routing/config.py
@@ -7,7 +7,7 @@
 from ..net.discovery.codec import split_address
 from ..net.memory_budget import MB
 from .config_tables import ClassConfig, NodeConfig, PoolConfig, RouteConfig, TenantConfig
-from .plan import Plan
+from .plan import ServicesPlan
 from .plan_builder import make_pool_plan, make_route, make_route_options
 
 MAX_POOLS = 1000  # Each pool takes some hundred KB, and time in every periodic check of all pools.
@@ -16,7 +16,7 @@
 NESTED_TABLES: dict[str, type[msgspec.Struct]] = {"classes": ClassConfig, "tenants": TenantConfig}
 
 
-def read_plan(data: dict[str, object]) -> tuple[Plan | None, list[str]]:
+def read_plan(data: dict[str, object]) -> tuple[ServicesPlan | None, list[str]]:
     """Return the plan that a settings file describes, and all problems of its tables.
 
     Args:
@@ -80,16 +80,16 @@
 
 def _make_plan(
     node: NodeConfig, pools: dict[str, PoolConfig], routes: list[RouteConfig]
-) -> tuple[Plan | None, list[str]]:
+) -> tuple[ServicesPlan | None, list[str]]:
     """Return the plan of tables that are each valid, and the problems between tables."""
     try:
         listen = split_address(node.listen, min_port=0)
     except ValueError as error:
         return None, [f"node.listen = {node.listen!r}: expected ADDRESS:PORT ({error})"]
-    plan = Plan(
+    plan = ServicesPlan(
         name=node.name,
         listen=listen,
-        sockets=node.descriptors,
+        max_descriptors=node.descriptors,
         memory_bytes=node.memory_mb * MB,
         pools={name: make_pool_plan(name, pool) for name, pool in pools.items()},
         routes=tuple(make_route(route) for route in routes),
--- a/dykefold/routing/plan.py
+++ b/dykefold/routing/plan.py
@@ -88,13 +88,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class ServicesPlan:
     """Complete configuration of a process: listener, pools and routes.
 
     Attributes:
         name: Name of the process in logs.
         listen: Address of the listener.
-        sockets: Maximum number of file descriptors that the process may open.
+        max_descriptors: Maximum number of file descriptors that the process may open.
         memory_bytes: Memory limit of the process in bytes.
         pools: Pools by name.
         routes: Routes in the order of the file.
@@ -103,7 +103,7 @@
 
     name: str
     listen: tuple[str, int]
-    sockets: int
+    max_descriptors: int
     memory_bytes: int
     pools: dict[str, PoolPlan]
     routes: tuple[Route, ...]
--- a/dykefold/routing/services.py
+++ b/dykefold/routing/services.py
@@ -19,7 +19,7 @@
 from ..net.service.pool_config import PoolConfig
 from ..net.sidecar import SidecarServer
 from ..settings import Transport
-from .plan import Plan, PoolPlan
+from .plan import PoolPlan, ServicesPlan
 from .requests import RouteRequestReader, RoutingRequestReader
 from .reservations import PoolReservations
 from .table import RouteTable
@@ -96,12 +96,12 @@
         self.table = RouteTable(0, (), ())
         sidecar.half_close = True
 
-    def apply(self, plan: Plan, sockets: int, address_limits: AddressLimits) -> None:
+    def apply(self, plan: ServicesPlan, max_descriptors: int, address_limits: AddressLimits) -> None:
         """Apply a plan and the limits that belong to it.
 
         Args:
             plan: Pools and routes of the new configuration.
-            sockets: New maximum number of file descriptors that the process may open.
+            max_descriptors: New maximum number of file descriptors that the process may open.
             address_limits: New limits for each client address.
 
         Raises:
@@ -109,9 +109,9 @@
             GuaranteesError: The pools are guaranteed more than the process has; nothing has changed then.
         """
         table = plan.table(self.table.number + 1)
-        total = DescriptorBudget(sockets).upstreams.limit
+        total = DescriptorBudget(max_descriptors).upstreams.limit
         PoolReservations(total).resize(total, {name: pool.limits for name, pool in plan.pools.items()})
-        self._sidecar.change_limits(sockets, address_limits)
+        self._sidecar.change_limits(max_descriptors, address_limits)
         retired = self._replace_services(plan)
         self.reservations.resize(
             total, {service.budget: service.plan.limits for service in self.by_name.values()}
@@ -120,7 +120,7 @@
         self._sidecar.parser = self._request_reader(plan, table)
         for service in retired:
             log.info("pool %s retires: pending_requests=%d", service.plan.name, len(service.pool.pending))
-            service.pool.retire(self._sidecar.forget)
+            service.pool.retire(self._sidecar.remove_pool)
         log.info(
             "sidecar replaced the route table: number=%d routes=%d pools=%d",
             table.number,
@@ -128,7 +128,7 @@
             len(self.by_name),
         )
 
-    def _replace_services(self, plan: Plan) -> list[Service]:
+    def _replace_services(self, plan: ServicesPlan) -> list[Service]:
         """Create new services of a plan, update continuing ones, and return those that the plan retires."""
         continuing, retired = {}, []
         for name, service in self.by_name.items():
@@ -143,7 +143,7 @@
         }
         return retired
 
-    def _request_reader(self, plan: Plan, table: RouteTable) -> RoutingRequestReader:
+    def _request_reader(self, plan: ServicesPlan, table: RouteTable) -> RoutingRequestReader:
         readers = {
             route.name: RouteRequestReader(
                 route.pool, self.by_name[route.pool].pool, plan.options[route.name], _make_id
--- a/dykefold/service_config.py
+++ b/dykefold/service_config.py
@@ -18,7 +18,7 @@
 from .fleet.options import DEFAULT_CALLS_PER_S, FailoverOptions, FleetOptions
 from .net.discovery.codec import split_address
 from .routing.config import read_plan, struct_problems
-from .routing.plan import Plan
+from .routing.plan import ServicesPlan
 
 PLAN_TABLES = ("node", "pools", "routes")
 TABLES = ("admission", "control", "failover", "fleet", *PLAN_TABLES)
@@ -124,7 +124,7 @@
     """
 
     address_limits: AddressLimits
-    plan: Plan | None
+    plan: ServicesPlan | None
     admin_address: tuple[str, int] | None = None
     folder: str | None = None
     fleet: FleetOptions = DEFAULT_FLEET_OPTIONS
--- a/dykefold/sim/explore.py
+++ b/dykefold/sim/explore.py
@@ -1,7 +1,7 @@
 """Every order of events of a small model, breadth first. No I/O.
 
-A model says which moves there are from a state and what is wrong with a state; states are values that can be
-hashed. Where something is wrong, the shortest sequence of moves to it is returned.
+A model says which transitions lead out of a state and which rule a state violates; states are hashable
+values. For a violation, the shortest sequence of transitions to it is returned.
 """
 
 from __future__ import annotations
@@ -21,52 +21,52 @@
 
     Attributes:
         states: Number of different states that were reached.
-        moves: Number of moves between states.
-        wrong: Problem of the first wrong state; None if there is none.
-        path: Moves that lead to it.
-        whole: Whether every reachable state was checked.
+        transitions: Number of transitions between states.
+        violation: Rule that the first wrong state violates; None if there is none.
+        path: Transitions that lead to it.
+        complete: Whether every reachable state was checked.
     """
 
     states: int = 0
-    moves: int = 0
-    wrong: str | None = None
+    transitions: int = 0
+    violation: str | None = None
     path: list[str] = field(default_factory=list)
-    whole: bool = False
+    complete: bool = False
 
 
 def explore(
-    first: ModelState,
-    moves: Callable[[ModelState], Iterable[tuple[str, ModelState]]],
-    wrong: Callable[[ModelState], str | None],
+    initial_state: ModelState,
+    transitions: Callable[[ModelState], Iterable[tuple[str, ModelState]]],
+    violation: Callable[[ModelState], str | None],
     max_states: int = MAX_STATES,
 ) -> Found[ModelState]:
     """Look at every state that can be reached, until one is wrong.
 
     Args:
-        first: Initial state of the model.
-        moves: Yields the moves that are possible in a state, with the states that they lead to.
-        wrong: Returns the problem of a state; None if there is none.
+        initial_state: Initial state of the model.
+        transitions: Yields the transitions that are possible in a state, with the states that they lead to.
+        violation: Returns the rule that a state violates; None if there is none.
         max_states: Number of states after which the search stops.
     """
     found: Found[ModelState] = Found()
-    reached_by: dict[ModelState, tuple[ModelState, str] | None] = {first: None}
-    waiting = deque([first])
+    reached_by: dict[ModelState, tuple[ModelState, str] | None] = {initial_state: None}
+    waiting = deque([initial_state])
     while waiting:
         state = waiting.popleft()
         found.states += 1
-        found.wrong = wrong(state)
-        if found.wrong is not None:
+        found.violation = violation(state)
+        if found.violation is not None:
             while (step := reached_by[state]) is not None:
                 state, label = step
                 found.path.append(label)
             found.path.reverse()
             return found
-        for label, following in moves(state):
-            found.moves += 1
+        for label, following in transitions(state):
+            found.transitions += 1
             if following not in reached_by:
                 if len(reached_by) >= max_states:
                     return found
                 reached_by[following] = (state, label)
                 waiting.append(following)
-    found.whole = True
+    found.complete = True
     return found
--- a/dykefold/sim/fault_world.py
+++ b/dykefold/sim/fault_world.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from ..routing.plan import Plan
+from ..routing.plan import ServicesPlan
 from .clients import Clients
 from .kernel import Kernel
 from .network import Network
@@ -41,7 +41,7 @@
     clients: list[Clients]
     folders: list[SharedFolder]
     registry: Registry
-    plan: Plan | None
+    plan: ServicesPlan | None
 
     def processes(self) -> list[Sidecar]:
         """Return all processes of sidecars, in the order in which they were made."""
--- a/dykefold/sim/membership.py
+++ b/dykefold/sim/membership.py
@@ -31,7 +31,7 @@
     faults: int
 
 
-def first(members: int, faults: int) -> Fleet:
+def initial_state(members: int, faults: int) -> Fleet:
     """Return a fleet in which all run and know one another."""
     sent = tuple(encode_state(1, State.ALIVE) for _ in range(members))
     return Fleet((sent,) * members, frozenset(), faults)
@@ -62,7 +62,7 @@
     return [number for number, states in enumerate(fleet.states) if states is not None]
 
 
-def moves(fleet: Fleet) -> Iterator[tuple[str, Fleet]]:
+def transitions(fleet: Fleet) -> Iterator[tuple[str, Fleet]]:
     """Yield what may happen next."""
     running = _running(fleet)
     for one in running:
@@ -128,7 +128,7 @@
     return fleet
 
 
-def wrong(fleet: Fleet) -> str | None:
+def violation(fleet: Fleet) -> str | None:
     """Return what does not hold of a state, or of what it settles to; None if all does."""
     for number in _running(fleet):
         states = fleet.states[number]
--- a/dykefold/sim/process.py
+++ b/dykefold/sim/process.py
@@ -21,7 +21,7 @@
 from ..net.peers import PeerChannel
 from ..net.service.pool_config import PoolConfig
 from ..net.sidecar import SidecarLimits, SidecarServer
-from ..routing.plan import Plan
+from ..routing.plan import ServicesPlan
 from ..routing.services import Services
 from ..settings import Transport
 from .kernel import NS_PER_MS, NS_PER_S, Kernel, stream
@@ -57,7 +57,7 @@
     rules: Rules
     scenario: Scenario
     registry: Registry
-    plan: Plan | None
+    plan: ServicesPlan | None
     sidecars: list[Sidecar]
     folders: list[SharedFolder]
 
--- a/dykefold/sim/process_checks.py
+++ b/dykefold/sim/process_checks.py
@@ -38,7 +38,7 @@
 def left_over(server: SidecarServer) -> list[str]:
     """Return what a sidecar still has that has nobody to ask and nobody to wait for."""
     found = {
-        "clients": len(server.clients.all),
+        "clients": len(server.clients.open_connections),
         "message memory": server.memory.reserved_bytes,
         "claims": server.budget.reservations,
         "time limits": sum(len(bucket or ()) for bucket in server.timer_wheel.buckets.values()),
--- a/dykefold/sim/service_plans.py
+++ b/dykefold/sim/service_plans.py
@@ -7,7 +7,7 @@
 
 from ..balancer.settings import Effect, RequestClass
 from ..routing.config import read_plan
-from ..routing.plan import Plan
+from ..routing.plan import ServicesPlan
 from .kernel import NS_PER_MS
 from .nodes import PORT, Node
 from .requests import CLASSES, LOOKUP, POOLS
@@ -20,7 +20,7 @@
 EFFECT_NAMES = {Effect.SAFE: "safe", Effect.KEYED: "keyed", Effect.UNSAFE: "unsafe"}
 
 
-def make_plan(number: int, classes: Iterable[RequestClass], nodes: Iterable[Node]) -> Plan:
+def make_plan(number: int, classes: Iterable[RequestClass], nodes: Iterable[Node]) -> ServicesPlan:
     """Return one of the plans.
 
     Args:
--- a/dykefold/sim/upgrades.py
+++ b/dykefold/sim/upgrades.py
@@ -118,7 +118,7 @@
         return replace(self.after_event(number, process), faults=self.faults + 1)
 
 
-Move = tuple[str, Sidecar]
+Transition = tuple[str, Sidecar]
 
 
 class Model:
@@ -149,23 +149,23 @@
         self.stops = stops
         self.kind = kind
 
-    def first(self) -> Sidecar:
+    def initial_state(self) -> Sidecar:
         """Return one process that has served for long, and has had nobody to write a heartbeat for."""
         name = _name(0)
         serving = Process(
             Status.RUNNING,
-            HotRestartState.TAKING,
+            HotRestartState.LEADING,
             (name,),
             ALL_DESCRIPTORS,
             ALL_DESCRIPTORS,
             CAPACITY_WAIT,
-            heartbeat=Heartbeat(HotRestartState.TAKING, (name,), ALL_DESCRIPTORS, STALE),
+            heartbeat=Heartbeat(HotRestartState.LEADING, (name,), ALL_DESCRIPTORS, STALE),
         )
         return Sidecar((serving, *[Process()] * (self.processes - 1)), 0, SETTLE)
 
     # What may happen
 
-    def moves(self, sidecar: Sidecar) -> Iterator[Move]:
+    def transitions(self, sidecar: Sidecar) -> Iterator[Transition]:
         """Yield everything that may happen next."""
         if all(process.looked for process in sidecar.processes if process.is_running):
             yield "a unit passes", _a_unit_later(sidecar)
@@ -173,9 +173,9 @@
             if process.status is Status.NOT_STARTED:
                 yield f"{_name(number)} starts", _start(sidecar, number)
                 return  # the next one starts only after it
-            yield from self._moves_of(sidecar, number, process)
+            yield from self._transitions_of(sidecar, number, process)
 
-    def _moves_of(self, sidecar: Sidecar, number: int, process: Process) -> Iterator[Move]:
+    def _transitions_of(self, sidecar: Sidecar, number: int, process: Process) -> Iterator[Transition]:
         """Yield what a process that has started may do, or what may happen to it."""
         name = _name(number)
         if process.is_running and not process.looked:
@@ -253,7 +253,7 @@
 
     # What must hold
 
-    def wrong(self, sidecar: Sidecar) -> str | None:
+    def violation(self, sidecar: Sidecar) -> str | None:
         """Return what is wrong with a state; None if nothing is."""
         checks: tuple[Callable[[Sidecar], str | None], ...] = (
             _check_descriptors,
@@ -302,8 +302,8 @@
 
 
 def _check_ends(sidecar: Sidecar) -> str | None:
-    ending = HotRestartState.ENDING
-    if any(process.terminated and process.state is not ending for process in sidecar.processes):
+    shutting_down = HotRestartState.SHUTTING_DOWN
+    if any(process.terminated and process.state is not shutting_down for process in sidecar.processes):
         return "one that was told to end serves"
     return None
 
--- a/dykefold/sim/world.py
+++ b/dykefold/sim/world.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 
 from ..balancer.settings import Effect, RequestClass, Scope, Settings
-from ..routing.plan import Plan
+from ..routing.plan import ServicesPlan
 from .clients import Clients
 from .fault_world import DISCOVERY_HOST
 from .kernel import EPOCH_NS, NS_PER_MS, NS_PER_S, Kernel, stream
@@ -112,7 +112,7 @@
         self.clock_steps = stream(scenario.seed, "clocks")
         if scenario.spec.wrong_clocks:
             self._set_clocks()
-        self.plan: Plan | None = None
+        self.plan: ServicesPlan | None = None
         self.plan_number = 0
         if scenario.world == "services":
             self._make_plan()
--- a/tests/admission/test_accept_errors.py
+++ b/tests/admission/test_accept_errors.py
@@ -86,7 +86,10 @@
         # A spinning loop would have called accept thousands of times.
         assert 0 < faults.counts["accept", errno.errorcode[getattr(errno, error)]] <= 6 * 16
         await wait_until(
-            lambda: not sidecar_server.clients.all and (sidecar_server.listener is None) == shuts_down
+            lambda: (
+                not sidecar_server.clients.open_connections
+                and (sidecar_server.listener is None) == shuts_down
+            )
         )
     assert len(fake.received) == 2
 
@@ -98,7 +101,7 @@
         listen_with_faults(sidecar).add("accept", errno.EMFILE)
         (sock,) = connect_and_send(sidecar.port, b"")
         sidecar_server.drain()
-        sidecar_server.shutdown.answer_at = sidecar_server.monotonic() + 0.2
+        sidecar_server.shutdown.answer_at_s = sidecar_server.monotonic() + 0.2
         sidecar_server.shutdown.stop_accepting()
         sidecar_server.shutdown.stop_requests()
         assert sidecar_server.listener is not None
@@ -118,11 +121,11 @@
         faults = listen_with_faults(sidecar)
         sidecar.server.change_limits(1024, AddressLimits(connections=1))
         (first,) = connect_and_send(sidecar.port, b"")
-        await wait_until(lambda: sidecar.server.clients.all)
+        await wait_until(lambda: sidecar.server.clients.open_connections)
         await scenario(sidecar, faults)
         await wait_until(lambda: not sidecar.server.listener.rejections)
         first.close()
-        await wait_until(lambda: not sidecar.server.clients.all)
+        await wait_until(lambda: not sidecar.server.clients.open_connections)
         assert not sidecar.server.clients.admission.addresses.active
 
 
@@ -165,12 +168,12 @@
 @pytest.mark.parametrize("call", ["send", "shutdown", "recv"])
 def test_rejected_client_reset_during_call_leaves_no_state(tmp_path, call, error):
     async def scenario(sidecar, faults):
-        client_count = len(sidecar.server.clients.all)
+        client_count = len(sidecar.server.clients.open_connections)
         faults.add(call, getattr(errno, error))
         (sock,) = connect_and_send(sidecar.port, request_message("order", "ab"))
         await wait_until(lambda: faults.counts[call, error])
         await wait_until(lambda: not sidecar.server.listener.rejections)
-        assert len(sidecar.server.clients.all) == client_count
+        assert len(sidecar.server.clients.open_connections) == client_count
         faults.clear()
         sock.close()
 
@@ -199,7 +202,7 @@
 
     async def scenario(sidecar, faults):
         sidecar.server.change_limits(1024, AddressLimits())
-        for connection in sidecar.server.clients.all.values():
+        for connection in sidecar.server.clients.open_connections.values():
             sidecar.server.clients.admission.remove(connection.client)  # so that none may be evicted
         faults.add("accept", errno.EMFILE, fault_count=1)
         socks = connect_and_send(sidecar.port, *(request_message("order", f"id{n}") for n in range(16)))
@@ -229,11 +232,11 @@
             )
             responses = await read_responses(*socks)
             assert all(response.startswith((b"HTTP/1.1 200 ", b"HTTP/1.1 503 ")) for response in responses)
-            await wait_until(lambda: not sidecar_server.clients.all)
+            await wait_until(lambda: not sidecar_server.clients.open_connections)
             faults.clear()
             gc.collect()  # asyncio leaves a transport that failed to start to the garbage collector
             assert (await send_request(sidecar.port, request_message("order", "cd"))).code == 200
-            await wait_until(lambda: not sidecar_server.clients.all)
+            await wait_until(lambda: not sidecar_server.clients.open_connections)
             assert not sidecar_server.clients.admission.addresses.active
             assert not sidecar_server.pool.pending
             assert not sidecar_server.clients.admission.count
@@ -259,7 +262,7 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
             sock.close()
         assert (await send_request(sidecar.port, request_message("order", "cd"))).code == 200
-        await wait_until(lambda: not sidecar_server.clients.all)
+        await wait_until(lambda: not sidecar_server.clients.open_connections)
         assert not sidecar_server.clients.admission.count
         assert not sidecar_server.pool.pending
         assert not unhandled
--- a/tests/admission/test_client_state.py
+++ b/tests/admission/test_client_state.py
@@ -73,7 +73,7 @@
                     lambda n=before: len(entered_states) > n and entered_states[-1] is not ClientState.BUSY
                 )
             writer.close()
-            await wait_until(lambda: not sidecar.server.clients.all)
+            await wait_until(lambda: not sidecar.server.clients.open_connections)
 
     scenario()
     assert [ClientState.NEW, *entered_states] == states_of(name)
--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -392,7 +392,7 @@
     assert admission.message_timeouts.pop_overdue(now_s + 2.0) == []
     admission.update(slow, ClientState.BUSY, False, 1, now_s + 2.0)
     assert admission.message_timeouts.pop_overdue(now_s + 9.0) == []
-    assert not admission.message_timeouts.within_body_time
+    assert not admission.message_timeouts.body_timeouts
 
 
 class AdmissionMachine(RuleBasedStateMachine):
@@ -472,7 +472,7 @@
         assert admission.count <= self.max_allowed
         assert admission.working_set.busy == len(self.clients) - len(evictable)
         assert admission.working_set.with_requests == sum(1 for client in self.clients if client.messages)
-        assert len(admission.message_timeouts.within_head_time) <= len(self.clients)
+        assert len(admission.message_timeouts.head_timeouts) <= len(self.clients)
         for known, group in admission.eviction.groups.items():
             queued = [client for queue in group.queues for client in queue.added_at_s]
             assert sorted(map(id, queued)) == sorted(id(c) for c in evictable if c.known is known)
@@ -484,7 +484,7 @@
             self.admission.remove(client)
         if hasattr(self, "admission"):
             assert not self.admission.count
-            assert not self.admission.message_timeouts.within_head_time
+            assert not self.admission.message_timeouts.head_timeouts
             assert not self.admission.working_set.with_requests
             assert not self.admission.addresses.active
 
--- a/tests/admission/test_listener.py
+++ b/tests/admission/test_listener.py
@@ -154,7 +154,7 @@
         async with make_sidecar(tmp_path, fake) as sidecar:
             sidecar.server.change_limits(1024, AddressLimits(connections=1))
             _, first = await connect(sidecar.port, "127.9.0.1")
-            await wait_until(lambda: sidecar.server.clients.all)
+            await wait_until(lambda: sidecar.server.clients.open_connections)
             reader, writer = await connect(sidecar.port, "127.9.0.1")
             writer.write(request_message("order", "no"))
             response = await read_message(reader)
@@ -190,7 +190,7 @@
             assert (await read_message(streams[2][0])).code == 200
             for _, writer in streams:
                 writer.close()
-            await wait_until(lambda: not sidecar.server.clients.all)
+            await wait_until(lambda: not sidecar.server.clients.open_connections)
             assert not sidecar.server.clients.admission.addresses.active
 
     run(scenario())
@@ -216,12 +216,12 @@
                 await send_request(sidecar.port, request_message("order", "c", "3000m", b"x" * 30_000))
             ).code == 200
             partial[1].close()
-            await wait_until(lambda: not sidecar.server.clients.all)
+            await wait_until(lambda: not sidecar.server.clients.open_connections)
             assert not sidecar.server.memory.reserved_bytes
 
     async def _client_address(sidecar):
-        await wait_until(lambda: sidecar.server.clients.all)
-        (client,) = sidecar.server.clients.all
+        await wait_until(lambda: sidecar.server.clients.open_connections)
+        (client,) = sidecar.server.clients.open_connections
         return client.address
 
     run(scenario())
--- a/tests/control/hot_restart_rig.py
+++ b/tests/control/hot_restart_rig.py
@@ -78,7 +78,7 @@
         self.clock = Clock(machine)
         self.pool = FakePool(self.clock)
         self.pools = {self.pool: None}
-        self.sockets = 384
+        self.total_descriptors = 384
         self.handing_over = self.draining = False
         self.listener = None
 
--- a/tests/control/test_directory_retry.py
+++ b/tests/control/test_directory_retry.py
@@ -117,7 +117,7 @@
         f"process enables hot restarts: folder {tmp_path}"
     )
     assert process.order(Action.OUT) == 200
-    assert process.server.max_descriptors == process.server.sockets
+    assert process.server.max_descriptors == process.server.total_descriptors
     process.lifecycle.drain()
     process.lifecycle.close()
     os.close(process.lifecycle.hot_restart.directory.lock_descriptor)
@@ -163,6 +163,6 @@
         machine.wall_ns -= 10**8
     needed = process.server.needed_descriptors()
     assert min(limits, default=0) >= needed
-    assert limits[-1] + other.server.max_descriptors <= process.server.sockets
+    assert limits[-1] + other.server.max_descriptors <= process.server.total_descriptors
     retried, other_limit = (limits[-1], other.server.max_descriptors)
     assert (retried < other_limit) is newer  # the newer process gets all that the older process does not use
--- a/tests/control/test_hot_restart_faults.py
+++ b/tests/control/test_hot_restart_faults.py
@@ -8,7 +8,7 @@
 import pytest
 from net_helpers import read_message, request_message, run, wait_until
 
-from dykefold.lab.fleet.judge import Ban, Excuse, judge
+from dykefold.lab.fleet.judge import FaultInterval, OutOfServiceInterval, judge
 from dykefold.lab.fleet.process import call
 from dykefold.lab.fleet.upgrades import CLASSES, FAULTS, GRACE_S, READY_TIMEOUT_S, hot_restart_rig
 
@@ -45,14 +45,15 @@
         async with hot_restart_rig(tmp_path, rate=100.0) as rig:
             (old,) = rig.member.living
             if moment == "before the new one starts":
-                await rig.ban(old, "std-0")
+                await rig.take_out_of_service(old, "std-0")
             new = await rig.member.start()
             await new.wait_for_line("admin API listens: address=")
             if moment == "before it is ready":
-                await rig.ban(new, "std-0")  # the admin API listens before clients are accepted
+                # the admin API listens before clients are accepted
+                await rig.take_out_of_service(new, "std-0")
             await rig.wait_until_ready(new)
             if moment == "when it is ready":
-                await rig.ban(new if killed == "new" else old, "std-0")
+                await rig.take_out_of_service(new if killed == "new" else old, "std-0")
             rig.kill(new if killed == "new" else old)
             await asyncio.sleep(GRACE_S)
             await rig.wait_for_responses()
@@ -77,7 +78,7 @@
             assert await new.ended() == 0
             assert new.address is None
             old.go_on()
-            rig.excuses.append(Excuse(0, 0.0, asyncio.get_running_loop().time() + 1.0))
+            rig.fault_intervals.append(FaultInterval(0, 0.0, asyncio.get_running_loop().time() + 1.0))
             await rig.wait_for_responses()
 
     run(play())
@@ -185,7 +186,7 @@
     """Guards against losses in each restart; `benchmarks/upgrade.py` has twenty, also under each fault."""
 
     async def play():
-        async with hot_restart_rig(tmp_path, new_share=1.0) as rig:
+        async with hot_restart_rig(tmp_path, new_connection_fraction=1.0) as rig:
             for _ in range(6):
                 await rig.upgrade()
             assert len(rig.member.processes) == 7
@@ -235,7 +236,9 @@
             Arrival("overlapping", "lookup", 1.0, None, overlaps=True),
         ],
     }
-    verdict = judge(all_requests, arrivals, CLASSES, [Excuse(0, 5.0, 5.2)], [Ban(0, "c", 8.0)])
+    verdict = judge(
+        all_requests, arrivals, CLASSES, [FaultInterval(0, 5.0, 5.2)], [OutOfServiceInterval(0, "c", 8.0)]
+    )
     assert verdict.lost == ["lost", "crossed"]
     assert verdict.excused == 1
     assert [line.split()[0] for line in verdict.violations] == [
@@ -268,7 +271,7 @@
     async def play():
         async with hot_restart_rig(tmp_path) as rig:
             (process,) = rig.member.living
-            await rig.ban(process, "std-0")
+            await rig.take_out_of_service(process, "std-0")
             folder = rig.member.folder / "tmp" / "dykefold"
             folder.rename(folder.with_name("kept"))
             folder.write_text("")
@@ -297,7 +300,7 @@
             stopped_at_s = asyncio.get_running_loop().time()
             await asyncio.sleep(3.0)
             process.go_on()
-            rig.excuses.append(Excuse(0, stopped_at_s - 0.2, stopped_at_s + 3.5))
+            rig.fault_intervals.append(FaultInterval(0, stopped_at_s - 0.2, stopped_at_s + 3.5))
             assert (await read_message(reader)).code == 200
             writer.close()
 
--- a/tests/control/test_hot_restart_orders.py
+++ b/tests/control/test_hot_restart_orders.py
@@ -26,9 +26,9 @@
 )
 def test_no_order_of_events_violates_hot_restart_rules(model, min_states):
     """Guards the rules in all orders; `benchmarks/upgrade.py --orders` has two million of three processes."""
-    result = explore(model.first(), model.moves, model.wrong)
-    assert result.wrong is None, (result.wrong, result.path)
-    assert result.whole
+    result = explore(model.initial_state(), model.transitions, model.violation)
+    assert result.violation is None, (result.violation, result.path)
+    assert result.complete
     assert result.states > min_states
 
 
@@ -44,9 +44,9 @@
 
 def test_explorer_finds_process_that_releases_no_descriptors():
     model = Model(2, 1, 10, kind=NeverReleasing)
-    result = explore(model.first(), model.moves, model.wrong)
-    assert result.wrong is not None
-    assert result.wrong.startswith("descriptors")
+    result = explore(model.initial_state(), model.transitions, model.violation)
+    assert result.violation is not None
+    assert result.violation.startswith("descriptors")
 
 
 @pytest.mark.parametrize(
@@ -56,8 +56,8 @@
             "process in shutdown leads again",
             lambda patch: patch.setitem(
                 hot_restart.TRANSITIONS,
-                (hot_restart.HotRestartState.ENDING, hot_restart.HotRestartEvent.NEWER_UNRESPONSIVE),
-                hot_restart.HotRestartState.TAKING,
+                (hot_restart.HotRestartState.SHUTTING_DOWN, hot_restart.HotRestartEvent.NEWER_UNRESPONSIVE),
+                hot_restart.HotRestartState.LEADING,
             ),
         ),
         (
@@ -78,8 +78,8 @@
     with monkeypatch.context() as patch:
         change(patch)
         model = Model(2, 1, 10)
-        result = explore(model.first(), model.moves, model.wrong)
-    assert result.wrong is not None, name
+        result = explore(model.initial_state(), model.transitions, model.violation)
+    assert result.violation is not None, name
 
 
 @pytest.mark.parametrize("order", list(itertools.permutations(range(3), 2)))
--- a/tests/control/test_hot_restart_state.py
+++ b/tests/control/test_hot_restart_state.py
@@ -88,7 +88,7 @@
 def test_hot_restart_passes_through_its_states():
     processes, now = begin_hot_restart()
     old, new = processes
-    assert old.machine.state is HotRestartState.TAKING
+    assert old.machine.state is HotRestartState.LEADING
     assert old.memory_divisor == 1
     new.step(now, processes)
     assert new.memory_divisor is None  # waits for capacity
@@ -110,11 +110,11 @@
     assert old.observation.max_descriptors == 80  # released descriptors are not claimed again
     old.machine.on_shutdown()
     now = run_steps(processes, now, 3)
-    assert old.machine.state is HotRestartState.ENDING
+    assert old.machine.state is HotRestartState.SHUTTING_DOWN
     old.alive = False
     run_steps(processes, now, MAX_HEARTBEAT_AGE_NS // OBSERVATION_INTERVAL_NS + 2)
     assert new.memory_divisor == 1
-    assert new.machine.state is HotRestartState.TAKING
+    assert new.machine.state is HotRestartState.LEADING
 
 
 def test_older_process_keeps_all_when_newer_one_dies_before_it_serves():
@@ -124,7 +124,7 @@
     assert processes[0].memory_divisor == 2
     processes[1].alive = False
     run_steps(processes, now, MAX_HEARTBEAT_AGE_NS // OBSERVATION_INTERVAL_NS + 2)
-    assert processes[0].machine.state is HotRestartState.TAKING
+    assert processes[0].machine.state is HotRestartState.LEADING
     assert processes[0].memory_divisor == 1
 
 
@@ -134,7 +134,7 @@
     assert processes[0].machine.state is HotRestartState.HANDING_OVER
     processes[1].alive = False
     run_steps(processes, now, MAX_HEARTBEAT_AGE_NS // OBSERVATION_INTERVAL_NS + 2)
-    assert processes[0].machine.state is HotRestartState.TAKING
+    assert processes[0].machine.state is HotRestartState.LEADING
     assert not processes[0].observation.newer_serves
 
 
@@ -143,7 +143,7 @@
     processes[0].alive = False
     run_steps(processes, now, MAX_CAPACITY_WAIT_NS // OBSERVATION_INTERVAL_NS + 1)
     assert processes[1].memory_divisor == 1
-    assert processes[1].machine.state is HotRestartState.TAKING
+    assert processes[1].machine.state is HotRestartState.LEADING
 
 
 def test_concurrent_hot_restarts_share_limits_and_newest_leads():
@@ -172,12 +172,13 @@
             process.step(now, [one, other])
             assert one.observation.max_descriptors + other.observation.max_descriptors <= TOTAL_DESCRIPTORS
     assert other.observation.max_descriptors == TOTAL_DESCRIPTORS - one.observation.max_descriptors
-    assert other.machine.state is HotRestartState.TAKING
+    assert other.machine.state is HotRestartState.LEADING
 
 
 def test_process_that_shuts_down_never_accepts_clients_later():
     assert all(
-        TRANSITIONS.get((HotRestartState.ENDING, event), HotRestartState.ENDING) is HotRestartState.ENDING
+        TRANSITIONS.get((HotRestartState.SHUTTING_DOWN, event), HotRestartState.SHUTTING_DOWN)
+        is HotRestartState.SHUTTING_DOWN
         for event in HotRestartEvent
     )
 
--- a/tests/control/test_process_records.py
+++ b/tests/control/test_process_records.py
@@ -21,7 +21,7 @@
 
 
 def test_heartbeat_has_stable_stored_keys():
-    heartbeat = ProcessHeartbeat("a", 1, 2, HotRestartState.TAKING, ("a", "b"), 96, 0)
+    heartbeat = ProcessHeartbeat("a", 1, 2, HotRestartState.LEADING, ("a", "b"), 96, 0)
     assert heartbeat_record(heartbeat, {"s": MaintenanceOrder(3, True)}) == {
         "name": "a", "born_ns": 1, "beat_ns": 2, "state": "taking", "sees": ["a", "b"], "most": 96,
         "place": 0, "said": {"s": [3, True]},
--- a/tests/net/test_class_generations.py
+++ b/tests/net/test_class_generations.py
@@ -316,7 +316,7 @@
                     sidecar_server.generation,
                     sidecar_server.parser,
                     sidecar_server.pool.discovery.address,
-                    sidecar_server.sockets,
+                    sidecar_server.total_descriptors,
                 )
 
             before = state()
@@ -328,7 +328,7 @@
                 sidecar_server.generation,
                 sidecar_server.parser,
                 sidecar_server.pool.discovery.address,
-                sidecar_server.sockets,
+                sidecar_server.total_descriptors,
             )
             assert (await send_request(sidecar.port, request_message("lookup", "a"))).code == 200
 
--- a/tests/net/test_client_closes.py
+++ b/tests/net/test_client_closes.py
@@ -66,7 +66,11 @@
 
 
 def connections_with_incomplete_message(sidecar):
-    return [connection for connection in sidecar.server.clients.all.values() if connection.message_unfinished]
+    return [
+        connection
+        for connection in sidecar.server.clients.open_connections.values()
+        if connection.message_unfinished
+    ]
 
 
 # Eviction for a new connection
@@ -139,7 +143,7 @@
         assert (await send_request(sidecar.port, request_message("order", "new"))).code == 200
         assert await read_status_codes(reader) == ([503], True)
         writer.close()
-        await wait_until(lambda: not sidecar.server.clients.all)
+        await wait_until(lambda: not sidecar.server.clients.open_connections)
         assert not sidecar.server.memory.reserved_bytes
 
 
@@ -171,7 +175,7 @@
         assert set(codes[:count]) <= ({503, 504} if forced else {200})
         assert codes[count:] in ([], [503])
         writer.close()
-        await wait_until(lambda: not sidecar_server.clients.all)
+        await wait_until(lambda: not sidecar_server.clients.open_connections)
 
 
 @async_test
@@ -184,7 +188,7 @@
         sidecar_server = sidecar.server
         sidecar_server.draining = True
         sidecar_server.shutdown.stop_requests()
-        connection = next(iter(sidecar_server.clients.all.values()))
+        connection = next(iter(sidecar_server.clients.open_connections.values()))
         connection.reader.pause()  # otherwise the request is read immediately
         send_immediately(writer, request_message("order", "cd"))
         response_allowed.set()
@@ -247,7 +251,7 @@
         )
         expected = {name: (codes, True, True) for name, (_, codes) in INCOMPLETE_INPUTS.items()}
         assert dict(zip(INCOMPLETE_INPUTS, results, strict=True)) == expected
-        await wait_until(lambda: not sidecar.server.clients.all)
+        await wait_until(lambda: not sidecar.server.clients.open_connections)
         assert not sidecar.server.memory.reserved_bytes
 
 
@@ -280,6 +284,6 @@
         sidecar_server.draining = True
         sidecar_server.shutdown.stop_requests()
         assert [await read_status_codes(reader) for reader, _ in opened[1:]] == [([], True)] * 2
-        await wait_until(lambda: not sidecar_server.clients.all)
+        await wait_until(lambda: not sidecar_server.clients.open_connections)
         for _, writer in opened:
             writer.close()
--- a/tests/net/test_client_connections.py
+++ b/tests/net/test_client_connections.py
@@ -83,7 +83,7 @@
             assert (await read_message(reader)).code == 200
             writer.close()
             assert [request.headers["x-request-id"] for request in fake.received] == ["before"]
-            await wait_until(lambda: not sidecar.server.clients.all)
+            await wait_until(lambda: not sidecar.server.clients.open_connections)
             assert sidecar.server.memory.reserved_bytes == 0
             assert sidecar.server.budget.upstreams.in_use == fake.connections
 
@@ -170,7 +170,7 @@
                 for n in range(2000):
                     writer.write(request_message("lookup", f"id{n}"))
                     await writer.drain()
-            await wait_until(lambda: not sidecar.server.clients.all)
+            await wait_until(lambda: not sidecar.server.clients.open_connections)
             assert len(fake.received) < 1000
             writer.transport.abort()
             assert (await send_request(sidecar.port, request_message("lookup", "other"))).code == 200
@@ -207,7 +207,7 @@
             assert (
                 await send_request(sidecar.port, request_message("order", "b", "900m", b"x" * 1000))
             ).code == 200
-            await wait_until(lambda: not sidecar.server.clients.all)
+            await wait_until(lambda: not sidecar.server.clients.open_connections)
             assert sidecar.server.memory.reserved_bytes == 0
 
     run(scenario())
@@ -232,7 +232,7 @@
         async with Sidecar(tmp_path / "c", data) as sidecar:
             idle = [await asyncio.open_connection(HOST, sidecar.port) for _ in range(30)]
             assert (await send_request(sidecar.port, request_message("order", "ab"))).code == 200
-            assert len(sidecar.server.clients.all) <= sidecar.server.budget.clients + 2
+            assert len(sidecar.server.clients.open_connections) <= sidecar.server.budget.clients + 2
             assert await idle[0][0].read() == b""
             for _, writer in idle:
                 writer.close()
@@ -257,8 +257,8 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
             sock.setblocking(False)
             await loop.sock_connect(sock, (HOST, sidecar.port))
-            await wait_until(lambda: sidecar.server.clients.all)
-            (client,) = sidecar.server.clients.all.values()
+            await wait_until(lambda: sidecar.server.clients.open_connections)
+            (client,) = sidecar.server.clients.open_connections.values()
             sent = 0
             while not client.writer.unread:  # until the kernel buffers are full
                 await loop.sock_sendall(sock, request_message("lookup", f"id{sent}"))
@@ -331,10 +331,12 @@
                     writer.write(request_message("lookup", f"id{number}-{client_number}"))
                     assert (await read_message(reader)).code == 200
                 silent = [await asyncio.open_connection(HOST, sidecar.port) for _ in range(60)]
-                await wait_until(lambda: len(sidecar.server.clients.all) == sidecar.server.budget.clients)
+                await wait_until(
+                    lambda: len(sidecar.server.clients.open_connections) == sidecar.server.budget.clients
+                )
                 for _, writer in silent:
                     writer.close()
-                await wait_until(lambda: len(sidecar.server.clients.all) == len(active))
+                await wait_until(lambda: len(sidecar.server.clients.open_connections) == len(active))
             assert fake.connections == 1
             assert not sidecar.server.budget.upstreams.full
             for _, writer in active:
@@ -372,7 +374,7 @@
             assert (await read_message(pending_reader)).code == 200
             assert (await read_message(pending_reader)).code == 408
             pending_writer.close()
-            await wait_until(lambda: not sidecar.server.clients.all)
+            await wait_until(lambda: not sidecar.server.clients.open_connections)
             assert not sidecar.server.memory.reserved_bytes
             assert len(fake.received) == 1
 
@@ -392,9 +394,9 @@
             assert (await read_message(reader)).code == 200
             assert await reader.read() == b""
             writer.close()
-            await wait_until(lambda: not sidecar.server.clients.all)
+            await wait_until(lambda: not sidecar.server.clients.open_connections)
             assert not sidecar.server.clients.admission.count
-            assert not sidecar.server.clients.admission.message_timeouts.within_head_time
+            assert not sidecar.server.clients.admission.message_timeouts.head_timeouts
 
     run(scenario())
 
@@ -496,7 +498,7 @@
                 writer.write(b"this is no http\r\n\r\n")
                 await reader.read()
             else:
-                await wait_until(lambda: sidecar.server.clients.all)
+                await wait_until(lambda: sidecar.server.clients.open_connections)
             writer.close()
             await wait_until(lambda: entered[-1:] == [Lifecycle.CLOSED])
 
--- a/tests/net/test_client_disconnects.py
+++ b/tests/net/test_client_disconnects.py
@@ -100,7 +100,7 @@
 
 
 def has_no_clients(sidecar):
-    return not sidecar.server.clients.all and not sidecar.server.pool.pending
+    return not sidecar.server.clients.open_connections and not sidecar.server.pool.pending
 
 
 def disconnect(sock, mode):
--- a/tests/net/test_client_races.py
+++ b/tests/net/test_client_races.py
@@ -50,7 +50,7 @@
 
 def no_clients_or_pending_requests(sidecar):
     """Return whether the sidecar has no client connection and no pending request."""
-    return not sidecar.server.clients.all and not sidecar.server.pool.pending
+    return not sidecar.server.clients.open_connections and not sidecar.server.pool.pending
 
 
 async def respond_not_processed(message, reader, writer):
@@ -87,7 +87,7 @@
         _, writer = await asyncio.open_connection(HOST, sidecar.port)
         writer.write(b"".join(request_message("lookup", f"id{n}") for n in range(2 * MAX_WAITING_REQUESTS)))
         await wait_until(lambda: fake.received)
-        connection = next(iter(sidecar.server.clients.all.values()))
+        connection = next(iter(sidecar.server.clients.open_connections.values()))
         assert connection.paused
         writer.close()
         await writer.wait_closed()
@@ -185,7 +185,7 @@
         # With an idle connection to the endpoint, a request is written in the iteration in which it is read.
         assert (await send_request(sidecar.port, request_message("order", "warm"))).code == 200
         sock = socket.create_connection((HOST, sidecar.port))
-        await wait_until(lambda: sidecar.server.clients.all)
+        await wait_until(lambda: sidecar.server.clients.open_connections)
 
         def send_and_disconnect():
             sock.sendall(request_message("order", "ab"))
@@ -244,7 +244,7 @@
         sock = connect_slow_reader(sidecar.port)
         sock.sendall(request_message("lookup", "ab", "3000m", b"", "Connection: close"))
         await wait_until(lambda: fake.received)
-        connections = sidecar.server.clients.all
+        connections = sidecar.server.clients.open_connections
         await wait_until(
             lambda: all(connection.discarding_input for connection in list(connections.values()))
         )
@@ -268,7 +268,7 @@
         sock = connect_slow_reader(sidecar.port)
         # Many unread responses precede the rejection of the malformed request.
         sock.sendall(b"".join(request_message("lookup", f"id{n}") for n in range(8)) + b"no request\r\n\r\n")
-        connections = sidecar.server.clients.all
+        connections = sidecar.server.clients.open_connections
         await wait_until(lambda: any(connection.writer.unread for connection in connections.values()))
         sock.settimeout(WAIT_TIMEOUT_S)
 
@@ -283,7 +283,7 @@
         reader, writer = await asyncio.open_connection(HOST, sidecar.port)
         writer.write(request_message("order", "ab"))
         assert (await read_message(reader)).code == 200
-        connection = next(iter(sidecar.server.clients.all.values()))
+        connection = next(iter(sidecar.server.clients.open_connections.values()))
         data = request_message("order", "cd")
         # Written to the kernel now, not in a later iteration of the loop.
         assert os.write(writer.get_extra_info("socket").fileno(), data) == len(data)
@@ -331,7 +331,7 @@
         reader, writer = await asyncio.open_connection(HOST, sidecar.port)
         request = request_message("order", "ab", "3000m", b"body")
         writer.write(request[:40])
-        connections = sidecar_server.clients.all
+        connections = sidecar_server.clients.open_connections
         await wait_until(lambda: any(connection.message_unfinished for connection in connections.values()))
         sidecar_server.drain()
         sidecar_server.shutdown.stop_requests()
@@ -353,7 +353,7 @@
         requesting_sock, idle_sock = (socket.create_connection((HOST, sidecar.port)) for _ in range(2))
         requesting_sock.sendall(request_message("order", "ab"))
         sidecar_server.listener.accept_backlog()
-        assert len(sidecar_server.clients.all) == 2
+        assert len(sidecar_server.clients.open_connections) == 2
         sidecar_server.drain()
         sidecar_server.shutdown.stop_requests()
         received = await asyncio.to_thread(read_all, requesting_sock)
--- a/tests/net/test_hostile_messages.py
+++ b/tests/net/test_hostile_messages.py
@@ -14,7 +14,7 @@
 from dykefold.net.downstream.connection import ClientConnection
 from dykefold.net.downstream.request_assembler import MAX_HEADERS_BYTES
 from dykefold.net.downstream.request_parser import MAX_BUFFERED_BODY_BYTES
-from dykefold.net.read_scheduler import MAX_SLICES_PER_TURN, SLICE_BYTES
+from dykefold.net.read_scheduler import MAX_SLICES_PER_ITERATION, SLICE_BYTES
 from dykefold.net.service.load_reports import LoadReportParser
 
 MAX_CALLS_PER_BYTE = 1.5  # Python calls; requests of 18 bytes, the worst case, take some twenty calls each
@@ -81,8 +81,10 @@
     connection, transport, meter = ClientConnection(sidecar_server, client), FakeTransport(), CallMeter()
     sidecar_server.clients.add(connection)
     connection.connection_made(transport)
-    turn = sidecar_server.read_scheduler._turn
-    sidecar_server.read_scheduler._turn = lambda: meter.run(MAX_SLICES_PER_TURN * SLICE_BYTES, turn)
+    parse_slices = sidecar_server.read_scheduler._parse_slices
+    sidecar_server.read_scheduler._parse_slices = lambda: meter.run(
+        MAX_SLICES_PER_ITERATION * SLICE_BYTES, parse_slices
+    )
     for piece in pieces:
         async with asyncio.timeout(WAIT_TIMEOUT_S):
             while not transport.reading and not transport.closing:
@@ -92,7 +94,7 @@
         while connection.reader.unparsed is not None or connection.current is not None:
             await asyncio.sleep(0)
     connection.connection_lost(None)
-    sidecar_server.read_scheduler._turn = turn
+    sidecar_server.read_scheduler._parse_slices = parse_slices
     assert not sidecar_server.memory.reserved_bytes
     return transport, meter
 
@@ -198,6 +200,6 @@
         lines = [record.message for record in caplog.records if "late" in record.message]
         assert len(lines) == 1
         assert "a test that sleeps" in lines[0]
-        assert lag_monitor.worst_s >= 100 * MS / 1e9
+        assert lag_monitor.max_lag_s >= 100 * MS / 1e9
 
     run_with_sidecar(tmp_path, scenario)
--- a/tests/net/test_maintenance.py
+++ b/tests/net/test_maintenance.py
@@ -76,8 +76,8 @@
     maintenance.apply_update([list_entry(name) for name in NAMES], True)
     for name in NAMES[:2]:
         maintenance.apply_order(name, True, 1)
-    assert maintenance.has_no_room_for("s2")
-    assert not maintenance.has_no_room_for("s0")
+    assert maintenance.would_exceed_limit("s2")
+    assert not maintenance.would_exceed_limit("s0")
     for name in NAMES[:2]:
         maintenance.apply_order(name, False, 2)
     assert list(maintenance.orders) == ["s1"]
--- a/tests/net/test_request_outcomes.py
+++ b/tests/net/test_request_outcomes.py
@@ -315,7 +315,7 @@
                     and not sidecar_server.pool.balancer.pending
                 )
             )
-            assert not sidecar_server.clients.all
+            assert not sidecar_server.clients.open_connections
             (endpoint_state,) = sidecar_server.pool.balancer.known_endpoints.values()
             assert not endpoint_state.in_flight  # the end of the attempt was reported to the balancer as well
 
--- a/tests/net/test_start_times.py
+++ b/tests/net/test_start_times.py
@@ -38,7 +38,7 @@
     def apply_list(self, now, kind, since=None, source="one", name="new"):
         endpoint = make_endpoint(7, started_ns=since or 0)
         entries = [] if since is None else [(name, endpoint)]
-        self.starts.place(now, kind, source, entries)
+        self.starts.set_slow_start_times(now, kind, source, entries)
         return endpoint
 
     def capacity(self, now, endpoint):
@@ -132,7 +132,7 @@
     endpoints = [
         make_endpoint(n + 1, started_ns=now + (behind_s - age) * SECOND) for n, age in enumerate(ages_s)
     ]
-    StartTimes().place(
+    StartTimes().set_slow_start_times(
         now, ListKind.CACHED, "one", [(f"s{endpoint.number}", endpoint) for endpoint in endpoints]
     )
     balancer, _ = make_balancer(endpoints=[])
@@ -162,7 +162,9 @@
     harness.apply_list(UNIX, ListKind.FULL)
     now = UNIX + 4 * SECOND
     endpoint = make_endpoint(7, started_ns=now - 3 * SECOND + clock_offset_ns)
-    harness.starts.place(now, ListKind.DELTA, "one", [("new", endpoint)], called_ns=now - 20 * MS)
+    harness.starts.set_slow_start_times(
+        now, ListKind.DELTA, "one", [("new", endpoint)], called_ns=now - 20 * MS
+    )
     assert harness.capacity(now, endpoint) == pytest.approx(
         START_CAPACITY + (1 - START_CAPACITY) * accepted_age_ns / WARM_WITHIN_NS
     )
@@ -211,13 +213,13 @@
 
 def test_number_of_stored_starts_is_limited():
     starts = StartTimes(max_starts=100)
-    starts.place(UNIX, ListKind.FULL, "one", [])
+    starts.set_slow_start_times(UNIX, ListKind.FULL, "one", [])
     for number in range(1000):
         endpoint = Endpoint(number, 0, 0, 0, State.READY, started_ns=UNIX)
-        starts.place(UNIX + number, ListKind.DELTA, "one", [(f"s{number}", endpoint)])
+        starts.set_slow_start_times(UNIX + number, ListKind.DELTA, "one", [(f"s{number}", endpoint)])
     assert len(starts.known) == 100
     entries = [(f"s{n}", Endpoint(n, 0, 0, 0, State.READY, started_ns=UNIX)) for n in range(500)]
-    starts.place(UNIX + SECOND, ListKind.FULL, "one", entries)
+    starts.set_slow_start_times(UNIX + SECOND, ListKind.FULL, "one", entries)
     assert len(starts.known) == 500  # as long as the list is
 
 
--- a/tests/net/test_state_cleanup.py
+++ b/tests/net/test_state_cleanup.py
@@ -38,7 +38,7 @@
                     data = request_message("lookup", f"id{number}", "900m", b"", f"X-Key: key{number}")
                     assert (await send_request(sidecar.port, data)).code == 200
                 assert len(sidecar_server.pool.names.endpoints) <= 2
-            await wait_until(lambda: not sidecar_server.clients.all)
+            await wait_until(lambda: not sidecar_server.clients.open_connections)
             assert len(balancer.known_endpoints) <= 2
             assert len(sidecar_server.pool.connection_pool.endpoints) == 1
             assert len(sidecar_server.pool.connection_pool.connections) <= 2
--- a/tests/routing/services_rig.py
+++ b/tests/routing/services_rig.py
@@ -34,16 +34,16 @@
 
     Args:
         config: TOML of pools and routes.
-        max_sockets: Maximum number of descriptors that the sidecar may open.
+        max_descriptors: Maximum number of descriptors that the sidecar may open.
     """
 
-    def __init__(self, config, max_sockets=512):
-        self.server = SidecarServer(asyncio.get_running_loop(), SidecarLimits(max_sockets, 192 * MB))
+    def __init__(self, config, max_descriptors=512):
+        self.server = SidecarServer(asyncio.get_running_loop(), SidecarLimits(max_descriptors, 192 * MB))
         self.services = Services(self.server, lambda: 7)
-        self.apply_config(config, max_sockets)
+        self.apply_config(config, max_descriptors)
 
-    def apply_config(self, config, max_sockets=512):
-        self.services.apply(parse_plan(config), max_sockets, AddressLimits())
+    def apply_config(self, config, max_descriptors=512):
+        self.services.apply(parse_plan(config), max_descriptors, AddressLimits())
 
     def pool(self, name):
         return self.services.by_name[name].pool
--- a/tests/routing/test_services.py
+++ b/tests/routing/test_services.py
@@ -25,7 +25,7 @@
 from services_rig import InProcessSidecar, get_request, pool_toml, post_request
 
 from dykefold.balancer.settings import Effect
-from dykefold.net.loop_lag import MIN_LOGGED_S
+from dykefold.net.loop_lag import MIN_LOGGED_LAG_S
 
 
 class Load:
@@ -250,9 +250,9 @@
             text = pool_toml("a", fake.port, open_least=100)
             node.apply_config(text)
             with pytest.raises(ValueError, match="minima"):
-                node.apply_config(text, max_sockets=128)  # Checked against the new limit.
+                node.apply_config(text, max_descriptors=128)  # Checked against the new limit.
             assert node.server.budget.upstreams.limit == node.services.reservations.total > 100
-            node.apply_config(pool_toml("a", fake.port), max_sockets=128)
+            node.apply_config(pool_toml("a", fake.port), max_descriptors=128)
             assert node.server.budget.upstreams.limit == node.services.reservations.total < 100
 
     run(scenario())
@@ -279,8 +279,8 @@
             # If the event loop was not scheduled in time, the sidecar sheds load: the run is void, neither
             # passed nor failed.
             codes = set().union(*(load.codes for load in loads))
-            late_s = node.server.lag_monitor.worst_s
-            void = 503 in codes and late_s >= MIN_LOGGED_S
+            late_s = node.server.lag_monitor.max_lag_s
+            void = 503 in codes and late_s >= MIN_LOGGED_LAG_S
             assert codes <= ({200, 503} if void else {200})
             assert not any(load.lost_responses for load in loads)
             ids = [received.headers["x-request-id"] for fake in fakes for received in fake.received]
@@ -334,7 +334,7 @@
         text = pool_toml("a", unresponsive.port, deadline_ms=20_000) + pool_toml(
             "b", fake.port, open_least=10
         )
-        async with InProcessSidecar(text, max_sockets=160) as node:
+        async with InProcessSidecar(text, max_descriptors=160) as node:
             max_upstreams = node.server.budget.upstreams.limit
             writers = []
             for number in range(max_upstreams + 20):
@@ -367,6 +367,6 @@
             assert (await read_message(reader)).code == 200
             assert await reader.read() == b""
             writer.close()
-            await wait_until(lambda: not node.server.clients.all)
+            await wait_until(lambda: not node.server.clients.open_connections)
 
     run(scenario())
--- a/tests/routing/test_streams.py
+++ b/tests/routing/test_streams.py
@@ -91,7 +91,7 @@
                 None,
                 "5",
             ]
-            assert len(node.server.clients.all) == 1
+            assert len(node.server.clients.open_connections) == 1
 
     run(scenario())
 
@@ -104,7 +104,7 @@
                 response = await client.get(f"http://{HOST}:{node.port}/a/x")
                 assert response.status_code == 200
                 assert response.content == LARGE_BODY
-            assert len(node.server.clients.all) == 1
+            assert len(node.server.clients.open_connections) == 1
             assert len(node.pool("a").connection_pool.connections) == 1
 
     run(scenario())
@@ -331,7 +331,7 @@
             reader, writer = await asyncio.open_connection(HOST, node.port, limit=4 * KB)
             writer.write(get_request("/a/x"))
             await reader.readuntil(b"\r\n\r\n")
-            client = weakref.ref(next(iter(node.server.clients.all.values())))
+            client = weakref.ref(next(iter(node.server.clients.open_connections.values())))
             gc.disable()
             try:
                 writer.transport.abort()
@@ -346,9 +346,9 @@
     """Guards against a late end time: the rest of a body is in the socket buffer while reading is paused."""
     from dykefold.net.streaming import SOCKET_READ_NS, Upload
 
-    def completed_ns(stopped_ns, resumed_ns, now_ns):
+    def completed_ns(paused_ns, resumed_ns, now_ns):
         upload = Upload(None, b"", lambda: None)
-        upload.stopped_ns, upload.resumed_ns = stopped_ns, resumed_ns
+        upload.paused_ns, upload.resumed_ns = paused_ns, resumed_ns
         upload.finish(now_ns)
         return upload.completed_ns
 
--- a/tests/routing/test_usual_clients.py
+++ b/tests/routing/test_usual_clients.py
@@ -81,7 +81,7 @@
             assert response.text == "out of order"
             assert (await client.get(f"{base}/pieces")).text == "abcde"
             assert (await client.options(f"{base}/x")).status_code == 200
-            assert len(node.server.clients.all) == 1  # One connection for all requests.
+            assert len(node.server.clients.open_connections) == 1  # One connection for all requests.
             ids = [received.headers["x-request-id"] for received in fake.received]
             assert len(set(ids)) == len(ids)
 
@@ -131,7 +131,7 @@
     async def scenario():
         async with sidecar_with_pool() as (_, node, base):
             await asyncio.to_thread({"requests": with_requests, "urllib3": with_urllib3}[library], base)
-            await wait_until(lambda: not node.server.clients.all)
+            await wait_until(lambda: not node.server.clients.open_connections)
 
     run(scenario())
 
--- a/tests/sim/test_membership.py
+++ b/tests/sim/test_membership.py
@@ -10,9 +10,9 @@
 
 
 def test_three_members_and_two_faults_settle_from_every_order() -> None:
-    found = explore(membership.first(3, 2), membership.moves, membership.wrong)
-    assert found.whole
-    assert found.wrong is None, (found.wrong, found.path)
+    found = explore(membership.initial_state(3, 2), membership.transitions, membership.violation)
+    assert found.complete
+    assert found.violation is None, (found.violation, found.path)
     assert found.states > 10_000
 
 
@@ -24,6 +24,6 @@
         monkeypatch.setattr(
             membership, "conclude", lambda said, after: said if after is State.GONE else said + 32
         )
-    found = explore(membership.first(3, 1), membership.moves, membership.wrong)
-    assert found.wrong is not None
+    found = explore(membership.initial_state(3, 1), membership.transitions, membership.violation)
+    assert found.violation is not None
     assert found.path
--- a/tests/sim/test_reality.py
+++ b/tests/sim/test_reality.py
@@ -10,7 +10,7 @@
 from net_helpers import HOST, FakePeer, endpoint_entry, http_response, list_update, run, send_request
 
 from dykefold.net.discovery.codec import NameTable, parse_endpoint_update
-from dykefold.net.loop_lag import MIN_LOGGED_S
+from dykefold.net.loop_lag import MIN_LOGGED_LAG_S
 from dykefold.net.memory_budget import MB
 from dykefold.net.service.pool_config import PoolConfig
 from dykefold.net.sidecar import SidecarLimits, SidecarServer
@@ -91,7 +91,7 @@
         counts[arrival.class_number, end_of(got.code)] += 1
 
     await asyncio.gather(*(one(arrival) for arrival in scenario.arrivals))
-    late_s = sidecar_server.lag_monitor.worst_s
+    late_s = sidecar_server.lag_monitor.max_lag_s
     sidecar_server.listener.close()
     sidecar_server.close()
     return shares(counts), late_s
@@ -122,7 +122,7 @@
     on_network = [virtual(replace(scenario, seed=seed)) for seed in range(SEEDS)]
     for _ in range(PLAYS_MOST):
         on_loopback, late_s = run(real(scenario, wrong))
-        if late_s < MIN_LOGGED_S:
+        if late_s < MIN_LOGGED_LAG_S:
             break
     for key, share in on_loopback.items():
         seen = [outcome[key] for outcome in on_network]
