--- a/dykefold/__init__.py
+++ b/dykefold/__init__.py
@@ -1,4 +1,4 @@
-"""dykefold: the decisions of a sidecar load balancer, without I/O."""
+"""Decision logic of the dykefold sidecar load balancer, without I/O."""
 
 from .balancer.balancer import Balancer
 from .balancer.settings import Settings
--- a/dykefold/__main__.py
+++ b/dykefold/__main__.py
@@ -1,4 +1,4 @@
-"""The sidecar as a process: its configuration, signals and exit code."""
+"""Process of the sidecar: configuration, signals and exit code."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 def start_sidecar(loop: asyncio.AbstractEventLoop, config: Config) -> SidecarServer:
-    """Make the server of the platform's sidecar with its one pool; the server does not listen yet."""
+    """Create the server of the platform's sidecar with its single pool; the server does not listen yet."""
     admin_addresses = [config.admin_address, config.fleet.listen if config.fleet.view else None]
     other_descriptors = ADMIN_DESCRIPTORS * sum(address is not None for address in admin_addresses)
     sidecar = SidecarServer(
@@ -68,7 +68,7 @@
 
 
 class Reload:
-    """Reads the platform's file again, and applies it as a whole or not at all.
+    """Rereads the platform's file, and applies it completely or not at all.
 
     Args:
         sidecar: Server to which the file is applied.
@@ -94,7 +94,7 @@
             # The settings may still be rejected, so they are applied before everything else.
             sidecar.change_settings(config.settings, config.transport)
         except (ConfigError, ValueError) as error:
-            # Operators' pages promise this text.
+            # The operators' documentation quotes this text.
             log.warning("configuration rejected: problem=%s", error)
             return
         self.config = config
@@ -114,8 +114,8 @@
     """Serve as the platform's sidecar until the graceful shutdown is over.
 
     Args:
-        config: Configuration to begin with.
-        path: Path of the platform's file, which SIGHUP reads again.
+        config: Initial configuration.
+        path: Path of the platform's file, which SIGHUP rereads.
         service_path: Path of the operator's file; None for no such file.
 
     Raises:
@@ -123,10 +123,10 @@
     """
     loop = asyncio.get_running_loop()
     sidecar = start_sidecar(loop, config)
-    # Without an admin address there is no hot restart either, and no address is shared.
+    # Without an admin address hot restarts are disabled and no address is shared between processes.
     lifecycle = ProcessLifecycle(loop, sidecar, config.admin_address, os.environ.get("TMPDIR"))
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, lifecycle.drain)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, lifecycle.drain)
     reload = Reload(sidecar, config, path, service_path)
     loop.add_signal_handler(signal.SIGHUP, reload)
     features = reload.features = FleetFeatures(loop, sidecar, config)
@@ -156,8 +156,8 @@
     lifecycle: ProcessLifecycle,
     features: FleetFeatures | None = None,
 ) -> None:
-    # All present objects live as long as the process, so garbage collections need not scan them. The program
-    # makes few cycles, so collections can be rare.
+    # The objects that exist now live as long as the process, so the garbage collector need not scan them. The
+    # program creates few reference cycles, so collections can be rare.
     gc.collect()
     gc.freeze()
     gc.set_threshold(20_000, 20, 50)
@@ -176,7 +176,7 @@
     Args:
         service: Configuration in the file.
         plan: Pools and routes in the file.
-        path: Path of the file, which SIGHUP reads again.
+        path: Path of the file, which SIGHUP rereads.
 
     Raises:
         ConfigError: The file can't be applied, or the process can't listen at an address.
@@ -195,8 +195,8 @@
         services.apply(plan, max_descriptors, service.address_limits)
     except ValueError as error:
         raise FileError(path, [str(error)], code=2) from None
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, lifecycle.drain)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, lifecycle.drain)
     loop.add_signal_handler(signal.SIGHUP, reload_services, services, path)
     try:
         if not await lifecycle.begin():
@@ -209,21 +209,21 @@
 
 
 def reload_services(services: Services, path: str) -> None:
-    """Read and apply an operator's file again; a file that can't be applied changes nothing."""
+    """Reread and apply an operator's file; a file that can't be applied changes nothing."""
     try:
         service = read_service_file(path)
-        plan = _plan_of(service, path, "pools: missing")
+        plan = _require_plan(service, path, "pools: missing")
         services.apply(plan, min(plan.max_descriptors, system_limit()), service.address_limits)
     except (ConfigError, ValueError) as error:
-        # Operators' pages promise this text.
+        # The operators' documentation quotes this text.
         log.warning("route table rejected: problem=%s", error)
 
 
-def _plan_of(service: Service, path: str, problem: str) -> ServicesPlan:
+def _require_plan(service: Service, path: str, problem: str) -> ServicesPlan:
     """Return the plan of an operator's file.
 
     Raises:
-        FileError: The file has no plan; the error has the given problem.
+        FileError: The file has no plan; the error reports the given problem.
     """
     if service.plan is None:
         raise FileError(path, [problem], code=2)
@@ -231,7 +231,7 @@
 
 
 def check(path: str) -> int:
-    """Check an operator's file and print all problems; return the exit code, which is 2 for a bad file."""
+    """Check an operator's file and print all problems; return the exit code, 2 for an invalid file."""
     try:
         read_service_file(path)
     except ConfigError as error:
@@ -247,17 +247,17 @@
         case ["check", path]:
             return check(path)
         case ["serve", path]:
-            serve_until_end = functools.partial(serve_file, path)
+            serve_until_stopped = functools.partial(serve_file, path)
         case features if FLEET_FEATURES.issuperset(features):
-            serve_until_end = functools.partial(serve_platform, features)
+            serve_until_stopped = functools.partial(serve_platform, features)
         case _:
             print(USAGE, file=sys.stderr)
             return USAGE_EXIT_CODE
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(levelname)s %(name)s: %(message)s")
-    # SIGHUP would end the process while no event loop handles it, at the start and at the end.
+    # SIGHUP would terminate the process while no event loop handles it, during start and shutdown.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
-        serve_until_end()
+        serve_until_stopped()
     except ConfigError as error:
         print(f"dykefold: {error}", file=sys.stderr)
         return error.code
@@ -268,8 +268,8 @@
     """Serve as the platform's sidecar until the graceful shutdown is over.
 
     Args:
-        features: Enabled ones of `FLEET_FEATURES`, in place of those in the operator's file; empty to follow
-            the file.
+        features: Members of `FLEET_FEATURES` to enable instead of those in the operator's file; empty to
+            use the file.
 
     Raises:
         ConfigError: A file can't be used, or the process can't listen at an address.
@@ -292,10 +292,10 @@
     Raises:
         ConfigError: The file can't be read or applied, or the process can't listen at an address.
     """
-    # SIGHUP would end the process before the event loop handles it.
+    # SIGHUP would terminate the process before the event loop handles it.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     service = read_service_file(path)
-    plan = _plan_of(service, path, "pools: missing; expected at least one table [pools.NAME]")
+    plan = _require_plan(service, path, "pools: missing; expected at least one table [pools.NAME]")
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(serve(service, plan, path))
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
--- a/dykefold/cli/__init__.py
+++ b/dykefold/cli/__init__.py
@@ -1,7 +1,7 @@
-"""The command line for people: `dykefold serve | check | control | fleet | sim | lab | version`.
+"""Command line for operators: `dykefold serve | check | control | fleet | sim | lab | version`.
 
 The platform's process does not import this package. Exit codes are 0 for success, 1 for a failure, and 2 for
-wrong use or a bad file.
+a usage error or an invalid file.
 """
 
 from __future__ import annotations
--- a/dykefold/cli/app.py
+++ b/dykefold/cli/app.py
@@ -1,4 +1,4 @@
-"""The application to which each module adds its commands."""
+"""Typer application to which each module adds its commands."""
 
 from __future__ import annotations
 
@@ -19,6 +19,6 @@
     """Print the version."""
     try:
         typer.echo(version("dykefold"))
-    # It runs from a checkout.
+    # The program runs from a checkout.
     except PackageNotFoundError:
         typer.echo("dykefold (not installed)")
--- a/dykefold/cli/control.py
+++ b/dykefold/cli/control.py
@@ -15,35 +15,35 @@
 
 TIMEOUT_S = 5.0
 
-At = Annotated[
+AdminAddress = Annotated[
     str, typer.Option("--at", metavar="HOST:PORT", envvar="GW_CONTROL", help="Address of the admin API.")
 ]
-AsJson = Annotated[bool, typer.Option("--json", help="One JSON object for programs.")]
-Server = Annotated[str, typer.Argument(metavar="ID", help="The server's name, as discovery lists it.")]
+JsonOutput = Annotated[bool, typer.Option("--json", help="Print one JSON object.")]
+EndpointName = Annotated[str, typer.Argument(metavar="ID", help="Name of the endpoint in the endpoint list.")]
 
 group = typer.Typer(no_args_is_help=True, help="Call a sidecar's admin API.")
 
 
 def add_to(app: typer.Typer) -> None:
-    """Add the commands of this file."""
+    """Add the commands of this module."""
     app.add_typer(group, name="control")
 
 
 @group.command()
-def health(at: At, as_json: AsJson = False) -> None:
-    """Ask whether the process takes clients."""
+def health(at: AdminAddress, as_json: JsonOutput = False) -> None:
+    """Check whether the process accepts clients."""
     _send(at, Action.HEALTH, "", as_json)
 
 
 @group.command()
-def maint(server: Server, at: At, as_json: AsJson = False) -> None:
-    """Take a server out: nothing more is sent to it until it is put back."""
+def maint(server: EndpointName, at: AdminAddress, as_json: JsonOutput = False) -> None:
+    """Take an endpoint out of service: it gets no requests until it is put back."""
     _send(at, Action.OUT, server, as_json)
 
 
 @group.command()
-def ready(server: Server, at: At, as_json: AsJson = False) -> None:
-    """Put a server back: it is used again, as one that has just started."""
+def ready(server: EndpointName, at: AdminAddress, as_json: JsonOutput = False) -> None:
+    """Put an endpoint back into service: it is treated as one that has just started."""
     _send(at, Action.BACK, server, as_json)
 
 
@@ -53,12 +53,12 @@
     Args:
         at: Address of the admin API.
         action: Kind of the request.
-        endpoint_name: Name of the endpoint; empty for a request without one.
+        endpoint_name: Name of the endpoint; empty for a request that concerns none.
         as_json: Whether to print JSON.
 
     Raises:
-        Exit: The exit code is 0 for success, and 1 for an error response or none.
-        BadParameter: The address or the name is unusable; the exit code is 2.
+        Exit: The exit code is 0 for success, and 1 for an error response or no response.
+        BadParameter: The address or the name is invalid; the exit code is 2.
     """
     try:
         host, port = split_address(at)
@@ -67,7 +67,7 @@
     if action is not Action.HEALTH and not 0 < len(endpoint_name) <= MAX_ID_CHARACTERS:
         problem = f"expected 1 to {MAX_ID_CHARACTERS} characters"
         raise typer.BadParameter(problem, param_hint="ID")
-    code, text = _exchange(host, port, action, endpoint_name)
+    code, text = _request_response(host, port, action, endpoint_name)
     succeeded = code is not None and HTTPStatus.OK <= code < HTTPStatus.MULTIPLE_CHOICES
     if as_json:
         request = {"call": action.value, "server": endpoint_name or None, "at": at}
@@ -77,7 +77,7 @@
     raise typer.Exit(0 if succeeded else 1)
 
 
-def _exchange(host: str, port: int, action: Action, endpoint_name: str) -> tuple[int | None, str]:
+def _request_response(host: str, port: int, action: Action, endpoint_name: str) -> tuple[int | None, str]:
     """Send a request; return status code and text of the response, or None and the problem."""
     target = f"/{action.value}"
     if endpoint_name:
--- a/dykefold/cli/fleet.py
+++ b/dykefold/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`fleet`: the membership and the traffic plan of a running sidecar."""
+"""`fleet`: membership and traffic plan of a running sidecar."""
 
 from __future__ import annotations
 
@@ -17,30 +17,30 @@
 TIMEOUT_S = 5.0
 MAX_SHOWN_CHARACTERS = 200
 
-At = Annotated[
+AdminAddress = Annotated[
     str, typer.Option("--at", metavar="HOST:PORT", help="`listen` in [fleet] of the operator's file.")
 ]
-AsJson = Annotated[bool, typer.Option("--json", help="One JSON object for programs.")]
+JsonOutput = Annotated[bool, typer.Option("--json", help="Print one JSON object.")]
 
-group = typer.Typer(no_args_is_help=True, help="See what sidecars know of their fleet.")
+group = typer.Typer(no_args_is_help=True, help="Show membership and traffic plan of a sidecar.")
 
 
 def add_to(app: typer.Typer) -> None:
-    """Add the commands of this file."""
+    """Add the commands of this module."""
     app.add_typer(group, name="fleet")
 
 
 @group.callback()
 def about() -> None:
-    """See what sidecars know of their fleet."""
+    """Show membership and traffic plan of a sidecar."""
 
 
 @group.command()
 def view(
-    at: At,
-    as_json: AsJson = False,
+    at: AdminAddress,
+    as_json: JsonOutput = False,
 ) -> None:
-    """Show a sidecar's view: each member, its state, and the latest changes with their causes."""
+    """Show a sidecar's membership: each member with its state, and the latest changes with their causes."""
     membership = _fetch(at, Action.VIEW, "members")
     if as_json:
         typer.echo(json.dumps(membership))
@@ -50,23 +50,27 @@
 
 @group.command()
 def plan(
-    at: At,
-    as_json: AsJson = False,
+    at: AdminAddress,
+    as_json: JsonOutput = False,
 ) -> None:
-    """Show where a sidecar's zone works and why, which zones others have left, and who sees what."""
+    """Show to which zones the sidecars of a zone send traffic and why, and what other zones report."""
     report = _fetch(at, Action.PLAN, "works_in")
     if as_json:
         typer.echo(json.dumps(report))
         return
     console = Console()
-    to = ", ".join(f"{share:.2f} in {zone}" for zone, share in report["to"].items())
+    destinations = ", ".join(f"{share:.2f} in {zone}" for zone, share in report["to"].items())
     console.print(
         f"zone {report['zone']}: {report['state']} for {report['since_s']:.1f} s; {report['cause']}"
     )
-    console.print(f"{report['away']:.2f} of its sidecars work elsewhere{f': {to}' if to else ''}")
-    console.print(f"this one works in zone {report['works_in']}; {report['moves']} moves of late")
+    console.print(
+        f"{report['away']:.2f} of its sidecars work elsewhere{f': {destinations}' if destinations else ''}"
+    )
+    console.print(f"this sidecar works in zone {report['works_in']}; {report['moves']} recent moves")
     for zone, levels in report["others_levels"].items():
-        console.print(f"zone {zone}: {len(levels)} of its sidecars tell that they are away, levels {levels}")
+        console.print(
+            f"zone {zone}: {len(levels)} of its sidecars report that they are away, levels {levels}"
+        )
     for pair, verdict in report["verdicts"].items():
         console.print(f"{pair}: {verdict}")
 
@@ -81,7 +85,7 @@
 
     Raises:
         Exit: There is no such object; the exit code is 1.
-        BadParameter: The address is unusable; the exit code is 2.
+        BadParameter: The address is invalid; the exit code is 2.
     """
     try:
         host, port = split_address(at)
@@ -97,7 +101,7 @@
             if isinstance(content, dict) and key in content:
                 return content
         problem = (
-            f"{host}:{port} told no {action.name.lower()}: {response.status} {text[:MAX_SHOWN_CHARACTERS]}"
+            f"{host}:{port} sent no {action.name.lower()}: {response.status} {text[:MAX_SHOWN_CHARACTERS]}"
         )
     except (OSError, http.client.HTTPException, ValueError) as error:
         problem = f"no answer from {host}:{port}: {error or type(error).__name__}"
@@ -110,9 +114,9 @@
 def _print_membership(membership: dict[str, Any]) -> None:
     console = Console()
     table = Table(
-        title=f"as member {membership['member']} sees it: {membership['live']} live", title_justify="left"
+        title=f"membership of member {membership['member']}: {membership['live']} live", title_justify="left"
     )
-    for name in ("member", "address", "zone", "state", "live", "heard s ago"):
+    for name in ("member", "address", "zone", "state", "live", "last contact (s ago)"):
         table.add_column(name)
     for member in membership["members"]:
         zone = "" if member["zone"] is None else str(member["zone"])
@@ -121,8 +125,8 @@
         table.add_row(str(member["member"]), member["address"], zone, member["state"], live, last_contact_s)
     console.print(table)
     if membership["alone"]:
-        console.print("It hears nobody: what it says of the others is old.")
+        console.print("It receives nothing from other members: its information on them is out of date.")
     elif not membership["steady"]:
-        console.print("It has just begun to take part.")
+        console.print("It joined recently; its membership is not complete yet.")
     for change in membership["changes"]:
         console.print(f"{change['s_ago']:8.1f} s ago: {change['what']}")
--- a/dykefold/cli/lab.py
+++ b/dykefold/cli/lab.py
@@ -1,4 +1,4 @@
-"""`lab`: the laboratory."""
+"""`lab`: scenarios with processes of a local test platform."""
 
 from __future__ import annotations
 
@@ -13,52 +13,52 @@
 if TYPE_CHECKING:
     from ..lab.judge import RunResult
 
-lab = typer.Typer(
-    no_args_is_help=True, help="A parts platform of one's own: scenarios, load, what came of it."
-)
-File = Annotated[Path, typer.Argument(metavar="SCENARIO", help="A scenario file, as deploy/scenario.toml.")]
+lab = typer.Typer(no_args_is_help=True, help="A local test platform: scenarios, load, results.")
+ScenarioFile = Annotated[
+    Path, typer.Argument(metavar="SCENARIO", help="A scenario file, such as deploy/scenario.toml.")
+]
 MAX_SHOWN_VIOLATIONS = 10
 
 
 def add_to(app: typer.Typer) -> None:
-    """Add the commands of this file."""
+    """Add the commands of this module."""
     app.add_typer(lab, name="lab")
 
 
 @lab.command("check")
-def check(file: File) -> None:
-    """Check SCENARIO whole: all that is wrong with it at once."""
+def check(file: ScenarioFile) -> None:
+    """Check SCENARIO and print all problems."""
     from ..lab.scenario import read_scenario
     from ..service_config import ServiceError
 
     try:
         read_scenario(str(file))
     except ServiceError as error:
-        _exit_for_bad_file(error.path, error.problems)
+        _exit_for_invalid_file(error.path, error.problems)
     typer.echo(f"{file}: good")
 
 
 @lab.command("run")
 def run(
-    file: File,
+    file: ScenarioFile,
     direct: Annotated[
-        bool, typer.Option("--direct", help="Load the first server itself, no sidecar.")
+        bool, typer.Option("--direct", help="Send load directly to the first server, no sidecar.")
     ] = False,
-    as_json: Annotated[bool, typer.Option("--json", help="One JSON object for programs.")] = False,
+    as_json: Annotated[bool, typer.Option("--json", help="Print one JSON object.")] = False,
 ) -> None:
-    """Play SCENARIO once, as processes on loopback; exit code 1 if a rule is broken or the run is void."""
+    """Run SCENARIO once with processes on loopback; exit code 1 for a violation or an invalid run."""
     from ..lab.run import DIRECT, RunError, play
     from ..service_config import ServiceError
 
     try:
         result = play(file, DIRECT if direct else "dykefold")
     except ServiceError as error:
-        _exit_for_bad_file(error.path, error.problems)
+        _exit_for_invalid_file(error.path, error.problems)
     except RunError as error:
         typer.echo(f"dykefold: {error}", err=True)
         raise typer.Exit(1) from None
     if as_json:
-        typer.echo(json.dumps(described(result)))
+        typer.echo(json.dumps(result_as_json(result)))
     else:
         _print_result(result)
     raise typer.Exit(1 if result.violations or not result.valid else 0)
@@ -66,13 +66,16 @@
 
 @lab.command("fleet")
 def fleet(
-    file: Annotated[Path, typer.Argument(metavar="SCENARIO", help="A scenario, as deploy/fleet.toml.")],
-    as_json: Annotated[bool, typer.Option("--json", help="One JSON object for programs.")] = False,
+    file: Annotated[
+        Path, typer.Argument(metavar="SCENARIO", help="A scenario file, such as deploy/fleet.toml.")
+    ],
+    as_json: Annotated[bool, typer.Option("--json", help="Print one JSON object.")] = False,
     plot: Annotated[
-        Path | None, typer.Option("--plot", metavar="FILE", help="Draw the views over time, as SVG.")
+        Path | None,
+        typer.Option("--plot", metavar="FILE", help="Write an SVG plot of the memberships over time."),
     ] = None,
 ) -> None:
-    """Play SCENARIO with real processes and a network that breaks; exit code 1 if a rule is broken."""
+    """Run SCENARIO with real processes and network faults; exit code 1 for a violation."""
     import uvloop
 
     from ..lab.fleet.membership_samples import samples_svg
@@ -83,7 +86,7 @@
     try:
         scenario = read_fleet(str(file))
     except ServiceError as error:
-        _exit_for_bad_file(error.path, error.problems)
+        _exit_for_invalid_file(error.path, error.problems)
     try:
         result = uvloop.run(play(scenario))
     except OSError as error:
@@ -105,14 +108,14 @@
     raise typer.Exit(0 if result.passed else 1)
 
 
-def _exit_for_bad_file(path: str, problems: list[str]) -> None:
+def _exit_for_invalid_file(path: str, problems: list[str]) -> None:
     for problem in problems:
         typer.echo(f"{path}: {problem}", err=True)
     raise typer.Exit(2)
 
 
-def described(result: RunResult) -> dict[str, object]:
-    """Return a result in the form for programs."""
+def result_as_json(result: RunResult) -> dict[str, object]:
+    """Return a result as a JSON object."""
     return {
         "valid": result.valid,
         "lag_ms": result.lag_ms,
@@ -130,7 +133,7 @@
     from ..lab.judge import ENDS, PERCENTILES
 
     console = Console()
-    table = Table(title=f"{result.attempts} attempts reached servers")
+    table = Table(title=f"{result.attempts} attempts reached endpoints")
     for column in ("class", *ENDS, *(f"p{at:g} ms" for at in PERCENTILES)):
         table.add_column(column, justify="right")
     for name, outcome in result.classes.items():
@@ -138,7 +141,7 @@
         table.add_row(name, *ends, *(f"{value:.1f}" for value in outcome.percentiles_ms().values()))
     console.print(table)
     if not result.valid:
-        console.print(f"void: the load tool itself was late by {result.lag_ms:.1f} ms (99th percentile)")
+        console.print(f"invalid run: the load generator was late by {result.lag_ms:.1f} ms (99th percentile)")
     for line in result.violations[:MAX_SHOWN_VIOLATIONS]:
         console.print(line, highlight=False, markup=False)
-    console.print(f"{len(result.violations)} rules broken" if result.violations else "no rule broken")
+    console.print(f"{len(result.violations)} violations" if result.violations else "no violations")
--- a/dykefold/cli/logs.py
+++ b/dykefold/cli/logs.py
@@ -1,4 +1,4 @@
-"""Log lines of the process as structured events: key=value for people, JSON lines for programs."""
+"""Log lines of the process as structured events: key=value or JSON lines."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 class LogFormat(StrEnum):
-    """Form of log lines; the values are options of the command line."""
+    """Format of log lines; the values are options of the command line."""
 
     TEXT = "text"
     JSON = "json"
 
 
-def set_up(form: LogFormat) -> None:
-    """Write all log lines of the process to standard error in one form."""
-    shared: list[Any] = [
+def configure_logging(log_format: LogFormat) -> None:
+    """Write all log lines of the process to standard error in one format."""
+    processors_before_rendering: list[Any] = [
         structlog.stdlib.add_log_level,
         structlog.stdlib.add_logger_name,
         structlog.processors.TimeStamper(fmt="iso", utc=True),
@@ -26,13 +26,13 @@
     ]
     renderer = (
         structlog.processors.JSONRenderer()
-        if form is LogFormat.JSON
+        if log_format is LogFormat.JSON
         else structlog.processors.KeyValueRenderer(key_order=["timestamp", "level", "logger", "event"])
     )
     handler = logging.StreamHandler()
     handler.setFormatter(
         structlog.stdlib.ProcessorFormatter(
-            foreign_pre_chain=shared,
+            foreign_pre_chain=processors_before_rendering,
             processors=[structlog.stdlib.ProcessorFormatter.remove_processors_meta, renderer],
         )
     )
--- a/dykefold/cli/services.py
+++ b/dykefold/cli/services.py
@@ -1,4 +1,4 @@
-"""`serve` and `check`: the operator's file."""
+"""`serve` and `check`: commands for the operator's file."""
 
 from __future__ import annotations
 
@@ -13,23 +13,25 @@
 from ..__main__ import serve_file
 from ..service_config import Service, ServiceError, read_service
 from ..sidecar_config import ConfigError
-from .logs import LogFormat, set_up
+from .logs import LogFormat, configure_logging
 
-File = Annotated[Path, typer.Argument(metavar="FILE", help="The operator's file, as deploy/service.toml.")]
+File = Annotated[
+    Path, typer.Argument(metavar="FILE", help="The operator's file, such as deploy/service.toml.")
+]
 
 
 def add_to(app: typer.Typer) -> None:
-    """Add the commands of this file."""
+    """Add the commands of this module."""
     app.command("serve")(serve)
     app.command("check")(check)
 
 
 def serve(
     file: File,
-    log_format: Annotated[LogFormat, typer.Option(help="Form of the log lines.")] = LogFormat.TEXT,
+    log_format: Annotated[LogFormat, typer.Option(help="Format of the log lines.")] = LogFormat.TEXT,
 ) -> None:
-    """Serve the pools and routes of FILE until SIGTERM; SIGHUP reads FILE again."""
-    set_up(log_format)
+    """Serve the pools and routes of FILE until SIGTERM; SIGHUP rereads FILE."""
+    configure_logging(log_format)
     try:
         serve_file(str(file))
     except ConfigError as error:
@@ -39,9 +41,9 @@
 
 def check(
     file: File,
-    as_json: Annotated[bool, typer.Option("--json", help="One JSON object for programs.")] = False,
+    as_json: Annotated[bool, typer.Option("--json", help="Print one JSON object.")] = False,
 ) -> None:
-    """Check FILE whole: all that is wrong with it, or the pools and routes that it asks for."""
+    """Check FILE; print all problems, or its pools and routes."""
     try:
         service = read_service(str(file))
     except ServiceError as error:
@@ -52,15 +54,15 @@
                 typer.echo(line, err=True)
         raise typer.Exit(2) from None
     if as_json:
-        typer.echo(json.dumps({"file": str(file), "good": True, **_described(service)}))
+        typer.echo(json.dumps({"file": str(file), "good": True, **_plan_as_json(service)}))
         return
     typer.echo(f"{file}: good")
     if service.plan is not None:
         _print_plan(service)
 
 
-def _described(service: Service) -> dict[str, Any]:
-    """Return pools and routes in the form for programs."""
+def _plan_as_json(service: Service) -> dict[str, Any]:
+    """Return pools and routes as a JSON object."""
     plan = service.plan
     if plan is None:
         return {"pools": [], "routes": []}
@@ -91,16 +93,16 @@
 def _print_plan(service: Service) -> None:
     """Print pools and routes as tables."""
     console = Console()
-    for title, rows in _described(service).items():
+    for title, rows in _plan_as_json(service).items():
         table = Table(title=title)
         for column in rows[0] if rows else ():
             table.add_column(column)
         for row in rows:
-            table.add_row(*(_cell(value) for value in row.values()))
+            table.add_row(*(_cell_text(value) for value in row.values()))
         console.print(table)
 
 
-def _cell(value: object) -> str:
+def _cell_text(value: object) -> str:
     if isinstance(value, list):
         return ", ".join(value)
     return "" if value is None else str(value)
--- a/dykefold/cli/simulate.py
+++ b/dykefold/cli/simulate.py
@@ -1,4 +1,4 @@
-"""`sim`: the network code on a virtual clock, by seeds."""
+"""`sim`: seeded simulation of the network code on a virtual clock."""
 
 from __future__ import annotations
 
@@ -8,22 +8,32 @@
 
 
 def add_to(app: typer.Typer) -> None:
-    """Add the commands of this file."""
+    """Add the commands of this module."""
     app.command("sim")(simulate)
 
 
 def simulate(
-    seed: Annotated[int, typer.Option(help="The seed to play, or to begin with.", min=0)] = 0,
-    steps: Annotated[int, typer.Option(help="Play seed after seed until so many steps.", min=0)] = 0,
-    world: Annotated[str, typer.Option(help="Its name, or all: see docs/operators/simulation.md.")] = "parts",
-    span: Annotated[float, typer.Option(help="Seconds of load in a run.", min=0.5, max=600)] = 10.0,
-    search: Annotated[bool, typer.Option("--search", help="Play seeds on several cores for a time.")] = False,
-    seconds: Annotated[float, typer.Option(help="How long to search.", min=1)] = 60.0,
+    seed: Annotated[int, typer.Option(help="Seed to simulate, or the first of several.", min=0)] = 0,
+    steps: Annotated[
+        int, typer.Option(help="Simulate consecutive seeds up to this number of steps.", min=0)
+    ] = 0,
+    world: Annotated[
+        str, typer.Option(help="Name of a world, or all: see docs/operators/simulation.md.")
+    ] = "parts",
+    span: Annotated[
+        float, typer.Option(help="Duration of the load in a run, in seconds.", min=0.5, max=600)
+    ] = 10.0,
+    search: Annotated[
+        bool, typer.Option("--search", help="Simulate seeds in several processes for a time.")
+    ] = False,
+    seconds: Annotated[float, typer.Option(help="Duration of a search.", min=1)] = 60.0,
     jobs: Annotated[int, typer.Option(help="Number of processes of a search.", min=1, max=256)] = 4,
-    minimise: Annotated[bool, typer.Option("--minimise", help="Make a run that fails smaller.")] = False,
-    as_json: Annotated[bool, typer.Option("--json", help="One JSON object for programs.")] = False,
+    minimise: Annotated[
+        bool, typer.Option("--minimise", help="Reduce a failing run to a smaller one.")
+    ] = False,
+    as_json: Annotated[bool, typer.Option("--json", help="Print one JSON object.")] = False,
 ) -> None:
-    """Play the real network code on a virtual network with seeded faults; exit code 1 if a rule is broken."""
+    """Run the real network code on a virtual network with seeded faults; exit code 1 for a violation."""
     # Imported here, since it imports numpy, which no other command needs.
     from .simulation import Options, run
 
--- a/dykefold/cli/simulation.py
+++ b/dykefold/cli/simulation.py
@@ -1,4 +1,4 @@
-"""The work of `dykefold sim`: plays seeds and prints the results. Imported only for this command."""
+"""Implementation of `dykefold sim`: simulates seeds and prints results. Imported only for this command."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """Options of the command, whose help describes them."""
+    """Options of the command; `simulate` has their help texts."""
 
     seed: int
     steps: int
@@ -39,13 +39,13 @@
 
 
 def run(options: Options) -> int:
-    """Play the requested seeds and print the results; return the exit code."""
+    """Simulate the requested seeds and print the results; return the exit code."""
     worlds = list(WORLDS) if options.world == "all" else [options.world]
     if not set(worlds) <= set(WORLDS):
         typer.echo(f"--world {options.world}: expected one of {', '.join(WORLDS)}, all", err=True)
         return 2
     total = Sum()
-    began = time.monotonic()
+    started = time.monotonic()
     with Progress(
         TextColumn("{task.description}"),
         BarColumn(),
@@ -58,15 +58,15 @@
         task = progress.add_task("seconds" if options.search else "steps", total=goal or None)
         for result in _runs(worlds, options):
             total.add(result)
-            done = int(time.monotonic() - began) if options.search else total.steps
+            done = int(time.monotonic() - started) if options.search else total.steps
             progress.update(task, completed=min(done, goal) if goal else done)
-    total.seconds = time.monotonic() - began
+    total.seconds = time.monotonic() - started
     if options.as_json:
-        typer.echo(json.dumps(_described(total)))
+        typer.echo(json.dumps(_total_as_json(total)))
     else:
         _print_total(total)
         if total.broken:
-            _explain(total.broken[0], options)
+            _print_failure(total.broken[0], options)
     return 1 if total.broken else 0
 
 
@@ -81,7 +81,7 @@
             yield play_seed(world, options.seed, options.span_s)
 
 
-def _described(total: Sum) -> dict[str, object]:
+def _total_as_json(total: Sum) -> dict[str, object]:
     return {
         "runs": total.runs,
         "steps": total.steps,
@@ -105,28 +105,30 @@
 def _print_total(total: Sum) -> None:
     console = Console()
     table = Table(
-        title=f"{total.runs} runs, {total.steps:,} steps, {total.steps / total.seconds:,.0f} a second"
+        title=f"{total.runs} runs, {total.steps:,} steps, {total.steps / total.seconds:,.0f} per second"
     )
     for name in total.counts:
         table.add_column(name, justify="right")
     table.add_row(*(f"{count:,}" for count in total.counts.values()))
     console.print(table)
     for result in total.broken[:MAX_LISTED_RUNS]:
-        first = result.breaches[0]
-        place = f"{result.world} seed {result.seed}"
-        console.print(f"{place}: {first.rule}: {first.text} at {first.at_ns / NS_PER_MS:.3f} ms")
+        violation = result.breaches[0]
+        run_name = f"{result.world} seed {result.seed}"
+        console.print(
+            f"{run_name}: {violation.rule}: {violation.text} at {violation.at_ns / NS_PER_MS:.3f} ms"
+        )
     if not total.broken:
-        console.print("no rule broken")
+        console.print("no violations")
 
 
-def _explain(result: Result, options: Options) -> None:
-    """Print the trace of a run that broke a rule; with `--minimise`, of its smallest form."""
+def _print_failure(result: Result, options: Options) -> None:
+    """Print the trace of a run with a violation; with `--minimise`, of the reduced run."""
     console = Console()
     scenario = draw(result.world, result.seed, int(options.span_s * NS_PER_S))
     if options.minimise:
         rule = result.breaches[0].rule
         scenario = minimise(
-            scenario, lambda other: any(breach.rule == rule for breach in play(other).breaches)
+            scenario, lambda candidate: any(breach.rule == rule for breach in play(candidate).breaches)
         )
         result = play(scenario)
         _print_scenario(console, scenario)
@@ -140,7 +142,7 @@
 
 
 def _print_scenario(console: Console, scenario: Scenario) -> None:
-    console.print(f"smallest form: {len(scenario.faults)} faults, {len(scenario.arrivals)} requests")
+    console.print(f"reduced run: {len(scenario.faults)} faults, {len(scenario.arrivals)} requests")
     for fault in scenario.faults:
         line = f"  {fault.at_ns / NS_PER_MS:10.3f} {fault.kind} server {fault.server} sidecar {fault.sidecar}"
         console.print(f"{line} for {fault.span_ns / NS_PER_MS:.0f} ms", highlight=False, markup=False)
--- a/dykefold/service_config.py
+++ b/dykefold/service_config.py
@@ -1,4 +1,4 @@
-"""The operator's file, such as `deploy/service.toml`, which is read and checked as a whole.
+"""Reads and checks the operator's file, such as `deploy/service.toml`.
 
 This module is imported only for an operator's file (`DYKEFOLD_SERVICE`, `serve FILE` or `check FILE`). The
 platform's sidecar without such a file needs neither this module nor the library that checks the file.
@@ -23,26 +23,26 @@
 PLAN_TABLES = ("node", "pools", "routes")
 TABLES = ("admission", "control", "failover", "fleet", *PLAN_TABLES)
 
-Positive = Annotated[int, Meta(ge=1)]
-Count = Annotated[int, Meta(ge=0)]
-Rate = Annotated[float, Meta(gt=0)]
+PositiveInt = Annotated[int, Meta(ge=1)]
+NonNegativeInt = Annotated[int, Meta(ge=0)]
+PositiveFloat = Annotated[float, Meta(gt=0)]
 
 
 class AdmissionTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """`[admission]` (docs/operators/admission.md); a missing limit means no limit."""
 
-    connections_per_address: Positive | None = None
-    known_connections_per_address: Positive | None = None
-    new_connections_per_s: Rate | None = None
+    connections_per_address: PositiveInt | None = None
+    known_connections_per_address: PositiveInt | None = None
+    new_connections_per_s: PositiveFloat | None = None
     new_connections_burst: Annotated[float, Meta(ge=1)] = 32.0
-    open_requests_per_address: Positive | None = None
+    open_requests_per_address: PositiveInt | None = None
     unfinished_bytes_per_address: Annotated[int, Meta(ge=1024)] | None = None
     ipv4_prefix: Annotated[int, Meta(ge=8, le=32)] = 32
     ipv6_prefix: Annotated[int, Meta(ge=16, le=128)] = 64
     known: list[str] = []
-    reserve: Count = 0
-    learn_requests: Count = 0
-    learn_after_s: Rate = 60.0
+    reserve: NonNegativeInt = 0
+    learn_requests: NonNegativeInt = 0
+    learn_after_s: PositiveFloat = 60.0
     learned_most: Annotated[int, Meta(ge=1, le=100_000)] = 1024
     remembered_most: Annotated[int, Meta(ge=1, le=100_000)] = 4096
 
@@ -134,14 +134,14 @@
     """Return the tables of a file.
 
     Raises:
-        ServiceError: The file can't be read, or is no TOML.
+        ServiceError: The file can't be read, or is not valid TOML.
     """
     try:
         with open(path, "rb") as file:
             return tomllib.load(file)
     except OSError as error:
         raise ServiceError(path, [f"can't be read: {error.strerror}"]) from None
-    # Errors of TOML and of UTF-8 are both a ValueError.
+    # Errors in TOML syntax and in UTF-8 are both ValueErrors.
     except ValueError as error:
         raise ServiceError(path, [f"is no TOML: {error}"]) from None
 
@@ -150,7 +150,7 @@
     """Read and check an operator's file.
 
     Raises:
-        ServiceError: The file can't be used; the error has all problems.
+        ServiceError: The file can't be used; the error reports all problems.
     """
     data = read_toml(path)
     problems = [
@@ -169,7 +169,7 @@
     problems += struct_problems("failover", failover, FailoverTable)
     has_membership = isinstance(fleet, dict) and fleet.get("view") is True
     if isinstance(failover, dict) and failover.get("on") is True and not has_membership:
-        problems.append("failover.on: wants the view; expected view = true in [fleet]")
+        problems.append("failover.on: requires membership; expected view = true in [fleet]")
     for name, table in (("control", control), ("fleet", fleet)):
         listen = table.get("listen") if isinstance(table, dict) else None
         if isinstance(listen, str) and (problem := _address_problem(name, listen)):
@@ -179,7 +179,7 @@
         plan, plan_problems = read_plan(data)
         problems += plan_problems
         if fleet:
-            problems.append("fleet: has no meaning beside pools and routes, which know no peers")
+            problems.append("fleet: has no meaning beside pools and routes, which have no peers")
     if problems:
         raise ServiceError(path, problems)
     control_table = msgspec.convert(control, ControlTable)
@@ -188,11 +188,11 @@
     return Service(
         msgspec.convert(admission, AdmissionTable).address_limits(),
         plan,
-        _address(control_table.listen),
+        _optional_address(control_table.listen),
         control_table.folder,
         FleetOptions(
             fleet_table.view,
-            _address(fleet_table.listen),
+            _optional_address(fleet_table.listen),
             fleet_table.calls,
             fleet_table.calls_per_s,
             FailoverOptions(failover_table.on, failover_table.regions, frozenset(failover_table.out)),
@@ -200,7 +200,7 @@
     )
 
 
-def _address(text: str | None) -> tuple[str, int] | None:
+def _optional_address(text: str | None) -> tuple[str, int] | None:
     return split_address(text, min_port=0) if text else None
 
 
--- a/dykefold/sidecar_config.py
+++ b/dykefold/sidecar_config.py
@@ -1,7 +1,7 @@
 """The platform's configuration of a sidecar.
 
-`read_config` reads and checks a file as a whole and reports all problems at once, so a bad file changes
-nothing. A later file must have all keys of the first one (`missing_keys`). The caller applies the result.
+`read_config` reads and checks the complete file and reports all problems at once, so an invalid file changes
+nothing. A reloaded file must have all keys of the first one (`missing_keys`). The caller applies the result.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 DEFAULT_SOCKETS = 1024
 DEFAULT_MEMORY_MB = 192
-# Exclusive limit of the values under `limits`.
+# Exclusive upper bound of the values under `limits`.
 MAX_LIMIT = 1e9
 # Environment variable with the path of the platform's file.
 CONFIG_VARIABLE = "GW_CONFIG"
@@ -89,12 +89,12 @@
 
 
 class FieldError(ValueError):
-    """A field has an impossible value.
+    """A field has an invalid value.
 
     Args:
         field: Name of the field.
         value: Value of the field.
-        expected: Description of possible values.
+        expected: Description of valid values.
     """
 
     def __init__(self, field: str, value: object, expected: str) -> None:
@@ -112,17 +112,17 @@
         name: Name of the sidecar.
         listen_address: Address at which the sidecar accepts clients.
         admin_address: Address of the admin API; None for no admin API.
-        discovery_address: Address of discovery, which has the endpoint list.
+        discovery_address: Address of discovery, which serves the endpoint list.
         seed: Seed of the balancer's random generator.
         max_descriptors: Number of descriptors that all processes of the sidecar may use together.
         memory_bytes: Bytes of memory that all processes of the sidecar may use together.
         peer_listen_address: Address for datagrams of peers; None for no datagrams.
         peer_addresses: Addresses of the peers by number.
-        broadcast_address: Address that reaches all peers; None if there is none.
+        broadcast_address: Address that reaches all peers; None without broadcast.
         settings: Settings of the balancer.
         transport: Settings of the sockets.
         names: Numbers of zones, machine types and the endpoints of `initial_endpoints` by name.
-        initial_endpoints: Endpoint list before the first one from discovery.
+        initial_endpoints: Endpoint list in use until the first one from discovery.
         address_limits: Limits on clients by address.
         fleet: Options of membership and failover from the operator's file.
         shape: Keys of the file, for `missing_keys`.
@@ -163,25 +163,25 @@
     return None
 
 
-def missing_keys(shape: Shape, value: object, at: str = "") -> list[str]:
-    """Return the paths of the keys that a shape has and a JSON value lacks.
+def missing_keys(shape: Shape, value: object, parent_path: str = "") -> list[str]:
+    """Return the paths of the keys that are in a shape but not in a JSON value.
 
     An object in a list must have the keys that all objects of the earlier list had.
 
     Args:
         shape: Expected keys.
         value: JSON value.
-        at: Path of the value.
+        parent_path: Path of the value.
     """
     missing: list[str] = []
     if isinstance(shape, dict) and isinstance(value, dict):
         for key, inner in shape.items():
-            path = f"{at}.{key}" if at else key
+            path = f"{parent_path}.{key}" if parent_path else key
             missing += missing_keys(inner, value[key], path) if key in value else [path]
     elif isinstance(shape, list) and isinstance(value, list):
         for number, inner in enumerate(value):
             if isinstance(inner, dict):
-                missing += missing_keys(shape[0], inner, f"{at}.{number}")
+                missing += missing_keys(shape[0], inner, f"{parent_path}.{number}")
     return missing
 
 
@@ -197,10 +197,10 @@
     Args:
         path: Path of the platform's file.
         service_path: Path of the operator's file; None for no such file.
-        current: Configuration in use, whose keys the file must have; None for the first one.
+        current: Configuration in use, whose keys the file must have; None at startup.
 
     Raises:
-        ConfigError: A file can't be used; the error has all problems.
+        ConfigError: A file can't be used; the error reports all problems.
     """
     if not path:
         raise VariableError(CONFIG_VARIABLE, " is not set")
@@ -211,18 +211,18 @@
     except (OSError, ValueError, RecursionError) as error:
         raise FileError(path, [_one_line(error)]) from None
     if not isinstance(data, dict):
-        raise FileError(path, ["no JSON object"])
-    checked = _Checked(data)
-    config = _check(checked, address_limits, fleet)
+        raise FileError(path, ["not a JSON object"])
+    reader = _ValueReader(data)
+    config = _config_from(reader, address_limits, fleet)
     if current is not None:
-        checked.problems += [f"{key} is missing" for key in missing_keys(current.shape, data)]
-    if checked.problems:
-        raise FileError(path, list(dict.fromkeys(checked.problems)))
+        reader.problems += [f"{key} is missing" for key in missing_keys(current.shape, data)]
+    if reader.problems:
+        raise FileError(path, list(dict.fromkeys(reader.problems)))
     return config
 
 
-class _Checked:
-    """Reads values of a configuration; collects problems, and returns a substitute for a bad value.
+class _ValueReader:
+    """Reads values of a configuration; collects problems, and returns a substitute for an invalid value.
 
     Args:
         data: Values by key.
@@ -232,20 +232,20 @@
         self.data = data
         self.problems: list[str] = []
 
-    def need(self, key: str, read: Callable[[Any], T], substitute: T) -> T:
+    def read_required(self, key: str, convert: Callable[[Any], T], substitute: T) -> T:
         """Return the value of a required key."""
         if key not in self.data:
             self.problems.append(f"{key} is missing")
             return substitute
-        return self.read(key, read, substitute)
+        return self.read_optional(key, convert, substitute)
 
-    def read(self, key: str, read: Callable[[Any], T], default: T) -> T:
+    def read_optional(self, key: str, convert: Callable[[Any], T], default: T) -> T:
         """Return the value of an optional key, or the default."""
         value = self.data.get(key)
         if value is None and key not in self.data:
             return default
         try:
-            return read(value)
+            return convert(value)
         except (ValueError, TypeError, AttributeError, KeyError, OverflowError, RecursionError) as error:
             self.problems.append(f"{key}: {_one_line(error)}")
             return default
@@ -255,36 +255,41 @@
     return " ".join(str(error).split())
 
 
-def _check(checked: _Checked, address_limits: AddressLimits, fleet: FleetOptions) -> Config:
-    no_address = ("0.0.0.0", 0)
-    settings = checked.need("settings", nested_settings, Settings([], [""]))
-    transport = checked.read("settings", nested_transport, Transport([], 0, 0))
+def _config_from(reader: _ValueReader, address_limits: AddressLimits, fleet: FleetOptions) -> Config:
+    placeholder_address = ("0.0.0.0", 0)
+    settings = reader.read_required("settings", nested_settings, Settings([], [""]))
+    transport = reader.read_optional("settings", nested_transport, Transport([], 0, 0))
     names = NameTable(settings.zones, transport.machine_types)
-    max_descriptors, memory_bytes = checked.read("limits", _limits, (DEFAULT_SOCKETS, DEFAULT_MEMORY_MB * MB))
+    max_descriptors, memory_bytes = reader.read_optional(
+        "limits", _resource_limits, (DEFAULT_SOCKETS, DEFAULT_MEMORY_MB * MB)
+    )
     return Config(
-        name=checked.need("name", str, ""),
-        listen_address=checked.need("listen", _any_port, no_address),
-        admin_address=checked.read("control", _optional_any_port, None) or _from_environment(),
-        discovery_address=checked.need("discovery", split_address, no_address),
-        seed=checked.need("seed", lambda text: int(text, 16), 0),
+        name=reader.read_required("name", str, ""),
+        listen_address=reader.read_required("listen", _listen_address, placeholder_address),
+        admin_address=reader.read_optional("control", _optional_listen_address, None)
+        or _admin_address_from_environment(),
+        discovery_address=reader.read_required("discovery", split_address, placeholder_address),
+        seed=reader.read_required("seed", lambda text: int(text, 16), 0),
         max_descriptors=min(max_descriptors, DEFAULT_SOCKETS, system_limit()),
         memory_bytes=memory_bytes,
-        peer_listen_address=checked.read("peer_listen", _optional_address, None),
-        peer_addresses=checked.read("peers", lambda peers: [split_address(peer) for peer in peers], []),
-        broadcast_address=checked.read("peers_all", _optional_address, None),
+        peer_listen_address=reader.read_optional("peer_listen", _optional_address, None),
+        peer_addresses=reader.read_optional(
+            "peers", lambda peers: [split_address(peer) for peer in peers], []
+        ),
+        broadcast_address=reader.read_optional("peers_all", _optional_address, None),
         settings=settings,
         transport=transport,
         names=names,
-        initial_endpoints=checked.need(
+        initial_endpoints=reader.read_required(
             "known", lambda known: parse_endpoint_update(known, names), EndpointUpdate(0, True, [])
         ),
         address_limits=address_limits,
         fleet=fleet,
-        shape=shape_of(checked.data),
+        shape=shape_of(reader.data),
     )
 
 
-def _any_port(text: object) -> Address:
+def _listen_address(text: object) -> Address:
     return split_address(text, min_port=0)
 
 
@@ -292,19 +297,19 @@
     return split_address(text) if text else None
 
 
-def _optional_any_port(text: object) -> Address | None:
-    return _any_port(text) if text else None
+def _optional_listen_address(text: object) -> Address | None:
+    return _listen_address(text) if text else None
 
 
-def _from_environment() -> Address | None:
+def _admin_address_from_environment() -> Address | None:
     """Return the address of the admin API from the environment; None if it is not set there."""
     try:
-        return _optional_any_port(os.environ.get(CONTROL_VARIABLE))
+        return _optional_listen_address(os.environ.get(CONTROL_VARIABLE))
     except ValueError as error:
         raise VariableError(CONTROL_VARIABLE, f": {error}") from None
 
 
-def _limits(limits: Mapping[str, Any]) -> tuple[int, int]:
+def _resource_limits(limits: Mapping[str, Any]) -> tuple[int, int]:
     sockets, memory_mb = limits.get("sockets", DEFAULT_SOCKETS), limits.get("memory_mb", DEFAULT_MEMORY_MB)
     for name, value in (("sockets", sockets), ("memory_mb", memory_mb)):
         if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value < MAX_LIMIT:
@@ -317,10 +322,10 @@
         return AddressLimits(), FleetOptions()
     service = read_service_file(service_path)
     if service.admin_address is not None:
-        problem = "control: beside the platform's file that one names the door"
+        problem = "control: not allowed beside the platform's file, which has the admin API's address"
         raise FileError(service_path, [problem], code=2)
     if service.plan is not None:
-        problem = "pools and routes are for `serve`; beside the platform's file they have no meaning"
+        problem = "pools and routes: only for `serve`; not allowed beside the platform's file"
         raise FileError(service_path, [problem], code=2)
     return service.address_limits, service.fleet
 
@@ -329,9 +334,9 @@
     """Read the operator's file.
 
     Raises:
-        ConfigError: The file can't be used; the error has all problems.
+        ConfigError: The file can't be used; the error reports all problems.
     """
-    # Imported here, since the platform's sidecar runs without an operator's file and its library.
+    # Imported here, since the platform's sidecar needs neither this file nor the library that checks it.
     from .service_config import ServiceError, read_service
 
     try:
--- a/dykefold/system.py
+++ b/dykefold/system.py
@@ -1,8 +1,8 @@
-"""The interface of the program to its machine, beside the event loop: time, sockets, descriptors.
+"""Interface to the operating system beside the event loop: time, sockets, descriptors.
 
-Code with a `System` reads no other clock and opens no other socket, so the same code runs on a simulated
-machine (`dykefold.sim`). On a real machine the methods are functions of the operating system, and the
-interface costs one attribute look-up per call.
+Code that receives a `System` uses no other clock and opens no other sockets, so the same code runs on a
+simulated machine (`dykefold.sim`). On a real machine the methods are functions of the operating system, and
+the interface costs one attribute look-up per call.
 """
 
 from __future__ import annotations
@@ -17,31 +17,31 @@
 import time
 from typing import Protocol
 
-# Errors of socket(2), connect(2) and send(2) for a lack of resources, or for a rule, of this machine.
-OWN_ERRORS = frozenset(
+# Errors of socket(2), connect(2) and send(2) that are due to missing resources or a policy of this machine.
+LOCAL_ERRORS = frozenset(
     (
         errno.EACCES,
         errno.EADDRINUSE,
-        errno.EADDRNOTAVAIL,  # no local port is left
+        errno.EADDRNOTAVAIL,  # no free local port
         errno.EAGAIN,
         errno.EINTR,
         errno.EMFILE,
         errno.ENETDOWN,
-        errno.ENETUNREACH,  # no route from here
+        errno.ENETUNREACH,  # no route from this machine
         errno.ENFILE,
         errno.ENOBUFS,
         errno.ENOMEM,
-        errno.EPERM,  # a filter on this machine
+        errno.EPERM,  # packet filter on this machine
     )
 )
 
 
 def is_local_error(error: BaseException | None) -> bool:
-    """Return whether the cause of a failed system call is this machine, and not the peer or the network.
+    """Return whether a system call failed because of this machine, not because of the peer or the network.
 
     Refusals, resets, ETIMEDOUT and EHOSTUNREACH come from the peer or the network.
     """
-    return isinstance(error, OSError) and error.errno in OWN_ERRORS
+    return isinstance(error, OSError) and error.errno in LOCAL_ERRORS
 
 
 class Watch(Protocol):
@@ -53,7 +53,7 @@
 
 
 class System:
-    """The machine of this process."""
+    """Operating system of this process."""
 
     monotonic = staticmethod(time.monotonic)  # seconds
     monotonic_ns = staticmethod(time.monotonic_ns)
@@ -63,18 +63,18 @@
         """Open a non-blocking TCP socket over IPv4.
 
         Raises:
-            OSError: No descriptor is left.
+            OSError: The limit on descriptors is reached.
         """
         return socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
 
     def watch(self, sock: socket.socket) -> Watch:
-        """Return a watch for unread bytes on a socket; to poll it costs less than a failing read."""
+        """Return a watch for unread bytes on a socket; polling it is cheaper than a failing read."""
         watch = select.poll()
         watch.register(sock, select.POLLIN)
         return watch
 
     def watch_close(self, sock: socket.socket) -> Watch:
-        """Return a watch for unread bytes on a socket, or the end of the peer's stream behind them."""
+        """Return a watch for unread bytes on a socket, or the end of the peer's stream after them."""
         watch = select.poll()
         watch.register(sock, select.POLLIN | select.POLLRDHUP)
         return watch
@@ -89,10 +89,10 @@
         return int.from_bytes(count, sys.byteorder)
 
     def open_reserve(self) -> int:
-        """Open a reserve descriptor, whose only use is to be closed when another one is needed.
+        """Open a reserve descriptor, to be closed when a descriptor is needed.
 
         Raises:
-            OSError: No descriptor is left.
+            OSError: The limit on descriptors is reached.
         """
         return os.open(os.devnull, os.O_RDONLY | os.O_CLOEXEC)
 
