--- a/dykefold/service_config.py
+++ b/dykefold/service_config.py
@@ -1,4 +1,4 @@
-"""Reads and checks the operator's file, such as `deploy/service.toml`.
+"""The operator's file, such as `deploy/service.toml`, which is read and checked completely.
 
 This module is imported only for an operator's file (`DYKEFOLD_SERVICE`, `serve FILE` or `check FILE`). The
 platform's sidecar without such a file needs neither this module nor the library that checks the file.
