--- a/dykefold/fleet/balancer_link.py
+++ b/dykefold/fleet/balancer_link.py
@@ -1,4 +1,4 @@
-"""Exchange of observations between a pool's balancer and the membership."""
+"""Reports from the membership to the balancer, and from the balancer to the fleet."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 from .rate_limits import NS_PER_S, RESTART_NS
 from .subsetting import EndpointRanking
 
-MAX_ANNOUNCE_DELAY_S = 4.0  # For a new list version; not announced if another member reports it first.
+MAX_ANNOUNCE_DELAY_S = 4.0  # Of a new list's version. The announcement is dropped if others come first.
 LATENCY_REPORT_INTERVAL_NS = 10 * NS_PER_S
-EVENT_DELAY_S = 0.5  # Membership changes within this time are merged into one event for the balancer.
+EVENT_DELAY_S = 0.5  # Changes of the fleet within this time become one event of the balancer.
 
 
 class Pool(Protocol):
-    """The pool whose balancer receives membership events.
+    """The pool whose balancer is informed of the fleet.
 
     Attributes:
-        names: Table of endpoint numbers by name.
+        names: Numbers of endpoints by name.
         version: Version of the endpoint list.
-        discovery: Discovery client; None for a static endpoint list.
-        on_health_hint: Callback with an endpoint's number and whether the endpoint answers.
+        discovery: None where the list is fixed.
+        on_health_hint: Called with an endpoint's number and whether it answers.
     """
 
     names: NameTable
@@ -49,7 +49,7 @@
         ...
 
     def typical_latencies(self) -> dict[str, float]:
-        """Return typical latencies in nanoseconds by class, for classes with enough samples."""
+        """Return typical latencies in nanoseconds by class, for classes with enough answers."""
         ...
 
 
@@ -62,7 +62,7 @@
 
 
 class BalancerLink:
-    """Publisher of the balancer's observations, and source of its membership events.
+    """Exchanges observations between a pool's balancer and the fleet.
 
     Args:
         loop: Event loop of the timers.
@@ -72,7 +72,7 @@
 
     Attributes:
         pool: Pool of the balancer.
-        polls: Coordination of polls of discovery with the fleet; None if that is off.
+        polls: Coordinates polls of discovery with the fleet; None if that is off.
     """
 
     def __init__(
@@ -83,13 +83,13 @@
         rng: random.Random,
         system: System,
     ) -> None:
-        """Start to publish the balancer's health hints on endpoints."""
+        """Begin to publish the balancer's hints on endpoints."""
         self.loop, self.membership, self.pool = loop, membership, pool
         self.rng, self.system = rng, system
         self.polls: EndpointListFollower | None = None
         self._ranking = EndpointRanking(membership.own_number)
         self._next_latencies_ns = system.monotonic_ns()
-        self._known = (0, 0)  # next endpoint number, and version of the list
+        self._known = (0, 0)  # endpoint numbers given out, and version of the list
         self._report: asyncio.TimerHandle | None = None
         self._announcement: asyncio.TimerHandle | None = None
         self._recount: asyncio.TimerHandle | None = None
@@ -112,12 +112,12 @@
         self._known = known
         self.report_soon()
         if self._announcement is None:
-            # With random delays the first member announces the version, and most others need not.
+            # Most members wait longer than some other one, and then need not announce it themselves.
             wait_s = self.rng.uniform(0, MAX_ANNOUNCE_DELAY_S)
             self._announcement = self.loop.call_later(wait_s, self._announce_list)
 
     def report_soon(self) -> None:
-        """Schedule one event for the balancer for all changes within `EVENT_DELAY_S`."""
+        """Schedule an event for the balancer that gathers the changes of `EVENT_DELAY_S`."""
         if self._report is None and not self.closed:
             self._report = self.loop.call_later(EVENT_DELAY_S, self._post_event)
 
@@ -125,7 +125,7 @@
         self._report = None
         now_ns = self.system.monotonic_ns()
         if not self.membership.is_settled(now_ns):
-            self.report_soon()  # the balancer would take the incomplete membership for the entire fleet
+            self.report_soon()  # what is known of the fleet just now would be taken for all of it
             return
         if self.polls is not None:
             self.polls.update_fleet()
@@ -137,7 +137,7 @@
             self._recount = self.loop.call_later(RESTART_NS / NS_PER_S, self._recount_members)
 
     def _recount_members(self) -> None:
-        """Update the balancer's member count after departed members have had time to restart."""
+        """Inform the balancer again when departed members have had time to restart."""
         self._recount = None
         self.report_soon()
 
@@ -154,11 +154,11 @@
                 peer_observations.report_endpoint(self.membership, now_ns, name, answers)
 
     def finish(self) -> None:
-        """Schedule no further reports; a scheduled one is still sent."""
+        """Schedule no further reports; one that is scheduled is still made."""
         self.closed = True
 
     def close(self) -> None:
-        """Cancel all reports."""
+        """Stop all reports."""
         self.finish()
         for timer in (self._report, self._announcement, self._recount):
             if timer is not None:
--- a/dykefold/fleet/datagrams.py
+++ b/dykefold/fleet/datagrams.py
@@ -1,8 +1,8 @@
 """The datagrams of the membership protocol, described in docs/design/datagrams.md. No I/O.
 
-Decoding returns None for any other data: noise, corrupted datagrams, kinds of later versions. The length is
-never a multiple of four, while that of messages between balancers always is, so that a process without
-membership, which reads only balancer messages, ignores these datagrams.
+Decoding returns None for everything else: noise, a damaged datagram, the kinds of later versions. The length
+is never a multiple of four: the messages between the balancers of two sidecars always are, and a process
+without membership understands only those.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 from .member_state import ENCODED_STATE_BYTES, is_encoded_state
 
-MAX_DATAGRAM_BYTES = 256  # Limit for datagrams between sidecars (PROTOCOL).
+MAX_DATAGRAM_BYTES = 256  # Of a datagram between sidecars (PROTOCOL).
 BALANCER_MESSAGE_ALIGNMENT = 4  # Lengths of balancer messages are multiples of this; lengths here never are.
 MAGIC = 0xD7  # First byte of each datagram of this protocol.
 VERSION = 1
@@ -25,8 +25,8 @@
     "<BBIIBHH"
 )  # magic, version, checksum, fleet, kind, nonce, subject; then the sender's state
 HEADER_BYTES = HEADER.size + ENCODED_STATE_BYTES
-CHECKSUM_START = 2
-CHECKSUMMED_START = 6  # Offset of the first byte that the checksum covers.
+CHECKSUM_FROM = 2
+CHECKED_FROM = 6  # Position from which the checksum covers all bytes.
 NUMBER_BYTES = 2
 ENTRY_BYTES = NUMBER_BYTES + ENCODED_STATE_BYTES
 COUNT_BYTES = 1
@@ -40,9 +40,7 @@
 RECORD_BYTES = RECORD.size + INCARNATION_BYTES
 AGE_UNIT_NS = 250_000_000
 MAX_AGE_UNITS = 255
-MAX_PAYLOAD_BYTES = (
-    MAX_DATAGRAM_BYTES - 1
-)  # One byte of padding is added to a length that is a multiple of the alignment.
+MAX_PAYLOAD_BYTES = MAX_DATAGRAM_BYTES - 1  # One byte is added if the length is a multiple of the alignment.
 MAX_DIGESTS = (MAX_PAYLOAD_BYTES - HEADER_BYTES - RANGE.size - COUNT_BYTES) // DIGEST_BYTES
 MAX_ENTRIES = (MAX_PAYLOAD_BYTES - HEADER_BYTES - 2 * COUNT_BYTES) // ENTRY_BYTES
 
@@ -52,28 +50,28 @@
 
     PING = 1
     ACK = 2
-    PROBE_REQUEST = 3  # indirect probe: requests a helper to probe the subject
-    NACK = 4  # from a helper: the subject has not answered its probe yet
+    PROBE_REQUEST = 3  # asks a helper to probe the subject
+    NACK = 4  # a helper's answer: the subject has not answered it so far
     GOSSIP = 5
     DIGESTS = 6  # of the states of a range of members
-    STATES = 7  # of members whose digests differ; the receiver replies with newer states, if any
+    STATES = 7  # of members whose digests differ; the receiver answers with what it knows beyond them
     STATES_REPLY = 8
     RECORDS_REQUEST = 9  # from a member that has just started
-    RECORDS_REPLY = 10  # not sent by a member without records
+    RECORDS_REPLY = 10  # only where there are any
 
 
 KINDS = {kind.value: kind for kind in Kind}
 
 
 class MemberEntry(NamedTuple):
-    """A member's number and encoded state, as the sender knows it."""
+    """The encoded state of one member, as another one knows it."""
 
     number: int
     encoded: int
 
 
 class DigestRange(NamedTuple):
-    """Members `first` to `end` - 1, in slices of `width` members with one digest each."""
+    """Members `first` to `end` - 1, cut into slices of `width` members with a digest each."""
 
     first: int
     end: int
@@ -99,7 +97,7 @@
         subject: Subject of the record; its meaning depends on the topic.
         incarnation: Incarnation of the origin when it published the record.
         sequence: Number of the record among those of its origin.
-        value: 32-bit value; its meaning depends on the topic.
+        value: 32 bits, by its topic.
         age_ns: Nanoseconds since the origin published the record.
     """
 
@@ -120,7 +118,7 @@
         kind: Purpose of the datagram.
         fleet: Checksum of the sender's address list (`fleet_checksum`), to which its member numbers refer.
         sender_state: Encoded state of the sender.
-        nonce: Number that matches an ACK or NACK to its probe.
+        nonce: Number that relates an answer to its probe.
         subject: Number of the probed member in a PROBE_REQUEST or NACK; 0 otherwise.
         entries: Encoded states of members.
         digest_range: Members that the digests of a DIGESTS datagram cover.
@@ -151,12 +149,12 @@
 
 
 def fleet_checksum(addresses: Sequence[tuple[str, int]]) -> int:
-    """Return the checksum of an address list; members with different lists ignore each other's member numbers."""
+    """Return the checksum of an address list; members with different lists ignore each other's numbers."""
     return zlib.crc32("\n".join(f"{host}:{port}" for host, port in addresses).encode())
 
 
 def record_capacity(entries: int) -> int:
-    """Return the number of records that fit in a datagram with a number of member states."""
+    """Return the number of records that fit beside a number of member states."""
     used = HEADER_BYTES + 2 * COUNT_BYTES + entries * ENTRY_BYTES
     return max((MAX_PAYLOAD_BYTES - used) // RECORD_BYTES, 0)
 
@@ -184,7 +182,7 @@
         data.append(0)
     if len(data) > MAX_DATAGRAM_BYTES:
         raise DatagramTooLargeError(len(data))
-    data[CHECKSUM_START:CHECKSUMMED_START] = zlib.crc32(data[CHECKSUMMED_START:]).to_bytes(4, "little")
+    data[CHECKSUM_FROM:CHECKED_FROM] = zlib.crc32(data[CHECKED_FROM:]).to_bytes(4, "little")
     return bytes(data)
 
 
@@ -204,15 +202,13 @@
 def _append_records(data: bytearray, records: Sequence[Record]) -> None:
     data.append(len(records))
     for record in records:
-        age = min(
-            -(-record.age_ns // AGE_UNIT_NS), MAX_AGE_UNITS
-        )  # rounded up, so that no record outlives its lifetime
+        age = min(-(-record.age_ns // AGE_UNIT_NS), MAX_AGE_UNITS)  # rounded up: never younger than it is
         data += RECORD.pack(record.topic, record.origin, record.subject, record.sequence, age, record.value)
         data += record.incarnation.to_bytes(INCARNATION_BYTES, "little")
 
 
 def decode(data: bytes) -> Datagram | None:
-    """Decode a datagram; return None if it is malformed, corrupted or of an unknown kind."""
+    """Decode a datagram; return None if it is not one, is damaged or has a kind of a later version."""
     header = _decode_header(data)
     if header is None:
         return None
@@ -220,7 +216,7 @@
 
 
 class _Header(NamedTuple):
-    """Fields common to all kinds of datagrams, as in `Datagram`."""
+    """The fields that all kinds of datagrams have, as in `Datagram`."""
 
     kind: Kind
     fleet: int
@@ -233,7 +229,7 @@
     if not HEADER_BYTES < len(data) <= MAX_DATAGRAM_BYTES or not is_membership_datagram(data):
         return None
     _, _, checksum, fleet, kind, nonce, subject = HEADER.unpack_from(data)
-    if zlib.crc32(data[CHECKSUMMED_START:]) != checksum or kind not in KINDS:
+    if zlib.crc32(data[CHECKED_FROM:]) != checksum or kind not in KINDS:
         return None
     sender_state = int.from_bytes(data[HEADER.size : HEADER_BYTES], "little")
     if not is_encoded_state(sender_state):
--- a/dykefold/fleet/outbox.py
+++ b/dykefold/fleet/outbox.py
@@ -81,9 +81,9 @@
         """Return the states that the peer may have to refute."""
         membership = self.membership
         entry = membership.entry(peer)
-        is_outdated = peer in membership.outdated_members
-        membership.outdated_members.pop(peer, None)
-        return [entry] if is_outdated or state_of(entry.encoded) is State.SUSPECT else []
+        is_wrong = peer in membership.wrong_claims
+        membership.wrong_claims.pop(peer, None)
+        return [entry] if is_wrong or state_of(entry.encoded) is State.SUSPECT else []
 
     def _max_transmissions(self, _number: int) -> int:
         return len(self.membership.addresses).bit_length() + EXTRA_TRANSMISSIONS
--- a/dykefold/fleet/protocol.py
+++ b/dykefold/fleet/protocol.py
@@ -89,7 +89,7 @@
     def tick(self, now_ns: int) -> int:
         """Run all due actions; return the monotonic time in nanoseconds of the next call."""
         membership = self.membership
-        self._handle_delay(now_ns)
+        self._absorb_delay(now_ns)
         if membership.own_status is not State.LEFT:
             self.prober.check_timeouts(now_ns)
             membership.conclude_overdue_shutdowns(now_ns)
@@ -103,14 +103,14 @@
         membership.next_tick_ns = max(due_ns, now_ns + min_wait_ns)
         return membership.next_tick_ns
 
-    def _handle_delay(self, now_ns: int) -> None:
+    def _absorb_delay(self, now_ns: int) -> None:
         """Lower this member's confidence after its process was paused or its loop ran late.
 
         Its probes were answered while it could not receive, and what came may not have been read yet.
         """
         late_ns = self.membership.delay_ns(now_ns)
         if late_ns:
-            self.membership.handle_delay(now_ns, late_ns)
+            self.membership.absorb_delay(now_ns, late_ns)
             self.prober.forget_probes()
 
     def receive(self, now_ns: int, sender: int, data: bytes) -> None:
@@ -122,7 +122,7 @@
         datagram = self._decode_within_limits(now_ns, sender, data)
         if datagram is None:
             return
-        self._handle_delay(now_ns)
+        self._absorb_delay(now_ns)
         membership.counts[TrafficCounter.RECEIVED] += 1
         membership.on_received(now_ns, sender, datagram.sender_state)
         is_same_fleet = datagram.fleet == membership.fleet
--- a/dykefold/fleet/record_store.py
+++ b/dykefold/fleet/record_store.py
@@ -141,7 +141,7 @@
         known = self.records.get(key)
         if known is not None:
             if version_of(record) <= version_of(known.record):
-                self._keep_earlier_publication(key, record, published_ns)
+                self._keep_older_time(key, record, published_ns)
                 return False
         elif not self._make_room(key, record):
             return False
@@ -149,7 +149,7 @@
         self._queue_gossip(key)
         return True
 
-    def _keep_earlier_publication(self, key: RecordKey, record: Record, published_ns: int) -> None:
+    def _keep_older_time(self, key: RecordKey, record: Record, published_ns: int) -> None:
         known = self.records[key]
         if version_of(record) == version_of(known.record) and published_ns < known.published_ns:
             self.records[key] = StoredRecord(known.record, published_ns)
@@ -193,7 +193,7 @@
 
     def expire(self, now_ns: int) -> None:
         """Remove expired records."""
-        expired = [key for key, stored in self.records.items() if not _is_valid(stored, now_ns)]
+        expired = [key for key, stored in self.records.items() if not _counts(stored, now_ns)]
         for key in expired:
             self._drop(key)
 
@@ -202,18 +202,18 @@
         if max_count <= 0:
             return []
         keys = self.gossip.take(max_count, lambda key: LIMITS[Topic(key.topic)].transmissions)
-        return [_with_current_age(self.records[key], now_ns) for key in keys if key in self.records]
+        return [_aged(self.records[key], now_ns) for key in keys if key in self.records]
 
-    def for_joining_member(self, now_ns: int, max_count: int) -> list[Record]:
+    def for_newcomer(self, now_ns: int, max_count: int) -> list[Record]:
         """Return records for a member that has just started: this member's first, then the newest."""
         kept = [
             (stored.record.origin != self.own_number, now_ns - stored.published_ns, stored)
             for stored in self.records.values()
-            if _is_valid(stored, now_ns)
+            if _counts(stored, now_ns)
             and (stored.record.origin == self.own_number or stored.record.topic != Topic.TYPICAL_LATENCY)
         ]
         kept.sort(key=lambda item: item[:2])
-        return [_with_current_age(stored, now_ns) for _, _, stored in kept[:max_count]]
+        return [_aged(stored, now_ns) for _, _, stored in kept[:max_count]]
 
     def subjects_of(self, *topics: Topic) -> set[int]:
         """Return the subjects of all stored records of these topics."""
@@ -223,13 +223,13 @@
         """Iterate over the valid records on a subject."""
         for origin in self.origins[topic].get(subject, ()):
             stored = self.records[RecordKey(topic, origin, subject)]
-            if _is_valid(stored, now_ns):
+            if _counts(stored, now_ns):
                 yield stored
 
 
-def _is_valid(stored: StoredRecord, now_ns: int) -> bool:
+def _counts(stored: StoredRecord, now_ns: int) -> bool:
     return now_ns - stored.published_ns < LIMITS[Topic(stored.record.topic)].lifetime_ns
 
 
-def _with_current_age(stored: StoredRecord, now_ns: int) -> Record:
+def _aged(stored: StoredRecord, now_ns: int) -> Record:
     return replace(stored.record, age_ns=max(now_ns - stored.published_ns, 0))
--- a/dykefold/fleet/record_transfer.py
+++ b/dykefold/fleet/record_transfer.py
@@ -48,7 +48,7 @@
         """Send records to a member that has just started."""
         membership = self.membership
         capacity = record_capacity(0)
-        records = membership.records.for_joining_member(now_ns, capacity * MAX_REPLY_DATAGRAMS)
+        records = membership.records.for_newcomer(now_ns, capacity * MAX_REPLY_DATAGRAMS)
         for start in range(0, len(records), capacity):
             datagram = Datagram(
                 Kind.RECORDS_REPLY,
--- a/dykefold/fleet/subsetting.py
+++ b/dykefold/fleet/subsetting.py
@@ -68,16 +68,16 @@
             return {}
         size = len(zone_peers)
         zone_peers.discard(self.own_number)
-        added, removed = zone_peers - self._zone_peers, self._zone_peers - zone_peers
-        if len(added) + len(removed) >= len(zone_peers):
+        came, went = zone_peers - self._zone_peers, self._zone_peers - zone_peers
+        if len(came) + len(went) >= len(zone_peers):
             self._members_ahead.clear()  # it costs less to count anew
         known, self._members_ahead = self._members_ahead, {}
         for endpoint in endpoints:
             own_hash, ahead = hash_pair(endpoint, self.own_number + 1), known.get(endpoint)
             if ahead is None:
                 ahead = _count_ahead(endpoint, own_hash, zone_peers)
-            elif added or removed:
-                ahead += _count_ahead(endpoint, own_hash, added) - _count_ahead(endpoint, own_hash, removed)
+            elif came or went:
+                ahead += _count_ahead(endpoint, own_hash, came) - _count_ahead(endpoint, own_hash, went)
             self._members_ahead[endpoint] = ahead
         self._zone_peers = zone_peers
         return {endpoint: ahead / size for endpoint, ahead in self._members_ahead.items()}
--- a/dykefold/fleet_wiring.py
+++ b/dykefold/fleet_wiring.py
@@ -115,8 +115,8 @@
     from .fleet.endpoint_list_sync import EndpointListSync
     from .fleet.poll_schedule import PollSettings
 
-    max_poll_interval_ns, rate = settings.max_poll_interval_ns, config.fleet.calls_per_s
-    polls = PollSettings(max_poll_interval_ns, rate, settings.index, settings.fleet_size)
+    within_ns, rate = settings.max_poll_interval_ns, config.fleet.calls_per_s
+    polls = PollSettings(within_ns, rate, settings.index, settings.fleet_size)
     return EndpointListSync(discovery, polls, config.seed)
 
 
