--- a/dykefold/lab/fleet/__init__.py
+++ b/dykefold/lab/fleet/__init__.py
@@ -1,4 +1,5 @@
-"""The rig: sidecars as real processes, and between them and all others a network that breaks on purpose.
+"""Test rig of real sidecar processes, connected by a network into which faults are injected.
 
-Desks, servers, discovery and the network are in one process, so that one clock tells what came first.
+Clients, servers, the discovery service and the network run in one process, so that one clock orders all
+events.
 """
--- a/dykefold/lab/fleet/collector.py
+++ b/dykefold/lab/fleet/collector.py
@@ -1,4 +1,4 @@
-"""Keep the garbage collector of this process out of a measured span."""
+"""Pause of this process's garbage collector during a measurement."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 @contextlib.contextmanager
 def collector_paused() -> Iterator[None]:
-    """Collect once, then not again until the block ends.
+    """Collect garbage once, then disable the collector until the block ends.
 
-    A full collection walks every container of the process while nothing else of it runs: 0.1 s with a rig of
-    200 members alone, more in a test run that has imported every test. A rig which stands still for that long
-    is late itself, and what it measures of its members is void. Reference counts still free whatever is in no
-    cycle.
+    A full collection visits every container object while the process does nothing else: 0.1 s with a rig of
+    200 members alone, longer in a test run that has imported every test module. A rig that is blocked for so
+    long is late itself, and its measurements of the members are invalid. Reference counting still frees
+    objects that are in no cycle.
     """
     was_enabled = gc.isenabled()
     gc.collect()
--- a/dykefold/lab/fleet/compiled_tree.py
+++ b/dykefold/lab/fleet/compiled_tree.py
@@ -1,4 +1,4 @@
-"""A compiled copy of the program, so that a rig of many processes does not compile it once for each."""
+"""A compiled copy of the program, so that the processes of a rig do not each compile it."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 @functools.cache
 def compiled_tree(tree: Path) -> Path:
-    """Copy the program of a checkout and compile it, once for each checkout in the life of this process.
+    """Copy and compile the program of a checkout, once per checkout in this process.
 
-    Where Python is told to write no bytecode, each start compiles all of the program, which is nearly half of
-    the work of a start; an installed program does not do that. The checkout itself stays as it is.
+    Where Python is configured to write no bytecode, each process start compiles the program, which is nearly
+    half of the work of a start; an installed program does not compile. The checkout itself is not changed.
 
     Args:
-        tree: the checkout; changes made to it later are not seen.
+        tree: Checkout; later changes to it are not copied.
 
     Returns:
-        A folder with the package alone, which is removed when this process ends.
+        Folder with the package alone, removed when this process exits.
 
     Raises:
-        OSError: the checkout has no program, or it can't be copied.
+        OSError: The checkout has no program, or copying failed.
     """
     folder = Path(tempfile.mkdtemp(prefix="compiled-"))
     atexit.register(shutil.rmtree, folder, ignore_errors=True)
--- a/dykefold/lab/fleet/datagram_relay.py
+++ b/dykefold/lab/fleet/datagram_relay.py
@@ -1,8 +1,8 @@
-"""A relay for the datagrams between the members of a rig, with faults on the way.
+"""A relay for the datagrams between the members of a rig, with injected faults.
 
-Each member knows the others under addresses of the rig (PROTOCOL lets each sidecar see the others under its
-own addresses). The rig receives a datagram on the socket of its receiver, recognizes the sender by the source
-address, and forwards it from the socket of the sender. So there is one socket for each member.
+Members address each other through the rig (by PROTOCOL, each sidecar may know the others under addresses of
+its own). The rig has one socket for each member: it receives a datagram on the receiver's socket, identifies
+the sender by the source address, and forwards the datagram from the sender's socket.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
 
 @dataclass(slots=True)
 class NetworkPath:
-    """Faults that hold now on the way from one member to another.
+    """Current faults of the path from one member to another.
 
     Attributes:
-        cuts: Number of faults that let nothing pass.
+        cuts: Number of current faults that drop every datagram.
         loss: Fraction of the datagrams that each fault drops.
         delays_s: Mean added delay of each fault, in seconds.
         doubled: Fraction of the datagrams that each fault delivers twice.
-        corrupted: Fraction of the datagrams of which each fault changes a byte.
+        corrupted: Fraction of the datagrams in which each fault changes one byte.
     """
 
     cuts: int = 0
@@ -43,20 +43,20 @@
     corrupted: list[float] = field(default_factory=list)
 
 
-class Datagrams:
-    """Relays datagrams between members.
+class DatagramRelay:
+    """Relay of the datagrams between members.
 
     Args:
-        rng: Random generator of the faults.
+        rng: Random number generator of the faults.
 
     Attributes:
         paths: Faults by sender and receiver.
-        relay_sockets: Socket of each member, whose address the others know.
+        relay_sockets: Socket of the rig for each member, at the address that the others know.
         member_addresses: Address at which each member listens.
-        numbers: Members by that address.
-        broadcast_socket: Socket whose datagrams go to all members.
-        sent: Number of datagrams by sender.
-        latest: Latest datagram of each sender.
+        members_by_address: Numbers of the members by that address.
+        broadcast_socket: Socket for datagrams to all members.
+        sent: Number of datagrams sent, by sender.
+        latest_datagrams: Latest datagram, by sender.
         delivered: Number of datagrams delivered.
         bytes: Size in bytes of the datagrams delivered.
     """
@@ -67,10 +67,10 @@
         self.paths: dict[tuple[int, int], NetworkPath] = {}
         self.relay_sockets: list[socket.socket] = []
         self.member_addresses: list[Address] = []
-        self.numbers: dict[Address, int] = {}
+        self.members_by_address: dict[Address, int] = {}
         self.broadcast_socket = self._socket("127.0.0.1")
         self.sent: Counter[int] = Counter()
-        self.latest: dict[int, bytes] = {}
+        self.latest_datagrams: dict[int, bytes] = {}
         self.delivered = 0
         self.bytes = 0
         self.loop.add_reader(self.broadcast_socket.fileno(), self._on_readable, self.broadcast_socket, None)
@@ -85,28 +85,28 @@
     def add(self, address: Address) -> None:
         """Add a member that listens at an address."""
         number = len(self.relay_sockets)
-        front = self._socket("127.0.0.1")
-        self.relay_sockets.append(front)
+        relay_socket = self._socket("127.0.0.1")
+        self.relay_sockets.append(relay_socket)
         self.member_addresses.append(address)
-        self.numbers[address] = number
-        self.loop.add_reader(front.fileno(), self._on_readable, front, number)
+        self.members_by_address[address] = number
+        self.loop.add_reader(relay_socket.fileno(), self._on_readable, relay_socket, number)
 
     def addresses(self) -> list[str]:
-        """Return the addresses of all members, as their configurations have them."""
-        return [self._text(front) for front in self.relay_sockets]
+        """Return the addresses of all members as they appear in the members' configurations."""
+        return [self._address_text(relay_socket) for relay_socket in self.relay_sockets]
 
     @property
-    def all_address(self) -> str:
-        """Address whose datagrams go to all members."""
-        return self._text(self.broadcast_socket)
+    def broadcast_address(self) -> str:
+        """Address for datagrams to all members."""
+        return self._address_text(self.broadcast_socket)
 
     @staticmethod
-    def _text(sock: socket.socket) -> str:
+    def _address_text(sock: socket.socket) -> str:
         host, port = sock.getsockname()
         return f"{host}:{port}"
 
     def path(self, sender: int, receiver: int) -> NetworkPath:
-        """Return the faults on the way from one member to another."""
+        """Return the faults of the path from one member to another."""
         return self.paths.setdefault((sender, receiver), NetworkPath())
 
     def _on_readable(self, sock: socket.socket, receiver: int | None) -> None:
@@ -115,28 +115,28 @@
                 data, source = sock.recvfrom(MAX_DATAGRAM_BYTES)
             except (BlockingIOError, ConnectionError):
                 return
-            sender = self.numbers.get(source)
+            sender = self.members_by_address.get(source)
             if sender is None:
                 continue
             self.sent[sender] += 1
-            self.latest[sender] = data
+            self.latest_datagrams[sender] = data
             receivers = range(len(self.relay_sockets)) if receiver is None else (receiver,)
             for other in receivers:
                 if other != sender:
-                    self._pass(sender, other, data)
+                    self._forward(sender, other, data)
 
-    def _pass(self, sender: int, receiver: int, data: bytes) -> None:
+    def _forward(self, sender: int, receiver: int, data: bytes) -> None:
         path = self.paths.get((sender, receiver))
         copies = 1
         delay_s = 0.0
         if path is not None:
-            if path.cuts or any(self.rng.random() < share for share in path.loss):
+            if path.cuts or any(self.rng.random() < fraction for fraction in path.loss):
                 return
-            copies += any(self.rng.random() < share for share in path.doubled)
-            if data and any(self.rng.random() < share for share in path.corrupted):
-                place = int(self.rng.integers(len(data)))
-                data = data[:place] + bytes([data[place] ^ CORRUPTION_MASK]) + data[place + 1 :]
-            # Each datagram has a delay of its own, so that one may overtake another.
+            copies += any(self.rng.random() < fraction for fraction in path.doubled)
+            if data and any(self.rng.random() < fraction for fraction in path.corrupted):
+                index = int(self.rng.integers(len(data)))
+                data = data[:index] + bytes([data[index] ^ CORRUPTION_MASK]) + data[index + 1 :]
+            # Each datagram has its own delay, so that datagrams may be reordered.
             delay_s = sum(mean_s * float(self.rng.random()) * 2 for mean_s in path.delays_s)
         for _ in range(copies):
             if delay_s > 0:
@@ -145,21 +145,21 @@
                 self._deliver(sender, receiver, data)
 
     async def flood(self, sender: int, receivers: list[int], rate: float) -> None:
-        """Send noise and repeated datagrams under a member's address until cancelled."""
-        due = 0.0
+        """Send noise and duplicates of the latest datagram from a member's address until cancelled."""
+        due_datagrams = 0.0
         while True:
             await asyncio.sleep(FLOOD_INTERVAL_S)
-            due += rate * FLOOD_INTERVAL_S
-            while due >= 1.0:
-                due -= 1.0
-                data = self.latest.get(sender, b"")
+            due_datagrams += rate * FLOOD_INTERVAL_S
+            while due_datagrams >= 1.0:
+                due_datagrams -= 1.0
+                data = self.latest_datagrams.get(sender, b"")
                 if self.rng.random() < FLOOD_NOISE_FRACTION or not data:
                     data = self.rng.bytes(int(self.rng.integers(1, MAX_NOISE_BYTES + 1)))
                 for receiver in receivers:
                     self._deliver(sender, receiver, data)
 
     def _deliver(self, sender: int, receiver: int, data: bytes) -> None:
-        with contextlib.suppress(OSError):  # Nobody listens there, or the queue is full.
+        with contextlib.suppress(OSError):  # The member does not listen, or a queue is full.
             self.relay_sockets[sender].sendto(data, self.member_addresses[receiver])
             self.delivered += 1
             self.bytes += len(data)
--- a/dykefold/lab/fleet/fault_injection.py
+++ b/dykefold/lab/fleet/fault_injection.py
@@ -1,4 +1,4 @@
-"""Injects the faults of a scenario into a rig, each from its time to its end."""
+"""Injects the faults of a scenario into a rig at their times."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 from .rig import Rig
 from .scenario import FaultTable
 
-MOVED_S = 1.5  # For which a list service that has moved serves its open calls.
+OLD_REGISTRY_SERVE_S = 1.5  # A list service that has moved serves its open calls for this time.
 MEMBER_FAULTS = frozenset(("kill", "stop", "term", "upgrade"))
 
 
 @dataclass(frozen=True, slots=True)
-class Switch:
-    """How a fault begins and ends."""
+class FaultSwitch:
+    """Actions at the beginning and at the end of a fault."""
 
     begin: Callable[[], None]
     end: Callable[[], None]
 
 
-def _nothing() -> None:
-    """End a fault that ends by itself."""
+def _no_action() -> None:
+    """Do nothing at the end of a fault that needs no action then."""
 
 
 class FaultInjector:
-    """Plays the faults of a scenario.
+    """Injects the faults of a scenario.
 
     Args:
-        rig: The rig that the faults affect.
+        rig: Rig into which the faults are injected.
 
     Attributes:
         end_s: End of the last fault so far, in seconds since the load began.
@@ -42,14 +42,14 @@
         self.rig = rig
         self.scenario = rig.scenario
         self.end_s = 0.0
-        self._switches: dict[str, Callable[[FaultTable], Switch]] = {
+        self._switches: dict[str, Callable[[FaultTable], FaultSwitch]] = {
             "list": self._list_outage,
             "slow-list": self._slow_list,
-            "move-list": lambda _: Switch(self._move_list, _nothing),
+            "move-list": lambda _: FaultSwitch(self._move_list, _no_action),
             "servers": self._server_outage,
-            "resets": lambda fault: Switch(lambda: self._reset_answers(fault), _nothing),
+            "resets": lambda fault: FaultSwitch(lambda: self._reset_answers(fault), _no_action),
             "burst": self._burst,
-            "cut": lambda fault: Switch(lambda: self._cut(fault, True), lambda: self._cut(fault, False)),
+            "cut": lambda fault: FaultSwitch(lambda: self._cut(fault, True), lambda: self._cut(fault, False)),
             "loss": lambda fault: self._datagram_fault(fault, "loss", fault.share),
             "late": lambda fault: self._datagram_fault(fault, "delays_s", fault.late_s),
             "double": lambda fault: self._datagram_fault(fault, "doubled", fault.share),
@@ -63,7 +63,7 @@
         }
 
     async def play(self, fault: FaultTable) -> None:
-        """Play one fault from its time to its end."""
+        """Inject one fault at its time, and wait for its end."""
         await asyncio.sleep(fault.at_s)
         if fault.kind in MEMBER_FAULTS:
             await self._play_on_members(fault)
@@ -72,21 +72,21 @@
             await self._flood(fault)
             return
         switch = self._switches[fault.kind](fault)
-        for turn in range(fault.times if fault.kind == "servers" else 1):
-            if turn:
+        for repetition in range(fault.times if fault.kind == "servers" else 1):
+            if repetition:
                 await asyncio.sleep(fault.for_s)
             switch.begin()
             try:
                 await asyncio.sleep(fault.for_s)
             finally:
                 switch.end()
-                self._ended(fault.at_s + fault.for_s * (2 * turn + 1))
+                self._record_end(fault.at_s + fault.for_s * (2 * repetition + 1))
 
-    def _ended(self, at_s: float) -> None:
+    def _record_end(self, at_s: float) -> None:
         self.end_s = max(self.end_s, at_s)
 
     async def _flood(self, fault: FaultTable) -> None:
-        """Send datagrams from some members to others at a fixed rate."""
+        """Flood some members with datagrams from others at a fixed rate."""
         receivers = self.scenario.members_of(fault.to)
         datagrams = self.rig.datagrams
         floods = [
@@ -98,10 +98,10 @@
         await asyncio.sleep(fault.for_s)
         for flood in floods:
             flood.cancel()
-        self._ended(fault.at_s + fault.for_s)
+        self._record_end(fault.at_s + fault.for_s)
 
     async def _play_on_members(self, fault: FaultTable) -> None:
-        """Kill, stop, terminate or upgrade a random part of some members, in steps."""
+        """Kill, stop, terminate or upgrade a random fraction of some members, in steps."""
         action = self._member_actions[fault.kind]
         members = self.scenario.members_of(fault.of)
         count = max(round(fault.share * len(members)), 1)
@@ -113,12 +113,12 @@
         for _ in range(fault.times):
             for step in range(fault.steps):
                 await asyncio.gather(*(action(number, fault.for_s) for number in chosen[step :: fault.steps]))
-            self._ended(self.rig.loop.time() - began_s + fault.at_s)
+            self._record_end(self.rig.loop.time() - began_s + fault.at_s)
             if fault.times > 1:
                 await asyncio.sleep(fault.for_s)
 
     async def _shift_clocks(self, numbers: list[int], clock_s: float) -> None:
-        """Shift the wall clocks of the processes that these members start from now on."""
+        """Shift the wall clocks of all processes that these members start later."""
         for number in numbers:
             member = self.rig.members[number]
             member.clock_s = clock_s
@@ -126,11 +126,11 @@
                 await member.spare.close()
                 member.spare = None
 
-    def _list_outage(self, fault: FaultTable) -> Switch:
+    def _list_outage(self, fault: FaultTable) -> FaultSwitch:
         registry = self.rig.registry
-        return Switch(lambda: registry.fail(True), lambda: registry.fail(False))
+        return FaultSwitch(lambda: registry.fail(True), lambda: registry.fail(False))
 
-    def _slow_list(self, fault: FaultTable) -> Switch:
+    def _slow_list(self, fault: FaultTable) -> FaultSwitch:
         registry = self.rig.registry
         normal_calls_per_s = registry.calls_per_s
 
@@ -140,21 +140,21 @@
         def end() -> None:
             registry.calls_per_s = normal_calls_per_s
 
-        return Switch(begin, end)
+        return FaultSwitch(begin, end)
 
     def _move_list(self) -> None:
-        """Move the list service to new addresses; the old ones accept nobody and close later."""
+        """Move the list service to new addresses; the old links stop listening now and close later."""
         rig = self.rig
         old_links, rig.registry_links = rig.registry_links, rig.make_registry_links()
         rig.registry.moved()
         for link in old_links:
-            link.shut()
-            rig.loop.call_later(MOVED_S, link.close)
+            link.stop_listening()
+            rig.loop.call_later(OLD_REGISTRY_SERVE_S, link.close)
         for member, link in zip(rig.members, rig.registry_links, strict=True):
             member.reload(discovery=link.address)
 
-    def _server_outage(self, fault: FaultTable) -> Switch:
-        return Switch(lambda: self._crash_servers(fault), lambda: self._restart_servers(fault))
+    def _server_outage(self, fault: FaultTable) -> FaultSwitch:
+        return FaultSwitch(lambda: self._crash_servers(fault), lambda: self._restart_servers(fault))
 
     def _crash_servers(self, fault: FaultTable) -> None:
         for zone in self.scenario.zones_of(fault.of):
@@ -174,14 +174,14 @@
         return max(round(fault.share * len(self.rig.servers[zone])), 1)
 
     def _reset_answers(self, fault: FaultTable) -> None:
-        """Have servers answer some requests with a reset; this ends by itself."""
+        """Have servers reset the connections of some requests for the duration of the fault."""
         table = ServerFaultTable("reset", fault.at_s, fault.for_s, [], share=fault.share)
         for zone in self.scenario.zones_of(fault.of):
             for server in self.rig.servers[zone]:
                 server.fault(table)
 
-    def _burst(self, fault: FaultTable) -> Switch:
-        return Switch(
+    def _burst(self, fault: FaultTable) -> FaultSwitch:
+        return FaultSwitch(
             lambda: self._scale_load(fault, fault.load), lambda: self._scale_load(fault, 1.0 / fault.load)
         )
 
@@ -189,8 +189,8 @@
         for number in self.scenario.members_of(fault.of):
             self.rig.clients[number].rate *= factor
 
-    def _datagram_fault(self, fault: FaultTable, field: str, value: float) -> Switch:
-        """Add a value to a field of the paths between two groups of members."""
+    def _datagram_fault(self, fault: FaultTable, field: str, value: float) -> FaultSwitch:
+        """Return a fault that adds a value to a field of the paths between two groups of members."""
         paths = [self.rig.datagrams.path(sender, receiver) for sender, receiver in self._pairs(fault)]
 
         def begin() -> None:
@@ -201,28 +201,28 @@
             for path in paths:
                 getattr(path, field).remove(value)
 
-        return Switch(begin, end)
+        return FaultSwitch(begin, end)
 
     def _pairs(self, fault: FaultTable) -> set[tuple[int, int]]:
-        """Return pairs of sender and receiver whose datagrams a fault affects."""
-        ones = self.scenario.members_of(fault.of)
-        others = self.scenario.members_of(fault.to)
+        """Return the pairs of sender and receiver whose datagrams a fault affects."""
+        first_group = self.scenario.members_of(fault.of)
+        second_group = self.scenario.members_of(fault.to)
         if fault.kind == "cut":
-            others = [other for other in others if other not in ones]
-        pairs = {(one, other) for one in ones for other in others if one != other}
+            second_group = [other for other in second_group if other not in first_group]
+        pairs = {(one, other) for one in first_group for other in second_group if one != other}
         return pairs if fault.one_way else pairs | {(other, one) for one, other in pairs}
 
-    def _cut(self, fault: FaultTable, on: bool) -> None:
-        """Cut or heal the datagrams between members, and the connections between whole zones."""
+    def _cut(self, fault: FaultTable, is_cut: bool) -> None:
+        """Cut or heal the datagram paths between members, and the connections between complete zones."""
         for pair in self._pairs(fault):
-            self.rig.datagrams.path(*pair).cuts += 1 if on else -1
-        ones = self.scenario.zones_of(fault.of)
-        others = [zone for zone in self.scenario.zones_of(fault.to) if zone not in ones]
-        for one in ones:
-            for other in others:
-                self._cut_zones(one, other, fault.one_way, on)
-
-    def _cut_zones(self, one: int, other: int, one_way: bool, on: bool) -> None:
+            self.rig.datagrams.path(*pair).cuts += 1 if is_cut else -1
+        first_group = self.scenario.zones_of(fault.of)
+        second_group = [zone for zone in self.scenario.zones_of(fault.to) if zone not in first_group]
+        for one in first_group:
+            for other in second_group:
+                self._cut_zones(one, other, fault.one_way, is_cut)
+
+    def _cut_zones(self, one: int, other: int, one_way: bool, is_cut: bool) -> None:
         """Cut or heal connections from the members of each of two zones to the servers of the other."""
         servers = self.rig.servers
         directions = [
@@ -230,4 +230,4 @@
             *((server.links[other], not one_way, True) for server in servers[one]),
         ]
         for link, requests, responses in directions:
-            (link.cut if on else link.heal)(requests, responses)
+            (link.cut if is_cut else link.heal)(requests, responses)
--- a/dykefold/lab/fleet/judge.py
+++ b/dykefold/lab/fleet/judge.py
@@ -1,7 +1,8 @@
-"""Judges the four rules over a fleet, from the records of servers and clients. No I/O.
+"""Judges a run of the rig by the four rules, from the records of servers and clients. No I/O.
 
-Requests that were pending at a process when it was killed are for its clients to retry, and a stopped process
-cannot answer. The rig states which clients are excused for that, and when. Nothing excuses a repeated effect.
+Clients have to retry requests that were pending at a process when it was killed, and a stopped process
+cannot answer. For such faults the rig passes the intervals in which lost requests of a client are
+excused. A repeated effect is never excused.
 """
 
 from __future__ import annotations
@@ -18,13 +19,13 @@
 
 SLACK_S = 0.05  # Added to each time limit on sockets (PROTOCOL).
 MAX_ATTEMPTS = 3
-SHORT_WINDOW_S = 0.5  # For the load of a cold server against its capacity.
-SMALL_BUDGET_CALLS = 30.0  # Below this the budget has a wider slack for chance (STANDING).
-MIN_NOTIFIED_FRACTION = 2 / 3  # A fall breaks the rule if more of its calls came from notified sidecars.
+SHORT_WINDOW_S = 0.5  # For the load of a server in slow start relative to its capacity.
+SMALL_BUDGET_CALLS = 30.0  # Below this, the budget has a wider slack for random variation (STANDING).
+MIN_NOTIFIED_FRACTION = 2 / 3  # An overload breaks the rule if more of its calls came from notified sidecars.
 
 
-class Arrived(Protocol):
-    """An attempt that reached a server; `began_s` is None if it never ran."""
+class ArrivedAttempt(Protocol):
+    """An attempt that reached a server; `began_s` is None if the server did not execute it."""
 
     ident: str
     cls: str
@@ -35,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultInterval:
-    """A client whose sidecar was killed or stopped in this interval."""
+    """An interval in which the sidecar of a client was killed or stopped."""
 
     client: int
     from_s: float
@@ -44,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OutOfServiceInterval:
-    """A server that a client's sidecar must not use in this interval, after the grace time."""
+    """An interval, after the drain grace period, in which a client's sidecar must not use a server."""
 
     client: int
     server: str
@@ -57,10 +58,10 @@
     """Verdict on a run.
 
     Attributes:
-        counts: Number of requests by how they ended.
-        lost: Ids of requests that were accepted and had no complete answer in time, outside of fault
+        counts: Number of requests by their outcome.
+        lost: Ids of requests that were accepted and got no complete answer in time, outside of fault
             intervals.
-        excused: Number of such requests within a fault interval.
+        excused: Number of such requests in fault intervals.
         violations: Violations of the other rules, one line each.
         gap_s: Longest time between two served answers, in seconds.
         gap_from_s: Time at which that gap began, in seconds of the event loop's clock.
@@ -76,18 +77,20 @@
     @property
     def broken(self) -> list[str]:
         """All violations, lost requests included."""
-        return [f"{ident} was lost" for ident in self.lost] + self.violations
+        return [
+            f"request {ident} was lost: it got no complete answer by its deadline" for ident in self.lost
+        ] + self.violations
 
 
 def judge(
     requests: Sequence[ClientRequest],
-    arrivals: Mapping[str, Sequence[Arrived]],
+    arrivals: Mapping[str, Sequence[ArrivedAttempt]],
     classes: Mapping[str, ClassTable],
     fault_intervals: Iterable[FaultInterval] = (),
     out_of_service: Iterable[OutOfServiceInterval] = (),
     hedged: bool = False,
 ) -> Verdict:
-    """Compare the requests of clients with the attempts that reached the servers.
+    """Judge a run by comparing the requests of clients with the attempts that reached the servers.
 
     Args:
         requests: Requests of all clients.
@@ -95,37 +98,38 @@
         classes: Request classes by name.
         fault_intervals: Intervals in which lost requests of a client are excused.
         out_of_service: Intervals in which a server must not be used.
-        hedged: Whether the settings allow a second attempt beside the first.
+        hedged: Whether the settings allow hedged requests.
     """
     verdict = Verdict()
-    reached: dict[str, list[tuple[str, Arrived]]] = {}
-    for server, all_of in arrivals.items():
-        for arrival in all_of:
-            reached.setdefault(arrival.ident, []).append((server, arrival))
+    attempts_by_request: dict[str, list[tuple[str, ArrivedAttempt]]] = {}
+    for server, server_arrivals in arrivals.items():
+        for arrival in server_arrivals:
+            attempts_by_request.setdefault(arrival.ident, []).append((server, arrival))
     excused = list(fault_intervals)
     for request in requests:
         verdict.counts[request.end] = verdict.counts.get(request.end, 0) + 1
-        tries = reached.get(request.ident, [])
+        attempts = attempts_by_request.get(request.ident, [])
         lost = request.end in (RequestEnd.LOST, RequestEnd.LATE, RequestEnd.OPEN) or (
-            request.end is RequestEnd.CROSSED and bool(tries)
+            request.end is RequestEnd.CROSSED and bool(attempts)
         )
         if lost and _is_excused(request, excused):
             verdict.excused += 1
         elif lost:
             verdict.lost.append(request.ident)
-        verdict.violations += _violations(request, tries, classes[request.cls], hedged)
+        verdict.violations += _violations(request, attempts, classes[request.cls], hedged)
     by_ident = {request.ident: request for request in requests}
     for interval in out_of_service:
         for arrival in arrivals.get(interval.server, ()):
-            of = by_ident.get(arrival.ident)
+            sender_request = by_ident.get(arrival.ident)
             if (
-                of is not None
-                and of.client == interval.client
+                sender_request is not None
+                and sender_request.client == interval.client
                 and interval.from_s + SLACK_S < arrival.came_s < interval.until_s
             ):
                 late_ms = (arrival.came_s - interval.from_s) * 1000
                 verdict.violations.append(
-                    f"{arrival.ident} came to {interval.server} {late_ms:.0f} ms too late"
+                    f"request {arrival.ident} reached server {interval.server}, which was out of service, "
+                    f"{late_ms:.0f} ms after the end of the drain grace period; expected none after it"
                 )
     _measure_gap(verdict, requests)
     return verdict
@@ -140,26 +144,49 @@
 
 
 def _violations(
-    request: ClientRequest, tries: list[tuple[str, Arrived]], table: ClassTable, hedged: bool
+    request: ClientRequest, attempts: list[tuple[str, ArrivedAttempt]], table: ClassTable, hedged: bool
 ) -> list[str]:
-    found = []
-    ran = sorted((arrival.began_s, server) for server, arrival in tries if arrival.began_s is not None)
-    where = ", ".join(f"{server} at {at:.3f} s" for at, server in ran)
-    if len(tries) > MAX_ATTEMPTS:
-        found.append(f"{request.ident} was sent {len(tries)} times")
-    if not hedged and any(arrival.overlaps for _, arrival in tries):
-        found.append(f"{request.ident} had two attempts out at once")
-    if table.effect == "unsafe" and len(ran) > 1:
-        found.append(f"{request.ident} ({request.cls}) ran {len(ran)} times: {where}")
-    # The window counts between arrivals: attempts that a cut has delayed run later, and cannot be cancelled.
-    sent = [arrival.came_s for _, arrival in tries if arrival.began_s is not None]
-    if table.effect == "keyed" and sent and max(sent) - min(sent) > table.window_ms / 1000 + SLACK_S:
-        found.append(f"{request.ident} ({request.cls}) ran beyond its window: {where}")
-    if request.end is RequestEnd.SERVED and (request.body != request.ident or not ran):
-        found.append(f"{request.ident} was answered with {request.body!r}, and ran at: {where}")
-    if request.end is RequestEnd.REFUSED and table.effect == "unsafe" and ran:
-        found.append(f"{request.ident} ({request.cls}) was refused and ran: {where}")
-    return found
+    violations = []
+    executions = sorted(
+        (arrival.began_s, server) for server, arrival in attempts if arrival.began_s is not None
+    )
+    executed_at = ", ".join(f"{server} at {at:.3f} s" for at, server in executions)
+    if len(attempts) > MAX_ATTEMPTS:
+        violations.append(
+            f"request {request.ident} reached servers {len(attempts)} times; expected at most 3 attempts"
+        )
+    if not hedged and any(arrival.overlaps for _, arrival in attempts):
+        violations.append(
+            f"request {request.ident} had two attempts in flight at once; expected one without hedging"
+        )
+    if table.effect == "unsafe" and len(executions) > 1:
+        violations.append(
+            f"request {request.ident} (unsafe class {request.cls}) was executed {len(executions)} times; "
+            f"expected at most once: {executed_at}"
+        )
+    # The window counts between arrivals: attempts that a cut has delayed are executed later, and cannot be
+    # cancelled.
+    arrived_s = [arrival.came_s for _, arrival in attempts if arrival.began_s is not None]
+    if (
+        table.effect == "keyed"
+        and arrived_s
+        and max(arrived_s) - min(arrived_s) > table.window_ms / 1000 + SLACK_S
+    ):
+        violations.append(
+            f"request {request.ident} (keyed class {request.cls}) was executed again after its retry window; "
+            f"expected all attempts within it: {executed_at}"
+        )
+    if request.end is RequestEnd.SERVED and (request.body != request.ident or not executions):
+        violations.append(
+            f"request {request.ident} was answered as served with body {request.body!r}; "
+            f"expected its id as body and an execution: {executed_at}"
+        )
+    if request.end is RequestEnd.REFUSED and table.effect == "unsafe" and executions:
+        violations.append(
+            f"request {request.ident} (unsafe class {request.cls}) was refused although it was executed; "
+            f"expected no execution: {executed_at}"
+        )
+    return violations
 
 
 def _measure_gap(verdict: Verdict, requests: Sequence[ClientRequest]) -> None:
@@ -169,37 +196,42 @@
             verdict.gap_s, verdict.gap_from_s = after - before, before
 
 
-def cold_load(
+def peak_warm_up_load(
     came_s: Sequence[float],
     started_s: float,
-    full: float,
-    share: float,
+    capacity_per_s: float,
+    start_capacity: float,
     warm_s: float,
-    multiple: float = 1.0,
-    span_s: float = SHORT_WINDOW_S,
+    factor: float = 1.0,
+    window_s: float = SHORT_WINDOW_S,
 ) -> float:
-    """Return the highest load of a warming-up server relative to the load that pushes it over.
+    """Return the highest load of a warming-up server relative to the load that overloads it.
 
-    A server falls at N + 2 sqrt(N) + 2 requests of mean work within a window, where N is what it is allowed
-    at that age (STANDING).
+    A server is overloaded by N + 2 sqrt(N) + 2 requests of mean work within a window, where N is the number
+    that is allowed at its age (STANDING).
 
     Args:
-        came_s: Times of the attempts that reached the server, in order, in seconds.
-        started_s: Start of the server; far in the past for one that was always warm.
-        full: Requests per second that the warm server can serve.
-        share: Fraction of that at its start; it grows evenly to 1 within `warm_s`.
+        came_s: Arrival times of the attempts at the server in seconds, in order.
+        started_s: Start time of the server in seconds; far in the past for one that was always warm.
+        capacity_per_s: Requests per second that the warm server can serve.
+        start_capacity: Fraction of that at its start; it grows linearly to 1 within `warm_s`.
         warm_s: Seconds until the server is warm.
-        multiple: Allowed load relative to the capacity at that age.
-        span_s: Length of the window in seconds.
+        factor: Allowed load relative to the capacity at that age.
+        window_s: Length of the window in seconds.
     """
-    worst, first = 0.0, 0
-    cold = [at_s for at_s in came_s if started_s <= at_s < started_s + warm_s]
-    for last, at_s in enumerate(cold):
-        while cold[first] <= at_s - span_s:
+    peak_load, first = 0.0, 0
+    warm_up_s = [at_s for at_s in came_s if started_s <= at_s < started_s + warm_s]
+    for last, at_s in enumerate(warm_up_s):
+        while warm_up_s[first] <= at_s - window_s:
             first += 1
-        able = multiple * full * span_s * (share + (1.0 - share) * (at_s - started_s) / warm_s)
-        worst = max(worst, (last - first + 1) / (able + 2.0 * math.sqrt(able) + 2.0))
-    return worst
+        allowed = (
+            factor
+            * capacity_per_s
+            * window_s
+            * (start_capacity + (1.0 - start_capacity) * (at_s - started_s) / warm_s)
+        )
+        peak_load = max(peak_load, (last - first + 1) / (allowed + 2.0 * math.sqrt(allowed) + 2.0))
+    return peak_load
 
 
 @dataclass(frozen=True, slots=True)
@@ -210,8 +242,8 @@
         capacity_per_s: Requests of mean work per second that a warm server can serve.
         start_capacity: Fraction of that at the server's start.
         warm_s: Seconds until the server is warm.
-        factor: Load relative to the capacity at an age that pushes the server over.
-        span_s: Seconds for which this load must last.
+        factor: Load, relative to the capacity at an age, that overloads the server.
+        span_s: Seconds for which this load must last to overload it.
     """
 
     capacity_per_s: float
@@ -221,13 +253,13 @@
     span_s: float
 
     def allowed(self, age_s: float) -> float:
-        """Return the requests of mean work that the settings allow in a window which ends at this age."""
-        part = self.start_capacity + (1.0 - self.start_capacity) * min(age_s / self.warm_s, 1.0)
-        return self.factor * self.capacity_per_s * self.span_s * part
+        """Return the requests of mean work that the settings allow in a window ending at this age."""
+        fraction = self.start_capacity + (1.0 - self.start_capacity) * min(age_s / self.warm_s, 1.0)
+        return self.factor * self.capacity_per_s * self.span_s * fraction
 
 
 def slow_start_budget(allowed: float) -> float:
-    """Return the requests of mean work in a window that push a server over: the allowed ones and a slack."""
+    """Return the requests of mean work in a window that overload a server: the allowed ones and a slack."""
     root = math.sqrt(allowed)
     return allowed + 3.0 * root + 3.0 if allowed < SMALL_BUDGET_CALLS else allowed + 2.0 * root + 2.0
 
@@ -239,7 +271,7 @@
     Attributes:
         came_s: Time of its arrival in seconds.
         sidecar: Number of the sidecar that sent it; -1 if unknown.
-        work: Work relative to the mean request's.
+        work: Work relative to that of a mean request.
         first: Whether it was the first attempt of its request.
     """
 
@@ -251,18 +283,18 @@
 
 @dataclass(frozen=True, slots=True)
 class SlowStartLoad:
-    """A window of a warming-up server's load.
+    """Load of a warming-up server in one window.
 
     Attributes:
-        load: Work that arrived relative to the budget; above 1 the server is pushed over.
+        load: Work that arrived relative to the budget; above 1 the server is overloaded.
         age_s: Age of the server at the end of the window, in seconds.
         allowed: Allowed requests of mean work, without the slack.
         calls: Number of calls that arrived.
-        notified: Number of these from sidecars that had been notified of the start.
-        sidecars: Number of sidecars that sent them.
-        first_calls: Number of calls that were their sidecar's first to the server since its start.
+        notified: Number of these from sidecars that had been notified of the server's start.
+        sidecars: Number of sidecars that sent the calls.
+        first_calls: Number of calls that were the first of their sidecar to the server since its start.
         retries: Number of calls that were not the first attempt of their request.
-        max_calls_per_sidecar: Number of calls of the sidecar that sent most.
+        max_calls_per_sidecar: Largest number of calls of one sidecar.
     """
 
     load: float = 0.0
@@ -277,11 +309,11 @@
 
     @property
     def falls(self) -> bool:
-        """Whether the server was pushed over."""
+        """Whether the server was overloaded."""
         return self.load > 1.0
 
     @property
-    def known(self) -> bool:
+    def mostly_notified(self) -> bool:
         """Whether over two thirds of the calls came from notified sidecars."""
         return self.notified > MIN_NOTIFIED_FRACTION * self.calls
 
@@ -289,41 +321,42 @@
 def slow_start_load(
     calls: Sequence[SlowStartCall], started_s: float, rules: SlowStart, notified_s: Mapping[int, float]
 ) -> tuple[SlowStartLoad, SlowStartLoad]:
-    """Return the worst window of all, and the worst with over two thirds of its calls from notified sidecars.
+    """Return the window of highest load, and the highest of those with calls from notified sidecars.
 
-    The rule is broken if the server falls in a window of the second kind.
+    The second one has over two thirds of its calls from notified sidecars. The rule is broken if the server
+    is overloaded in it.
 
     Args:
-        calls: Calls that reached the server, in order.
-        started_s: Start of the server; far in the past for one that was always warm.
+        calls: Calls that reached the server, in order of arrival.
+        started_s: Start time of the server in seconds; far in the past for one that was always warm.
         rules: Slow-start rules of the settings.
-        notified_s: Time at which each sidecar was notified of the start; absent if it never was.
+        notified_s: Time in seconds at which each sidecar was notified of the start; absent if it never was.
     """
-    worst, worst_known = SlowStartLoad(), SlowStartLoad()
+    worst, worst_notified = SlowStartLoad(), SlowStartLoad()
     window: deque[tuple[SlowStartCall, bool, bool]] = deque()
-    seen: set[int] = set()
+    seen_sidecars: set[int] = set()
     work, notified = 0.0, 0
     for call in calls:
         age_s = call.came_s - started_s
         if not 0.0 <= age_s < rules.warm_s:
             continue
         was_notified = call.came_s >= notified_s.get(call.sidecar, math.inf)
-        window.append((call, was_notified, call.sidecar not in seen))
-        seen.add(call.sidecar)
+        window.append((call, was_notified, call.sidecar not in seen_sidecars))
+        seen_sidecars.add(call.sidecar)
         work, notified = work + call.work, notified + was_notified
         while window[0][0].came_s <= call.came_s - rules.span_s:
             oldest, oldest_notified, _ = window.popleft()
             work, notified = work - oldest.work, notified - oldest_notified
         load = work / slow_start_budget(rules.allowed(age_s))
-        known = notified > MIN_NOTIFIED_FRACTION * len(window)
-        if load > worst.load or (known and load > worst_known.load):
-            found = _load_of(window, load, age_s, rules.allowed(age_s), notified)
-            worst = found if load > worst.load else worst
-            worst_known = found if known and load > worst_known.load else worst_known
-    return worst, worst_known
+        mostly_notified = notified > MIN_NOTIFIED_FRACTION * len(window)
+        if load > worst.load or (mostly_notified and load > worst_notified.load):
+            current = _window_load(window, load, age_s, rules.allowed(age_s), notified)
+            worst = current if load > worst.load else worst
+            worst_notified = current if mostly_notified and load > worst_notified.load else worst_notified
+    return worst, worst_notified
 
 
-def _load_of(
+def _window_load(
     window: Iterable[tuple[SlowStartCall, bool, bool]],
     load: float,
     age_s: float,
@@ -339,7 +372,7 @@
         len(entries),
         notified,
         len(by_sidecar),
-        sum(opens for _, _, opens in entries),
+        sum(is_first for _, _, is_first in entries),
         sum(not call.first for call, _, _ in entries),
         max(by_sidecar.values()),
     )
--- a/dykefold/lab/fleet/measurements.py
+++ b/dykefold/lab/fleet/measurements.py
@@ -1,4 +1,4 @@
-"""What a run of the rig measures: its own lateness, calls, connections, traffic and slow start."""
+"""Measurements of a run of the rig: its lateness, latency objectives, cross-zone traffic, slow start."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 from ..emulator.server import Arrival
 from .client import ClientRequest, RequestEnd
-from .judge import SHORT_WINDOW_S, SlowStart, SlowStartCall, SlowStartLoad, cold_load, slow_start_load
+from .judge import SHORT_WINDOW_S, SlowStart, SlowStartCall, SlowStartLoad, peak_warm_up_load, slow_start_load
 from .report import LoadStats, SlowStartStats
-from .scenario import CLASSES, QUICK, FleetScenario, FleetTable
+from .scenario import CLASSES, SERVICE_TIME, FleetScenario, FleetTable
 
 LAG_CHECK_INTERVAL_S = 0.02
 
 
 class LagMonitor:
-    """Measures how late the rig's own event loop runs.
+    """Monitor of the lateness of the rig's own event loop.
 
     Attributes:
         lag_s: Largest lateness in seconds since the last reset.
@@ -26,7 +26,7 @@
         self.lag_s = 0.0
 
     def reset(self) -> None:
-        """Forget the lateness so far."""
+        """Reset the largest lateness."""
         self.lag_s = 0.0
 
     async def run(self) -> None:
@@ -62,21 +62,21 @@
     """Return by second of the load the fraction of attempts at servers of another zone than the client's.
 
     Args:
-        scenario: Scenario, which tells the zones of clients.
+        scenario: Scenario, which assigns clients to zones.
         requests: All requests of the clients.
         arrivals_by_zone: Attempts that reached the servers of each zone.
         load_began_s: Event loop time at which the load began, in seconds.
     """
     client_zones = {request.ident: scenario.zone_of(request.client) for request in requests}
     attempts: Counter[int] = Counter()
-    crossing: Counter[int] = Counter()
+    cross_zone: Counter[int] = Counter()
     for zone, arrivals in enumerate(arrivals_by_zone):
         for arrival in arrivals:
             second = int(arrival.came_s - load_began_s)
             attempts[second] += 1
-            crossing[second] += client_zones.get(arrival.ident, zone) != zone
+            cross_zone[second] += client_zones.get(arrival.ident, zone) != zone
     seconds = range(int(scenario.span_s) + 1)
-    return [crossing[second] / max(attempts[second], 1) for second in seconds]
+    return [cross_zone[second] / max(attempts[second], 1) for second in seconds]
 
 
 def slow_start_stats(
@@ -85,20 +85,20 @@
     started_s: Mapping[str, float],
     notified_s: Mapping[str, Mapping[int, float]],
 ) -> SlowStartStats:
-    """Return the worst loads of servers that were warming up.
+    """Return the highest loads of servers that were warming up.
 
     Args:
-        fleet: Servers and rules of the scenario.
+        fleet: Servers and slow-start rules of the scenario.
         arrivals: Attempts that reached each server, by name, in order.
         started_s: Event loop time of each server's start, by name.
         notified_s: Event loop time at which each member was notified of a server's start, by name.
     """
-    allowed = (fleet.fall_multiple, fleet.fall_s)
-    long_windows = list(_worst_windows(fleet, arrivals, started_s, notified_s, *allowed))
+    overload_rule = (fleet.fall_multiple, fleet.fall_s)
+    long_windows = list(_worst_windows(fleet, arrivals, started_s, notified_s, *overload_rule))
     short_windows = _worst_windows(fleet, arrivals, started_s, notified_s, 1.0, SHORT_WINDOW_S)
     return SlowStartStats(
-        peak_capacity_load=max(_cold_loads(fleet, arrivals, started_s, 1.0, SHORT_WINDOW_S), default=0.0),
-        peak_rule_load=max(_cold_loads(fleet, arrivals, started_s, *allowed), default=0.0),
+        peak_capacity_load=max(_warm_up_loads(fleet, arrivals, started_s, 1.0, SHORT_WINDOW_S), default=0.0),
+        peak_rule_load=max(_warm_up_loads(fleet, arrivals, started_s, *overload_rule), default=0.0),
         worst=max((worst for worst, _ in long_windows), key=_load),
         worst_notified=max((notified for _, notified in long_windows), key=_load),
         worst_short=max((worst for worst, _ in short_windows), key=_load),
@@ -111,21 +111,23 @@
 
 def _capacity_per_s(fleet: FleetTable) -> float:
     """Return the requests a second that a warm server can serve; every class has the same mean work."""
-    return fleet.cores / QUICK.mean_ms * 1000
+    return fleet.cores / SERVICE_TIME.mean_ms * 1000
 
 
-def _cold_loads(
+def _warm_up_loads(
     fleet: FleetTable,
     arrivals: Mapping[str, Sequence[Arrival]],
     started_s: Mapping[str, float],
     factor: float,
     window_s: float,
 ) -> Iterator[float]:
-    """Yield for each server its highest load while cold, relative to the load that pushes it over."""
+    """Yield for each server its highest load while warming up, relative to the load that overloads it."""
     capacity_per_s = _capacity_per_s(fleet)
     for name, start_s in started_s.items():
         came_s = [arrival.came_s for arrival in arrivals.get(name, ())]
-        yield cold_load(came_s, start_s, capacity_per_s, fleet.cold_share, fleet.warm_s, factor, window_s)
+        yield peak_warm_up_load(
+            came_s, start_s, capacity_per_s, fleet.cold_share, fleet.warm_s, factor, window_s
+        )
 
 
 def _worst_windows(
@@ -136,7 +138,7 @@
     factor: float,
     window_s: float,
 ) -> Iterator[tuple[SlowStartLoad, SlowStartLoad]]:
-    """Yield for each server its worst window in slow start, and the worst of notified sidecars."""
+    """Yield for each server its window of highest load, and the highest with calls of notified sidecars."""
     rules = SlowStart(_capacity_per_s(fleet), fleet.cold_share, fleet.warm_s, factor, window_s)
     calls = _calls_by_server(arrivals)
     for name, start_s in started_s.items():
@@ -144,14 +146,16 @@
 
 
 def _calls_by_server(arrivals: Mapping[str, Sequence[Arrival]]) -> dict[str, list[SlowStartCall]]:
-    """Return the attempts at each server in order, each with its sidecar and whether it was the first."""
+    """Return the attempts at each server in order, each with its sidecar and whether it was a first one."""
     attempts = sorted(
-        (arrival.came_s, arrival.ident, name) for name, came in arrivals.items() for arrival in came
+        (arrival.came_s, arrival.ident, name)
+        for name, server_arrivals in arrivals.items()
+        for arrival in server_arrivals
     )
     calls: dict[str, list[SlowStartCall]] = {}
-    begun: set[str] = set()
+    attempted: set[str] = set()
     for came_s, ident, name in attempts:
         sidecar = int(ident.partition("-")[0], 16)
-        calls.setdefault(name, []).append(SlowStartCall(came_s, sidecar, first=ident not in begun))
-        begun.add(ident)
+        calls.setdefault(name, []).append(SlowStartCall(came_s, sidecar, first=ident not in attempted))
+        attempted.add(ident)
     return calls
--- a/dykefold/lab/fleet/member.py
+++ b/dykefold/lab/fleet/member.py
@@ -1,4 +1,4 @@
-"""A sidecar of the rig: its configuration, its folder and its processes, one or several at once."""
+"""A sidecar of the rig: its configuration, its folder and its processes, of which several may run at once."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 NS_PER_MS = 1_000_000
 EFFECTS = {"safe": "pure", "keyed": "token", "unsafe": "side_effect"}
 LOOPBACK = "127.0.0.1"
-CROSS_ZONE_PRICE = 0.05  # Of a request to another zone, relative to the weight of one served in time.
+CROSS_ZONE_PRICE = 0.05  # Of a request to another zone, relative to the weight of a request served in time.
 SAMPLE_INTERVAL_S = 0.005
 
-FALL_MULTIPLE = 3.0  # Load of a cold server, relative to its capacity, that pushes it over.
-FALL_S = 2.0  # Duration of that load.
+OVERLOAD_FACTOR = 3.0  # Load of a warming-up server, relative to its capacity, that overloads it.
+OVERLOAD_DURATION_S = 2.0  # Duration of that load.
 
 
 def settings(
@@ -30,10 +30,10 @@
     fleet: int = 1,
     peers: bool = False,
     cold: tuple[float, float] = (1.0, 0.0),
-    fall: tuple[float, float] = (FALL_MULTIPLE, FALL_S),
+    fall: tuple[float, float] = (OVERLOAD_FACTOR, OVERLOAD_DURATION_S),
     hedges: bool = False,
 ) -> dict[str, Any]:
-    """Return the settings of a sidecar, in the form of the platform (WIRE).
+    """Return the settings of a sidecar in the platform's format (WIRE).
 
     Args:
         classes: Request classes by name.
@@ -43,7 +43,7 @@
         fleet: Number of sidecars.
         peers: Whether sidecars may exchange datagrams.
         cold: Fraction of its capacity that a server has at its start, and seconds until it has all of it.
-        fall: Load relative to the capacity that pushes a cold server over, and its duration in seconds.
+        fall: Load, relative to the capacity, that overloads a warming-up server, and its duration in seconds.
         hedges: Whether requests may be hedged.
     """
     return {
@@ -111,16 +111,16 @@
 
     Args:
         number: Number of the sidecar.
-        folder: Existing folder of the sidecar alone.
-        data: The platform's configuration; `listen` stays that of the first process.
-        service: Text of the operator's file; None for none.
+        folder: Existing folder, used by this sidecar only.
+        data: Configuration from the platform; all processes use the `listen` address of the first one.
+        service: Text of the operator's file; None without one.
 
     Attributes:
-        processes: All processes so far.
+        processes: All started processes, in order.
         spare: Prepared next process; None if there is none.
         clock_s: Seconds by which the wall clock of newly prepared processes is shifted.
-        trees: Checkouts whose programs the processes run, in turn.
-        peak: Largest use of descriptors and memory by all processes together.
+        trees: Checkouts whose programs the processes run in rotation.
+        peak: Largest use of descriptors and memory by all processes in total.
     """
 
     def __init__(self, number: int, folder: Path, data: dict[str, Any], service: str | None = None) -> None:
@@ -141,42 +141,42 @@
         return [process for process in self.processes if process.alive]
 
     @property
-    def _path(self) -> Path:
+    def _config_path(self) -> Path:
         return self.folder / f"config{len(self.processes)}.json"
 
     async def prepare(self) -> None:
-        """Prepare the next process, so that it can start at once."""
+        """Prepare the next process, so that it can start without delay."""
         if self.spare is None:
-            environment = {"GW_CONFIG": str(self._path), "TMPDIR": str(self.folder / "tmp")}
+            environment = {"GW_CONFIG": str(self._config_path), "TMPDIR": str(self.folder / "tmp")}
             if self.service is not None:
-                service = self.folder / "service.toml"
-                service.write_text(self.service)
-                environment["DYKEFOLD_SERVICE"] = str(service)
+                service_path = self.folder / "service.toml"
+                service_path.write_text(self.service)
+                environment["DYKEFOLD_SERVICE"] = str(service_path)
             descriptors = self.data["limits"]["sockets"] + EXTRA_DESCRIPTORS
             tree = self.trees[len(self.processes) % len(self.trees)]
             self.spare = Process(environment, descriptors, self.clock_s, tree)
             await self.spare.prepare()
 
-    async def start(self, **more: Any) -> Process:
-        """Start one more process with this configuration and changed keys; do not wait for it."""
+    async def start(self, **changes: Any) -> Process:
+        """Start another process with changed keys of the configuration; do not wait until it listens."""
         await self.prepare()
         process, self.spare = self.spare, None
         assert process is not None
-        self._path.write_text(json.dumps({**self.data, **more}))
+        self._config_path.write_text(json.dumps({**self.data, **changes}))
         self.processes.append(process)
         await process.start()
         return process
 
-    def reload(self, **more: Any) -> None:
-        """Change keys of the configuration, and have the living processes read it again."""
-        self.data |= more
+    def reload(self, **changes: Any) -> None:
+        """Change keys of the configuration, and signal the living processes to reload it."""
+        self.data |= changes
         for process in self.living:
             path = Path(process.environment["GW_CONFIG"])
-            path.write_text(json.dumps({**json.loads(path.read_text()), **more}))
+            path.write_text(json.dumps({**json.loads(path.read_text()), **changes}))
             process.signal(signal.SIGHUP)
 
     async def begin(self) -> Address:
-        """Start the first process, and return the address at which it and all later ones listen."""
+        """Start the first process, and return the address at which all processes listen."""
         address = await (await self.start()).listens()
         self.data["listen"] = f"{address[0]}:{address[1]}"
         return address
@@ -184,12 +184,12 @@
     async def watch(self) -> None:
         """Sample the descriptors and memory of its processes until cancelled."""
         while True:
-            used = [process.resource_use() for process in self.living]
-            descriptors = sum(descriptors for descriptors, _ in used)
-            self.peak.see(descriptors, sum(memory_bytes for _, memory_bytes in used))
+            usage = [process.resource_use() for process in self.living]
+            descriptors = sum(descriptors for descriptors, _ in usage)
+            self.peak.record(descriptors, sum(memory_bytes for _, memory_bytes in usage))
             await asyncio.sleep(SAMPLE_INTERVAL_S)
 
     async def close(self) -> None:
-        """End all processes."""
+        """Kill all processes."""
         for process in (*self.processes, *([self.spare] if self.spare is not None else [])):
             await process.close()
--- a/dykefold/lab/fleet/membership_samples.py
+++ b/dykefold/lab/fleet/membership_samples.py
@@ -1,4 +1,4 @@
-"""Samples of the members' memberships, taken while a scenario plays, and their plot."""
+"""Samples of the members' memberships during a scenario, and their plot."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from typing import Any
 
 MIN_INTERVAL_S = 0.25  # Between two samples.
-INTERVAL_PER_MEMBER_S = 0.005  # In a large fleet, so that sampling does not make the rig late.
+INTERVAL_PER_MEMBER_S = 0.005  # In a large fleet, so that sampling does not delay the rig.
 ANSWER_TIMEOUT_S = 1.0  # A stopped member does not answer.
 MAX_OPEN_CALLS = 40
 # Dimensions of the plot in pixels.
@@ -28,8 +28,8 @@
 
     Attributes:
         at_s: Time of the sample in seconds since the load began.
-        listening: Members that listen, as the rig knows.
-        live: Members that each answering member counts as live.
+        listening: Members that listen, according to the rig.
+        live: Members that each answering member considers live.
         digests: Digest of the member states of each answering member.
     """
 
@@ -39,24 +39,24 @@
     digests: dict[int, str] = field(default_factory=dict)
 
     def wrong_members(self, member: int) -> int | None:
-        """Return the number of members of which this one is wrong; None if it did not answer."""
+        """Return the number of members whose state this one has wrong; None if it did not answer."""
         live = self.live.get(member)
         return None if live is None else len(live ^ self.listening)
 
     @property
     def matches(self) -> bool:
-        """Whether all listening members answered, and count exactly these as live."""
+        """Whether all listening members answered, and consider exactly these live."""
         return self.live.keys() >= self.listening and all(
             self.live[member] == self.listening for member in self.listening
         )
 
 
 class MembershipSampler:
-    """Samples the memberships of all members.
+    """Sampler of the memberships of all members.
 
     Args:
         addresses: Address of each member's membership API.
-        listening_members: Returns the members that listen now.
+        listening_members: Function that returns the members that listen now.
 
     Attributes:
         samples: All samples, in order.
@@ -67,8 +67,8 @@
         self.addresses = addresses
         self.listening_members = listening_members
         self.samples: list[MembershipSample] = []
-        self.datagrams: dict[int, dict[str, int]] = {}  # by member, its latest counts
-        self.turns = asyncio.Semaphore(MAX_OPEN_CALLS)
+        self.datagrams: dict[int, dict[str, int]] = {}
+        self.call_slots = asyncio.Semaphore(MAX_OPEN_CALLS)
 
     async def run(self) -> None:
         """Take samples until cancelled."""
@@ -83,12 +83,12 @@
 
     async def _sample_member(self, member: int, sample: MembershipSample) -> None:
         try:
-            async with self.turns, asyncio.timeout(ANSWER_TIMEOUT_S):
+            async with self.call_slots, asyncio.timeout(ANSWER_TIMEOUT_S):
                 answer = await fetch_json(self.addresses[member], "/fleet/brief")
         except (OSError, TimeoutError, ValueError):
             return
-        bits = int(answer["live"], 16)
-        sample.live[member] = frozenset(n for n in range(len(self.addresses)) if bits >> n & 1)
+        live_bits = int(answer["live"], 16)
+        sample.live[member] = frozenset(n for n in range(len(self.addresses)) if live_bits >> n & 1)
         sample.digests[member] = answer["words"]
         self.datagrams[member] = answer["counts"]
 
@@ -96,30 +96,30 @@
         """Wait until a sample matches, for at most `within_s` seconds."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(within_s):
-                since = len(self.samples)
-                while not any(sample.matches for sample in self.samples[since + 1 :]):
+                first_sample = len(self.samples)
+                while not any(sample.matches for sample in self.samples[first_sample + 1 :]):
                     await asyncio.sleep(MIN_INTERVAL_S)
 
-    def count_from(self, began_s: float) -> None:
-        """Count the times of all samples from `began_s`."""
+    def make_times_relative(self, began_s: float) -> None:
+        """Make the times of all samples relative to `began_s`."""
         for sample in self.samples:
             sample.at_s -= began_s
 
     def settled_s(self, from_s: float) -> float | None:
-        """Return the seconds from a time until all samples match; None if they do not."""
-        settled = None
+        """Return the seconds from a time until all later samples match; None if they do not."""
+        settled_s = None
         for sample in self.samples:
             if sample.at_s < from_s:
                 continue
             if not sample.matches:
-                settled = None
-            elif settled is None:
-                settled = sample.at_s - from_s
-        return settled
+                settled_s = None
+            elif settled_s is None:
+                settled_s = sample.at_s - from_s
+        return settled_s
 
 
 async def fetch_json(address: Address, path: str) -> Any:
-    """Return the JSON body that a member's membership API answers with.
+    """Return the JSON body of an answer of a member's membership API.
 
     Raises:
         OSError: The member does not accept the connection.
@@ -132,49 +132,54 @@
     finally:
         writer.close()
     if b" 200 " not in head.partition(b"\r\n")[0]:
-        raise ValueError(f"{address[0]}:{address[1]} answered {head[:60]!r}")
+        raise ValueError(
+            f"membership API at {address[0]}:{address[1]} answered {head[:60]!r}, expected status 200"
+        )
     return json.loads(body)
 
 
 def samples_svg(
     samples: list[MembershipSample], members: int, faults: Sequence[tuple[float, float, str]]
 ) -> str:
-    """Return a plot of samples as SVG: a row for each member, darker the more members it is wrong about.
+    """Return an SVG plot of samples: a row for each member, darker the more members it has wrong.
 
     Args:
         samples: Samples in order.
         members: Number of members.
-        faults: Begin and end in seconds, and name of each fault; they are drawn above the rows.
+        faults: Begin and end in seconds, and name of each fault; drawn above the rows.
     """
-    first = samples[0].at_s if samples else 0.0
-    last = max((sample.at_s for sample in samples), default=1.0) + MIN_INTERVAL_S
-    scale = PLOT_WIDTH / max(last - first, MIN_INTERVAL_S)
+    first_s = samples[0].at_s if samples else 0.0
+    last_s = max((sample.at_s for sample in samples), default=1.0) + MIN_INTERVAL_S
+    scale = PLOT_WIDTH / max(last_s - first_s, MIN_INTERVAL_S)
     bottom = TOP_MARGIN + members * ROW_HEIGHT
 
     def x(at_s: float) -> float:
-        return LEFT_MARGIN + (at_s - first) * scale
+        return LEFT_MARGIN + (at_s - first_s) * scale
 
     parts = []
-    for sample, following in zip(samples, [*samples[1:], None], strict=True):
-        until = following.at_s if following is not None else last
+    for sample, next_sample in zip(samples, [*samples[1:], None], strict=True):
+        until_s = next_sample.at_s if next_sample is not None else last_s
         for member in range(members):
-            wrong = sample.wrong_members(member)
+            wrong_count = sample.wrong_members(member)
             if member not in sample.listening:
                 colour = "#ffffff"
-            elif wrong is None:
+            elif wrong_count is None:
                 colour = "#b0b0b0"
             else:
-                colour = "#cfe8cf" if not wrong else f"hsl(10,80%,{75 - round(50 * wrong / members)}%)"
+                colour = (
+                    "#cfe8cf" if not wrong_count else f"hsl(10,80%,{75 - round(50 * wrong_count / members)}%)"
+                )
             parts.append(
                 f'<rect x="{x(sample.at_s):.1f}" y="{TOP_MARGIN + member * ROW_HEIGHT}" '
-                f'width="{(until - sample.at_s) * scale:.1f}" height="{ROW_HEIGHT - 1}" fill="{colour}"/>'
+                f'width="{(until_s - sample.at_s) * scale:.1f}" height="{ROW_HEIGHT - 1}" fill="{colour}"/>'
             )
-    for begin, end, name in faults:
+    for begin_s, end_s, name in faults:
         parts.append(
-            f'<rect x="{x(begin):.1f}" y="{TOP_MARGIN - 6}" width="{(end - begin) * scale:.1f}" height="4"/>'
-            f'<text x="{x(begin):.1f}" y="{TOP_MARGIN - 10}">{name}</text>'
+            f'<rect x="{x(begin_s):.1f}" y="{TOP_MARGIN - 6}" '
+            f'width="{(end_s - begin_s) * scale:.1f}" height="4"/>'
+            f'<text x="{x(begin_s):.1f}" y="{TOP_MARGIN - 10}">{name}</text>'
         )
-    for second in range(int(first), int(last) + 1):
+    for second in range(int(first_s), int(last_s) + 1):
         parts.append(f'<text x="{x(second):.1f}" y="{bottom + 14}">{second}</text>')
     parts.append(
         f'<text x="2" y="{bottom + 14}">seconds</text><text x="2" y="{TOP_MARGIN + 8}">member 0</text>'
--- a/dykefold/lab/fleet/process.py
+++ b/dykefold/lab/fleet/process.py
@@ -1,4 +1,4 @@
-"""One process of the program, controlled by signals and observed from outside."""
+"""A process of the program, controlled by signals and observed through its log."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 from .compiled_tree import compiled_tree
 
-# Of earlier versions too: a rig may play one beside the other.
+# Includes the log lines of earlier versions: a rig may run several versions together.
 LISTENS = re.compile(r"(?:listens at |accepts clients: name=.* address=)([\d.]+):(\d+)")
 ADMIN_LISTENS = re.compile(
     r"(?:the door is at |admin API listens on |admin API listens: address=)([\d.]+):(\d+)"
 )
-MAX_LOG_LINES = 400  # Latest lines of its log.
-START_TIMEOUT_S = 30.0  # Until it listens, while 200 processes start on few cores.
-EXTRA_DESCRIPTORS = 64  # Beyond the configured limit: interpreter, event loop, files.
-# The program with a shifted wall clock, which it looks up at its import.
-SHIFTED = (
+MAX_LOG_LINES = 400  # The latest lines are kept.
+START_TIMEOUT_S = 30.0  # Until a process listens, while 200 processes start on a few cores.
+EXTRA_DESCRIPTORS = 64  # Beyond the configured limit, for interpreter, event loop and files.
+# Runs the program with a shifted wall clock; the program looks `time.time_ns` up at its import.
+SHIFTED_CLOCK_PROGRAM = (
     "import runpy, time; now = time.time_ns; time.time_ns = lambda: now() + {shift_ns}; "
     'runpy.run_module("dykefold", run_name="__main__")'
 )
@@ -34,15 +34,15 @@
 
 
 class StartError(Exception):
-    """The program ended or did not listen in time.
+    """A process ended, or a line of its log did not appear in time.
 
     Args:
-        pattern: Pattern of the log line that did not come.
+        pattern: Pattern of the missing log line.
         last_lines: Latest lines of its log.
     """
 
     def __init__(self, pattern: str, last_lines: str) -> None:
-        super().__init__(f"it did not say {pattern!r}; its last lines:\n{last_lines}")
+        super().__init__(f"no log line of the process matched {pattern!r}; its last lines:\n{last_lines}")
 
 
 OWN_TREE = Path(__file__).parents[3]
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True)
 class Peak:
-    """Largest observed use of a process, or of several together.
+    """Peak resource use of a process, or of several in total.
 
     Attributes:
         descriptors: Number of descriptors.
@@ -60,24 +60,24 @@
     descriptors: int = 0
     memory_bytes: int = 0
 
-    def see(self, descriptors: int, memory_bytes: int) -> None:
-        """Take an observation into account."""
+    def record(self, descriptors: int, memory_bytes: int) -> None:
+        """Update the peaks with a sample."""
         self.descriptors = max(self.descriptors, descriptors)
         self.memory_bytes = max(self.memory_bytes, memory_bytes)
 
 
 class Process:
-    """One run of the program.
+    """One process of the program.
 
     Args:
-        environment: Variables beside the caller's own, with `GW_CONFIG`.
-        descriptors: Descriptor limit of the system; None for the caller's limit.
+        environment: Environment variables beyond the caller's own, including `GW_CONFIG`.
+        descriptors: Limit of open descriptors; None for the caller's limit.
         clock_s: Seconds by which its wall clock is shifted.
-        tree: Checkout whose program it runs.
+        tree: Checkout of the program.
 
     Attributes:
         lines: Latest lines of its log.
-        address: Address at which it accepts clients; None before it does.
+        address: Address at which it accepts clients; None before it accepts.
         admin_address: Address of its admin API; None before it listens there.
         stopped: Whether it is paused.
     """
@@ -98,7 +98,7 @@
         self.admin_address: Address | None = None
         self.stopped = False
         self._log_changed = asyncio.Event()
-        self._ended = False
+        self._log_ended = False
         self._child: asyncio.subprocess.Process | None = None
         self._reader: asyncio.Task[None] | None = None
 
@@ -110,19 +110,21 @@
 
     @property
     def alive(self) -> bool:
-        """Whether it has started and not ended."""
+        """Whether it was started and has not ended."""
         return self._child is not None and self._child.returncode is None
 
     async def prepare(self) -> None:
         """Start a shell that becomes the program at `start`.
 
-        A fork and the first turn of the child on a core block the rig. So they happen while nothing is
-        measured, and the start itself is one line to the shell.
+        A fork and the first run of the child on a core block the rig. So they happen before a measurement,
+        and the start itself is a single line written to the shell.
         """
         environment = {name: value for name, value in os.environ.items() if not name.startswith("GW_")}
-        # If the rig dies, the shell reads an end of file and exits.
+        # If the rig dies, the shell reads the end of its input and exits.
         program = (
-            f"-c '{SHIFTED.format(shift_ns=int(self.clock_s * 1e9))}'" if self.clock_s else "-m dykefold"
+            f"-c '{SHIFTED_CLOCK_PROGRAM.format(shift_ns=int(self.clock_s * 1e9))}'"
+            if self.clock_s
+            else "-m dykefold"
         )
         limit = f"ulimit -n {self.descriptors} && " if self.descriptors is not None else ""
         line = f'read go && {limit}exec "$0" {program} </dev/null'
@@ -139,7 +141,7 @@
         self._reader = asyncio.get_running_loop().create_task(self._read())
 
     async def start(self) -> None:
-        """Start the program; do not wait for it."""
+        """Start the program; do not wait until it listens."""
         if self._child is None:
             await self.prepare()
         assert self._child is not None
@@ -150,19 +152,19 @@
     async def _read(self) -> None:
         assert self._child is not None
         assert self._child.stderr is not None
-        async for raw in self._child.stderr:
-            line = raw.decode("utf-8", "replace").rstrip()
+        async for line_bytes in self._child.stderr:
+            line = line_bytes.decode("utf-8", "replace").rstrip()
             self.lines.append(line)
             if match := LISTENS.search(line):
                 self.address = match[1], int(match[2])
             elif match := ADMIN_LISTENS.search(line):
                 self.admin_address = match[1], int(match[2])
             self._log_changed.set()
-        self._ended = True
+        self._log_ended = True
         self._log_changed.set()
 
     async def wait_for_line(self, pattern: str, timeout_s: float = START_TIMEOUT_S) -> re.Match[str]:
-        """Wait for a line of its log, past or future.
+        """Wait until a line of its log matches; earlier lines count too.
 
         Raises:
             StartError: No line matches in time.
@@ -173,15 +175,15 @@
                     for line in self.lines:
                         if match := re.search(pattern, line):
                             return match
-                    if self._ended:
+                    if self._log_ended:
                         break
                     self._log_changed.clear()
                     await self._log_changed.wait()
-        last = "\n".join(list(self.lines)[-10:])
-        raise StartError(pattern, last)
+        last_lines = "\n".join(list(self.lines)[-10:])
+        raise StartError(pattern, last_lines)
 
     async def listens(self) -> Address:
-        """Wait until it accepts clients; return the address."""
+        """Wait until it accepts clients, and return the address."""
         await self.wait_for_line(LISTENS.pattern)
         assert self.address is not None
         return self.address
@@ -201,17 +203,17 @@
         self.signal(signal.SIGTERM)
 
     def stop(self) -> None:
-        """Pause it until `go_on`."""
+        """Pause it with SIGSTOP until `go_on`."""
         self.stopped = True
         self.signal(signal.SIGSTOP)
 
     def go_on(self) -> None:
-        """Resume it after `stop`."""
+        """Resume it with SIGCONT after `stop`."""
         self.stopped = False
         self.signal(signal.SIGCONT)
 
     async def ended(self) -> int:
-        """Wait for its end and the rest of its log; return its exit code."""
+        """Wait for its exit and the rest of its log, and return the exit code."""
         assert self._child is not None
         assert self._reader is not None
         code = await self._child.wait()
@@ -236,7 +238,7 @@
         await self.ended()
 
     def resource_use(self) -> tuple[int, int]:
-        """Return its number of descriptors and its resident bytes; zeros once it has ended."""
+        """Return its number of descriptors and its resident memory in bytes; zeros after its exit."""
         try:
             descriptors = len(os.listdir(f"/proc/{self.pid}/fd"))
             pages = int(Path(f"/proc/{self.pid}/statm").read_text().split()[1])
--- a/dykefold/lab/fleet/registry.py
+++ b/dykefold/lab/fleet/registry.py
@@ -1,4 +1,4 @@
-"""The list service of a rig, in the format of PROTOCOL: one queue of calls, with delays and outages."""
+"""The discovery service (list service) of a rig, as in PROTOCOL, with queue, delays and outages."""
 
 from __future__ import annotations
 
@@ -15,28 +15,28 @@
 
 
 class Registry:
-    """Serves the endpoint list to members.
+    """Discovery service that sends the endpoint list to members.
 
     Args:
         calls_per_s: Calls per second that it serves, one after the other.
-        max_waiting: Maximum number of waiting calls; a further one is answered with 503.
+        max_waiting: Maximum number of queued calls; further calls are answered with 503.
         list_delay_s: Seconds until a change is listed.
-        max_changes: Number of changes that it can send by themselves; an older caller gets the whole list.
+        max_changes: Number of changes that it keeps; a caller with an older version gets the complete list.
 
     Attributes:
         version: Version of the list.
-        entries: Listed servers by name, with an address for each group of callers.
-        changes: Latest changes, with the version of each.
-        waiting: Waiting calls.
+        entries: Entries of the listed servers by name, with an address for each group of callers.
+        changes: Latest changes with their versions.
+        waiting: Queued calls.
         busy: Whether a call is being served.
-        down: Number of outages that hold now.
+        down: Number of current outages.
         connections: Open connections.
-        watchers: Watches that wait for a change, with the version that each has.
-        calls: Number of calls by second of the event loop's time.
-        rejected_calls: Number of calls that found the queue full.
-        notified_versions: Time and version of each list that a member was sent, by member.
-        starts: Time at which each member was notified of a server's start, by name of the server.
-        changed_s: Time of the latest change, move or end of an outage.
+        watchers: Pending watches, with the version that each caller has.
+        calls: Number of calls by second of the event loop's clock.
+        rejected_calls: Number of calls that were rejected because the queue was full.
+        notified_versions: Send time and version of each list that was sent to a member, by member.
+        starts: Time at which each member was notified of a server's start, by server name and member.
+        changed_s: Time of the latest change, move, or begin or end of an outage.
     """
 
     def __init__(
@@ -62,10 +62,10 @@
         self.changed_s = 0.0
 
     def change(self, entry: dict[str, Any]) -> None:
-        """Change the entry of a server; it is listed after `list_delay_s`."""
-        self.loop.call_later(self.list_delay_s, self._change, entry)
+        """Change the entry of a server; the change is listed after `list_delay_s`."""
+        self.loop.call_later(self.list_delay_s, self._apply_change, entry)
 
-    def _change(self, entry: dict[str, Any]) -> None:
+    def _apply_change(self, entry: dict[str, Any]) -> None:
         if entry["status"] == "DELETED":
             self.entries.pop(entry["name"], None)
         else:
@@ -78,9 +78,9 @@
         for connection, after in list(self.watchers.items()):
             self.send_list(connection, after)
 
-    def fail(self, on: bool) -> None:
-        """Begin or end an outage: calls are reset, watches end."""
-        self.down += 1 if on else -1
+    def fail(self, is_outage: bool) -> None:
+        """Begin or end an outage, which resets all connections and calls."""
+        self.down += 1 if is_outage else -1
         self.changed_s = self.loop.time()
         if self.down:
             self.notified_versions.clear()
@@ -88,14 +88,14 @@
                 connection.transport.abort()
 
     def moved(self) -> None:
-        """Start again at another address, with the first version."""
+        """Restart the versions, as a list service at a new address does."""
         self.version = 1
         self.changes.clear()
         self.notified_versions.clear()
         self.changed_s = self.loop.time()
 
     def current_list_times(self) -> dict[int, float]:
-        """Return the time at which each member was first sent the present version, by member."""
+        """Return the time at which the current version was first sent to each member, by member."""
         return {
             member: next(at_s for at_s, version in listed if version == self.version)
             for member, listed in self.notified_versions.items()
@@ -111,21 +111,21 @@
             self.rejected_calls += 1
             connection.reply(503, b"")
         else:
-            self.waiting.append(lambda: self._work(connection, target))
-            self._next()
+            self.waiting.append(lambda: self._answer_call(connection, target))
+            self._serve_next()
 
-    def _next(self) -> None:
+    def _serve_next(self) -> None:
         if not self.busy and self.waiting:
             self.busy = True
-            self.loop.call_later(1.0 / self.calls_per_s, self._done, self.waiting.pop(0))
+            self.loop.call_later(1.0 / self.calls_per_s, self._finish_call, self.waiting.pop(0))
 
-    def _done(self, work: Callable[[], None]) -> None:
+    def _finish_call(self, answer: Callable[[], None]) -> None:
         self.busy = False
         if not self.down:
-            work()
-        self._next()
+            answer()
+        self._serve_next()
 
-    def _work(self, connection: DiscoveryConnection, target: str) -> None:
+    def _answer_call(self, connection: DiscoveryConnection, target: str) -> None:
         query = parse_qs(urlsplit(target).query)
         if "after" not in query:
             self.send_list(connection, None)
@@ -133,7 +133,7 @@
         after = int(query["after"][0])
         if after == self.version:
             self.watchers[connection] = after
-            self._note(connection)
+            self._record_sent_list(connection)
             wait_s = min(int(query.get("wait_ms", ["0"])[0]), 60_000) / 1000
             self.loop.call_later(wait_s, self._on_wait_end, connection, after)
         else:
@@ -144,11 +144,11 @@
             self.send_list(connection, after)
 
     def send_list(self, connection: DiscoveryConnection, after: int | None) -> None:
-        """Send the changes after a version; the complete list for None or a version that is too old."""
+        """Send the changes after a version, or the complete list for None or a version that is too old."""
         self.watchers.pop(connection, None)
-        oldest = self.changes[0][0] - 1 if self.changes else self.version
-        complete = after is None or not oldest <= after <= self.version
-        if complete:
+        oldest_version = self.changes[0][0] - 1 if self.changes else self.version
+        is_complete = after is None or not oldest_version <= after <= self.version
+        if is_complete:
             entries = list(self.entries.values())
         else:
             entries = [entry for version, entry in self.changes if after is not None and version > after]
@@ -157,23 +157,23 @@
              "address": entry["addresses"][connection.group]}
             for entry in entries
         ]  # fmt: skip
-        self._note(connection)
+        self._record_sent_list(connection)
         connection.reply(
-            200, json.dumps({"index": self.version, "snapshot": complete, "endpoints": listed}).encode()
+            200, json.dumps({"index": self.version, "snapshot": is_complete, "endpoints": listed}).encode()
         )
 
-    def _note(self, connection: DiscoveryConnection) -> None:
-        """Record that a connection has the present list."""
+    def _record_sent_list(self, connection: DiscoveryConnection) -> None:
+        """Record that the current list was sent on a connection."""
         self.notified_versions.setdefault(connection.member, []).append((self.loop.time(), self.version))
         self.notify(connection.member)
 
     def notify(self, member: int) -> None:
-        """Record that a member knows every listed start."""
+        """Record that a member has been notified of every listed start."""
         for notified_s in self.starts.values():
             notified_s.setdefault(member, self.loop.time())
 
     def initial_list(self, group: int) -> dict[str, Any]:
-        """Return the list that a member of a group starts with."""
+        """Return the endpoint list with which a member of a group starts."""
         listed = [{**entry, "address": entry["addresses"][group]} for entry in self.entries.values()]
         for entry in listed:
             del entry["addresses"]
@@ -181,12 +181,12 @@
 
 
 class DiscoveryConnection(asyncio.Protocol):
-    """A connection of a member to the list service.
+    """A connection of a member to the discovery service.
 
     Args:
-        registry: The list service.
+        registry: Discovery service.
         member: Number of the member.
-        group: Group of callers, which decides the addresses that it is sent.
+        group: Group of callers, which determines the server addresses in its lists.
     """
 
     def __init__(self, registry: Registry, member: int, group: int) -> None:
@@ -195,17 +195,17 @@
         self.group = group
         self.parser = httptools.HttpRequestParser(self)
         self.target = b""
-        self.came_s: float | None = None  # A call counts from when it is read.
+        self.came_s: float | None = None  # Not used: a call counts from when it is read.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Register the connection; during an outage it is reset."""
+        """Register the connection, or reset it during an outage."""
         self.transport: asyncio.Transport = transport  # type: ignore[assignment]
         self.registry.connections.add(self)
         if self.registry.down:
             self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the connection and its watch."""
+        """Remove the connection and its watch."""
         self.registry.connections.discard(self)
         self.registry.watchers.pop(self, None)
         del self.parser
@@ -218,16 +218,16 @@
             self.transport.abort()
 
     def on_url(self, url: bytes) -> None:
-        """Collect the target of the call."""
+        """Append a part of the target of the call."""
         self.target += url
 
     def on_message_complete(self) -> None:
-        """Pass the call to the list service."""
+        """Pass the complete call to the discovery service."""
         target, self.target = self.target.decode("latin-1"), b""
         self.registry.on_call(self, target)
 
     def reply(self, code: int, body: bytes) -> None:
-        """Answer the open call."""
+        """Answer the pending call."""
         if not self.transport.is_closing():
             head = b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n" % (code, len(body))
             self.transport.write(head + body)
--- a/dykefold/lab/fleet/report.py
+++ b/dykefold/lab/fleet/report.py
@@ -1,4 +1,4 @@
-"""Results of a run of the rig, by subject, and their JSON form."""
+"""Results of a run of the rig, by subject, and their JSON report."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from .judge import SlowStartLoad, Verdict
 from .membership_samples import MembershipSample
 
-MAX_LAG_S = 0.25  # A rig that was later than this while it loaded says nothing about the sidecars.
+MAX_LAG_S = 0.25  # A run in which the rig was later than this during the load is invalid.
 
 
 @dataclass(slots=True)
@@ -16,7 +16,7 @@
     """Lateness of the rig's own event loop.
 
     Attributes:
-        start_s: Largest lateness in seconds from the first listening member to the beginning of the load. The
+        start_s: Largest lateness in seconds from the first listening member to the start of the load; the
             list service was late by as much.
         load_s: Largest lateness in seconds during the load.
     """
@@ -27,13 +27,13 @@
 
 @dataclass(slots=True)
 class ListServiceStats:
-    """Calls of the list service.
+    """Calls to the list service.
 
     Attributes:
         calls_by_second: Number of calls in each second since the first start.
-        rejected_calls: Number of calls for which the queue had no room.
-        list_delays_s: For each member that was sent the last list, the seconds until then, counted from its
-            listening, or from the latest change, move or return of the list service.
+        rejected_calls: Number of calls that were rejected because the queue was full.
+        list_delays_s: For each member that was sent the latest list, the seconds until then, counted from
+            when it listened, or from the latest change, move or return of the list service if later.
     """
 
     calls_by_second: list[int] = field(default_factory=list)
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class ConnectionStats:
-    """Connections that members opened to servers.
+    """Connections opened by members to servers.
 
     Attributes:
         handshakes: Number of connections.
@@ -69,7 +69,7 @@
 
 @dataclass(slots=True)
 class ZoneStats:
-    """Traffic between zones.
+    """Cross-zone traffic.
 
     Attributes:
         cross_zone_fractions: Fraction of the attempts in each second of the load that reached a server of
@@ -87,11 +87,11 @@
 
     Attributes:
         peak_capacity_load: Highest ratio of the requests at a warming-up server to its capacity at the time.
-        peak_rule_load: Highest ratio of these requests to what the rules allow; above 1.0 the server falls.
+        peak_rule_load: Highest ratio of these requests to the rules' limit; above 1.0 a server is overloaded.
         worst: The window with the highest ratio to the slow-start budget of the settings.
-        worst_notified: The same among windows of which over two thirds came from notified sidecars. A ratio
-            above 1.0 breaks the rule.
-        worst_short: The window with the highest ratio over half a second and one capacity.
+        worst_notified: The same among windows with over two thirds of their calls from notified sidecars; a
+            ratio above 1.0 breaks the rule.
+        worst_short: The window of half a second with the highest ratio to a budget of factor 1.0.
     """
 
     peak_capacity_load: float = 0.0
@@ -103,14 +103,14 @@
 
 @dataclass(slots=True)
 class MembershipStats:
-    """The membership among the sidecars.
+    """Membership of the sidecars.
 
     Attributes:
         datagrams: Number of datagrams that members sent.
         datagram_bytes: Size in bytes of the datagrams that were delivered.
-        samples: Samples of the members' memberships; empty if it is off.
-        settled_s: Seconds from the end of the last fault until all memberships were right and stayed so; None
-            if they did not.
+        samples: Samples of the members' memberships; empty if the membership is off.
+        settled_s: Seconds from the end of the last fault until all memberships were correct and remained
+            correct; None if they did not.
     """
 
     datagrams: int = 0
@@ -127,13 +127,13 @@
         verdict: Verdict on the four rules.
         ready_s: Seconds from the first start until each member listened; None if it never did.
         faults: Starts that failed, and tracebacks in the members' logs.
-        lag: Lateness of the rig.
-        list_service: Calls of the list service.
-        connections: Connections to servers.
+        lag: Lateness of the rig's event loop.
+        list_service: Calls to the list service.
+        connections: Connections from members to servers.
         load: Requests of the clients.
-        zones: Traffic between zones.
-        slow_start: Load of warming-up servers.
-        membership: The membership among the sidecars.
+        zones: Cross-zone traffic.
+        slow_start: Load of servers that were warming up.
+        membership: Membership of the sidecars.
     """
 
     verdict: Verdict
@@ -149,7 +149,7 @@
 
     @property
     def passed(self) -> bool:
-        """Whether every member listened, no rule was broken, and no fault of the program was logged."""
+        """Whether the run is valid, all members listened, no rule was broken, and `faults` is empty."""
         return self.valid and None not in self.ready_s and not self.verdict.broken and not self.faults
 
     @property
@@ -198,7 +198,7 @@
 
 
 def _median_and_last(values: list[float]) -> list[float]:
-    """Return the upper median and the last of sorted values, rounded; nothing for no values."""
+    """Return the upper median and the last of sorted values, rounded; an empty list for no values."""
     return [round(value, 2) for value in (values[len(values) // 2], values[-1])] if values else []
 
 
--- a/dykefold/lab/fleet/rig.py
+++ b/dykefold/lab/fleet/rig.py
@@ -12,7 +12,7 @@
 from ..random_streams import generator
 from ..scenario import LoadTable, Scenario, ServerTable
 from .client import Client
-from .datagram_relay import Datagrams
+from .datagram_relay import DatagramRelay
 from .judge import FaultInterval
 from .measurements import LagMonitor
 from .member import Member, entry, settings
@@ -23,20 +23,20 @@
 from .scenario import CLASSES, FleetScenario, FleetTable
 
 LISTEN_PORT = 7070
-VIEW_PORT = 7950  # Port of the membership's admin API.
-TERM_S = 2.7  # From SIGTERM to SIGKILL: the longest deadline and 0.7 s (DAYS).
-DEATH_S = 0.1  # Within this time the clients of a killed process notice its death.
+VIEW_PORT = 7950  # Of the membership API.
+KILL_AFTER_S = 2.7  # From SIGTERM to SIGKILL: the longest deadline and 0.7 s (DAYS).
+DEATH_NOTICE_S = 0.1  # Within this time, the clients of a killed process notice its death.
 MEMBERS_PER_SUBNET = 250
 
 
 class LinkedServer(Server):
-    """A server that the members of each zone reach by a link of their own.
+    """A server that the members of each zone reach through a link of that zone.
 
     Args:
-        scenario: Scenario of the emulator.
+        scenario: Scenario of the server emulator.
         name: Name of the server.
         truth: Record of all attempts that reach any server.
-        hosts: Address of the server for the members of each zone.
+        hosts: Addresses of the server, by zone of the members that use them.
     """
 
     def __init__(self, scenario: Scenario, name: str, truth: Truth, hosts: list[str]) -> None:
@@ -44,28 +44,28 @@
         self.links = [Link(host, lambda: Connection(self)) for host in hosts]
 
     async def listen(self) -> None:
-        """Open the links that are closed."""
+        """Listen on the links that do not listen."""
         for link in self.links:
             if link.sock is None:
                 link.open()
 
     def crash(self) -> None:
-        """Close all links, and lose all work."""
+        """Stop listening on all links, and lose all requests in progress."""
         for link in self.links:
-            link.shut()
+            link.stop_listening()
         super().crash()
 
     def close(self) -> None:
-        """Close all links for good."""
+        """Close all links and their connections."""
         for link in self.links:
             link.close()
 
 
 class Rig:
-    """All parts of a scenario.
+    """All parts of a running scenario.
 
     Args:
-        scenario: What is played.
+        scenario: Scenario to run.
         folder: Empty folder for the members' files.
         block: Second octet of the rig's addresses, 127.BLOCK.0.0/16.
 
@@ -73,16 +73,16 @@
         truth: Record of all attempts that reached any server.
         fault_intervals: Intervals in which lost requests of a client are excused.
         servers: Servers of each zone.
-        registry: List service.
-        registry_links: Address of the list service for each member.
+        registry: Discovery service (list service).
+        registry_links: Link of each member to the list service.
         datagrams: Relay of the datagrams between members.
         members: Sidecars, by number.
-        clients: Clients, one for each member.
-        sampler: Samples the members' memberships; None if the membership is off.
-        first_s: Event loop time of the first start, in seconds.
+        clients: Clients, by number of their member.
+        sampler: Sampler of the members' memberships; None if the membership is off.
+        first_start_s: Event loop time of the first start in seconds.
         ready_s: Seconds from the first start until each member listened; None if it has not.
-        listening_since_s: Event loop time at which the latest process of each member began to listen.
-        failed_starts: Text of each start that failed.
+        listening_since_s: Event loop time in seconds at which each member's latest process began to listen.
+        failed_starts: Messages of the starts that failed.
         lag: Monitor of the rig's own lateness.
     """
 
@@ -98,15 +98,15 @@
         self.servers = self._make_servers()
         self.registry = self._make_registry()
         self.registry_links = self.make_registry_links()
-        self.first_lists = [self.registry.initial_list(zone) for zone in self.zones]
+        self.initial_lists = [self.registry.initial_list(zone) for zone in self.zones]
         self._replace_servers(scenario.list_service.replaced)
-        self.datagrams = Datagrams(generator(scenario.seed, "datagrams"))
+        self.datagrams = DatagramRelay(generator(scenario.seed, "datagrams"))
         hosts = [self._host(1, number) for number in range(fleet.members)]
         for host in hosts:
             self.datagrams.add((host, PORT))
         self.members = [self._make_member(number, host, folder) for number, host in enumerate(hosts)]
         self.clients = [self._make_client(number, host) for number, host in enumerate(hosts)]
-        self.first_s = self.loop.time()
+        self.first_start_s = self.loop.time()
         self.ready_s: list[float | None] = [None] * fleet.members
         self.listening_since_s: dict[int, float] = {}
         self.failed_starts: list[str] = []
@@ -118,7 +118,7 @@
         )
 
     def listening_members(self) -> frozenset[int]:
-        """Return the members of which a process listens."""
+        """Return the members of which a living process listens."""
         return frozenset(
             member.number
             for member in self.members
@@ -126,13 +126,13 @@
         )
 
     def log_lines(self) -> Iterator[str]:
-        """Iterate over the stored log lines of all members."""
+        """Iterate over the kept log lines of all members."""
         for member in self.members:
             for process in member.processes:
                 yield from process.lines
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run a coroutine until it ends or the rig is closed."""
+        """Run a coroutine as a task, which is cancelled when the rig closes."""
         task = self.loop.create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -140,7 +140,7 @@
     # Construction
 
     def _host(self, subnet: int, number: int) -> str:
-        """Return the address with a number in a range of subnets of the rig's block."""
+        """Return the address with a number, counted from a subnet of the rig's block on."""
         return f"127.{self.block}.{subnet + number // MEMBERS_PER_SUBNET}.{1 + number % MEMBERS_PER_SUBNET}"
 
     def _make_servers(self) -> list[list[LinkedServer]]:
@@ -173,7 +173,7 @@
         return registry
 
     def make_registry_links(self) -> list[Link]:
-        """Open an address of the list service for each member, by which its callers are told apart."""
+        """Open a link to the list service for each member, by which its calls are identified."""
         return [self._registry_link(number) for number in range(self.scenario.fleet.members)]
 
     def _registry_link(self, number: int) -> Link:
@@ -181,7 +181,7 @@
         return Link(self._host(100, number), lambda: DiscoveryConnection(self.registry, number, zone))
 
     def _replace_servers(self, fraction: float) -> None:
-        """Have a fraction of the servers started after the first lists were made, in place of others."""
+        """Replace a fraction of the servers by newly started ones that the initial lists do not have."""
         now_ms = int(time.time() * 1000)
         for zone in self.zones:
             count = round(fraction * len(self.servers[zone]))
@@ -189,12 +189,12 @@
                 server.started_s = self.loop.time()
                 self.registry.starts[server.name] = {}
                 self.registry.entries[server.name] = self.list_entry(server, zone, "SERVING", now_ms)
-                for observer, known in enumerate(self.first_lists):
+                for observer, initial_list in enumerate(self.initial_lists):
                     unused_address = f"127.{self.block}.{200 + observer}.252:9"
-                    for listed in known["endpoints"]:
+                    for listed in initial_list["endpoints"]:
                         if listed["name"] == server.name:
                             listed |= {"name": f"{server.name}-old", "address": unused_address}
-                    known["index"] = 0
+                    initial_list["index"] = 0
 
     def list_entry(self, server: LinkedServer, zone: int, status: str, since_ms: int) -> dict[str, Any]:
         """Return the entry of a server for the list service, with its address for each zone."""
@@ -207,7 +207,7 @@
             number,
             CLASSES,
             fleet.rate * (1.0 if number else fleet.busy),
-            generator(self.scenario.seed, "desk", str(number)),  # The name of the stream decides its draws.
+            generator(self.scenario.seed, "desk", str(number)),  # The stream's name is part of its seed.
             max_retries=fleet.again,
         )
         client.address = (host, LISTEN_PORT)
@@ -232,8 +232,8 @@
             "limits": {"cores": 1.0, "memory_mb": fleet.memory_mb, "sockets": fleet.sockets},
             "peer_listen": f"{host}:{PORT}",
             "peers": self.datagrams.addresses(),
-            "peers_all": self.datagrams.all_address,
-            "known": self.first_lists[zone],
+            "peers_all": self.datagrams.broadcast_address,
+            "known": self.initial_lists[zone],
             "settings": settings(
                 CLASSES,
                 fleet.zones,
@@ -247,18 +247,18 @@
             ),
         }
         if any(fault.kind == "upgrade" for fault in self.scenario.faults):
-            config["control"] = f"{host}:0"  # Each process has an admin API of its own.
+            config["control"] = f"{host}:0"  # Each process has its own admin API.
         return config
 
     # Members
 
     async def start(self, number: int) -> Process | None:
-        """Start a process of a member with the present endpoint list; return None if it does not listen."""
+        """Start a process of a member with the current endpoint list; return None if the start fails."""
         member, zone = self.members[number], self.scenario.zone_of(number)
-        known = self.registry.initial_list(zone) if member.processes else self.first_lists[zone]
+        known = self.registry.initial_list(zone) if member.processes else self.initial_lists[zone]
         self.registry.notified_versions.pop(number, None)
         if member.processes:
-            self.registry.notify(number)  # The process starts with the present list.
+            self.registry.notify(number)  # The process starts with the current list.
         process = await member.start(known=known, peers=self.datagrams.addresses())
         try:
             await process.listens()
@@ -267,46 +267,46 @@
             return None
         self.listening_since_s[number] = self.loop.time()
         if not any(self.ready_s):
-            self.lag.reset()  # Until now no member was there to be affected.
+            self.lag.reset()  # Earlier lateness affected no member.
         if self.ready_s[number] is None:
-            self.ready_s[number] = self.loop.time() - self.first_s
+            self.ready_s[number] = self.loop.time() - self.first_start_s
         return process
 
     async def kill(self, number: int, down_s: float) -> None:
-        """Kill a member's processes, and start it again after some seconds."""
+        """Kill a member's processes, and start a new one after `down_s` seconds."""
         now_s = self.loop.time()
         for process in self.members[number].living:
             process.kill()
             await process.ended()
         await asyncio.sleep(down_s)
         await self.start(number)
-        self.fault_intervals.append(FaultInterval(number, now_s, now_s + DEATH_S))
+        self.fault_intervals.append(FaultInterval(number, now_s, now_s + DEATH_NOTICE_S))
 
     async def terminate(self, number: int, down_s: float) -> None:
-        """End a member's processes by SIGTERM, and start it again after some seconds."""
+        """End a member's processes by SIGTERM, and start a new one after `down_s` seconds."""
         for process in self.members[number].living:
-            await process.end(TERM_S)
+            await process.end(KILL_AFTER_S)
         await asyncio.sleep(down_s)
         await self.start(number)
 
     async def upgrade(self, number: int, pause_s: float) -> None:
-        """Start a newer process of a member, end the present one once the newer one listens, and pause."""
-        old = self.members[number].living
+        """Start a new process of a member, end the old one when the new one listens, and then pause."""
+        old_processes = self.members[number].living
         if await self.start(number) is None:
-            return  # The platform ends no process whose successor failed.
-        for process in old:
-            await process.end(TERM_S)
+            return  # The platform does not end a process whose successor failed to start.
+        for process in old_processes:
+            await process.end(KILL_AFTER_S)
         await asyncio.sleep(pause_s)
 
     async def stop(self, number: int, duration_s: float) -> None:
-        """Pause a member's processes by SIGSTOP for some seconds."""
+        """Pause a member's processes by SIGSTOP for `duration_s` seconds."""
         now_s = self.loop.time()
         for process in self.members[number].living:
             process.stop()
         await asyncio.sleep(duration_s)
         for process in self.members[number].living:
             process.go_on()
-        self.fault_intervals.append(FaultInterval(number, now_s, now_s + duration_s + DEATH_S))
+        self.fault_intervals.append(FaultInterval(number, now_s, now_s + duration_s + DEATH_NOTICE_S))
 
     async def close(self) -> None:
         """End all processes, tasks and sockets of the rig."""
@@ -324,7 +324,7 @@
 
 
 def _server_table(fleet: FleetTable, name: str) -> ServerTable:
-    """Return the kind of server of one zone."""
+    """Return the emulator's table for the servers of one zone."""
     cold_share = 1.0 if fleet.cold_quick else fleet.cold_share
     return ServerTable(
         name, count=fleet.servers, cores=fleet.cores, cold_share=cold_share, warm_s=fleet.warm_s
--- a/dykefold/lab/fleet/run.py
+++ b/dykefold/lab/fleet/run.py
@@ -1,4 +1,4 @@
-"""Plays a scenario of the rig: starts the members, loads them, injects faults, and judges."""
+"""Runs a scenario on the rig: starts the members, runs the load, injects faults, and judges the result."""
 
 from __future__ import annotations
 
@@ -27,15 +27,15 @@
 from .rig import Rig
 from .scenario import CLASSES, FleetScenario
 
-READY_S = 30.0  # Clients come when all members are ready, or after this time (DEPLOY).
-QUIET_S = 0.3  # After the last request.
+READY_TIMEOUT_S = 30.0  # The load starts when all members are ready, or after this time (DEPLOY).
+QUIET_PERIOD_S = 0.3  # After the last request.
 RESTARTING_FAULTS = frozenset(("kill", "term", "upgrade"))
 ZONE_MOVE_LOG = "sidecar changed working zone"
 
 
 @contextlib.asynccontextmanager
 async def rigged(scenario: FleetScenario) -> AsyncIterator[Rig]:
-    """Yield a rig for a scenario; its processes, sockets and files are gone at the end."""
+    """Yield a rig for a scenario, and remove its processes, sockets and files at the end."""
     block, reservation = free_block()
     with reservation, tempfile.TemporaryDirectory() as folder, collector_paused():
         rig = Rig(scenario, Path(folder), block)
@@ -46,7 +46,7 @@
 
 
 async def play(scenario: FleetScenario) -> FleetRunResult:
-    """Play a scenario once."""
+    """Run a scenario once."""
     async with rigged(scenario) as rig:
         return await Run(rig).play()
 
@@ -55,7 +55,7 @@
     """One run of a scenario on a rig.
 
     Args:
-        rig: The rig, of which no member has been started.
+        rig: Rig of which no member has been started.
     """
 
     def __init__(self, rig: Rig) -> None:
@@ -66,9 +66,9 @@
         self.load_began_s = 0.0
 
     async def play(self) -> FleetRunResult:
-        """Start all members at once, load them, inject the faults, and judge."""
+        """Start all members at once, run the load, inject the faults, and return the judged result."""
         rig = self.rig
-        lag = rig.loop.create_task(rig.lag.run())
+        lag_task = rig.loop.create_task(rig.lag.run())
         await self._start_members()
         self.lag.start_s = rig.lag.lag_s
         if any(fault.kind in RESTARTING_FAULTS for fault in self.scenario.faults):
@@ -76,8 +76,8 @@
         self.load_began_s = rig.loop.time()
         rig.lag.reset()
         await self._load_members()
-        await asyncio.sleep(QUIET_S)
-        lag.cancel()
+        await asyncio.sleep(QUIET_PERIOD_S)
+        lag_task.cancel()
         self.lag.load_s = rig.lag.lag_s
         return self._result()
 
@@ -88,23 +88,23 @@
     async def _start_members(self) -> None:
         rig = self.rig
         await self._prepare_members()
-        rig.first_s = rig.loop.time()
+        rig.first_start_s = rig.loop.time()
         starts = [rig.loop.create_task(rig.start(number)) for number in range(len(rig.members))]
-        await asyncio.wait(starts, timeout=READY_S)
+        await asyncio.wait(starts, timeout=READY_TIMEOUT_S)
 
     async def _load_members(self) -> None:
-        """Have the clients send, and play the faults, until the membership has settled after them."""
+        """Run the load and the faults, and wait until the membership has settled after them."""
         rig = self.rig
-        sampling = rig.loop.create_task(rig.sampler.run()) if rig.sampler is not None else None
-        loads = [rig.loop.create_task(client.play()) for client in rig.clients]
-        faults = [rig.loop.create_task(self.faults.play(fault)) for fault in self.scenario.faults]
+        sampler_task = rig.loop.create_task(rig.sampler.run()) if rig.sampler is not None else None
+        load_tasks = [rig.loop.create_task(client.play()) for client in rig.clients]
+        fault_tasks = [rig.loop.create_task(self.faults.play(fault)) for fault in self.scenario.faults]
         await asyncio.sleep(self.scenario.span_s)
-        for load in loads:
-            load.cancel()
-        await asyncio.gather(*faults)
-        if sampling is not None and rig.sampler is not None:
+        for load_task in load_tasks:
+            load_task.cancel()
+        await asyncio.gather(*fault_tasks)
+        if sampler_task is not None and rig.sampler is not None:
             await rig.sampler.wait_until_settled(RateLimits().settled_ns(len(rig.members)) / 1e9)
-            sampling.cancel()
+            sampler_task.cancel()
         for client in rig.clients:
             await client.wait_until_idle()
 
@@ -134,15 +134,18 @@
 
     def _list_service_stats(self) -> ListServiceStats:
         rig, registry = self.rig, self.rig.registry
-        first = int(rig.first_s)
-        listed_s = registry.current_list_times()
+        first_second = int(rig.first_start_s)
+        list_sent_s = registry.current_list_times()
         return ListServiceStats(
-            [registry.calls[second] for second in range(first, max(registry.calls, default=first) + 1)],
+            [
+                registry.calls[second]
+                for second in range(first_second, max(registry.calls, default=first_second) + 1)
+            ],
             registry.rejected_calls,
             [
                 max(at_s - max(since_s, registry.changed_s), 0.0)
                 for number, since_s in rig.listening_since_s.items()
-                if (at_s := listed_s.get(number)) is not None
+                if (at_s := list_sent_s.get(number)) is not None
             ],
         )
 
@@ -158,7 +161,7 @@
         rig = self.rig
         stats = MembershipStats(sum(rig.datagrams.sent.values()), rig.datagrams.bytes)
         if rig.sampler is not None:
-            rig.sampler.count_from(self.load_began_s)
+            rig.sampler.make_times_relative(self.load_began_s)
             stats.samples = rig.sampler.samples
             stats.settled_s = rig.sampler.settled_s(self.faults.end_s)
         return stats
--- a/dykefold/lab/fleet/scenario.py
+++ b/dykefold/lab/fleet/scenario.py
@@ -1,4 +1,4 @@
-"""A scenario file of the rig: members, servers by zone, list service and faults."""
+"""Scenario files of the rig: members, servers by zone, list service and faults."""
 
 from __future__ import annotations
 
@@ -12,18 +12,20 @@
 from ...routing.config import struct_problems
 from ...service_config import ServiceError, read_toml
 from ..scenario import Above, ClassTable, NotBelow, Positive, ServiceTable, Share
-from .member import FALL_MULTIPLE, FALL_S
+from .member import OVERLOAD_DURATION_S, OVERLOAD_FACTOR
 
 MAX_MEMBERS = 1000
 MAX_ZONES = 16
-MAX_SERVERS = 250  # In a zone; each has an address of its own.
+MAX_SERVERS = 250  # In each zone; each server has its own address.
 GROUP = re.compile(r"all|zone:([a-z0-9-]+)|members:(\d+)(?:-(\d+))?")
-EXPECTED = "expected all, zone:NAME, members:N or members:N-M"
-QUICK = ServiceTable(kind="exponential", mean_ms=8.0)
+EXPECTED_GROUP = "expected all, zone:NAME, members:N or members:N-M"
+SERVICE_TIME = ServiceTable(kind="exponential", mean_ms=8.0)
 CLASSES = {
-    "lookup": ClassTable(share=3.0, aim_ms=400, deadline_ms=1500, service=QUICK),
-    "hold": ClassTable(effect="keyed", share=1.5, aim_ms=400, deadline_ms=1200, window_ms=600, service=QUICK),
-    "order": ClassTable(effect="unsafe", share=1.0, aim_ms=600, deadline_ms=2000, service=QUICK),
+    "lookup": ClassTable(share=3.0, aim_ms=400, deadline_ms=1500, service=SERVICE_TIME),
+    "hold": ClassTable(
+        effect="keyed", share=1.5, aim_ms=400, deadline_ms=1200, window_ms=600, service=SERVICE_TIME
+    ),
+    "order": ClassTable(effect="unsafe", share=1.0, aim_ms=600, deadline_ms=2000, service=SERVICE_TIME),
 }
 
 
@@ -35,21 +37,21 @@
         zones: Names of the zones.
         servers: Number of servers in each zone.
         cores: Cores of a server.
-        cold_share: Fraction of its speed that a server has right after a start.
+        cold_share: Fraction of its speed that a server has at its start.
         warm_s: Seconds until a server has its full speed.
-        cold_quick: Whether a cold server answers as quickly as a warm one, until it falls.
+        cold_quick: Whether a warming-up server answers as quickly as a warm one, until it is overloaded.
         rate: Requests per second to each member.
         memory_mb: Memory limit of a member in megabytes.
         sockets: Descriptor limit of a member.
         view: Whether members keep a membership (docs/operators/view.md).
-        calls: Whether members spread their calls of the list service (docs/operators/coldstart.md).
-        calls_per_s: Calls per second that members assume the list service can serve.
-        failover: Whether members may work in other zones (docs/operators/failover.md).
-        fall_multiple: Load of a cold server, relative to its capacity, that pushes it over.
-        fall_s: Seconds for which that load must last.
+        calls: Whether members spread their calls to the list service (docs/operators/coldstart.md).
+        calls_per_s: Calls per second that the list service can serve, as members assume.
+        failover: Whether members may move their work to other zones (docs/operators/failover.md).
+        fall_multiple: Load of a warming-up server, relative to its capacity, that overloads it.
+        fall_s: Seconds for which that load must last to overload it.
         hedges: Whether members may hedge requests.
-        clock_s: Seconds by which the wall clock of odd members is ahead and that of even members behind.
-        again: Number of times that a client sends a refused request again at once.
+        clock_s: Seconds by which the wall clocks of odd members are ahead and those of even members behind.
+        again: Maximum number of immediate retries of a refused or failed request by its client.
         busy: Factor on the rate of the first member.
     """
 
@@ -69,8 +71,8 @@
     calls: bool = False
     calls_per_s: Above = DEFAULT_CALLS_PER_S
     failover: bool = False
-    fall_multiple: Above = FALL_MULTIPLE
-    fall_s: Above = FALL_S
+    fall_multiple: Above = OVERLOAD_FACTOR
+    fall_s: Above = OVERLOAD_DURATION_S
     hedges: bool = False
     clock_s: float = 0.0
     again: Annotated[int, Meta(ge=0, le=10)] = 0
@@ -78,13 +80,13 @@
 
 
 class ListTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[list_service]`.
+    """`[list_service]`: the discovery service.
 
     Attributes:
         calls_per_s: Calls per second that it serves, one after the other.
-        waiting_most: Maximum number of waiting calls.
+        waiting_most: Maximum number of queued calls.
         late_s: Seconds until a change is listed.
-        replaced: Fraction of the servers that started, cold, after the members' first lists were made.
+        replaced: Fraction of the servers that were started newly, after the members' initial lists were made.
     """
 
     calls_per_s: Above = 160.0
@@ -101,7 +103,7 @@
         at_s: Seconds from the start of the load until the fault begins.
         for_s: Duration in seconds.
         of: Affected members; one side of a cut; zone of the servers; senders of datagrams.
-        to: Other side of a cut, or receivers of datagrams. Members on both sides belong to the first.
+        to: Other side of a cut, or receivers of datagrams. Members of both groups count as members of `of`.
         one_way: Whether only traffic from `of` to `to` is affected.
         share: Affected fraction of datagrams, members, servers or answers; for `slow-list` the remaining
             fraction of its rate.
@@ -170,19 +172,19 @@
         """Return the members of a group."""
         match = GROUP.fullmatch(group)
         assert match is not None
-        everyone = range(self.fleet.members)
+        all_members = range(self.fleet.members)
         if match[1] is not None:
             zone = self.fleet.zones.index(match[1])
-            return [member for member in everyone if self.zone_of(member) == zone]
+            return [member for member in all_members if self.zone_of(member) == zone]
         if match[2] is not None:
             return list(range(int(match[2]), int(match[3] or match[2]) + 1))
-        return list(everyone)
+        return list(all_members)
 
     def zones_of(self, group: str) -> list[int]:
         """Return the zones that a group includes completely.
 
-        Connections are cut for these zones, datagrams for each member. A named zone counts also if it has no
-        members.
+        A cut applies to the connections of these zones, and to the datagrams of each member. A named zone
+        counts even if it has no members.
         """
         match = GROUP.fullmatch(group)
         assert match is not None
@@ -197,23 +199,23 @@
 
 
 def read_fleet(path: str) -> FleetScenario:
-    """Read a scenario file of the rig.
+    """Read and check a scenario file of the rig.
 
     Raises:
         ServiceError: The file is invalid; the error lists every problem.
     """
     data = read_toml(path)
-    problems = _problems(data)
+    problems = _field_problems(data)
     if problems:
         raise ServiceError(path, problems)
     scenario = msgspec.convert(data, FleetScenario)
-    problems = _across(scenario)
+    problems = _cross_field_problems(scenario)
     if problems:
         raise ServiceError(path, problems)
     return scenario
 
 
-def _problems(data: dict[str, Any]) -> list[str]:
+def _field_problems(data: dict[str, Any]) -> list[str]:
     fields = {field.encode_name: field.type for field in msgspec.structs.fields(FleetScenario)}
     problems = [f"{key}: unknown; expected one of {', '.join(fields)}" for key in data if key not in fields]
     for key in ("seed", "span_s"):
@@ -232,24 +234,24 @@
     return problems
 
 
-def _across(scenario: FleetScenario) -> list[str]:
+def _cross_field_problems(scenario: FleetScenario) -> list[str]:
     problems = []
     zones = scenario.fleet.zones
     if scenario.fleet.failover and not scenario.fleet.view:
-        problems.append("fleet.failover: wants the view; expected view = true")
+        problems.append("fleet.failover: requires the membership; expected view = true")
     if len(set(zones)) < len(zones):
-        problems.append("fleet.zones: a name comes twice")
+        problems.append("fleet.zones: duplicate name; expected distinct names")
     for number, fault in enumerate(scenario.faults):
         for key, group in (("of", fault.of), ("to", fault.to)):
             match = GROUP.fullmatch(group)
-            place = f"faults[{number}].{key} = {group!r}"
+            location = f"faults[{number}].{key} = {group!r}"
             if match is None:
-                problems.append(f"{place}: {EXPECTED}")
+                problems.append(f"{location}: {EXPECTED_GROUP}")
             elif match[1] is not None and match[1] not in zones:
-                problems.append(f"{place}: no such zone; expected one of {', '.join(zones)}")
+                problems.append(f"{location}: no such zone; expected one of {', '.join(zones)}")
             elif (
                 match[2] is not None
                 and not int(match[2]) <= int(match[3] or match[2]) < scenario.fleet.members
             ):
-                problems.append(f"{place}: expected members from 0 to {scenario.fleet.members - 1}")
+                problems.append(f"{location}: expected members from 0 to {scenario.fleet.members - 1}")
     return problems
--- a/dykefold/lab/fleet/upgrades.py
+++ b/dykefold/lab/fleet/upgrades.py
@@ -1,4 +1,4 @@
-"""Hot restarts of one sidecar under load, with faults between its two processes."""
+"""Hot restarts of one sidecar under load, with faults in its old or its new process."""
 
 from __future__ import annotations
 
@@ -17,29 +17,29 @@
 from .member import LOOPBACK, Member, entry, settings
 from .process import ADMIN_LISTENS, Process, call
 
-QUICK = ServiceTable(kind="exponential", mean_ms=4.0)
+SERVICE_TIME = ServiceTable(kind="exponential", mean_ms=4.0)
 CLASSES = {
-    "lookup": ClassTable(share=3.0, aim_ms=300, deadline_ms=1000, service=QUICK),
-    "hold": ClassTable(effect="keyed", aim_ms=300, deadline_ms=800, window_ms=400, service=QUICK),
-    "order": ClassTable(effect="unsafe", share=2.0, aim_ms=400, deadline_ms=1200, service=QUICK),
+    "lookup": ClassTable(share=3.0, aim_ms=300, deadline_ms=1000, service=SERVICE_TIME),
+    "hold": ClassTable(effect="keyed", aim_ms=300, deadline_ms=800, window_ms=400, service=SERVICE_TIME),
+    "order": ClassTable(effect="unsafe", share=2.0, aim_ms=400, deadline_ms=1200, service=SERVICE_TIME),
 }
-GRACE_S = 0.5  # Of a drain, as in the settings.
-READY_TIMEOUT_S = 6.0  # A new process is ready within this time (DAYS).
-KILL_S = 1.9  # After SIGTERM: the longest deadline and 0.7 s.
-STOP_S = 2.0
-DEATH_S = 0.1  # Within this time the clients of a killed process notice its death.
+GRACE_S = 0.5  # Drain grace period of the settings.
+READY_TIMEOUT_S = 6.0  # Within this time, a new process is ready (DAYS).
+KILL_AFTER_S = 1.9  # From SIGTERM to SIGKILL: the longest deadline and 0.7 s.
+PAUSE_S = 2.0
+DEATH_NOTICE_S = 0.1  # Within this time, the clients of a killed process notice its death.
 HTTP_OK = 200
-# Log line of this version, and of earlier ones.
+# Log lines of this version and of earlier ones.
 SHUTDOWN_LINE = "began graceful shutdown|draining"
 
 
 @dataclass(slots=True)
 class HotRestartRig:
-    """One sidecar with its client and its servers.
+    """A sidecar with its client and its servers.
 
     Attributes:
-        member: The sidecar.
-        client: Its client.
+        member: Sidecar.
+        client: Client of the sidecar.
         servers: Servers by name.
         truth: Record of all attempts that reached a server.
         fault_intervals: Intervals in which lost requests of the client are excused.
@@ -69,30 +69,30 @@
         """Kill a process; its pending requests are excused."""
         now_s = asyncio.get_running_loop().time()
         process.kill()
-        self.fault_intervals.append(FaultInterval(self.client.number, now_s, now_s + DEATH_S))
+        self.fault_intervals.append(FaultInterval(self.client.number, now_s, now_s + DEATH_NOTICE_S))
 
-    async def stop(self, process: Process, span_s: float = STOP_S) -> None:
+    async def stop(self, process: Process, span_s: float = PAUSE_S) -> None:
         """Pause a process for some seconds; its pending requests are excused for that time."""
         now_s = asyncio.get_running_loop().time()
         process.stop()
         await asyncio.sleep(span_s)
         process.go_on()
-        self.fault_intervals.append(FaultInterval(self.client.number, now_s, now_s + span_s + DEATH_S))
+        self.fault_intervals.append(FaultInterval(self.client.number, now_s, now_s + span_s + DEATH_NOTICE_S))
 
-    # An upgrade's steps
+    # Steps of an upgrade
 
     async def wait_until_ready(self, process: Process) -> None:
         """Wait until a process accepts clients.
 
         Raises:
-            TimeoutError: It does not within `READY_TIMEOUT_S`.
+            TimeoutError: The process is not ready within `READY_TIMEOUT_S`.
         """
         async with asyncio.timeout(READY_TIMEOUT_S):
             while not await self.is_ready(process):
                 await asyncio.sleep(0.01)
 
     async def is_ready(self, process: Process) -> bool:
-        """Return whether a process answers at its admin API that it accepts clients."""
+        """Return whether a process reports at its admin API that it accepts clients."""
         if process.admin_address is None:
             return False
         with contextlib.suppress(OSError, TimeoutError):
@@ -100,11 +100,11 @@
         return False
 
     async def end(self, process: Process) -> None:
-        """End a process as the platform does: SIGTERM, and SIGKILL after `KILL_S`."""
-        await process.end(KILL_S)
+        """End a process as the platform does: SIGTERM, and SIGKILL after `KILL_AFTER_S`."""
+        await process.end(KILL_AFTER_S)
 
     async def upgrade(self) -> Process:
-        """Start a newer process, and end the present one when the newer one is ready."""
+        """Start a new process, and end the old one when the new one is ready."""
         old = self.member.living[-1]
         new = await self.member.start()
         await self.wait_until_ready(new)
@@ -112,7 +112,7 @@
         return new
 
     async def take_out_of_service(self, process: Process, server: str) -> None:
-        """Take a server out of service at a process's admin API."""
+        """Take a server out of service through a process's admin API."""
         assert process.admin_address is not None
         assert await call(process.admin_address, f"POST /servers/{server}/maint") == HTTP_OK
         self.out_of_service.append(
@@ -124,14 +124,14 @@
         return sum(request.end is RequestEnd.SERVED for request in self.client.requests)
 
     async def wait_for_responses(self, more: int = 20, within_s: float = 10.0) -> None:
-        """Wait until `more` further requests were served.
+        """Wait until `more` further requests have been served.
 
         Raises:
-            TimeoutError: They were not within `within_s`.
+            TimeoutError: They were not served within `within_s` seconds.
         """
-        wanted = self.served() + more
+        target_count = self.served() + more
         async with asyncio.timeout(within_s):
-            while self.served() < wanted:
+            while self.served() < target_count:
                 await asyncio.sleep(0.005)
 
 
@@ -146,17 +146,17 @@
     seed: int = 1,
     trees: tuple[Path, ...] = (),
 ) -> AsyncIterator[HotRestartRig]:
-    """Run a sidecar under load during the block; load, processes and servers end with it.
+    """Run a sidecar under load during the block, and stop load, processes and servers at its end.
 
     Args:
         folder: Folder that the sidecar's processes share.
         rate: Requests per second.
-        new_connection_fraction: Fraction of the requests that come on new connections.
+        new_connection_fraction: Fraction of the requests that are sent on new connections.
         servers: Number of servers.
         memory_mb: Memory limit of the sidecar in megabytes.
         sockets: Descriptor limit of the sidecar.
         seed: Seed of the load.
-        trees: Checkouts whose programs the processes run, in turn; none for this one.
+        trees: Checkouts whose programs the processes run in rotation; empty for this checkout.
     """
     scenario = Scenario(
         [ServerTable("std", count=servers, cores=4)], CLASSES, LoadTable(rate=rate), seed=seed, span_s=60.0
@@ -170,7 +170,7 @@
         "name": "n0",
         "listen": f"{LOOPBACK}:0",
         "control": f"{LOOPBACK}:0",
-        "discovery": f"{LOOPBACK}:9",  # Nobody listens there: the first list stays valid.
+        "discovery": f"{LOOPBACK}:9",  # Nothing listens there: the initial list stays valid.
         "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": memory_mb, "sockets": sockets},
         "peers": [],
@@ -180,17 +180,17 @@
     member = Member(0, folder, data)
     member.trees = trees or member.trees
     client = Client(0, CLASSES, rate, generator(seed, "desk"), new_connection_fraction)
-    watch: asyncio.Task[None] | None = None
+    resource_watch: asyncio.Task[None] | None = None
     try:
         client.address = await member.begin()
-        watch = asyncio.get_running_loop().create_task(member.watch())
+        resource_watch = asyncio.get_running_loop().create_task(member.watch())
         rig = HotRestartRig(member, client, servers_by_name, truth)
         async with playing([client]):
             await rig.wait_for_responses()
             yield rig
     finally:
-        if watch is not None:
-            watch.cancel()
+        if resource_watch is not None:
+            resource_watch.cancel()
         for process in member.processes:
             if process.alive:
                 process.signal(signal.SIGCONT)
@@ -200,11 +200,11 @@
                 server.listening.close()
 
 
-Fault = Callable[[HotRestartRig], Awaitable[None]]
+HotRestartFault = Callable[[HotRestartRig], Awaitable[None]]
 
 
-async def alone(rig: HotRestartRig) -> None:
-    """No fault."""
+async def restart_without_fault(rig: HotRestartRig) -> None:
+    """Hot restart without a fault."""
     await rig.upgrade()
 
 
@@ -223,7 +223,7 @@
 
 
 async def new_killed_after_serving(rig: HotRestartRig) -> None:
-    """The newer process is killed after it has served."""
+    """The newer process is killed after it has served requests."""
     new = await rig.member.start()
     await rig.wait_until_ready(new)
     await rig.wait_for_responses(60)
@@ -248,7 +248,7 @@
 
 
 async def new_stopped_after_serving(rig: HotRestartRig) -> None:
-    """The newer process is paused after it has served."""
+    """The newer process is paused after it has served requests."""
     old, new = rig.member.living[-1], await rig.member.start()
     await rig.wait_until_ready(new)
     await rig.wait_for_responses(60)
@@ -273,7 +273,7 @@
 
 
 async def new_terminated_when_ready(rig: HotRestartRig) -> None:
-    """The newer process is terminated after it is ready: the older one serves again."""
+    """The newer process is terminated when it is ready; the older one serves the clients again."""
     new = await rig.member.start()
     await rig.wait_until_ready(new)
     await rig.end(new)
@@ -294,22 +294,22 @@
     await rig.wait_until_ready(new)
     old.terminate()
     await old.wait_for_line(SHUTDOWN_LINE)
-    await rig.stop(old, KILL_S)
+    await rig.stop(old, KILL_AFTER_S)
     rig.kill(old)
 
 
-async def old_stopped_at_the_start(rig: HotRestartRig) -> None:
+async def old_stopped_while_new_starts(rig: HotRestartRig) -> None:
     """The older process is paused while the newer one starts."""
     old = rig.member.living[-1]
-    begin = asyncio.get_running_loop().create_task(rig.stop(old))
+    pause_task = asyncio.get_running_loop().create_task(rig.stop(old))
     new = await rig.member.start()
     await rig.wait_until_ready(new)
-    await begin
+    await pause_task
     await rig.wait_for_responses()
     await rig.end(old)
 
 
-async def three_at_once(rig: HotRestartRig) -> None:
+async def second_upgrade_during_first(rig: HotRestartRig) -> None:
     """A second upgrade before the first has ended."""
     first = rig.member.living[-1]
     second = await rig.member.start()
@@ -320,8 +320,8 @@
     await asyncio.gather(rig.end(first), rig.end(second))
 
 
-FAULTS: dict[str, Fault] = {
-    "alone": alone,
+FAULTS: dict[str, HotRestartFault] = {
+    "alone": restart_without_fault,
     "new killed before it is ready": new_killed_before_ready,
     "new killed when it is ready": new_killed_when_ready,
     "new killed after it has served": new_killed_after_serving,
@@ -333,20 +333,20 @@
     "new terminated when it is ready": new_terminated_when_ready,
     "old killed while it ends": old_killed_while_it_ends,
     "old stopped while it ends": old_stopped_while_it_ends,
-    "old stopped at the start": old_stopped_at_the_start,
-    "three at once": three_at_once,
+    "old stopped at the start": old_stopped_while_new_starts,
+    "three at once": second_upgrade_during_first,
 }
 
 
 @dataclass(slots=True)
 class Row:
-    """Result of a number of hot restarts under one fault.
+    """Result of several hot restarts under one fault.
 
     Attributes:
         upgrades: Number of hot restarts.
         verdict: Verdict on all requests.
-        memory_mb: Largest memory of both processes together, in megabytes.
-        descriptors: Largest number of descriptors of both processes together.
+        memory_mb: Largest resident memory of both processes in total, in megabytes.
+        descriptors: Largest number of descriptors of both processes in total.
     """
 
     upgrades: int
@@ -358,7 +358,7 @@
 async def measure(
     folder: Path, fault: str, upgrades: int, seed: int = 1, trees: tuple[Path, ...] = ()
 ) -> Row:
-    """Play one kind of hot restart repeatedly under load, each from a sidecar of one process."""
+    """Run one kind of hot restart repeatedly under load, each starting from a sidecar with one process."""
     async with hot_restart_rig(folder, seed=seed, trees=trees) as rig:
         for _ in range(upgrades):
             await FAULTS[fault](rig)
--- a/tests/lab/test_collector.py
+++ b/tests/lab/test_collector.py
@@ -1,4 +1,4 @@
-"""The garbage collector stays out of what a rig measures."""
+"""A rig runs no full garbage collection during a measurement, which would make it late itself."""
 
 import gc
 
@@ -11,13 +11,13 @@
 
 
 @async_test
-async def test_no_collection_begins_while_a_rig_is_measured():
+async def test_collector_is_disabled_while_rig_is_open():
     async with rigged(FleetScenario(FleetTable(members=1))):
         assert not gc.isenabled()
     assert gc.isenabled()
 
 
-def test_what_is_garbage_before_the_span_is_collected_ahead_of_it():
+def test_earlier_garbage_is_collected_before_block_begins():
     cycle = []
     cycle.append(cycle)
     del cycle
@@ -25,7 +25,7 @@
         assert gc.collect() == 0
 
 
-def test_a_caller_that_had_paused_it_finds_it_paused():
+def test_collector_disabled_by_caller_stays_disabled():
     gc.disable()
     try:
         with collector_paused():
@@ -35,7 +35,7 @@
         gc.enable()
 
 
-def test_it_goes_on_after_an_error():
+def test_collector_is_enabled_again_after_error_in_block():
     with pytest.raises(ValueError, match="broken"), collector_paused():
         raise ValueError("broken")
     assert gc.isenabled()
--- a/tests/lab/test_compiled_tree.py
+++ b/tests/lab/test_compiled_tree.py
@@ -1,4 +1,4 @@
-"""The rig's processes start from a compiled copy of the program."""
+"""The rig's processes start from a compiled copy of the program, so that their starts do not compile it."""
 
 import os
 import sys
@@ -12,7 +12,7 @@
 from dykefold.lab.fleet.upgrades import hot_restart_rig
 
 
-def test_the_copy_is_made_once_with_the_same_sources_and_bytecode_for_each():
+def test_copy_is_made_once_and_has_bytecode_for_each_source():
     copy = compiled_tree(OWN_TREE)
     assert compiled_tree(OWN_TREE) is copy
     sources = {path.relative_to(copy) for path in copy.rglob("*.py")}
@@ -23,7 +23,7 @@
         assert bytecode.exists()
 
 
-def test_a_checkout_with_no_program_is_an_error(tmp_path):
+def test_checkout_without_program_raises_error(tmp_path):
     with pytest.raises(OSError, match="dykefold"):
         compiled_tree(tmp_path)
 
@@ -34,8 +34,8 @@
 
 @pytest.mark.processes
 @async_test
-async def test_a_member_runs_the_copy_at_the_rig_s_own_priority(tmp_path):
-    async with hot_restart_rig(tmp_path) as one:
-        pid = one.member.living[-1].pid
+async def test_member_runs_compiled_copy_at_priority_of_rig(tmp_path):
+    async with hot_restart_rig(tmp_path) as rig:
+        pid = rig.member.living[-1].pid
         assert working_folder(pid) == compiled_tree(OWN_TREE).resolve()
         assert os.getpriority(os.PRIO_PROCESS, pid) == os.getpriority(os.PRIO_PROCESS, 0)
--- a/tests/lab/test_fleet_report.py
+++ b/tests/lab/test_fleet_report.py
@@ -1,4 +1,4 @@
-"""The JSON report of the rig: its keys are an interface for programs."""
+"""The keys of the rig's JSON report are read by other programs, so they must stay."""
 
 from dykefold.lab.fleet.judge import SlowStartLoad, Verdict
 from dykefold.lab.fleet.report import (
@@ -48,8 +48,8 @@
 SLOW_START_KEYS = ["load", "age_s", "allowed", "calls", "notified", "sidecars", "openers", "repeats", "most"]
 
 
-def test_json_report_has_the_keys_and_figures_of_earlier_versions():
-    worst = SlowStartLoad(0.5, 1.0, 8.0, 9, 6, 3, 2, 1, 4)
+def test_json_report_has_stable_keys_and_values():
+    load = SlowStartLoad(0.5, 1.0, 8.0, 9, 6, 3, 2, 1, 4)
     result = FleetRunResult(
         Verdict(counts={"served": 2}),
         [0.25, None, 0.5],
@@ -59,7 +59,7 @@
         ConnectionStats(7, 2),
         LoadStats([1, 2], [1, 1]),
         ZoneStats([0.0, 0.5], 1),
-        SlowStartStats(0.3, 0.2, worst, worst, worst),
+        SlowStartStats(0.3, 0.2, load, load, load),
         MembershipStats(11, 99, [], 1.5),
     )
     report = result.as_json()
@@ -69,4 +69,4 @@
     assert (report["ready"], report["ready_s"], report["listed_s"]) == (2, [0.5, 0.5], [0.5, 0.5])
     assert (report["list_calls"], report["list_calls_most_in_a_second"]) == (8, 5)
     assert (report["asked_by_second"], report["served_by_second"]) == ([1, 2], [1, 1])
-    assert not result.passed  # One member never listened.
+    assert not result.passed  # The second member never listened.
--- a/tests/lab/test_in_time.py
+++ b/tests/lab/test_in_time.py
@@ -1,25 +1,28 @@
-"""What the machine's lateness made void is played again, a bounded number of times, and then fails."""
+"""A run that a late machine made invalid is repeated a limited number of times; then the test fails.
+
+Without the limit, or with a pass after it, a machine that is always late would hide broken rules.
+"""
 
 import pytest
 from process_helpers import MAX_RUNS, first_valid_run
 
 
-@pytest.mark.parametrize("late", range(MAX_RUNS + 1))
-def test_void_play_is_repeated_and_never_passes(late):
-    plays = []
+@pytest.mark.parametrize("late_runs", range(MAX_RUNS + 1))
+def test_invalid_run_is_repeated_and_fails_after_max_runs(late_runs):
+    runs = []
 
-    def play_once():
-        plays.append(len(plays))
-        return plays[-1], f"late {plays[-1]}" if len(plays) <= late else None
+    def run_once():
+        runs.append(len(runs))
+        return runs[-1], f"late {runs[-1]}" if len(runs) <= late_runs else None
 
-    if late < MAX_RUNS:
-        assert first_valid_run(play_once) == late
+    if late_runs < MAX_RUNS:
+        assert first_valid_run(run_once) == late_runs
     else:
         with pytest.raises(pytest.fail.Exception, match=r"late in each of 3 runs: .*late 0.*late 2"):
-            first_valid_run(play_once)
-    assert len(plays) == min(late + 1, MAX_RUNS)
+            first_valid_run(run_once)
+    assert len(runs) == min(late_runs + 1, MAX_RUNS)
 
 
-def test_what_holds_on_a_late_machine_too_fails_in_the_play_that_shows_it():
+def test_failure_within_a_run_fails_without_another_run():
     with pytest.raises(pytest.fail.Exception, match="broken"):
         first_valid_run(lambda: pytest.fail("broken", pytrace=False))
