--- a/dykefold/lab/fleet/fault_injection.py
+++ b/dykefold/lab/fleet/fault_injection.py
@@ -62,11 +62,11 @@
             "upgrade": rig.upgrade,
         }
 
-    async def play(self, fault: FaultTable) -> None:
+    async def inject(self, fault: FaultTable) -> None:
         """Inject one fault at its time, and wait for its end."""
         await asyncio.sleep(fault.at_s)
         if fault.kind in MEMBER_FAULTS:
-            await self._play_on_members(fault)
+            await self._inject_into_members(fault)
             return
         if fault.kind == "flood":
             await self._flood(fault)
@@ -100,7 +100,7 @@
             flood.cancel()
         self._record_end(fault.at_s + fault.for_s)
 
-    async def _play_on_members(self, fault: FaultTable) -> None:
+    async def _inject_into_members(self, fault: FaultTable) -> None:
         """Kill, stop, terminate or upgrade a random fraction of some members, in steps."""
         action = self._member_actions[fault.kind]
         members = self.scenario.members_of(fault.of)
--- a/dykefold/lab/fleet/judge.py
+++ b/dykefold/lab/fleet/judge.py
@@ -105,14 +105,14 @@
     for server, server_arrivals in arrivals.items():
         for arrival in server_arrivals:
             attempts_by_request.setdefault(arrival.ident, []).append((server, arrival))
-    excused = list(fault_intervals)
+    excusing_intervals = list(fault_intervals)
     for request in requests:
         verdict.counts[request.end] = verdict.counts.get(request.end, 0) + 1
         attempts = attempts_by_request.get(request.ident, [])
         lost = request.end in (RequestEnd.LOST, RequestEnd.LATE, RequestEnd.OPEN) or (
             request.end is RequestEnd.CROSSED and bool(attempts)
         )
-        if lost and _is_excused(request, excused):
+        if lost and _is_excused(request, excusing_intervals):
             verdict.excused += 1
         elif lost:
             verdict.lost.append(request.ident)
@@ -129,7 +129,7 @@
                 late_ms = (arrival.came_s - interval.from_s) * 1000
                 verdict.violations.append(
                     f"request {arrival.ident} reached server {interval.server}, which was out of service, "
-                    f"{late_ms:.0f} ms after the end of the drain grace period; expected none after it"
+                    f"{late_ms:.0f} ms after the end of the drain grace period; expected no attempt after it"
                 )
     _measure_gap(verdict, requests)
     return verdict
@@ -162,7 +162,7 @@
     if table.effect == "unsafe" and len(executions) > 1:
         violations.append(
             f"request {request.ident} (unsafe class {request.cls}) was executed {len(executions)} times; "
-            f"expected at most once: {executed_at}"
+            f"expected at most once; executions: {executed_at}"
         )
     # The window counts between arrivals: attempts that a cut has delayed are executed later, and cannot be
     # cancelled.
@@ -174,17 +174,17 @@
     ):
         violations.append(
             f"request {request.ident} (keyed class {request.cls}) was executed again after its retry window; "
-            f"expected all attempts within it: {executed_at}"
+            f"expected all attempts within it; executions: {executed_at}"
         )
     if request.end is RequestEnd.SERVED and (request.body != request.ident or not executions):
         violations.append(
             f"request {request.ident} was answered as served with body {request.body!r}; "
-            f"expected its id as body and an execution: {executed_at}"
+            f"expected its id as body and an execution; executions: {executed_at}"
         )
     if request.end is RequestEnd.REFUSED and table.effect == "unsafe" and executions:
         violations.append(
             f"request {request.ident} (unsafe class {request.cls}) was refused although it was executed; "
-            f"expected no execution: {executed_at}"
+            f"expected no execution; executions: {executed_at}"
         )
     return violations
 
--- a/dykefold/lab/fleet/rig.py
+++ b/dykefold/lab/fleet/rig.py
@@ -1,4 +1,4 @@
-"""The parts of a scenario while it is played: servers, list service, network, members and clients."""
+"""The parts of a running scenario: servers, list service, network, members and clients."""
 
 from __future__ import annotations
 
--- a/dykefold/lab/fleet/run.py
+++ b/dykefold/lab/fleet/run.py
@@ -46,12 +46,12 @@
 
 
 async def play(scenario: FleetScenario) -> FleetRunResult:
-    """Run a scenario once."""
+    """ScenarioRun a scenario once."""
     async with rigged(scenario) as rig:
-        return await Run(rig).play()
+        return await ScenarioRun(rig).run()
 
 
-class Run:
+class ScenarioRun:
     """One run of a scenario on a rig.
 
     Args:
@@ -65,7 +65,7 @@
         self.lag = LagStats()
         self.load_began_s = 0.0
 
-    async def play(self) -> FleetRunResult:
+    async def run(self) -> FleetRunResult:
         """Start all members at once, run the load, inject the faults, and return the judged result."""
         rig = self.rig
         lag_task = rig.loop.create_task(rig.lag.run())
@@ -93,11 +93,11 @@
         await asyncio.wait(starts, timeout=READY_TIMEOUT_S)
 
     async def _load_members(self) -> None:
-        """Run the load and the faults, and wait until the membership has settled after them."""
+        """ScenarioRun the load and the faults, and wait until the membership has settled after them."""
         rig = self.rig
         sampler_task = rig.loop.create_task(rig.sampler.run()) if rig.sampler is not None else None
         load_tasks = [rig.loop.create_task(client.play()) for client in rig.clients]
-        fault_tasks = [rig.loop.create_task(self.faults.play(fault)) for fault in self.scenario.faults]
+        fault_tasks = [rig.loop.create_task(self.faults.inject(fault)) for fault in self.scenario.faults]
         await asyncio.sleep(self.scenario.span_s)
         for load_task in load_tasks:
             load_task.cancel()
--- a/dykefold/lab/fleet/scenario.py
+++ b/dykefold/lab/fleet/scenario.py
@@ -33,7 +33,7 @@
     """`[fleet]`: the sidecars, one process each, and the servers.
 
     Attributes:
-        members: Number of sidecars; they are assigned to the zones in turn.
+        members: Number of sidecars; they are assigned to the zones round-robin.
         zones: Names of the zones.
         servers: Number of servers in each zone.
         cores: Cores of a server.
