--- a/tests/lab/test_fleet_rig.py
+++ b/tests/lab/test_fleet_rig.py
@@ -67,7 +67,7 @@
                 await reader.readexactly(1)
         link.heal(False, True)
         assert await reader.readexactly(4) == b"four"
-        link.shut()
+        link.stop_listening()
         with pytest.raises(ConnectionRefusedError):
             await connect(link)
         for open_writer in (writer, new_writer):
