--- a/dykefold/sim/network.py
+++ b/dykefold/sim/network.py
@@ -58,7 +58,7 @@
         cut: Pairs of hosts that are partitioned; segments sent between them wait in `stuck`.
         stuck: Deliveries delayed by a partition, in order, by pair of hosts.
         extra_latency_ns: Added latency by pair of hosts, in nanoseconds.
-        passes: Returns whether a datagram from one host reaches another.
+        datagram_passes: Returns whether a datagram from one host reaches another.
         clock_steps_ns: Error of the wall clock by host, in nanoseconds.
     """
 
@@ -78,7 +78,7 @@
         self.cut: set[frozenset[str]] = set()
         self.stuck: dict[frozenset[str], list[Callable[[], None]]] = {}
         self.extra_latency_ns: dict[frozenset[str], int] = {}
-        self.passes: Callable[[str, str], bool] = lambda _from, _to: True
+        self.datagram_passes: Callable[[str, str], bool] = lambda _from, _to: True
         self.failing = FailingCalls(kernel.seed)
         self.clock_steps_ns: dict[str, int] = {}
         self.last_descriptor = 0
@@ -333,7 +333,7 @@
         hosts = frozenset((sender.loop.host, self.owners.get(address[0], address[0])))
         # The range is wide enough to reorder datagrams.
         delay_ns = int(NS_PER_MS * (1 + 20 * self.random.random()))
-        if hosts not in self.cut and self.passes(sender.loop.host, self.owners.get(address[0], "")):
+        if hosts not in self.cut and self.datagram_passes(sender.loop.host, self.owners.get(address[0], "")):
             self.kernel.after(delay_ns, self._datagram_arrives, data, sender.local, address)
 
     def _datagram_arrives(self, data: bytes, source: Address, address: Address) -> None:
--- a/dykefold/sim/network_faults.py
+++ b/dykefold/sim/network_faults.py
@@ -65,12 +65,12 @@
             sender_group, receiver_group = group_of.get(sender, 0), group_of.get(receiver, 0)
             return sender_group == receiver_group or (one_way and sender_group < receiver_group)
 
-        self.network.passes = passes
+        self.network.datagram_passes = passes
         self.at_end(fault, self._end_datagram_partition, passes)
 
     def _end_datagram_partition(self, passes: Callable[[str, str], bool]) -> None:
-        if self.network.passes is passes:  # Otherwise a later fault of this kind has replaced it.
-            self.network.passes = lambda _from, _to: True
+        if self.network.datagram_passes is passes:  # Otherwise a later fault of this kind has replaced it.
+            self.network.datagram_passes = lambda _from, _to: True
             self.world.membership_disturbed()
 
     # Descriptors and system calls
--- a/tests/sim/test_reality.py
+++ b/tests/sim/test_reality.py
@@ -1,5 +1,6 @@
-"""Compares one world on the virtual network with the same world on loopback: the outcomes of each class agree
-within a tolerance. Guards against a simulation that differs from real sockets and a real event loop.
+"""One world on the virtual network and on loopback: the outcomes of each class agree within a tolerance.
+
+Guards against a simulation that behaves differently from real sockets and a real event loop.
 """
 
 import asyncio
