--- a/dykefold/lab/__init__.py
+++ b/dykefold/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory: a parts platform of one's own on loopback, open-loop load, and what came of a run."""
+"""Laboratory: an emulated parts platform on loopback, an open-loop load generator, and the judge of a run."""
--- a/dykefold/lab/arrivals.py
+++ b/dykefold/lab/arrivals.py
@@ -1,4 +1,4 @@
-"""When requests come and how long their work takes. No I/O: all is drawn before a run begins."""
+"""Arrival times and service times of requests. No I/O: everything is drawn before a run starts."""
 
 from __future__ import annotations
 
@@ -8,46 +8,48 @@
 
 from .scenario import LoadTable, ServiceTable
 
-BURST_PART = 0.2  # of the time is a burst, where load is bursty
+BURST_FRACTION = 0.2  # Fraction of the time that `bursty` load spends in bursts.
 
 
 def arrival_times(load: LoadTable, span_s: float, generator: np.random.Generator) -> np.ndarray:
-    """Times of arrivals from 0 to `span_s`, seconds, in order.
+    """Return the arrival times from 0 to `span_s`, in seconds and in ascending order.
 
-    A Poisson process whose rate may change, by thinning (Lewis and Shedler, 1979): candidates come at the
-    highest rate, and one at time t is kept with probability rate(t) / highest.
+    Draws a Poisson process with a variable rate by thinning (Lewis and Shedler, 1979): candidates arrive at
+    the maximum rate, and a candidate at time t is accepted with probability rate(t) / maximum rate.
     """
-    highest = load.rate if load.kind == "poisson" else max(load.rate, load.peak)
-    count = generator.poisson(highest * span_s)
+    max_rate = load.rate if load.kind == "poisson" else max(load.rate, load.peak)
+    count = generator.poisson(max_rate * span_s)
     times = np.sort(generator.uniform(0.0, span_s, count))
     if load.kind == "poisson":
         return times
-    rates = _rates(load, span_s, times, generator)
-    return times[generator.uniform(0.0, highest, count) < rates]
+    rates = _rates_at(load, span_s, times, generator)
+    return times[generator.uniform(0.0, max_rate, count) < rates]
 
 
-def _rates(load: LoadTable, span_s: float, times: np.ndarray, generator: np.random.Generator) -> np.ndarray:
+def _rates_at(
+    load: LoadTable, span_s: float, times: np.ndarray, generator: np.random.Generator
+) -> np.ndarray:
     if load.kind == "step":
         return np.where(times >= load.at_s, load.peak, load.rate)
     if load.kind == "ramp":
         return load.rate + (load.peak - load.rate) * times / span_s
     if load.kind == "sine":
-        height = load.peak - load.rate
-        return np.maximum(load.rate + height * np.sin(2 * math.pi * times / load.period_s), 0.0)
-    # Bursty: two states that last an exponential time each (a Markov-modulated Poisson process).
-    quiet = max((load.rate - BURST_PART * load.peak) / (1 - BURST_PART), 0.0)
-    edges, at_s, bursts = [0.0], 0.0, [False]
+        amplitude = load.peak - load.rate
+        return np.maximum(load.rate + amplitude * np.sin(2 * math.pi * times / load.period_s), 0.0)
+    # Bursty: two states, each of exponential duration (a Markov-modulated Poisson process).
+    quiet_rate = max((load.rate - BURST_FRACTION * load.peak) / (1 - BURST_FRACTION), 0.0)
+    state_starts_s, at_s, burst_states = [0.0], 0.0, [False]
     while at_s < span_s:
-        part = BURST_PART if bursts[-1] else 1 - BURST_PART
-        at_s += generator.exponential(load.period_s * part)
-        edges.append(at_s)
-        bursts.append(not bursts[-1])
-    inside = np.searchsorted(edges, times, side="right") - 1
-    return np.where(np.array(bursts)[inside], load.peak, quiet)
+        fraction = BURST_FRACTION if burst_states[-1] else 1 - BURST_FRACTION
+        at_s += generator.exponential(load.period_s * fraction)
+        state_starts_s.append(at_s)
+        burst_states.append(not burst_states[-1])
+    state_indexes = np.searchsorted(state_starts_s, times, side="right") - 1
+    return np.where(np.array(burst_states)[state_indexes], load.peak, quiet_rate)
 
 
 def service_times(table: ServiceTable, count: int, generator: np.random.Generator) -> np.ndarray:
-    """So many service times on a core of speed 1, seconds; each kind has the mean that the table states."""
+    """Return `count` service times in seconds on a core of speed 1; each kind has the mean of the table."""
     mean_s = table.mean_ms / 1000.0
     if table.kind == "constant":
         return np.full(count, mean_s)
--- a/dykefold/lab/emulator/__init__.py
+++ b/dykefold/lab/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""A parts platform by real sockets, with the truth of what ran."""
+"""An emulated parts platform on real sockets, which records every attempt that reaches its servers."""
--- a/dykefold/lab/emulator/__main__.py
+++ b/dykefold/lab/emulator/__main__.py
@@ -1,7 +1,7 @@
-"""`python -m dykefold.lab.emulator SCENARIO`: the platform as a process.
+"""`python -m dykefold.lab.emulator SCENARIO`: the emulated platform as a process.
 
-It prints the servers' ports as JSON, begins to play faults after a line on standard input, and prints the
-recorded attempts as JSON when standard input ends.
+It prints the servers' ports as JSON, schedules the faults after a line on standard input, and prints the
+recorded attempts as JSON when standard input is closed.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 from .server import Server, Truth
 
 
-async def play(scenario: Scenario) -> None:
-    """Serve until standard input ends."""
+async def serve(scenario: Scenario) -> None:
+    """Run the servers of a scenario until standard input is closed."""
     loop = asyncio.get_running_loop()
     truth = Truth()
     servers = {name: Server(scenario, name, truth) for name in scenario.server_names()}
@@ -39,4 +39,4 @@
 
 
 if __name__ == "__main__":
-    uvloop.run(play(read_scenario(sys.argv[1])))
+    uvloop.run(serve(read_scenario(sys.argv[1])))
--- a/dykefold/lab/emulator/server.py
+++ b/dykefold/lab/emulator/server.py
@@ -1,7 +1,7 @@
-"""A server of the emulated platform: the platform's HTTP/1.1 in front of a `QueueingModel`.
+"""Server of the emulated platform: the platform's HTTP/1.1 in front of a `QueueingModel`.
 
 It records each attempt of each request id, when its work began and ended, and how it was answered. Work that
-has begun continues even if the client has gone (PROTOCOL, time-outs).
+has begun continues even if the client closes its connection (PROTOCOL, time-outs).
 """
 
 from __future__ import annotations
@@ -20,24 +20,24 @@
 from ..random_streams import generator
 from ..scenario import FaultTable, Scenario
 
-DRAWS = 4096  # Service times drawn at once; drawing each by itself would take a microsecond.
+SERVICE_TIME_BATCH = 4096  # Service times per draw; drawing each one separately would take a microsecond.
 NO_LINGER = struct.pack("ii", 1, 0)
-TCP_INFO_BYTES = 60  # Of Linux `struct tcp_info`, as far as it is read here.
-LAST_DATA_RECEIVED_OFFSET = 52  # Of `tcpi_last_data_recv`, milliseconds.
+TCP_INFO_BYTES = 60  # Leading bytes of Linux `struct tcp_info` that are read here.
+LAST_DATA_RECEIVED_OFFSET = 52  # Of `tcpi_last_data_recv`, which is in milliseconds.
 
 
 @dataclass(slots=True)
 class Arrival:
-    """What became of one attempt.
+    """Record of one attempt.
 
     Attributes:
-        ident: The request's id, as its client chose it.
+        ident: Id of the request, chosen by its client.
         cls: Name of the request's class.
-        came_s: When its last byte arrived, in seconds on the process's monotonic clock.
-        began_s: When its work began, on the same clock; None if it never ran.
-        ended_s: When its work ended; None if it did not.
-        answer: How it was answered: served, full, garbage, reset or lost; empty if nothing was sent.
-        overlaps: Whether an earlier attempt of its request was still on an open connection.
+        came_s: Arrival time of its last byte, in seconds on the process's monotonic clock.
+        began_s: Time at which its work began, on the same clock; None if it never ran.
+        ended_s: Time at which its work ended, on the same clock; None if it did not.
+        answer: Kind of its answer: served, full, garbage, reset or lost; empty if there was none.
+        overlaps: Whether an earlier attempt of its request was still pending on an open connection.
     """
 
     ident: str
@@ -49,7 +49,7 @@
     overlaps: bool = False
 
     def shift(self, start_s: float) -> None:
-        """Count all times from `start_s`; what was earlier becomes negative."""
+        """Make all times relative to `start_s`; earlier times become negative."""
         self.came_s -= start_s
         if self.began_s is not None:
             self.began_s -= start_s
@@ -62,7 +62,7 @@
     """Record of every attempt that reached any server.
 
     Attributes:
-        arrivals: Attempts by name of the server.
+        arrivals: Attempts by server name.
         pending: Connections with an unanswered attempt, by request id.
     """
 
@@ -73,33 +73,33 @@
         """Record an attempt; return whether an earlier one of its request is on an open connection."""
         open_connections = [other for other in self.pending.get(ident, ()) if other.is_open()]
         self.pending[ident] = [*open_connections, connection]
-        return any(not connection.ended_before(other) for other in open_connections)
+        return any(not connection.closed_before(other) for other in open_connections)
 
     def on_end(self, ident: str, connection: Connection) -> None:
-        """Record that an attempt was answered, or that its connection was lost."""
+        """Remove an attempt that was answered or whose connection was lost."""
         others = [other for other in self.pending.pop(ident, ()) if other is not connection]
         if others:
             self.pending[ident] = others
 
     def effects(self) -> dict[str, list[tuple[float, str]]]:
-        """Return by request id the time and server of each beginning of its work."""
-        found: dict[str, list[tuple[float, str]]] = {}
+        """Return the start time and server of each execution, by request id."""
+        executions: dict[str, list[tuple[float, str]]] = {}
         for server, arrivals in self.arrivals.items():
             for arrival in arrivals:
                 if arrival.began_s is not None:
-                    found.setdefault(arrival.ident, []).append((arrival.began_s, server))
-        return found
+                    executions.setdefault(arrival.ident, []).append((arrival.began_s, server))
+        return executions
 
 
 class Connection(asyncio.Protocol):
-    """A connection of a sidecar or client, with one request at a time (PROTOCOL).
+    """Connection of a sidecar or client, with one request at a time (PROTOCOL).
 
     Args:
-        server: The server.
+        server: Server that accepted the connection.
 
     Attributes:
         ident: Id of the unanswered request; empty if there is none.
-        came_s: Time of arrival of the bytes being read, if they waited for the end of a cut; else None.
+        came_s: Arrival time of the bytes being read if a network cut delayed them, in seconds; else None.
     """
 
     def __init__(self, server: Server) -> None:
@@ -117,7 +117,7 @@
         self.server.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the connection."""
+        """Remove the connection and its pending attempt."""
         self.server.connections.discard(self)
         self.server.truth.on_end(self.ident, self)
         del self.parser
@@ -130,11 +130,11 @@
             self.transport.abort()
 
     def on_url(self, url: bytes) -> None:
-        """Collect the target."""
+        """Append a piece of the request target."""
         self.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header."""
+        """Store a header under its lowercase name."""
         self.headers[name.lower()] = value
 
     def on_message_complete(self) -> None:
@@ -144,19 +144,19 @@
         self.server.on_request(self, target, headers)
 
     def is_open(self) -> bool:
-        """Return whether the peer has not closed it, as the kernel knows; the event loop may not know yet."""
+        """Return whether the peer has not closed it according to the kernel; the event loop may be behind."""
         sock = self.transport.get_extra_info("socket")
         if sock is None or self.transport.is_closing():
             return False
-        with socket.socket(fileno=os.dup(sock.fileno())) as same:
+        with socket.socket(fileno=os.dup(sock.fileno())) as duplicate:
             try:
-                return bool(same.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
+                return bool(duplicate.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
             except BlockingIOError:
                 return True
             except OSError:
                 return False
 
-    def ended_before(self, other: Connection) -> bool:
+    def closed_before(self, other: Connection) -> bool:
         """Return whether the peer closed this connection before it sent its request to `other`.
 
         After a pause of the event loop, requests are read in any order: the earlier one may be read last.
@@ -164,14 +164,14 @@
         return not self.is_open() and self.idle_ms() > other.idle_ms()
 
     def idle_ms(self) -> int:
-        """Return the milliseconds since the kernel received the latest bytes of the peer."""
+        """Return the time since the kernel received the latest bytes from the peer, in milliseconds."""
         sock = self.transport.get_extra_info("socket")
-        information = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
-        (idle_ms,) = struct.unpack_from("=I", information, LAST_DATA_RECEIVED_OFFSET)
+        tcp_info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
+        (idle_ms,) = struct.unpack_from("=I", tcp_info, LAST_DATA_RECEIVED_OFFSET)
         return int(idle_ms)
 
     def answer(self, code: int, body: bytes, lines: bytes = b"") -> None:
-        """Answer the open request, unless the connection is closing."""
+        """Answer the pending request, unless the connection is closing."""
         self.server.truth.on_end(self.ident, self)
         if not self.transport.is_closing():
             head = b"HTTP/1.1 %d X\r\n%sContent-Length: %d\r\n\r\n" % (code, lines, len(body))
@@ -185,20 +185,20 @@
 
 
 class Server:
-    """An emulated server. It keeps its port while it is down.
+    """An emulated server. A restart after a crash listens on the same port.
 
     Args:
-        scenario: The scenario.
-        name: Name of the server, NAME-NUMBER of its kind.
+        scenario: Scenario to which the server belongs.
+        name: Name of the server, as NAME-NUMBER.
         truth: Record of all attempts.
 
     Attributes:
         queue: Queueing model of the server.
-        faults: Faults that hold now.
+        faults: Faults that are active now.
         arrivals: Attempts that reached this server.
         connections: Open connections.
-        started_s: Event loop time of the latest start, in seconds; far in the past for a warm server.
-        incarnation: Number of crashes; work of an earlier incarnation is lost.
+        started_s: Event loop time of the latest start, in seconds; far in the past for a warmed-up server.
+        incarnation: Number of crashes; work of earlier incarnations is lost.
         port: Port on loopback; 0 before the first `listen`.
     """
 
@@ -222,14 +222,14 @@
         self.port = 0
 
     async def listen(self) -> None:
-        """Listen, at the same port as before if there was one."""
+        """Start to listen, on the previous port if there was one."""
         self.listening = await self.loop.create_server(lambda: Connection(self), "127.0.0.1", self.port)
         self.port = self.listening.sockets[0].getsockname()[1]
 
     # Work
 
     def on_request(self, connection: Connection, target: bytes, headers: dict[bytes, bytes]) -> None:
-        """Serve, queue or reject a complete request."""
+        """Start, queue or reject a complete request."""
         if target.startswith(b"/-/"):
             connection.answer(200, b"ready")
             return
@@ -242,48 +242,48 @@
         connection.ident = ident
         arrival.overlaps = self.truth.on_arrival(ident, connection)
         self.arrivals.append(arrival)
-        if self._holds("silence"):
+        if self._active_fault("silence"):
             return
         job = (connection, arrival, self._service_s(cls))
-        begins = None if self._holds("full") else self.queue.arrive(job)
-        if begins is None:
+        starts_now = None if self._active_fault("full") else self.queue.arrive(job)
+        if starts_now is None:
             arrival.answer = "full"
             connection.answer(503, b"full", b"X-Not-Run: 1\r\n")
-        elif begins:
-            self._begin(job)
+        elif starts_now:
+            self._start_work(job)
 
     def _service_s(self, cls: str) -> float:
         draws = self.draws.get(cls)
         if not draws:
-            drawn: np.ndarray = service_times(self.classes[cls].service, DRAWS, self.rng)
+            drawn: np.ndarray = service_times(self.classes[cls].service, SERVICE_TIME_BATCH, self.rng)
             draws = self.draws[cls] = drawn.tolist()
         return draws.pop() / self.table.speed
 
-    def _begin(self, job: tuple[Connection, Arrival, float]) -> None:
+    def _start_work(self, job: tuple[Connection, Arrival, float]) -> None:
         now = job[1].began_s = self.loop.time()
-        took = job[2] / self._part(now)
-        slow = self._holds("slow")
+        duration_s = job[2] / self._speed_fraction(now)
+        slow = self._active_fault("slow")
         if slow is not None:
-            took *= slow.factor
-        self.loop.call_later(took, self._finish, job, self.incarnation)
+            duration_s *= slow.factor
+        self.loop.call_later(duration_s, self._finish, job, self.incarnation)
 
-    def _part(self, now: float) -> float:
-        """Return the fraction of its speed that the server has now."""
+    def _speed_fraction(self, now: float) -> float:
+        """Return the fraction of its full speed that the server has at `now`."""
         if self.table.warm_s <= 0:
             return 1.0
-        warm = min((now - self.started_s) / self.table.warm_s, 1.0)
-        return self.table.cold_share + (1.0 - self.table.cold_share) * warm
+        progress = min((now - self.started_s) / self.table.warm_s, 1.0)
+        return self.table.cold_share + (1.0 - self.table.cold_share) * progress
 
-    def _finish(self, job: tuple[Connection, Arrival, float], life: int) -> None:
-        if life != self.incarnation:
+    def _finish(self, job: tuple[Connection, Arrival, float], incarnation: int) -> None:
+        if incarnation != self.incarnation:
             return  # The work was lost in a crash.
         connection, arrival, _ = job
         arrival.ended_s = self.loop.time()
-        following = self.queue.finish()
-        if following is not None:
-            self._begin(following)
+        next_job = self.queue.finish()
+        if next_job is not None:
+            self._start_work(next_job)
         for kind in ("lost", "reset", "garbage"):
-            fault = self._holds(kind)
+            fault = self._active_fault(kind)
             if fault is not None and self.rng.random() < fault.share:
                 arrival.answer = kind
                 break
@@ -298,19 +298,19 @@
 
     # Faults
 
-    def _holds(self, kind: str) -> FaultTable | None:
+    def _active_fault(self, kind: str) -> FaultTable | None:
         return next((fault for fault in self.faults if fault.kind == kind), None)
 
     def fault(self, fault: FaultTable) -> None:
-        """Begin a fault, which ends by itself after its duration."""
+        """Begin a fault, and schedule its end."""
         self.faults.append(fault)
-        self.loop.call_later(fault.for_s, self._end, fault)
+        self.loop.call_later(fault.for_s, self._end_fault, fault)
         if fault.kind == "crash":
             self.crash()
 
-    def _end(self, fault: FaultTable) -> None:
+    def _end_fault(self, fault: FaultTable) -> None:
         self.faults.remove(fault)
-        if fault.kind == "crash" and not self._holds("crash"):
+        if fault.kind == "crash" and not self._active_fault("crash"):
             self.started_s = self.loop.time()
             self.starting = self.loop.create_task(self.listen())
 
--- a/dykefold/lab/judge.py
+++ b/dykefold/lab/judge.py
@@ -1,4 +1,4 @@
-"""Result of a run: service by class, and the rules judged from the servers' records. No I/O."""
+"""Result of a run: outcomes by class, and violations of the rules in the servers' records. No I/O."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from .scenario import Scenario
 
-MAX_LAG_US = 20_000  # At the 99th percentile of the load tool; a run with more is void.
+MAX_LAG_US = 20_000  # Lateness of the load generator at its 99th percentile; a run with more is invalid.
 PERCENTILES = (50.0, 99.0, 99.9)
 ENDS = ("in_aim", "late", "refused", "failed", "unanswered", "unsent")
 
@@ -19,9 +19,9 @@
     """Result of one class.
 
     Attributes:
-        counts: Number of requests by how they ended.
+        counts: Number of requests by outcome (`ENDS`).
         latency: Latencies of served requests in microseconds.
-        by_second: Number of requests by second of the intended start and by how they ended.
+        by_second: Number of requests by second of the intended start and by outcome.
     """
 
     counts: Counter[str]
@@ -30,7 +30,10 @@
 
     def percentiles_ms(self) -> dict[str, float]:
         """Return the latencies in milliseconds at `PERCENTILES`."""
-        return {f"p{at:g}": self.latency.get_value_at_percentile(at) / 1000 for at in PERCENTILES}
+        return {
+            f"p{percentile:g}": self.latency.get_value_at_percentile(percentile) / 1000
+            for percentile in PERCENTILES
+        }
 
 
 @dataclass(slots=True)
@@ -39,8 +42,8 @@
 
     Attributes:
         classes: Result of each class, by name.
-        lag_ms: 99th percentile of the load tool's own lateness, in milliseconds.
-        violations: Violations of the rules, one line each.
+        lag_ms: 99th percentile of the load generator's own lateness, in milliseconds.
+        violations: Violations of the rules, one sentence each.
         attempts: Number of attempts that reached a server.
         shares: Number of attempts by server.
     """
@@ -53,18 +56,18 @@
 
     @property
     def valid(self) -> bool:
-        """Whether the tool was late by at most `MAX_LAG_US` and has sent every request."""
+        """Whether the load generator was late by at most `MAX_LAG_US` and sent every request."""
         unsent = sum(result.counts["unsent"] for result in self.classes.values())
         return self.lag_ms * 1000 <= MAX_LAG_US and not unsent
 
 
 def judge(scenario: Scenario, reports: list[dict], truth: dict[str, list[dict]]) -> RunResult:
-    """Combine the results of the load processes with the records of the servers.
+    """Combine the reports of the load processes, and check the rules against the records of the servers.
 
     Args:
         scenario: The scenario.
-        reports: Report of each load process, as it has printed it.
-        truth: Attempts that reached each server, by its name.
+        reports: Report that each load process printed.
+        truth: Attempts that reached each server, by server name.
     """
     classes = {}
     for name in scenario.classes:
@@ -91,24 +94,36 @@
 
 
 def _violations(scenario: Scenario, reports: list[dict], truth: dict[str, list[dict]]) -> list[str]:
-    runs: dict[str, list[tuple[float, str]]] = {}
+    executions_by_id: dict[str, list[tuple[float, str]]] = {}
     classes = {}
     for server, arrivals in truth.items():
         for arrival in arrivals:
             classes[arrival["ident"]] = scenario.classes[arrival["cls"]]
             if arrival["began_s"] is not None:
-                runs.setdefault(arrival["ident"], []).append((arrival["began_s"], server))
-    found = []
-    for ident, executions in runs.items():
+                executions_by_id.setdefault(arrival["ident"], []).append((arrival["began_s"], server))
+    violations = []
+    for ident, executions in executions_by_id.items():
         effect, window_s = classes[ident].effect, classes[ident].window_ms / 1000
         if len(executions) == 1 or effect == "safe":
             continue
         if effect == "unsafe" or max(executions)[0] - min(executions)[0] > window_s:
-            where = ", ".join(f"{server} at {at:.3f} s" for at, server in sorted(executions))
-            found.append(f"{ident} ({effect}) ran {len(executions)} times: {where}")
+            executions_text = ", ".join(f"{server} at {at:.3f} s" for at, server in sorted(executions))
+            violations.append(
+                f"request {ident} ({effect}) ran {len(executions)} times ({executions_text}); "
+                "expected once if unsafe, only within window_ms if keyed"
+            )
     for report in reports:
         for name, entry in report["classes"].items():
-            found += [f"{ident} was served and never ran" for ident in entry["served"] if ident not in runs]
+            violations += [
+                f"request {ident} was answered as served, but ran on no server; expected an execution"
+                for ident in entry["served"]
+                if ident not in executions_by_id
+            ]
             if scenario.classes[name].effect == "unsafe":
-                found += [f"{ident} was refused and ran" for ident in entry["refused"] if ident in runs]
-    return found
+                violations += [
+                    f"unsafe request {ident} was answered as refused, but ran on a server; "
+                    "expected no execution"
+                    for ident in entry["refused"]
+                    if ident in executions_by_id
+                ]
+    return violations
--- a/dykefold/lab/load/__init__.py
+++ b/dykefold/lab/load/__init__.py
@@ -1,1 +1,1 @@
-"""Load that does not wait for answers."""
+"""Open-loop load generator: requests are sent on schedule, without waiting for earlier answers."""
--- a/dykefold/lab/load/__main__.py
+++ b/dykefold/lab/load/__main__.py
@@ -1,6 +1,6 @@
 """`python -m dykefold.lab.load SCENARIO PORT INDEX OF`: one of `OF` load processes.
 
-It prints `ready`, begins after a line on standard input, and prints its results as JSON.
+It prints `ready`, starts after a line on standard input, and prints its report as JSON.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 
 
 async def main(path: str, port: int, index: int, of: int) -> None:
-    """Play the share `index` of `of` of a scenario file against a port on loopback."""
+    """Send the requests of load process `index` of `of` to a port on loopback, and print the report."""
     load = Load(read_scenario(path), port, index, of)
     print("ready", flush=True)
     await asyncio.get_running_loop().run_in_executor(None, sys.stdin.readline)
     gc.freeze()
-    gc.disable()  # A collection would make the tool itself late.
+    gc.disable()  # A garbage collection would make the load generator itself late.
     await load.play()
     report = {
         "lag": load.lag.encode().decode(),
--- a/dykefold/lab/process.py
+++ b/dykefold/lab/process.py
@@ -1,4 +1,4 @@
-"""The program as a child process: started, waited for until it listens, ended."""
+"""The program as a child process: start it, wait until it listens, and kill it afterwards."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-# The first form is that of earlier versions: `tree` may name a checkout of one.
+# The alternative `listens at` matches earlier versions: `tree` may be a checkout of one.
 LISTENS = re.compile(rb"(?:listens at |accepts clients: name=.* address=)[\d.]+:(\d+)")
-MAX_LOG_LINES = 50  # latest lines of the log, for the error message
+MAX_LOG_LINES = 50  # Latest log lines, for the error message.
 
 
 class StartError(Exception):
-    """The program ended before it listened; the text has its last log lines."""
+    """The program exited before it listened; the message has its latest log lines."""
 
 
 @dataclass(slots=True)
 class Listening:
-    """A program that listens on `port`. Its log is read on, since a full pipe would stop it."""
+    """A program that listens on `port`. Its log is read to the end, since a full pipe would block it."""
 
     port: int
     process: subprocess.Popen[bytes]
@@ -36,30 +36,31 @@
     arguments: list[str],
     environment: dict[str, str] | None = None,
     tree: Path | None = None,
-    first: Callable[[], None] | None = None,
+    before_exec: Callable[[], None] | None = None,
 ) -> Iterator[Listening]:
-    """Start `python -m dykefold` with these arguments, and kill it at the end.
+    """Start `python -m dykefold`, yield it once it listens, and kill it on exit.
 
     Args:
-        environment: instead of the caller's own.
-        tree: the checkout that it is taken from, if not the caller's.
-        first: done in the new process before the program, as pinning it to a core.
+        arguments: Command line arguments of the program.
+        environment: Environment of the program; None for that of the caller.
+        tree: Checkout that the program is run from; None for the working directory of the caller.
+        before_exec: Function called in the child process before the program starts, e.g. to pin it to a core.
 
     Raises:
-        StartError: it ended before it listened.
+        StartError: The program exited before it listened.
     """
     process = subprocess.Popen(
         [sys.executable, "-m", "dykefold", *arguments],
         cwd=tree,
         env=dict(os.environ) if environment is None else environment,
         stderr=subprocess.PIPE,
-        preexec_fn=first,
+        preexec_fn=before_exec,
     )
     log_lines: deque[bytes] = deque(maxlen=MAX_LOG_LINES)
     port_known = threading.Event()
     ports: list[int] = []
 
-    def read() -> None:
+    def read_log() -> None:
         assert process.stderr is not None
         for line in process.stderr:
             log_lines.append(line)
@@ -68,12 +69,14 @@
                 port_known.set()
         port_known.set()
 
-    reader = threading.Thread(target=read, daemon=True)
+    reader = threading.Thread(target=read_log, daemon=True)
     reader.start()
     try:
         port_known.wait()
         if not ports:
-            raise StartError(f"the sidecar ended before it listened: {b''.join(log_lines).decode()}")
+            raise StartError(
+                f"the sidecar exited before it listened; its latest log lines: {b''.join(log_lines).decode()}"
+            )
         yield Listening(ports[0], process, log_lines)
     finally:
         process.kill()
--- a/dykefold/lab/queueing.py
+++ b/dykefold/lab/queueing.py
@@ -1,7 +1,7 @@
-"""A queueing model of a server: cores, a queue of limited length, a discipline. No I/O; times are arguments.
+"""Queueing model of a server: cores, a bounded queue and a discipline. No I/O; times are arguments.
 
-The emulator plays the model in real time. On a virtual clock (`waiting_times`) it is checked against theory:
-the waiting times of M/M/1, M/M/c and M/G/1, and the Erlang loss system.
+The emulator runs the model in real time. With a virtual clock (`waiting_times`), tests compare it to theory:
+the waiting times of M/M/1, M/M/c and M/G/1, and the losses of the Erlang loss system.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
         return None
 
     def clear(self) -> None:
-        """Remove all jobs, as the death of a process does."""
+        """Remove all jobs, as a crash of the process does."""
         self.busy = 0
         self.waiting.clear()
 
@@ -64,25 +64,25 @@
 
     Args:
         model: The queueing model, empty.
-        arrivals: Times at which jobs arrive, in order.
-        services: Service time of each job, in the same unit.
+        arrivals: Arrival times of the jobs, in ascending order.
+        services: Service time of each job, in the unit of `arrivals`.
     """
-    times, work = list(arrivals), list(services)
-    found: list[float | None] = [None] * len(times)
-    ends: list[float] = []
+    times, service_times = list(arrivals), list(services)
+    waits: list[float | None] = [None] * len(times)
+    finish_times: list[float] = []
 
-    def end_until(now: float) -> None:
-        while ends and ends[0] <= now:
-            at = heapq.heappop(ends)
+    def finish_jobs_until(now: float) -> None:
+        while finish_times and finish_times[0] <= now:
+            finish_time = heapq.heappop(finish_times)
             job = model.finish()
             if job is not None:
-                found[job] = at - times[job]
-                heapq.heappush(ends, at + work[job])
+                waits[job] = finish_time - times[job]
+                heapq.heappush(finish_times, finish_time + service_times[job])
 
     for number, now in enumerate(times):
-        end_until(now)
+        finish_jobs_until(now)
         if model.arrive(number):
-            found[number] = 0.0
-            heapq.heappush(ends, now + work[number])
-    end_until(float("inf"))
-    return found
+            waits[number] = 0.0
+            heapq.heappush(finish_times, now + service_times[number])
+    finish_jobs_until(float("inf"))
+    return waits
--- a/dykefold/lab/random_streams.py
+++ b/dykefold/lab/random_streams.py
@@ -1,7 +1,7 @@
-"""Random streams of the laboratory: one for each component, by name (numpy's SeedSequence).
+"""Random streams of the laboratory: one per component, derived from its name by numpy's SeedSequence.
 
-A new component does not change the draws of the others, so that two variants of an experiment see the same
-arrivals and the same work.
+Adding a component does not change the draws of the others, so that two variants of an experiment get the same
+arrivals and service times.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
     Args:
         seed: Seed of the scenario.
-        names: Name of the component; the same seed and name give the same draws.
+        names: Parts of the component's name; the same seed and names give the same draws.
     """
     key = [name if isinstance(name, int) else int.from_bytes(name.encode(), "little") for name in names]
     return np.random.default_rng(np.random.SeedSequence([seed, *key]))
--- a/dykefold/lab/run.py
+++ b/dykefold/lab/run.py
@@ -1,4 +1,4 @@
-"""Plays a scenario: emulator, sidecar and load as processes of their own on loopback."""
+"""Runs a scenario on loopback: emulator, sidecar and load generator are separate processes."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from .process import StartError, listening
 from .scenario import Scenario, read_scenario
 
-DESCRIPTORS = 4096
-DIRECT = "direct"  # The load goes to the first server itself, without a sidecar.
+DESCRIPTORS = 4096  # Value of `descriptors` in the sidecar's file.
+DIRECT = "direct"  # Load is sent directly to the first server, without a sidecar.
 
 
 class RunError(Exception):
-    """A process of the run has ended before its time.
+    """A process of the run exited early.
 
     Args:
-        problem: Which process, and its exit code or last output.
+        problem: Name of the process, and its exit code or latest log lines.
     """
 
     def __init__(self, problem: str) -> None:
@@ -31,46 +31,46 @@
 
 
 def play(path: Path, through: str = "dykefold") -> RunResult:
-    """Play a scenario file once.
+    """Run a scenario file once.
 
     Args:
         path: Path of the scenario file.
-        through: `dykefold`, or `direct` for no sidecar.
+        through: `dykefold` to send load through a sidecar, or `direct` to send it to the first server.
 
     Raises:
         ServiceError: The file is invalid.
-        RunError: A process has ended before its time.
+        RunError: A process exited early.
     """
     scenario = read_scenario(str(path))
     with contextlib.ExitStack() as stack:
-        emulator = stack.enter_context(_process(["-m", "dykefold.lab.emulator", str(path)]))
-        ports = json.loads(_line(emulator, "emulator"))
+        emulator = stack.enter_context(_start_process(["-m", "dykefold.lab.emulator", str(path)]))
+        ports = json.loads(_read_line(emulator, "emulator"))
         if through == DIRECT:
             port = next(iter(ports.values()))
         else:
-            port = stack.enter_context(_sidecar(scenario, list(ports.values())))
+            port = stack.enter_context(_start_sidecar(scenario, list(ports.values())))
         of = scenario.load.processes
         loads = [
             stack.enter_context(
-                _process(["-m", "dykefold.lab.load", str(path), str(port), str(index), str(of)])
+                _start_process(["-m", "dykefold.lab.load", str(path), str(port), str(index), str(of)])
             )
             for index in range(of)
         ]
         for load in loads:
-            _line(load, "load")
+            _read_line(load, "load")
         for process in (emulator, *loads):
             assert process.stdin is not None
             process.stdin.write(b"go\n")
             process.stdin.flush()
-        reports = [json.loads(_line(load, "load")) for load in loads]
+        reports = [json.loads(_read_line(load, "load")) for load in loads]
         assert emulator.stdin is not None
         emulator.stdin.close()
-        truth = json.loads(_line(emulator, "emulator"))["arrivals"]
+        truth = json.loads(_read_line(emulator, "emulator"))["arrivals"]
     return judge(scenario, reports, truth)
 
 
 @contextlib.contextmanager
-def _process(arguments: list[str]) -> Iterator[subprocess.Popen[bytes]]:
+def _start_process(arguments: list[str]) -> Iterator[subprocess.Popen[bytes]]:
     process = subprocess.Popen([sys.executable, *arguments], stdin=subprocess.PIPE, stdout=subprocess.PIPE)
     try:
         yield process
@@ -83,18 +83,18 @@
                     pipe.close()
 
 
-def _line(process: subprocess.Popen[bytes], name: str) -> bytes:
+def _read_line(process: subprocess.Popen[bytes], name: str) -> bytes:
     assert process.stdout is not None
     line = process.stdout.readline()
     if not line:
-        problem = f"the {name} ended with exit code {process.wait()}"
+        problem = f"the {name} process exited early with exit code {process.wait()}"
         raise RunError(problem)
     return line
 
 
 @contextlib.contextmanager
-def _sidecar(scenario: Scenario, ports: list[int]) -> Iterator[int]:
-    """Start a sidecar in front of servers at these ports, and yield its own port."""
+def _start_sidecar(scenario: Scenario, ports: list[int]) -> Iterator[int]:
+    """Start a sidecar for the servers at these ports, and yield the port on which it listens."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "service.toml"
         path.write_text(service_file(scenario, ports))
@@ -107,7 +107,7 @@
 
 
 def service_file(scenario: Scenario, ports: list[int]) -> str:
-    """Return the operator's file for a scenario: one pool, the platform's dialect."""
+    """Return the text of `service.toml` for a scenario: one pool and one route in the platform's dialect."""
     servers = json.dumps([f"127.0.0.1:{port}" for port in ports])
     lines = ["[node]", 'listen = "127.0.0.1:0"', f"descriptors = {DESCRIPTORS}", "[pools.lab]"]
     lines.append(f"servers = {servers}")
--- a/dykefold/lab/scenario.py
+++ b/dykefold/lab/scenario.py
@@ -1,4 +1,4 @@
-"""A scenario file: servers, classes of requests, load and faults. All errors are reported at once."""
+"""Scenario file: servers, request classes, load and faults. All problems are reported together."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 
 class ServiceTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`service` of a class: the distribution of its work.
+    """`service` of a class: the distribution of its service times.
 
     Attributes:
         kind: Kind of the distribution.
-        mean_ms: Mean work in milliseconds on a core of speed 1.
+        mean_ms: Mean service time in milliseconds on a core of speed 1.
         shape: Sigma of a lognormal distribution; exponent of a Pareto distribution, above 1.
     """
 
@@ -34,15 +34,15 @@
 
 
 class ClassTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[classes.NAME]`.
+    """`[classes.NAME]`: one request class.
 
     Attributes:
-        effect: Whether a request may run more than once.
+        effect: Whether a request may run more than once: yes (safe), within `window_ms` (keyed), no (unsafe).
         share: Share of the requests, relative to the other classes.
         aim_ms: Latency objective in milliseconds.
         deadline_ms: Deadline in milliseconds.
-        window_ms: Milliseconds for which servers remember an idempotency key.
-        service: Distribution of the work.
+        window_ms: Time for which servers remember an idempotency key, in milliseconds.
+        service: Distribution of the service times.
     """
 
     effect: Literal["safe", "keyed", "unsafe"] = "safe"
@@ -57,14 +57,14 @@
     """`[[servers]]`: servers of one kind.
 
     Attributes:
-        name: Name of the kind; servers are called NAME-NUMBER.
+        name: Name of the kind; its servers are named NAME-NUMBER.
         count: Number of servers.
-        cores: Cores of a server.
-        speed: Speed of a core.
+        cores: Number of cores of each server.
+        speed: Speed of a core; service times are divided by it.
         discipline: Order in which waiting requests are served.
         queue_most: Maximum number of waiting requests; a further one is rejected.
-        cold_share: Fraction of its speed that a server has right after a restart.
-        warm_s: Seconds until a server has its full speed.
+        cold_share: Fraction of its full speed that a server has immediately after a restart.
+        warm_s: Time after a restart until a server has its full speed, in seconds.
     """
 
     name: Annotated[str, Meta(pattern="^[a-z0-9-]{1,32}$")]
@@ -82,11 +82,11 @@
 
     Attributes:
         kind: Kind of the fault.
-        at_s: Seconds from the start until the fault begins.
-        for_s: Duration in seconds.
-        servers: Affected servers, as NAME-NUMBER, or NAME for all servers of a kind.
+        at_s: Start of the fault, in seconds since the load began.
+        for_s: Duration of the fault in seconds.
+        servers: Affected servers: NAME-NUMBER for one, NAME for all servers of a kind.
         factor: Factor on the service time, for `slow`.
-        share: Affected fraction of the answers, for `garbage`, `reset` and `lost`.
+        share: Fraction of the answers affected, for `garbage`, `reset` and `lost`.
     """
 
     kind: Literal["crash", "silence", "slow", "garbage", "reset", "lost", "full"]
@@ -98,18 +98,18 @@
 
 
 class LoadTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[load]`: an open loop, in which arrivals do not wait for answers.
+    """`[load]`: open-loop load, whose arrivals do not wait for answers.
 
     Attributes:
         kind: Kind of the arrival process.
         rate: Requests per second: the mean of `bursty` and `sine`, the start of `step` and `ramp`.
-        peak: Requests per second at the end of `step` and `ramp`, in a burst, or at the height of `sine`.
-        period_s: Seconds of a period of `sine`, or mean seconds between bursts.
-        at_s: Seconds from the start until the step.
+        peak: Requests per second at the end of `step` and `ramp`, in a burst, or at the maximum of `sine`.
+        period_s: Period of `sine`, or mean time between the starts of bursts, in seconds.
+        at_s: Time of the step, in seconds since the load began.
         processes: Number of load processes.
         retries: Maximum number of retries of a refused request, each under a new id.
-        heeds_retry_after: Whether clients wait as Retry-After states.
-        connections_most: Maximum number of connections of a load process.
+        heeds_retry_after: Whether clients wait before a retry as Retry-After states.
+        connections_most: Maximum number of open connections of each load process.
     """
 
     kind: Literal["poisson", "bursty", "step", "ramp", "sine"] = "poisson"
@@ -124,12 +124,12 @@
 
 
 class Scenario(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """A scenario.
+    """Contents of a scenario file.
 
     Attributes:
         servers: Servers by kind.
         classes: Request classes by name.
-        load: The load.
+        load: Load that the clients generate.
         faults: Faults, in any order.
         seed: Seed of all random streams.
         span_s: Duration of the load in seconds.
@@ -143,16 +143,16 @@
     span_s: Annotated[float, Meta(gt=0, le=86_400)] = 10.0
 
     def server_names(self) -> list[str]:
-        """Return the names of all servers."""
+        """Return the names of all servers, as NAME-NUMBER."""
         return [f"{table.name}-{number}" for table in self.servers for number in range(table.count)]
 
     def table_of(self, name: str) -> ServerTable:
-        """Return the table of a server's kind."""
+        """Return the table of the kind to which a server belongs."""
         return next(table for table in self.servers if name.rpartition("-")[0] == table.name)
 
 
-NESTED: dict[str, type[msgspec.Struct]] = {"load": LoadTable}
-LISTS: dict[str, type[msgspec.Struct]] = {"servers": ServerTable, "faults": FaultTable}
+SINGLE_TABLES: dict[str, type[msgspec.Struct]] = {"load": LoadTable}
+TABLE_LISTS: dict[str, type[msgspec.Struct]] = {"servers": ServerTable, "faults": FaultTable}
 
 
 def read_scenario(path: str) -> Scenario:
@@ -162,24 +162,24 @@
         ServiceError: The file is invalid; the error lists every problem.
     """
     data = read_toml(path)
-    problems = _problems(data)
+    problems = _table_problems(data)
     if problems:
         raise ServiceError(path, problems)
     scenario = msgspec.convert(data, Scenario)
-    problems = _across(scenario)
+    problems = _consistency_problems(scenario)
     if problems:
         raise ServiceError(path, problems)
     return scenario
 
 
-def _problems(data: dict[str, Any]) -> list[str]:
+def _table_problems(data: dict[str, Any]) -> list[str]:
     problems = _value_problems(data)
-    for key, struct in NESTED.items():
+    for key, struct in SINGLE_TABLES.items():
         problems += struct_problems(key, data.get(key, {}), struct)
-    for key, struct in LISTS.items():
+    for key, struct in TABLE_LISTS.items():
         tables = data.get(key, [])
         if not isinstance(tables, list):
-            problems.append(f"{key} = {tables!r}: expected tables [[{key}]]")
+            problems.append(f"{key} = {tables!r}: expected an array of tables [[{key}]]")
             continue
         for number, table in enumerate(tables):
             problems += struct_problems(f"{key}[{number}]", table, struct)
@@ -194,28 +194,30 @@
 
 
 def _value_problems(data: dict[str, Any]) -> list[str]:
-    """Return what is wrong with the keys of the file that are not tables."""
-    values = {key: value for key, value in data.items() if key not in (*NESTED, *LISTS, "classes")}
-    kinds = {field.encode_name: field.type for field in msgspec.structs.fields(Scenario)}
-    expected = ", ".join(sorted(kinds))
-    problems = [f"{key}: unknown; expected one of {expected}" for key in values if key not in kinds]
+    """Return the problems of the file's keys that are not tables."""
+    values = {
+        key: value for key, value in data.items() if key not in (*SINGLE_TABLES, *TABLE_LISTS, "classes")
+    }
+    types = {field.encode_name: field.type for field in msgspec.structs.fields(Scenario)}
+    expected = ", ".join(sorted(types))
+    problems = [f"{key}: unknown; expected one of {expected}" for key in values if key not in types]
     for key in ("seed", "span_s"):
         if key in values:
             try:
-                msgspec.convert(values[key], kinds[key])
+                msgspec.convert(values[key], types[key])
             except msgspec.ValidationError as error:
                 problems.append(f"{key} = {values[key]!r}: {error}")
     return problems
 
 
-def _across(scenario: Scenario) -> list[str]:
+def _consistency_problems(scenario: Scenario) -> list[str]:
     names = scenario.server_names()
     kinds = [table.name for table in scenario.servers]
     problems = []
     if len(set(kinds)) < len(kinds):
-        problems.append("servers: a name comes twice")
+        problems.append("servers: duplicate name; expected a different name in each table")
     if len(names) > MAX_SERVERS:
-        problems.append(f"servers: {len(names)} of them; expected {MAX_SERVERS} at most")
+        problems.append(f"servers: {len(names)} servers; expected at most {MAX_SERVERS}")
     for number, fault in enumerate(scenario.faults):
         unknown = [name for name in fault.servers if name not in names and name not in kinds]
         if unknown:
@@ -225,6 +227,6 @@
     for name, table in scenario.classes.items():
         if table.service.kind == "pareto" and table.service.shape <= 1.0:
             problems.append(
-                f"classes.{name}.service.shape = {table.service.shape}: expected over 1 for a mean"
+                f"classes.{name}.service.shape = {table.service.shape}: expected above 1, for a finite mean"
             )
     return problems
--- a/tests/lab/test_emulator_overlap.py
+++ b/tests/lab/test_emulator_overlap.py
@@ -1,4 +1,8 @@
-"""Attempts that an emulated server reads late, in an order other than that in which they were sent."""
+"""Overlap of attempts that emulated servers read late and in another order than they were sent.
+
+After a pause of the event loop, a cancelled first attempt and its retry are read together. Judged by the
+order of reading, the retry would count as overlapping, or attempts that do overlap would not.
+"""
 
 import asyncio
 import socket
@@ -11,8 +15,8 @@
 from dykefold.lab.scenario import ClassTable, LoadTable, Scenario, ServerTable, ServiceTable
 
 LOOPBACK = "127.0.0.1"
-PAUSE_S = 0.02  # Longer than the resolution of the kernel's times of received bytes.
-READ_S = 0.2  # Within this time the server reads what is there.
+PAUSE_S = 0.02  # Exceeds the resolution of the kernel's receive times.
+READ_DELAY_S = 0.2  # Enough for the servers to read all received bytes.
 CLASSES = {"order": ClassTable(effect="unsafe", service=ServiceTable(kind="constant", mean_ms=1000.0))}
 
 
@@ -27,28 +31,28 @@
     time.sleep(PAUSE_S)
 
 
-def cancelled_before_the_retry(first: socket.socket, second: socket.socket) -> None:
+def cancel_first_then_retry(first: socket.socket, second: socket.socket) -> None:
     send(first, "r")
     close(first)
     send(second, "r")
 
 
-def never_cancelled(first: socket.socket, second: socket.socket) -> None:
+def retry_without_cancel(first: socket.socket, second: socket.socket) -> None:
     send(first, "r")
     send(second, "r")
 
 
-def retry_cancelled(first: socket.socket, second: socket.socket) -> None:
+def cancel_retry(first: socket.socket, second: socket.socket) -> None:
     send(first, "r")
     send(second, "r")
     close(second)
 
 
-async def overlaps_read(attempts, second_is_read_first: bool) -> list[bool]:
-    """Send attempts while the event loop is blocked; return whether one overlaps, at each server.
+async def measure_overlaps(attempts, read_second_first: bool) -> list[bool]:
+    """Send attempts while the event loop is blocked; return, by server, whether its attempt overlaps.
 
-    The kernel reports a connection whose bytes were just read ahead of the others: the loop is blocked by
-    the server that is to be read first.
+    The kernel reports the connection whose bytes were just read before the others, so the server that is to
+    be read first blocks the loop.
     """
     scenario = Scenario(
         [ServerTable("std", count=2, cores=4)], CLASSES, LoadTable(rate=1.0), seed=1, span_s=60.0
@@ -58,8 +62,8 @@
     for server in servers:
         await server.listen()
     clients = [socket.create_connection((LOOPBACK, server.port)) for server in servers]
-    await asyncio.sleep(READ_S)
-    blocking = servers[1 if second_is_read_first else 0]
+    await asyncio.sleep(READ_DELAY_S)
+    blocking = servers[1 if read_second_first else 0]
     on_request = blocking.on_request
 
     def on_request_blocked(connection, target, headers):
@@ -69,25 +73,27 @@
 
     blocking.on_request = on_request_blocked
     send(clients[servers.index(blocking)], "block")
-    await asyncio.sleep(READ_S)
-    found = [[one.overlaps for one in server.arrivals if one.ident == "r"] for server in servers]
+    await asyncio.sleep(READ_DELAY_S)
+    overlaps = [
+        [arrival.overlaps for arrival in server.arrivals if arrival.ident == "r"] for server in servers
+    ]
     for client in clients:
         client.close()
     for server in servers:
         server.crash()
-    assert [len(of_server) for of_server in found] == [1, 1]
-    return [of_server[0] for of_server in found]
+    assert [len(server_overlaps) for server_overlaps in overlaps] == [1, 1]
+    return [server_overlaps[0] for server_overlaps in overlaps]
 
 
 @pytest.mark.parametrize(
-    ("attempts", "second_is_read_first", "expected"),
+    ("attempts", "read_second_first", "expected"),
     [
-        (cancelled_before_the_retry, False, [False, False]),
-        (cancelled_before_the_retry, True, [False, False]),
-        (never_cancelled, False, [False, True]),
-        (never_cancelled, True, [True, False]),
-        (retry_cancelled, False, [False, True]),
+        (cancel_first_then_retry, False, [False, False]),
+        (cancel_first_then_retry, True, [False, False]),
+        (retry_without_cancel, False, [False, True]),
+        (retry_without_cancel, True, [True, False]),
+        (cancel_retry, False, [False, True]),
     ],
 )
-def test_attempts_read_late_overlap_as_they_were_sent(attempts, second_is_read_first, expected):
-    assert run(overlaps_read(attempts, second_is_read_first)) == expected
+def test_attempts_read_late_overlap_by_send_order(attempts, read_second_first, expected):
+    assert run(measure_overlaps(attempts, read_second_first)) == expected
