--- a/tests/lab/test_emulator_overlap.py
+++ b/tests/lab/test_emulator_overlap.py
@@ -1,7 +1,7 @@
 """Overlap of attempts that emulated servers read late and in another order than they were sent.
 
-After a pause of the event loop, a cancelled first attempt and its retry are read together. Judged by the
-order of reading, the retry would count as overlapping, or attempts that do overlap would not.
+After a pause of the event loop, a cancelled first attempt may be read after its retry. Judged by the order of
+reading alone, the two would count as overlapping.
 """
 
 import asyncio
