--- a/dykefold/fleet/__init__.py
+++ b/dykefold/fleet/__init__.py
@@ -1,5 +1,6 @@
-"""The membership of the sidecars: which are live, and the records that they publish to each other.
+"""The membership of the sidecars: SWIM with Lifeguard, and records that members publish by gossip.
 
-`agent.py`, `admin.py`, `balancer_link.py` and `endpoint_list_sync.py` run in an event loop; everything else
-is free of I/O: times and a seeded random generator come in, datagrams go out. See docs/design/view.md.
+`agent.py`, `admin.py`, `balancer_link.py` and `endpoint_list_sync.py` run in an event loop; all other modules
+do no I/O: they are given times and a seeded random generator, and return datagrams to send.
+See docs/design/view.md.
 """
--- a/dykefold/fleet/admin.py
+++ b/dykefold/fleet/admin.py
@@ -1,4 +1,4 @@
-"""Answers operators' requests for the membership."""
+"""The membership's operations of the admin API."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from .member_state import incarnation_of, state_of, zone_of
 from .rate_limits import NS_PER_S
 
-OK, NOT_FOUND, UNAVAILABLE = 200, 404, 503  # of HTTP
+OK, NOT_FOUND, UNAVAILABLE = 200, 404, 503  # HTTP status codes
 
 
 class MembershipAdmin:
-    """The membership's operations of the admin API.
+    """Handler of the membership's admin requests.
 
     Args:
         agent: Membership agent of the process.
@@ -43,7 +43,7 @@
 
 
 def summary(agent: FleetAgent) -> dict[str, Any]:
-    """Return the live members, as bits of a hexadecimal number, and the digest of all states."""
+    """Return the live members as a hexadecimal bit mask, and the digest of all states."""
     membership = agent.membership
     live = membership.live_members(agent.system.monotonic_ns())
     return {
@@ -55,7 +55,7 @@
 
 
 def full_report(agent: FleetAgent) -> dict[str, Any]:
-    """Return everything that is known of the members."""
+    """Return the state of all members as this member knows them, and its latest changes."""
     membership, now_ns = agent.membership, agent.system.monotonic_ns()
     live = set(membership.live_members(now_ns))
     return {
--- a/dykefold/fleet/agent.py
+++ b/dykefold/fleet/agent.py
@@ -1,4 +1,4 @@
-"""Runs the membership protocol in a process: its timers, its datagrams, its log lines."""
+"""Runs the membership protocol in an event loop: timers, datagrams and log lines."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 log = logging.getLogger("dykefold.fleet")
 
-MAX_LOG_LINES_PER_S = 5.0  # On changes of the membership; the burst is the same.
-MAX_LATEST_CHANGES = 64  # Shown to operators.
+MAX_LOG_LINES_PER_S = 5.0  # For membership changes; the burst is the same.
+MAX_LATEST_CHANGES = 64  # Kept for the admin API.
 
 
 class Node(Protocol):
-    """The process that takes part in the membership.
+    """The process that is a member.
 
     Attributes:
         draining: Whether the graceful shutdown has begun.
@@ -38,21 +38,21 @@
 
 
 class FleetAgent:
-    """Runs the membership of one process, from its first datagram to its end.
+    """Membership agent of one process, until the process stops or hands over to a newer one.
 
     Args:
         loop: Event loop of the timers.
-        node: Process that takes part.
-        peers: Open datagram channel; its datagrams are passed to this agent from now on.
+        node: Process that is the member.
+        peers: Open datagram channel; its datagrams are passed to this agent from the constructor on.
         system: Source of the clock.
 
     Attributes:
-        protocol: Membership protocol, which makes the decisions.
+        protocol: Membership protocol, free of I/O.
         membership: Members as this member knows them.
-        link: Informs the balancer; None before `serve`.
-        polls: Coordinates polls of discovery with the fleet; None if that is off.
+        link: Exchange of observations with the balancer; None before `serve`.
+        polls: Coordination of polls of discovery with the fleet; None if that is off.
         latest_changes: Latest changes of the membership, for operators.
-        closed: Whether it has stopped, or a newer process takes part in its place.
+        closed: Whether the agent has stopped, or a newer process is the member in its place.
     """
 
     def __init__(
@@ -72,31 +72,31 @@
         self.closed = False
         self._log_limit = TokenBucket(MAX_LOG_LINES_PER_S, MAX_LOG_LINES_PER_S, system.monotonic_ns())
         self._unlogged_changes = 0
-        self._pass_to_balancer = peers.on_datagram
+        self._handle_balancer_message = peers.on_datagram
         peers.on_datagram = self.on_datagram
         self._timer = loop.call_later(0.0, self._tick)
 
     def serve(self, pool: Pool) -> None:
-        """Begin to exchange observations between a pool's balancer and the fleet."""
+        """Start the exchange of observations between a pool's balancer and the fleet."""
         self.link = BalancerLink(self.loop, self.membership, pool, self.membership.rng, self.system)
         self.link.polls = self.polls
 
     def coordinate_polls(self, polls: EndpointListSync) -> None:
-        """Begin to coordinate polls of discovery by the membership."""
+        """Start to coordinate polls of discovery by the membership."""
         self.polls = polls
         polls.join(self.membership)
         if self.link is not None:
             self.link.polls = polls
 
     def on_datagram(self, sender: int, data: bytes) -> None:
-        """Handle a datagram of the protocol, or pass on a balancer's message."""
+        """Handle a datagram of the protocol, or pass a balancer's message to the pool."""
         now_ns = self.system.monotonic_ns()
         if is_membership_datagram(data):
             self.protocol.receive(now_ns, sender, data)
             self._flush()
         else:
             self.membership.on_legacy_message(now_ns, sender)
-            self._pass_to_balancer(sender, data)
+            self._handle_balancer_message(sender, data)
 
     def _tick(self) -> None:
         if self.closed:
@@ -114,7 +114,7 @@
         self._timer = self.loop.call_later((due_ns - now_ns) / NS_PER_S, self._tick)
 
     def _hand_over(self) -> None:
-        """Stop. Two processes at one address would each receive only some of the member's datagrams."""
+        """Stop, as two processes at one address would each receive only part of the member's datagrams."""
         log.info("membership is kept by a newer process from now on")
         self.closed = True
         if self.link is not None:
@@ -135,7 +135,7 @@
         self._flush()
 
     def close(self) -> None:
-        """Announce the end of the process."""
+        """Stop, and announce to other members that this member has left."""
         self._timer.cancel()
         if self.link is not None:
             self.link.close()
@@ -149,14 +149,14 @@
             self.peers.send(data, peer)
         changes = self.membership.take_changes()
         for change in changes:
-            self._note(change)
+            self._record_change(change)
         has_new_records = self.membership.take_new_records()
         if has_new_records and self.polls is not None:
             self.polls.on_new_records()
         if (changes or has_new_records) and self.link is not None:
-            self.link.report_soon()
+            self.link.schedule_report()
 
-    def _note(self, change: MembershipChange) -> None:
+    def _record_change(self, change: MembershipChange) -> None:
         self.latest_changes.append(change)
         if not self._log_limit.take(change.at_ns):
             self._unlogged_changes += 1
@@ -171,7 +171,7 @@
 def start_protocol(
     local: LocalMember, datagram_price: float, seed: int, system: System = SYSTEM
 ) -> MembershipProtocol:
-    """Create the agent, with an incarnation from the wall clock.
+    """Create the protocol of a member, with an incarnation from the wall clock.
 
     Args:
         local: Number, zone and address list of this member.
--- a/dykefold/fleet/anti_entropy.py
+++ b/dykefold/fleet/anti_entropy.py
@@ -19,13 +19,13 @@
 from .rate_limits import COMPARISON_PERIODS, COMPARISONS_PER_NOT_LIVE, JOINING_COMPARISON_PERIODS
 from .traffic_counters import TrafficCounter
 
-MAX_ANSWER_DATAGRAMS = 4  # To one comparison.
+MAX_ANSWER_DATAGRAMS = 4  # In reply to one DIGESTS datagram.
 MAX_PARTNER_DRAWS = 8
-COMPARISON_JITTER_FACTORS = (0.75, 1.25)  # Of the time between comparisons.
+COMPARISON_JITTER_FACTORS = (0.75, 1.25)  # Multiples of the time between comparisons.
 
 
 class AntiEntropy:
-    """Compares and exchanges states with other members.
+    """Periodic comparison of this member's table with a random member's.
 
     Args:
         membership: Membership whose table is compared.
@@ -49,7 +49,7 @@
     # Comparisons
 
     def compare(self, now_ns: int) -> None:
-        """Begin a comparison if one is due."""
+        """Start a comparison if one is due."""
         membership = self.membership
         if self.next_comparison_ns > now_ns or membership.has_no_peers:
             return
@@ -62,10 +62,10 @@
             self._send_digests(now_ns, partner, 0, len(membership.addresses), max_digests=1)
 
     def _choose_partner(self, joining: bool) -> int | None:
-        """Return the member to compare with; sometimes one that does not count as live.
+        """Return the member to compare with; sometimes one that is not live.
 
-        Two halves that lost each other for so long that each counts the other as gone would otherwise never
-        meet again.
+        After a partition so long that each side considers the other gone, the sides would otherwise never
+        exchange states again.
         """
         membership = self.membership
         rng = membership.rng
@@ -85,7 +85,7 @@
         membership = self.membership
         width = max(-(-(end - first) // max_digests), 1)
         digest_range = DigestRange(first, end, width)
-        digests = [membership.table.digest(*ends) for ends in digest_range.slices()]
+        digests = [membership.table.digest(*bounds) for bounds in digest_range.slices()]
         datagram = Datagram(
             Kind.DIGESTS,
             membership.fleet,
@@ -103,7 +103,7 @@
     # Datagrams
 
     def on_digests(self, now_ns: int, sender: int, datagram: Datagram) -> None:
-        """Answer a comparison with finer digests, or with states, of the ranges that differ."""
+        """Reply to a comparison with finer digests, or with states, of the ranges that differ."""
         membership = self.membership
         if datagram.digest_range.end > len(membership.addresses):
             return
@@ -112,24 +112,24 @@
             membership.counts[TrafficCounter.DIGESTS_DIFFER] += 1
             membership.rng.shuffle(differing)
             self._answer_difference(now_ns, sender, differing)
-        elif self._compares_all(datagram.digest_range):
+        elif self._covers_all_states(datagram.digest_range):
             membership.synchronized = True
 
     def _differing_slices(self, datagram: Datagram) -> list[tuple[int, int]]:
         table = self.membership.table
         return [
-            ends
-            for ends, digest in zip(datagram.digest_range.slices(), datagram.digests, strict=True)
-            if table.digest(*ends) & DIGEST_MASK != digest
+            bounds
+            for bounds, digest in zip(datagram.digest_range.slices(), datagram.digests, strict=True)
+            if table.digest(*bounds) & DIGEST_MASK != digest
         ]
 
-    def _compares_all(self, digest_range: DigestRange) -> bool:
-        """Return whether equal digests show that all states are known.
+    def _covers_all_states(self, digest_range: DigestRange) -> bool:
+        """Return whether equal digests of a range show that this member knows all states.
 
-        Two members that have both just started are equal as well, and know nothing of the others.
+        The tables of two members that have both just started are equal too, without any state of the others.
         """
-        whole = (digest_range.first, digest_range.end) == (0, len(self.membership.addresses))
-        return whole and not self.membership.table.counts[State.UNKNOWN]
+        is_full_range = (digest_range.first, digest_range.end) == (0, len(self.membership.addresses))
+        return is_full_range and not self.membership.table.counts[State.UNKNOWN]
 
     def _answer_difference(self, now_ns: int, sender: int, differing: list[tuple[int, int]]) -> None:
         entries: list[MemberEntry] = []
@@ -148,7 +148,7 @@
             self._send_states(now_ns, sender, Kind.STATES, entries)
 
     def on_states(self, now_ns: int, sender: int, datagram: Datagram) -> None:
-        """Answer states, which are merged already, with the newer ones that this member knows."""
+        """Reply to states, which are merged already, with the newer ones that this member knows."""
         states = self.membership.table.states
         newer = [
             MemberEntry(number, states[number])
--- a/dykefold/fleet/balancer_link.py
+++ b/dykefold/fleet/balancer_link.py
@@ -1,4 +1,4 @@
-"""Reports from the membership to the balancer, and from the balancer to the fleet."""
+"""Exchange of observations between a pool's balancer and the membership."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 from .rate_limits import NS_PER_S, RESTART_NS
 from .subsetting import EndpointRanking
 
-MAX_ANNOUNCE_DELAY_S = 4.0  # Of a new list's version. The announcement is dropped if others come first.
+MAX_ANNOUNCE_DELAY_S = 4.0  # For a new list version; not announced if another member reports it first.
 LATENCY_REPORT_INTERVAL_NS = 10 * NS_PER_S
-EVENT_DELAY_S = 0.5  # Changes of the fleet within this time become one event of the balancer.
+EVENT_DELAY_S = 0.5  # Membership changes within this time are merged into one event for the balancer.
 
 
 class Pool(Protocol):
-    """The pool whose balancer is informed of the fleet.
+    """The pool whose balancer receives membership events.
 
     Attributes:
-        names: Numbers of endpoints by name.
+        names: Table of endpoint numbers by name.
         version: Version of the endpoint list.
-        discovery: None where the list is fixed.
-        on_health_hint: Called with an endpoint's number and whether it answers.
+        discovery: Discovery client; None for a static endpoint list.
+        on_health_hint: Callback with an endpoint's number and whether the endpoint answers.
     """
 
     names: NameTable
@@ -49,7 +49,7 @@
         ...
 
     def typical_latencies(self) -> dict[str, float]:
-        """Return typical latencies in nanoseconds by class, for classes with enough answers."""
+        """Return typical latencies in nanoseconds by class, for classes with enough samples."""
         ...
 
 
@@ -62,7 +62,7 @@
 
 
 class BalancerLink:
-    """Exchanges observations between a pool's balancer and the fleet.
+    """Publisher of the balancer's observations, and source of its membership events.
 
     Args:
         loop: Event loop of the timers.
@@ -72,7 +72,7 @@
 
     Attributes:
         pool: Pool of the balancer.
-        polls: Coordinates polls of discovery with the fleet; None if that is off.
+        polls: Coordination of polls of discovery with the fleet; None if that is off.
     """
 
     def __init__(
@@ -83,16 +83,16 @@
         rng: random.Random,
         system: System,
     ) -> None:
-        """Begin to publish the balancer's hints on endpoints."""
+        """Start to publish the balancer's health hints on endpoints."""
         self.loop, self.membership, self.pool = loop, membership, pool
         self.rng, self.system = rng, system
         self.polls: EndpointListFollower | None = None
         self._ranking = EndpointRanking(membership.own_number)
         self._next_latencies_ns = system.monotonic_ns()
-        self._known = (0, 0)  # endpoint numbers given out, and version of the list
-        self._report: asyncio.TimerHandle | None = None
-        self._announcement: asyncio.TimerHandle | None = None
-        self._recount: asyncio.TimerHandle | None = None
+        self._seen_list = (0, 0)  # next endpoint number, and version of the list
+        self._report_timer: asyncio.TimerHandle | None = None
+        self._announcement_timer: asyncio.TimerHandle | None = None
+        self._recount_timer: asyncio.TimerHandle | None = None
         self.closed = False
         pool.on_health_hint = self._on_health_hint
 
@@ -106,26 +106,26 @@
             self._next_latencies_ns = now_ns + LATENCY_REPORT_INTERVAL_NS
             latencies = self.pool.typical_latencies()
             peer_observations.publish_typical_latencies(self.membership, now_ns, latencies)
-        known = (self.pool.names.next_endpoint, self.pool.version)
-        if known == self._known:
+        current_list = (self.pool.names.next_endpoint, self.pool.version)
+        if current_list == self._seen_list:
             return
-        self._known = known
-        self.report_soon()
-        if self._announcement is None:
-            # Most members wait longer than some other one, and then need not announce it themselves.
+        self._seen_list = current_list
+        self.schedule_report()
+        if self._announcement_timer is None:
+            # With random delays the first member announces the version, and most others need not.
             wait_s = self.rng.uniform(0, MAX_ANNOUNCE_DELAY_S)
-            self._announcement = self.loop.call_later(wait_s, self._announce_list)
+            self._announcement_timer = self.loop.call_later(wait_s, self._announce_list)
 
-    def report_soon(self) -> None:
-        """Schedule an event for the balancer that gathers the changes of `EVENT_DELAY_S`."""
-        if self._report is None and not self.closed:
-            self._report = self.loop.call_later(EVENT_DELAY_S, self._post_event)
+    def schedule_report(self) -> None:
+        """Schedule one event for the balancer for all changes within `EVENT_DELAY_S`."""
+        if self._report_timer is None and not self.closed:
+            self._report_timer = self.loop.call_later(EVENT_DELAY_S, self._post_event)
 
     def _post_event(self) -> None:
-        self._report = None
+        self._report_timer = None
         now_ns = self.system.monotonic_ns()
         if not self.membership.is_settled(now_ns):
-            self.report_soon()  # what is known of the fleet just now would be taken for all of it
+            self.schedule_report()  # the balancer would take the incomplete membership for the entire fleet
             return
         if self.polls is not None:
             self.polls.update_fleet()
@@ -133,16 +133,16 @@
         self.pool.post(
             peer_observations.membership_event(self.membership, now_ns, endpoints, classes, self._ranking)
         )
-        if self.membership.departed_ns and self._recount is None:
-            self._recount = self.loop.call_later(RESTART_NS / NS_PER_S, self._recount_members)
+        if self.membership.departed_ns and self._recount_timer is None:
+            self._recount_timer = self.loop.call_later(RESTART_NS / NS_PER_S, self._recount_members)
 
     def _recount_members(self) -> None:
-        """Inform the balancer again when departed members have had time to restart."""
-        self._recount = None
-        self.report_soon()
+        """Update the balancer's member count after departed members have had time to restart."""
+        self._recount_timer = None
+        self.schedule_report()
 
     def _announce_list(self) -> None:
-        self._announcement = None
+        self._announcement_timer = None
         if self.pool.discovery is not None and not self.closed:
             now_ns = self.system.monotonic_ns()
             peer_observations.announce_list_version(self.membership, now_ns, self.pool.version)
@@ -154,12 +154,12 @@
                 peer_observations.report_endpoint(self.membership, now_ns, name, answers)
 
     def finish(self) -> None:
-        """Schedule no further reports; one that is scheduled is still made."""
+        """Schedule no further reports; a scheduled one is still sent."""
         self.closed = True
 
     def close(self) -> None:
-        """Stop all reports."""
+        """Cancel all reports."""
         self.finish()
-        for timer in (self._report, self._announcement, self._recount):
+        for timer in (self._report_timer, self._announcement_timer, self._recount_timer):
             if timer is not None:
                 timer.cancel()
--- a/dykefold/fleet/datagrams.py
+++ b/dykefold/fleet/datagrams.py
@@ -1,8 +1,8 @@
 """The datagrams of the membership protocol, described in docs/design/datagrams.md. No I/O.
 
-Decoding returns None for everything else: noise, a damaged datagram, the kinds of later versions. The length
-is never a multiple of four: the messages between the balancers of two sidecars always are, and a process
-without membership understands only those.
+Decoding returns None for any other data: noise, corrupted datagrams, kinds of later versions. The length is
+never a multiple of four, while that of messages between balancers always is, so that a process without
+membership, which reads only balancer messages, ignores these datagrams.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 from .member_state import ENCODED_STATE_BYTES, is_encoded_state
 
-MAX_DATAGRAM_BYTES = 256  # Of a datagram between sidecars (PROTOCOL).
+MAX_DATAGRAM_BYTES = 256  # Limit for datagrams between sidecars (PROTOCOL).
 BALANCER_MESSAGE_ALIGNMENT = 4  # Lengths of balancer messages are multiples of this; lengths here never are.
 MAGIC = 0xD7  # First byte of each datagram of this protocol.
 VERSION = 1
@@ -25,8 +25,8 @@
     "<BBIIBHH"
 )  # magic, version, checksum, fleet, kind, nonce, subject; then the sender's state
 HEADER_BYTES = HEADER.size + ENCODED_STATE_BYTES
-CHECKSUM_FROM = 2
-CHECKED_FROM = 6  # Position from which the checksum covers all bytes.
+CHECKSUM_START = 2
+CHECKSUMMED_START = 6  # Offset of the first byte that the checksum covers.
 NUMBER_BYTES = 2
 ENTRY_BYTES = NUMBER_BYTES + ENCODED_STATE_BYTES
 COUNT_BYTES = 1
@@ -40,7 +40,7 @@
 RECORD_BYTES = RECORD.size + INCARNATION_BYTES
 AGE_UNIT_NS = 250_000_000
 MAX_AGE_UNITS = 255
-MAX_PAYLOAD_BYTES = MAX_DATAGRAM_BYTES - 1  # One byte is added if the length is a multiple of the alignment.
+MAX_PAYLOAD_BYTES = MAX_DATAGRAM_BYTES - 1  # One byte is left for padding, as the length must not be aligned.
 MAX_DIGESTS = (MAX_PAYLOAD_BYTES - HEADER_BYTES - RANGE.size - COUNT_BYTES) // DIGEST_BYTES
 MAX_ENTRIES = (MAX_PAYLOAD_BYTES - HEADER_BYTES - 2 * COUNT_BYTES) // ENTRY_BYTES
 
@@ -50,28 +50,28 @@
 
     PING = 1
     ACK = 2
-    PROBE_REQUEST = 3  # asks a helper to probe the subject
-    NACK = 4  # a helper's answer: the subject has not answered it so far
+    PROBE_REQUEST = 3  # indirect probe: requests a helper to probe the subject
+    NACK = 4  # from a helper: the subject has not answered its probe yet
     GOSSIP = 5
     DIGESTS = 6  # of the states of a range of members
-    STATES = 7  # of members whose digests differ; the receiver answers with what it knows beyond them
+    STATES = 7  # of members whose digests differ; the receiver replies with newer states, if any
     STATES_REPLY = 8
     RECORDS_REQUEST = 9  # from a member that has just started
-    RECORDS_REPLY = 10  # only where there are any
+    RECORDS_REPLY = 10  # not sent by a member without records
 
 
 KINDS = {kind.value: kind for kind in Kind}
 
 
 class MemberEntry(NamedTuple):
-    """The encoded state of one member, as another one knows it."""
+    """A member's number and encoded state, as the sender knows it."""
 
     number: int
     encoded: int
 
 
 class DigestRange(NamedTuple):
-    """Members `first` to `end` - 1, cut into slices of `width` members with a digest each."""
+    """Members `first` to `end` - 1, in slices of `width` members with one digest each."""
 
     first: int
     end: int
@@ -97,7 +97,7 @@
         subject: Subject of the record; its meaning depends on the topic.
         incarnation: Incarnation of the origin when it published the record.
         sequence: Number of the record among those of its origin.
-        value: 32 bits, by its topic.
+        value: 32-bit value; its meaning depends on the topic.
         age_ns: Nanoseconds since the origin published the record.
     """
 
@@ -118,7 +118,7 @@
         kind: Purpose of the datagram.
         fleet: Checksum of the sender's address list (`fleet_checksum`), to which its member numbers refer.
         sender_state: Encoded state of the sender.
-        nonce: Number that relates an answer to its probe.
+        nonce: Number that matches an ACK or NACK to its probe.
         subject: Number of the probed member in a PROBE_REQUEST or NACK; 0 otherwise.
         entries: Encoded states of members.
         digest_range: Members that the digests of a DIGESTS datagram cover.
@@ -149,12 +149,12 @@
 
 
 def fleet_checksum(addresses: Sequence[tuple[str, int]]) -> int:
-    """Return the checksum of an address list; members with different lists ignore each other's numbers."""
+    """Return the checksum of an address list; members whose lists differ ignore each other's numbers."""
     return zlib.crc32("\n".join(f"{host}:{port}" for host, port in addresses).encode())
 
 
 def record_capacity(entries: int) -> int:
-    """Return the number of records that fit beside a number of member states."""
+    """Return the number of records that fit in a datagram with a number of member states."""
     used = HEADER_BYTES + 2 * COUNT_BYTES + entries * ENTRY_BYTES
     return max((MAX_PAYLOAD_BYTES - used) // RECORD_BYTES, 0)
 
@@ -179,10 +179,10 @@
         _append_entries(data, datagram.entries)
         _append_records(data, datagram.records)
     if len(data) % BALANCER_MESSAGE_ALIGNMENT == 0:
-        data.append(0)
+        data.append(0)  # padding
     if len(data) > MAX_DATAGRAM_BYTES:
         raise DatagramTooLargeError(len(data))
-    data[CHECKSUM_FROM:CHECKED_FROM] = zlib.crc32(data[CHECKED_FROM:]).to_bytes(4, "little")
+    data[CHECKSUM_START:CHECKSUMMED_START] = zlib.crc32(data[CHECKSUMMED_START:]).to_bytes(4, "little")
     return bytes(data)
 
 
@@ -202,13 +202,13 @@
 def _append_records(data: bytearray, records: Sequence[Record]) -> None:
     data.append(len(records))
     for record in records:
-        age = min(-(-record.age_ns // AGE_UNIT_NS), MAX_AGE_UNITS)  # rounded up: never younger than it is
+        age = min(-(-record.age_ns // AGE_UNIT_NS), MAX_AGE_UNITS)  # rounded up: never too young
         data += RECORD.pack(record.topic, record.origin, record.subject, record.sequence, age, record.value)
         data += record.incarnation.to_bytes(INCARNATION_BYTES, "little")
 
 
 def decode(data: bytes) -> Datagram | None:
-    """Decode a datagram; return None if it is not one, is damaged or has a kind of a later version."""
+    """Decode a datagram; return None if it is malformed, corrupted or of an unknown kind."""
     header = _decode_header(data)
     if header is None:
         return None
@@ -216,7 +216,7 @@
 
 
 class _Header(NamedTuple):
-    """The fields that all kinds of datagrams have, as in `Datagram`."""
+    """Fields common to all kinds of datagrams, as in `Datagram`."""
 
     kind: Kind
     fleet: int
@@ -229,7 +229,7 @@
     if not HEADER_BYTES < len(data) <= MAX_DATAGRAM_BYTES or not is_membership_datagram(data):
         return None
     _, _, checksum, fleet, kind, nonce, subject = HEADER.unpack_from(data)
-    if zlib.crc32(data[CHECKED_FROM:]) != checksum or kind not in KINDS:
+    if zlib.crc32(data[CHECKSUMMED_START:]) != checksum or kind not in KINDS:
         return None
     sender_state = int.from_bytes(data[HEADER.size : HEADER_BYTES], "little")
     if not is_encoded_state(sender_state):
@@ -256,8 +256,8 @@
     if not 0 < count <= MAX_DIGESTS or start + count * DIGEST_BYTES > len(data):
         return None
     digests = [
-        int.from_bytes(data[at : at + DIGEST_BYTES], "little")
-        for at in range(start, start + count * DIGEST_BYTES, DIGEST_BYTES)
+        int.from_bytes(data[offset : offset + DIGEST_BYTES], "little")
+        for offset in range(start, start + count * DIGEST_BYTES, DIGEST_BYTES)
     ]
     return Datagram(
         header.kind,
@@ -275,24 +275,24 @@
     if end > len(data):
         return None
     entries: list[MemberEntry] = []
-    for at in range(start, end, ENTRY_BYTES):
-        state_at = at + NUMBER_BYTES
-        encoded = int.from_bytes(data[state_at : at + ENTRY_BYTES], "little")
+    for offset in range(start, end, ENTRY_BYTES):
+        state_offset = offset + NUMBER_BYTES
+        encoded = int.from_bytes(data[state_offset : offset + ENTRY_BYTES], "little")
         if not is_encoded_state(encoded):
             return None
-        entries.append(MemberEntry(int.from_bytes(data[at:state_at], "little"), encoded))
+        entries.append(MemberEntry(int.from_bytes(data[offset:state_offset], "little"), encoded))
     return entries
 
 
-def _decode_records(data: bytes, count_at: int) -> list[Record] | None:
-    count = data[count_at] if count_at < len(data) else 0
-    start = count_at + COUNT_BYTES
+def _decode_records(data: bytes, count_offset: int) -> list[Record] | None:
+    count = data[count_offset] if count_offset < len(data) else 0
+    start = count_offset + COUNT_BYTES
     if start + count * RECORD_BYTES > len(data) and count:
         return None
     return [_decode_record(data, start + index * RECORD_BYTES) for index in range(count)]
 
 
-def _decode_record(data: bytes, at: int) -> Record:
-    topic, origin, subject, sequence, age, value = RECORD.unpack_from(data, at)
-    incarnation = int.from_bytes(data[at + RECORD.size : at + RECORD_BYTES], "little")
+def _decode_record(data: bytes, offset: int) -> Record:
+    topic, origin, subject, sequence, age, value = RECORD.unpack_from(data, offset)
+    incarnation = int.from_bytes(data[offset + RECORD.size : offset + RECORD_BYTES], "little")
     return Record(topic, origin, subject, incarnation, sequence, value, age * AGE_UNIT_NS)
--- a/dykefold/fleet/endpoint_list_sync.py
+++ b/dykefold/fleet/endpoint_list_sync.py
@@ -1,4 +1,4 @@
-"""Coordinates polls of discovery with the fleet: joins discovery client, schedule and membership."""
+"""Coordination of polls of discovery with the fleet: connects discovery client, schedule and membership."""
 
 from __future__ import annotations
 
@@ -17,25 +17,25 @@
 
 
 class EndpointListSync:
-    """The poll schedule of one discovery client, from the start of the process on.
+    """Poll schedule of one discovery client, in use from the start of the process.
 
     Args:
         discovery: Discovery client.
-        settings: Settings of the polls. The position among the sidecars is used until a membership is known.
-        seed: Seed of the random position within a slot.
+        settings: Settings of the polls. The sidecar's position is used until the membership is known.
+        seed: Seed of the random offset within a slot.
         system: Source of the clock.
     """
 
     def __init__(
         self, discovery: DiscoveryClient, settings: PollSettings, seed: int, system: System = SYSTEM
     ) -> None:
-        """Begin to schedule the client's polls."""
+        """Start to schedule the client's polls."""
         self.discovery, self.system = discovery, system
         self.schedule = CoordinatedPollSchedule(settings, random.Random(seed), system.monotonic_ns())
         self.membership: Membership | None = None
-        self._extra_poll: asyncio.TimerHandle | None = None  # because of what others report
+        self._extra_poll: asyncio.TimerHandle | None = None  # poll caused by records of other members
         self._polling = False
-        self._opens_watch = True  # the next poll does
+        self._opens_watch = True  # whether the next poll opens a watch
         discovery.schedule = self
 
     @property
@@ -43,7 +43,7 @@
         """Version of this sidecar's endpoint list, as in records; 0 before the first list."""
         return (self.discovery.version or 0) % peer_observations.VERSION_MODULUS
 
-    # Called by the discovery client: see `PollSchedule`
+    # Interface `PollSchedule` of the discovery client
 
     def watch_delay_s(self) -> float:
         """Return the seconds until a watch may be opened."""
@@ -52,14 +52,14 @@
         return (self.schedule.open_watch_ns(now_ns, self.version) - now_ns) / NS_PER_S
 
     def next_call_delay_s(self) -> float:
-        """Return the seconds until the next call of a watch, after an answer."""
+        """Return the seconds from an answer to the next poll of the watch."""
         now_ns = self.system.monotonic_ns()
         due_ns = self.schedule.continue_watch_ns(now_ns, self.version)
         self._opens_watch = due_ns > now_ns
         return (due_ns - now_ns) / NS_PER_S
 
     def called(self) -> None:
-        """Record that a poll begins."""
+        """Record the start of a poll."""
         self.schedule.on_poll(self.system.monotonic_ns(), self._opens_watch)
         self._polling = True
         self._cancel_extra_poll()
@@ -77,19 +77,19 @@
             self._announce()
 
     def address_changed(self) -> None:
-        """Record that discovery has moved to another address."""
+        """Record that discovery has a new address."""
         now_ns = self.system.monotonic_ns()
         self._cancel_extra_poll()
         self._polling = False
-        self.schedule.on_move(now_ns)
+        self.schedule.on_address_change(now_ns)
         newest = self._newest_version(now_ns)
         if newest is not None:
-            self.schedule.refute_version(newest)  # it is one of the former service
+            self.schedule.refute_version(newest)  # a version of the former discovery service
 
-    # Reports of the fleet
+    # Updates of the membership
 
     def join(self, membership: Membership) -> None:
-        """Begin to use a membership."""
+        """Start to use a membership."""
         self.membership = membership
 
     def update_fleet(self) -> None:
@@ -103,7 +103,7 @@
         self.schedule.settings.max_poll_interval_ns = max_poll_interval_ns
 
     def on_new_records(self) -> None:
-        """Poll at once if other members are answered again, or have a newer endpoint list."""
+        """Schedule a poll if discovery answers other members again, or one has a newer endpoint list."""
         membership, now_ns = self.membership, self.system.monotonic_ns()
         if membership is None or self.discovery.closed:
             return
@@ -130,7 +130,7 @@
         newest = self._newest_version(self.system.monotonic_ns())
         if self.schedule.failed_ns is None:
             if newest is None or newest <= self.version:
-                return  # it has come meanwhile
+                return  # a poll has brought the list meanwhile
             log.info(
                 "endpoint list is behind the fleet's, polling again: version %d, newest %d",
                 self.version,
@@ -159,5 +159,5 @@
             peer_observations.announce_poll_spread(self.membership, now_ns, spread_ns, answered)
 
     def close(self) -> None:
-        """Stop polls that reports of other members cause."""
+        """Cancel the poll that records of other members caused."""
         self._cancel_extra_poll()
--- a/dykefold/fleet/failure_detector.py
+++ b/dykefold/fleet/failure_detector.py
@@ -1,7 +1,8 @@
-"""The state of the failure detector: probes, indirect probes, suspicions, and confidence in oneself. No I/O.
+"""State of the failure detector: probes, indirect probes, suspicions and local health. No I/O.
 
-SWIM (Das, Gupta, Motivala 2002) with the suspicions of its section 4.2, and the local health of Lifeguard
-(Dadgar, Phillips, Currey 2017): a member that runs late, or gets no answers itself, gives others more time.
+SWIM (Das, Gupta, Motivala 2002) with the suspicions of its section 4.2, and the local health multiplier of
+Lifeguard (Dadgar, Phillips, Currey 2017): a member that runs late, or receives no answers, extends its
+timeouts.
 """
 
 from __future__ import annotations
@@ -18,41 +19,41 @@
 
 
 class LocalHealth:
-    """The confidence of a member in its own observations.
+    """The local health of Lifeguard: how far a member trusts its own observations.
 
     Attributes:
-        score: 0 is full trust; each step lengthens the timeouts by once the usual time.
+        score: 0 for full health; each step adds the base timeout once.
     """
 
     def __init__(self) -> None:
         self.score = 0
 
     def improve(self) -> None:
-        """Record evidence that the member works well."""
+        """Record evidence that this member is healthy."""
         self.score = max(self.score - 1, 0)
 
     def degrade(self, steps: int = 1) -> None:
-        """Record evidence that the fault is the member's own."""
+        """Record evidence that the fault is this member's own."""
         self.score = min(self.score + steps, MAX_HEALTH_SCORE)
 
     @property
     def timeout_factor(self) -> int:
-        """Factor by which the timeouts of probes are multiplied."""
+        """Local health multiplier of the timeouts of probes."""
         return self.score + 1
 
 
 @dataclass(slots=True)
 class Probe:
-    """An open probe of a member.
+    """A pending probe of a member.
 
     Attributes:
         target: Number of the probed member.
         started_ns: Monotonic time in nanoseconds at which the probe was first sent.
-        retry_ns: Monotonic time in nanoseconds at which the probe is sent again without an answer.
+        retry_ns: Monotonic time in nanoseconds at which an unanswered probe is retried.
         timeout_ns: Monotonic time in nanoseconds at which the probe fails.
-        helpers: Members that were requested to probe the target too.
-        nacks: Helpers that got no answer from the target.
-        retries: Number of times that the probe was sent again.
+        helpers: Members that were sent a PROBE_REQUEST for the target.
+        nacks: Number of NACKs from helpers.
+        retries: Number of retries.
     """
 
     target: int
@@ -66,7 +67,7 @@
 
 @dataclass(slots=True)
 class RelayedProbe:
-    """An open probe on behalf of another member.
+    """A pending indirect probe: this member probes the target for the requester.
 
     Attributes:
         requester: Number of the member that requested the probe.
@@ -82,7 +83,7 @@
 
 
 class ProbeOrder:
-    """The order of probes: rounds over all members, each shuffled anew, so that no member waits long.
+    """The order of probes: rounds over all members, each newly shuffled, which bounds the time to a probe.
 
     Args:
         own_number: Number of the member that probes.
@@ -112,11 +113,11 @@
 
 
 class Suspicions:
-    """The suspected members, and the times until which they can refute the suspicion.
+    """The suspected members with the expiry of each suspicion, until which the member can refute it.
 
     Attributes:
         expiry_ns: Monotonic time in nanoseconds at which a suspicion expires, by member.
-        reprobed: Members that were probed once more before the expiry.
+        reprobed: Members that were already probed again before the expiry.
     """
 
     def __init__(self) -> None:
@@ -138,7 +139,7 @@
             self.expiry_ns.pop(number, None)
 
     def shorten(self, number: int, expiry_ns: int) -> None:
-        """Shorten a suspicion that this member has now confirmed by its own observation."""
+        """Shorten a suspicion that a failed probe of this member has confirmed."""
         if number in self.expiry_ns:
             self.expiry_ns[number] = min(self.expiry_ns[number], expiry_ns)
 
@@ -148,7 +149,7 @@
             self.expiry_ns[number] += by_ns
 
     def take_reprobes(self, until_ns: int) -> list[int]:
-        """Return members whose suspicion expires by a time, to be probed once more; each is returned once."""
+        """Return members to probe before their suspicion expires by `until_ns`; each is returned once."""
         due = [
             number
             for number, expiry_ns in self.expiry_ns.items()
@@ -158,11 +159,11 @@
         return due
 
     def expired(self, now_ns: int) -> list[int]:
-        """Return members that have not refuted a suspicion in time."""
+        """Return members whose suspicion has expired."""
         return [number for number, expiry_ns in self.expiry_ns.items() if expiry_ns <= now_ns]
 
     def next_ns(self, reprobe_before_ns: int) -> int | None:
-        """Return when the next suspicion expires, or when its member must be probed once more before that."""
+        """Return the time of the next expiry, or of the probe `reprobe_before_ns` before it."""
         return min(
             (
                 expiry_ns if number in self.reprobed else expiry_ns - reprobe_before_ns
--- a/dykefold/fleet/gossip.py
+++ b/dykefold/fleet/gossip.py
@@ -1,4 +1,4 @@
-"""Rounds of gossip: changes are sent to a few random members. No I/O."""
+"""Gossip rounds: changes are sent to a few random members. No I/O."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Gossiper:
-    """Sends changed states and new records.
+    """Sender of changed states and new records.
 
     Args:
         membership: Membership whose changes are sent.
@@ -28,26 +28,26 @@
         """Start again after a change of the address list."""
         self.next_round_ns = now_ns
 
-    def has_anything(self) -> bool:
+    def has_pending(self) -> bool:
         """Return whether there is anything to send."""
         membership = self.membership
-        return bool(membership.gossip or membership.records.gossip or membership.wrong_claims)
+        return bool(membership.gossip or membership.records.gossip or membership.outdated_members)
 
     def run_round(self, now_ns: int) -> None:
         """Run a round if one is due."""
-        if self.next_round_ns > now_ns or not self.has_anything():
+        if self.next_round_ns > now_ns or not self.has_pending():
             return
         membership = self.membership
         self.next_round_ns = now_ns + membership.limits.ns(GOSSIP_PERIODS)
-        self._notify_wrong_claims(now_ns)
+        self._notify_outdated_members(now_ns)
         if membership.isolated:
-            return  # what this member concluded while it received nothing is not worth much
+            return  # conclusions of a member that receives nothing are unreliable
         for peer in membership.random_live_members(GOSSIP_FANOUT):
             if membership.gossip or membership.records.gossip:
                 self.outbox.send_gossip(now_ns, peer)
 
-    def _notify_wrong_claims(self, now_ns: int) -> None:
-        """Notify members of claims about them, so that they can refute these."""
-        wrong_claims = self.membership.wrong_claims
-        while wrong_claims and self.outbox.send_gossip(now_ns, next(iter(wrong_claims))):
+    def _notify_outdated_members(self, now_ns: int) -> None:
+        """Notify members of greater states known of them, so that they can refute these."""
+        outdated_members = self.membership.outdated_members
+        while outdated_members and self.outbox.send_gossip(now_ns, next(iter(outdated_members))):
             pass
--- a/dykefold/fleet/gossip_queue.py
+++ b/dykefold/fleet/gossip_queue.py
@@ -1,4 +1,4 @@
-"""Items still to be gossiped, each a limited number of times, the least sent first. No I/O."""
+"""Queue of items to gossip, each a limited number of times, least transmitted first. No I/O."""
 
 from __future__ import annotations
 
@@ -10,34 +10,34 @@
 
 
 class GossipQueue(Generic[K]):
-    """Keys of changed items with the number of their transmissions."""
+    """Keys of changed items, with the number of transmissions of each."""
 
     def __init__(self) -> None:
         self._transmissions: OrderedDict[K, int] = OrderedDict()
 
     def __len__(self) -> int:
-        """Return the number of items still to be sent."""
+        """Return the number of queued items."""
         return len(self._transmissions)
 
     def add(self, key: K) -> None:
-        """Queue a changed item ahead of all items that were sent before."""
+        """Queue a changed item ahead of all others, with no transmissions counted."""
         self._transmissions[key] = 0
         self._transmissions.move_to_end(key, last=False)
 
     def discard(self, key: K) -> None:
-        """Forget an item."""
+        """Remove an item."""
         self._transmissions.pop(key, None)
 
     def clear(self) -> None:
-        """Forget all items."""
+        """Remove all items."""
         self._transmissions.clear()
 
     def take(self, max_count: int, max_transmissions: Callable[[K], int]) -> list[K]:
-        """Return the next items to send, and count the transmission.
+        """Return the next items to send, and count a transmission of each.
 
         Args:
             max_count: Maximum number of items to return.
-            max_transmissions: Number of times that an item is sent in total.
+            max_transmissions: Function that returns the total number of transmissions of an item.
         """
         taken: list[K] = []
         remaining: list[tuple[K, int]] = []
--- a/dykefold/fleet/hashing.py
+++ b/dykefold/fleet/hashing.py
@@ -1,4 +1,4 @@
-"""A hash of two integers that is the same in all processes. No I/O."""
+"""A deterministic hash of two integers, equal in all processes. No I/O."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def hash_pair(first: int, second: int) -> int:
-    """Hash two non-negative integers to 64 bits (the finaliser of splitmix64); 0 where the second is 0."""
+    """Hash two non-negative integers to 64 bits (finaliser of splitmix64); return 0 if `second` is 0."""
     if not second:
         return 0
     mixed = (second * 0x9E3779B97F4A7C15 ^ (first + 1) * 0xD1B54A32D192ED03) & MASK_64
--- a/dykefold/fleet/member_state.py
+++ b/dykefold/fleet/member_state.py
@@ -1,8 +1,8 @@
 """The state of a member as one integer: its incarnation, status and zone. No I/O.
 
-Two encoded states of one member merge to the greater one. So all members that have received the same states
-hold the same membership, whatever the order, the number of repeats and the sender: the states of a member
-form a join-semilattice with a total order.
+Two encoded states of one member merge to their maximum, a join-semilattice with a total order. Members that
+have received the same states therefore converge to the same membership, whatever the order, the duplicates
+and the senders of the datagrams.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 class State(IntEnum):
     """The status of a member. Within one incarnation a greater value overrides a smaller one."""
 
-    UNKNOWN = 0  # nothing has been received from or about it
+    UNKNOWN = 0  # nothing was received from or about the member
     ALIVE = 1
-    SUSPECT = 2  # it did not answer a probe, and may refute that
-    LEAVING = 3  # it announced its graceful shutdown
-    GONE = 4  # it did not refute a suspicion in time
-    LEFT = 5  # it announced its end, or has been leaving for longer than a graceful shutdown lasts
+    SUSPECT = 2  # did not answer a probe, and may refute the suspicion
+    LEAVING = 3  # announced its graceful shutdown
+    GONE = 4  # did not refute a suspicion in time
+    LEFT = 5  # announced its end, or has been LEAVING for longer than a graceful shutdown lasts
 
 
 STATES = tuple(State)
@@ -31,31 +31,31 @@
 ZONE_BITS = 5
 ZONE_MASK = (
     1 << ZONE_BITS
-) - 1  # the field holds the zone's number plus one; 0: not known, all ones: too large
+) - 1  # field value: zone number plus one; 0: unknown, all ones: too large to encode
 INCARNATION_SHIFT = STATE_BITS + ZONE_BITS
 MAX_INCARNATION = (1 << 48) - 1  # Milliseconds since 1970 reach it in the year 10889.
 ENCODED_STATE_BYTES = 7
 MAX_ENCODED_STATE = (1 << 8 * ENCODED_STATE_BYTES) - 1
 
-# What a member may conclude about another one by itself, with the reason. Every other state comes from the
-# member that it is about, or from one that concluded it.
+# Transitions that a member may conclude about another one from its own observations, with the cause for
+# operators. All other states are claimed by the member itself, or received from one that concluded them.
 CONCLUSIONS: dict[tuple[State, State], str] = {
     (State.UNKNOWN, State.SUSPECT): "neither it nor a helper answered a probe",
     (State.ALIVE, State.SUSPECT): "neither it nor a helper answered a probe",
     (State.SUSPECT, State.GONE): "the suspicion was not refuted in time",
     (State.LEAVING, State.LEFT): "its graceful shutdown has had its time",
 }
-LIVE = frozenset((State.ALIVE, State.SUSPECT))  # Members that count as carrying traffic.
+LIVE = frozenset((State.ALIVE, State.SUSPECT))  # Statuses of members that are expected to carry traffic.
 PROBED = frozenset((State.UNKNOWN, State.ALIVE, State.SUSPECT))
 TRUSTED = frozenset((State.ALIVE, State.SUSPECT, State.LEAVING))
 
 
 class InvalidConclusionError(ValueError):
-    """A member may not conclude this status of another member.
+    """A member may not conclude this transition of another member.
 
     Args:
         before: Known status.
-        after: Status that was to replace it.
+        after: Status that the conclusion would set.
     """
 
     def __init__(self, before: State, after: State) -> None:
@@ -117,8 +117,8 @@
 def is_trusted(state: State) -> bool:
     """Return whether claims about others are accepted from a member with this status.
 
-    A member that receives nothing concludes that all others are gone; it is gone itself for those that it
-    still reaches, and must not convince them.
+    A member that can send but not receive concludes that all others are gone. The others, which consider it
+    gone, must not adopt its conclusions.
     """
     return state in TRUSTED
 
@@ -126,15 +126,15 @@
 def refutation(own: int, claim: int) -> int | None:
     """Return the state by which a member refutes a claim about itself.
 
-    A process so overrides the states of its earlier incarnations as soon as it receives them, even where its
-    wall clock was set back.
+    A process thereby overrides the states of its earlier incarnations as soon as it receives them, even if
+    its wall clock was set back.
 
     Args:
         own: Encoded state of the member itself.
         claim: Encoded state that others have of the member.
 
     Returns:
-        None where there is nothing to refute.
+        None if there is nothing to refute.
     """
     if claim <= own or incarnation_of(claim) >= MAX_INCARNATION:
         return None
@@ -143,11 +143,11 @@
     return encode_state(incarnation_of(claim) + 1, state_of(own)) | own & ZONE_MASK
 
 
-MEMBERS_PER_BLOCK = 32  # Their states share a digest that is kept up to date.
+MEMBERS_PER_BLOCK = 32  # Members per incrementally updated digest.
 
 
 class MemberTable:
-    """The greatest state received of each member, with digests that tell whether two tables are equal.
+    """The greatest state received of each member, with digests for comparison with other tables.
 
     Args:
         size: Number of members.
@@ -159,7 +159,7 @@
     """
 
     def __init__(self, size: int) -> None:
-        """Create a table in which no member is known."""
+        """Create a table with all members UNKNOWN."""
         self.states = array("Q", bytes(8 * size))
         self.block_digests = array("Q", bytes(8 * (size // MEMBERS_PER_BLOCK + 1)))
         self.counts = [size] + [0] * (len(State) - 1)
@@ -188,7 +188,7 @@
     def digest(self, first: int, end: int) -> int:
         """Return the digest of the states of members `first` to `end` - 1, 64 bits.
 
-        Equal states have equal digests; different ones hardly ever do.
+        Equal states have equal digests; a collision of different ones is very unlikely.
         """
         total = 0
         number = first
@@ -202,7 +202,7 @@
         return total
 
     def live(self) -> int:
-        """Return the number of members that count as live."""
+        """Return the number of live members."""
         return sum(self.counts[state] for state in LIVE)
 
     def members_in(self, states: Sequence[State]) -> Iterator[int]:
--- a/dykefold/fleet/membership.py
+++ b/dykefold/fleet/membership.py
@@ -1,4 +1,4 @@
-"""The membership as one member knows it: the state, and queries on it. No I/O.
+"""The membership as one member knows it: state and queries. No I/O.
 
 `protocol.py` drives it with times and datagrams; see docs/design/view.md.
 """
@@ -27,12 +27,12 @@
     zone_of,
 )
 from .rate_limits import (
-    ISOLATED_ALONE_PERIODS,
     ISOLATED_PERIODS,
     LEAVING_NS,
     LEGACY_LIVE_NS,
     MAX_DELAY_PERIODS,
     MAX_JOINING_PERIODS,
+    NO_LIVE_PEERS_PERIODS,
     REFUTATION_PERIODS,
     RESTART_NS,
     RateLimits,
@@ -41,8 +41,8 @@
 from .traffic_counters import TrafficCounter
 
 MAX_PENDING_CHANGES = 4096
-RANDOM_DRAWS_PER_MEMBER = 6  # Draws of a random member until a live one is found.
-UNRELIABLE_HEALTH_SCORE = 2  # From this score on suspicions last twice as long.
+RANDOM_DRAWS_PER_MEMBER = 6  # Random draws per live member that is wanted.
+UNRELIABLE_HEALTH_SCORE = 2  # From this health score on, suspicions last twice as long.
 
 Address = tuple[str, int]
 
@@ -52,7 +52,7 @@
     """A change of a member's status or incarnation.
 
     Attributes:
-        at_ns: Monotonic time in nanoseconds at which this member learned of the change.
+        at_ns: Monotonic time in nanoseconds at which this member applied the change.
         member: Number of the member.
         before: Former status of the member.
         after: Current status of the member.
@@ -96,20 +96,20 @@
         own_number: Number of this member.
         zone: Zone of this member.
         own_status: ALIVE, then LEAVING, then LEFT.
-        incarnation: Incarnation of this process; it is raised when others know a greater one.
+        incarnation: Incarnation of this process; raised when others know a greater one.
         addresses: Addresses of all members, by number.
         fleet: Checksum of the addresses.
         table: State of each member.
         gossip: Members whose changed state is still to be gossiped.
         records: Records that members publish beside their states.
-        suspicions: Members that are suspected to be dead.
-        health: Confidence of this member in its own observations.
+        suspicions: Suspected members.
+        health: Local health, as in Lifeguard.
         received_ns: Monotonic time in nanoseconds of the latest datagram of each member.
         last_received_ns: Monotonic time in nanoseconds of the latest datagram of any member.
-        wrong_claims: Members that must be notified: they claim a lower state of themselves than others know.
-        changes: Changes that the driver has not taken yet.
+        outdated_members: Members to be notified: their own state is lower than the one known of them.
+        changes: Changes that the driver has not fetched yet.
         has_new_records: Whether a new record was received; the driver resets it.
-        synchronized: Whether digests were once equal to another member's, with all members known.
+        synchronized: Whether a comparison has found equal digests, with all members known.
         counts: Traffic counters, by `TrafficCounter` and `SENT_BY_KIND`.
         next_tick_ns: Monotonic time in nanoseconds at which the driver must call `tick`.
     """
@@ -117,7 +117,7 @@
     def __init__(
         self, local: LocalMember, incarnation: int, limits: RateLimits, rng: random.Random, now_ns: int
     ) -> None:
-        """Start with this member as the only one known."""
+        """Start with this member as the only known one."""
         self.limits, self.rng, self.zone = limits, rng, local.zone
         self.own_status = State.ALIVE
         self.incarnation = min(max(incarnation, 1), MAX_INCARNATION)
@@ -142,7 +142,7 @@
         self.received_ns: dict[int, int] = {}
         self.legacy_received_ns: dict[int, int] = {}
         self.departed_ns: dict[int, int] = {}
-        self.wrong_claims: dict[int, None] = {}  # a set in order of insertion
+        self.outdated_members: dict[int, None] = {}  # an insertion-ordered set
         self.joined_ns = now_ns
         self.synchronized = self.has_no_peers
 
@@ -168,16 +168,16 @@
 
     @property
     def isolated(self) -> bool:
-        """Whether nothing was received for `ISOLATED_PERIODS`, so that nothing is concluded about others."""
+        """Whether nothing was received for `ISOLATED_PERIODS`; no conclusions are drawn then."""
         return self.next_tick_ns - self.last_received_ns > self.limits.ns(ISOLATED_PERIODS)
 
     def is_settled(self, now_ns: int) -> bool:
-        """Return whether this member has had time to learn the state of the others."""
+        """Return whether this member has joined: synchronized its table, or had the time for it."""
         return self.synchronized or now_ns - self.joined_ns >= self.limits.ns(MAX_JOINING_PERIODS)
 
     def live_members(self, now_ns: int) -> list[int]:
-        """Return the numbers of members that count as carrying traffic, this one among them, in order."""
-        if now_ns - self.last_received_ns > self.limits.ns(ISOLATED_ALONE_PERIODS):
+        """Return the sorted numbers of live members, including this one."""
+        if now_ns - self.last_received_ns > self.limits.ns(NO_LIVE_PEERS_PERIODS):
             return [self.own_number]
         states = LIVE if self.is_settled(now_ns) else {*LIVE, State.UNKNOWN}
         legacy = {number for number, ns in self.legacy_received_ns.items() if now_ns - ns < LEGACY_LIVE_NS}
@@ -188,7 +188,7 @@
         ]
 
     def expected_members(self, now_ns: int) -> list[int]:
-        """Return live members, and members that left so recently that they may restart."""
+        """Return live members, and members that departed so recently that they may restart."""
         recent = {number for number, ns in self.departed_ns.items() if now_ns - ns < RESTART_NS}
         return sorted(recent.union(self.live_members(now_ns)))
 
@@ -202,7 +202,7 @@
         return zone_of(self.table.states[number])
 
     def random_live_members(self, max_count: int, excluded: Collection[int] = ()) -> list[int]:
-        """Return up to `max_count` random other members that count as live."""
+        """Return up to `max_count` random other live members."""
         found: list[int] = []
         for _ in range(RANDOM_DRAWS_PER_MEMBER * max_count):
             number = self.rng.randrange(len(self.addresses))
@@ -250,7 +250,7 @@
         self.gossip.add(number)
         if after in LIVE:
             self.departed_ns.pop(number, None)
-        elif before in LIVE or before is State.UNKNOWN:  # a member that has just started learns of the gone
+        elif before in LIVE or before is State.UNKNOWN:  # UNKNOWN: this member is joining
             self.departed_ns[number] = now_ns
         self.suspicions.on_state(number, after, now_ns + self.suspicion_ns(own=False))
         if len(self.changes) < MAX_PENDING_CHANGES:
@@ -267,7 +267,7 @@
         self.update(now_ns, number, encoded, CONCLUSIONS[self.table.state(number), after])
 
     def conclude_overdue_shutdowns(self, now_ns: int) -> None:
-        """Mark members as left whose graceful shutdown takes too long."""
+        """Mark members as LEFT whose graceful shutdown takes too long."""
         if not self.table.counts[State.LEAVING]:
             return
         for number in list(self.table.members_in((State.LEAVING,))):
@@ -276,7 +276,7 @@
                 self.conclude(now_ns, number, State.LEFT)
 
     def set_own_status(self, now_ns: int, status: State) -> None:
-        """Begin or end this member's graceful shutdown."""
+        """Set this member's status to LEAVING or LEFT."""
         self.own_status = status
         self.update(now_ns, self.own_number, self.own_state, "it ends")
 
@@ -295,27 +295,27 @@
     def on_received(self, now_ns: int, sender: int, sender_state: int) -> None:
         """Record a datagram of a member, with the state that it claims for itself.
 
-        Where a greater state of it is known, it is to be notified, so that it can refute that.
+        If a greater state of the sender is known, the sender is queued for notification, to refute it.
         """
         self.last_received_ns = self.received_ns[sender] = now_ns
         known = self.table.states[sender]
         if sender_state > known:
             self.update(now_ns, sender, sender_state, "it says so")
         elif sender_state < known:
-            self.wrong_claims[sender] = None
+            self.outdated_members[sender] = None
 
     def on_legacy_message(self, now_ns: int, sender: int) -> None:
-        """Record a balancer's message: its sender is alive, even if it has no membership."""
+        """Record a balancer's message: its sender is live, even if it runs without membership."""
         if 0 <= sender < len(self.addresses):
             self.legacy_received_ns[sender] = now_ns
 
     def delay_ns(self, now_ns: int) -> int:
-        """Return by how many nanoseconds the driver calls too late; 0 within `MAX_DELAY_PERIODS`."""
+        """Return the delay of the driver's call in nanoseconds; 0 within `MAX_DELAY_PERIODS`."""
         late_ns = now_ns - self.next_tick_ns
         return late_ns if late_ns > self.limits.ns(MAX_DELAY_PERIODS) else 0
 
-    def absorb_delay(self, now_ns: int, late_ns: int) -> None:
-        """Lower this member's confidence in its own observations after a delay."""
+    def handle_delay(self, now_ns: int, late_ns: int) -> None:
+        """Degrade the local health and extend the suspicions after a delay of this process."""
         self.counts[TrafficCounter.DELAYED] += 1
         self.health.degrade(1 + late_ns // self.limits.period_ns)
         self.suspicions.extend(late_ns + self.limits.period_ns)
@@ -328,6 +328,6 @@
         return changes
 
     def take_new_records(self) -> bool:
-        """Return whether new records came since the last call."""
-        came, self.has_new_records = self.has_new_records, False
-        return came
+        """Return whether new records were received since the last call."""
+        has_new, self.has_new_records = self.has_new_records, False
+        return has_new
--- a/dykefold/fleet/options.py
+++ b/dykefold/fleet/options.py
@@ -1,11 +1,11 @@
-"""Options of the membership and of the failover in an operator's file."""
+"""Options of the membership and of the failover in the operator's file."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-DEFAULT_CALLS_PER_S = 125.0  # One poll takes discovery 8 ms of a core.
+DEFAULT_CALLS_PER_S = 125.0  # A poll costs discovery 8 ms of CPU time.
 
 
 @dataclass(frozen=True, slots=True)
@@ -13,8 +13,8 @@
     """The table `[failover]` of the operator's file (docs/operators/failover.md).
 
     Attributes:
-        on: Whether the sidecar may work away from its zone.
-        regions: Region by name of a zone; zones of the same region are preferred.
+        on: Whether the sidecar may send requests to other zones.
+        regions: Region by zone name; zones of the same region are preferred.
         out: Names of evacuated zones.
     """
 
@@ -28,8 +28,8 @@
     """The table `[fleet]` of the operator's file (docs/operators/view.md).
 
     Attributes:
-        view: Whether the sidecar takes part in the membership, if the settings allow datagrams.
-        listen: Address of the membership's admin API; None for no such API.
+        view: Whether the sidecar is a member of the fleet, if the settings allow datagrams.
+        listen: Address of the membership's admin API; None if it is off.
         calls: Whether polls of discovery are spread over the fleet (docs/operators/coldstart.md).
         calls_per_s: Assumed number of polls per second that discovery can answer, until its rate is observed.
         failover: Options of the failover, which needs the membership.
--- a/dykefold/fleet/outbox.py
+++ b/dykefold/fleet/outbox.py
@@ -1,4 +1,4 @@
-"""Outgoing datagrams within the send limit; gossip fills their remaining space. No I/O."""
+"""Outgoing datagrams within the send limit, with gossip piggybacked on them. No I/O."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from .rate_limits import EXTRA_TRANSMISSIONS, SEND_LIMIT_PER_S, TokenBucket
 from .traffic_counters import SENT_BY_KIND, TrafficCounter
 
-PROBE_RESERVE_DATAGRAMS = 10.0  # Of the send limit; gossip and comparisons leave them to probes and answers.
+PROBE_RESERVE_DATAGRAMS = 10.0  # Tokens of the send limit reserved for probes and answers.
 
 
 class OutgoingDatagram(NamedTuple):
-    """A datagram for a member, by its number."""
+    """An encoded datagram, and the number of its receiver."""
 
     member: int
     data: bytes
 
 
 class Outbox:
-    """Datagrams that the driver has not sent yet.
+    """Queue of datagrams that the driver has not sent yet.
 
     Args:
         membership: Membership whose states and records are sent.
@@ -37,22 +37,22 @@
         self._limit = TokenBucket(SEND_LIMIT_PER_S, 2 * SEND_LIMIT_PER_S, now_ns)
 
     def take(self) -> list[OutgoingDatagram]:
-        """Return the datagrams to be sent, and forget them."""
+        """Remove and return the pending datagrams."""
         pending, self.pending = self.pending, []
         return pending
 
     def send(self, now_ns: int, peer: int, kind: Kind, nonce: int = 0, subject: int = 0) -> bool:
-        """Send a datagram of the failure detector, with gossip; return whether the send limit allowed it."""
+        """Queue a datagram with piggybacked gossip; return whether the send limit allowed it."""
         return self._allows(now_ns, reserve=0.0) and self._put_with_gossip(now_ns, peer, kind, nonce, subject)
 
     def send_gossip(self, now_ns: int, peer: int) -> bool:
-        """Send a datagram of gossip alone; return whether the send limit allowed it."""
+        """Queue a GOSSIP datagram; return whether the send limit allowed it."""
         return self._allows(now_ns, PROBE_RESERVE_DATAGRAMS) and self._put_with_gossip(
             now_ns, peer, Kind.GOSSIP, 0, 0
         )
 
     def send_prepared(self, now_ns: int, peer: int, datagram: Datagram) -> bool:
-        """Send a datagram with content of its own; return whether the send limit allowed it."""
+        """Queue a prepared datagram without gossip; return whether the send limit allowed it."""
         if not self._allows(now_ns, PROBE_RESERVE_DATAGRAMS):
             return False
         self._put(peer, datagram)
@@ -78,12 +78,12 @@
         return True
 
     def _claims_about(self, peer: int) -> list[MemberEntry]:
-        """Return the states that the peer may have to refute."""
+        """Return the state of the peer that it may have to refute, if any."""
         membership = self.membership
         entry = membership.entry(peer)
-        is_wrong = peer in membership.wrong_claims
-        membership.wrong_claims.pop(peer, None)
-        return [entry] if is_wrong or state_of(entry.encoded) is State.SUSPECT else []
+        is_outdated = peer in membership.outdated_members
+        membership.outdated_members.pop(peer, None)
+        return [entry] if is_outdated or state_of(entry.encoded) is State.SUSPECT else []
 
     def _max_transmissions(self, _number: int) -> int:
         return len(self.membership.addresses).bit_length() + EXTRA_TRANSMISSIONS
--- a/dykefold/fleet/peer_observations.py
+++ b/dykefold/fleet/peer_observations.py
@@ -1,7 +1,7 @@
-"""Reports that members exchange on endpoints, latencies and discovery, for their balancers. No I/O.
+"""Observations of endpoints, latencies and discovery that members exchange as records. No I/O.
 
-Between members names stand for endpoints, as the numbers of a process are its own: the checksum of a name is
-the subject of a record, and what is ranked. Two names with one checksum share hints; a hint is only a prior.
+Endpoint numbers differ between processes, so the checksum of an endpoint's name is the subject of its records
+and the key of its rank. Two names with the same checksum share hints, which are only priors.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 from .statistics import lower_median
 from .subsetting import EndpointRanking, PlacedMember, subset_fraction
 
-HINT_QUORUM = 3  # Other members that must report the same: two may share a fault, such as a partition.
-MIN_HINT_QUORUM = 2  # In a fleet so small that three would be most of it.
-LATENCY_QUORUM = 3  # Other members. Then the median lies between two correct reports.
-VERSION_MODULUS = 1 << 32  # Of the versions of endpoint lists in records.
-NO_SUBJECT = 0  # Of records about the fleet's one discovery service.
+HINT_QUORUM = 3  # Other members with the same report: two may share a fault, such as a partition.
+MIN_HINT_QUORUM = 2  # In a fleet in which three are more than half of the members.
+LATENCY_QUORUM = 3  # Other members; with one wrong report the median still lies between two correct ones.
+VERSION_MODULUS = 1 << 32  # For versions of endpoint lists in records.
+NO_SUBJECT = 0  # For records about the discovery service, of which a fleet has one.
 NS_PER_MS = 1_000_000
 NS_PER_US = 1_000
 
 
 class PollReports(NamedTuple):
-    """Reports of other live members on their polls of discovery.
+    """Poll records of other live members.
 
     Attributes:
         spreads_ns: Nanoseconds over which each member would spread the fleet's polls.
@@ -40,21 +40,21 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointHints:
-    """Numbers of endpoints on which a quorum of other members reports the same."""
+    """Numbers of endpoints that a quorum of other members reports as failing or as answering."""
 
     failing: set[int]
     answering: set[int]
 
 
 class _Report(NamedTuple):
-    """A member's latest report on an endpoint: whether it answers."""
+    """A member's latest report on an endpoint, with its version."""
 
     version: RecordVersion
     answers: bool
 
 
 def name_checksum(name: str) -> int:
-    """Return the number that represents a name in records."""
+    """Return the checksum that identifies a name in records."""
     return zlib.crc32(name.encode())
 
 
@@ -68,11 +68,12 @@
 
 
 def report_endpoint(membership: Membership, now_ns: int, name: str, answers: bool) -> bool:
-    """Publish that the balancer ejected an endpoint, or had an answer from it after that.
+    """Publish that the balancer ejected an endpoint, or received an answer from it after that.
 
-    What enough others report is not repeated, unless it takes back what this member has reported: else a lost
-    zone would cost each member a record for each of its endpoints, which all would pass on. A member that
-    receives nothing may well be cut off from the endpoints too, and reports nothing.
+    A report that enough others have published is suppressed, unless it reverses this member's last one:
+    otherwise, after the loss of a zone, each member would publish a record for each endpoint of the zone, and
+    all members would gossip them. An isolated member may be partitioned from the endpoints too, and publishes
+    nothing.
 
     Returns:
         Whether a record was published.
@@ -84,8 +85,8 @@
     own_report = reports.pop(membership.own_number, None)
     if own_report is None or own_report is answers:
         live = set(membership.live_members(now_ns))
-        same = sum(report is answers for origin, report in reports.items() if origin in live)
-        if same > HINT_QUORUM or own_report is not None:
+        agreeing = sum(report is answers for origin, report in reports.items() if origin in live)
+        if agreeing > HINT_QUORUM or own_report is not None:
             return False
     topic = Topic.ENDPOINT_ANSWERED if answers else Topic.ENDPOINT_FAILED
     membership.publish(now_ns, topic, subject, 0)
@@ -102,21 +103,21 @@
 def newest_list_version(membership: Membership, now_ns: int) -> int | None:
     """Return the newest version of the endpoint list that any member reports; None if none does.
 
-    Where discovery moves, its versions begin anew, and for the lifetime of a record this may be one of the
-    old service's: a reason to poll that the answer does not bear out, which costs one poll.
+    Versions start again when discovery moves to another address. For the lifetime of a record this may then
+    be a version of the old service, which costs one unnecessary poll.
     """
     stored = membership.records.on_subject(now_ns, Topic.LIST_VERSION, NO_SUBJECT)
     return max((record.value for record, _ in stored), default=None)
 
 
 def announce_poll_spread(membership: Membership, now_ns: int, spread_ns: int, answered: bool) -> None:
-    """Publish over which time polls should be spread, and whether this member's polls are answered."""
+    """Publish this member's poll spread, and whether its polls are answered."""
     value = spread_ns // NS_PER_MS << 1 | answered
     membership.publish(now_ns, Topic.POLL_SPREAD, NO_SUBJECT, value)
 
 
 def poll_reports(membership: Membership, now_ns: int) -> PollReports:
-    """Return the reports of other live members on their polls of discovery."""
+    """Return the poll records of other live members."""
     spreads_ns: list[int] = []
     last_answered_ns: int | None = None
     live = set(membership.live_members(now_ns)) - {membership.own_number}
@@ -130,7 +131,7 @@
 
 
 def publish_typical_latencies(membership: Membership, now_ns: int, latencies: Mapping[str, float]) -> None:
-    """Publish typical latencies of request classes, for members that start.
+    """Publish typical latencies of request classes, as priors for joining members.
 
     Args:
         membership: Membership that publishes the records.
@@ -149,21 +150,21 @@
     classes: Mapping[str, int],
     ranking: EndpointRanking,
 ) -> MembershipChanged:
-    """Return the event that informs the balancer of the fleet.
+    """Return the membership event for the balancer.
 
     Args:
         membership: Membership as this member knows it.
         now_ns: Current monotonic time in nanoseconds.
         endpoints: The balancer's numbers of endpoints, by name.
         classes: The balancer's numbers of request classes, by name.
-        ranking: Ranking of this member, kept from one call to the next.
+        ranking: Ranking of this member; holds state between calls.
     """
     live = membership.live_members(now_ns)
     if live == [membership.own_number]:
-        # Members that can't be reached may well be there and use the same endpoints: count on them all.
+        # Unreachable members are probably running and use the same endpoints: assume the full fleet.
         return MembershipChanged(len(membership.addresses), {})
-    # Members that may be restarted soon keep their part of the endpoints: else a mass restart would move what
-    # each member uses twice within seconds, and open a connection for each move.
+    # Members that may restart soon keep their subsets of endpoints: otherwise a mass restart would change the
+    # subsets of all members twice within seconds, with a new connection for each change.
     expected = [
         PlacedMember(number, membership.zone_of(number)) for number in membership.expected_members(now_ns)
     ]
@@ -183,22 +184,22 @@
 def _endpoint_hints(
     membership: Membership, now_ns: int, by_subject: Mapping[int, int], live: Collection[int]
 ) -> EndpointHints:
-    """Return the endpoints on which a quorum of other live members reports the same."""
+    """Return the endpoints on which a quorum of other live members agrees."""
     others, quorum = set(live) - {membership.own_number}, hint_quorum(len(live))
     hints = EndpointHints(set(), set())
     subjects = membership.records.subjects_of(Topic.ENDPOINT_FAILED, Topic.ENDPOINT_ANSWERED)
     for subject in subjects & by_subject.keys():
         reports = _endpoint_reports(membership, now_ns, subject)
-        answers = [report for origin, report in reports.items() if origin in others]
-        if sum(answers) >= quorum:
+        other_reports = [report for origin, report in reports.items() if origin in others]
+        if sum(other_reports) >= quorum:
             hints.answering.add(by_subject[subject])
-        if len(answers) - sum(answers) >= quorum:
+        if len(other_reports) - sum(other_reports) >= quorum:
             hints.failing.add(by_subject[subject])
     return hints
 
 
 def _typical_latencies(membership: Membership, now_ns: int, classes: Mapping[str, int]) -> dict[int, float]:
-    """Return by class the median of the reported latencies in nanoseconds, with a quorum of reports."""
+    """Return the median of the reported latencies in nanoseconds by class, for classes with a quorum."""
     latencies = {}
     for name, number in classes.items():
         stored = membership.records.on_subject(now_ns, Topic.TYPICAL_LATENCY, name_checksum(name))
@@ -210,7 +211,7 @@
 
 
 def _endpoint_reports(membership: Membership, now_ns: int, subject: int) -> dict[int, bool]:
-    """Return by origin whether its latest report on an endpoint is that it answers."""
+    """Return by origin whether its latest report says that the endpoint answers."""
     latest: dict[int, _Report] = {}
     for topic in (Topic.ENDPOINT_FAILED, Topic.ENDPOINT_ANSWERED):
         for record, _ in membership.records.on_subject(now_ns, topic, subject):
--- a/dykefold/fleet/probing.py
+++ b/dykefold/fleet/probing.py
@@ -1,4 +1,4 @@
-"""Probe rounds, indirect probes through helpers, and suspicions after failed probes. No I/O."""
+"""SWIM probe rounds, indirect probes through helpers, and suspicions after failed probes. No I/O."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Prober:
-    """Detects members that do not answer.
+    """Failure detector of SWIM: probes one member per period.
 
     Args:
         membership: Membership whose members are probed.
@@ -32,8 +32,8 @@
         now_ns: Current monotonic time in nanoseconds.
 
     Attributes:
-        probes: Open probes, by nonce.
-        relayed: Open probes on behalf of others, by nonce.
+        probes: Pending probes, by nonce.
+        relayed: Pending probes on behalf of others, by nonce.
         next_round_ns: Monotonic time in nanoseconds at which the next member is probed.
     """
 
@@ -63,13 +63,13 @@
         return min(due)
 
     def forget_probes(self) -> None:
-        """Drop the open probes: their answers may have been lost during a delay of this process."""
+        """Drop the pending probes: their answers may have been lost during a delay of this process."""
         self.probes.clear()
 
     # Probes
 
     def run_round(self, now_ns: int) -> None:
-        """Probe the next member if a probe is due."""
+        """Probe the next member if a round is due."""
         if self.next_round_ns > now_ns:
             return
         period_ns = self.limits.period_ns
@@ -108,7 +108,7 @@
             self.outbox.send(now_ns, helper, Kind.PROBE_REQUEST, nonce, probe.target)
 
     def check_timeouts(self, now_ns: int) -> None:
-        """Retry or fail open probes, and handle expired suspicions."""
+        """Retry or fail pending probes, and handle expired suspicions."""
         self._expire_relayed(now_ns)
         for nonce, probe in list(self.probes.items()):
             if probe.timeout_ns <= now_ns:
@@ -129,12 +129,12 @@
         membership = self.membership
         if membership.received_ns.get(probe.target, -1) >= probe.started_ns:
             membership.health.improve()
-            return  # it sends, if no answers: a path that is cut one way makes nobody suspect
+            return  # it sends datagrams, if no ACK: a one-way partition raises no suspicion
         if membership.last_received_ns < probe.started_ns:
             membership.health.degrade()
-            return  # no datagram of anybody came
-        # Helpers that can't reach the target send a NACK; if all are silent, nothing may come through. One
-        # NACK is enough: where many died at once most helpers are silent, and the fault is not here.
+            return  # nothing was received from any member
+        # Helpers that can't reach the target send a NACK; without any, this member may be the one that is cut
+        # off. One NACK suffices: when many members fail at once, most helpers don't answer either.
         if probe.helpers and not probe.nacks:
             membership.health.degrade()
         if membership.table.state(probe.target) in (State.ALIVE, State.UNKNOWN):
@@ -146,12 +146,12 @@
         suspicions = membership.suspicions
         if not suspicions.expiry_ns or membership.isolated:
             return
-        # A refutation may not have come through here: the answer to one more probe brings it.
+        # The refutation may have been lost on its way here: the ACK of another probe carries it.
         for number in suspicions.take_reprobes(now_ns + self._timeout_ns()):
             self._probe(now_ns, number)
         for number in suspicions.expired(now_ns):
             received_ns = membership.received_ns.get(number, membership.started_ns - 1)
-            if now_ns - received_ns >= self.limits.period_ns:  # else its refutation is on its way
+            if now_ns - received_ns >= self.limits.period_ns:  # otherwise its refutation is on its way
                 membership.conclude(now_ns, number, State.GONE)
 
     # Datagrams
@@ -161,7 +161,7 @@
         self.outbox.send(now_ns, sender, Kind.ACK, datagram.nonce)
 
     def on_probe_request(self, now_ns: int, sender: int, datagram: Datagram) -> None:
-        """Probe a member on behalf of another."""
+        """Probe a member on behalf of the sender."""
         target = datagram.subject
         if target >= len(self.membership.addresses) or target == self.membership.own_number:
             return
@@ -173,7 +173,7 @@
         self.outbox.send(now_ns, target, Kind.PING, nonce)
 
     def on_ack(self, now_ns: int, sender: int, datagram: Datagram) -> None:
-        """Handle an answer to a probe, from the target or through a helper."""
+        """Handle the ACK of a probe, from the target or through a helper."""
         nonce = datagram.nonce
         relayed = self.relayed.get(nonce)
         if relayed is not None and relayed.target == sender:
@@ -185,7 +185,7 @@
             self.membership.health.improve()
 
     def on_nack(self, _now_ns: int, sender: int, datagram: Datagram) -> None:
-        """Record that a helper has had no answer so far."""
+        """Count the NACK of a helper that has no answer yet."""
         probe = self.probes.get(datagram.nonce)
         if probe is not None and sender in probe.helpers:
             probe.nacks += 1
--- a/dykefold/fleet/protocol.py
+++ b/dykefold/fleet/protocol.py
@@ -1,4 +1,4 @@
-"""Drives the membership protocol: times and datagrams in, datagrams and changes out. No I/O."""
+"""The membership protocol (SWIM with Lifeguard): takes times and datagrams, returns datagrams. No I/O."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 from .traffic_counters import TrafficCounter
 
 MAX_LEAVE_NOTICES = 6  # Members that are notified at once when this member leaves.
-MIN_TICKS_PER_GOSSIP_ROUND = 4  # A tick comes no sooner than one round divided by this after the last.
+MIN_TICKS_PER_GOSSIP_ROUND = 4  # The minimum time between ticks is one gossip round divided by this.
 ANY_FLEET = frozenset((Kind.PING, Kind.ACK, Kind.NACK))  # Accepted whatever the sender's address list.
 
-Handler = Callable[[int, int, Datagram], None]  # takes the present time, the sender and the datagram
+Handler = Callable[[int, int, Datagram], None]  # arguments: current time, sender and datagram
 
 
 class MembershipProtocol:
     """The membership protocol of one member.
 
-    The driver calls `tick` when that asks for it, passes datagrams to `receive`, and sends what
-    `take_datagrams` returns.
+    The driver calls `tick` at the time that the last call returned, passes datagrams to `receive`, and sends
+    the result of `take_datagrams`.
 
     Args:
         local: Number, zone and address list of this member.
@@ -46,10 +46,10 @@
     Attributes:
         membership: Members as this member knows them.
         outbox: Datagrams to be sent.
-        prober: Detects members that do not answer.
-        anti_entropy: Compares states with other members.
-        gossiper: Sends changes to other members.
-        record_transfer: Requests the records of others after the start.
+        prober: Failure detector.
+        anti_entropy: Comparison of states with other members.
+        gossiper: Sender of changes to other members.
+        record_transfer: Transfer of records to joining members.
     """
 
     def __init__(
@@ -89,7 +89,7 @@
     def tick(self, now_ns: int) -> int:
         """Run all due actions; return the monotonic time in nanoseconds of the next call."""
         membership = self.membership
-        self._absorb_delay(now_ns)
+        self._handle_delay(now_ns)
         if membership.own_status is not State.LEFT:
             self.prober.check_timeouts(now_ns)
             membership.conclude_overdue_shutdowns(now_ns)
@@ -97,20 +97,20 @@
             self.anti_entropy.compare(now_ns)
             self.gossiper.run_round(now_ns)
         due_ns = min(self.prober.next_ns(), self.anti_entropy.next_comparison_ns)
-        if self.gossiper.has_anything():
+        if self.gossiper.has_pending():
             due_ns = min(due_ns, self.gossiper.next_round_ns)
         min_wait_ns = membership.limits.ns(GOSSIP_PERIODS) // MIN_TICKS_PER_GOSSIP_ROUND
         membership.next_tick_ns = max(due_ns, now_ns + min_wait_ns)
         return membership.next_tick_ns
 
-    def _absorb_delay(self, now_ns: int) -> None:
-        """Lower this member's confidence after its process was paused or its loop ran late.
+    def _handle_delay(self, now_ns: int) -> None:
+        """Degrade the local health after the process was paused or its event loop ran late.
 
-        Its probes were answered while it could not receive, and what came may not have been read yet.
+        Its probes may have been answered meanwhile, and the answers may not have been read yet.
         """
         late_ns = self.membership.delay_ns(now_ns)
         if late_ns:
-            self.membership.absorb_delay(now_ns, late_ns)
+            self.membership.handle_delay(now_ns, late_ns)
             self.prober.forget_probes()
 
     def receive(self, now_ns: int, sender: int, data: bytes) -> None:
@@ -122,7 +122,7 @@
         datagram = self._decode_within_limits(now_ns, sender, data)
         if datagram is None:
             return
-        self._absorb_delay(now_ns)
+        self._handle_delay(now_ns)
         membership.counts[TrafficCounter.RECEIVED] += 1
         membership.on_received(now_ns, sender, datagram.sender_state)
         is_same_fleet = datagram.fleet == membership.fleet
@@ -134,7 +134,7 @@
             handler(now_ns, sender, datagram)
 
     def _decode_within_limits(self, now_ns: int, sender: int, data: bytes) -> Datagram | None:
-        """Decode a datagram within the receive limits; a member that sends too many loses its own first."""
+        """Decode a datagram within the receive limits: first that of its sender, then that of all members."""
         counts = self.membership.counts
         limit = self._member_limits.get(sender)
         if limit is None:
@@ -162,12 +162,12 @@
                 membership.merge_record(now_ns, record)
 
     def leave(self, now_ns: int, last: bool) -> None:
-        """Announce this member's graceful shutdown, or, with `last`, that it is over."""
+        """Announce this member's graceful shutdown, or, with `last`, its end."""
         membership = self.membership
         membership.set_own_status(now_ns, State.LEFT if last else State.LEAVING)
         for peer in membership.random_live_members(MAX_LEAVE_NOTICES):
             self.outbox.send(now_ns, peer, Kind.GOSSIP)
 
     def take_datagrams(self) -> list[OutgoingDatagram]:
-        """Return the datagrams to be sent since the last call."""
+        """Return the datagrams to send since the last call."""
         return self.outbox.take()
--- a/dykefold/fleet/rate_limits.py
+++ b/dykefold/fleet/rate_limits.py
@@ -1,6 +1,6 @@
 """The intervals, timeouts and rate limits of the membership protocol. No I/O.
 
-Constants whose name ends in `_PERIODS` are in periods of the fleet: see `RateLimits.period_ns`.
+Constants ending in `_PERIODS` are multiples of `RateLimits.period_ns`.
 """
 
 from __future__ import annotations
@@ -15,46 +15,46 @@
 MAX_PERIOD_FACTOR = 4.0
 
 # Probes.
-PROBE_RETRY_PERIODS = 0.3  # Without an answer; then the probe is sent again, also through helpers.
-PROBE_TIMEOUT_PERIODS = 1.6  # For a member with full confidence in its own observations.
+PROBE_RETRY_PERIODS = 0.3  # An unanswered probe is retried after this, also through helpers.
+PROBE_TIMEOUT_PERIODS = 1.6  # At full local health.
 HELPERS_PER_RETRY = 3
-RETRIES_PER_HELPER_CHANGE = 2  # Other helpers are requested after this number of retries.
-RELAY_TIMEOUT_PERIODS = 0.4  # For which a helper waits for the answer of the probed member.
+RETRIES_PER_HELPER_CHANGE = 2  # Retries after which further helpers are requested.
+RELAY_TIMEOUT_PERIODS = 0.4  # Time after which a helper sends a NACK.
 
-# Suspicions. A member that was paused for some periods has time to refute one.
+# Suspicions. They leave a member that was paused for some periods time for a refutation.
 SUSPICION_PERIODS = 5.0
-SUSPICION_PERIODS_PER_DOUBLING = 0.5  # Of the fleet's size: suspicion and refutation take longer to spread.
-FOREIGN_SUSPICION_FACTOR = 1.5  # For a suspicion of another member, whose refutation may be on its way.
+SUSPICION_PERIODS_PER_DOUBLING = 0.5  # Of the fleet size: gossip takes longer to spread.
+FOREIGN_SUSPICION_FACTOR = 1.5  # For a suspicion raised by another member: its refutation may be on its way.
 
 # Gossip.
-GOSSIP_PERIODS = 0.2  # Between two rounds, while there is anything to send.
-GOSSIP_FANOUT = 2  # Members that receive gossip in a round.
-EXTRA_TRANSMISSIONS = 1  # Of each change, beyond log2 of the fleet's size.
+GOSSIP_PERIODS = 0.2  # Between two rounds, while there are changes to send.
+GOSSIP_FANOUT = 2  # Receivers per round.
+EXTRA_TRANSMISSIONS = 1  # Of each change, in addition to log2 of the fleet size.
 
 # Anti-entropy.
 COMPARISON_PERIODS = 2.0  # Between two comparisons of digests.
-COMPARISONS_PER_NOT_LIVE = 3  # One comparison of this number is with a member that is not live.
+COMPARISONS_PER_NOT_LIVE = 3  # One in this number of comparisons is with a member that is not live.
 JOINING_COMPARISON_PERIODS = 0.5  # Between two comparisons by a joining member.
 MAX_JOINING_PERIODS = 12.0  # Joining also ends when a comparison finds equal digests.
 
-# A member that receives nothing.
-ISOLATED_PERIODS = 3.0  # Without any datagram; then nothing is concluded about other members.
-ISOLATED_ALONE_PERIODS = 20.0  # Without any datagram; then no other member counts as live.
-MAX_DELAY_PERIODS = 0.5  # A process that runs later than this loses confidence in its observations.
+# Isolated members.
+ISOLATED_PERIODS = 3.0  # Without any datagram; from then on nothing is concluded about other members.
+NO_LIVE_PEERS_PERIODS = 20.0  # Without any datagram; from then on no other member counts as live.
+MAX_DELAY_PERIODS = 0.5  # A longer delay of the event loop degrades the local health.
 
 LEAVING_NS = 10 * NS_PER_S  # Longer than any graceful shutdown.
-RESTART_NS = 30 * NS_PER_S  # A member that has left may be started again within this time.
-REFUTATION_PERIODS = 0.5  # Between two incarnations of one process.
-LEGACY_LIVE_NS = 10 * NS_PER_S  # After a message, a process without membership counts as live.
+RESTART_NS = 30 * NS_PER_S  # A departed member may be restarted within this time.
+REFUTATION_PERIODS = 0.5  # Minimum time between two refutations by a process.
+LEGACY_LIVE_NS = 10 * NS_PER_S  # A process without membership counts as live for this time after a message.
 
-SEND_LIMIT_PER_S = 60.0  # Datagrams, answers included; the burst is twice that.
+SEND_LIMIT_PER_S = 60.0  # Datagrams, including answers; the burst is twice that.
 RECEIVE_LIMIT_PER_S = 600.0  # Decoded datagrams; the burst is the same. Decoding then takes 5 % of a core.
 RECEIVE_LIMIT_PER_MEMBER_PER_S = 15.0  # The burst is twice that.
 
 
 @dataclass(frozen=True, slots=True)
 class RateLimits:
-    """The intervals of one fleet.
+    """The intervals of a fleet's protocol, all proportional to its period.
 
     Attributes:
         period_ns: Nanoseconds between two probes by a member.
@@ -73,7 +73,7 @@
         return int(self.period_ns * periods)
 
     def suspicion_ns(self, members: int, own: bool = True) -> int:
-        """Return the nanoseconds after which a suspected member counts as gone.
+        """Return the nanoseconds after which a suspected member is declared GONE.
 
         Args:
             members: Number of members of the fleet.
@@ -85,19 +85,19 @@
     def settled_ns(self, members: int) -> int:
         """Return the nanoseconds after the last fault within which all live members agree.
 
-        It grows with the logarithm of the fleet's size. It is made of rounds of probes until a survivor has
-        found each dead member, the suspicion, and the spread of the change; or, after a partition, of the
-        time until a member has compared its states with one beyond it, and the spread.
+        It grows with the logarithm of the fleet size. It covers the rounds of probes until a survivor has
+        detected each dead member, the suspicion, and the spread of the change by gossip; or, after a
+        partition, the time until a member has compared its states with one of the other side, and the spread.
         """
-        rounds = math.log2(members + 1)
-        detection = PROBE_TIMEOUT_PERIODS * 6.0
-        reunion = 2.0 * COMPARISONS_PER_NOT_LIVE * COMPARISON_PERIODS
-        found = detection + reunion + COMPARISON_PERIODS * rounds
-        return self.ns(found) + self.suspicion_ns(members, own=False)
+        gossip_rounds = math.log2(members + 1)
+        detection_periods = PROBE_TIMEOUT_PERIODS * 6.0
+        partition_merge_periods = 2.0 * COMPARISONS_PER_NOT_LIVE * COMPARISON_PERIODS
+        convergence_periods = detection_periods + partition_merge_periods + COMPARISON_PERIODS * gossip_rounds
+        return self.ns(convergence_periods) + self.suspicion_ns(members, own=False)
 
 
 class TokenBucket:
-    """A rate limit with a burst.
+    """Token bucket: a rate limit with a burst.
 
     Args:
         rate: Tokens per second.
--- a/dykefold/fleet/record_store.py
+++ b/dykefold/fleet/record_store.py
@@ -1,10 +1,11 @@
-"""Records that members publish beside their states: small, with origin, age and limits. No I/O.
-
-A record's key is its topic, origin and subject. Two records of a key merge to the one of the greater
-incarnation and sequence of their origin; of one origin and topic the `max_subjects` greatest are kept. Both
-are maxima, so the order in which records come makes no difference (a semilattice: a record that is beaten by
-so many others stays beaten, since what replaces any of those is greater still). Age takes no part in that; of
-two equal records the older one stands. Only where the store is full may members keep different ones.
+"""Small records that members publish by gossip beside their states, with limits by topic. No I/O.
+
+The key of a record is its topic, origin and subject. Two records with the same key merge to the one with the
+greater incarnation and sequence; of each origin and topic the `max_subjects` greatest records are kept. Both
+are maxima, so the result does not depend on the order of arrival (a semilattice: a record that was displaced
+by greater ones stays displaced, since any replacement of those is greater still). Age is no part of the
+order; of two equal records the earlier publication time is kept. Stores of different members converge unless
+one is full.
 """
 
 from __future__ import annotations
@@ -24,12 +25,12 @@
 
 
 class Topic(IntEnum):
-    """The topic of a record."""
+    """The topic of a record; the values are part of the datagrams."""
 
     LIST_VERSION = 2  # subject: none; value: the newest version of the endpoint list seen, modulo 2^32
-    ENDPOINT_FAILED = 3  # subject: an endpoint that its origin has ejected, or found silent again
-    ENDPOINT_ANSWERED = 4  # subject: an endpoint that answered its origin after that
-    POLL_SPREAD = 5  # subject: none; value: how polls of discovery go (peer_observations.py)
+    ENDPOINT_FAILED = 3  # subject: an endpoint that the origin ejected, or that did not answer it again
+    ENDPOINT_ANSWERED = 4  # subject: an endpoint that answered the origin after that
+    POLL_SPREAD = 5  # subject: none; value: poll spread and result of polls (peer_observations.py)
     TYPICAL_LATENCY = 6  # subject: a request class; value: microseconds
     ZONE_HEALTH = 7  # subject: a zone; value: its health samples (failover/health_samples.py)
     FAILOVER_LEVEL = 8  # subject: the origin's zone; value: its level (failover/traffic_plan.py)
@@ -40,12 +41,12 @@
     """Limits on the records of one topic.
 
     Attributes:
-        lifetime_ns: Nanoseconds for which a record is valid.
+        lifetime_ns: Validity of a record in nanoseconds after its publication.
         max_subjects: Maximum number of records of one origin.
-        max_origins: Maximum number of records on one subject that are gossiped; those of further origins are
-            only stored. With 0 nothing is gossiped, and records are only sent on request.
-        transmissions: Number of times that each member sends a record. Three reach most members of a fleet; a
-            topic with one record in all can afford enough to reach every member.
+        max_origins: Maximum number of gossiped records per subject; records of further origins are only
+            stored. With 0 records are not gossiped, only sent on request.
+        transmissions: Number of times that each member sends a record. Three reach most members of a fleet;
+            topics with a single record use enough to reach every member.
     """
 
     lifetime_ns: int
@@ -67,7 +68,7 @@
 
 
 class RecordKey(NamedTuple):
-    """Identifies a record; a later record with the same key replaces it."""
+    """Key of a record; a later record with the same key replaces it."""
 
     topic: int
     origin: int
@@ -75,21 +76,21 @@
 
 
 class RecordVersion(NamedTuple):
-    """The order of an origin's records."""
+    """Version of a record in the order of its origin's records."""
 
     incarnation: int
     sequence: int
 
 
 class StoredRecord(NamedTuple):
-    """A record with the time of its publication on this process's clock."""
+    """A record, with its publication time on the monotonic clock of this process."""
 
     record: Record
     published_ns: int
 
 
 def version_of(record: Record) -> RecordVersion:
-    """Return a record's place in the order of its origin's records."""
+    """Return the version of a record."""
     return RecordVersion(record.incarnation, record.sequence)
 
 
@@ -101,7 +102,7 @@
         records: Records by key.
         subjects: Subjects of the stored records, by topic and origin.
         origins: Origins of the stored records, by topic and subject.
-        gossip: Records that are still to be sent.
+        gossip: Keys of records still to be gossiped.
     """
 
     def __init__(self, own_number: int) -> None:
@@ -133,7 +134,7 @@
     def merge(self, now_ns: int, record: Record) -> bool:
         """Merge a record; return whether it is newer than the known one."""
         if record.topic not in TOPICS:
-            return False  # of a later version
+            return False  # topic of a later version
         published_ns = now_ns - record.age_ns
         if now_ns - published_ns >= LIMITS[Topic(record.topic)].lifetime_ns:
             return False
@@ -141,7 +142,7 @@
         known = self.records.get(key)
         if known is not None:
             if version_of(record) <= version_of(known.record):
-                self._keep_older_time(key, record, published_ns)
+                self._keep_earlier_publication(key, record, published_ns)
                 return False
         elif not self._make_room(key, record):
             return False
@@ -149,13 +150,13 @@
         self._queue_gossip(key)
         return True
 
-    def _keep_older_time(self, key: RecordKey, record: Record, published_ns: int) -> None:
+    def _keep_earlier_publication(self, key: RecordKey, record: Record, published_ns: int) -> None:
         known = self.records[key]
         if version_of(record) == version_of(known.record) and published_ns < known.published_ns:
             self.records[key] = StoredRecord(known.record, published_ns)
 
     def _make_room(self, key: RecordKey, record: Record) -> bool:
-        """Make room for a record with a new key; return whether there is room."""
+        """Make room for a record with a new key, dropping the oldest if need be; return whether it fits."""
         topic, origin, subject = key
         subjects = self.subjects.get((topic, origin), set())
         if len(subjects) >= LIMITS[Topic(topic)].max_subjects:
@@ -193,7 +194,7 @@
 
     def expire(self, now_ns: int) -> None:
         """Remove expired records."""
-        expired = [key for key, stored in self.records.items() if not _counts(stored, now_ns)]
+        expired = [key for key, stored in self.records.items() if not _is_valid(stored, now_ns)]
         for key in expired:
             self._drop(key)
 
@@ -202,34 +203,34 @@
         if max_count <= 0:
             return []
         keys = self.gossip.take(max_count, lambda key: LIMITS[Topic(key.topic)].transmissions)
-        return [_aged(self.records[key], now_ns) for key in keys if key in self.records]
+        return [_with_current_age(self.records[key], now_ns) for key in keys if key in self.records]
 
-    def for_newcomer(self, now_ns: int, max_count: int) -> list[Record]:
-        """Return records for a member that has just started: this member's first, then the newest."""
+    def for_joining_member(self, now_ns: int, max_count: int) -> list[Record]:
+        """Return records for a joining member: this member's first, then others by age."""
         kept = [
             (stored.record.origin != self.own_number, now_ns - stored.published_ns, stored)
             for stored in self.records.values()
-            if _counts(stored, now_ns)
+            if _is_valid(stored, now_ns)
             and (stored.record.origin == self.own_number or stored.record.topic != Topic.TYPICAL_LATENCY)
         ]
         kept.sort(key=lambda item: item[:2])
-        return [_aged(stored, now_ns) for _, _, stored in kept[:max_count]]
+        return [_with_current_age(stored, now_ns) for _, _, stored in kept[:max_count]]
 
     def subjects_of(self, *topics: Topic) -> set[int]:
         """Return the subjects of all stored records of these topics."""
         return {subject for topic in topics for subject in self.origins[topic]}
 
     def on_subject(self, now_ns: int, topic: Topic, subject: int) -> Iterator[StoredRecord]:
-        """Iterate over the valid records on a subject."""
+        """Iterate over the valid records of a subject."""
         for origin in self.origins[topic].get(subject, ()):
             stored = self.records[RecordKey(topic, origin, subject)]
-            if _counts(stored, now_ns):
+            if _is_valid(stored, now_ns):
                 yield stored
 
 
-def _counts(stored: StoredRecord, now_ns: int) -> bool:
+def _is_valid(stored: StoredRecord, now_ns: int) -> bool:
     return now_ns - stored.published_ns < LIMITS[Topic(stored.record.topic)].lifetime_ns
 
 
-def _aged(stored: StoredRecord, now_ns: int) -> Record:
+def _with_current_age(stored: StoredRecord, now_ns: int) -> Record:
     return replace(stored.record, age_ns=max(now_ns - stored.published_ns, 0))
--- a/dykefold/fleet/record_transfer.py
+++ b/dykefold/fleet/record_transfer.py
@@ -1,4 +1,4 @@
-"""Transfer of records to a member that has just started. No I/O."""
+"""Transfer of records to joining members. No I/O."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from .rate_limits import MAX_JOINING_PERIODS
 
 WANTED_REPLIES = 3
-MAX_REQUESTS = 8  # More than replies: members that have just started do not reply.
+MAX_REQUESTS = 8  # More than the replies, as members without records do not reply.
 MAX_REPLY_DATAGRAMS = 2
 
 
 class RecordTransfer:
-    """Requests records after a start, and replies to such requests.
+    """Requests for records by a joining member, and replies to them.
 
     Args:
         membership: Membership whose records are exchanged.
@@ -35,20 +35,20 @@
         self.replies = 0
 
     def request_from(self, now_ns: int, sender: int) -> None:
-        """Request the records of a live member, if this one has just started and needs more."""
+        """Request the records of a live member, if this one is joining and needs more replies."""
         if self.replies >= WANTED_REPLIES or len(self.requested) >= MAX_REQUESTS or sender in self.requested:
             return
         membership = self.membership
-        just_started = now_ns - membership.joined_ns < membership.limits.ns(MAX_JOINING_PERIODS)
-        if just_started and membership.table.state(sender) in LIVE:
+        is_joining = now_ns - membership.joined_ns < membership.limits.ns(MAX_JOINING_PERIODS)
+        if is_joining and membership.table.state(sender) in LIVE:
             self.requested.add(sender)
             self.outbox.send(now_ns, sender, Kind.RECORDS_REQUEST)
 
     def on_request(self, now_ns: int, sender: int, _datagram: Datagram) -> None:
-        """Send records to a member that has just started."""
+        """Send records to a joining member."""
         membership = self.membership
         capacity = record_capacity(0)
-        records = membership.records.for_newcomer(now_ns, capacity * MAX_REPLY_DATAGRAMS)
+        records = membership.records.for_joining_member(now_ns, capacity * MAX_REPLY_DATAGRAMS)
         for start in range(0, len(records), capacity):
             datagram = Datagram(
                 Kind.RECORDS_REPLY,
--- a/dykefold/fleet/statistics.py
+++ b/dykefold/fleet/statistics.py
@@ -1,4 +1,4 @@
-"""Statistics that are robust against a minority of wrong values. No I/O."""
+"""Robust statistics, which tolerate a minority of wrong values. No I/O."""
 
 from __future__ import annotations
 
@@ -9,6 +9,6 @@
 
 
 def lower_median(values: Iterable[Number]) -> Number:
-    """Return the median of at least one value; of an even number the lower of the two in the middle."""
+    """Return the median of at least one value; of an even number of values, the lower middle one."""
     ordered = sorted(values)
     return ordered[(len(ordered) - 1) // 2]
--- a/dykefold/fleet/subsetting.py
+++ b/dykefold/fleet/subsetting.py
@@ -1,7 +1,8 @@
 """Subsetting: which members use which endpoints of other zones, by rendezvous hashing. No I/O.
 
-Thaler and Ravishankar (1998): each member has a hash for each endpoint, and the highest ones use it. A member
-that comes or goes changes the ranks of those behind it only: a change of the fleet moves only what it must.
+Thaler and Ravishankar (1998): each pair of member and endpoint has a hash, and the members with the highest
+hashes use the endpoint. A member that joins or departs changes only the ranks of the members behind it, so a
+change of the fleet changes as few subsets as possible.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 from .hashing import hash_pair
 
 MEMBERS_PER_ENDPOINT = 5  # Approximate number of members of other zones that know an endpoint.
-MAX_RANKED_PAIRS = 60_000  # Pairs of member and endpoint; ranking takes 50 ms. Beyond it none is ranked.
+MAX_RANKED_PAIRS = 60_000  # Ranking this many pairs of member and endpoint takes 50 ms; more are not ranked.
 
 
 class PlacedMember(NamedTuple):
@@ -34,10 +35,10 @@
 
 
 class EndpointRanking:
-    """Ranks of this member among the members of its zone, by endpoint; updated as both change.
+    """Rank of this member among the members of its zone for each endpoint, updated incrementally.
 
-    The members of a zone have different ranks for an endpoint, evenly from 0 to 1, as the ranks that sidecars
-    draw by themselves are on average: endpoints that are not ranked yet are neither first nor last.
+    The members of a zone have distinct ranks for an endpoint, evenly spaced from 0 to 1. Ranks that a sidecar
+    draws at random have the same distribution, so an endpoint without a rank yet is at no disadvantage.
 
     Args:
         own_number: Number of this member.
@@ -45,7 +46,7 @@
 
     def __init__(self, own_number: int) -> None:
         self.own_number = own_number
-        self._zone_peers: set[int] = set()  # members of the own zone, without this one
+        self._zone_peers: set[int] = set()  # other members of this zone
         self._members_ahead: dict[int, int] = {}  # by endpoint
 
     def update(
@@ -54,13 +55,13 @@
         """Return the current ranks; only those that may have changed are computed.
 
         Args:
-            endpoints: A number of each endpoint that is the same at all members.
+            endpoints: Identifier of each endpoint, the same for all members.
             zone: Zone of this member.
             members: Members that carry traffic.
 
         Returns:
-            By endpoint, from 0 to below 1. Empty where there is too much to rank, and each member goes by
-            ranks of its own.
+            Rank by endpoint, from 0 to below 1. Empty above `MAX_RANKED_PAIRS`; each member then uses
+            random ranks.
         """
         zone_peers = {member.number for member in members if member.zone == zone}
         if not zone_peers or len(zone_peers) * len(endpoints) > MAX_RANKED_PAIRS:
@@ -68,16 +69,16 @@
             return {}
         size = len(zone_peers)
         zone_peers.discard(self.own_number)
-        came, went = zone_peers - self._zone_peers, self._zone_peers - zone_peers
-        if len(came) + len(went) >= len(zone_peers):
-            self._members_ahead.clear()  # it costs less to count anew
+        added, removed = zone_peers - self._zone_peers, self._zone_peers - zone_peers
+        if len(added) + len(removed) >= len(zone_peers):
+            self._members_ahead.clear()  # a full count is cheaper
         known, self._members_ahead = self._members_ahead, {}
         for endpoint in endpoints:
             own_hash, ahead = hash_pair(endpoint, self.own_number + 1), known.get(endpoint)
             if ahead is None:
                 ahead = _count_ahead(endpoint, own_hash, zone_peers)
-            elif came or went:
-                ahead += _count_ahead(endpoint, own_hash, came) - _count_ahead(endpoint, own_hash, went)
+            elif added or removed:
+                ahead += _count_ahead(endpoint, own_hash, added) - _count_ahead(endpoint, own_hash, removed)
             self._members_ahead[endpoint] = ahead
         self._zone_peers = zone_peers
         return {endpoint: ahead / size for endpoint, ahead in self._members_ahead.items()}
--- a/dykefold/fleet/traffic_counters.py
+++ b/dykefold/fleet/traffic_counters.py
@@ -1,4 +1,4 @@
-"""Names of the counters of the membership's traffic, as the admin API shows them. No I/O."""
+"""Traffic counters of the membership, with their names in the admin API. No I/O."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
     RECEIVED = "heard"
     OVER_RECEIVE_LIMIT = "over budget"  # dropped undecoded
     NOT_DECODED = "not read"
-    DELAYED = "late"  # the process stood still, or its event loop ran late
+    DELAYED = "late"  # the process was paused, or its event loop ran late
     DIGESTS_DIFFER = "differ"
 
 
-# The admin API shows the names that these kinds had in the first version of the protocol.
+# The admin API uses the names of these kinds in the first version of the protocol.
 SENT_BY_KIND: dict[Kind, str] = {
     Kind.PING: "sent PING",
     Kind.ACK: "sent ACK",
--- a/dykefold/fleet_wiring.py
+++ b/dykefold/fleet_wiring.py
@@ -1,6 +1,6 @@
-"""Connects membership, the poll spread and failover to the platform's sidecar.
+"""Connects the membership, the poll spread and the failover to the sidecar.
 
-Each feature is off by default. Its package is imported only when it is on, since the import takes memory.
+Each feature is off by default. Its package is imported only when it is on, to save memory.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class FleetFeatures:
-    """The features of a sidecar that depend on its peers.
+    """Features of a sidecar that depend on its peers.
 
     The poll spread starts with the constructor, before the first poll; all other features start with `start`.
 
@@ -36,10 +36,10 @@
         config: Configuration in use.
 
     Attributes:
-        list_sync: Poll spread over the fleet; None if it is off.
-        agent: Part of this sidecar in the membership; None if it is off, or the settings do not allow it.
-        failover: Part of this sidecar in the failover between zones; None if it is off.
-        admin_server: Server of the membership for operators; None without an address.
+        list_sync: Coordination of polls with the fleet; None if it is off.
+        agent: Membership agent of this sidecar; None if it is off, or the settings do not allow it.
+        failover: Controller of the failover between zones; None if it is off.
+        admin_server: Server of the membership's admin API; None without an address.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, sidecar: SidecarServer, config: Config) -> None:
@@ -96,12 +96,12 @@
             self.list_sync.change_settings(settings.max_poll_interval_ns)
 
     def leave(self) -> None:
-        """Notify the peers that this process ends."""
+        """Notify the peers of the end of this process."""
         if self.agent is not None:
             self.agent.close()
 
     def close(self) -> None:
-        """Stop all features at the end of the process."""
+        """Stop the server and the poll spread at the end of the process."""
         if self.admin_server is not None:
             self.admin_server.close()
         if self.list_sync is not None:
@@ -115,8 +115,8 @@
     from .fleet.endpoint_list_sync import EndpointListSync
     from .fleet.poll_schedule import PollSettings
 
-    within_ns, rate = settings.max_poll_interval_ns, config.fleet.calls_per_s
-    polls = PollSettings(within_ns, rate, settings.index, settings.fleet_size)
+    max_poll_interval_ns, rate = settings.max_poll_interval_ns, config.fleet.calls_per_s
+    polls = PollSettings(max_poll_interval_ns, rate, settings.index, settings.fleet_size)
     return EndpointListSync(discovery, polls, config.seed)
 
 
@@ -143,7 +143,7 @@
     from .failover.settings import FailoverSettings
 
     zones, home = config.settings.zones, config.settings.zone
-    # Operators' pages promise the text of this line.
+    # The operators' documentation quotes this line.
     for name in {*config.fleet.failover.regions, *config.fleet.failover.out} - set(zones):
         log.warning("failover: no zone %s; the settings have %s", name, ", ".join(zones))
     settings = FailoverSettings(zones, home, config.fleet.failover)
@@ -153,7 +153,7 @@
 def _serve_membership(
     loop: asyncio.AbstractEventLoop, agent: FleetAgent, address: Address, failover: FailoverController | None
 ) -> AdminServer:
-    """Serve the membership to operators at an address.
+    """Start the server of the membership's admin API.
 
     Raises:
         OSError: The process can't listen at the address.
--- a/tests/fleet/test_poll_schedule.py
+++ b/tests/fleet/test_poll_schedule.py
@@ -13,10 +13,10 @@
 from dykefold.fleet import peer_observations
 from dykefold.fleet.endpoint_list_sync import EndpointListSync
 from dykefold.fleet.poll_schedule import (
+    MAX_ADDRESS_CHANGE_SPREAD_NS,
     MAX_FAILED_SPREAD_NS,
-    MAX_MOVED_SPREAD_NS,
     MAX_SPREAD_FRACTION,
-    SILENT_POLL_NS,
+    STALLED_POLL_NS,
     WATCH_PAUSE_NS,
     CoordinatedPollSchedule,
     PollSettings,
@@ -95,8 +95,8 @@
         elif what == "answered":
             one.on_answer(now)
         elif what == "moves":
-            one.on_move(now)
-            assert one.open_watch_ns(now, 0) - now <= MAX_MOVED_SPREAD_NS
+            one.on_address_change(now)
+            assert one.open_watch_ns(now, 0) - now <= MAX_ADDRESS_CHANGE_SPREAD_NS
         else:
             one.set_peer_spreads([1 << 60] * 4)
         one.on_poll(now, opens_watch=False)
@@ -129,7 +129,7 @@
     assert one.reopen_watch_ns(0, 7, 7) is None
     due = one.reopen_watch_ns(0, 7, 8)
     assert due is not None
-    assert SILENT_POLL_NS <= due <= SILENT_POLL_NS + one.spread_ns(0)
+    assert STALLED_POLL_NS <= due <= STALLED_POLL_NS + one.spread_ns(0)
     one.refute_version(8)
     assert one.reopen_watch_ns(due, 7, 8) is None  # the service did not have it
     assert one.reopen_watch_ns(due, 7, 9) is not None
