--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -1,4 +1,4 @@
-"""The membership in a process: the admin API, renumbering, the operator's file."""
+"""Membership of sidecar processes: admin API, renumbering, and the `[fleet]` table of the operator's file."""
 
 from __future__ import annotations
 
@@ -19,26 +19,26 @@
 from dykefold.service_config import ServiceError, read_service
 
 
-def view(*arguments: str):
+def fleet_view(*arguments: str):
     return CliRunner().invoke(app, ["fleet", "view", *arguments])
 
 
 @pytest.mark.processes
 @pytest.mark.fleet
-def test_the_admin_api_shows_members_and_the_causes_of_changes() -> None:
-    async def play() -> None:
+def test_admin_api_reports_members_and_causes_of_changes() -> None:
+    async def scenario() -> None:
         async with rigged(FleetScenario(FleetTable(members=3, servers=2, view=True))) as rig:
             processes = [await rig.start(number) for number in range(3)]
             assert all(process is not None for process in processes)
             first = processes[0]
             assert first is not None
             await first.wait_for_line(r"member 1 is alive, was unknown: .* \(incarnation \d+\)")
-            at = f"{rig.sampler.addresses[0][0]}:{VIEW_PORT}"  # type: ignore[union-attr]
+            admin_address = f"{rig.sampler.addresses[0][0]}:{VIEW_PORT}"  # type: ignore[union-attr]
 
             async def membership() -> dict:
-                shown = await asyncio.to_thread(view, "--at", at, "--json")
-                assert shown.exit_code == 0
-                return json.loads(shown.stdout)
+                result = await asyncio.to_thread(fleet_view, "--at", admin_address, "--json")
+                assert result.exit_code == 0
+                return json.loads(result.stdout)
 
             async with asyncio.timeout(20):
                 while (await membership())["live"] < 3:
@@ -48,45 +48,45 @@
             last.terminate()
             await last.ended()
             await first.wait_for_line(r"member 2 is left, was \w+: ")
-            seen = await membership()
-            assert [one["state"] for one in seen["members"]] == ["alive", "alive", "left"]
-            assert [one["zone"] for one in seen["members"]] == [0, 1, 2]
-            assert not seen["alone"]
-            shown = await asyncio.to_thread(view, "--at", at)
-            assert shown.exit_code == 0
-            assert "2 live" in shown.stdout
-            assert "member 2 is left" in " ".join(shown.stdout.split())
+            report = await membership()
+            assert [member["state"] for member in report["members"]] == ["alive", "alive", "left"]
+            assert [member["zone"] for member in report["members"]] == [0, 1, 2]
+            assert not report["alone"]
+            result = await asyncio.to_thread(fleet_view, "--at", admin_address)
+            assert result.exit_code == 0
+            assert "2 live" in result.stdout
+            assert "member 2 is left" in " ".join(result.stdout.split())
             with pytest.raises(ValueError, match="404"):
                 await fetch_json(rig.sampler.addresses[0], "/servers/x/maint")  # type: ignore[union-attr]
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.processes
 @pytest.mark.fleet
-def test_members_renumbered_by_sighup_stay_known() -> None:
-    async def play() -> None:
+def test_members_renumbered_by_sighup_stay_live() -> None:
+    async def scenario() -> None:
         async with rigged(FleetScenario(FleetTable(members=3, servers=2, view=True))) as rig:
             processes = [await rig.start(number) for number in range(3)]
             await rig.members[0].processes[0].wait_for_line("member 2 is alive")
             await rig.members[2].processes[0].wait_for_line("member 0 is alive")
-            # The same addresses, the last two swapped, applied by one member after the other.
+            # The last two addresses are swapped; the members apply the new list one after the other.
             peers = rig.datagrams.addresses()
             peers = [peers[0], peers[2], peers[1]]
-            for number, place in ((0, 0), (1, 2), (2, 1)):
+            for number, new_number in ((0, 0), (1, 2), (2, 1)):
                 member = rig.members[number]
                 data = json.loads((member.folder / "config0.json").read_text())
                 data["peers"] = peers
-                data["settings"]["index"] = place
+                data["settings"]["index"] = new_number
                 (member.folder / "config0.json").write_text(json.dumps(data))
                 process = processes[number]
                 assert process is not None
                 process.signal(signal.SIGHUP)
                 await asyncio.sleep(1.0)
-            brief = [await fetch_json(address, "/fleet/brief") for address in rig.sampler.addresses]  # type: ignore[union-attr]
-            assert [one["live"] for one in brief] == ["7"] * 3
-            assert [one["member"] for one in brief] == [0, 2, 1]
-            # A list without this member is logged and changes nothing.
+            summaries = [await fetch_json(address, "/fleet/brief") for address in rig.sampler.addresses]  # type: ignore[union-attr]
+            assert [summary["live"] for summary in summaries] == ["7"] * 3
+            assert [summary["member"] for summary in summaries] == [0, 2, 1]
+            # An address list without this member is logged and ignored.
             path = rig.members[0].folder / "config0.json"
             path.write_text(json.dumps({**json.loads(path.read_text()), "peers": []}))
             rig.members[0].processes[0].signal(signal.SIGHUP)
@@ -98,15 +98,15 @@
             assert (await fetch_json(rig.sampler.addresses[0], "/fleet/brief"))["live"] == "7"  # type: ignore[union-attr]
             assert not any("is gone" in line for member in rig.members for line in member.processes[0].lines)
 
-    run(play())
+    run(scenario())
 
 
-def test_the_command_line_tells_a_wrong_address_from_no_answer() -> None:
-    assert view("--at", "nowhere").exit_code == 2
-    assert view("--at", "127.0.0.1:1").exit_code == 1
+def test_fleet_view_exit_code_distinguishes_invalid_address_from_refused_connection() -> None:
+    assert fleet_view("--at", "nowhere").exit_code == 2
+    assert fleet_view("--at", "127.0.0.1:1").exit_code == 1
 
 
-def test_all_problems_of_the_fleet_table_are_reported(tmp_path) -> None:
+def test_all_errors_in_fleet_table_are_reported(tmp_path) -> None:
     path = tmp_path / "service.toml"
     path.write_text('[fleet]\nview = 3\nlisten = "here"\nport = 1\n[pools.a]\n')
     with pytest.raises(ServiceError) as error:
--- a/tests/fleet/test_datagrams.py
+++ b/tests/fleet/test_datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams are decoded as encoded, and nothing else is."""
+"""Encoding and decoding of datagrams; other data is not decoded."""
 
 from __future__ import annotations
 
@@ -48,12 +48,12 @@
 def test_datagrams_are_decoded_as_encoded(data) -> None:
     kind = data.draw(st.sampled_from([kind for kind in Kind if kind is not Kind.DIGESTS]))
     entries = data.draw(st.lists(st.tuples(numbers, states), max_size=MAX_ENTRIES))
-    drawn = data.draw(st.lists(records, max_size=datagrams.record_capacity(len(entries))))
-    datagram = Datagram(kind, 99, data.draw(states), 7, 8, entries, records=drawn)
-    written = datagrams.encode(datagram)
-    assert len(written) <= MAX_DATAGRAM_BYTES
-    assert len(written) % 4  # a process without a view takes only multiples of four for its own
-    assert datagrams.decode(written) == datagram
+    drawn_records = data.draw(st.lists(records, max_size=datagrams.record_capacity(len(entries))))
+    datagram = Datagram(kind, 99, data.draw(states), 7, 8, entries, records=drawn_records)
+    encoded = datagrams.encode(datagram)
+    assert len(encoded) <= MAX_DATAGRAM_BYTES
+    assert len(encoded) % 4  # a process without membership reads only multiples of four
+    assert datagrams.decode(encoded) == datagram
 
 
 @given(st.lists(st.integers(0, 2**32 - 1), min_size=1, max_size=MAX_DIGESTS), st.integers(1, 50))
@@ -65,19 +65,19 @@
         digest_range=DigestRange(3, 3 + len(digests) * width, width),
         digests=digests,
     )
-    written = datagrams.encode(datagram)
-    assert len(written) <= MAX_DATAGRAM_BYTES
-    assert len(written) % 4
-    assert datagrams.decode(written) == datagram
+    encoded = datagrams.encode(datagram)
+    assert len(encoded) <= MAX_DATAGRAM_BYTES
+    assert len(encoded) % 4
+    assert datagrams.decode(encoded) == datagram
 
 
 @given(st.binary(max_size=300))
-def test_noise_is_no_datagram(data: bytes) -> None:
+def test_noise_is_not_decoded(data: bytes) -> None:
     assert datagrams.decode(data) is None
 
 
 @given(st.integers(0, 8 * 60 - 1))
-def test_a_flipped_bit_is_recognised(bit: int) -> None:
+def test_datagram_with_flipped_bit_is_not_decoded(bit: int) -> None:
     datagram = Datagram(
         Kind.GOSSIP,
         5,
@@ -87,11 +87,11 @@
     data = bytearray(datagrams.encode(datagram))
     bit %= 8 * len(data)
     data[bit // 8] ^= 1 << bit % 8
-    read = datagrams.decode(bytes(data))
-    assert read is None or bit // 8 == 1  # the version says nothing of what this one understands
+    decoded = datagrams.decode(bytes(data))
+    assert decoded is None or bit // 8 == 1  # byte 1, the version, is not checked
 
 
-def test_unknown_kinds_are_skipped_and_oversized_datagrams_raise() -> None:
+def test_unknown_kind_is_not_decoded_and_oversized_datagram_raises() -> None:
     own = encode_state(1, State.ALIVE)
     data = bytearray(datagrams.encode(Datagram(Kind.GOSSIP, 1, own)))
     data[10] = 200
--- a/tests/fleet/test_member_state.py
+++ b/tests/fleet/test_member_state.py
@@ -1,4 +1,4 @@
-"""States of members and their table, in whatever order they come."""
+"""Encoded states of members, and their merge in any order."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 numbers = st.integers(0, 99)
 
 
-def test_only_listed_conclusions_are_allowed() -> None:
+def test_only_listed_conclusions_are_accepted() -> None:
     for before in State:
         for after in State:
             if (before, after) in CONCLUSIONS:
@@ -38,29 +38,29 @@
                     conclude(encode_state(7, before), after)
 
 
-@example([(50, encode_state(0, State.LEFT, 40))], Random(1))  # the next integer is no state
+@example([(50, encode_state(0, State.LEFT, 40))], Random(1))  # the next integer is not an encoded state
 @given(st.lists(st.tuples(numbers, states), max_size=30), st.randoms(use_true_random=False))
-def test_tables_merge_to_equal_digests_in_any_order(updates: list, chance) -> None:
-    one, other = MemberTable(100), MemberTable(100)
+def test_tables_merge_to_equal_digests_in_any_order(updates: list, rng) -> None:
+    table, other_table = MemberTable(100), MemberTable(100)
     for number, encoded in updates:
-        one.merge(number, encoded)
-    again = [*updates, *updates[:5]]
-    chance.shuffle(again)
-    for number, encoded in again:
-        other.merge(number, encoded)
-    assert one.states == other.states
-    assert one.digest(0, 100) == other.digest(0, 100) == digest_by_member(one)
-    assert one.counts == [sum(state_of(encoded) is state for encoded in one.states) for state in State]
-    newer = next_state(one.states[50])
+        table.merge(number, encoded)
+    shuffled_updates = [*updates, *updates[:5]]
+    rng.shuffle(shuffled_updates)
+    for number, encoded in shuffled_updates:
+        other_table.merge(number, encoded)
+    assert table.states == other_table.states
+    assert table.digest(0, 100) == other_table.digest(0, 100) == digest_by_member(table)
+    assert table.counts == [sum(state_of(encoded) is state for encoded in table.states) for state in State]
+    newer = next_state(table.states[50])
     if newer is not None:
-        assert other.merge(50, newer)
-        assert one.digest(3, 97) != other.digest(3, 97)
-        assert one.digest(51, 100) == other.digest(51, 100)
+        assert other_table.merge(50, newer)
+        assert table.digest(3, 97) != other_table.digest(3, 97)
+        assert table.digest(51, 100) == other_table.digest(51, 100)
 
 
 def next_state(encoded: int) -> int | None:
     """Return the least greater state; None after the greatest one."""
-    unused = (2**STATE_BITS - len(State)) << ZONE_BITS  # values before the next incarnation
+    unused = (2**STATE_BITS - len(State)) << ZONE_BITS  # unused status values before the next incarnation
     return next(filter(is_encoded_state, range(encoded + 1, encoded + unused + 2)), None)
 
 
