--- a/tests/fleet/test_membership_protocol.py
+++ b/tests/fleet/test_membership_protocol.py
@@ -355,7 +355,7 @@
 
 
 def test_suspect_is_probed_again_before_it_is_declared_gone() -> None:
-    """Guards against a lost refutation: at 0.3 of loss it made three of 2,000 members GONE without a fault."""
+    """Guards against a lost refutation: at a loss of 0.3 it made three of 2,000 members GONE."""
     fleet = Views(100, 21)
     fleet.start_settled()
     fleet.run(2 * NS_PER_S)
