--- a/dykefold/fleet/membership.py
+++ b/dykefold/fleet/membership.py
@@ -176,7 +176,7 @@
         return self.synchronized or now_ns - self.joined_ns >= self.limits.ns(MAX_JOINING_PERIODS)
 
     def live_members(self, now_ns: int) -> list[int]:
-        """Return the sorted numbers of live members, including this one."""
+        """Return the sorted numbers of members that count as carrying traffic, including this one."""
         if now_ns - self.last_received_ns > self.limits.ns(NO_LIVE_PEERS_PERIODS):
             return [self.own_number]
         states = LIVE if self.is_settled(now_ns) else {*LIVE, State.UNKNOWN}
@@ -250,7 +250,7 @@
         self.gossip.add(number)
         if after in LIVE:
             self.departed_ns.pop(number, None)
-        elif before in LIVE or before is State.UNKNOWN:  # UNKNOWN: this member is joining
+        elif before in LIVE or before is State.UNKNOWN:  # UNKNOWN: received while joining
             self.departed_ns[number] = now_ns
         self.suspicions.on_state(number, after, now_ns + self.suspicion_ns(own=False))
         if len(self.changes) < MAX_PENDING_CHANGES:
