--- a/dykefold/sim/upgrades.py
+++ b/dykefold/sim/upgrades.py
@@ -304,7 +304,7 @@
 def _check_descriptors(sidecar: Sidecar) -> str | None:
     counts = [process.max_descriptors for process in _serving(sidecar)]
     return (
-        f"processes have {counts} descriptors, allowed in all {ALL_DESCRIPTORS}"
+        f"descriptors: processes have {counts}, allowed in all {ALL_DESCRIPTORS}"
         if sum(counts) > ALL_DESCRIPTORS
         else None
     )
--- a/tests/sim/mutants.py
+++ b/tests/sim/mutants.py
@@ -1,6 +1,6 @@
-"""Faults put into a copy of the program on purpose, each of which the simulation has to find.
+"""Mutants: deliberate faults in a copy of the program, each of which the simulation must find.
 
-`python tests/sim/mutants.py` prints a table: which seed found each, by which rule, in how long.
+`python tests/sim/mutants.py` prints a table: the seed and the rule that found each, and the time it took.
 """
 
 import os
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parents[2]
-SEEDS_MOST = 40
+MAX_SEEDS = 40
 SPAN_S = 8.0
 
 
@@ -25,12 +25,12 @@
     before: str
     after: str
     world: str = "storm"
-    first_seed: int = 0  # the seed that found it last, played first; every other one is played behind it
+    first_seed: int = 0  # The seed that found it last, which is run before all others.
 
 
 MUTANTS = [
     Mutant(
-        "an order is sent again after a reset",
+        "an unsafe request is retried after a reset",
         "balancer/balancer.py",
         "NEVER_RAN_STATUSES = frozenset((Status.FULL,",
         "NEVER_RAN_STATUSES = frozenset((Status.RESET, Status.FULL,",
@@ -45,7 +45,7 @@
         "parts",
     ),
     Mutant(
-        "no final answer when the module gives up",
+        "no final answer when the balancer gives up",
         "net/service/pending_requests.py",
         '            self._answer(request, 502, b"", b"failed\\n")\n\n    def forward',
         "            self._remove_pending(request)\n\n    def forward",
@@ -59,14 +59,14 @@
         "restarts",
     ),
     Mutant(
-        "an attempt that is given up keeps its connection",
+        "an aborted attempt keeps its connection",
         "net/upstream/exchange.py",
         "            connection.close(discard=True)\n        self.end(status)",
         "        self.end(status)",
         first_seed=1,
     ),
     Mutant(
-        "an end does not reach the other side at once",
+        "an abort does not reach the peer at once",
         "net/upstream/abort.py",
         "        sock.shutdown(socket.SHUT_RDWR)\n",
         "        pass\n",
@@ -74,54 +74,54 @@
         first_seed=2,
     ),
     Mutant(
-        "the header that says never run is not asked for",
+        "the header X-Not-Run is not required",
         "net/upstream/classify.py",
         "if response.code in CODES_NOT_RUN and response.not_run:",
         "if response.code >= HTTP_SERVER_ERROR:",
     ),
     Mutant(
-        "a connection is closed and still counted",
+        "a closed connection is still counted",
         "net/upstream/connection_pool.py",
         "        self.allowance.in_use -= 1\n",
         "",
         "parts",
     ),
     Mutant(
-        "a descriptor is not given back",
+        "a descriptor is not released",
         "net/service/pending_requests.py",
         "            self.budget.release()\n",
         "",
         "parts",
     ),
     Mutant(
-        "message memory is not given back",
+        "message memory is not released",
         "net/downstream/request_assembler.py",
         "        self._memory.release(size)\n        self.reserved_bytes -= size",
         "        self.reserved_bytes -= size",
         "parts",
     ),
     Mutant(
-        "half written counts as whole and whole as half",
+        "a completely written request counts as incomplete",
         "net/upstream/exchange.py",
         "if connection is None or connection.incomplete:",
         "if True:",
     ),
     Mutant(
-        "a body that has begun to flow is left to the module's repeats",
+        "a request with a partly sent streamed body is retried",
         "net/service/attempts.py",
         "            self.requests.end_streamed(request, status)\n",
         "            pass\n",
         "services",
     ),
     Mutant(
-        "a connection that its last piece has held up is not read on",
+        "a connection paused by its last body part is not resumed",
         "net/upstream/connection.py",
         "            self.set_paused(False)\n        written",
         "            pass\n        written",
         "services",
     ),
     Mutant(
-        "a sidecar breaks off an answer that it streams",
+        "a sidecar truncates a streamed answer",
         "net/service/attempt.py",
         "        self.request.sink.send_response_chunk(self.request.parsed, data)\n",
         "        self.request.sink.send_response_chunk(self.request.parsed, data)\n"
@@ -130,7 +130,7 @@
         "services",
     ),
     Mutant(
-        "a planned end goes on taking what is sent ahead",
+        "a graceful shutdown still accepts pipelined requests",
         "net/shutdown.py",
         "        self.server.all_answered = True\n",
         "",
@@ -138,7 +138,7 @@
         first_seed=3,
     ),
     Mutant(
-        "a ban is not handed on",
+        "a maintenance order is not passed to the next process",
         "control/hot_restart.py",
         "                self.maintenance.merge(record)\n",
         "                pass\n",
@@ -146,14 +146,14 @@
         first_seed=5,
     ),
     Mutant(
-        "whoever lives is not asked for its lock",
+        "the lock of a live process is not checked",
         "control/hot_restart.py",
         "heartbeat.name: self.directory.is_alive(name)",
         "heartbeat.name: None",
         "upgrade",
     ),
     Mutant(
-        "nobody asks whether a client is there",
+        "the close of a client is not detected",
         "net/downstream/connection.py",
         "        if not self.close_detector.has_closed(self.handler.half_close):\n            return False\n",
         "        return False\n",
@@ -161,14 +161,14 @@
         first_seed=4,
     ),
     Mutant(
-        "a server is told more time than its client has left",
+        "the announced deadline exceeds the client's remaining time",
         "net/service/http_encoding.py",
         "        max(remaining_ns // NS_PER_MS, 1),\n",
         "        max(remaining_ns // NS_PER_MS, 1) + 200,\n",
         "parts",
     ),
     Mutant(
-        "a process that can get no socket does not know what to do",
+        "the failure to create a socket is not handled",
         "net/upstream/connection_pool.py",
         "        except OSError:  # Out of descriptors in spite of the count",
         "        except ZeroDivisionError:  # Out of descriptors in spite of the count",
@@ -176,7 +176,7 @@
         first_seed=1,
     ),
     Mutant(
-        "an order is sent again after a system call that failed",
+        "an unsafe request is retried after a failed system call",
         "balancer/balancer.py",
         "NEVER_RAN_STATUSES = frozenset((Status.FULL,",
         "NEVER_RAN_STATUSES = frozenset((Status.RESET, Status.FULL,",
@@ -184,7 +184,7 @@
         first_seed=1,
     ),
     Mutant(
-        "a cold server is not paced",
+        "a server that warms up is not paced",
         "balancer/slow_start.py",
         "        if capacity_fraction >= 1.0:\n            return None\n",
         "        return None\n",
@@ -192,20 +192,20 @@
         first_seed=8,
     ),
     Mutant(
-        "keyed requests are repeated anywhere",
+        "keyed requests are retried in any cell",
         "balancer/attempt_rules.py",
         "if spec.scope is Scope.CELL and attempt.endpoint.cell != endpoint.cell:",
         "if False:",
     ),
     Mutant(
-        "after an answer nobody calls again",
+        "no further call to discovery follows an answer",
         "net/discovery/client.py",
         "            if watch_round == self.watch_round:\n                self._schedule_call(delay_s)\n",
         "            pass\n",
         "coldstart",
     ),
     Mutant(
-        "one that holds another plan than its zone goes on with it",
+        "a sidecar keeps a plan that differs from its zone's",
         "failover/traffic_plan.py",
         "            self._follow_median(now_ns, inputs.reported_levels)\n",
         "",
@@ -214,9 +214,9 @@
 ]
 
 
-def find(mutant: Mutant | None, seeds: int = SEEDS_MOST) -> tuple[str, float]:
-    """What the simulation says of a copy of the program with a fault in it, and how long it took."""
-    began = time.monotonic()
+def find(mutant: Mutant | None, seeds: int = MAX_SEEDS) -> tuple[str, float]:
+    """Return what the simulation finds in a copy of the program with a mutant, and the seconds it took."""
+    began_s = time.monotonic()
     with tempfile.TemporaryDirectory() as folder:
         copy = Path(folder) / "dykefold"
         shutil.copytree(ROOT / "dykefold", copy, ignore=shutil.ignore_patterns("__pycache__"))
@@ -227,13 +227,13 @@
             path.write_text(text.replace(mutant.before, mutant.after))
         world, first = (mutant.world, mutant.first_seed) if mutant is not None else ("parts", 0)
         command = [sys.executable, __file__, world, str(seeds), str(first)]
-        done = subprocess.run(
+        process = subprocess.run(
             command, env={"PYTHONPATH": folder, "PATH": ""}, stdout=subprocess.PIPE, text=True, check=True
         )
-    return done.stdout.strip(), time.monotonic() - began
+    return process.stdout.strip(), time.monotonic() - began_s
 
 
-def look(world: str, seeds: int, first_seed: int) -> str:
+def find_violation(world: str, seeds: int, first_seed: int) -> str:
     from dykefold.sim.run import play_seed
 
     for seed in sorted(range(seeds), key=lambda seed: seed != first_seed):
@@ -243,18 +243,18 @@
     return "not found"
 
 
-def found_all() -> dict[Mutant, tuple[str, float]]:
-    """What is found of each mutant, on all cores."""
+def find_all() -> dict[Mutant, tuple[str, float]]:
+    """Run all mutants, on all cores; return what was found and the seconds it took."""
     with ThreadPoolExecutor(os.cpu_count()) as pool:
         return dict(zip(MUTANTS, pool.map(find, MUTANTS), strict=True))
 
 
 def main() -> None:
     if len(sys.argv) == 4:
-        print(look(sys.argv[1], int(sys.argv[2]), int(sys.argv[3])))
+        print(find_violation(sys.argv[1], int(sys.argv[2]), int(sys.argv[3])))
         return
-    for mutant, (found, took_s) in found_all().items():
-        print(f"| {mutant.name} | `{mutant.world}` | {found} | {took_s:.1f} s |", flush=True)
+    for mutant, (found, duration_s) in find_all().items():
+        print(f"| {mutant.name} | `{mutant.world}` | {found} | {duration_s:.1f} s |", flush=True)
 
 
 if __name__ == "__main__":
--- a/tests/sim/test_view_world.py
+++ b/tests/sim/test_view_world.py
@@ -1,4 +1,4 @@
-"""The world `view`: sidecars as they are, with a view, datagrams in parts, deaths and restarts."""
+"""The world `view`: sidecars with a membership, under partitions of datagrams, kills and restarts."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from dykefold.fleet.protocol import MembershipProtocol
 from dykefold.sim.run import play_seed
 
-SEEDS = (1, 2)  # some 90,000 steps each
+SEEDS = (1, 2)  # Some 90,000 steps each.
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -24,7 +24,7 @@
         return next(iter(self.membership.random_live_members(1)), None)
 
     def drop_datagrams_to_others(self: MembershipProtocol) -> None:
-        """Send nothing to members that are not counted as live, whatever is claimed of them."""
+        """Drop datagrams to members that are not counted as live."""
         pending, table = self.outbox.pending, self.membership.table
         pending[:] = [datagram for datagram in pending if table.state(datagram.member) in LIVE]
 
@@ -37,5 +37,5 @@
 
     monkeypatch.setattr(AntiEntropy, "_choose_partner", choose_live_partner)
     monkeypatch.setattr(MembershipProtocol, "tick", tick_without)
-    found = [play_seed("view", seed, 8.0).breaches for seed in (1, 2, 3, 4)]
-    assert any(breach.rule == "views" for breaches in found for breach in breaches)
+    violations_by_seed = [play_seed("view", seed, 8.0).breaches for seed in (1, 2, 3, 4)]
+    assert any(breach.rule == "views" for breaches in violations_by_seed for breach in breaches)
