--- a/dykefold/sim/callers.py
+++ b/dykefold/sim/callers.py
@@ -67,7 +67,7 @@
         self.free_ns = 0  # Time at which the service has served all queued calls.
         self.down = False
         self.failures = [0] * size
-        self.seen = CallStatistics()
+        self.statistics = CallStatistics()
         self.ready_ns = [self.random.randrange(START_SPREAD_NS) for _ in range(size)]
         self.schedules: list[CoordinatedPollSchedule] | None = None
         if spread:
@@ -93,27 +93,27 @@
             self.now_ns, _, callback = heapq.heappop(self.queue)
             callback()
         self.now_ns = until_ns
-        return self.seen
+        return self.statistics
 
     def _open_watch(self, number: int) -> None:
         due_ns = self.schedules[number].open_watch_ns(self.now_ns, 1) if self.schedules else self.now_ns
         self._schedule(due_ns, lambda: self._call(number))
 
     def _call(self, number: int) -> None:
-        self.seen.calls[self.now_ns // NS_PER_S] += 1
+        self.statistics.calls[self.now_ns // NS_PER_S] += 1
         if self.schedules:
-            self.schedules[number].on_poll(self.now_ns, number not in self.seen.listed_ns)
+            self.schedules[number].on_poll(self.now_ns, number not in self.statistics.listed_ns)
         queued_calls = (self.free_ns - self.now_ns) / self.service_time_ns
         if self.down or queued_calls > self.max_waiting:
-            self.seen.turned_away += 1
+            self.statistics.turned_away += 1
             self._on_failure(number)
             return
         self.free_ns = max(self.free_ns, self.now_ns) + self.service_time_ns
         self._schedule(self.free_ns, lambda: self._on_answer(number))
 
     def _on_answer(self, number: int) -> None:
-        first = number not in self.seen.listed_ns
-        self.seen.listed_ns.setdefault(number, self.now_ns)
+        first = number not in self.statistics.listed_ns
+        self.statistics.listed_ns.setdefault(number, self.now_ns)
         self.failures[number] = 0
         if self.schedules and self.schedules[number].on_answer(self.now_ns) and self.reported:
             self._schedule(self.now_ns + GOSSIP_DELAY_NS, self._share_spreads)
--- a/dykefold/sim/membership_rules.py
+++ b/dykefold/sim/membership_rules.py
@@ -32,7 +32,7 @@
         self.disturbed_ns = 0
 
     def disturbed(self, now_ns: int) -> None:
-        """Record a disturbance, after which memberships have their settling time anew."""
+        """Record a disturbance, which restarts the settling time of the memberships."""
         self.disturbed_ns = now_ns
 
     def check(self, now_ns: int, memberships: Mapping[int, Membership]) -> None:
--- a/dykefold/sim/notified_lists.py
+++ b/dykefold/sim/notified_lists.py
@@ -28,14 +28,14 @@
 
     Attributes:
         current: Whether it comes from discovery's current address, not from one before a move.
-        whole: Whether it is a complete list; otherwise a change.
+        complete: Whether it is a complete list; otherwise a change.
     """
 
     at_ns: int
     sidecar: str
     version: ListVersion
     current: bool
-    whole: bool
+    complete: bool
     entries: Sequence[Entry]
 
 
@@ -55,14 +55,14 @@
         known = self.lists[update.sidecar]
         if update.version < known.version:
             return  # Older than the list that it has.
-        foreign_change = update.version[0] != known.version[0] and not update.whole
+        foreign_change = update.version[0] != known.version[0] and not update.complete
         if not update.current or foreign_change:
             # From a former address, or a change to a list that it never had: the sidecar may apply it or not,
             # so only entries that allow more are counted.
             self._notify(update, (entry for entry in update.entries if entry["status"] == "SERVING"))
             return
         entries = known.entries
-        if update.whole:
+        if update.complete:
             self._remove_missing(update, entries)
             entries = {}
         self._notify(update, update.entries)
--- a/dykefold/sim/open_requests.py
+++ b/dykefold/sim/open_requests.py
@@ -50,5 +50,5 @@
     process: ProcessLoop
 
     def restart_deadline(self, now_ns: int) -> None:
-        """Start the deadline anew now, if that ends later."""
+        """Restart the deadline now, if that makes it later."""
         self.due_ns = max(self.due_ns, now_ns + self.arrival.deadline_ms * NS_PER_MS)
--- a/dykefold/sim/registry.py
+++ b/dykefold/sim/registry.py
@@ -59,7 +59,7 @@
         ...
 
     def list_arrived(
-        self, sidecar: str, registry: Registry, version: int, whole: bool, entries: Sequence[Entry]
+        self, sidecar: str, registry: Registry, version: int, complete: bool, entries: Sequence[Entry]
     ) -> None:
         """Record that a list or a change has arrived at a sidecar."""
         ...
@@ -231,14 +231,14 @@
         self.world.discovery_called(connection.sidecar)  # The watch lasted until now.
         if not connection.open or connection.transport.is_closing():
             return
-        whole = self._answers_with_complete_list(after)
-        if whole:
+        complete = self._answers_with_complete_list(after)
+        if complete:
             entries = list(self.entries.values())
         else:
             entries = [entry for version, entry in self.changes if after is not None and version > after]
-        body = json.dumps({"index": self.version, "snapshot": whole, "endpoints": entries}).encode()
+        body = json.dumps({"index": self.version, "snapshot": complete, "endpoints": entries}).encode()
         data = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
-        self._mark_arrival(connection, len(data), whole, entries)
+        self._mark_arrival(connection, len(data), complete, entries)
         connection.transport.write(data)
 
     def _answers_with_complete_list(self, after: int | None) -> bool:
@@ -248,7 +248,7 @@
         return self.random.random() < COMPLETE_LIST_SHARE
 
     def _mark_arrival(
-        self, connection: RegistryConnection, size: int, whole: bool, entries: Sequence[Entry]
+        self, connection: RegistryConnection, size: int, complete: bool, entries: Sequence[Entry]
     ) -> None:
         """Notify the world of a list when its answer of `size` bytes has arrived at the sidecar."""
         transport = connection.transport
@@ -258,5 +258,5 @@
         self.world.observer.mark_arrival(
             peer,
             end_bytes,
-            lambda: self.world.list_arrived(connection.sidecar, self, version, whole, entries),
+            lambda: self.world.list_arrived(connection.sidecar, self, version, complete, entries),
         )
--- a/dykefold/sim/run.py
+++ b/dykefold/sim/run.py
@@ -92,7 +92,7 @@
 
 
 def search(worlds: list[str], first: int, seconds: float, jobs: int, span_s: float) -> Iterator[Result]:
-    """Run seeds from `first` on in several processes, with the worlds in turn, for so many seconds."""
+    """Run seeds from `first` on in several processes, with the worlds in turn, for `seconds`."""
     until = time.monotonic() + seconds
     with ProcessPoolExecutor(jobs) as pool:
         pending_runs: set[Future[Result]] = set()
--- a/dykefold/sim/schedule.py
+++ b/dykefold/sim/schedule.py
@@ -38,7 +38,7 @@
     TERM = "term"  # A sidecar shuts down gracefully, and restarts.
     SQUEEZE = "squeeze"  # A sidecar may open fewer descriptors than its settings state.
     FLOOD = "flood"  # A client opens many connections and sends nothing.
-    # Faults of a whole fleet.
+    # Faults of a fleet.
     HERD = "herd"  # Seven in ten sidecars are killed at once.
     ZONE = "zone"  # All servers of a zone die, and restart together with a warm-up.
     REPLACE = "replace"  # Six in ten servers drain, end and are replaced, one after another.
--- a/dykefold/sim/world.py
+++ b/dykefold/sim/world.py
@@ -256,7 +256,7 @@
         self.poll_rules.called(self.kernel.now_ns, sidecar, failed)
 
     def discovery_changed(self) -> None:
-        """Record that discovery has gone down, moved or recovered: poll intervals start anew."""
+        """Record that discovery has gone down, moved or recovered, which restarts the poll intervals."""
         self.poll_rules.changed_ns = self.kernel.now_ns
 
     def move_discovery(self) -> Registry:
@@ -268,12 +268,12 @@
         return former
 
     def list_arrived(
-        self, sidecar: str, registry: Registry, version: int, whole: bool, entries: Sequence[Entry]
+        self, sidecar: str, registry: Registry, version: int, complete: bool, entries: Sequence[Entry]
     ) -> None:
         """Record that a list or a change has arrived at a sidecar."""
         current = registry is self.registry
         at_ns, list_version = self.kernel.now_ns, (registry.number, version)
-        self.lists.update(ListUpdate(at_ns, sidecar, list_version, current, whole, entries))
+        self.lists.update(ListUpdate(at_ns, sidecar, list_version, current, complete, entries))
 
     def known_list(self, sidecar: str) -> dict[str, int | bool | list[Entry]]:
         """Return the endpoint list with which a sidecar starts: its latest one."""
