--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -22,7 +22,7 @@
 import uvloop
 
 from standins.load import Tally, run_clients
-from standins.sidecar import Running, parts_nodes, sidecar
+from standins.sidecar import RunningSidecar, parts_servers, sidecar
 
 from . import arguments, trees
 
@@ -68,16 +68,16 @@
     for name, tree in played.items():
         rows = []
         for _ in range(START_RUNS):
-            with parts_nodes(NODES) as ports, sidecar(ports, tree=tree) as running:
+            with parts_servers(NODES) as ports, sidecar(ports, tree=tree) as running:
                 first = uvloop.run(run_clients(running.port, START_CONNECTIONS, 1.0))
                 second = uvloop.run(run_clients(running.port, START_CONNECTIONS, 1.0))
-                rows.append((first.refused, second.refused))
+                rows.append((first.rejected, second.rejected))
         print(f"  {name:8} {rows}")
 
 
 def refusal(service: Path) -> None:
     """Print what refusals cost the sidecar that has the settings of this file."""
-    with parts_nodes(NODES) as ports, sidecar(ports, service=service) as running:
+    with parts_servers(NODES) as ports, sidecar(ports, service=service) as running:
         uvloop.run(run_clients(running.port, WARM_CLIENTS, WARM_S))
         served_us = served_cost_us(running)
         admitted = socket.create_connection(("127.0.0.1", running.port), source_address=(FLOOD_ADDRESS, 0))
@@ -94,14 +94,14 @@
         print(f"  {name:25} {cost_us:7.1f}  ({cost_us / served_us:.2f} of it)")
 
 
-def served_cost_us(running: Running) -> float:
+def served_cost_us(running: RunningSidecar) -> float:
     """The sidecar's processor time for a served request, in microseconds."""
     before_s = running.cpu_s()
     served = uvloop.run(run_clients(running.port, WARM_CLIENTS, REFUSAL_S)).served
     return (running.cpu_s() - before_s) / served * 1e6
 
 
-def connections(running: Running, data: bytes, address: str) -> float:
+def connections(running: RunningSidecar, data: bytes, address: str) -> float:
     """Connect, send this and read to the end, again and again; the sidecar's microseconds for each."""
     before_s, count, until_s = running.cpu_s(), 0, time.monotonic() + REFUSAL_S
     while time.monotonic() < until_s:
@@ -117,7 +117,7 @@
     return (running.cpu_s() - before_s) / count * 1e6
 
 
-def requests(running: Running, ahead: int) -> float:
+def requests(running: RunningSidecar, ahead: int) -> float:
     """Send bad requests, each batch as soon as the last is answered; the sidecar's microseconds for each.
 
     Args:
@@ -168,7 +168,7 @@
     """Print the service of steady clients without and with a flood, under the settings of this file."""
     alone: list[Tally] = []
     flooded: list[Tally] = []
-    with parts_nodes(NODES) as ports, sidecar(ports, sockets=FLOOD_SOCKETS, service=service) as running:
+    with parts_servers(NODES) as ports, sidecar(ports, sockets=FLOOD_SOCKETS, service=service) as running:
         uvloop.run(serve_steadily(running.port, WARM_S, flooded=False))
         for _ in range(FLOOD_RUNS // 2):
             alone.append(uvloop.run(serve_steadily(running.port, FLOOD_RUN_S, flooded=False)))
@@ -187,14 +187,14 @@
     p99_ms = statistics.median(tally.quantile_ms(0.99) for tally in tallies)
     return (
         f"  {name:8} served {statistics.median(served):6.0f} (from {min(served)} to {max(served)})"
-        f"  refused {sum(tally.refused for tally in tallies)}  lost {sum(tally.lost for tally in tallies)}"
+        f"  refused {sum(tally.rejected for tally in tallies)}  lost {sum(tally.lost for tally in tallies)}"
         f"  p50 {p50_ms:.2f} ms  p99 {p99_ms:.2f} ms"
     )
 
 
 def memory() -> None:
     """Print the sidecar's resident memory for an idle connection."""
-    with parts_nodes(1) as ports, sidecar(ports) as running:
+    with parts_servers(1) as ports, sidecar(ports) as running:
         uvloop.run(run_clients(running.port, WARM_CLIENTS, SETTLE_S))
         before_bytes = running.rss_bytes()
         idle = [socket.create_connection(("127.0.0.1", running.port)) for _ in range(IDLE_CONNECTIONS)]
--- a/benchmarks/pools.py
+++ b/benchmarks/pools.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from standins.sidecar import Running, parts_nodes, services, sidecar
+from standins.sidecar import RunningSidecar, parts_servers, sidecar, sidecar_of_service_file
 
 from .relay import CONNECTIONS, MEASURED_S, NODES, load, ratio_of
 
@@ -38,7 +38,7 @@
 
 
 @contextlib.contextmanager
-def played(pools: int, ports: list[int]) -> Iterator[Running]:
+def played(pools: int, ports: list[int]) -> Iterator[RunningSidecar]:
     """A sidecar with so many pools, or the platform's."""
     with contextlib.ExitStack() as stack:
         if pools == PLATFORM:
@@ -46,7 +46,7 @@
             return
         path = Path(stack.enter_context(tempfile.TemporaryDirectory())) / "service.toml"
         path.write_text(service_file(pools, ports))
-        yield stack.enter_context(services(path, core=PROXY_CORE))
+        yield stack.enter_context(sidecar_of_service_file(path, core=PROXY_CORE))
 
 
 @dataclass(slots=True)
@@ -65,7 +65,7 @@
 def measure(rounds: int) -> dict[int, Figures]:
     """Play every proxy once in each round; the figures by the number of pools."""
     found = {pools: Figures() for pools in (PLATFORM, *POOLS)}
-    with parts_nodes(NODES, NODES_CORE) as ports:
+    with parts_servers(NODES, NODES_CORE) as ports:
         for number in range(rounds):
             for pools in found if number % 2 else reversed(found):
                 with played(pools, ports) as running:
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -23,7 +23,7 @@
 
 import uvloop
 
-from standins.sidecar import ROOT, parts_nodes, pinned, sidecar
+from standins.sidecar import ROOT, parts_servers, pin_to_core, sidecar
 
 from . import arguments, trees
 
@@ -94,7 +94,7 @@
 def load(port: int, core: int) -> tuple[float, int]:
     """`ask` in a process of its own on one core."""
     command = [sys.executable, "-m", "benchmarks.relay", "--load", str(port)]
-    done = subprocess.run(command, cwd=ROOT, stdout=subprocess.PIPE, check=True, preexec_fn=pinned(core))
+    done = subprocess.run(command, cwd=ROOT, stdout=subprocess.PIPE, check=True, preexec_fn=pin_to_core(core))
     rate, refused = done.stdout.split()
     return float(rate), int(refused)
 
@@ -104,7 +104,7 @@
     """A bare relay in front of the first of these ports; its port."""
     command = [sys.executable, "-m", "standins.relay", str(ports[0])]
     with subprocess.Popen(
-        command, cwd=ROOT, stdin=subprocess.PIPE, stdout=subprocess.PIPE, preexec_fn=pinned(core)
+        command, cwd=ROOT, stdin=subprocess.PIPE, stdout=subprocess.PIPE, preexec_fn=pin_to_core(core)
     ) as process:
         assert process.stdout is not None
         assert process.stdin is not None
@@ -135,7 +135,7 @@
         **{name: partial(sidecar_of, tree) for name, tree in played.items()},
     }
     rates: dict[str, list[float]] = {name: [] for name in proxies}
-    with parts_nodes(NODES, cores.nodes) as ports:
+    with parts_servers(NODES, cores.nodes) as ports:
         for number in range(rounds):
             order = list(proxies) if number % 2 else list(reversed(proxies))
             for name in order:
--- a/benchmarks/turns.py
+++ b/benchmarks/turns.py
@@ -13,7 +13,7 @@
 
 import uvloop
 
-from standins.sidecar import parts_nodes, sidecar
+from standins.sidecar import parts_servers, sidecar
 
 from . import arguments, trees
 
@@ -124,7 +124,7 @@
     for title, kind in KINDS.items():
         for name, tree in played.items():
             with (
-                parts_nodes(NODES, NODES_CORE) as ports,
+                parts_servers(NODES, NODES_CORE) as ports,
                 sidecar(ports, tree=tree, core=SIDECAR_CORE) as running,
             ):
                 waits_s = uvloop.run(play(running.port, kind))
--- a/standins/parts.py
+++ b/standins/parts.py
@@ -1,7 +1,7 @@
-"""Servers that answer every request at once: `python -m standins.parts [COUNT]`, one port each.
+"""Servers that answer every request immediately: `python -m standins.parts [COUNT]`, one port each.
 
 The protocol is the platform's HTTP/1.1; benchmarks use them behind the sidecar. The process prints its ports
-in one line and runs until its standard input ends, so that it never outlives its parent.
+on one line and runs until standard input ends, so that it never outlives its parent.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 64\r\n\r\n" + b"p" * 64
 
 
-class Node(asyncio.Protocol):
-    """A connection; every complete request is answered with 64 bytes."""
+class ServerConnection(asyncio.Protocol):
+    """A client connection; every complete request is answered with a body of 64 bytes."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Create the parser of the connection."""
@@ -35,7 +35,7 @@
 async def serve(count: int) -> None:
     """Serve on `count` ports until standard input ends."""
     loop = asyncio.get_running_loop()
-    servers = [await loop.create_server(Node, "127.0.0.1", 0) for _ in range(count)]
+    servers = [await loop.create_server(ServerConnection, "127.0.0.1", 0) for _ in range(count)]
     print(*(server.sockets[0].getsockname()[1] for server in servers), flush=True)
     await loop.run_in_executor(None, sys.stdin.read)
 
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -1,8 +1,8 @@
-"""A plain TCP relay, the reference of `benchmarks.relay`: `python -m standins.relay PORT`.
+"""A plain TCP relay, the baseline of `benchmarks.relay`: `python -m standins.relay PORT`.
 
-It passes bytes between each client connection and one connection to that port of 127.0.0.1, on the same event
-loop as the sidecar, without parsing or decisions: the minimum cost of any proxy on that loop. It prints its
-port and runs until its standard input ends.
+It forwards bytes between each client connection and one connection to PORT of 127.0.0.1 without parsing or
+decisions, on the event loop that the sidecar uses (uvloop): the minimum cost of a proxy on that loop. The
+process prints its port and runs until standard input ends.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 
 
 class Upstream(asyncio.Protocol):
-    """The connection to the server; it passes bytes to its client."""
+    """A connection to the server; it forwards received bytes to the client."""
 
     def __init__(self, client: asyncio.Transport) -> None:
         self.client = client
 
     def data_received(self, data: bytes) -> None:
-        """Pass bytes to the client."""
+        """Forward bytes to the client."""
         self.client.write(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -29,26 +29,26 @@
 
 
 class Client(asyncio.Protocol):
-    """A client connection; it opens the connection to the server."""
+    """A client connection; it opens its own connection to the server."""
 
     def __init__(self, port: int) -> None:
         self.port = port
         self.upstream: asyncio.WriteTransport | None = None
-        self.early: list[bytes] = []
+        self.buffered: list[bytes] = []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Open the connection to the server."""
-        self.opening = asyncio.get_running_loop().create_task(self._open(transport))  # type: ignore[arg-type]
+        self.connect_task = asyncio.get_running_loop().create_task(self._open(transport))  # type: ignore[arg-type]
 
     async def _open(self, client: asyncio.Transport) -> None:
         loop = asyncio.get_running_loop()
         self.upstream, _ = await loop.create_connection(lambda: Upstream(client), "127.0.0.1", self.port)
-        self.upstream.writelines(self.early)
+        self.upstream.writelines(self.buffered)
 
     def data_received(self, data: bytes) -> None:
-        """Pass bytes to the server, or store them until it is connected."""
+        """Forward bytes to the server, or buffer them until the connection is open."""
         if self.upstream is None:
-            self.early.append(data)
+            self.buffered.append(data)
         else:
             self.upstream.write(data)
 
@@ -59,7 +59,7 @@
 
 
 async def serve(port: int) -> None:
-    """Relay connections to a port until standard input ends."""
+    """Relay client connections to a port of 127.0.0.1 until standard input ends."""
     loop = asyncio.get_running_loop()
     server = await loop.create_server(lambda: Client(port), "127.0.0.1", 0)
     print(server.sockets[0].getsockname()[1], flush=True)
--- a/standins/shop.py
+++ b/standins/shop.py
@@ -1,10 +1,10 @@
-"""Servers of one service that count the requests they get: `python -m standins.shop NAME [options]`.
+"""Servers of one service that count their requests: `python -m standins.shop NAME [options]`.
 
-The protocol is plain HTTP/1.1; the demonstration uses them. The process prints its ports in one line. Lines
-on standard input: `down` stops listening and resets all connections, `up` listens again at the same ports,
-and `report` prints the counts as one line of JSON. It runs until standard input ends.
+The protocol is plain HTTP/1.1; `standins.demo` uses them. The process prints its ports on one line. Commands
+on standard input: `down` stops listening and resets all connections, `up` listens again on the same ports,
+and `report` prints the counts as one line of JSON. The process runs until standard input ends.
 
-Effects are counted here: an effect is a request whose last byte has arrived, whatever becomes of its answer.
+An effect is counted when the last byte of a request has arrived, whether or not its answer is delivered.
 """
 
 from __future__ import annotations
@@ -20,84 +20,86 @@
 
 import httptools
 
-LINGER_NONE = struct.pack("ii", 1, 0)  # A close then resets the connection.
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER of 0 s: close() resets the connection.
 
 
 class Service:
-    """The servers of one service, and counts of their requests.
+    """Servers of one service, with counts of their requests.
 
     Args:
-        name: Name of the service. Requests must begin with `/name`; others are counted as strays.
-        work_ms: Mean of the exponentially distributed work, in milliseconds.
-        fail: Fraction of the requests answered with 500 after their work.
-        reset: Fraction of the requests whose connection is reset after their work.
+        name: Name of the service. Paths of its requests begin with `/name`; others count as strays.
+        work_ms: Mean of the exponentially distributed service time, in milliseconds.
+        failure_fraction: Fraction of the requests that are answered with 500 after their service time.
+        reset_fraction: Fraction of the requests whose connection is reset after their service time.
         seed: Seed of the random generator.
 
     Attributes:
-        effects: Number of runs by method and request id.
-        strays: Number of requests of other services.
-        attempts: Number of requests.
+        effects: Number of executions by method and request id.
+        strays: Number of requests for other services.
+        attempts: Number of received requests.
         ports: Ports of the servers.
     """
 
-    def __init__(self, name: str, work_ms: float, fail: float, reset: float, seed: int) -> None:
+    def __init__(
+        self, name: str, work_ms: float, failure_fraction: float, reset_fraction: float, seed: int
+    ) -> None:
         self.name = name
-        self.work_s = work_ms / 1000
-        self.fail = fail
-        self.reset = reset
+        self.mean_service_time_s = work_ms / 1000
+        self.failure_fraction = failure_fraction
+        self.reset_fraction = reset_fraction
         self.random = random.Random(seed)
         self.effects: Counter[str] = Counter()
         self.strays = 0
         self.attempts = 0
-        self.nodes: list[asyncio.Server] = []
+        self.listeners: list[asyncio.Server] = []
         self.connections: set[Connection] = set()
         self.ports: list[int] = []
 
     async def up(self, count: int) -> None:
-        """Listen with `count` servers, at the same ports as before."""
+        """Listen on `count` ports, the same ones at each call."""
         loop = asyncio.get_running_loop()
         for number in range(count):
             port = self.ports[number] if number < len(self.ports) else 0
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             sock.bind(("127.0.0.1", port))
-            self.nodes.append(await loop.create_server(lambda: Connection(self), sock=sock))
+            self.listeners.append(await loop.create_server(lambda: Connection(self), sock=sock))
             if number >= len(self.ports):
                 self.ports.append(sock.getsockname()[1])
 
     def down(self) -> None:
         """Stop listening, and reset all connections."""
-        for node in self.nodes:
-            node.close()
-        self.nodes.clear()
+        for listener in self.listeners:
+            listener.close()
+        self.listeners.clear()
         for connection in list(self.connections):
             connection.reset()
 
     def report(self) -> str:
         """Return the counts as a line of JSON."""
-        unsafe = [count for key, count in self.effects.items() if key.startswith("POST ")]
+        orders = [count for key, count in self.effects.items() if key.startswith("POST ")]
         return json.dumps(
             {
                 "name": self.name,
                 "attempts": self.attempts,
-                "orders": len(unsafe),
-                "orders_twice": sum(count > 1 for count in unsafe),
+                "orders": len(orders),
+                "orders_twice": sum(count > 1 for count in orders),
                 "strays": self.strays,
             }
         )
 
 
 class Connection(asyncio.Protocol):
-    """A connection to one of the servers, with one request at a time."""
+    """A connection to one of the servers; it serves one request at a time."""
 
     def __init__(self, service: Service) -> None:
         self.service = service
-        self.work: asyncio.TimerHandle | None = None
-        self._begin()
+        self.timer: asyncio.TimerHandle | None = None
+        self._prepare_request()
 
-    def _begin(self) -> None:
+    def _prepare_request(self) -> None:
         self.parser = httptools.HttpRequestParser(self)
-        self.ident = ""
+        self.request_id = ""
         self.path = ""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -106,7 +108,7 @@
         self.service.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the connection."""
+        """Unregister the connection."""
         self.service.connections.discard(self)
 
     def data_received(self, data: bytes) -> None:
@@ -114,35 +116,35 @@
         self.parser.feed_data(data)
 
     def on_url(self, url: bytes) -> None:
-        """Collect the path."""
+        """Append a part of the path."""
         self.path += url.decode("latin-1")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take the request id."""
+        """Store the request id."""
         if name.lower() == b"x-request-id":
-            self.ident = value.decode("latin-1")
+            self.request_id = value.decode("latin-1")
 
     def on_message_complete(self) -> None:
-        """Count a complete request, and begin its work."""
+        """Count a complete request, and schedule its answer."""
         service = self.service
         service.attempts += 1
         method = self.parser.get_method().decode("latin-1")
-        service.effects[f"{method} {self.ident}"] += 1
+        service.effects[f"{method} {self.request_id}"] += 1
         if self.path.split("/")[1] != service.name:
             service.strays += 1
-        work = service.random.expovariate(1.0) * service.work_s
-        asyncio.get_running_loop().call_later(work, self._end, service.random.random())
+        service_time_s = service.random.expovariate(1.0) * service.mean_service_time_s
+        asyncio.get_running_loop().call_later(service_time_s, self._answer, service.random.random())
 
-    def _end(self, draw: float) -> None:
+    def _answer(self, sample: float) -> None:
         if self.transport.is_closing():
             return
-        if draw < self.service.reset:
+        if sample < self.service.reset_fraction:
             self.reset()
             return
-        failed = draw < self.service.reset + self.service.fail
+        failed = sample < self.service.reset_fraction + self.service.failure_fraction
         head = b"HTTP/1.1 500 Internal Server Error" if failed else b"HTTP/1.1 200 OK"
         body = b"failed\n" if failed else b"done\n"
-        self._begin()
+        self._prepare_request()
         self.transport.write(  # type: ignore[attr-defined]
             b"%s\r\nContent-Length: %d\r\n\r\n%s" % (head, len(body), body)
         )
@@ -150,18 +152,18 @@
     def reset(self) -> None:
         """Reset the connection."""
         sock = self.transport.get_extra_info("socket")
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NONE)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self.transport.abort()  # type: ignore[attr-defined]
 
 
 async def serve(arguments: argparse.Namespace) -> None:
-    """Serve until standard input ends, and carry out its lines."""
+    """Serve until standard input ends, and execute its commands."""
     service = Service(arguments.name, arguments.work_ms, arguments.fail, arguments.reset, arguments.seed)
     await service.up(arguments.nodes)
     print(*service.ports, flush=True)
     loop = asyncio.get_running_loop()
-    while line := await loop.run_in_executor(None, sys.stdin.readline):
-        match line.strip():
+    while command := await loop.run_in_executor(None, sys.stdin.readline):
+        match command.strip():
             case "down":
                 service.down()
             case "up":
--- a/standins/truth.py
+++ b/standins/truth.py
@@ -1,13 +1,13 @@
-"""Servers that record how often each request ran, and which attempts were open when a retry arrived.
+"""Servers that record how often each request was executed, and whether a retry overlapped an open attempt.
 
-A retry overlaps if an earlier attempt of its id still has an open connection when the retry's last byte has
-arrived. This is checked by a read without waiting on the earlier descriptor. Plain sockets and a selector are
-used, since the kernel's knowledge counts, not that of an event loop. The protocol is the platform's HTTP/1.1;
-tests of aborted attempts and `benchmarks.relay` use them.
+A retry overlaps if the connection of an earlier attempt with its id is still open when the last byte of the
+retry arrives. A non-blocking read of the earlier connection tells. The servers use plain sockets and a
+selector, since the state in the kernel counts, not that of an event loop. The protocol is the platform's
+HTTP/1.1; tests of aborted attempts and `benchmarks.relay` use them.
 
-As a process, `python -m standins.truth PORTS PHASE_S`, one server after the other misbehaves for a phase, in
-each of the ways of `TROUBLES` in turn. The ports are printed at the start, the tally as JSON at the end of
-standard input.
+As a process, `python -m standins.truth PORTS PHASE_S`, one server is faulty in each phase, each in turn, with
+each of `FAULTS` in turn. The process prints its ports at the start, and the tally as JSON when standard input
+ends.
 """
 
 from __future__ import annotations
@@ -28,8 +28,8 @@
 HEAD_END = b"\r\n\r\n"
 CLOSE = b""
 SILENCE = None
-MAX_STORIES = 10
-TROUBLES: tuple[bytes | None, ...] = (SILENCE, SPOILT, CLOSE, NEVER)
+MAX_OVERLAP_DESCRIPTIONS = 10
+FAULTS: tuple[bytes | None, ...] = (SILENCE, SPOILT, CLOSE, NEVER)
 
 
 @dataclass(slots=True)
@@ -42,7 +42,7 @@
     sock: socket.socket
     overlaps: bool
     keyed: bool
-    at_s: float
+    arrived_s: float
     answer: bytes | None = SILENCE
 
 
@@ -51,10 +51,10 @@
     """Counts of the requests of all servers.
 
     Attributes:
-        requests: Number of requests.
-        repeats: Number of requests with an id that had arrived before.
-        overlaps: Number of retries that overlapped an open attempt.
-        orders_twice: Number of unsafe requests that ran more than once.
+        requests: Number of received requests, retries included.
+        repeats: Number of requests whose id had arrived before.
+        overlaps: Number of retries that arrived while an earlier attempt was open.
+        orders_twice: Number of repeated executions of POST requests without an idempotency key.
         stories: Descriptions of the first overlaps.
     """
 
@@ -66,35 +66,35 @@
 
 
 # Returns the answer to an arrival, given the number of earlier arrivals of its id.
-Act = Callable[[Arrival, int], bytes | None]
+AnswerPolicy = Callable[[Arrival, int], bytes | None]
 
 
 @dataclass
 class Truth:
-    """The servers.
+    """Servers on one selector.
 
     Attributes:
         ports: Number of servers, each with a port of its own.
-        act: Returns the answer to a request, CLOSE and SILENCE included.
-        tally: Counts so far.
+        choose_answer: Function that returns the answer to a request, or CLOSE or SILENCE.
+        tally: Counts of the requests so far.
     """
 
     ports: int
-    act: Act
+    choose_answer: AnswerPolicy
     tally: Tally = field(default_factory=Tally)
 
     def __post_init__(self) -> None:
         """Open the listening sockets."""
         self.selector = selectors.DefaultSelector()
         self.arrivals: dict[str, list[Arrival]] = {}
-        self.ran: Counter[str] = Counter()
+        self.executions: Counter[str] = Counter()
         self.received: dict[socket.socket, bytes] = {}
         self.listeners = [socket.create_server(("127.0.0.1", 0), backlog=512) for _ in range(self.ports)]
         for listener in self.listeners:
             listener.setblocking(False)
             self.selector.register(listener, selectors.EVENT_READ)
-        self.wake, self.woken = socket.socketpair()
-        self.selector.register(self.woken, selectors.EVENT_READ)
+        self.stop_sender, self.stop_receiver = socket.socketpair()
+        self.selector.register(self.stop_receiver, selectors.EVENT_READ)
 
     @property
     def numbers(self) -> list[int]:
@@ -107,7 +107,7 @@
             for key, _ in self.selector.select():
                 sock = key.fileobj
                 assert isinstance(sock, socket.socket)
-                if sock is self.woken:
+                if sock is self.stop_receiver:
                     return
                 if sock in self.listeners:
                     self._accept(sock)
@@ -116,7 +116,7 @@
 
     def stop(self) -> None:
         """Stop `run` from another thread."""
-        self.wake.send(b"x")
+        self.stop_sender.send(b"x")
 
     def _accept(self, listener: socket.socket) -> None:
         try:
@@ -144,8 +144,8 @@
 
     def _on_request(self, sock: socket.socket, message: bytes) -> None:
         head = message.split(b"\r\n\r\n", 1)[0].decode("latin-1").split("\r\n")
-        lines = dict(line.lower().split(": ", 1) for line in head[1:])
-        ident = lines.get("x-request-id", "")
+        headers = dict(line.lower().split(": ", 1) for line in head[1:])
+        ident = headers.get("x-request-id", "")
         earlier = self.arrivals.setdefault(ident, [])
         open_attempts = [other for other in earlier if _is_open(other.sock)]
         overlaps = bool(open_attempts)
@@ -155,28 +155,28 @@
             sock.getsockname()[1],
             sock,
             overlaps,
-            "idempotency-key" in lines,
+            "idempotency-key" in headers,
             time.monotonic(),
         )
-        if open_attempts and len(self.tally.stories) < MAX_STORIES:
+        if open_attempts and len(self.tally.stories) < MAX_OVERLAP_DESCRIPTIONS:
             other = open_attempts[0]
             self.tally.stories.append(
-                f"{ident}: {(arrival.at_s - other.at_s) * 1000:.1f} ms after one that was answered"
-                f" with {other.answer!r}, state {_tcp_state(other.sock)}"
+                f"{ident}: {(arrival.arrived_s - other.arrived_s) * 1000:.1f} ms after an attempt that was"
+                f" answered with {other.answer!r}, TCP state {_tcp_state(other.sock)}"
             )
-        answer = arrival.answer = self.act(arrival, len(earlier))
+        answer = arrival.answer = self.choose_answer(arrival, len(earlier))
         self.tally.requests += 1
         self.tally.repeats += bool(earlier)
         self.tally.overlaps += overlaps
         earlier.append(arrival)
         if answer != NEVER:
-            self.ran[ident] += 1
+            self.executions[ident] += 1
             if arrival.method == "POST" and not arrival.keyed:
-                self.tally.orders_twice += self.ran[ident] > 1
+                self.tally.orders_twice += self.executions[ident] > 1
         if answer == CLOSE:
             self._close(sock)
         elif answer is not SILENCE and self._send(sock, answer) and answer in (GOOD, NEVER):
-            earlier.remove(arrival)  # over, and its connection may go on to others
+            earlier.remove(arrival)  # It has ended, and its connection may serve other requests.
 
     def _send(self, sock: socket.socket, answer: bytes) -> bool:
         """Send an answer; return False if the client has reset its connection."""
@@ -210,7 +210,7 @@
 
 
 def _is_open(sock: socket.socket) -> bool:
-    """Return whether a connection is open, as far as the kernel of its server knows."""
+    """Return whether a connection is open according to the kernel on the server's side."""
     try:
         return bool(sock.recv(1, socket.MSG_PEEK))
     except BlockingIOError:
@@ -220,15 +220,15 @@
 
 
 def main(ports: int, phase_s: float) -> None:
-    """Serve until standard input ends; one server misbehaves in each phase."""
-    began = time.monotonic()
+    """Serve until standard input ends, with one faulty server in each phase."""
+    began_s = time.monotonic()
 
-    def act(arrival: Arrival, earlier: int) -> bytes | None:
-        phase = int((time.monotonic() - began) / phase_s)
-        sick = truth.numbers[phase % ports] == arrival.port
-        return TROUBLES[phase // ports % len(TROUBLES)] if sick else GOOD
+    def choose_answer(arrival: Arrival, earlier: int) -> bytes | None:
+        phase = int((time.monotonic() - began_s) / phase_s)
+        is_faulty = truth.numbers[phase % ports] == arrival.port
+        return FAULTS[phase // ports % len(FAULTS)] if is_faulty else GOOD
 
-    truth = Truth(ports, act)
+    truth = Truth(ports, choose_answer)
     print(*truth.numbers, flush=True)
     thread = threading.Thread(target=truth.run)
     thread.start()
