--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -1,11 +1,11 @@
-"""What admission costs and keeps: `python -m benchmarks.admission [--before TREE]`.
-
-Four measurements, each against its peer in the same run:
-- start: 32 connections that begin at once on a fresh sidecar; refusals in the first second, of this tree
-  and, with --before, of an older one;
-- refusal: processor time of the sidecar for a connection that is turned away, for one that asks what
-  can't be read, and for a request that is served;
-- flood: service of steady clients with a flood from one address and without, in alternating runs;
+"""Cost and effect of admission control: `python -m benchmarks.admission [--before TREE]`.
+
+Four measurements, each with its baseline in the same run:
+- start: 32 connections that start at once on a fresh sidecar; rejections in the first second, of this tree
+  and, with --before, of another one;
+- refusal: CPU time of the sidecar for a rejected connection, for one with an unreadable request, and for a
+  served request;
+- flood: service of steady clients with and without a flood from one address, in alternating runs;
 - memory: of an idle connection.
 """
 
@@ -24,22 +24,22 @@
 from standins.load import Tally, run_clients
 from standins.sidecar import RunningSidecar, parts_servers, sidecar
 
-from . import arguments, trees
+from . import argument_parser, checkouts
 
-CAPS = """[admission]
+LIMITS_SETTINGS = """[admission]
 connections_per_address = 16
 new_connections_per_s = 50
 new_connections_burst = 50
 known = ["127.1.0.0/16"]
 reserve = 100
 """
-TURNED_AWAY = """[admission]
+REJECT_ALL_SETTINGS = """[admission]
 new_connections_per_s = 0.001
 new_connections_burst = 1
 known = ["127.1.0.0/16"]
 """
 FLOOD_ADDRESS = "127.2.0.1"
-GARBAGE_ADDRESS = "127.1.200.1"  # known addresses, this one and the next
+GARBAGE_ADDRESS = "127.1.200.1"  # this and the next are known addresses
 BAD_REQUEST_ADDRESS = "127.1.200.2"
 GARBAGE = b"\x16\x03\x01 this is no http\r\n\r\n"
 BAD_REQUEST = b"GET /nothing HTTP/1.1\r\nHost: a\r\nX-Request-Id: x\r\n\r\n"  # no such class
@@ -48,24 +48,24 @@
 WARM_CLIENTS = 8
 START_RUNS = 5
 START_CONNECTIONS = 32
-REFUSAL_S = 4.0  # of each kind of refusal
-AHEAD = 100  # requests sent before the first answer is read
-FLOOD_RUNS = 10  # in turns without and with the flood
+REJECTION_S = 4.0  # measurement of each kind of rejection
+PIPELINED_REQUESTS = 100  # sent before the first answer is read
+FLOOD_RUNS = 10  # alternately without and with the flood
 FLOOD_RUN_S = 3.0
 FLOOD_SOCKETS = 512
 FLOODERS = 4
 FLOODER_PAUSE_S = 0.01
-FLOODER_KEEPS = 1000  # connections
+MAX_FLOODER_CONNECTIONS = 1000
 STEADY_CLIENTS = 40
-REQUEST_GAP_S = 0.05
+REQUEST_PAUSE_S = 0.05
 IDLE_CONNECTIONS = 450
 SETTLE_S = 0.5
 
 
-def start(played: dict[str, Path]) -> None:
-    """Print the refusals of the first two seconds of a fresh sidecar, by run and checkout."""
+def measure_start(measured_checkouts: dict[str, Path]) -> None:
+    """Measure and print the rejections in the first two seconds of a fresh sidecar, by checkout and run."""
     print("start: 32 connections at once, four idle servers, refusals in the first second, then in the next")
-    for name, tree in played.items():
+    for name, tree in measured_checkouts.items():
         rows = []
         for _ in range(START_RUNS):
             with parts_servers(NODES) as ports, sidecar(ports, tree=tree) as running:
@@ -75,18 +75,18 @@
         print(f"  {name:8} {rows}")
 
 
-def refusal(service: Path) -> None:
-    """Print what refusals cost the sidecar that has the settings of this file."""
+def measure_rejections(service: Path) -> None:
+    """Measure and print the CPU time of rejections in a sidecar with this service file."""
     with parts_servers(NODES) as ports, sidecar(ports, service=service) as running:
         uvloop.run(run_clients(running.port, WARM_CLIENTS, WARM_S))
         served_us = served_cost_us(running)
         admitted = socket.create_connection(("127.0.0.1", running.port), source_address=(FLOOD_ADDRESS, 0))
-        admitted.close()  # the burst of this address is used up
+        admitted.close()  # uses up the burst of this address
         costs_us = {
-            "a connection turned away": connections(running, b"", FLOOD_ADDRESS),
-            "a connection with garbage": connections(running, GARBAGE, GARBAGE_ADDRESS),
-            "a bad request, at once": requests(running, 1),
-            "... a hundred sent ahead": requests(running, AHEAD),
+            "a connection turned away": connection_cost_us(running, b"", FLOOD_ADDRESS),
+            "a connection with garbage": connection_cost_us(running, GARBAGE, GARBAGE_ADDRESS),
+            "a bad request, at once": bad_request_cost_us(running, 1),
+            "... a hundred sent ahead": bad_request_cost_us(running, PIPELINED_REQUESTS),
         }
     print("refusal: processor time in the sidecar, microseconds")
     print(f"  {'a request served':25} {served_us:7.1f}")
@@ -95,16 +95,16 @@
 
 
 def served_cost_us(running: RunningSidecar) -> float:
-    """The sidecar's processor time for a served request, in microseconds."""
+    """Return the sidecar's CPU time for a served request, in microseconds."""
     before_s = running.cpu_s()
-    served = uvloop.run(run_clients(running.port, WARM_CLIENTS, REFUSAL_S)).served
+    served = uvloop.run(run_clients(running.port, WARM_CLIENTS, REJECTION_S)).served
     return (running.cpu_s() - before_s) / served * 1e6
 
 
-def connections(running: RunningSidecar, data: bytes, address: str) -> float:
-    """Connect, send this and read to the end, again and again; the sidecar's microseconds for each."""
-    before_s, count, until_s = running.cpu_s(), 0, time.monotonic() + REFUSAL_S
-    while time.monotonic() < until_s:
+def connection_cost_us(running: RunningSidecar, data: bytes, address: str) -> float:
+    """Repeatedly connect, send data and read to the end; return the sidecar's CPU microseconds for each."""
+    before_s, count, end_s = running.cpu_s(), 0, time.monotonic() + REJECTION_S
+    while time.monotonic() < end_s:
         with contextlib.suppress(OSError), socket.socket() as sock:
             sock.bind((address, 0))
             sock.settimeout(1.0)
@@ -117,71 +117,73 @@
     return (running.cpu_s() - before_s) / count * 1e6
 
 
-def requests(running: RunningSidecar, ahead: int) -> float:
-    """Send bad requests, each batch as soon as the last is answered; the sidecar's microseconds for each.
+def bad_request_cost_us(running: RunningSidecar, batch_requests: int) -> float:
+    """Send batches of bad requests in sequence; return the sidecar's CPU microseconds for each request.
 
     Args:
         running: The running sidecar.
-        ahead: Number of requests in a batch.
+        batch_requests: Number of requests in a batch.
     """
-    batch = BAD_REQUEST * ahead
+    batch = BAD_REQUEST * batch_requests
     target = ("127.0.0.1", running.port)
     with socket.create_connection(target, source_address=(BAD_REQUEST_ADDRESS, 0)) as sock:
-        before_s, count, until_s = running.cpu_s(), 0, time.monotonic() + REFUSAL_S
-        while time.monotonic() < until_s:
+        before_s, count, end_s = running.cpu_s(), 0, time.monotonic() + REJECTION_S
+        while time.monotonic() < end_s:
             sock.sendall(batch)
             answered = 0
-            while answered < ahead:
+            while answered < batch_requests:
                 answered += sock.recv(65536).count(b"HTTP/1.1 404")
-            count += ahead
+            count += batch_requests
         return (running.cpu_s() - before_s) / count * 1e6
 
 
-async def serve_steadily(port: int, seconds: float, flooded: bool) -> Tally:
-    """What steady clients get, with a flood from one other address or without."""
-    flooders = [asyncio.create_task(flooder(port, seconds)) for _ in range(FLOODERS if flooded else 0)]
-    tally = await run_clients(port, STEADY_CLIENTS, seconds, pause_s=REQUEST_GAP_S)
-    for task in flooders:
+async def run_steady_clients(port: int, seconds: float, flooded: bool) -> Tally:
+    """Return the results of steady clients, with or without a flood from one other address."""
+    flooder_tasks = [
+        asyncio.create_task(run_flooder(port, seconds)) for _ in range(FLOODERS if flooded else 0)
+    ]
+    tally = await run_clients(port, STEADY_CLIENTS, seconds, pause_s=REQUEST_PAUSE_S)
+    for task in flooder_tasks:
         task.cancel()
-    await asyncio.gather(*flooders, return_exceptions=True)
+    await asyncio.gather(*flooder_tasks, return_exceptions=True)
     return tally
 
 
-async def flooder(port: int, seconds: float) -> None:
-    """Open connections from one address, some hundred a second, and keep those that stay open."""
-    kept: list[asyncio.StreamWriter] = []
-    until_s = time.monotonic() + seconds
+async def run_flooder(port: int, seconds: float) -> None:
+    """Open some hundred connections per second from one address, and keep up to a maximum of them."""
+    writers: list[asyncio.StreamWriter] = []
+    end_s = time.monotonic() + seconds
     try:
-        while time.monotonic() < until_s:
+        while time.monotonic() < end_s:
             with contextlib.suppress(OSError):
                 _, writer = await asyncio.open_connection("127.0.0.1", port, local_addr=(FLOOD_ADDRESS, 0))
-                kept.append(writer)
-            if len(kept) > FLOODER_KEEPS:
-                kept.pop(0).close()
+                writers.append(writer)
+            if len(writers) > MAX_FLOODER_CONNECTIONS:
+                writers.pop(0).close()
             await asyncio.sleep(FLOODER_PAUSE_S)
     finally:
-        for writer in kept:
+        for writer in writers:
             writer.close()
 
 
-def flood(service: Path) -> None:
-    """Print the service of steady clients without and with a flood, under the settings of this file."""
-    alone: list[Tally] = []
+def measure_flood(service: Path) -> None:
+    """Measure and print the service of steady clients without and with a flood, with this service file."""
+    unflooded: list[Tally] = []
     flooded: list[Tally] = []
     with parts_servers(NODES) as ports, sidecar(ports, sockets=FLOOD_SOCKETS, service=service) as running:
-        uvloop.run(serve_steadily(running.port, WARM_S, flooded=False))
+        uvloop.run(run_steady_clients(running.port, WARM_S, flooded=False))
         for _ in range(FLOOD_RUNS // 2):
-            alone.append(uvloop.run(serve_steadily(running.port, FLOOD_RUN_S, flooded=False)))
-            flooded.append(uvloop.run(serve_steadily(running.port, FLOOD_RUN_S, flooded=True)))
+            unflooded.append(uvloop.run(run_steady_clients(running.port, FLOOD_RUN_S, flooded=False)))
+            flooded.append(uvloop.run(run_steady_clients(running.port, FLOOD_RUN_S, flooded=True)))
     print(
         "flood: 40 desks, about 400 connections a second from one other address, medians of five runs of 3 s"
     )
-    print(flood_row("alone", alone))
+    print(flood_row("alone", unflooded))
     print(flood_row("flooded", flooded))
 
 
 def flood_row(name: str, tallies: list[Tally]) -> str:
-    """A line of the flood's table."""
+    """Format a line of the flood measurement."""
     served = [tally.served for tally in tallies]
     p50_ms = statistics.median(tally.quantile_ms(0.5) for tally in tallies)
     p99_ms = statistics.median(tally.quantile_ms(0.99) for tally in tallies)
@@ -192,8 +194,8 @@
     )
 
 
-def memory() -> None:
-    """Print the sidecar's resident memory for an idle connection."""
+def measure_memory() -> None:
+    """Measure and print the sidecar's resident memory for an idle connection."""
     with parts_servers(1) as ports, sidecar(ports) as running:
         uvloop.run(run_clients(running.port, WARM_CLIENTS, SETTLE_S))
         before_bytes = running.rss_bytes()
@@ -206,17 +208,17 @@
 
 
 def main() -> None:
-    """Read the command line and print the four measurements."""
-    parser = arguments(__doc__)
+    """Parse the command line and run the four measurements."""
+    parser = argument_parser(__doc__)
     options = parser.parse_args()
-    start(trees(options.before))
+    measure_start(checkouts(options.before))
     with tempfile.TemporaryDirectory() as folder:
         service = Path(folder) / "service.toml"
-        service.write_text(TURNED_AWAY)
-        refusal(service)
-        service.write_text(CAPS)
-        flood(service)
-    memory()
+        service.write_text(REJECT_ALL_SETTINGS)
+        measure_rejections(service)
+        service.write_text(LIMITS_SETTINGS)
+        measure_flood(service)
+    measure_memory()
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,11 +1,12 @@
-"""What a fleet asks of its servers: `python -m benchmarks.fleet [--before TREE] [--seeds N]`.
-
-The real network code on the simulation's clock: 60 servers in five zones, the same requests a second in all
-from 5, 40 and 200 sidecars, while six in ten servers are replaced. Per server and second: connections made,
-connections that stand open at the end, calls of discovery; and the largest part of a cold server's budget
-(what the fourth rule lets all sidecars together send it) that any run spent. Then the cost of a request in
-the module with 15, 60 and 600 servers, in turns. With --before the decision module of another checkout is
-played in the same run. Nothing here is timed but the last table, whose figures are ratios.
+"""Load of a fleet of sidecars on its servers: `python -m benchmarks.fleet [--before TREE] [--seeds N]`.
+
+The real network code runs on the simulation's clock: 60 servers in five zones get the same total rate of
+requests from 5, 40 and 200 sidecars, while six in ten servers are replaced. The first table has per server:
+connections made per second, open connections at the end, discovery calls per second; and the largest used
+fraction of the budget of a server in slow start (the limit of the fourth rule for all sidecars together) in
+any run. The second table has the CPU time of a request in the balancer with 15, 60 and 600 servers, measured
+in turns. With --before the balancer of another checkout is measured in the same run. Only the second table is
+timed; it has ratios.
 """
 
 from __future__ import annotations
@@ -28,29 +29,29 @@
 from dykefold.sim.schedule import Fault, Kind, draw
 from dykefold.sim.world import Running
 
-from . import BalancerFactory, arguments, balancer_of, trees
+from . import BalancerFactory, argument_parser, checkouts, import_balancer
 
 SIDECARS = (5, 40, 200)
 SERVERS = (15, 60, 600)
-RATE = 300.0  # requests a second, of all sidecars together
+RATE = 300.0  # requests per second from all sidecars together
 SPAN_S = 8.0
 SPAN_NS = int(SPAN_S * NS_PER_S)
 FIRST_SEED = 100
-REQUESTS = 4000  # in the module, for each turn of the last table
-REQUEST_EVERY_NS = 50 * NS_PER_MS
-ANSWER_AFTER_NS = 40 * NS_PER_MS
+REQUESTS = 4000  # to the balancer, for each turn of the second table
+REQUEST_INTERVAL_NS = 50 * NS_PER_MS
+ANSWER_DELAY_NS = 40 * NS_PER_MS
 TURNS = 5
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
-    """What one run showed, per server; rates are per second of simulated time.
+class RunResult:
+    """Results of one run, per server; rates are per second of simulated time.
 
     Attributes:
         made: Connections accepted per second.
         open: Number of open connections at the end.
-        calls: Calls of discovery per second.
-        cold: Largest used fraction of a cold server's budget.
+        calls: Discovery calls per second.
+        cold: Largest used fraction of the budget of a server in slow start.
         served: Fraction of all requests that were served.
         breaches: Violations of the simulation's rules in the whole run.
     """
@@ -65,7 +66,7 @@
 
 @contextlib.contextmanager
 def simulated_fleet(balancer_type: BalancerFactory, sidecars: int) -> Iterator[None]:
-    """Let the simulation's world `fleet` have so many sidecars, which decide by this balancer."""
+    """Patch the simulation's world `fleet` to have this number of sidecars with this balancer."""
     spec = dataclasses.replace(schedule.WORLDS["fleet"], sidecars=sidecars, rate=RATE / sidecars)
     with (
         mock.patch.dict(schedule.WORLDS, {"fleet": spec}),
@@ -74,8 +75,8 @@
         yield
 
 
-def play(balancer_type: BalancerFactory, sidecars: int, seed: int) -> Figures:
-    """Play one run of the fleet while six in ten servers are replaced."""
+def play(balancer_type: BalancerFactory, sidecars: int, seed: int) -> RunResult:
+    """Simulate one run of the fleet while six in ten servers are replaced."""
     with simulated_fleet(balancer_type, sidecars):
         fault = Fault(2 * NS_PER_S, Kind.REPLACE, seed % 10, 0, 4 * NS_PER_S)
         scenario = dataclasses.replace(draw("fleet", seed, SPAN_NS), faults=(fault,))
@@ -86,13 +87,13 @@
         def count_open() -> None:
             open_connections.extend(len(node.connections) for node in running.nodes)
 
-        # Two events, as the kernel draws once for each: with one the runs are others than those on record.
+        # Two events, as the kernel draws a random number for each: one event would change the recorded runs.
         running.kernel.at(SPAN_NS - NS_PER_MS, lambda: nodes.update(running.nodes))
         running.kernel.at(SPAN_NS - NS_PER_MS, count_open)
         breaches = running.play()
     server_seconds = len(running.nodes) * SPAN_S
     counts = running.rules.counts
-    return Figures(
+    return RunResult(
         made=sum(node.handshakes for node in nodes) / server_seconds,
         open=statistics.mean(open_connections),
         calls=running.registry.calls / server_seconds,
@@ -102,8 +103,8 @@
     )
 
 
-def cost(balancer_type: BalancerFactory, servers: int) -> float:
-    """Processor seconds for `REQUESTS` requests, each answered, in one module of a fleet of 40."""
+def cpu_s(balancer_type: BalancerFactory, servers: int) -> float:
+    """Return the CPU seconds of `REQUESTS` answered requests in one balancer of a fleet of 40."""
     spec = RequestClass("lookup", 500 * NS_PER_MS, 2 * NS_PER_S, 1.0, 0.2, Effect.SAFE)
     settings = Settings(classes=[spec], zones=list("abcde"), max_attempts=3, fleet_size=40)
     balancer = balancer_type(settings, 1)
@@ -112,26 +113,26 @@
     balancer.handle(now_ns, EndpointListUpdate(ListKind.CACHED, 1, entries))
     began_s = time.process_time()
     for request_id in range(REQUESTS):
-        now_ns += REQUEST_EVERY_NS
+        now_ns += REQUEST_INTERVAL_NS
         actions = balancer.handle(now_ns, Request(request_id, 0, 0, now_ns + 2 * NS_PER_S))
-        sent = next(action for action in actions if isinstance(action, Send))
-        outcome = Outcome(request_id, 0, sent.endpoint_number, Status.OK, ANSWER_AFTER_NS, True)
-        balancer.handle(now_ns + ANSWER_AFTER_NS, outcome)
+        send = next(action for action in actions if isinstance(action, Send))
+        outcome = Outcome(request_id, 0, send.endpoint_number, Status.OK, ANSWER_DELAY_NS, True)
+        balancer.handle(now_ns + ANSWER_DELAY_NS, outcome)
     return time.process_time() - began_s
 
 
-def print_figures(balancers: Mapping[str, BalancerFactory], seeds: int) -> None:
-    """Print a row for each size of the fleet and each checkout: means over the seeds, the most of `cold`."""
+def print_load(balancers: Mapping[str, BalancerFactory], seeds: int) -> None:
+    """Print a row for each fleet size and checkout: means over the seeds, and the maximum of `cold`."""
     print("tree     sidecars  made/s  open  calls/s  cold p100  served  breaches   (per server; cold of 1.0)")
     for sidecars in SIDECARS:
         for name, balancer_type in balancers.items():
             runs = [play(balancer_type, sidecars, FIRST_SEED + seed) for seed in range(seeds)]
             made = statistics.mean(run.made for run in runs)
-            opened = statistics.mean(run.open for run in runs)
+            open_count = statistics.mean(run.open for run in runs)
             calls = statistics.mean(run.calls for run in runs)
             served = statistics.mean(run.served for run in runs)
             print(
-                f"{name:8} {sidecars:8}  {made:6.2f} {opened:5.1f}  {calls:7.3f}"
+                f"{name:8} {sidecars:8}  {made:6.2f} {open_count:5.1f}  {calls:7.3f}"
                 f"  {max(run.cold for run in runs):9.2f}  {served:6.3f}"
                 f"  {sum(run.breaches for run in runs):8.0f}",
                 flush=True,
@@ -139,26 +140,28 @@
 
 
 def print_costs(balancers: Mapping[str, BalancerFactory]) -> None:
-    """Print the median cost of a request by checkout and number of servers, in turns."""
+    """Print the median CPU time of a request by checkout and number of servers, relative to the first."""
     print("cost of a request in the module, against 15 servers of the first tree")
-    turns: dict[tuple[str, int], list[float]] = {}
+    times_s: dict[tuple[str, int], list[float]] = {}
     for _ in range(TURNS):
         for servers in SERVERS:
             for name, balancer_type in balancers.items():
-                turns.setdefault((name, servers), []).append(cost(balancer_type, servers))
+                times_s.setdefault((name, servers), []).append(cpu_s(balancer_type, servers))
     first = next(iter(balancers))
-    for (name, servers), times in turns.items():
-        ratios = [one / base for one, base in zip(times, turns[first, SERVERS[0]], strict=True)]
+    for (name, servers), turn_times_s in times_s.items():
+        ratios = [
+            time_s / base_s for time_s, base_s in zip(turn_times_s, times_s[first, SERVERS[0]], strict=True)
+        ]
         print(f"{name:8} {servers:8}  {statistics.median(ratios):.2f}")
 
 
 def main() -> None:
-    """Read the command line and print both tables."""
-    parser = arguments(__doc__)
+    """Parse the command line and print both tables."""
+    parser = argument_parser(__doc__)
     parser.add_argument("--seeds", type=int, default=4)
     options = parser.parse_args()
-    balancers = {name: balancer_of(tree, name) for name, tree in trees(options.before).items()}
-    print_figures(balancers, options.seeds)
+    balancers = {name: import_balancer(tree, name) for name, tree in checkouts(options.before).items()}
+    print_load(balancers, options.seeds)
     print_costs(balancers)
 
 
--- a/benchmarks/large_fleet.py
+++ b/benchmarks/large_fleet.py
@@ -1,11 +1,11 @@
-"""Sixteen times the servers: what a sidecar needs, against what the operators allow it.
-
-`python -m benchmarks.large_fleet [--servers N] [--times T] [--members M] [--push] [--seed N]`: the same day
-with N servers (200) and with T times as many (16): the same traffic to each of M sidecars (3), the same
-capacity of all servers together, and a quarter of the servers replaced in steps. Real processes, real
-sockets; servers and list service are stand-ins of this process, a listener each. One line a figure: at the
-usual size, the limit that follows from it, and what was measured; exit code 1 where a limit is broken, 2
-where the machine was late (this process, or a sidecar that waited for a core), whose figures say nothing.
+"""Resources of a sidecar with sixteen times the servers, compared with the operators' limits.
+
+`python -m benchmarks.large_fleet [--servers N] [--times T] [--members M] [--push] [--seed N]`: the same run
+with N servers (200) and with T times as many (16): the same traffic to each of M sidecars (3), the same total
+capacity of the servers, and a quarter of the servers replaced in steps. Sidecars are real processes with real
+sockets; servers and list service are emulated in this process, with a listener each. Each line has a figure
+at the typical size, the limit that follows from it, and the figure at the large size. Exit code 1: a limit is
+broken; 2: the machine was late (this process, or a sidecar that waited for a core) and the figures are void.
 """
 
 from __future__ import annotations
@@ -39,36 +39,36 @@
 KB = 1024.0
 MB = 1024.0 * KB
 SERVERS, TIMES, MEMBERS = 200, 16, 3
-FLEET = 200  # sidecars that the settings tell of
-CORES = 16  # of a server at the usual size; with so many times the servers each has that part of them
-RATE = 30.0  # requests a second to each sidecar
+FLEET = 200  # number of sidecars in the settings
+CORES = 16  # of a server at the typical size; divided by the factor on the number of servers
+RATE = 30.0  # requests per second to each sidecar
 SPAN_S = 20.0
-STEPS, REPLACED = 10, 0.25  # of the servers, in so many steps
+STEPS, REPLACED = 10, 0.25  # fraction of the servers, replaced in this number of steps
 FIRST_STEP_S, STEP_S = 3.0, 1.0
-DRAIN_S = 1.0  # from being listed as draining to being gone
+DRAIN_S = 1.0  # between the list's changes to draining and to deleted
 CALLS_PER_S = 160.0
-WAITING_MOST = 64
-LIST_LATE_S = 0.1
+MAX_WAITING_CALLS = 64
+LIST_DELAY_S = 0.1
 ZONES = ["a", "b", "c"]
-MAX_LAG_S = 0.25  # of this process, or of a sidecar for want of a core, beyond which a run says nothing
-WAIT_OVER_S = 1.0  # over which a sidecar's wait for a core is looked at
+MAX_LAG_S = 0.25  # lateness of this process, or wait of a sidecar for a core, above which a run is void
+WAIT_PERIOD_S = 1.0  # period over which a sidecar's wait for a core is summed
 SAMPLE_S = 0.05
-WARM_S, COLD_SHARE = 4.0, 0.25
-EXTRA_DESCRIPTORS = 256  # of this process, beyond listeners and connections
-TICKS_A_SECOND = os.sysconf("SC_CLK_TCK")
+WARM_S, COLD_CAPACITY_FRACTION = 4.0, 0.25
+EXTRA_DESCRIPTORS = 256  # of this process, in addition to listeners and connections
+TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 @dataclass(frozen=True, slots=True)
 class Limit:
-    """What a figure may grow to: so many `times`, plus `apart`, plus `each` for each thousand servers."""
+    """Limit of a figure: factor on the typical figure, plus a constant, plus an amount per 1,000 servers."""
 
-    times: float
-    apart: float = 0.0
-    each: float = 0.0
+    factor: float
+    constant: float = 0.0
+    per_thousand: float = 0.0
 
-    def at(self, usual: float, servers: int) -> float:
-        """The limit with so many servers, where the figure at the usual size is `usual`."""
-        return self.times * usual + self.apart + self.each * servers / 1000
+    def at(self, typical: float, servers: int) -> float:
+        """Return the limit with this number of servers, given the figure at the typical size."""
+        return self.factor * typical + self.constant + self.per_thousand * servers / 1000
 
 
 # STANDING.md, "Beyond this bench"; bytes and seconds.
@@ -80,86 +80,87 @@
     "bytes of lists": Limit(2.0, 64 * KB, 500 * KB),
 }
 SERVED = "share served"
-SERVED_LEAST = 0.85  # of the usual share
+MIN_SERVED_FRACTION = 0.85  # of the typical share
 UNITS = {"peak memory": ("MB", MB), "bytes of lists": ("KB", KB)}
 
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """One figure of the table."""
+    """One line of the table."""
 
     name: str
-    usual: float
+    typical: float
     limit: float
     measured: float
 
     @property
     def broken(self) -> bool:
-        """Whether the limit is not held."""
+        """Whether the limit is violated."""
         if self.name == SERVED:
             return self.measured < self.limit
         return self.measured > self.limit
 
     def __str__(self) -> str:
-        """The line as printed, in the unit of its figure."""
+        """Format the line in the unit of its figure."""
         unit, scale = UNITS.get(self.name, ("", 1.0))
-        figures = "".join(f" {one / scale:10.3f}" for one in (self.usual, self.limit, self.measured))
+        figures = "".join(f" {one / scale:10.3f}" for one in (self.typical, self.limit, self.measured))
         title = f"{self.name} ({unit})" if unit else self.name
         return f"{title:22}{figures}  {'BROKEN' if self.broken else 'held'}"
 
 
-def compared(usual: Mapping[str, float], large: Mapping[str, float], servers: int) -> list[Line]:
-    """The table: each figure of the large fleet against what the usual one allows."""
+def compared(typical: Mapping[str, float], large: Mapping[str, float], servers: int) -> list[Line]:
+    """Return the table: each figure of the large fleet with the limit from the typical one."""
     lines = [
-        Line(name, usual[name], limit.at(usual[name], servers), large[name]) for name, limit in LIMITS.items()
+        Line(name, typical[name], limit.at(typical[name], servers), large[name])
+        for name, limit in LIMITS.items()
     ]
-    return [*lines, Line(SERVED, usual[SERVED], SERVED_LEAST * usual[SERVED], large[SERVED])]
+    return [*lines, Line(SERVED, typical[SERVED], MIN_SERVED_FRACTION * typical[SERVED], large[SERVED])]
 
 
-class CountedServer(Server):
+class CountingServer(Server):
     """A server that counts the connections made to it."""
 
-    made = 0
+    accepted = 0
 
     async def listen(self) -> None:
-        """Listen, and count each connection from then on."""
+        """Listen, and count accepted connections."""
         self.listening = await self.loop.create_server(self._connected, "127.0.0.1", self.port)
         self.port = self.listening.sockets[0].getsockname()[1]
 
     def _connected(self) -> Connection:
-        self.made += 1
+        self.accepted += 1
         return Connection(self)
 
 
-class CountedCaller(DiscoveryConnection):
-    """A caller of the list service whose bytes are counted."""
+class CountingDiscoveryConnection(DiscoveryConnection):
+    """A connection to the list service that counts the bytes of its answers."""
 
-    def __init__(self, registry: Registry, member: int, sent: list[int]) -> None:
-        """Begin with the place in `sent`, by member, to which the bytes of answers are added."""
+    def __init__(self, registry: Registry, member: int, sent_bytes: list[int]) -> None:
+        """Initialize the connection; the bytes of answers are added to the member's entry of `sent_bytes`."""
         super().__init__(registry, member, 0)
-        self.sent = sent
+        self.sent_bytes = sent_bytes
 
     def reply(self, code: int, body: bytes) -> None:
-        """Answer, and count the body's bytes."""
-        self.sent[self.member] += len(body)
+        """Send an answer, and count the bytes of its body."""
+        self.sent_bytes[self.member] += len(body)
         super().reply(code, body)
 
 
 @dataclass(frozen=True, slots=True)
-class Needs:
-    """What a process has needed since its start: processor time, and the most resident memory."""
+class ResourceUse:
+    """Resource use of a process since its start: CPU time and peak resident memory."""
 
     cpu_s: float
     peak_bytes: float
 
 
 @dataclass(frozen=True, slots=True)
-class Size:
-    """What the days at two sizes differ in, and what they share.
+class RunSize:
+    """RunSize and parameters of a run.
 
     Attributes:
-        servers: Number of servers at a time.
-        times: Factor on the number of servers; each has the usual cores divided by it.
+        servers: Number of simultaneous servers.
+        times: Factor on the number of servers; the cores of each server are divided by it.
         members: Number of sidecars.
         push: Whether lists are pushed to the sidecars; otherwise they poll.
         seed: Seed of the random generator.
@@ -173,34 +174,34 @@
 
 
 @dataclass(slots=True)
-class Day:
-    """One day at one size, while it is played.
+class FleetRun:
+    """State of one run at one size.
 
     Attributes:
         size: Size of the fleet.
         truth: Record of the attempts at the servers.
-        standing: Present servers by place.
-        gone: Replaced servers.
+        current: Current servers by position.
+        replaced: Replaced servers.
         lag_s: Largest lateness of this process in seconds.
         waited_s: Longest time that a sidecar waited for a core within a second.
-        descriptors: Largest number of descriptors of each sidecar.
+        descriptors: Largest number of open descriptors of each sidecar.
         list_bytes: Bytes of lists sent to each sidecar.
     """
 
-    size: Size
+    size: RunSize
     truth: Truth = field(default_factory=Truth)
-    standing: list[CountedServer] = field(default_factory=list)
-    gone: list[CountedServer] = field(default_factory=list)
+    current: list[CountingServer] = field(default_factory=list)
+    replaced: list[CountingServer] = field(default_factory=list)
     lag_s: float = 0.0
     waited_s: float = 0.0
     descriptors: list[int] = field(default_factory=list)
     list_bytes: list[int] = field(default_factory=list)
 
     async def play(self, folder: Path) -> dict[str, float]:
-        """The figures of a sidecar in the mean."""
+        """Run the fleet; return the mean figures of a sidecar."""
         size = self.size
         self.descriptors, self.list_bytes = [0] * size.members, [0] * size.members
-        registry = Registry(CALLS_PER_S, WAITING_MOST, LIST_LATE_S, max_changes=10 * size.servers)
+        registry = Registry(CALLS_PER_S, MAX_WAITING_CALLS, LIST_DELAY_S, max_changes=10 * size.servers)
         for number in range(size.servers):
             await self._serve(registry, number, 0)
         async with contextlib.AsyncExitStack() as stack:
@@ -209,58 +210,60 @@
                 for number in range(size.members)
             ]
             stack.push_async_callback(self._close)
-            desks = await self._load(members, registry)
-            needs = [_needs(member.living[0].pid) for member in members]
-        return self._figures(list(all_requests(desks)), needs)
+            clients = await self._load(members, registry)
+            resource_uses = [_resource_use(member.living[0].pid) for member in members]
+        return self._figures(list(all_requests(clients)), resource_uses)
 
     async def _load(self, members: list[Member], registry: Registry) -> list[Client]:
-        """Begin all sidecars, ask them for the whole span while servers are replaced; who asked."""
-        desks = [
+        """Start all sidecars, send requests during the run while servers are replaced; return the clients."""
+        clients = [
             Client(number, CLASSES, RATE, generator(self.size.seed, "desk", str(number)))
             for number in range(len(members))
         ]
-        for desk, member in zip(desks, members, strict=True):
-            desk.address = await member.begin()
-        looks = asyncio.create_task(self._look(members))
+        for client, member in zip(clients, members, strict=True):
+            client.address = await member.begin()
+        sampling = asyncio.create_task(self._sample(members))
         changes = asyncio.create_task(self._replace(registry))
-        async with playing(desks):
+        async with playing(clients):
             await asyncio.sleep(SPAN_S)
         await changes
-        looks.cancel()
-        return desks
+        sampling.cancel()
+        return clients
 
-    def _figures(self, asked: list[ClientRequest], needs: list[Needs]) -> dict[str, float]:
-        """Hold the requests against the rules, and what was needed in the mean."""
-        verdict = judge(asked, self.truth.arrivals, CLASSES)
+    def _figures(self, requests: list[ClientRequest], resource_uses: list[ResourceUse]) -> dict[str, float]:
+        """Check the requests against the rules, and return the mean figures of a sidecar."""
+        verdict = judge(requests, self.truth.arrivals, CLASSES)
         if verdict.broken:
             print(f"{self.size.servers} servers: {len(verdict.broken)} rules broken, as: {verdict.broken[0]}")
             print(f"  {verdict.counts}")
         served = sum(
             request.end is RequestEnd.SERVED
             and request.ended_s - request.sent_s <= CLASSES[request.cls].aim_ms / 1000
-            for request in asked
+            for request in requests
         )
-        made = sum(server.made for server in (*self.standing, *self.gone))
+        accepted = sum(server.accepted for server in (*self.current, *self.replaced))
         members = self.size.members
         return {
-            "CPU seconds": sum(need.cpu_s for need in needs) / members,
-            "peak memory": sum(need.peak_bytes for need in needs) / members,
+            "CPU seconds": sum(use.cpu_s for use in resource_uses) / members,
+            "peak memory": sum(use.peak_bytes for use in resource_uses) / members,
             "descriptors": sum(self.descriptors) / members,
-            "connections made": made / members,
+            "connections made": accepted / members,
             "bytes of lists": sum(self.list_bytes) / members,
-            SERVED: served / len(asked),
+            SERVED: served / len(requests),
         }
 
     @contextlib.asynccontextmanager
     async def _member(self, number: int, folder: Path, registry: Registry) -> AsyncIterator[Member]:
-        """A sidecar with a place of its own at the list service."""
+        """Provide a sidecar with its own listener of the list service."""
         loop = asyncio.get_running_loop()
         list_service = await loop.create_server(
-            partial(CountedCaller, registry, number, self.list_bytes), "127.0.0.1", 0
+            partial(CountingDiscoveryConnection, registry, number, self.list_bytes), "127.0.0.1", 0
         )
         own = folder / f"m{number}"
         own.mkdir()
-        deployment = settings(CLASSES, ZONES, number % len(ZONES), number, FLEET, cold=(COLD_SHARE, WARM_S))
+        deployment = settings(
+            CLASSES, ZONES, number % len(ZONES), number, FLEET, cold=(COLD_CAPACITY_FRACTION, WARM_S)
+        )
         data = {
             "name": f"m{number}",
             "listen": "127.0.0.1:0",
@@ -278,35 +281,37 @@
             list_service.close()
 
     async def _serve(self, registry: Registry, number: int, since_ms: int) -> None:
-        """Another server in this place."""
-        name = f"s-{len(self.standing) + len(self.gone)}"
+        """Start a server at this position; one with a start time replaces the current one."""
+        name = f"s-{len(self.current) + len(self.replaced)}"
         table = ServerTable(
             "s",
             cores=max(CORES // self.size.times, 1),
-            cold_share=COLD_SHARE if since_ms else 1.0,
+            cold_share=COLD_CAPACITY_FRACTION if since_ms else 1.0,
             warm_s=WARM_S,
         )
-        server = CountedServer(Scenario([table], CLASSES, LoadTable(), seed=self.size.seed), name, self.truth)
+        server = CountingServer(
+            Scenario([table], CLASSES, LoadTable(), seed=self.size.seed), name, self.truth
+        )
         await server.listen()
         if since_ms:
             server.started_s = server.loop.time()
-            self.gone.append(self.standing[number])
-            self.standing[number] = server
+            self.replaced.append(self.current[number])
+            self.current[number] = server
             registry.change(self._entry(server, number, "SERVING", since_ms))
         else:
-            self.standing.append(server)
+            self.current.append(server)
             registry.entries[name] = self._entry(server, number, "SERVING", 0)
 
-    def _entry(self, server: CountedServer, number: int, status: str, since_ms: int) -> dict[str, Any]:
+    def _entry(self, server: CountingServer, number: int, status: str, since_ms: int) -> dict[str, Any]:
         listed = entry(server.name, "", ZONES[number % len(ZONES)], status, since_ms)
         return {**listed, "addresses": [f"127.0.0.1:{server.port}"]}
 
     async def _replace(self, registry: Registry) -> None:
-        """The servers' places in steps: the new one serves, the old one drains and goes."""
+        """Replace servers in steps: the new one serves, the old one drains and is deleted."""
         await asyncio.sleep(FIRST_STEP_S)
         count = round(REPLACED * self.size.servers / STEPS)
         for step in range(STEPS):
-            old = {number: self.standing[number] for number in range(step * count, (step + 1) * count)}
+            old = {number: self.current[number] for number in range(step * count, (step + 1) * count)}
             for number, server in old.items():
                 await self._serve(registry, number, int(time.time() * 1000))
                 registry.change(self._entry(server, number, "DRAINING", 0))
@@ -315,10 +320,10 @@
                 registry.change(self._entry(server, number, "DELETED", 0))
             await asyncio.sleep(max(STEP_S - DRAIN_S, 0.0))
 
-    async def _look(self, members: list[Member]) -> None:
-        """The most descriptors that each holds, and how late the machine is."""
+    async def _sample(self, members: list[Member]) -> None:
+        """Sample the descriptors of each sidecar, and the lateness of the machine."""
         loop = asyncio.get_running_loop()
-        waits: list[deque[float]] = [deque(maxlen=round(WAIT_OVER_S / SAMPLE_S)) for _ in members]
+        waits: list[deque[float]] = [deque(maxlen=round(WAIT_PERIOD_S / SAMPLE_S)) for _ in members]
         while True:
             for number, member in enumerate(members):
                 self.descriptors[number] = max(self.descriptors[number], member.living[0].resource_use()[0])
@@ -329,40 +334,40 @@
             self.lag_s = max(self.lag_s, loop.time() - due_s)
 
     async def _close(self) -> None:
-        for server in (*self.standing, *self.gone):
+        for server in (*self.current, *self.replaced):
             if server.listening is not None:
                 server.listening.close()
 
 
-def _needs(pid: int) -> Needs:
-    """What a process has needed so far."""
-    words = Path(f"/proc/{pid}/stat").read_text().rpartition(") ")[2].split()
-    cpu_s = (int(words[11]) + int(words[12])) / TICKS_A_SECOND
+def _resource_use(pid: int) -> ResourceUse:
+    """Return the resource use of a process so far."""
+    fields = Path(f"/proc/{pid}/stat").read_text().rpartition(") ")[2].split()
+    cpu_s = (int(fields[11]) + int(fields[12])) / TICKS_PER_S
     status = Path(f"/proc/{pid}/status").read_text()
     peak_kb = next(int(line.split()[1]) for line in status.splitlines() if line.startswith("VmHWM"))
-    return Needs(cpu_s, peak_kb * KB)
+    return ResourceUse(cpu_s, peak_kb * KB)
 
 
 def _waited_s(pid: int) -> float:
-    """Seconds that a process was ready to run and had no core (Linux: /proc/PID/schedstat)."""
+    """Return the seconds that a process was runnable without a core (Linux: /proc/PID/schedstat)."""
     return int(Path(f"/proc/{pid}/schedstat").read_text().split()[1]) / 1e9
 
 
-def day(size: Size) -> tuple[dict[str, float], float]:
-    """A day's figures, and how late the machine was while it was played, in seconds."""
-    played = Day(size)
+def run_fleet(size: RunSize) -> tuple[dict[str, float], float]:
+    """Run a fleet; return its figures and the lateness of the machine in seconds."""
+    played = FleetRun(size)
     with tempfile.TemporaryDirectory() as folder:
         figures = uvloop.run(played.play(Path(folder)))
     print(
         f"{size.servers} servers: this process was late by {played.lag_s:.2f} s,"
-        f" a sidecar waited {played.waited_s:.2f} s in {WAIT_OVER_S:.0f} s for a core",
+        f" a sidecar waited {played.waited_s:.2f} s in {WAIT_PERIOD_S:.0f} s for a core",
         file=sys.stderr,
     )
     return figures, max(played.lag_s, played.waited_s)
 
 
 def allow_descriptors(servers: int) -> bool:
-    """Raise this process's limit to what so many servers take; whether the system allows it."""
+    """Raise this process's descriptor limit for this number of servers; return whether that is allowed."""
     wanted = 2 * servers + EXTRA_DESCRIPTORS
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if hard != resource.RLIM_INFINITY and hard < wanted:
@@ -373,14 +378,14 @@
 
 
 def main() -> int:
-    """Read the command line and print the table; 1 if a limit is broken, 2 if the figures say nothing."""
+    """Parse the command line and print the table; return 1 if a limit is broken, 2 if the run is void."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
     parser.add_argument("--servers", type=int, default=SERVERS)
     parser.add_argument("--times", type=int, default=TIMES)
     parser.add_argument("--members", type=int, default=MEMBERS)
-    parser.add_argument("--push", action="store_true", help="lists are pushed; else asked for")
+    parser.add_argument("--push", action="store_true", help="lists are pushed instead of polled")
     parser.add_argument("--seed", type=int, default=1)
     options = parser.parse_args()
     servers: int = options.servers
@@ -388,13 +393,13 @@
     if not allow_descriptors(large):
         return 2
     shared = options.members, options.push, options.seed
-    usual_figures, usual_lag_s = day(Size(servers, 1, *shared))
-    large_figures, large_lag_s = day(Size(large, options.times, *shared))
+    typical_figures, typical_lag_s = run_fleet(RunSize(servers, 1, *shared))
+    large_figures, large_lag_s = run_fleet(RunSize(large, options.times, *shared))
     print(f"a sidecar in the mean      {servers:6} servers  limit   {large:6} servers")
-    lines = compared(usual_figures, large_figures, large)
+    lines = compared(typical_figures, large_figures, large)
     for line in lines:
         print(line)
-    if max(usual_lag_s, large_lag_s) > MAX_LAG_S:
+    if max(typical_lag_s, large_lag_s) > MAX_LAG_S:
         print(f"void: the machine was late by over {MAX_LAG_S} s; this says nothing")
         return 2
     return 1 if any(line.broken for line in lines) else 0
--- a/benchmarks/pools.py
+++ b/benchmarks/pools.py
@@ -1,8 +1,8 @@
-"""What pools that nobody asks cost the one that is asked: `python -m benchmarks.pools [--rounds N]`.
+"""Cost of idle pools for the pool under load: `python -m benchmarks.pools [--rounds N]`.
 
-One process with 1, 2 and 100 pools and as many routes, load on the first one only; the same desks, parts
-nodes and cores as `benchmarks.relay`, proxies in turn in each round, medians of the ratios within a round.
-The platform's sidecar, which has no routes at all, is played beside them.
+One process with 1, 2 and 100 pools and as many routes, with load on the first pool only. Clients, servers and
+cores are those of `benchmarks.relay`; each round measures every proxy in turn, and ratios are medians of the
+ratios within a round. The platform's sidecar, which has no routes, is measured as well.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 
 from standins.sidecar import RunningSidecar, parts_servers, sidecar, sidecar_of_service_file
 
-from .relay import CONNECTIONS, MEASURED_S, NODES, load, ratio_of
+from .relay import CONNECTIONS, MEASURED_S, SERVERS, median_ratio, run_load
 
 POOLS = (1, 2, 100)
-NODES_CORE, PROXY_CORE, LOAD_CORE = 0, 1, 2
+SERVERS_CORE, PROXY_CORE, LOAD_CORE = 0, 1, 2
 UNUSED_PORT = 9
-PLATFORM = 0  # stands for the platform's sidecar in the place of a number of pools
+PLATFORM = 0  # number of pools that denotes the platform's sidecar
 
 
 def service_file(pools: int, ports: list[int]) -> str:
-    """An operator's file: the first pool has the parts nodes, the others servers that nobody asks."""
+    """Return a service file: the first pool has the servers of the benchmark, the others an unused port."""
     lines = ["[node]", 'listen = "127.0.0.1:0"']
     for number in range(pools):
         servers = ports if number == 0 else [UNUSED_PORT]
@@ -38,8 +38,8 @@
 
 
 @contextlib.contextmanager
-def played(pools: int, ports: list[int]) -> Iterator[RunningSidecar]:
-    """A sidecar with so many pools, or the platform's."""
+def running_proxy(pools: int, ports: list[int]) -> Iterator[RunningSidecar]:
+    """Start a sidecar with that many pools, or the platform's sidecar."""
     with contextlib.ExitStack() as stack:
         if pools == PLATFORM:
             yield stack.enter_context(sidecar(ports, core=PROXY_CORE))
@@ -50,48 +50,48 @@
 
 
 @dataclass(slots=True)
-class Figures:
-    """What the rounds showed of one proxy.
+class ProxyResults:
+    """Results of one proxy over all rounds.
 
     Attributes:
-        rates: Requests served per second, one figure for each round.
-        memory_bytes: Resident bytes at the end of the last round.
+        rates: Requests served per second, one value per round.
+        memory_bytes: Resident memory in bytes at the end of the last round.
     """
 
     rates: list[float] = field(default_factory=list)
     memory_bytes: int = 0
 
 
-def measure(rounds: int) -> dict[int, Figures]:
-    """Play every proxy once in each round; the figures by the number of pools."""
-    found = {pools: Figures() for pools in (PLATFORM, *POOLS)}
-    with parts_servers(NODES, NODES_CORE) as ports:
+def measure(rounds: int) -> dict[int, ProxyResults]:
+    """Measure every proxy once in each round; return the results by number of pools."""
+    results_by_pools = {pools: ProxyResults() for pools in (PLATFORM, *POOLS)}
+    with parts_servers(SERVERS, SERVERS_CORE) as ports:
         for number in range(rounds):
-            for pools in found if number % 2 else reversed(found):
-                with played(pools, ports) as running:
-                    rate, refused = load(running.port, LOAD_CORE)
-                    found[pools].memory_bytes = running.rss_bytes()
-                found[pools].rates.append(rate)
-                if refused:
-                    print(f"  {pools} pools: {refused} refused in round {number + 1}")
-    return found
+            for pools in results_by_pools if number % 2 else reversed(results_by_pools):
+                with running_proxy(pools, ports) as running:
+                    rate, rejected = run_load(running.port, LOAD_CORE)
+                    results_by_pools[pools].memory_bytes = running.rss_bytes()
+                results_by_pools[pools].rates.append(rate)
+                if rejected:
+                    print(f"  {pools} pools: {rejected} refused in round {number + 1}")
+    return results_by_pools
 
 
 def main() -> None:
-    """Read the command line and print a line for each proxy."""
+    """Parse the command line, measure and print a line for each proxy."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
     parser.add_argument("--rounds", type=int, default=6)
     rounds = parser.parse_args().rounds
-    found = measure(rounds)
+    results_by_pools = measure(rounds)
     print(f"{CONNECTIONS} connections, medians of {rounds} rounds of {MEASURED_S:.0f} s")
-    for pools, figures in found.items():
+    for pools, results in results_by_pools.items():
         name = "platform" if pools == PLATFORM else f"{pools} pools"
-        rate = statistics.median(figures.rates)
-        ratio = ratio_of(figures.rates, found[1].rates)
+        rate = statistics.median(results.rates)
+        ratio = median_ratio(results.rates, results_by_pools[1].rates)
         print(
-            f"  {name:9} {rate:6.0f} requests/s  {ratio:.3f} of one pool  {figures.memory_bytes / 1e6:.0f} MB"
+            f"  {name:9} {rate:6.0f} requests/s  {ratio:.3f} of one pool  {results.memory_bytes / 1e6:.0f} MB"
         )
 
 
--- a/benchmarks/replay.py
+++ b/benchmarks/replay.py
@@ -1,15 +1,15 @@
-"""Whether the balancer decides as another one did.
+"""Comparison of the balancer's decisions with those of another version.
 
 `python -m benchmarks.replay TREE`: both balancers get every event of simulated worlds, at the same times
-and with the same seeds, and the actions of each event are compared. The worlds go on by the actions of this
-tree's balancer. Settings and the types of events are this tree's: a change of what goes in shows as an error
-of the other balancer.
+and with the same seeds, and their actions for each event are compared. The worlds execute the actions of this
+tree's balancer. Settings and event types are this tree's, so a change of the inputs shows as an error of the
+other balancer.
 
-`python -m benchmarks.replay --golden`: 10^5 events and more of the worlds of `standins.decision_world`, whose
-hashes of all actions and of the random state at the end stand in `tests/balancer/golden_actions.json`.
-`--write` takes new ones, after a change of what is decided that was meant.
+`python -m benchmarks.replay --golden`: over 10^5 events of the worlds of `standins.decision_world`, whose
+hashes of all actions and of the final random state are stored in `tests/balancer/golden_actions.json`.
+`--write` stores new hashes, after an intended change of decisions.
 
-`python -m benchmarks.replay TREE --cost`: processor time of `handle` for events of these worlds, in turns.
+`python -m benchmarks.replay TREE --cost`: CPU time of `handle` for the events of these worlds, in turns.
 """
 
 from __future__ import annotations
@@ -34,85 +34,87 @@
 from dykefold.sim.schedule import WORLDS
 from standins import decision_world
 
-from . import ROOT, BalancerFactory, balancer_of
+from . import ROOT, BalancerFactory, import_balancer
 
 WORLD_S = 8.0
-SHOWN = 8  # differences
-SHOWN_OF_A_WORLD = 3
+MAX_SHOWN_DIFFERENCES = 8
+MAX_DIFFERENCES_PER_WORLD = 3
 GOLDEN = ROOT / "tests" / "balancer" / "golden_actions.json"
 GOLDEN_SEEDS = 10
 GOLDEN_EVENTS = 1_500  # of each world
 COST_SEEDS = 2
 COST_ROUNDS = 15
-# A snapshot that a newer process begins with reaches this tree's balancer alone, so the two differ after it.
+# A snapshot for a newer process is restored by this tree's balancer alone, so the two differ after it.
 COMPARED_WORLDS = [world for world in WORLDS if world != "upgrade"]
 
 
-def compared(other_type: BalancerFactory, counts: Counter[str], differences: list[str]) -> type[Balancer]:
-    """A class that decides as this tree's balancer and compares each decision with the other's.
+def comparing_balancer(
+    other_type: BalancerFactory, counts: Counter[str], differences: list[str]
+) -> type[Balancer]:
+    """Return a class that acts as this tree's balancer and compares its actions with the other's.
 
     Args:
         other_type: Balancer class of the other tree.
-        counts: Counter of the events, by name of their type; it is filled.
-        differences: List of the first differences, one line each; it is filled.
+        counts: Counts of events by the name of their type, which are updated.
+        differences: First differences, one line each, to which new ones are appended.
     """
 
-    class Compared(Balancer):
+    class ComparingBalancer(Balancer):
         def __init__(self, settings: Settings, seed: int) -> None:
             super().__init__(settings, seed)
             self.other = other_type(settings, seed)
 
         def handle(self, now_ns: int, event: Event) -> list[Action]:
             actions = super().handle(now_ns, event)
-            theirs = self.other.handle(now_ns, event)
+            other_actions = self.other.handle(now_ns, event)
             counts[type(event).__name__] += 1
-            if actions != theirs and len(differences) < SHOWN_OF_A_WORLD:
-                differences.append(f"{event} at {now_ns}: {actions} here, {theirs} there")
+            if actions != other_actions and len(differences) < MAX_DIFFERENCES_PER_WORLD:
+                differences.append(f"{event} at {now_ns}: {actions} here, {other_actions} there")
             return actions
 
-    return Compared
+    return ComparingBalancer
 
 
 def play(tree: Path, world: str, seed: int) -> tuple[Counter[str], list[str]]:
-    """Play one world with both balancers: events by kind, and the first differences."""
+    """Play one world with both balancers; return the event counts by type and the first differences."""
     counts: Counter[str] = Counter()
     differences: list[str] = []
-    balancer_type = compared(balancer_of(tree, "other"), counts, differences)
+    balancer_type = comparing_balancer(import_balancer(tree, "other"), counts, differences)
     with mock.patch.object(pool, "Balancer", balancer_type):
         play_seed(world, seed, WORLD_S)
     return counts, differences
 
 
-def golden(write: bool) -> int:
-    """Hold the hash of each world against the one on record, or write new ones; 1 if any differs."""
+def check_golden(write: bool) -> int:
+    """Compare the hash of each world with the stored one, or store new ones; return 1 if any differs."""
     events: Counter[str] = Counter()
-    found: dict[str, str] = {}
+    digests: dict[str, str] = {}
     jobs = decision_world.scenarios(range(GOLDEN_SEEDS))
     with ProcessPoolExecutor(2) as executor:
         results = executor.map(decision_world.play, *zip(*jobs, strict=True), [GOLDEN_EVENTS] * len(jobs))
         for (profile, seed), (digest, counts, _) in zip(jobs, results, strict=True):
-            found[f"{profile} {seed}"] = digest
+            digests[f"{profile} {seed}"] = digest
             events += counts
     print(f"{events.total():,} events of {len(jobs)} worlds: {dict(events)}")
     if write:
-        GOLDEN.write_text(json.dumps({"events": GOLDEN_EVENTS, "worlds": found}, indent=1) + "\n")
+        GOLDEN.write_text(json.dumps({"events": GOLDEN_EVENTS, "worlds": digests}, indent=1) + "\n")
         return 0
-    known = json.loads(GOLDEN.read_text())["worlds"]
-    differ = [name for name in known if found.get(name) != known[name]]
+    stored = json.loads(GOLDEN.read_text())["worlds"]
+    differ = [name for name in stored if digests.get(name) != stored[name]]
     print(f"differ: {differ}" if differ else "the same actions and random states")
     return 1 if differ else 0
 
 
 @dataclass(frozen=True, slots=True)
 class Recording:
-    """What a world fed its balancer: the settings and seed, and each event with its time in ns."""
+    """Inputs of the balancer of a world: settings, seed, and each event with its time in ns."""
 
     settings: Settings
     seed: int
     events: list[tuple[int, Event]]
 
     def replay_s(self, balancer_type: BalancerFactory) -> float:
-        """The processor seconds that a new balancer takes for all events."""
+        """Return the CPU seconds that a new balancer needs for all events."""
         handle = balancer_type(self.settings, self.seed).handle
         began_s = time.process_time()
         for now_ns, event in self.events:
@@ -120,8 +122,8 @@
         return time.process_time() - began_s
 
 
-def recorded(profile: str, seed: int) -> Recording:
-    """Play a world of `standins.decision_world` and record its events."""
+def record(profile: str, seed: int) -> Recording:
+    """Play a world of `standins.decision_world`, and return the recording of its events."""
     events: list[tuple[int, Event]] = []
 
     class Recorder(Balancer):
@@ -136,37 +138,37 @@
 
 
 def cost(tree: Path) -> None:
-    """Print the processor time of `handle` here against the other tree's, over all worlds in each round."""
-    worlds = [recorded(profile, seed) for profile, seed in decision_world.scenarios(range(COST_SEEDS))]
+    """Print the CPU time of `handle` in this tree relative to the other one, over all worlds per round."""
+    worlds = [record(profile, seed) for profile, seed in decision_world.scenarios(range(COST_SEEDS))]
     count = sum(len(world.events) for world in worlds)
-    types: dict[str, BalancerFactory] = {"here": Balancer, "there": balancer_of(tree, "other")}
+    types: dict[str, BalancerFactory] = {"here": Balancer, "there": import_balancer(tree, "other")}
     ratios = []
     for number in range(COST_ROUNDS):
-        took_s = dict.fromkeys(types, 0.0)
+        cpu_s = dict.fromkeys(types, 0.0)
         for index, world in enumerate(worlds):
-            # Which goes first changes with each world and round, lest warm caches favour one.
+            # The order alternates by world and round, so that warm caches favour neither.
             for name in sorted(types, reverse=bool((index + number) % 2)):
-                took_s[name] += world.replay_s(types[name])
-        ratios.append(took_s["here"] / took_s["there"])
-        each = {name: f"{seconds / count * 1e6:.2f} us" for name, seconds in took_s.items()}
-        print(f"round {number}: {each} an event, ratio {ratios[-1]:.3f}", flush=True)
+                cpu_s[name] += world.replay_s(types[name])
+        ratios.append(cpu_s["here"] / cpu_s["there"])
+        per_event = {name: f"{seconds / count * 1e6:.2f} us" for name, seconds in cpu_s.items()}
+        print(f"round {number}: {per_event} an event, ratio {ratios[-1]:.3f}", flush=True)
     print(f"{count:,} events a round, median ratio {statistics.median(ratios):.3f}")
 
 
 def main() -> int:
-    """Read the command line and play; 1 if anything differs."""
+    """Parse the command line and run the comparison; return 1 if anything differs."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    parser.add_argument("tree", type=Path, nargs="?", help="the root of the other source tree")
-    parser.add_argument("--golden", action="store_true", help="against the hashes on record")
-    parser.add_argument("--write", action="store_true", help="put new hashes on record")
-    parser.add_argument("--cost", action="store_true", help="processor time in turns")
-    parser.add_argument("--seeds", type=int, default=8, help="of each world")
+    parser.add_argument("tree", type=Path, nargs="?", help="root of the other source tree")
+    parser.add_argument("--golden", action="store_true", help="compare with the stored hashes")
+    parser.add_argument("--write", action="store_true", help="store new hashes")
+    parser.add_argument("--cost", action="store_true", help="measure CPU time in turns")
+    parser.add_argument("--seeds", type=int, default=8, help="seeds per world")
     parser.add_argument("--worlds", nargs="+", choices=COMPARED_WORLDS, default=COMPARED_WORLDS)
     options = parser.parse_args()
     if options.golden:
-        return golden(options.write)
+        return check_golden(options.write)
     if options.tree is None:
         parser.error("TREE or --golden is needed")
     if options.cost:
@@ -176,17 +178,17 @@
 
 
 def compare(tree: Path, worlds: list[str], seeds: int) -> int:
-    """Play simulated worlds with both balancers; 1 if any action differs."""
+    """Play simulated worlds with both balancers; return 1 if any action differs."""
     jobs = [(tree, world, seed) for world in worlds for seed in range(seeds)]
     counts: Counter[str] = Counter()
     differences: list[str] = []
     with ProcessPoolExecutor() as executor:
         results = executor.map(play, *zip(*jobs, strict=True))
-        for (_, world, seed), (played, found) in zip(jobs, results, strict=True):
-            counts += played
-            differences += [f"{world} {seed}: {line}" for line in found]
+        for (_, world, seed), (world_counts, world_differences) in zip(jobs, results, strict=True):
+            counts += world_counts
+            differences += [f"{world} {seed}: {line}" for line in world_differences]
     print(f"{counts.total():,} events of {len(jobs)} worlds: {dict(counts)}")
-    for line in differences[:SHOWN]:
+    for line in differences[:MAX_SHOWN_DIFFERENCES]:
         print(line)
     print("the same actions" if not differences else f"{len(differences)} differences and more")
     return 1 if differences else 0
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -1,8 +1,9 @@
-"""The program under the rig's faults: real processes, a network between them that breaks.
+"""Fault scenarios of a fleet of real sidecar processes, faults of the network between them included.
 
-`python -m benchmarks.rig [--view] [--calls] [MEMBERS [NAME ...]]`: the scenarios of `SCENARIOS` with so many
-members (30), a line of JSON each; with a view, until it has settled again. 200 members want some 6 GB and
-several cores. The load is small: the fleet is looked at.
+`python -m benchmarks.rig [--view] [--calls] [MEMBERS [NAME ...]]`: runs the scenarios of `SCENARIOS` with
+that many members (30) and prints a line of JSON for each; with a view, each runs until the view has settled
+again. 200 members need some 6 GB and several cores. The load is small, since the fleet is measured, not
+throughput.
 """
 
 from __future__ import annotations
@@ -38,48 +39,48 @@
     "the list service down for 20 s": [FaultTable("list", at_s=0, for_s=20)],
     "0.3 of the datagrams lost": [FaultTable("loss", at_s=0, for_s=12, share=0.3)],
 }
-SPAN_S = 14.0
+MIN_SPAN_S = 14.0
 AFTER_FAULT_S = 8.0
 MEMBERS = 30
-MEMBERS_PER_SERVER, SERVERS_LEAST = 10, 2  # in each zone
+MEMBERS_PER_SERVER, MIN_SERVERS = 10, 2  # in each zone
 LISTS: dict[str, ListTable] = {
     "start": ListTable(replaced=0.3),
     "half of the servers cold": ListTable(replaced=0.5),
 }
-RATE = 300.0  # requests a second to all members together
+RATE = 300.0  # requests per second to all members together
 
 
 def scenario(name: str, fleet: FleetTable) -> FleetScenario:
-    """A scenario of `SCENARIOS` for this fleet; it lasts until some time after its last fault."""
+    """Return a scenario of `SCENARIOS` for this fleet; it ends some time after its last fault."""
     faults = SCENARIOS[name]
-    span_s = max([SPAN_S, *(fault.at_s + fault.for_s + AFTER_FAULT_S for fault in faults)])
+    span_s = max([MIN_SPAN_S, *(fault.at_s + fault.for_s + AFTER_FAULT_S for fault in faults)])
     return FleetScenario(fleet, LISTS.get(name, ListTable()), faults, span_s=span_s)
 
 
 def main() -> None:
-    """Read the command line and print a line of JSON for each scenario."""
+    """Parse the command line, run the scenarios and print a line of JSON for each."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
     parser.add_argument("members", nargs="?", type=int, default=MEMBERS)
-    parser.add_argument("names", nargs="*", metavar="NAME", help="of scenarios; all of them if none is given")
-    parser.add_argument("--view", action="store_true", help="members keep a view of the fleet")
-    parser.add_argument("--calls", action="store_true", help="they spread their calls of the list service")
+    parser.add_argument("names", nargs="*", metavar="NAME", help="scenario to run; default: all")
+    parser.add_argument("--view", action="store_true", help="members maintain a view of the fleet")
+    parser.add_argument("--calls", action="store_true", help="members spread their calls of the list service")
     options = parser.parse_intermixed_args()
     members = options.members
     fleet = FleetTable(
         members=members,
         zones=list("abc"),
-        servers=max(members // MEMBERS_PER_SERVER, SERVERS_LEAST),
+        servers=max(members // MEMBERS_PER_SERVER, MIN_SERVERS),
         rate=RATE / members,
         view=options.view,
         calls=options.calls,
     )
     for name in options.names or SCENARIOS:
         began_s = time.monotonic()
-        seen = uvloop.run(play(scenario(name, fleet)))
+        result = uvloop.run(play(scenario(name, fleet)))
         run = {"scenario": name, "members": members, "took_s": round(time.monotonic() - began_s, 1)}
-        print(json.dumps({**run, **seen.as_json()}), flush=True)
+        print(json.dumps({**run, **result.as_json()}), flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -1,8 +1,8 @@
-"""What a look-up in the route table costs: `python -m benchmarks.routes`.
+"""Cost of a lookup in the route table: `python -m benchmarks.routes`.
 
-Tables of 10, 1,000 and 10,000 routes, a tenth of them for a host of their own and the rest under one host
-by path, a third of these for POST only; look-ups of routes that exist and of paths that none names, in
-alternating rounds. The peer is a scan in the order of specificity, over the smallest and the middle table.
+Tables of 10, 1,000 and 10,000 routes: a tenth of the routes have their own host, the rest share one host and
+differ by path, a third of these for POST only. Lookups of existing routes and of unmatched paths run in
+alternating rounds over the tables. The baseline is a linear scan of each table in the order of specificity.
 """
 
 from __future__ import annotations
@@ -20,43 +20,43 @@
 LOOKUPS = 20_000
 SCANS = 200
 ROUNDS = 7
-KNOWN_PART = 0.8  # of the paths asked for; no route names the rest
+MATCHING_FRACTION = 0.8  # of the requested paths; no route matches the rest
 
 
 class Target(NamedTuple):
-    """Where a request goes."""
+    """Host and path of a request."""
 
     host: str
     path: str
 
 
 def routes(count: int) -> list[Route]:
-    """A table of so many routes."""
-    made = [Route("rest", "p", host="parts.net", prefix="/")]
+    """Return `count` routes."""
+    result = [Route("rest", "p", host="parts.net", prefix="/")]
     for number in range(count - 1):
         if number % 10 == 0:
-            made.append(Route(f"h{number}", "p", host=f"yard{number}.parts.net", prefix="/"))
+            result.append(Route(f"h{number}", "p", host=f"yard{number}.parts.net", prefix="/"))
         else:
             methods = ("POST",) if number % 3 == 0 else ()
             prefix = f"/yards/{number}/parts"
-            made.append(Route(f"r{number}", "p", host="parts.net", prefix=prefix, methods=methods))
-    return made
+            result.append(Route(f"r{number}", "p", host="parts.net", prefix=prefix, methods=methods))
+    return result
 
 
 def requests(table: list[Route], count: int) -> list[Target]:
-    """Draw targets of routes of this table, and of paths that none names; the same ones in each call."""
-    generator = random.Random(1)
+    """Draw targets that match routes and targets that match none; the same ones in each call."""
+    rng = random.Random(1)
     drawn = []
     for _ in range(count):
-        route = generator.choice(table)
-        tail = "/" if route.prefix == "/" else f"{route.prefix}/{generator.randrange(1000)}"
-        path = tail if generator.random() < KNOWN_PART else "/none/such"
+        route = rng.choice(table)
+        matching_path = "/" if route.prefix == "/" else f"{route.prefix}/{rng.randrange(1000)}"
+        path = matching_path if rng.random() < MATCHING_FRACTION else "/none/such"
         drawn.append(Target(route.host or "parts.net", path))
     return drawn
 
 
-def look_up(table: RouteTable, targets: list[Target]) -> float:
-    """Microseconds for each, with host and path brought into their form."""
+def lookup_us(table: RouteTable, targets: list[Target]) -> float:
+    """Return the microseconds per lookup in the route table, host and path normalization included."""
     began_s = time.perf_counter()
     for host, path in targets:
         name, parts = split_target(path, [host])
@@ -64,8 +64,8 @@
     return (time.perf_counter() - began_s) / len(targets) * 1e6
 
 
-def scan(table: list[Route], targets: list[Target]) -> float:
-    """Microseconds for each, by a scan of all routes in the order of specificity."""
+def scan_us(table: list[Route], targets: list[Target]) -> float:
+    """Return the microseconds per lookup by a scan of all routes in the order of specificity."""
     ranked = sorted(table, key=lambda route: -len(route.prefix or ""))
     split = [(route, path_segments(route.prefix or "/")) for route in ranked]
     began_s = time.perf_counter()
@@ -78,18 +78,18 @@
 
 
 def main() -> None:
-    """Print a line for each size of the table."""
+    """Measure and print a line for each table size."""
     tables = {size: RouteTable(1, routes(size), ["p"]) for size in SIZES}
-    costs: dict[int, list[float]] = {size: [] for size in SIZES}
+    costs_us: dict[int, list[float]] = {size: [] for size in SIZES}
     for _ in range(ROUNDS):
         for size, table in tables.items():
-            costs[size].append(look_up(table, requests(list(table.routes), LOOKUPS)))
-    first = statistics.median(costs[SIZES[0]])
+            costs_us[size].append(lookup_us(table, requests(list(table.routes), LOOKUPS)))
+    base_us = statistics.median(costs_us[SIZES[0]])
     for size in SIZES:
-        cost = statistics.median(costs[size])
-        scan_cost = scan(routes(size), requests(routes(size), SCANS))
-        text = f"{size:6} routes  {cost:6.2f} us a look-up  {cost / first:.2f} of {SIZES[0]} routes"
-        print(text + f"  scan {scan_cost:9.1f} us")
+        cost_us = statistics.median(costs_us[size])
+        scan_cost_us = scan_us(routes(size), requests(routes(size), SCANS))
+        text = f"{size:6} routes  {cost_us:6.2f} us a look-up  {cost_us / base_us:.2f} of {SIZES[0]} routes"
+        print(text + f"  scan {scan_cost_us:9.1f} us")
 
 
 if __name__ == "__main__":
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -1,8 +1,8 @@
-"""Upgrades of one sidecar under load, alone and under each fault between its two processes.
+"""Upgrades of one sidecar under load, without faults and with each fault between its two processes.
 
-`python -m benchmarks.upgrade [N]`: N upgrades of each kind (20), a line each. `--orders`: the search of the
-orders of a hot restart's events with three processes instead, some minutes. `--with TREE`: each process runs
-the program of this checkout and of TREE in turn, so that each version takes over from the other.
+`python -m benchmarks.upgrade [N]`: N upgrades with each fault (20), a row for each fault. `--orders` instead
+searches all orders of the events of hot restarts between three processes, which takes some minutes. `--with
+TREE`: the processes alternate between this checkout and TREE, so that each version takes over from the other.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 from dykefold.sim.explore import explore
 from dykefold.sim.upgrades import Model
 
-COUNTED = ("served", "refused", "failed", "late", "crossed", "unsent")
+COUNTED_RESULTS = ("served", "refused", "failed", "late", "crossed", "unsent")
 
 
 def print_upgrades(count: int, trees: tuple[Path, ...]) -> None:
-    """Print a row for each fault, of `count` upgrades between these checkouts; none: of this one alone."""
-    heads = ("requests", *COUNTED, "lost", "excused", "rules", "gap s", "MB", "descriptors")
-    print(f"| {count} upgrades | " + " | ".join(heads) + " |")
+    """Print a row of `count` upgrades for each fault; without checkouts, all processes run this one."""
+    headings = ("requests", *COUNTED_RESULTS, "lost", "excused", "rules", "gap s", "MB", "descriptors")
+    print(f"| {count} upgrades | " + " | ".join(headings) + " |")
     for fault in FAULTS:
         with tempfile.TemporaryDirectory() as folder:
             measured = uvloop.run(measure(Path(folder), fault, count, trees=trees))
@@ -33,10 +33,10 @@
 
 
 def table_row(fault: str, measured: Row) -> str:
-    """The counts of one fault as a row of the table: requests, seconds, MB, descriptors."""
+    """Format the row of one fault: counts of requests, seconds, MB, descriptors."""
     verdict = measured.verdict
     counts = verdict.counts
-    cells = [sum(counts.values()), *(counts.get(end, 0) for end in COUNTED)]
+    cells = [sum(counts.values()), *(counts.get(result, 0) for result in COUNTED_RESULTS)]
     cells += [len(verdict.lost), verdict.excused, len(verdict.violations)]
     numbers = " | ".join(map(str, cells))
     return (
@@ -44,8 +44,8 @@
     )
 
 
-def print_orders() -> None:
-    """Search all orders of three processes, with locks and stops and without, and print what was found."""
+def print_order_search() -> None:
+    """Search all event orders of three processes, with and without locks and stops, and print the result."""
     for model in (Model(3, 1, 60), Model(3, 1, 10, locks=False, stops=False)):
         began_s = time.monotonic()
         found = explore(model.initial_state(), model.transitions, model.violation)
@@ -57,14 +57,16 @@
 
 
 def main() -> None:
-    """Read the command line."""
+    """Parse the command line and run the measurement or the search."""
     parser = argparse.ArgumentParser()
-    parser.add_argument("count", type=int, nargs="?", default=20, help="upgrades of each kind")
-    parser.add_argument("--orders", action="store_true", help="search the orders of three processes instead")
-    parser.add_argument("--with", dest="tree", type=Path, help="a checkout of another version")
+    parser.add_argument("count", type=int, nargs="?", default=20, help="upgrades with each fault")
+    parser.add_argument(
+        "--orders", action="store_true", help="search event orders of three processes instead"
+    )
+    parser.add_argument("--with", dest="tree", type=Path, help="checkout of another version")
     options = parser.parse_args()
     if options.orders:
-        print_orders()
+        print_order_search()
     else:
         print_upgrades(options.count, (OWN_TREE, options.tree.resolve()) if options.tree is not None else ())
 
