--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -45,7 +45,7 @@
 
 
 def import_balancer(tree: Path, name: str) -> BalancerFactory:
-    """Import the `Balancer` of a checkout under a separate name, with this tree's event and action types.
+    """Import a checkout's `Balancer` under a separate name, with this tree's events, actions and settings.
 
     Raises:
         FileNotFoundError: The checkout has no balancer, neither as a package nor as a single file.
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -48,20 +48,20 @@
     """Results of one run, per server; rates are per second of simulated time.
 
     Attributes:
-        made: Connections accepted per second.
+        accepted_per_s: Connections accepted per second.
         open: Number of open connections at the end.
         calls: Discovery calls per second.
-        cold: Largest used fraction of the budget of a server in slow start.
+        cold_budget_fraction: Largest used fraction of the budget of a server in slow start.
         served: Fraction of all requests that were served.
-        breaches: Violations of the simulation's rules in the whole run.
+        violations: Violations of the simulation's rules in the run.
     """
 
-    made: float
+    accepted_per_s: float
     open: float
     calls: float
-    cold: float
+    cold_budget_fraction: float
     served: float
-    breaches: int
+    violations: int
 
 
 @contextlib.contextmanager
@@ -90,16 +90,16 @@
         # Two events, as the kernel draws a random number for each: one event would change the recorded runs.
         running.kernel.at(SPAN_NS - NS_PER_MS, lambda: nodes.update(running.nodes))
         running.kernel.at(SPAN_NS - NS_PER_MS, count_open)
-        breaches = running.play()
+        violations = running.play()
     server_seconds = len(running.nodes) * SPAN_S
     counts = running.rules.counts
     return RunResult(
-        made=sum(node.handshakes for node in nodes) / server_seconds,
+        accepted_per_s=sum(node.handshakes for node in nodes) / server_seconds,
         open=statistics.mean(open_connections),
         calls=running.registry.calls / server_seconds,
-        cold=running.rules.max_cold_budget_fraction,
+        cold_budget_fraction=running.rules.max_cold_budget_fraction,
         served=counts["served"] / max(counts["requests"], 1),
-        breaches=len(breaches),
+        violations=len(violations),
     )
 
 
@@ -122,19 +122,19 @@
 
 
 def print_load(balancers: Mapping[str, BalancerFactory], seeds: int) -> None:
-    """Print a row for each fleet size and checkout: means over the seeds, and the maximum of `cold`."""
+    """Print a row for each fleet size and checkout: means over the seeds, maximum of the budget."""
     print("tree     sidecars  made/s  open  calls/s  cold p100  served  breaches   (per server; cold of 1.0)")
     for sidecars in SIDECARS:
         for name, balancer_type in balancers.items():
             runs = [play(balancer_type, sidecars, FIRST_SEED + seed) for seed in range(seeds)]
-            made = statistics.mean(run.made for run in runs)
+            accepted_per_s = statistics.mean(run.accepted_per_s for run in runs)
             open_count = statistics.mean(run.open for run in runs)
             calls = statistics.mean(run.calls for run in runs)
             served = statistics.mean(run.served for run in runs)
             print(
-                f"{name:8} {sidecars:8}  {made:6.2f} {open_count:5.1f}  {calls:7.3f}"
-                f"  {max(run.cold for run in runs):9.2f}  {served:6.3f}"
-                f"  {sum(run.breaches for run in runs):8.0f}",
+                f"{name:8} {sidecars:8}  {accepted_per_s:6.2f} {open_count:5.1f}  {calls:7.3f}"
+                f"  {max(run.cold_budget_fraction for run in runs):9.2f}  {served:6.3f}"
+                f"  {sum(run.violations for run in runs):8.0f}",
                 flush=True,
             )
 
--- a/benchmarks/large_fleet.py
+++ b/benchmarks/large_fleet.py
@@ -156,7 +156,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunSize:
-    """RunSize and parameters of a run.
+    """Size and parameters of a run.
 
     Attributes:
         servers: Number of simultaneous servers.
@@ -355,15 +355,15 @@
 
 def run_fleet(size: RunSize) -> tuple[dict[str, float], float]:
     """Run a fleet; return its figures and the lateness of the machine in seconds."""
-    played = FleetRun(size)
+    run = FleetRun(size)
     with tempfile.TemporaryDirectory() as folder:
-        figures = uvloop.run(played.play(Path(folder)))
+        figures = uvloop.run(run.play(Path(folder)))
     print(
-        f"{size.servers} servers: this process was late by {played.lag_s:.2f} s,"
-        f" a sidecar waited {played.waited_s:.2f} s in {WAIT_PERIOD_S:.0f} s for a core",
+        f"{size.servers} servers: this process was late by {run.lag_s:.2f} s,"
+        f" a sidecar waited {run.waited_s:.2f} s in {WAIT_PERIOD_S:.0f} s for a core",
         file=sys.stderr,
     )
-    return figures, max(played.lag_s, played.waited_s)
+    return figures, max(run.lag_s, run.waited_s)
 
 
 def allow_descriptors(servers: int) -> bool:
--- a/benchmarks/replay.py
+++ b/benchmarks/replay.py
@@ -41,7 +41,7 @@
 MAX_DIFFERENCES_PER_WORLD = 3
 GOLDEN = ROOT / "tests" / "balancer" / "golden_actions.json"
 GOLDEN_SEEDS = 10
-GOLDEN_EVENTS = 1_500  # of each world
+GOLDEN_EVENTS = 1_500  # per world
 COST_SEEDS = 2
 COST_ROUNDS = 15
 # A snapshot for a newer process is restored by this tree's balancer alone, so the two differ after it.
--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -52,7 +52,7 @@
 def scenario(name: str, members: int, seed: int = 1) -> FleetScenario:
     """Return the scenario of a play with this number of sidecars."""
     faults, options = PLAYS[name]
-    options = {"cold_quick": True, **options}  # slow answers alone would make sidecars avoid the server
+    options = {"cold_quick": True, **options}  # sidecars avoid servers that answer slowly in any case
     rate = min(RATE / members, MAX_RATE_PER_MEMBER)
     cold_share = COLD_SHARE * rate * members / RATE
     fleet = FleetTable(
--- a/standins/decision_world.py
+++ b/standins/decision_world.py
@@ -318,7 +318,7 @@
     # Servers
 
     def start_attempt(self, action: Send) -> None:
-        """Start an attempt at its server: draw how and at_ns it ends."""
+        """Start an attempt at its server: draw how and when it ends."""
         number = self.attempts[action.id] = self.attempts.get(action.id, -1) + 1
         key, server, request = (action.id, number), action.endpoint_number, self.requests[action.id]
         self.sent[key] = server, self.now
@@ -411,20 +411,22 @@
 
     def request(self, cls: int, tenant: int, timeout_ns: int, is_retry: bool) -> Request:
         """Return a request; some clients disconnect before its deadline."""
-        ident = self.next_request
+        request_id = self.next_request
         self.next_request += 1
-        request = Request(ident, cls, tenant, self.now + timeout_ns, is_retry=is_retry)
-        self.requests[ident] = request
+        request = Request(request_id, cls, tenant, self.now + timeout_ns, is_retry=is_retry)
+        self.requests[request_id] = request
         if self.rng.random() < 0.02:
-            self.schedule(self.now + int(abs(timeout_ns) * self.rng.random()), lambda: self.disconnect(ident))
+            self.schedule(
+                self.now + int(abs(timeout_ns) * self.rng.random()), lambda: self.disconnect(request_id)
+            )
         return request
 
-    def disconnect(self, ident: int) -> Event | None:
+    def disconnect(self, request_id: int) -> Event | None:
         """Return the disconnection of the client of a request; None if the request has ended."""
-        if ident in self.ended_requests:
+        if request_id in self.ended_requests:
             return None
-        self.ended_requests.add(ident)
-        return ClientDisconnected(ident)
+        self.ended_requests.add(request_id)
+        return ClientDisconnected(request_id)
 
     def schedule_retry(self, rejection: Reject) -> None:
         """Schedule the retry of a rejected client before its deadline, with or without the retry mark."""
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -84,7 +84,7 @@
     method: str
     asked: dict[str, int] = field(default_factory=lambda: dict.fromkeys(PHASES, 0))
     served: dict[str, int] = field(default_factory=lambda: dict.fromkeys(PHASES, 0))
-    refused: int = 0
+    rejected: int = 0
     failed: int = 0
     latencies_s: dict[str, list[float]] = field(default_factory=lambda: {phase: [] for phase in PHASES})
 
@@ -158,7 +158,7 @@
                     tally.served[sent_phase] += 1
                     tally.latencies_s[sent_phase].append(time.monotonic() - sent_s)
                 elif code in REJECTION_CODES:
-                    tally.refused += 1
+                    tally.rejected += 1
                 else:
                     tally.failed += 1
                 await asyncio.sleep(PAUSE_S)
@@ -173,14 +173,14 @@
     for name, tally in tallies.items():
         asked = sum(tally.asked.values())
         retries = max(shops[name].report()["attempts"] - asked, 0)
-        numbers = [asked, sum(tally.served.values()), tally.refused, tally.failed, retries]
+        numbers = [asked, sum(tally.served.values()), tally.rejected, tally.failed, retries]
         quantiles = [f"{tally.quantile_ms(fraction):.1f}" for fraction in (0.5, 0.99)]
         table.add_row(name, *map(str, numbers), *quantiles)
     return table
 
 
 async def play(port: int, shops: dict[str, Shop], console: Console, duration_s: float) -> dict[str, Tally]:
-    """Run the clients, and take stock down for a fraction of the run."""
+    """Run the clients, and take stock down for a part of the run."""
     tallies = {"catalogue": Tally("GET"), "stock": Tally("PUT"), "orders": Tally("POST")}
     phase = [PHASES[0]]
     began_s = time.monotonic()
--- a/standins/truth.py
+++ b/standins/truth.py
@@ -1,7 +1,7 @@
 """Servers that record how often each request was executed, and whether a retry overlapped an open attempt.
 
 A retry overlaps if the connection of an earlier attempt with its id is still open when the last byte of the
-retry arrives. A non-blocking read of the earlier connection tells. The servers use plain sockets and a
+retry arrives, which a non-blocking read of that connection shows. The servers use plain sockets and a
 selector, since the state in the kernel counts, not that of an event loop. The protocol is the platform's
 HTTP/1.1; tests of aborted attempts and `benchmarks.relay` use them.
 
