--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -167,7 +167,11 @@
 
 
 def measure_flood(service: Path) -> None:
-    """Measure and print the service of steady clients without and with a flood, with this service file."""
+    """Measure how steady clients are served without and with a flood, and print the results.
+
+    Args:
+        service: Service file of the sidecar.
+    """
     unflooded: list[Tally] = []
     flooded: list[Tally] = []
     with parts_servers(NODES) as ports, sidecar(ports, sockets=FLOOD_SOCKETS, service=service) as running:
--- a/dykefold/admission/client_state.py
+++ b/dykefold/admission/client_state.py
@@ -26,7 +26,7 @@
 
 
 IDLE_STATES = (ClientState.IDLE_ONCE, ClientState.IDLE_REUSED)
-# States whose start time is renewed by each read in them.
+# In these states, each read from the client sets the start time of the state to the present.
 RENEWED_STATES = (*IDLE_STATES, ClientState.READING)
 
 # States that may follow each state. A connection may also close in any of them.
--- a/dykefold/admission/working_set.py
+++ b/dykefold/admission/working_set.py
@@ -1,8 +1,8 @@
 """Estimate of the number of connections that clients can use, from the recent peak of pending requests.
 
-The clients' machine can also open only a limited number of connections. An abandoned connection that sent
-one request uses up one of these, which the next request may need, so such connections are closed before any
-limit is reached.
+The clients' machine can also open only a limited number of connections. A connection that was abandoned after
+one request still counts toward that number, and the next request may need its place. Such connections are
+therefore closed before any limit is reached.
 """
 
 from __future__ import annotations
@@ -40,7 +40,11 @@
         self._update_limit()
 
     def add_busy(self, now_s: float) -> None:
-        """Count a connection that became busy at a monotonic time in seconds."""
+        """Count one more busy connection.
+
+        Args:
+            now_s: Monotonic time in seconds at which the connection became busy.
+        """
         self.busy += 1
         if now_s - self._interval_began_at_s >= PEAK_INTERVAL_S:
             is_peak_outdated = now_s - self._interval_began_at_s >= 2 * PEAK_INTERVAL_S
--- a/dykefold/balancer/attempt_results.py
+++ b/dykefold/balancer/attempt_results.py
@@ -132,9 +132,9 @@
         elif status is Status.FULL:
             self._learn_rejection(endpoint, attempt)
         elif status is Status.CANCELLED:
-            relative = event.duration_ns / attempt.stats.mean_latency_ns
-            if relative > endpoint.relative_latency:
-                self.latency.add_sample(endpoint, relative)
+            relative_latency = event.duration_ns / attempt.stats.mean_latency_ns
+            if relative_latency > endpoint.relative_latency:
+                self.latency.add_sample(endpoint, relative_latency)
         else:
             self._learn_failure(endpoint, attempt, event, counted)
 
@@ -142,7 +142,7 @@
         self, endpoint: EndpointState, attempt: InFlightAttempt, event: Outcome | StreamStarted
     ) -> None:
         stats, duration_ns = attempt.stats, event.duration_ns
-        relative = duration_ns / stats.mean_latency_ns
+        relative_latency = duration_ns / stats.mean_latency_ns
         self.latency.learn_typical(stats, duration_ns, self.limit.congested())
         if endpoint.slow_start_refilled_ns:
             self.slow_start.credit(endpoint, stats)
@@ -152,9 +152,9 @@
         local = endpoint.zone == self.context.settings.zone
         self.latency.throughput.count_answer(self.endpoints.ready_count, local=local)
         self.outliers.record_success(endpoint)
-        self.latency.add_sample(endpoint, relative)
+        self.latency.add_sample(endpoint, relative_latency)
         if event.report:
-            self.load_reports.record(endpoint, event.report, relative)
+            self.load_reports.record(endpoint, event.report, relative_latency)
         if endpoint.in_flight:
             self.lost_attempts.on_answer(endpoint, attempt.sent_ns)
 
@@ -175,8 +175,8 @@
         counted: bool,
     ) -> None:
         stats, duration_ns, sent_ns = attempt.stats, event.duration_ns, attempt.sent_ns
-        relative = duration_ns / stats.mean_latency_ns
-        sample = max(relative, MIN_FAILURE_RELATIVE_LATENCY, endpoint.relative_latency)
+        relative_latency = duration_ns / stats.mean_latency_ns
+        sample = max(relative_latency, MIN_FAILURE_RELATIVE_LATENCY, endpoint.relative_latency)
         self.latency.add_sample(endpoint, sample)
         if event.status is not Status.TIMEOUT:
             self.outliers.record_failure(endpoint, 1.0, MAX_EJECTED_FRACTION)
--- a/dykefold/balancer/endpoints.py
+++ b/dykefold/balancer/endpoints.py
@@ -26,7 +26,7 @@
         listed: True while the endpoint list contains it.
         sampled: True while it is in the subset of this sidecar.
         ready: True while it is ready for requests according to the endpoint list.
-        zone: Number of its zone.
+        zone: Number of the endpoint's zone.
         kind: Number of its machine type.
         cell: Number of the group of endpoints that share idempotency keys.
         started_ns: Time of its start according to the endpoint list; 0 for long ago.
--- a/dykefold/balancer/events.py
+++ b/dykefold/balancer/events.py
@@ -50,7 +50,7 @@
 
     Attributes:
         number: Number of the endpoint.
-        zone: Number of its zone.
+        zone: Number of the endpoint's zone.
         kind: Number of its machine type.
         cell: Number of the group of endpoints that share idempotency keys.
         state: State of the endpoint.
@@ -236,7 +236,7 @@
     """The timer of a `SetTimer` action has expired.
 
     Attributes:
-        token: Token of that action.
+        token: Token of the `SetTimer` action.
     """
 
     token: int
--- a/dykefold/balancer/load_reports.py
+++ b/dykefold/balancer/load_reports.py
@@ -84,7 +84,8 @@
     def probe(self, request: PendingRequest, candidates: list[EndpointState]) -> int:
         """Request load reports for a request; return the time to wait for them in nanoseconds.
 
-        Guards against a choice by outdated data, since the queue of an endpoint changes within a deadline.
+        The queue of an endpoint changes within a deadline, so a choice by earlier reports would use outdated
+        data.
         """
         now = self.context.now_ns
         request.probed = candidates
--- a/dykefold/balancer/subsetting.py
+++ b/dykefold/balancer/subsetting.py
@@ -58,7 +58,7 @@
         subset_size: Number of endpoints to sample, by demand, in the local zone and as many in other zones.
         local_size: Number of endpoints of the local zone to sample; 0 for all of them.
         ready_per_sampled: Ratio of ready to sampled endpoints, in the local zone and in other zones.
-        groups: Groups by machine type and by whether they are in other zones.
+        groups: Endpoint groups by machine type and whether the endpoint is in another zone.
         demand: Rate of this sidecar's requests per second at `demand_ns`.
         demand_ns: Time of the latest request.
         first_request_ns: Time of the first request; 0 before.
--- a/dykefold/control/admin_operations.py
+++ b/dykefold/control/admin_operations.py
@@ -85,7 +85,7 @@
         if request.action is Action.HEALTH:
             on_response(self._health())
             return
-        pools = [pool for pool in self.sidecar.pools if pool.maintenance.knows(request.endpoint_name)]
+        pools = [pool for pool in self.sidecar.pools if pool.maintenance.is_known(request.endpoint_name)]
         is_out_order = request.action is Action.OUT
         if not pools:
             on_response(UNKNOWN_ENDPOINT)
--- a/dykefold/control/hot_restart.py
+++ b/dykefold/control/hot_restart.py
@@ -101,7 +101,7 @@
         return self._observe().may_serve and self.snapshots.is_ready(self.others.values())
 
     def take_clients(self, sock: socket.socket) -> None:
-        """Accept clients on a listening socket; new connections come to this process from now on."""
+        """Begin to accept clients on a listening socket, so that new connections come to this process."""
         self.machine.on_serving()
         self.listener_selection.join(sock, self.others.values())
         if self.others:
--- a/dykefold/control/hot_restart_state.py
+++ b/dykefold/control/hot_restart_state.py
@@ -62,7 +62,7 @@
 
 
 class HotRestartEvent(Enum):
-    """Events that change the state of a process."""
+    """Events that change the state of a process; `NEWER` is a process that started later."""
 
     MAY_SERVE = "may serve"
     NEWER_STARTS = "newer starts"
--- a/dykefold/control/reuseport_group.py
+++ b/dykefold/control/reuseport_group.py
@@ -43,7 +43,7 @@
         if not others:
             self.index = 0
         elif len(vacated) > 1:
-            # The index that the last listener moved to depends on which of these closed first.
+            # The new index of the last listener depends on the order in which these listeners closed.
             self.index = None
         elif vacated and self.index == len(before):
             self.index = vacated[0]
--- a/dykefold/failover/traffic_plan.py
+++ b/dykefold/failover/traffic_plan.py
@@ -236,7 +236,7 @@
 
     def _next_change(self, now_ns: int, home: HomeCondition) -> LevelChange | None:
         if self.state is PlanState.HOME:
-            return self._leave_home(now_ns, home)
+            return self._begin_failover(now_ns, home)
         if home.unusable:
             return LevelChange(AWAY_LEVEL, home.cause)
         if self._usable_since_ns is None:
@@ -245,7 +245,7 @@
             return self._begin_return(now_ns, self._usable_since_ns)
         return self._continue_return(now_ns)
 
-    def _leave_home(self, now_ns: int, home: HomeCondition) -> LevelChange | None:
+    def _begin_failover(self, now_ns: int, home: HomeCondition) -> LevelChange | None:
         since_ns = self._unusable_since_ns
         if since_ns is None or (now_ns - since_ns < CONFIRM_NS and not home.evacuated):
             return None
--- a/dykefold/fleet/agent.py
+++ b/dykefold/fleet/agent.py
@@ -26,7 +26,7 @@
 
 
 class Node(Protocol):
-    """The process that is a member.
+    """The sidecar process, as its membership agent sees it.
 
     Attributes:
         draining: Whether the graceful shutdown has begun.
--- a/dykefold/lab/fleet/judge.py
+++ b/dykefold/lab/fleet/judge.py
@@ -292,7 +292,7 @@
         calls: Number of calls that arrived.
         notified: Number of these from sidecars that had been notified of the server's start.
         sidecars: Number of sidecars that sent the calls.
-        first_calls: Number of calls that were the first of their sidecar to the server since its start.
+        first_calls: Number of calls that were a sidecar's first call to this server since the server's start.
         retries: Number of calls that were not the first attempt of their request.
         max_calls_per_sidecar: Largest number of calls of one sidecar.
     """
--- a/dykefold/net/discovery/codec.py
+++ b/dykefold/net/discovery/codec.py
@@ -262,7 +262,7 @@
 def _entry_error(number: int, entry: dict[str, Any]) -> EndpointListError:
     """Return the error of the invalid field of an entry.
 
-    This search is separate from parsing, since nearly all entries are valid.
+    The field is searched for only after parsing has failed, since nearly all entries are valid.
     """
     key_prefix = f"endpoints[{number}]."
     try:
--- a/dykefold/net/service/maintenance.py
+++ b/dykefold/net/service/maintenance.py
@@ -73,8 +73,8 @@
         order = self.orders.get(name)
         return order is not None and order.out_of_service
 
-    def knows(self, name: str) -> bool:
-        """Return whether an order may apply to this endpoint."""
+    def is_known(self, name: str) -> bool:
+        """Return whether an endpoint is listed or out of service, so that an order may apply to it."""
         return name in self.listed or self.is_out_of_service(name)
 
     def apply_update(self, entries: Iterable[EntryT], complete: bool) -> list[EntryT]:
--- a/dykefold/net/sidecar.py
+++ b/dykefold/net/sidecar.py
@@ -196,8 +196,9 @@
     def admit(self, connection: ClientConnection, request: ParsedRequest) -> tuple[int, bytes, bytes] | None:
         """Reserve what a request will need.
 
-        Its id must be new. Under the id of a pending request, an endpoint would take it for a hedged request;
-        under the id of a finished request, an endpoint may run it again.
+        The request's id must be new. If it were the id of a pending request, an endpoint would take the
+        request for a hedged request; if it were the id of a finished request, an endpoint might run that
+        request again.
 
         Returns:
             Code, headers and text with which the request is rejected; None if it is admitted.
--- a/dykefold/net/streaming.py
+++ b/dykefold/net/streaming.py
@@ -141,7 +141,8 @@
             stop: Callback that cancels the attempt.
 
         Returns:
-            Whether the body is forwarded; if not, it can't be read, and the attempt has been cancelled.
+            True if the body is being forwarded; False if the rest of the body can't be read from the client,
+            in which case the attempt has been cancelled.
         """
         self.sink, self.stop = sink, stop
         if self.rejection is not None:
--- a/dykefold/net/upstream/connection_pool.py
+++ b/dykefold/net/upstream/connection_pool.py
@@ -288,8 +288,9 @@
         """Remove the most recently used idle connection that has been idle for long enough, and return it.
 
         The most recently used one is the least likely to have been closed by its endpoint. If none has been
-        idle for long enough, the result is None, or, while no endpoint is known to send surplus bytes, the
-        most recently used one: it is still better than a new one.
+        idle for long enough, the result depends on whether an endpoint is known to send surplus bytes. If so,
+        the result is None; otherwise it is the most recently used connection, which is still better than a
+        new one.
         """
         min_idle_s = self.quarantine.limit(now_s)
         idle_until_s = now_s - (min_idle_s or QUARANTINE_MIN_S)
--- a/dykefold/sim/observer.py
+++ b/dykefold/sim/observer.py
@@ -25,7 +25,7 @@
     """A connection from a sidecar to a server.
 
     Attributes:
-        group: Group of servers that share idempotency keys, to which it belongs.
+        group: Number of the server's group; the servers of a group share idempotency keys.
         head: Bytes sent so far of a request head that is incomplete.
         streamed: Whether its body is too long to be buffered.
         body_left: Bytes of its body that are not sent yet.
--- a/dykefold/sim/sidecar_faults.py
+++ b/dykefold/sim/sidecar_faults.py
@@ -74,8 +74,8 @@
 
     def _upgrade(self, fault: Fault) -> None:
         living = self.world.living(fault.sidecar)
-        # While the state directory is full, processes cannot write heartbeats: of three processes that do not
-        # know of each other, one would be more than a hot restart allows for.
+        # While the state directory is full, processes cannot write heartbeats, so they do not know of each
+        # other. A hot restart allows for two such processes, but not for three.
         max_living = 1 if self.world.state_directories[fault.sidecar].full else 2
         if 0 < len(living) <= max_living:
             newer = self.world.add_process(fault.sidecar)
--- a/tests/balancer/test_overload.py
+++ b/tests/balancer/test_overload.py
@@ -274,7 +274,7 @@
 def test_first_attempts_are_admitted_if_client_retries_have_a_longer_timeout(late_worth):
     """Guards against rejecting first lookups as old because client retries have a longer timeout.
 
-    This happened at low load in the second deployment.
+    In the program's second deployment, such lookups were rejected although the load was low.
     """
     request_class = RequestClass("lookup", 440 * MS, 2200 * MS, 1.0, late_worth, Effect.SAFE)
     steady_load = SteadyLoad(*make_balancer(endpoint_count=6, classes=[request_class]))
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -141,6 +141,6 @@
     assert broken_promises(make_tallies(), make_reports(duplicate_orders=1)) == [0]
     assert broken_promises(make_tallies(), make_reports(stray_orders=1)) == [1]
     assert broken_promises(make_tallies(served=80), make_reports()) == [4]
-    slow = make_tallies()
-    slow["catalogue"].latencies_s["down"] = [0.5] * 100
-    assert broken_promises(slow, make_reports()) == [3]
+    slow_tallies = make_tallies()
+    slow_tallies["catalogue"].latencies_s["down"] = [0.5] * 100
+    assert broken_promises(slow_tallies, make_reports()) == [3]
--- a/tests/lab/test_large_fleet.py
+++ b/tests/lab/test_large_fleet.py
@@ -17,7 +17,7 @@
 }
 # For 3,200 servers: a factor on the typical figure, plus a constant, plus 3.2 times the amount per thousand
 # servers.
-MAX_LARGE = {
+LIMITS_FOR_3200_SERVERS = {
     "CPU seconds": 1.4 * 2.0 + 0.02 + 3.2 * 0.12,
     "peak memory": 1.5 * 40 * MB + 8 * MB + 3.2 * 4 * MB,
     "descriptors": 2 * 50.0 + 40,
@@ -28,14 +28,14 @@
 
 def test_limits_are_those_of_the_requirements():
     assert {line.name: line.limit for line in compare_to_limits(TYPICAL, TYPICAL, 3200)} == pytest.approx(
-        {**MAX_LARGE, SERVED: 0.85 * 0.9}
+        {**LIMITS_FOR_3200_SERVERS, SERVED: 0.85 * 0.9}
     )
-    assert LIMITS.keys() == MAX_LARGE.keys()
+    assert LIMITS.keys() == LIMITS_FOR_3200_SERVERS.keys()
 
 
-@pytest.mark.parametrize("name", [*MAX_LARGE, SERVED])
+@pytest.mark.parametrize("name", [*LIMITS_FOR_3200_SERVERS, SERVED])
 def test_each_exceeded_limit_alone_is_reported_as_broken(name):
-    limits = {**MAX_LARGE, SERVED: 0.85 * 0.9}
+    limits = {**LIMITS_FOR_3200_SERVERS, SERVED: 0.85 * 0.9}
     for fraction, is_broken in ((0.999, name == SERVED), (1.001, name != SERVED)):
         lines = compare_to_limits(TYPICAL, {**TYPICAL, name: fraction * limits[name]}, 3200)
         assert [line.name for line in lines if line.broken] == ([name] if is_broken else [])
--- a/tests/net/test_maintenance.py
+++ b/tests/net/test_maintenance.py
@@ -45,7 +45,7 @@
             (name, state) for name, state, _ in summaries(maintenance.apply_update(entries, complete))
         ]
     maintenance.apply_update([list_entry("s0", State.GONE)], False)
-    assert maintenance.knows("s0")  # it can be returned to service although it is gone
+    assert maintenance.is_known("s0")  # it can be returned to service although it is gone
     assert summaries(maintenance.apply_update([list_entry("s0")], False)) == [("s0", State.DRAINING, 0)]
     assert summaries(maintenance.apply_order("s0", False, 200)) == [("s0", State.READY, 200)]
     assert maintenance.apply_order("s0", False, 210) == []
@@ -72,7 +72,7 @@
     monkeypatch.setattr(module, "MAX_OUT_OF_SERVICE", 2)
     monkeypatch.setattr(module, "MAX_REMEMBERED_RETURNS", 1)
     maintenance = make_maintenance()
-    assert not maintenance.knows("s0")
+    assert not maintenance.is_known("s0")
     maintenance.apply_update([list_entry(name) for name in NAMES], True)
     for name in NAMES[:2]:
         maintenance.apply_order(name, True, 1)
@@ -127,7 +127,7 @@
     @rule(name=st.sampled_from(NAMES), take_out=st.booleans())
     def apply_order(self, name, take_out):
         self.now_ns += 1
-        if self.maintenance.knows(name):
+        if self.maintenance.is_known(name):
             (self.out_of_service.add if take_out else self.out_of_service.discard)(name)
             self.notify(self.maintenance.apply_order(name, take_out, self.now_ns))
 
